--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from hitchtiller import interface as api
-from hitchtiller.records import Attempt, Held, Node, by_hash, mix, put
+from hitchtiller.records import Attempt, Held, Node, by_hash, hash64, put
 from hitchtiller.routing.blame import BLAME, CLEAR, EJECT_AT, UNTOLD_FILL, ejection_ms
 from hitchtiller.routing.capacity import Capacity
 from hitchtiller.routing.cold import ColdGuard
@@ -97,7 +97,7 @@
         for member in [*event.members, *(replace(m, state="DELETED") for m in lost)]:
             node = self.nodes.get(member.server)
             if node is None:
-                salt = mix(*member.server.encode())
+                salt = hash64(*member.server.encode())
                 self.nodes[member.server] = Node(member, salt, self.now, member.started_ms or -math.inf)
                 continue
             node.follow(member, self.now)
@@ -219,7 +219,7 @@
         """Take a request and send its first attempt."""
         cls = self.settings.classes[ask.class_name]
         work, known = self.sizes.of(ask)
-        hashed = mix(ask.key, ask.part)
+        hashed = hash64(ask.key, ask.part)
         item, home = (ask.key, ask.part), self.home_of(hashed)
         held = Held(ask, cls, work, known, item, hashed, home, self.rng.random())
         self.held[ask.id] = held
--- a/hitchtiller/membership/homes.py
+++ b/hitchtiller/membership/homes.py
@@ -14,7 +14,7 @@
 
 from collections.abc import Collection, Iterable
 
-from hitchtiller.records import blend, mix, put
+from hitchtiller.records import blend, hash64, put
 
 KEPT, DEPTH = 2048, 4
 HANDED = 64  # entries at a change: notes in a burst, or look-ups that find nothing
@@ -26,7 +26,7 @@
 
     def __init__(self, size: int) -> None:
         """Rank these many."""
-        self.salts = [mix(0x484F4D45, number) for number in range(size)]
+        self.salts = [hash64(0x484F4D45, number) for number in range(size)]
         self.orders: dict[int, list[int]] = {}
 
     def home(self, hashed: int, serving: Collection[int]) -> int:
@@ -49,7 +49,7 @@
         """
         found: list[tuple[Item, int]] = []
         for item in reversed(list(entries)):
-            hashed = mix(*item)
+            hashed = hash64(*item)
             home = self.home(hashed, after)
             if home != self.home(hashed, before) and to in (-1, home):
                 found.append((item, home))
--- a/hitchtiller/records.py
+++ b/hitchtiller/records.py
@@ -11,7 +11,7 @@
 from hitchtiller.routing.pace import Pace
 
 
-def mix(*values: int) -> int:
+def hash64(*values: int) -> int:
     """Hash numbers to 64 bits, the same in every process."""
     return int.from_bytes(blake2b(repr(values).encode(), digest_size=8).digest(), "big")
 
--- a/standins/scale/bounds.py
+++ b/standins/scale/bounds.py
@@ -6,7 +6,7 @@
 from hitchtiller import interface as api
 from hitchtiller.decide import Router
 from hitchtiller.membership.homes import Homes
-from hitchtiller.records import mix
+from hitchtiller.records import hash64
 from standins.scale.plan import Plan, demand_at
 from standins.scale.scenarios import fills_from_origin
 
@@ -74,7 +74,7 @@
 def homes(gateways: int, seed: int) -> dict[str, float]:
     """Measure the share of objects whose home changes with one more gateway, both ways of choosing it."""
     rng = Random(seed)
-    hashes = [mix(rng.getrandbits(48), 0) for _ in range(MOVED_OBJECTS)]
+    hashes = [hash64(rng.getrandbits(48), 0) for _ in range(MOVED_OBJECTS)]
     plain = sum(h % gateways != h % (gateways + 1) for h in hashes)
     ranked, all_but_last = Homes(gateways + 1), set(range(gateways))
     every = all_but_last | {gateways}
--- a/tests/membership/test_membership_parts.py
+++ b/tests/membership/test_membership_parts.py
@@ -13,7 +13,7 @@
 from hitchtiller.membership.shares import preferred_share, rule_share, weighed_share
 from hitchtiller.membership.view import UNHEARD, Claim, State, View
 from hitchtiller.membership.words import ITEMS, MOST, Kind, Word, is_word, pack, unpack
-from hitchtiller.records import mix
+from hitchtiller.records import hash64
 
 CLAIMS = st.builds(Claim, st.integers(0, 5), st.sampled_from(State))
 SAYINGS = st.lists(st.tuples(st.integers(1, 3), CLAIMS), max_size=12)
@@ -179,11 +179,11 @@
 
 def test_the_latest_entries_whose_home_changes_are_handed_over_and_no_others() -> None:
     homes, all_of, rest = Homes(5), set(range(5)), {0, 1, 3, 4}
-    mine = [(key, 0) for key in range(600) if homes.home(mix(key, 0), all_of) == 2]
+    mine = [(key, 0) for key in range(600) if homes.home(hash64(key, 0), all_of) == 2]
     moved = homes.moved(mine, all_of, rest)
     assert [item for item, _ in moved] == mine[::-1][:HANDED] and len(mine) > HANDED
-    assert all(home == homes.home(mix(*item), rest) for item, home in moved)
-    theirs = [(key, 0) for key in range(600) if homes.home(mix(key, 0), rest) == 1]
+    assert all(home == homes.home(hash64(*item), rest) for item, home in moved)
+    theirs = [(key, 0) for key in range(600) if homes.home(hash64(key, 0), rest) == 1]
     back = homes.moved(theirs, rest, all_of, to=2)
     assert back and all(home == 2 for _, home in back)
     assert homes.moved(theirs, rest, all_of, to=3) == [], "nobody but 2 came"
