--- a/hitchtiller/membership/homes.py
+++ b/hitchtiller/membership/homes.py
@@ -14,7 +14,7 @@
 
 from collections.abc import Collection, Iterable
 
-from hitchtiller.records import blend, hash64, put
+from hitchtiller.records import combine_hashes, hash64, put
 
 KEPT, DEPTH = 2048, 4
 HANDED = 64  # entries at a change: notes in a burst, or look-ups that find nothing
@@ -58,4 +58,4 @@
         return found
 
     def _rank(self, hashed: int) -> list[int]:
-        return sorted(range(len(self.salts)), key=lambda n: (-blend(hashed, self.salts[n]), n))
+        return sorted(range(len(self.salts)), key=lambda n: (-combine_hashes(hashed, self.salts[n]), n))
--- a/hitchtiller/records.py
+++ b/hitchtiller/records.py
@@ -16,7 +16,7 @@
     return int.from_bytes(blake2b(repr(values).encode(), digest_size=8).digest(), "big")
 
 
-def blend(a: int, b: int) -> int:
+def combine_hashes(a: int, b: int) -> int:
     """Mix two 64-bit hashes into one; cheap, for rankings that are made for each new object."""
     mixed = ((a ^ b) * 0x9E3779B97F4A7C15) & 0xFFFFFFFFFFFFFFFF
     return ((mixed ^ mixed >> 32) * 0xD6E8FEB86659FD93) & 0xFFFFFFFFFFFFFFFF
@@ -67,7 +67,7 @@
 
 def by_hash(hashed: int, nodes: Iterable[Node]) -> list[Node]:
     """Order servers by weighted rendezvous hash."""
-    return sorted(nodes, key=lambda n: -math.log((blend(hashed, n.salt) + 1) / (1 << 64)) / n.link)
+    return sorted(nodes, key=lambda n: -math.log((combine_hashes(hashed, n.salt) + 1) / (1 << 64)) / n.link)
 
 
 @dataclass(slots=True, eq=False)
--- a/hitchtiller/routing/cold.py
+++ b/hitchtiller/routing/cold.py
@@ -20,7 +20,7 @@
 import math
 
 from hitchtiller.interface import Settings
-from hitchtiller.records import Node, blend, hash64
+from hitchtiller.records import Node, combine_hashes, hash64
 
 SAFETY = 0.55  # of N, for weights that are rough, links that are slow, and processes that start anew
 LOAD = 0.8  # of what it can do: beyond that it falls behind, and what it holds is late
@@ -81,7 +81,7 @@
                 return 0.0
             wanted = users
         else:
-            if blend(hash64(self.mine), salt) / WHOLE >= min(users, expected(budget)) / pool:
+            if combine_hashes(hash64(self.mine), salt) / WHOLE >= min(users, expected(budget)) / pool:
                 return 0.0
             wanted = users
         part = SAFETY * multiple * able / users
