--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from hitchtiller import interface as api
-from hitchtiller.records import Attempt, Held, Node, by_hash, hash64, put
+from hitchtiller.records import Attempt, Held, Node, by_hash, hash64, lru_put
 from hitchtiller.routing.blame import BLAME, CLEAR, EJECT_AT, UNTOLD_FILL, ejection_ms
 from hitchtiller.routing.capacity import Capacity
 from hitchtiller.routing.cold import ColdGuard
@@ -160,7 +160,7 @@
         orders = self.orders.get(hashed)
         if orders is None:
             orders = (by_hash(hashed, self.caches), by_hash(hashed, self.parents))
-            put(self.orders, hashed, orders, TABLE)
+            lru_put(self.orders, hashed, orders, TABLE)
         return orders
 
     def pick(self, held: Held, width: int) -> tuple[Node | None, bool]:
@@ -338,7 +338,7 @@
         due = known != node.m.server or self.now - when > ENTRY_MS / 2
         near = node.m.zone == self.settings.my_zone and not held.cls.write
         if due and near and self.settings.siblings != "none":
-            put(self.reported, held.item, (node.m.server, self.now), TABLE)
+            lru_put(self.reported, held.item, (node.m.server, self.now), TABLE)
             self.tell(held.home, api.PeerNote("kept", *held.item, node.m.server, max(0, held.ask.group)))
 
     def further(self, held: Held, attempt: Attempt, status: str) -> None:
--- a/hitchtiller/membership/homes.py
+++ b/hitchtiller/membership/homes.py
@@ -14,7 +14,7 @@
 
 from collections.abc import Collection, Iterable
 
-from hitchtiller.records import combine_hashes, hash64, put
+from hitchtiller.records import combine_hashes, hash64, lru_put
 
 KEPT, DEPTH = 2048, 4
 HANDED = 64  # entries at a change: notes in a burst, or look-ups that find nothing
@@ -34,7 +34,7 @@
         order = self.orders.get(hashed)
         if order is None:
             order = self._rank(hashed)[:DEPTH]
-            put(self.orders, hashed, order, KEPT)
+            lru_put(self.orders, hashed, order, KEPT)
         for number in order:
             if number in serving:
                 return number
--- a/hitchtiller/records.py
+++ b/hitchtiller/records.py
@@ -22,7 +22,7 @@
     return ((mixed ^ mixed >> 32) * 0xD6E8FEB86659FD93) & 0xFFFFFFFFFFFFFFFF
 
 
-def put(table: dict[Any, Any], key: Any, value: Any, most: int) -> None:
+def lru_put(table: dict[Any, Any], key: Any, value: Any, most: int) -> None:
     """Put a value in as the latest used; the least recently used makes room."""
     table.pop(key, None)
     table[key] = value
--- a/hitchtiller/routing/directory.py
+++ b/hitchtiller/routing/directory.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from hitchtiller.records import put
+from hitchtiller.records import lru_put
 
 MOST_ENTRIES, MOST_HOLDERS = 4096, 4  # memory, or sight of seldom-asked objects
 ENTRY_MS = 10_000.0  # age from which a listed cache is no longer believed
@@ -35,8 +35,8 @@
         """List a cache as a holder of an object of a group."""
         entry = self.entries.get(item) or Entry(group)
         entry.group = group
-        put(entry.holders, server, now_ms, MOST_HOLDERS)
-        put(self.entries, item, entry, MOST_ENTRIES)
+        lru_put(entry.holders, server, now_ms, MOST_HOLDERS)
+        lru_put(self.entries, item, entry, MOST_ENTRIES)
 
     def drop(self, item: Item, server: str) -> None:
         """Take a cache off an object's entry."""
--- a/hitchtiller/routing/popularity.py
+++ b/hitchtiller/routing/popularity.py
@@ -8,7 +8,7 @@
 
 import math
 
-from hitchtiller.records import put
+from hitchtiller.records import lru_put
 
 MOST_OBJECTS = 4096  # memory, or sight of seldom-asked objects
 HEAT_MS = 10_000.0  # memory of the counter: steady or quick widening
@@ -29,7 +29,7 @@
         """Count a request for an object; gives its heat, in requests within HEAT_MS."""
         old, at_ms = self.heat.get(item, (0.0, now_ms))
         heat = old * math.exp((at_ms - now_ms) / HEAT_MS) + 1.0
-        put(self.heat, item, (heat, now_ms), MOST_OBJECTS)
+        lru_put(self.heat, item, (heat, now_ms), MOST_OBJECTS)
         return heat
 
 
