--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -107,7 +107,7 @@
         self.parents = [n for n in self.nodes.values() if n.m.kind == self.settings.parent_kind]
         self.origins = [n for n in self.nodes.values() if n.m.kind == self.settings.origin_kind]
         for name, links in self.capacity.of(n.m for n in self.nodes.values()).items():
-            self.nodes[name].link, self.nodes[name].sure = links
+            self.nodes[name].link, self.nodes[name].safe_capacity = links
         self.weight = sum(n.link for n in self.caches)
         self.orders.clear()
 
--- a/hitchtiller/records.py
+++ b/hitchtiller/records.py
@@ -39,7 +39,7 @@
     answered_ms: float
     joined_ms: float  # last start or return, 0: long ago
     link: float = 1.0  # transfers at full pace at once: likely
-    sure: float = 1.0  # and at least
+    safe_capacity: float = 1.0  # and at least
     debt_ms: float = 0.0  # work sent to it while cold and not yet earned
     debt_at: float = 0.0
     load_ms: float = 0.0  # my work out there
--- a/hitchtiller/routing/cold.py
+++ b/hitchtiller/routing/cold.py
@@ -49,7 +49,7 @@
         if node.m.kind == self.origin_kind or not start:
             return math.inf
         parent = node.m.kind == self.parent_kind
-        return self.rate(parent, now_ms - start, node.sure, node.salt, mean_ms, present)
+        return self.rate(parent, now_ms - start, node.safe_capacity, node.salt, mean_ms, present)
 
     def admits(self, node: Node, now_ms: float, mean_ms: float, present: float) -> bool:
         """Tell whether what was sent to a cold server is paid off, so that it may get one more call."""
@@ -61,7 +61,7 @@
         return rate > 0.0 and node.debt_ms <= 0.0
 
     def rate(
-        self, parent: bool, age_ms: float, sure: float, salt: int, mean_ms: float, present: float
+        self, parent: bool, age_ms: float, safe_capacity: float, salt: int, mean_ms: float, present: float
     ) -> float:
         """Give the work a ms that this gateway may add to what it has sent; infinite once the server is warm.
 
@@ -71,7 +71,7 @@
         share, ramp, multiple, pool = self.figures[parent]
         if age_ms >= ramp:
             return math.inf
-        able = sure * (share + (1.0 - share) * max(0.0, age_ms) / ramp)
+        able = safe_capacity * (share + (1.0 - share) * max(0.0, age_ms) / ramp)
         budget = multiple * able * self.fall_ms / mean_ms  # N
         users = max(1.0, math.floor(SAFETY * budget / 2.0))
         if pool <= users:
