--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -425,7 +425,7 @@
         if node.trial:
             node.trial, node.blame, node.ejections = False, EJECT_AT / 2, max(0, node.ejections - 1)
 
-    def blame(self, node: Node, share: float) -> None:
+    def add_failure(self, node: Node, share: float) -> None:
         """Blame a server and leave it out, but not where its likes are blamed too: the cause is shared."""
         node.blame += (1.0 - node.blame) * share
         if node.blame < EJECT_AT or self.now < node.out_until or node.m.kind == self.settings.origin_kind:
