--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -62,7 +62,7 @@
         self.present: Callable[[], float] = lambda: 1.0  # share of the gateways in service, by membership
         self.silent_homes: dict[int, float] = {}  # home routers that did not answer, until when
         self.purges = PurgeLog()
-        self.orders: dict[int, tuple[list[Node], list[Node]]] = {}  # of caches and parents, by hash
+        self.rankings: dict[int, tuple[list[Node], list[Node]]] = {}  # of caches and parents, by hash
         self.sizes = Sizes(settings)
         self.capacity, self.mean = Capacity(settings), self.sizes.mean
         self.swept = math.inf  # when overdue work was last looked for
@@ -109,7 +109,7 @@
         for name, links in self.capacity.of(n.m for n in self.nodes.values()).items():
             self.nodes[name].link, self.nodes[name].safe_capacity = links
         self.weight = sum(n.link for n in self.caches)
-        self.orders.clear()
+        self.rankings.clear()
 
     # Rule guards
 
@@ -157,10 +157,10 @@
 
     def ranked(self, hashed: int) -> tuple[list[Node], list[Node]]:
         """Order the zone's caches, and the parents, by weighted rendezvous hash, until the list changes."""
-        orders = self.orders.get(hashed)
+        orders = self.rankings.get(hashed)
         if orders is None:
             orders = (by_hash(hashed, self.caches), by_hash(hashed, self.parents))
-            lru_put(self.orders, hashed, orders, TABLE)
+            lru_put(self.rankings, hashed, orders, TABLE)
         return orders
 
     def pick(self, held: Held, width: int) -> tuple[Node | None, bool]:
--- a/tests/scale/test_scale_growth.py
+++ b/tests/scale/test_scale_growth.py
@@ -34,7 +34,7 @@
     assert decisions.OBJECTS > MOST_OBJECTS
     assert len(router.popularity.heat) == MOST_OBJECTS
     assert len(router.directory.entries) == MOST_ENTRIES
-    assert max(len(router.reported), len(router.orders)) <= MOST_OBJECTS
+    assert max(len(router.reported), len(router.rankings)) <= MOST_OBJECTS
 
 
 def test_directory_notes_of_a_gateway_do_not_grow_with_the_fleet() -> None:
