--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -141,7 +141,7 @@
         within = self.now < held.ran[0] + cls.repeat_window_ms - MARGIN_MS
         return cls.effect == "by_key" and within and same_scope(cls, held.ran[1].m, node.m)
 
-    def release(self, id: int, shot: int, now_ms: float) -> float | None:
+    def recheck_send(self, id: int, shot: int, now_ms: float) -> float | None:
         """Guards again at an attempt's first byte: its age bound then, or None if it may not go."""
         held, attempt, self.now = self.held.get(id), self.flights.get((id, shot)), now_ms
         if not held or not attempt or now_ms >= held.ask.deadline_ms:
--- a/hitchtiller/engine.py
+++ b/hitchtiller/engine.py
@@ -301,7 +301,7 @@
             node = self.router.nodes.get(attempt.get.server)  # it may have gone meanwhile
             if not node or not self.effects.may_begin(ask.class_name, ask.dedupe, node.m, now):
                 return None
-            cap = self.router.release(attempt.get.id, attempt.shot, now)
+            cap = self.router.recheck_send(attempt.get.id, attempt.shot, now)
         except Exception:  # noqa: BLE001  it would take a connection's other jobs along
             logger.exception("clearing an attempt failed")
             return None
--- a/standins/scale/fleet.py
+++ b/standins/scale/fleet.py
@@ -144,7 +144,7 @@
         """Carry an attempt to its server, if it is still cleared at its first byte."""
         shot, ask = gateway.shot(get.id), gateway.open.get(get.id)
         end = partial(self.end, gateway, get, shot)
-        if ask is None or gateway.router.release(get.id, shot, self.now) is None:
+        if ask is None or gateway.router.recheck_send(get.id, shot, self.now) is None:
             self.at(self.now, partial(end, "skipped"))
         elif get.source == self.origin:
             self.fill_from_origin(ask, end)
--- a/tests/ends/test_ends_effects.py
+++ b/tests/ends/test_ends_effects.py
@@ -69,12 +69,12 @@
         """The window was looked at when the attempt was decided, not when its first byte went out."""
         bench = Bench()
         (get,) = gets(bench.ask(1, name="keyed"))
-        self.assertIsNotNone(bench.router.release(1, 0, 5.0))
+        self.assertIsNotNone(bench.router.recheck_send(1, 0, 5.0))
         bench.now = 100.0
         (again,) = gets(bench.end(get, "err"))
         self.assertEqual(again.id, 1)
-        self.assertIsNotNone(bench.router.release(1, 1, 500.0))
-        self.assertIsNone(bench.router.release(1, 1, 950.0), "the window is 1 s")
+        self.assertIsNotNone(bench.router.recheck_send(1, 1, 500.0))
+        self.assertIsNone(bench.router.recheck_send(1, 1, 950.0), "the window is 1 s")
 
 
 class OnSockets(unittest.TestCase):
--- a/tests/routing/test_routing_leases.py
+++ b/tests/routing/test_routing_leases.py
@@ -234,7 +234,7 @@
     grant = replace(told.note, kind=LeaseKind.GRANT)
     (fill,) = gets(bench.give(api.PeerMessage(told.peer, grant), START_MS + 20.0))
     assert fill.source == "o"
-    assert bench.router.release(1, 1, START_MS + 25.0) is not None
+    assert bench.router.recheck_send(1, 1, START_MS + 25.0) is not None
 
 
 def test_a_miss_whose_lease_came_before_its_look_had_ended_is_filled_under_it() -> None:
@@ -286,4 +286,4 @@
     grant = replace(told.note, kind=LeaseKind.GRANT)
     assert gets(bench.give(api.PeerMessage(told.peer, grant), START_MS + 20.0))
     bench.router.leases.held = None  # as where it ran out while the process was stopped
-    assert bench.router.release(1, 1, START_MS + 30.0) is None
+    assert bench.router.recheck_send(1, 1, START_MS + 30.0) is None
