--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -392,7 +392,7 @@
         elif event.status == "done" and source is not node:
             source.fills.grow()
         if event.status == "done" and event.note == 1 and held and held.known and event.whole:
-            node.pace.hear(self.now, event.latency_ms / held.work)
+            node.pace.record(self.now, event.latency_ms / held.work)
         if event.status in ("done", "enoent"):
             self.clear(node)
             unknown = self.settings.notes == "none" and event.status == "done"
@@ -540,4 +540,4 @@
 
     def on_purged(self, event: api.Purged) -> None:
         """Note a purge; it bounds the age of copies, and of directory entries."""
-        self.purges.hear(event.key, event.group, self.now - event.age_ms)
+        self.purges.record(event.key, event.group, self.now - event.age_ms)
--- a/hitchtiller/routing/pace.py
+++ b/hitchtiller/routing/pace.py
@@ -35,7 +35,7 @@
         stretch = self.now(now_ms)
         return stretch if stretch > WORTH else 0.0
 
-    def hear(self, now_ms: float, stretch: float) -> None:
+    def record(self, now_ms: float, stretch: float) -> None:
         """Take an answer's time over its sending time at full pace."""
         old = self.now(now_ms) - 1.0
         self.over = old + WEIGHT * (min(MOST, max(1.0, stretch)) - 1.0 - old)
--- a/hitchtiller/routing/purges.py
+++ b/hitchtiller/routing/purges.py
@@ -22,7 +22,7 @@
         self.purged_ms: dict[PurgeName, float] = {}
         self.by_age: list[tuple[float, PurgeName]] = []
 
-    def hear(self, key: int | None, group: int, purged_ms: float) -> None:
+    def record(self, key: int | None, group: int, purged_ms: float) -> None:
         """Note a purge of an object, or with no key of a whole group; an older one changes nothing."""
         name = ("group", group) if key is None else ("key", key)
         if purged_ms > self.purged_ms.get(name, -math.inf):
--- a/tests/ends/test_ends_settings.py
+++ b/tests/ends/test_ends_settings.py
@@ -95,7 +95,7 @@
         first, second = Router(read_settings(SETTINGS), 1), Router(read_settings(SETTINGS), 1)
         first.mean["files"] = 77.0
         first.popularity.count((1, 1), 77.0)
-        first.purges.hear(1, 0, 77.0)
+        first.purges.record(1, 0, 77.0)
         first.directory.add((1, 1), 0, "cache", 77.0)
         self.assertNotEqual(second.mean["files"], 77.0)
         self.assertEqual((second.popularity.heat, second.directory.entries), ({}, {}))
--- a/tests/routing/test_routing_pace.py
+++ b/tests/routing/test_routing_pace.py
@@ -15,7 +15,7 @@
     pace = Pace()
     assert pace.now(0.0) == 1.0
     for n in range(12):
-        pace.hear(float(n), 9.0)
+        pace.record(float(n), 9.0)
     assert 8.0 < pace.now(12.0) <= 9.0
     assert pace.now(12.0 + 5 * FORGET_MS) < 1.1
 
@@ -25,7 +25,7 @@
     pace, now = Pace(), 0.0
     for after, stretch in heard:
         now += after
-        pace.hear(now, stretch)
+        pace.record(now, stretch)
     assert 1.0 <= pace.now(now) <= MOST
 
 
