--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -19,7 +19,7 @@
 from hitchtiller.routing.directory import ENTRY_MS, Directory
 from hitchtiller.routing.effects import repeats_anywhere, same_scope
 from hitchtiller.routing.leases import Messages, OriginLeases
-from hitchtiller.routing.popularity import HEAT_MS, Popularity, caches_for, keep_rank
+from hitchtiller.routing.popularity import DECAY_MS, Popularity, caches_for, keep_rank
 from hitchtiller.routing.purges import PurgeLog
 from hitchtiller.routing.sizes import Sizes
 
@@ -212,7 +212,7 @@
         heat = self.popularity.count(held.item, self.now)
         held.keep = keep_rank(heat)
         link = self.weight / max(1, len(self.caches)) or 1.0
-        share = heat * held.work * self.around() / HEAT_MS / link
+        share = heat * held.work * self.around() / DECAY_MS / link
         return caches_for(heat, share)
 
     def on_request(self, ask: api.Request) -> None:
--- a/hitchtiller/routing/popularity.py
+++ b/hitchtiller/routing/popularity.py
@@ -11,7 +11,7 @@
 from hitchtiller.records import lru_put
 
 MOST_OBJECTS = 4096  # memory, or sight of seldom-asked objects
-HEAT_MS = 10_000.0  # memory of the counter: steady or quick widening
+DECAY_MS = 10_000.0  # memory of the counter: steady or quick widening
 KEEP_AT = (1.3, 4.0)  # heat from which a copy is kept at rank two, three: objects asked once displace nothing
 WIDEN_AT = (0.05, 0.15)  # share of a cache's link from which an object gets two, three: balance or copies
 WIDEN_HEAT = 3.0  # requests below which a share says nothing
@@ -28,7 +28,7 @@
     def count(self, item: Item, now_ms: float) -> float:
         """Count a request for an object; gives its heat, in requests within HEAT_MS."""
         old, at_ms = self.heat.get(item, (0.0, now_ms))
-        heat = old * math.exp((at_ms - now_ms) / HEAT_MS) + 1.0
+        heat = old * math.exp((at_ms - now_ms) / DECAY_MS) + 1.0
         lru_put(self.heat, item, (heat, now_ms), MOST_OBJECTS)
         return heat
 
