--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -240,7 +240,7 @@
             self.send(held, node, node, "look")
         else:
             source = self.source(held)
-            if held.cls.write or (source and source.fills.free and self.fillable(held, source)):
+            if held.cls.write or (source and source.fills.unlimited and self.fillable(held, source)):
                 return self.send(held, node, source, "fill")
             stage = "check" if source and self.fillable(held, source) else "only"  # exception: hits stay
             self.send(held, node, node, stage)  # prompt while fills jam, and only fills are counted as such
--- a/hitchtiller/routing/fills.py
+++ b/hitchtiller/routing/fills.py
@@ -32,13 +32,13 @@
         self.share = MOST
 
     @property
-    def free(self) -> bool:
+    def unlimited(self) -> bool:
         """Tell whether fills of any size go, so that nothing has to be known of one beforehand."""
         return self.share >= MOST
 
     def admits(self, work_ms: float, mean_ms: float, draw: float) -> bool:
         """Tell whether a fill that takes `work_ms` to send may be asked for; `draw` is from [0, 1)."""
-        return self.free or draw * work_ms < self.share * mean_ms
+        return self.unlimited or draw * work_ms < self.share * mean_ms
 
     def shrink(self) -> None:
         """Hear of a fill that missed its aim, or was turned away."""
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -434,10 +434,10 @@
     bench = Bench(siblings="none", gateways_in_zone=(0, 1, 0))
     (get,) = gets(bench.ask(1, key=1, name="big", size_kb=4000.0, life_ms=5000.0))
     (attempt,) = bench.router.flights.values()
-    assert attempt.source.m.server == get.source and attempt.source.fills.free
+    assert attempt.source.m.server == get.source and attempt.source.fills.unlimited
     bench.router.now = 4950.0
     bench.router.watch(attempt)
-    assert not attempt.source.fills.free
+    assert not attempt.source.fills.unlimited
 
 
 def test_a_later_attempt_that_had_little_time_left_is_no_sign_of_a_slow_source() -> None:
@@ -453,4 +453,4 @@
     assert again.source == attempt.source.m.server != attempt.node.m.server
     bench.router.now = 4990.0
     bench.router.watch(attempt)
-    assert attempt.source.fills.free
+    assert attempt.source.fills.unlimited
