--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -202,7 +202,7 @@
             if not held.cls.write and self.admits(node):
                 return node
         if not held.cls.write and not self.leases.may_begin(held.ask.deadline_ms, self.now):
-            self.actions += [api.Tell(peer, note) for peer, note in self.leases.want(self.now)]
+            self.actions += [api.Tell(peer, note) for peer, note in self.leases.request_lease(self.now)]
             held.lacks_lease = True
             return None
         return next(iter(self.origins), None)
--- a/hitchtiller/routing/leases.py
+++ b/hitchtiller/routing/leases.py
@@ -132,7 +132,7 @@
 
     # Notes
 
-    def want(self, now_ms: float) -> Messages:
+    def request_lease(self, now_ms: float) -> Messages:
         """Ask for a lease after a fill was not allowed; nothing while one is held or asked for."""
         if self.fixed or self.held or self.asked or now_ms < self.next_ms:
             return []
--- a/tests/routing/test_routing_leases.py
+++ b/tests/routing/test_routing_leases.py
@@ -26,7 +26,7 @@
 
 def request_of(holder: OriginLeases, now_ms: float) -> tuple[int, LeaseNote]:
     """Have a gateway ask for a lease."""
-    ((owner, note),) = holder.want(now_ms)
+    ((owner, note),) = holder.request_lease(now_ms)
     return owner, note
 
 
@@ -54,7 +54,7 @@
             made.begin(0.0)
             begun += 1
         assert begun == ORIGIN_FILLS // size
-        assert made.want(0.0) == []
+        assert made.request_lease(0.0) == []
 
 
 def test_one_fill_at_a_time_under_a_lease_and_none_that_could_outlast_it() -> None:
@@ -96,7 +96,7 @@
     """What its earlier life lent is still out."""
     owner = leases(3, settled=False)
     assert denied(owner, 100, START_MS + owner.term_ms - 1.0)
-    messages = owner.want(START_MS + 1.0)
+    messages = owner.request_lease(START_MS + 1.0)
     assert owner.held is None and [to for to, _ in messages] != [3]
     assert not denied(owner, 100, START_MS + owner.term_ms)
 
@@ -184,7 +184,7 @@
     other = OriginLeases(replace(settings, my_number=100), ORIGIN_FILLS)
     for made in (owner, other):
         made.start(START_MS - made.term_ms)
-        assert made.want(START_MS) == []
+        assert made.request_lease(START_MS) == []
     assert owner.may_begin(START_MS + 5_000.0, START_MS)
     assert not other.may_begin(START_MS + 5_000.0, START_MS)
 
