--- a/hitchtiller/engine.py
+++ b/hitchtiller/engine.py
@@ -180,7 +180,7 @@
         if self.copies and answer.kind != SERVED:
             answer = self.copies.instead(exchange, answer)
         ask = exchange.ask
-        if answer.kind == REFUSED and not self.effects.harmless(
+        if answer.kind == REFUSED and not self.effects.retry_is_safe(
             ask.class_name, ask.dedupe, self.clock.now_ms()
         ):
             answer = Answer(FAILED)  # a refusal would say that trying again does no harm
--- a/hitchtiller/routing/effects.py
+++ b/hitchtiller/routing/effects.py
@@ -93,7 +93,7 @@
             now_ms >= doubt.since_ms + self.classes[class_name].repeat_window_ms - MARGIN_MS
         )
 
-    def harmless(self, class_name: str, key: str, now_ms: float) -> bool:
+    def retry_is_safe(self, class_name: str, key: str, now_ms: float) -> bool:
         """Tell whether a client may be told that trying again does no harm."""
         if (class_name, key) not in self.doubts:
             return True
--- a/tests/ends/test_ends_effects.py
+++ b/tests/ends/test_ends_effects.py
@@ -50,10 +50,10 @@
         self.assertFalse(cell.may_begin("pay", "k1", replace(HERE, cell=7), 200.0))
 
     def test_what_is_told_to_the_client(self) -> None:
-        self.assertTrue(self.effects().harmless("pay", "k1", 200.0))
-        self.assertFalse(self.effects().harmless("pay", "k1", 5000.0))
-        self.assertFalse(self.effects(ZONE).harmless("pay", "k1", 200.0))
-        self.assertTrue(self.effects(ZONE).harmless("pay", "new", 200.0))
+        self.assertTrue(self.effects().retry_is_safe("pay", "k1", 200.0))
+        self.assertFalse(self.effects().retry_is_safe("pay", "k1", 5000.0))
+        self.assertFalse(self.effects(ZONE).retry_is_safe("pay", "k1", 200.0))
+        self.assertTrue(self.effects(ZONE).retry_is_safe("pay", "new", 200.0))
 
     def test_keys_are_forgotten_when_no_try_of_them_can_come_any_more_and_at_a_bound(self) -> None:
         effects = self.effects()
