--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -202,7 +202,7 @@
             if not held.cls.write and self.admits(node):
                 return node
         if not held.cls.write and not self.leases.may_begin(held.ask.deadline_ms, self.now):
-            self.actions += [api.Tell(peer, note) for peer, note in self.leases.request_lease(self.now)]
+            self.actions += [api.SendNote(peer, note) for peer, note in self.leases.request_lease(self.now)]
             held.lacks_lease = True
             return None
         return next(iter(self.origins), None)
@@ -299,7 +299,7 @@
 
     def on_lease(self, messages: Messages) -> None:
         """Send notes on leases; once an owner has answered, or not, go on with what waited for it."""
-        self.actions += [api.Tell(peer, note) for peer, note in messages]
+        self.actions += [api.SendNote(peer, note) for peer, note in messages]
         if not self.leases.asked:
             waiters, self.lease_waiters = self.lease_waiters, []
             for held in waiters:
@@ -520,7 +520,7 @@
         if peer == self.settings.my_number:
             self.on_peer(api.PeerMessage(peer, note))
         elif self.settings.peers:
-            self.actions.append(api.Tell(peer, note))
+            self.actions.append(api.SendNote(peer, note))
 
     def on_peer(self, event: api.PeerMessage) -> None:
         """Take a query or answer, a kept copy for my slice, or word that a listed cache lacks the object."""
--- a/hitchtiller/engine.py
+++ b/hitchtiller/engine.py
@@ -262,7 +262,7 @@
                     self.cancel(exchange.attempts[action.attempt], "ecanceled")
             case api.SetTimer():
                 self.clock.later(action.delay_ms, partial(self.give, api.TimerDue(action.token)))
-            case api.Tell():
+            case api.SendNote():
                 self.tell(action.peer, action.note)
             case api.Probe():
                 begun = self.clock.now_ms()
--- a/hitchtiller/interface.py
+++ b/hitchtiller/interface.py
@@ -260,7 +260,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
+class SendNote:
     """Send a note to one gateway."""
 
     peer: int
@@ -281,4 +281,4 @@
     on: bool = True
 
 
-Action = Get | Cancel | Refuse | Fail | SetTimer | Probe | Tell | Log | Watch
+Action = Get | Cancel | Refuse | Fail | SetTimer | Probe | SendNote | Log | Watch
--- a/hitchtiller/wirehost.py
+++ b/hitchtiller/wirehost.py
@@ -93,7 +93,7 @@
     api.Fail: ("finish_error", lambda a: {"tid": a.id}),
     api.SetTimer: ("schedule", lambda a: {"sleep_for_ms": a.delay_ms, "tag": a.token}),
     api.Probe: ("check", lambda a: {"cache": a.server}),
-    api.Tell: ("signal", lambda a: {"neighbour_id": a.peer, "body": pack(a.note).hex()}),
+    api.SendNote: ("signal", lambda a: {"neighbour_id": a.peer, "body": pack(a.note).hex()}),
     api.Log: ("emit", lambda a: {"message": a.text}),
     api.Watch: ("track", lambda a: {"want": a.on}),
 }
--- a/standins/scale/directory.py
+++ b/standins/scale/directory.py
@@ -32,7 +32,7 @@
         self.number = min(1, plan.demand.gateways - 1)
         self.start(self.number)
 
-    def deliver(self, sender: int, action: api.Tell) -> None:
+    def deliver(self, sender: int, action: api.SendNote) -> None:
         """Answer look-ups in place of gateways that do not run."""
         if action.peer in self.running:
             return super().deliver(sender, action)
--- a/standins/scale/fleet.py
+++ b/standins/scale/fleet.py
@@ -112,10 +112,10 @@
             case api.SetTimer():
                 due = api.TimerDue(action.token)
                 self.at(self.now + max(0.01, action.delay_ms), partial(self.give, gateway, due))
-            case api.Tell():
+            case api.SendNote():
                 self.tell(gateway.number, action)
 
-    def tell(self, sender: int, action: api.Tell) -> None:
+    def tell(self, sender: int, action: api.SendNote) -> None:
         """Carry a note, or not; what no running process takes is lost."""
         data = pack(action.note)
         kind = action.note.kind
@@ -127,7 +127,7 @@
             when = self.now + self.rng.uniform(*DELAY_MS)
             self.at(when, partial(self.deliver, sender, action))
 
-    def deliver(self, sender: int, action: api.Tell) -> None:
+    def deliver(self, sender: int, action: api.SendNote) -> None:
         """Hand a note over."""
         if gateway := self.running.get(action.peer):
             self.give(gateway, api.PeerMessage(sender, action.note))
--- a/standins/world.py
+++ b/standins/world.py
@@ -219,7 +219,7 @@
                 case api.SetTimer():
                     due = api.TimerDue(act.token)
                     self.at(self.now + max(0.01, act.delay_ms), lambda g=gateway, due=due: self.give(g, due))  # type: ignore[misc]
-                case api.Tell():
+                case api.SendNote():
                     if self.rng.random() >= PEER_LOST and act.peer != gateway.number:
                         word = api.PeerMessage(gateway.number, act.note)
                         to = self.gateways[act.peer]
--- a/tests/routing/test_routing_leases.py
+++ b/tests/routing/test_routing_leases.py
@@ -214,11 +214,11 @@
     return bench
 
 
-def lease_notes(actions: list[api.Action]) -> list[api.Tell]:
-    return [a for a in actions if isinstance(a, api.Tell) and isinstance(a.note, LeaseNote)]
+def lease_notes(actions: list[api.Action]) -> list[api.SendNote]:
+    return [a for a in actions if isinstance(a, api.SendNote) and isinstance(a.note, LeaseNote)]
 
 
-def waiting(bench: Bench) -> tuple[api.Tell, api.Get]:
+def waiting(bench: Bench) -> tuple[api.SendNote, api.Get]:
     """Have a miss wait for a lease; gives the request for it, and the look that missed."""
     actions = bench.ask(1, key=1, size_kb=1.0)
     (told,), (look,) = lease_notes(actions), gets(actions)
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -81,9 +81,9 @@
 def test_a_query_is_answered_in_one_note(bench: Bench) -> None:
     bench.give(api.PeerMessage(0, api.PeerNote("kept", 9, 0, "c1")), 1.0)
     (act,) = bench.give(api.PeerMessage(3, api.PeerNote("ask", 9, 0, "c0", 1)))
-    assert act == api.Tell(3, api.PeerNote("holder", 9, 0, "c1"))
+    assert act == api.SendNote(3, api.PeerNote("holder", 9, 0, "c1"))
     (act,) = bench.give(api.PeerMessage(3, api.PeerNote("ask", 9, 0, "c1", 1)))
-    assert act == api.Tell(3, api.PeerNote("holder", 9, 0, ""))
+    assert act == api.SendNote(3, api.PeerNote("holder", 9, 0, ""))
     assert bench.give(api.PeerMessage(3, api.PeerNote("ask", 9, 0, "c1", 99))) == []
 
 
@@ -155,7 +155,7 @@
     for id in range(3):
         (get,) = gets(bench.ask(id, key=5))
         acts = bench.end(get, "done", closed=True, note=1)
-        notes += [act.note.kind for act in acts if isinstance(act, api.Tell)]
+        notes += [act.note.kind for act in acts if isinstance(act, api.SendNote)]
     assert notes == (["kept"] if peers else [])
 
 
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -60,7 +60,7 @@
                 assert self.now <= asked.deadline_ms + 8.0
             elif isinstance(act, api.SetTimer):
                 self.timers.append((self.now + act.delay_ms, act.token))
-            elif isinstance(act, api.Tell):
+            elif isinstance(act, api.SendNote):
                 assert self.settings.peers
             elif isinstance(act, api.Cancel):
                 assert self.settings.cancel and act.attempt < self.shots[act.id]
