--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -70,7 +70,7 @@
         self.handlers: dict[type, Callable[[Any], object]] = {
             api.Request: self.on_request, api.Outcome: self.on_outcome, api.TimerDue: self.on_timer,
             api.PeerMessage: self.on_peer, api.Members: self.on_members, api.Purged: self.on_purged,
-            api.Begun: lambda e: None, api.Probed: lambda e: None, api.Left: self.on_left}  # fmt: skip
+            api.Begun: lambda e: None, api.Probed: lambda e: None, api.ClientLeft: self.on_left}  # fmt: skip
         self.zone = zone = settings.zones.index(settings.my_zone)
         self.hub = settings.zones[settings.hub_of[zone]] if settings.hub_of else ""
         link = settings.link_kb_per_s[zone] if settings.link_kb_per_s else 0.0
@@ -376,7 +376,7 @@
             source = self.source(held)
             self.send(held, node, source if source and self.fillable(held, source) else None, "fill")
 
-    def on_left(self, event: api.Left) -> None:
+    def on_left(self, event: api.ClientLeft) -> None:
         """Forget a request, also where it waits for a home router."""
         held = self.held.pop(event.id, None)
         if held and event.id in (waiting := self.waiting.get(held.item, [])):
--- a/hitchtiller/engine.py
+++ b/hitchtiller/engine.py
@@ -165,7 +165,7 @@
         """Tell the decisions that a request is over and cancel what is out for it."""
         self._drop(exchange)
         if exchange.decided:
-            self.give(api.Left(exchange.number))
+            self.give(api.ClientLeft(exchange.number))
         if self.copies:
             self.copies.over(exchange, None)
         for attempt in list(exchange.attempts):
@@ -243,7 +243,7 @@
         except Exception:  # noqa: BLE001  an exception for one request must not lose the others
             logger.exception("deciding on {} failed", type(event).__name__)
             exchange = self.open.get(getattr(event, "id", 0))
-            if exchange and not isinstance(event, api.Left):
+            if exchange and not isinstance(event, api.ClientLeft):
                 self.fail(exchange)
 
     def act(self, action: api.Action) -> None:
--- a/hitchtiller/interface.py
+++ b/hitchtiller/interface.py
@@ -132,7 +132,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Left:
+class ClientLeft:
     """The client has left; nothing is owed any more."""
 
     id: int
@@ -202,7 +202,7 @@
     age_ms: float
 
 
-Event = Members | Request | Begun | Outcome | Left | TimerDue | Probed | PeerMessage | Purged
+Event = Members | Request | Begun | Outcome | ClientLeft | TimerDue | Probed | PeerMessage | Purged
 
 
 @dataclass(slots=True)  # made for every request: a frozen one costs four times as much
--- a/hitchtiller/wirehost.py
+++ b/hitchtiller/wirehost.py
@@ -65,7 +65,7 @@
         f.get("waited_ms", 0.0),
         _load(f),
     ),
-    "left": lambda f: api.Left(f["tid"]),
+    "left": lambda f: api.ClientLeft(f["tid"]),
     "elapsed": lambda f: api.TimerDue(f["tag"]),
     "health_result": lambda f: api.Probed(f["cache"], f["disposition"], f.get("spent_ms", 0.0), _load(f)),
     "message": _message,
--- a/tests/routing/test_routing_leases.py
+++ b/tests/routing/test_routing_leases.py
@@ -272,7 +272,7 @@
     for id in (2, 3):
         (look,) = gets(bench.ask(id, key=id, size_kb=1.0))
         assert bench.end(look, "enoent") == []
-    bench.give(api.Left(1))
+    bench.give(api.ClientLeft(1))
     grant = replace(told.note, kind=LeaseKind.GRANT)
     actions = bench.give(api.PeerMessage(told.peer, grant), START_MS + 20.0)
     assert [g.id for g in gets(actions)] == [2]
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -371,7 +371,7 @@
         bench.ask(id, key=id % 3, size_kb=400.0)
         for get in [get for _, get in bench.sent if get.id == id]:
             bench.end(get, "enoent")
-        bench.give(api.Left(id))
+        bench.give(api.ClientLeft(id))
     assert any(isinstance(act, api.Get) for _, act in bench.sent)
     assert not bench.router.waiting
 
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -124,7 +124,7 @@
         elif kind == "left" and self.open:
             gone = list(self.open)[pick % len(self.open)]
             del self.open[gone]
-            self.give(api.Left(gone))
+            self.give(api.ClientLeft(gone))
         elif kind == "purge":
             self.purges.append((self.now - 50.0, pick % 3 if gap % 2 else None, pick % 2))
             self.give(api.Purged(self.purges[-1][1], pick % 2, 50.0))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -67,9 +67,9 @@
 
 def test_left_and_late_outcomes_of_forgotten_ids_are_passed_over(bench: Bench) -> None:
     (get,) = gets(bench.ask(1))
-    bench.give(api.Left(1))
+    bench.give(api.ClientLeft(1))
     assert bench.end(get, "etimedout") == [] and bench.end(get, "done", 4) == []
-    bench.give(api.Left(77))
+    bench.give(api.ClientLeft(77))
 
 
 # Rule 2
