--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -70,7 +70,7 @@
         self.handlers: dict[type, Callable[[Any], object]] = {
             api.Request: self.on_request, api.Outcome: self.on_outcome, api.TimerDue: self.on_timer,
             api.PeerMessage: self.on_peer, api.Members: self.on_members, api.Purged: self.on_purged,
-            api.Begun: lambda e: None, api.Probed: lambda e: None, api.ClientLeft: self.on_left}  # fmt: skip
+            api.StreamBegun: lambda e: None, api.Probed: lambda e: None, api.ClientLeft: self.on_left}  # fmt: skip
         self.zone = zone = settings.zones.index(settings.my_zone)
         self.hub = settings.zones[settings.hub_of[zone]] if settings.hub_of else ""
         link = settings.link_kb_per_s[zone] if settings.link_kb_per_s else 0.0
--- a/hitchtiller/interface.py
+++ b/hitchtiller/interface.py
@@ -106,7 +106,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Begun:
+class StreamBegun:
     """A streamed answer has begun: the attempt is the client's from here."""
 
     id: int
@@ -202,7 +202,7 @@
     age_ms: float
 
 
-Event = Members | Request | Begun | Outcome | ClientLeft | TimerDue | Probed | PeerMessage | Purged
+Event = Members | Request | StreamBegun | Outcome | ClientLeft | TimerDue | Probed | PeerMessage | Purged
 
 
 @dataclass(slots=True)  # made for every request: a frozen one costs four times as much
--- a/hitchtiller/wirehost.py
+++ b/hitchtiller/wirehost.py
@@ -53,7 +53,7 @@
         int(f.get("slice", 0)),
         f.get("resent", False),
     ),
-    "under_way": lambda f: api.Begun(f["tid"], f.get("shot", 0), f["cache"]),
+    "under_way": lambda f: api.StreamBegun(f["tid"], f.get("shot", 0), f["cache"]),
     "attempt_end": lambda f: api.Outcome(
         f["tid"],
         f.get("shot", 0),
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -267,7 +267,7 @@
     bench.give(api.Members(tuple(m for m in FLEET if m.server != get.server), whole=True))
     assert len(bench.router.nodes) == len(FLEET) - 1
     assert bench.router.candidate((9, 0), "z1", "") is None
-    bench.give(api.Begun(1, 0, get.server))
+    bench.give(api.StreamBegun(1, 0, get.server))
     bench.give(api.PeerMessage(0, api.PeerNote("lacks", 9, 0, get.server)))
     bench.end(get, "econnreset")
 
