--- a/hitchtiller/routing/leases.py
+++ b/hitchtiller/routing/leases.py
@@ -85,7 +85,7 @@
         self.lends_from_ms = 0.0  # an owner's first term is waited out
         self.lent: Lent | None = None
         self.held: Held | None = None
-        self.asked: Asked | None = None
+        self.pending_request: Asked | None = None
         self.next_ms = self.seen_ms = 0.0  # when to ask again at the earliest; the latest time seen
         self.out = 0  # fills at the origin
         self.granted = self.denied = 0
@@ -134,7 +134,7 @@
 
     def request_lease(self, now_ms: float) -> Messages:
         """Ask for a lease after a fill was not allowed; nothing while one is held or asked for."""
-        if self.fixed or self.held or self.asked or now_ms < self.next_ms:
+        if self.fixed or self.held or self.pending_request or now_ms < self.next_ms:
             return []
         self.sequence = (self.sequence + 1) & 0xFFFF
         if self.owns and self._free(now_ms):
@@ -146,12 +146,12 @@
         owner = self.rng.randrange(self.capacity)
         if owner == self.number:  # its own permit is lent
             owner = (owner + 1) % self.capacity
-        self.asked = Asked(owner, self.sequence, now_ms)
+        self.pending_request = Asked(owner, self.sequence, now_ms)
         return [(owner, LeaseNote(LeaseKind.REQUEST, self.incarnation, self.sequence))]
 
     def tick(self, now_ms: float) -> Messages:
         """Give a lease back that is over or not used, and an owner up that does not answer."""
-        if self.asked and now_ms - self.asked.at_ms > RETRY_MS:
+        if self.pending_request and now_ms - self.pending_request.at_ms > RETRY_MS:
             self._wait(RETRY_MS, now_ms)
         lease = self.held
         if lease is None or self.out:
@@ -208,15 +208,15 @@
         return Held(owner, self.sequence, asked_ms + self.term_ms - MARGIN_MS, asked_ms)
 
     def _answers(self, sender: int, note: LeaseNote) -> bool:
-        asked = self.asked
+        asked = self.pending_request
         named = (sender, note.incarnation, note.sequence)
         return asked is not None and named == (asked.owner, self.incarnation, asked.sequence)
 
     def _granted(self, sender: int, note: LeaseNote, now_ms: float) -> Messages:
-        if self._answers(sender, note) and self.asked:
-            self.held = self._hold(sender, self.asked.at_ms)
+        if self._answers(sender, note) and self.pending_request:
+            self.held = self._hold(sender, self.pending_request.at_ms)
             self.held.used_ms = now_ms
-            self.asked = None
+            self.pending_request = None
             return []
         lease = self.held
         current = lease is not None and (lease.owner, lease.sequence) == (sender, note.sequence)
@@ -233,6 +233,6 @@
 
     def _wait(self, wait_ms: float, now_ms: float) -> None:
         """Ask nobody for a while, spread so that those that were denied together do not come together."""
-        self.asked = None
+        self.pending_request = None
         bounded = min(max(wait_ms, 0.0), self.term_ms)
         self.next_ms = now_ms + bounded * (0.5 + self.rng.random())
