--- a/hitchtiller/routing/leases.py
+++ b/hitchtiller/routing/leases.py
@@ -87,7 +87,7 @@
         self.held: Held | None = None
         self.pending_request: Asked | None = None
         self.next_ms = self.seen_ms = 0.0  # when to ask again at the earliest; the latest time seen
-        self.out = 0  # fills at the origin
+        self.fills_in_flight = 0  # fills at the origin
         self.granted = self.denied = 0
 
     @property
@@ -106,8 +106,8 @@
     def may_begin(self, deadline_ms: float, now_ms: float) -> bool:
         """Tell whether a fill that ends by its deadline may be sent to the origin now."""
         if self.fixed:
-            return self.out < self.fixed
-        return self.out == 0 and self.covers(deadline_ms, now_ms)
+            return self.fills_in_flight < self.fixed
+        return self.fills_in_flight == 0 and self.covers(deadline_ms, now_ms)
 
     def covers(self, deadline_ms: float, now_ms: float) -> bool:
         """Tell whether a fill that was decided on may still go: its whole time lies within the lease."""
@@ -120,13 +120,13 @@
 
     def begin(self, now_ms: float) -> None:
         """Hear that a fill was sent."""
-        self.out += 1
+        self.fills_in_flight += 1
         if self.held:
             self.held.used_ms = now_ms
 
     def end(self, now_ms: float) -> None:
         """Hear that a fill has ended."""
-        self.out -= 1
+        self.fills_in_flight -= 1
         if self.held:
             self.held.used_ms = now_ms
 
@@ -154,7 +154,7 @@
         if self.pending_request and now_ms - self.pending_request.at_ms > RETRY_MS:
             self._wait(RETRY_MS, now_ms)
         lease = self.held
-        if lease is None or self.out:
+        if lease is None or self.fills_in_flight:
             return []
         if now_ms < lease.until_ms and now_ms - lease.used_ms < IDLE_MS:
             return []
