--- a/hitchtiller/routing/effects.py
+++ b/hitchtiller/routing/effects.py
@@ -67,7 +67,7 @@
         doubt = self.doubts.get((class_name, key))
         if doubt is None:
             return True
-        return same_scope(self.classes[class_name], doubt, member) and not self.over(class_name, key, now_ms)
+        return same_scope(self.classes[class_name], doubt, member) and not self.window_passed(class_name, key, now_ms)
 
     def begin(self, class_name: str, key: str, member: Member, now_ms: float) -> None:
         """Hear that an attempt's first byte goes out."""
@@ -86,7 +86,7 @@
             if not doubt.attempts:
                 del self.doubts[class_name, key]
 
-    def over(self, class_name: str, key: str, now_ms: float) -> bool:
+    def window_passed(self, class_name: str, key: str, now_ms: float) -> bool:
         """Tell whether the window of what may have run has passed: nothing may be sent any more."""
         doubt = self.doubts.get((class_name, key))
         return doubt is not None and (
@@ -97,7 +97,7 @@
         """Tell whether a client may be told that trying again does no harm."""
         if (class_name, key) not in self.doubts:
             return True
-        return self.classes[class_name].key_scope == "all" and not self.over(class_name, key, now_ms)
+        return self.classes[class_name].key_scope == "all" and not self.window_passed(class_name, key, now_ms)
 
     def _forget(self, now_ms: float) -> None:
         """Make room: keys come in the order of their windows."""
