--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -13,7 +13,7 @@
 
 from hitchtiller import interface as api
 from hitchtiller.records import Attempt, Held, Node, by_hash, hash64, lru_put
-from hitchtiller.routing.blame import BLAME, CLEAR, EJECT_AT, ASSUMED_FILL_SHARE, ejection_ms
+from hitchtiller.routing.blame import BLAME, SUCCESS_FACTOR, EJECT_AT, ASSUMED_FILL_SHARE, ejection_ms
 from hitchtiller.routing.capacity import Capacity
 from hitchtiller.routing.cold import ColdGuard
 from hitchtiller.routing.directory import ENTRY_MS, Directory
@@ -397,7 +397,7 @@
             self.clear(node)
             unknown = self.settings.notes == "none" and event.status == "done"
             if source is not node and (event.note in (2, 3) or unknown):
-                self.clear(source, CLEAR**ASSUMED_FILL_SHARE if unknown else CLEAR)
+                self.clear(source, SUCCESS_FACTOR**ASSUMED_FILL_SHARE if unknown else SUCCESS_FACTOR)
             for failed in held.errors if held and event.status == "done" else ():
                 self.fault(failed, "err")
         elif event.status == "err" and held:
@@ -418,7 +418,7 @@
         if not own:
             self.blame(source, BLAME[status] * (1.0 - node.blame))
 
-    def clear(self, node: Node, left: float = CLEAR) -> None:
+    def clear(self, node: Node, left: float = SUCCESS_FACTOR) -> None:
         """Note an answer: the server works."""
         node.blame *= left
         node.answered_ms = self.now
--- a/hitchtiller/routing/blame.py
+++ b/hitchtiller/routing/blame.py
@@ -14,7 +14,7 @@
     "slow": 0.15,  # an overdue attempt to one that answers others
     "doubt": 0.1,  # an error that may be the request's own fault
 }
-CLEAR = 0.8
+SUCCESS_FACTOR = 0.8
 ASSUMED_FILL_SHARE = 0.3  # share of fills among answers that do not tell whether they were one
 EJECT_AT = 0.55
 EJECT_MS, EJECT_MOST_MS = 1_500.0, 12_000.0  # first and longest time
