--- a/hitchtiller/routing/popularity.py
+++ b/hitchtiller/routing/popularity.py
@@ -23,13 +23,13 @@
 
     def __init__(self) -> None:
         """Start with nothing asked for."""
-        self.heat: dict[Item, tuple[float, float]] = {}
+        self.counts: dict[Item, tuple[float, float]] = {}
 
     def count(self, item: Item, now_ms: float) -> float:
         """Count a request for an object; gives its heat, in requests within HEAT_MS."""
-        old, at_ms = self.heat.get(item, (0.0, now_ms))
+        old, at_ms = self.counts.get(item, (0.0, now_ms))
         heat = old * math.exp((at_ms - now_ms) / DECAY_MS) + 1.0
-        lru_put(self.heat, item, (heat, now_ms), MOST_OBJECTS)
+        lru_put(self.counts, item, (heat, now_ms), MOST_OBJECTS)
         return heat
 
 
--- a/tests/ends/test_ends_settings.py
+++ b/tests/ends/test_ends_settings.py
@@ -98,5 +98,5 @@
         first.purges.record(1, 0, 77.0)
         first.directory.add((1, 1), 0, "cache", 77.0)
         self.assertNotEqual(second.mean["files"], 77.0)
-        self.assertEqual((second.popularity.heat, second.directory.entries), ({}, {}))
+        self.assertEqual((second.popularity.counts, second.directory.entries), ({}, {}))
         self.assertEqual((len(first.purges), len(second.purges)), (1, 0))
--- a/tests/scale/test_scale_growth.py
+++ b/tests/scale/test_scale_growth.py
@@ -32,7 +32,7 @@
     gateway = decisions.settled(Plan(demand_at(SMALL)), decisions.Random(1))
     router = gateway.router
     assert decisions.OBJECTS > MOST_OBJECTS
-    assert len(router.popularity.heat) == MOST_OBJECTS
+    assert len(router.popularity.counts) == MOST_OBJECTS
     assert len(router.directory.entries) == MOST_ENTRIES
     assert max(len(router.reported), len(router.rankings)) <= MOST_OBJECTS
 
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -94,7 +94,7 @@
             bench.end(get, "done", closed=True, note=2)
     router = bench.router
     assert all(
-        len(table) <= TABLE for table in (router.directory.entries, router.popularity.heat, router.reported)
+        len(table) <= TABLE for table in (router.directory.entries, router.popularity.counts, router.reported)
     )
     assert not router.held and not router.flights and not router.waiting
 
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -150,5 +150,5 @@
     assert not world.open and not world.router.held and not world.router.waiting
     router = world.router
     assert all(
-        len(table) <= TABLE for table in (router.directory.entries, router.popularity.heat, router.reported)
+        len(table) <= TABLE for table in (router.directory.entries, router.popularity.counts, router.reported)
     )
