--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -106,7 +106,7 @@
         self.caches = [n for n in self.nodes.values() if n.m.zone == mine and n.m.kind not in tiers]
         self.parents = [n for n in self.nodes.values() if n.m.kind == self.settings.parent_kind]
         self.origins = [n for n in self.nodes.values() if n.m.kind == self.settings.origin_kind]
-        for name, links in self.capacity.of(n.m for n in self.nodes.values()).items():
+        for name, links in self.capacity.estimate(n.m for n in self.nodes.values()).items():
             self.nodes[name].link, self.nodes[name].safe_capacity = links
         self.weight = sum(n.link for n in self.caches)
         self.rankings.clear()
@@ -218,7 +218,7 @@
     def on_request(self, ask: api.Request) -> None:
         """Take a request and send its first attempt."""
         cls = self.settings.classes[ask.class_name]
-        work, known = self.sizes.of(ask)
+        work, known = self.sizes.estimate(ask)
         hashed = hash64(ask.key, ask.part)
         item, home = (ask.key, ask.part), self.home_of(hashed)
         held = Held(ask, cls, work, known, item, hashed, home, self.rng.random())
--- a/hitchtiller/routing/capacity.py
+++ b/hitchtiller/routing/capacity.py
@@ -36,7 +36,7 @@
         self.most: dict[str, float] = {}  # live weights shrink with load: the largest is the size
         self.kinds = (settings.parent_kind, settings.origin_kind)
 
-    def of(self, members: Iterable[Member]) -> dict[str, tuple[float, float]]:
+    def estimate(self, members: Iterable[Member]) -> dict[str, tuple[float, float]]:
         """Give each server's transfers at once: the middle of what is likely, and the end that is safe."""
         members = list(members)
         if self.live:
--- a/hitchtiller/routing/sizes.py
+++ b/hitchtiller/routing/sizes.py
@@ -36,7 +36,7 @@
         self.timed = TIMED.get(settings.notes, TIMED["none"])
         self.seen: dict[tuple[str, int], float] = {}
 
-    def of(self, ask: Request) -> tuple[float, bool]:
+    def estimate(self, ask: Request) -> tuple[float, bool]:
         """Give a request's sending time, and whether it is known of its object or only of its class."""
         if ask.size_kb > 0.0 and (work := 1000.0 * ask.size_kb / self.flow):
             self._mean(ask.class_name, work)
--- a/tests/routing/test_routing_capacity.py
+++ b/tests/routing/test_routing_capacity.py
@@ -32,29 +32,29 @@
     few = max(1.0, 8.0 / caches) ** 0.5  # a small pool misses more, and a small zone's link is wider
     link = caches * each * missed * few * room * few
     settings, members = zone(caches, link)
-    middle, sure = Capacity(settings).of(members)["c0"]
+    middle, sure = Capacity(settings).estimate(members)["c0"]
     assert 0.6 * each < middle < 1.5 * each
     assert sure == SURE * middle < each
 
 
 def test_told_weights_are_taken_as_told() -> None:
-    told = Capacity(BASE).of(FLEET)
+    told = Capacity(BASE).estimate(FLEET)
     assert told["c0"] == (8.0, 8.0) and told["p0"] == (30.0, 30.0)
 
 
 def test_live_weights_that_shrink_with_the_load_are_no_smaller_caches() -> None:
     """They are size over 1 + load: believed, a busy cache was half of itself, and its load counted twice."""
     capacity = Capacity(replace(BASE, weights="live"))
-    capacity.of(FLEET)
+    capacity.estimate(FLEET)
     busy = [replace(m, weight=m.weight / 3.0) for m in FLEET]
-    assert capacity.of(busy)["c0"] == (8.0, 8.0)
-    assert "c0" not in capacity.of([m for m in busy if m.server != "c0"])
+    assert capacity.estimate(busy)["c0"] == (8.0, 8.0)
+    assert "c0" not in capacity.estimate([m for m in busy if m.server != "c0"])
 
 
 @pytest.mark.parametrize("link", [0.0, 1e-3, 1e9])
 def test_it_is_bounded_whatever_is_told(link: float) -> None:
     settings, members = zone(4, link)
-    found = Capacity(settings).of(members)
+    found = Capacity(settings).estimate(members)
     assert LEAST <= found["c0"][0] <= MOST and found["p"][0] >= LEAST
     if not link:
         assert found["c0"][0] == USUAL
@@ -62,9 +62,9 @@
 
 def test_caches_that_drain_leave_their_part_to_the_others() -> None:
     settings, members = zone(16, 30.0)
-    whole = Capacity(settings).of(members)["c0"][0]
+    whole = Capacity(settings).estimate(members)["c0"][0]
     fewer = [replace(m, state="DRAINING") if n < 4 else m for n, m in enumerate(members)]
-    assert Capacity(settings).of(fewer)["c0"][0] > whole
+    assert Capacity(settings).estimate(fewer)["c0"][0] > whole
 
 
 def calm(weights: str, weight: float) -> Iterator[list[api.Action]]:
--- a/tests/routing/test_routing_pace.py
+++ b/tests/routing/test_routing_pace.py
@@ -72,4 +72,4 @@
     """Learned at a slow cache, an object was refused at the quick ones too."""
     sizes, ask = Sizes(replace(BASE, notes="all")), api.Request(1, "big", 1, 5000.0)
     sizes.learn(ask, api.Outcome(1, 0, "c0", "done", 2700.0, True, note=1), True, stretch=9.0)
-    assert sizes.of(ask) == (300.0, True)
+    assert sizes.estimate(ask) == (300.0, True)
--- a/tests/routing/test_routing_sizes.py
+++ b/tests/routing/test_routing_sizes.py
@@ -22,22 +22,22 @@
 
 def test_told_sizes_are_taken_as_told() -> None:
     sizes = Sizes(ALL)
-    assert sizes.of(ask(size_kb=300.0)) == (300.0, True)
+    assert sizes.estimate(ask(size_kb=300.0)) == (300.0, True)
     sizes.learn(ask(size_kb=300.0), end(9.0), True)
     assert not sizes.seen
 
 
 def test_the_next_part_of_a_huge_object_is_known_to_be_huge() -> None:
     sizes = Sizes(ALL)
-    assert sizes.of(ask()) == (500.0, False)
+    assert sizes.estimate(ask()) == (500.0, False)
     sizes.learn(ask(part=0), end(4200.0, note=3, waited=200.0), True)
-    assert sizes.of(ask(part=1)) == (4000.0, True)
+    assert sizes.estimate(ask(part=1)) == (4000.0, True)
 
 
 def test_a_wait_for_the_source_is_no_sending_time() -> None:
     sizes = Sizes(ALL)
     sizes.learn(ask(), end(900.0, note=2, waited=600.0), True)
-    assert sizes.of(ask())[0] == 300.0
+    assert sizes.estimate(ask())[0] == 300.0
 
 
 def test_a_joined_fill_and_a_confirmed_copy_teach_nothing() -> None:
@@ -45,22 +45,22 @@
     sizes = Sizes(ALL)
     sizes.learn(ask(), end(5.0, note=4, waited=100.0), True)
     sizes.learn(ask(), end(5.0, whole=False), True)
-    assert sizes.of(ask()) == (500.0, False)
+    assert sizes.estimate(ask()) == (500.0, False)
 
 
 def test_a_wait_that_is_not_told_is_not_taken_for_sending() -> None:
     sizes = Sizes(replace(BASE, notes="hit"))
     sizes.learn(ask(), end(900.0, note=2), True)
-    assert sizes.of(ask()) == (500.0, False)
+    assert sizes.estimate(ask()) == (500.0, False)
     sizes.learn(ask(), end(300.0, note=1), True)
-    assert sizes.of(ask()) == (300.0, True)
+    assert sizes.estimate(ask()) == (300.0, True)
 
 
 def test_a_crowds_stretch_is_forgotten_soon() -> None:
     sizes = Sizes(ALL)
     for took in (2000.0, 300.0, 300.0, 300.0):
         sizes.learn(ask(), end(took), True)
-    assert sizes.of(ask())[0] < 450.0
+    assert sizes.estimate(ask())[0] < 450.0
 
 
 @given(st.lists(st.floats(0.0, 1e6), max_size=60))
@@ -75,7 +75,7 @@
     sizes = Sizes(ALL)
     for n in range(TABLE + 9):
         sizes.learn(ask(n), end(10.0), True)
-    assert len(sizes.seen) == TABLE and not sizes.of(ask(0))[1] and sizes.of(ask(TABLE))[1]
+    assert len(sizes.seen) == TABLE and not sizes.estimate(ask(0))[1] and sizes.estimate(ask(TABLE))[1]
 
 
 def test_an_effect_is_served_in_a_crowd_that_ends_others() -> None:
