--- a/hitchtiller/records.py
+++ b/hitchtiller/records.py
@@ -41,7 +41,7 @@
     link: float = 1.0  # transfers at full pace at once: likely
     safe_capacity: float = 1.0  # and at least
     debt_ms: float = 0.0  # work sent to it while cold and not yet earned
-    debt_at: float = 0.0
+    debt_at_ms: float = 0.0
     load_ms: float = 0.0  # my work out there
     flights: int = 0  # my attempts out there, also as a source
     asked: int = 0  # those sent to it itself
--- a/hitchtiller/routing/cold.py
+++ b/hitchtiller/routing/cold.py
@@ -55,8 +55,8 @@
         """Tell whether what was sent to a cold server is paid off, so that it may get one more call."""
         if not node.m.started_ms and not node.refused_ms:
             return True
-        rate, passed = self.rate_of(node, now_ms, mean_ms, present), now_ms - node.debt_at
-        node.debt_at = now_ms
+        rate, passed = self.rate_of(node, now_ms, mean_ms, present), now_ms - node.debt_at_ms
+        node.debt_at_ms = now_ms
         node.debt_ms = 0.0 if rate == math.inf else max(0.0, node.debt_ms - rate * passed)
         return rate > 0.0 and node.debt_ms <= 0.0
 
