--- a/hitchtiller/engine.py
+++ b/hitchtiller/engine.py
@@ -101,7 +101,7 @@
             "station_caches_known": lambda: len(router.nodes),
             "station_caches_excluded": lambda: sum(not router.usable(n) for n in router.nodes.values()),
         }
-        if not router.leases.fixed:
+        if not router.leases.fixed_fills:
             self.stats.levels["origin_fills"] = lambda: router.leases.out
             self.stats.counts["origin_leases_granted"] = lambda: router.leases.granted
             self.stats.counts["origin_leases_denied"] = lambda: router.leases.denied
--- a/hitchtiller/routing/leases.py
+++ b/hitchtiller/routing/leases.py
@@ -77,7 +77,7 @@
     def __init__(self, settings: Settings, capacity: int) -> None:
         """Start with the settings; `capacity` is the fills at once of all gateways together."""
         self.number, self.capacity, self.notes = settings.my_number, capacity, settings.peers
-        self.fixed = capacity // max(1, settings.group_size)  # fills without a lease
+        self.fixed_fills = capacity // max(1, settings.group_size)  # fills without a lease
         longest = max((c.deadline_ms for c in settings.classes.values() if not c.write), default=0.0)
         self.term_ms = DEADLINES * longest + MARGIN_MS
         self.rng = Random(f"leases {self.number}")
@@ -93,7 +93,7 @@
     @property
     def owns(self) -> bool:
         """Tell whether this gateway owns a permit."""
-        return not self.fixed and self.number < self.capacity
+        return not self.fixed_fills and self.number < self.capacity
 
     def start(self, now_ms: float) -> None:
         """Hear when the process began; to be called before anything else."""
@@ -105,13 +105,13 @@
 
     def may_begin(self, deadline_ms: float, now_ms: float) -> bool:
         """Tell whether a fill that ends by its deadline may be sent to the origin now."""
-        if self.fixed:
-            return self.fills_in_flight < self.fixed
+        if self.fixed_fills:
+            return self.fills_in_flight < self.fixed_fills
         return self.fills_in_flight == 0 and self.covers(deadline_ms, now_ms)
 
     def covers(self, deadline_ms: float, now_ms: float) -> bool:
         """Tell whether a fill that was decided on may still go: its whole time lies within the lease."""
-        if self.fixed:
+        if self.fixed_fills:
             return True
         if now_ms < self.seen_ms:  # the clock was set back: the lease would last too long
             self.held = None
@@ -134,7 +134,7 @@
 
     def request_lease(self, now_ms: float) -> Messages:
         """Ask for a lease after a fill was not allowed; nothing while one is held or asked for."""
-        if self.fixed or self.held or self.pending_request or now_ms < self.next_ms:
+        if self.fixed_fills or self.held or self.pending_request or now_ms < self.next_ms:
             return []
         self.sequence = (self.sequence + 1) & 0xFFFF
         if self.owns and self._free(now_ms):
