--- a/hitchtiller/routing/popularity.py
+++ b/hitchtiller/routing/popularity.py
@@ -10,7 +10,7 @@
 
 from hitchtiller.records import lru_put
 
-MOST_OBJECTS = 4096  # memory, or sight of seldom-asked objects
+MAX_OBJECTS = 4096  # memory, or sight of seldom-asked objects
 DECAY_MS = 10_000.0  # memory of the counter: steady or quick widening
 KEEP_AT = (1.3, 4.0)  # heat from which a copy is kept at rank two, three: objects asked once displace nothing
 WIDEN_AT = (0.05, 0.15)  # share of a cache's link from which an object gets two, three: balance or copies
@@ -29,7 +29,7 @@
         """Count a request for an object; gives its heat, in requests within HEAT_MS."""
         old, at_ms = self.counts.get(item, (0.0, now_ms))
         heat = old * math.exp((at_ms - now_ms) / DECAY_MS) + 1.0
-        lru_put(self.counts, item, (heat, now_ms), MOST_OBJECTS)
+        lru_put(self.counts, item, (heat, now_ms), MAX_OBJECTS)
         return heat
 
 
--- a/tests/scale/test_scale_growth.py
+++ b/tests/scale/test_scale_growth.py
@@ -9,7 +9,7 @@
 import pytest
 
 from hitchtiller.routing.directory import MOST_ENTRIES
-from hitchtiller.routing.popularity import MOST_OBJECTS
+from hitchtiller.routing.popularity import MAX_OBJECTS
 from standins.scale import bounds, decisions, directory, membership
 from standins.scale.plan import Plan, demand_at
 
@@ -31,10 +31,10 @@
 def test_tables_of_objects_are_bounded_however_many_are_asked_for() -> None:
     gateway = decisions.settled(Plan(demand_at(SMALL)), decisions.Random(1))
     router = gateway.router
-    assert decisions.OBJECTS > MOST_OBJECTS
-    assert len(router.popularity.counts) == MOST_OBJECTS
+    assert decisions.OBJECTS > MAX_OBJECTS
+    assert len(router.popularity.counts) == MAX_OBJECTS
     assert len(router.directory.entries) == MOST_ENTRIES
-    assert max(len(router.reported), len(router.rankings)) <= MOST_OBJECTS
+    assert max(len(router.reported), len(router.rankings)) <= MAX_OBJECTS
 
 
 def test_directory_notes_of_a_gateway_do_not_grow_with_the_fleet() -> None:
