--- a/standins/scale/roles_gateway.py
+++ b/standins/scale/roles_gateway.py
@@ -1,6 +1,6 @@
 """What a gateway holds, sends, works and waits for, in each of its roles."""
 
-from hitchtiller.routing.directory import MOST_ENTRIES
+from hitchtiller.routing.directory import MAX_ENTRIES
 from standins.scale.assumptions import (
     ANSWERS_S,
     ASSUMED_HEARD,
@@ -176,7 +176,7 @@
         "entries",
         "objects over gateways",
         DIRECTORY,
-        budget=MOST_ENTRIES,
+        budget=MAX_ENTRIES,
         exponent=-1.0,
     )
     table.measured(
--- a/tests/scale/test_scale_growth.py
+++ b/tests/scale/test_scale_growth.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from hitchtiller.routing.directory import MOST_ENTRIES
+from hitchtiller.routing.directory import MAX_ENTRIES
 from hitchtiller.routing.popularity import MAX_OBJECTS
 from standins.scale import bounds, decisions, directory, membership
 from standins.scale.plan import Plan, demand_at
@@ -33,7 +33,7 @@
     router = gateway.router
     assert decisions.OBJECTS > MAX_OBJECTS
     assert len(router.popularity.counts) == MAX_OBJECTS
-    assert len(router.directory.entries) == MOST_ENTRIES
+    assert len(router.directory.entries) == MAX_ENTRIES
     assert max(len(router.reported), len(router.rankings)) <= MAX_OBJECTS
 
 
