--- a/hitchtiller/routing/directory.py
+++ b/hitchtiller/routing/directory.py
@@ -11,7 +11,7 @@
 
 from hitchtiller.records import lru_put
 
-MAX_ENTRIES, MOST_HOLDERS = 4096, 4  # memory, or sight of seldom-asked objects
+MAX_ENTRIES, MAX_HOLDERS = 4096, 4  # memory, or sight of seldom-asked objects
 ENTRY_MS = 10_000.0  # age from which a listed cache is no longer believed
 Item = tuple[int, int]  # object and part
 
@@ -35,7 +35,7 @@
         """List a cache as a holder of an object of a group."""
         entry = self.entries.get(item) or Entry(group)
         entry.group = group
-        lru_put(entry.holders, server, now_ms, MOST_HOLDERS)
+        lru_put(entry.holders, server, now_ms, MAX_HOLDERS)
         lru_put(self.entries, item, entry, MAX_ENTRIES)
 
     def drop(self, item: Item, server: str) -> None:
