--- a/hitchtiller/routing/fills.py
+++ b/hitchtiller/routing/fills.py
@@ -17,7 +17,7 @@
 gateway still asks for all small fills, which is how it learns that a jam has ended.
 """
 
-MOST = 1.5  # times the mean; from here on any size goes. At 3.0 the first cuts held next to nothing back
+MAX_SHARE = 1.5  # times the mean; from here on any size goes. At 3.0 the first cuts held next to nothing back
 LEAST = 0.2  # of the mean: what keeps asking whether the jam has ended. At 0.02 that took 26 s to be seen
 SHRINK, GROW = 0.8, 1.05  # at each fill that missed its aim, and at each prompt one
 
@@ -29,12 +29,12 @@
 
     def __init__(self) -> None:
         """Start with no limit: most sources never jam."""
-        self.share = MOST
+        self.share = MAX_SHARE
 
     @property
     def unlimited(self) -> bool:
         """Tell whether fills of any size go, so that nothing has to be known of one beforehand."""
-        return self.share >= MOST
+        return self.share >= MAX_SHARE
 
     def admits(self, work_ms: float, mean_ms: float, draw: float) -> bool:
         """Tell whether a fill that takes `work_ms` to send may be asked for; `draw` is from [0, 1)."""
@@ -46,4 +46,4 @@
 
     def grow(self) -> None:
         """Hear of a fill that was served within its aim."""
-        self.share = min(MOST, self.share * GROW)
+        self.share = min(MAX_SHARE, self.share * GROW)
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -12,7 +12,7 @@
 from conftest import FLEET, Bench, gets
 
 from hitchtiller import interface as api
-from hitchtiller.routing.fills import MOST, FillLimit
+from hitchtiller.routing.fills import MAX_SHARE, FillLimit
 
 RAMP_MS, SHARE, MULTIPLE, WEIGHT, WORK_MS = 16_000.0, 0.17, 3.0, 8.0, 400.0
 
@@ -161,4 +161,4 @@
     assert limit.admits(36.0, 270.0, 0.99)  # an answer of the shorter class always goes, and tells
     for _ in range(42):
         limit.grow()
-    assert limit.share == MOST
+    assert limit.share == MAX_SHARE
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -9,7 +9,7 @@
 
 from hitchtiller import interface as api
 from hitchtiller.decide import ORIGIN_FILLS, TABLE
-from hitchtiller.routing.fills import MOST
+from hitchtiller.routing.fills import MAX_SHARE
 
 POLICY = Path(__file__).parent.parent / "hitchtiller" / "decide.py"
 
@@ -208,7 +208,7 @@
     fills = bench.router.nodes[get.source].fills
     bench.end(get, "busy")
     first = fills.share
-    assert first < MOST
+    assert first < MAX_SHARE
     (look,) = gets(bench.ask(2, key=1, size_kb=1.0))
     (late,) = gets(bench.end(look, "enoent"))
     bench.give(api.TimerDue("sweep"), 450.0)
@@ -224,7 +224,7 @@
         for look in gets(bench.ask(id, key=1, size_kb=1.0)):
             for get in gets(bench.end(look, "enoent" if look.source == look.server else "done")):
                 bench.end(get, "done", 1, closed=True)
-    assert fills.share == MOST
+    assert fills.share == MAX_SHARE
 
 
 def test_a_failed_fill_is_tried_from_another_source_before_another_cache(bench: Bench) -> None:
