--- a/hitchtiller/routing/fills.py
+++ b/hitchtiller/routing/fills.py
@@ -18,7 +18,7 @@
 """
 
 MAX_SHARE = 1.5  # times the mean; from here on any size goes. At 3.0 the first cuts held next to nothing back
-LEAST = 0.2  # of the mean: what keeps asking whether the jam has ended. At 0.02 that took 26 s to be seen
+MIN_SHARE = 0.2  # of the mean: what keeps asking whether the jam has ended. At 0.02 that took 26 s to be seen
 SHRINK, GROW = 0.8, 1.05  # at each fill that missed its aim, and at each prompt one
 
 
@@ -42,7 +42,7 @@
 
     def shrink(self) -> None:
         """Hear of a fill that missed its aim, or was turned away."""
-        self.share = max(LEAST, self.share * SHRINK)
+        self.share = max(MIN_SHARE, self.share * SHRINK)
 
     def grow(self) -> None:
         """Hear of a fill that was served within its aim."""
