--- a/hitchtiller/routing/effects.py
+++ b/hitchtiller/routing/effects.py
@@ -16,7 +16,7 @@
 
 from hitchtiller.interface import ClassSettings, Member
 
-MOST = 4096
+MAX_KEYS = 4096
 TRIES = 4.0  # deadlines for which a client may come again with its key
 MARGIN_MS = 100.0  # kept from the window's end: clocks, and the way to the server
 
@@ -105,6 +105,6 @@
             name, doubt = next(iter(self.doubts.items()))
             cls = self.classes[name[0]]
             until = doubt.since_ms + cls.repeat_window_ms + TRIES * cls.deadline_ms
-            if len(self.doubts) < MOST and now_ms < until:
+            if len(self.doubts) < MAX_KEYS and now_ms < until:
                 return
             del self.doubts[name]
--- a/tests/ends/test_ends_effects.py
+++ b/tests/ends/test_ends_effects.py
@@ -11,7 +11,7 @@
 
 from hitchtiller import interface as api
 from hitchtiller.codec import frames
-from hitchtiller.routing.effects import MARGIN_MS, MOST, Effects
+from hitchtiller.routing.effects import MARGIN_MS, MAX_KEYS, Effects
 
 ZONE = api.ClassSettings(
     "pay", 800.0, 3000.0, effect="by_key", key_scope="zone", repeat_window_ms=1000.0, write=True
@@ -59,9 +59,9 @@
         effects = self.effects()
         effects.begin("pay", "k2", HERE, 100.0 + 1000.0 + 4.0 * 3000.0)
         self.assertEqual(list(effects.doubts), [("pay", "k2")])
-        for number in range(MOST + 5):
+        for number in range(MAX_KEYS + 5):
             effects.begin("pay", f"n{number}", HERE, 14_000.0)
-        self.assertEqual(len(effects.doubts), MOST)
+        self.assertEqual(len(effects.doubts), MAX_KEYS)
 
 
 class FirstByte(unittest.TestCase):
