--- a/hitchtiller/engine.py
+++ b/hitchtiller/engine.py
@@ -8,7 +8,7 @@
 
 from hitchtiller import interface as api
 from hitchtiller.decide import NEVER_RAN, Router
-from hitchtiller.exchange import FAILED, REFUSED, SERVED, Answer, Ask, Attempt, Clearance, Ending, Exchange
+from hitchtiller.exchange import FAILED, REFUSED, SERVED, Answer, ClientRequest, Attempt, Clearance, Ending, Exchange
 from hitchtiller.log import logger
 from hitchtiller.news import Ban, Event, Topology
 from hitchtiller.ops.stats import Stats
@@ -112,7 +112,7 @@
         """Tell whether a request of this id is open, whoever asked."""
         return id.lower() in self.ids
 
-    def take(self, ask: Ask, deliver: Callable[[Answer], None]) -> Exchange:
+    def take(self, ask: ClientRequest, deliver: Callable[[Answer], None]) -> Exchange:
         """Take a request; `deliver` gets its final answer, unless it leaves."""
         exchange = Exchange(next(self.numbers), ask, deliver)
         self.open[exchange.number] = exchange
--- a/hitchtiller/exchange.py
+++ b/hitchtiller/exchange.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(slots=True)
-class Ask:
+class ClientRequest:
     """A request as any front reads it; texts are passed on as the client wrote them."""
 
     id: str
@@ -114,7 +114,7 @@
         "ask", "attempts", "confirm", "decided", "deliver", "guard", "hold_ms", "number", "over", "taken_ms",
     )  # fmt: skip
 
-    def __init__(self, number: int, ask: Ask, deliver: Callable[[Answer], None]) -> None:
+    def __init__(self, number: int, ask: ClientRequest, deliver: Callable[[Answer], None]) -> None:
         """Take a request; `deliver` carries the final answer to the client."""
         self.number, self.ask, self.deliver = number, ask, deliver
         self.attempts: list[Attempt] = []
--- a/hitchtiller/front/asks.py
+++ b/hitchtiller/front/asks.py
@@ -6,7 +6,7 @@
 
 from hitchtiller import interface as api
 from hitchtiller.codec import frames
-from hitchtiller.exchange import REFUSED, SERVED, Answer, Ask
+from hitchtiller.exchange import REFUSED, SERVED, Answer, ClientRequest
 
 MOST_BODY = 48_000
 LONGEST_MS = 3_600_000.0
@@ -50,7 +50,7 @@
     return text
 
 
-def read_ask(payload: bytes, settings: api.Settings, arrived_ms: float) -> Ask:
+def read_ask(payload: bytes, settings: api.Settings, arrived_ms: float) -> ClientRequest:
     """Read a request; BadAsk for what can't be used."""
     try:
         fields, end = frames.read_fields(payload)
@@ -66,14 +66,14 @@
         raise
 
 
-def _read(fields: Mapping[str, str], body: bytes, cls: api.ClassSettings, arrived_ms: float) -> Ask:
+def _read(fields: Mapping[str, str], body: bytes, cls: api.ClassSettings, arrived_ms: float) -> ClientRequest:
     if len(body) > MOST_BODY:
         raise BadAsk("body too long")
     wait = min(_number(fields, "d", LONGEST_MS), cls.deadline_ms or LONGEST_MS)  # nobody waits longer
     if wait <= 0.0:
         raise BadAsk("no time")
     name = _text(fields, "o", HEX16)
-    return Ask(
+    return ClientRequest(
         id=_text(fields, "i", HEX16),
         class_name=cls.name,
         object=name,
--- a/hitchtiller/repo/fetch.py
+++ b/hitchtiller/repo/fetch.py
@@ -14,7 +14,7 @@
 from greenlet import getcurrent, greenlet
 
 from hitchtiller.engine import Engine
-from hitchtiller.exchange import REFUSED, SERVED, Answer, Ask, Exchange
+from hitchtiller.exchange import REFUSED, SERVED, Answer, ClientRequest, Exchange
 from hitchtiller.repo.admission import GiveWay
 from hitchtiller.repo.body import Piece
 from hitchtiller.repo.budget import HEDGE_AFTER, HEDGE_LAST, Budget, FileBudget
@@ -132,7 +132,7 @@
                 self.sched.wake(me)
 
         name = f"{source.key:016x}"
-        ask = Ask(
+        ask = ClientRequest(
             f"{self.rng.getrandbits(64):016x}", source.class_name, name, source.key, until,
             part=number, group=source.group, size_kb=PART / 1000.0, background=True,
         )  # fmt: skip
--- a/hitchtiller/store/plan.py
+++ b/hitchtiller/store/plan.py
@@ -9,7 +9,7 @@
 from enum import Enum
 
 from hitchtiller import interface as api
-from hitchtiller.exchange import Ask, Ending
+from hitchtiller.exchange import ClientRequest, Ending
 from hitchtiller.store.format import MOST_BODY, MOST_TEXT, Part
 from hitchtiller.store.purges import Purges
 from hitchtiller.store.suspect import Proof
@@ -52,11 +52,11 @@
             return State.SUSPECT
         return State.STALE if cls.fresh_ms and age > cls.fresh_ms else State.FRESH
 
-    def fits(self, part: Part, ask: Ask) -> bool:
+    def fits(self, part: Part, ask: ClientRequest) -> bool:
         """Tell whether a copy is one of what is asked for, as the class that asks."""
         return (part.key, part.part, part.class_name) == (ask.key, ask.part, ask.class_name)
 
-    def keep(self, ask: Ask, ending: Ending, now_ms: float) -> Part | None:
+    def keep(self, ask: ClientRequest, ending: Ending, now_ms: float) -> Part | None:
         """Give the part to keep of an answer; None if it may not be kept.
 
         A purge told while the answer was under way is known by now, and its time is compared with the copy's
@@ -75,16 +75,16 @@
         part = Part(ask.key, ask.part, ask.group, ask.class_name, ending.since_ms, ending.tag, self.proof.era)
         return part if self.judge(part, now_ms) is State.FRESH else None
 
-    def may_confirm(self, ask: Ask) -> bool:
+    def may_confirm(self, ask: ClientRequest) -> bool:
         """Tell whether our own tag may go with a request: not where the client's is another matter."""
         return not ask.have
 
-    def patience_ms(self, ask: Ask, now_ms: float) -> float:
+    def patience_ms(self, ask: ClientRequest, now_ms: float) -> float:
         """Give how long a request may wait for another's answer before it goes its own way."""
         cls = self.classes[ask.class_name]
         return max(0.0, min(JOIN_MS, cls.aim_ms, JOIN_SHARE * (ask.deadline_ms - now_ms)))
 
-    def until_ms(self, ask: Ask, now_ms: float, transfer_ms: float) -> float:
+    def until_ms(self, ask: ClientRequest, now_ms: float, transfer_ms: float) -> float:
         """Give when an answer from our own copies should be over.
 
         Later than its aim, a cache may be quicker.
--- a/tests/ends/sides.py
+++ b/tests/ends/sides.py
@@ -11,7 +11,7 @@
 
 from hitchtiller.codec import frames, resp
 from hitchtiller.engine import Engine
-from hitchtiller.exchange import SERVED, Answer, Ask, Exchange
+from hitchtiller.exchange import SERVED, Answer, ClientRequest, Exchange
 from hitchtiller.front.client import Client
 from hitchtiller.front.server import Front
 from hitchtiller.ops.stats import Stats
@@ -76,7 +76,7 @@
     def has(self, id: str) -> bool:
         return False
 
-    def take(self, ask: Ask, deliver: Callable[[Answer], None]) -> Exchange:
+    def take(self, ask: ClientRequest, deliver: Callable[[Answer], None]) -> Exchange:
         exchange = Exchange(len(self.taken), ask, deliver)
         self.taken.append(ask.id)
         self.open[exchange.number] = exchange
--- a/tests/ends/test_ends_links.py
+++ b/tests/ends/test_ends_links.py
@@ -12,7 +12,7 @@
 from hitchtiller.back.link import Link
 from hitchtiller.back.upstreams import Pool, Upstreams
 from hitchtiller.codec import resp
-from hitchtiller.exchange import Ask, Attempt, Clearance, Exchange
+from hitchtiller.exchange import ClientRequest, Attempt, Clearance, Exchange
 from hitchtiller.interface import Member
 from hitchtiller.news import Listed, Topology
 from hitchtiller.sched import READ, Scheduler, now_ms
@@ -188,7 +188,7 @@
     """The way to a server and back is as long as a connection to it took to open."""
 
     def attempt(self) -> tuple[Attempt, Exchange]:
-        ask = Ask("0" * 16, "small", "0" * 16, 42, now_ms() + 5_000.0)
+        ask = ClientRequest("0" * 16, "small", "0" * 16, 42, now_ms() + 5_000.0)
         exchange = Exchange(1, ask, lambda answer: None)
         get = api.Get(1, "s", "s", 0.0)
         self.ended: list[str] = []
--- a/tests/store/tiers.py
+++ b/tests/store/tiers.py
@@ -10,7 +10,7 @@
 from hitchtiller import interface as api
 from hitchtiller.decide import Router
 from hitchtiller.engine import Engine
-from hitchtiller.exchange import Answer, Ask, Attempt, Ending, Exchange
+from hitchtiller.exchange import Answer, ClientRequest, Attempt, Ending, Exchange
 from hitchtiller.news import Ban, Listed, Topology
 from hitchtiller.store import recover
 from hitchtiller.store.disk import Disk, Options
@@ -57,7 +57,7 @@
     def ask(self, key: int = 42, name: str = "small", life: float = 2900.0, **more: Any) -> Exchange:
         """Take a request; its answer will be found under its number."""
         self.ids += 1
-        ask = Ask(f"{self.ids:016x}", name, f"{key:016x}", key, self.clock.now + life, size_kb=50.0, **more)
+        ask = ClientRequest(f"{self.ids:016x}", name, f"{key:016x}", key, self.clock.now + life, size_kb=50.0, **more)
         number = self.ids
 
         def deliver(answer: Answer) -> None:
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -11,7 +11,7 @@
 from hitchtiller.codec.resp import BadResp
 from hitchtiller.decide import Router
 from hitchtiller.engine import Engine
-from hitchtiller.exchange import FAILED, REFUSED, SERVED, Answer, Ask, Attempt, Ending
+from hitchtiller.exchange import FAILED, REFUSED, SERVED, Answer, ClientRequest, Attempt, Ending
 from hitchtiller.news import Listed, Topology
 
 
@@ -67,7 +67,7 @@
         self.engine.news(Topology(tuple(Listed(m, ("127.0.0.1", 1)) for m in members), whole))
 
     def ask(self, **more: Any) -> Attempt:
-        ask = Ask("0" * 16, "small", "0" * 16, 42, self.clock.now + 900.0, size_kb=50.0, **more)
+        ask = ClientRequest("0" * 16, "small", "0" * 16, 42, self.clock.now + 900.0, size_kb=50.0, **more)
         self.exchange = self.engine.take(ask, self.answers.append)
         return self.back.sent[-1]
 
