--- a/hitchtiller/back/jobs.py
+++ b/hitchtiller/back/jobs.py
@@ -60,8 +60,8 @@
         """Carry an attempt."""
         self.attempt = attempt
         self.due_ms, self.moves = math.inf, 0
-        self.name = attempt.exchange.ask.id.encode()
-        self.repeatable = attempt.exchange.ask.repeatable
+        self.name = attempt.exchange.request.id.encode()
+        self.repeatable = attempt.exchange.request.repeatable
 
     def command(self) -> bytes | None:
         """Write PULL, with what is settled only now: the wait and the oldest copy that will do."""
@@ -72,7 +72,7 @@
             return None
         attempt.written = True
         self.due_ms = now_ms() + attempt.get.overdue_ms if attempt.get.overdue_ms else math.inf
-        ask, get = attempt.exchange.ask, attempt.get
+        ask, get = attempt.exchange.request, attempt.get
         ttl = max(1, int(clearance.ttl_ms))
         fields = f"lane={ask.class_name},name={ask.object},piece={ask.part},ttl={ttl}"
         if ask.dedupe:
@@ -95,7 +95,7 @@
 
     def answered(self, word: str, fields: dict[str, str], body: bytes) -> None:
         """End the attempt in the decisions' words."""
-        status, ask = STATUS.get(word, ""), self.attempt.exchange.ask
+        status, ask = STATUS.get(word, ""), self.attempt.exchange.request
         rev, since = fields.get("rev"), fields.get("since")
         copy = status == "done" and not ask.write  # a key tells nothing: effects may run without one
         if not status or (copy and not (REV.match(rev or "") and SINCE.match(since or ""))):
--- a/hitchtiller/engine.py
+++ b/hitchtiller/engine.py
@@ -132,7 +132,7 @@
         """Hand a request to the decisions, once."""
         if exchange.over or exchange.decided:
             return
-        exchange.decided, ask = True, exchange.ask
+        exchange.decided, ask = True, exchange.request
         self.give(
             api.Request(
                 exchange.number, ask.class_name, ask.key, ask.deadline_ms, ask.size_kb, ask.group, ask.part
@@ -153,7 +153,7 @@
         if exchange.over:
             return
         # guards against a request that stays without an end: one that waits for a peer, or a fault
-        logger.warning("request {} was overdue", exchange.ask.id)
+        logger.warning("request {} was overdue", exchange.request.id)
         self.fail(exchange)
 
     def fail(self, exchange: Exchange) -> None:
@@ -173,20 +173,20 @@
 
     def _drop(self, exchange: Exchange) -> None:
         if self.open.pop(exchange.number, None):
-            self.ids.discard(exchange.ask.id.lower())
+            self.ids.discard(exchange.request.id.lower())
 
     def finish(self, exchange: Exchange, answer: Answer) -> None:
         """Give the final answer, once."""
         if self.copies and answer.kind != SERVED:
             answer = self.copies.instead(exchange, answer)
-        ask = exchange.ask
+        ask = exchange.request
         if answer.kind == REFUSED and not self.effects.retry_is_safe(
             ask.class_name, ask.dedupe, self.clock.now_ms()
         ):
             answer = Answer(FAILED)  # a refusal would say that trying again does no harm
         self._drop(exchange)
         if exchange.finish(answer):
-            self.stats.end(exchange.ask.class_name, answer.kind)
+            self.stats.end(exchange.request.class_name, answer.kind)
             self._worth(answer.kind, exchange)
             if self.ended_one:
                 self.ended_one(exchange, answer)
@@ -196,7 +196,7 @@
 
     def _worth(self, what: str, exchange: Exchange) -> None:
         """Count a request's worth under what became of it; `served` is told apart by its class's aim."""
-        settings, ask = self.router.settings, exchange.ask
+        settings, ask = self.router.settings, exchange.request
         if (cls := settings.classes.get(ask.class_name)) is None:
             return
         if what == SERVED:
@@ -284,7 +284,7 @@
         now = self.clock.now_ms()
         spared = self.copies is not None and not self.copies.may_send(exchange)
         attempt = Attempt(exchange, get, now, self.clear, self.ended, self.sent)
-        if 0.0 < get.timeout_ms < exchange.ask.deadline_ms - now - 1.0:  # else the deadline ends it
+        if 0.0 < get.timeout_ms < exchange.request.deadline_ms - now - 1.0:  # else the deadline ends it
             timer = self.clock.later(get.timeout_ms, partial(self.cancel, attempt, "etimedout"))
             attempt.timeout = timer.cancel
         if spared:
@@ -294,7 +294,7 @@
 
     def clear(self, attempt: Attempt) -> Clearance | None:
         """Ask the decisions again at the first byte: drains and purges may have come since."""
-        now, ask = self.clock.now_ms(), attempt.exchange.ask
+        now, ask = self.clock.now_ms(), attempt.exchange.request
         if attempt.ended or attempt.exchange.over or self.behind():
             return None
         try:
@@ -327,7 +327,7 @@
         exchange = attempt.exchange
         self.stats.tried(ending.status)
         if attempt.written and ending.status in NEVER_RAN:
-            self.effects.never_ran(exchange.ask.class_name, exchange.ask.dedupe)
+            self.effects.never_ran(exchange.request.class_name, exchange.request.dedupe)
         if ending.status == "done" and self.copies:
             ending = self.copies.arrived(attempt, ending)
         if ending.status == "done" and not exchange.over:
--- a/hitchtiller/exchange.py
+++ b/hitchtiller/exchange.py
@@ -116,7 +116,7 @@
 
     def __init__(self, number: int, ask: ClientRequest, deliver: Callable[[Answer], None]) -> None:
         """Take a request; `deliver` carries the final answer to the client."""
-        self.number, self.ask, self.deliver = number, ask, deliver
+        self.number, self.request, self.deliver = number, ask, deliver
         self.attempts: list[Attempt] = []
         self.guard: Callable[[], None] | None = None  # takes the overdue timer back
         self.over = False
--- a/hitchtiller/repo/fetch.py
+++ b/hitchtiller/repo/fetch.py
@@ -70,9 +70,9 @@
 
     def _foreground(self, exchange: Exchange, answer: Answer) -> None:
         """Learn from other classes' answers whether the foreground keeps up."""
-        if exchange.ask.background:
+        if exchange.request.background:
             return
-        now, cls = now_ms(), self.engine.router.settings.classes[exchange.ask.class_name]
+        now, cls = now_ms(), self.engine.router.settings.classes[exchange.request.class_name]
         in_time = answer.kind == SERVED and now - exchange.taken_ms <= cls.aim_ms
         self.give_way.foreground(in_time, now)
 
--- a/hitchtiller/store/tier.py
+++ b/hitchtiller/store/tier.py
@@ -61,7 +61,7 @@
 
     def take(self, exchange: Exchange) -> bool:
         """Look a request up."""
-        ask, now = exchange.ask, self.engine.clock.now_ms()
+        ask, now = exchange.request, self.engine.clock.now_ms()
         if not self.plan.keeps(ask.class_name) or ask.dedupe or ask.body:
             return False
         self.check_clock(now)
@@ -102,7 +102,7 @@
         if ending.unchanged:
             return self._kept_on(exchange, ending, now)
         held = self.held.pop(exchange.number, None)
-        part = self.plan.keep(exchange.ask, ending, now)
+        part = self.plan.keep(exchange.request, ending, now)
         if held and held.part.tag != ending.tag:
             self.refuted += held.part.era != self.proof.era
             self._forget(fingerprint(held.part.key, held.part.part))
@@ -112,7 +112,7 @@
 
     def _kept_on(self, exchange: Exchange, ending: Ending, now: float) -> Ending:
         """Take KEEP: the client's copy holds, or ours, or both."""
-        copy, ask = self.held.pop(exchange.number, None), exchange.ask
+        copy, ask = self.held.pop(exchange.number, None), exchange.request
         ours = copy is not None and copy.part.tag == ending.tag
         if copy and ours and self.proof.confirms(ending.since_ms, now):
             part = copy.part
@@ -151,7 +151,7 @@
         if answer and answer.kind == SERVED:
             if number not in self.joins.leads:
                 return
-            ask = exchange.ask
+            ask = exchange.request
             part = Part(
                 ask.key, ask.part, ask.group, ask.class_name, answer.since_ms, answer.tag, self.proof.era
             )
@@ -231,19 +231,19 @@
             self._forget(mark)
         elif state is not State.FRESH:
             self.held[exchange.number] = copy
-            if self.confirms and self.plan.may_confirm(exchange.ask):
+            if self.confirms and self.plan.may_confirm(exchange.request):
                 exchange.confirm = part.tag
 
     def _answer(self, exchange: Exchange, copy: Copy, unchanged: bool = False) -> Answer:
         tag = copy.part.tag
-        known = unchanged or (exchange.ask.have == tag and bool(tag))
+        known = unchanged or (exchange.request.have == tag and bool(tag))
         return Answer(SERVED, b"" if known else copy.body, known, tag, since_ms=copy.part.since_ms)
 
     def _serve(self, exchange: Exchange, copy: Copy, tier: str, unchanged: bool = False) -> bool:
         """Answer from a copy when the link comes to it; False if that would be too late."""
         now, answer = self.engine.clock.now_ms(), self._answer(exchange, copy, unchanged)
         size = int(len(copy.body) * KNOWN_SHARE) if answer.unchanged else len(copy.body)
-        if not self.pace.fits(size, now, self.plan.until_ms(exchange.ask, now, self.pace.transfer_ms(size))):
+        if not self.pace.fits(size, now, self.plan.until_ms(exchange.request, now, self.pace.transfer_ms(size))):
             self.slow_link += 1
             return False
         begin = self.pace.take(size, now)
@@ -265,7 +265,7 @@
 
     def _read(self, exchange: Exchange, mark: int) -> bool:
         """Read a leader's part from disk, if it may be there."""
-        ask, disk = exchange.ask, self.disk
+        ask, disk = exchange.request, self.disk
         if disk is None or exchange.number in self.held or mark not in disk:
             return False
         if not disk.get(ask.key, ask.part, partial(self._read_back, exchange)):
@@ -277,7 +277,7 @@
     def _read_back(self, exchange: Exchange, part: Part | None, body: bytes) -> None:
         """Take what the disk gave: into memory, and to the client if it may be."""
         now = self.engine.clock.now_ms()
-        if part and self.plan.fits(part, exchange.ask):
+        if part and self.plan.fits(part, exchange.request):
             copy, state = Copy(part, body), self.plan.judge(part, now)
             if state is State.FRESH:
                 self.memory.put(part.class_name, part, body)
@@ -329,7 +329,7 @@
                 exchange, answer or Answer(REFUSED, wait_ms=self.engine.router.settings.max_retry_after_ms)
             )
         elif then is not Then.LEAD or not self._read(
-            exchange, fingerprint(exchange.ask.key, exchange.ask.part)
+            exchange, fingerprint(exchange.request.key, exchange.request.part)
         ):
             self.engine.decide(exchange)
 
--- a/standins/lag.py
+++ b/standins/lag.py
@@ -81,7 +81,7 @@
         """Take an attempt."""
         attempt.clear(attempt)
         attempt.written = True
-        key = attempt.exchange.ask.key
+        key = attempt.exchange.request.key
         size = 1_000 + key * 7919 % 59_000
         ending = Ending("done", BODY[:size], False, f"t{key}", since_ms=int(now_ms()))
         self.sched.later(1.0, lambda: attempt.end(ending))
