--- a/hitchtiller/back/jobs.py
+++ b/hitchtiller/back/jobs.py
@@ -7,7 +7,7 @@
 from typing import Protocol
 
 from hitchtiller.codec import resp
-from hitchtiller.exchange import Attempt, Ending
+from hitchtiller.exchange import Attempt, AttemptResult
 from hitchtiller.sched import now_ms
 
 METER_MS = 1_000.0
@@ -107,7 +107,7 @@
         served = body if word == "DONE" else b""
         given = int(since) if copy and since else 0
         note, waited = NOTES.get(fields.get("why", ""), 0), _ms(fields.get("fill", ""))
-        self.attempt.end(Ending(status, served, unchanged, fields.get("rev", ""), load, given, note, waited))
+        self.attempt.end(AttemptResult(status, served, unchanged, fields.get("rev", ""), load, given, note, waited))
 
     def hold(self, until_ms: float) -> None:
         """Keep further attempts back for so long: the server would have two copies out."""
@@ -116,7 +116,7 @@
     def broken(self, status: str) -> None:
         """End it with the connection: refused, or reset once written (unwritten jobs go elsewhere)."""
         silent = status == "silent"
-        self.attempt.end(Ending("econnrefused" if silent else status, silent=silent))
+        self.attempt.end(AttemptResult("econnrefused" if silent else status, silent=silent))
 
 
 class Meter:
--- a/hitchtiller/engine.py
+++ b/hitchtiller/engine.py
@@ -8,7 +8,7 @@
 
 from hitchtiller import interface as api
 from hitchtiller.decide import NEVER_RAN, Router
-from hitchtiller.exchange import FAILED, REFUSED, SERVED, Answer, ClientRequest, Attempt, Clearance, Ending, Exchange
+from hitchtiller.exchange import FAILED, REFUSED, SERVED, Answer, ClientRequest, Attempt, Clearance, AttemptResult, Exchange
 from hitchtiller.log import logger
 from hitchtiller.news import Ban, Event, Topology
 from hitchtiller.ops.stats import Stats
@@ -60,7 +60,7 @@
     def cap(self, exchange: Exchange, cap_ms: float, now_ms: float) -> float:
         """Bound the age of the copy that is asked for further; 0 for no bound."""
 
-    def arrived(self, attempt: Attempt, ending: Ending) -> Ending:
+    def arrived(self, attempt: Attempt, ending: AttemptResult) -> AttemptResult:
         """Take a served attempt's end, to keep it or to put a confirmed copy's bytes in."""
 
     def instead(self, exchange: Exchange, answer: Answer) -> Answer:
@@ -322,7 +322,7 @@
             self.back.cancel(attempt)
             attempt.drop(word)
 
-    def ended(self, attempt: Attempt, ending: Ending) -> None:
+    def ended(self, attempt: Attempt, ending: AttemptResult) -> None:
         """Take an attempt's end: the first served one is the answer."""
         exchange = attempt.exchange
         self.stats.tried(ending.status)
--- a/hitchtiller/exchange.py
+++ b/hitchtiller/exchange.py
@@ -43,7 +43,7 @@
 
 
 @dataclass(slots=True)
-class Ending:
+class AttemptResult:
     """How an attempt ended, in the decisions' words, with what a served one brought."""
 
     status: str
@@ -79,7 +79,7 @@
         get: api.Get,
         sent_ms: float,
         clear: Callable[["Attempt"], Clearance | None],
-        on_end: Callable[["Attempt", Ending], None],
+        on_end: Callable[["Attempt", AttemptResult], None],
         on_sent: Callable[[], None],
     ) -> None:
         """Make the next attempt; `clear` is asked before the first byte, `on_sent` hears of the last."""
@@ -92,7 +92,7 @@
         self.ended = False
         exchange.attempts.append(self)
 
-    def end(self, ending: Ending) -> None:
+    def end(self, ending: AttemptResult) -> None:
         """Report the end; a second report is passed over."""
         if self.ended:
             return
@@ -104,7 +104,7 @@
 
     def drop(self, word: str) -> None:
         """End with a word, or with `skipped` if it was never written: then it can't have run."""
-        self.end(Ending(word if self.written else "skipped"))
+        self.end(AttemptResult(word if self.written else "skipped"))
 
 
 class Exchange:
--- a/hitchtiller/store/plan.py
+++ b/hitchtiller/store/plan.py
@@ -9,7 +9,7 @@
 from enum import Enum
 
 from hitchtiller import interface as api
-from hitchtiller.exchange import ClientRequest, Ending
+from hitchtiller.exchange import ClientRequest, AttemptResult
 from hitchtiller.store.format import MOST_BODY, MOST_TEXT, Part
 from hitchtiller.store.purges import Purges
 from hitchtiller.store.suspect import Proof
@@ -56,7 +56,7 @@
         """Tell whether a copy is one of what is asked for, as the class that asks."""
         return (part.key, part.part, part.class_name) == (ask.key, ask.part, ask.class_name)
 
-    def keep(self, ask: ClientRequest, ending: Ending, now_ms: float) -> Part | None:
+    def keep(self, ask: ClientRequest, ending: AttemptResult, now_ms: float) -> Part | None:
         """Give the part to keep of an answer; None if it may not be kept.
 
         A purge told while the answer was under way is known by now, and its time is compared with the copy's
--- a/hitchtiller/store/tier.py
+++ b/hitchtiller/store/tier.py
@@ -10,7 +10,7 @@
 from functools import partial
 
 from hitchtiller.engine import Engine
-from hitchtiller.exchange import REFUSED, SERVED, Answer, Attempt, Ending, Exchange
+from hitchtiller.exchange import REFUSED, SERVED, Answer, Attempt, AttemptResult, Exchange
 from hitchtiller.log import logger
 from hitchtiller.news import Ban
 from hitchtiller.store.disk import STALL_MS, Disk, steady_ms
@@ -95,7 +95,7 @@
             return cap_ms
         return self.plan.cap_ms(now_ms, cap_ms)
 
-    def arrived(self, attempt: Attempt, ending: Ending) -> Ending:
+    def arrived(self, attempt: Attempt, ending: AttemptResult) -> AttemptResult:
         """Keep what came; give a confirmed copy's bytes to a client that has none."""
         exchange, now = attempt.exchange, self.engine.clock.now_ms()
         self.check_clock(now)
@@ -110,7 +110,7 @@
             self._keep(part, ending.body)
         return ending
 
-    def _kept_on(self, exchange: Exchange, ending: Ending, now: float) -> Ending:
+    def _kept_on(self, exchange: Exchange, ending: AttemptResult, now: float) -> AttemptResult:
         """Take KEEP: the client's copy holds, or ours, or both."""
         copy, ask = self.held.pop(exchange.number, None), exchange.request
         ours = copy is not None and copy.part.tag == ending.tag
@@ -123,14 +123,14 @@
                 self.confirmed += 1
                 self._keep(fresh, copy.body)
                 if not ask.have:
-                    return Ending("done", copy.body, False, ending.tag, ending.load, ending.since_ms)
+                    return AttemptResult("done", copy.body, False, ending.tag, ending.load, ending.since_ms)
         if ask.have:
             return ending
         # guards against serving what was not confirmed: no bytes came, and ours are not proven
         self.refuted += 1
         exchange.confirm = ""
         self._forget(fingerprint(ask.key, ask.part))
-        return Ending("err", load=ending.load)
+        return AttemptResult("err", load=ending.load)
 
     def instead(self, exchange: Exchange, answer: Answer) -> Answer:
         """Serve a copy within its grace rather than a refusal or a failure."""
--- a/standins/lag.py
+++ b/standins/lag.py
@@ -21,7 +21,7 @@
 from hitchtiller import interface as api
 from hitchtiller.decide import Router
 from hitchtiller.engine import Engine
-from hitchtiller.exchange import Answer, ClientRequest, Attempt, Ending
+from hitchtiller.exchange import Answer, ClientRequest, Attempt, AttemptResult
 from hitchtiller.front.leave import Leave
 from hitchtiller.front.server import Front
 from hitchtiller.news import Listed, Topology
@@ -83,7 +83,7 @@
         attempt.written = True
         key = attempt.exchange.request.key
         size = 1_000 + key * 7919 % 59_000
-        ending = Ending("done", BODY[:size], False, f"t{key}", since_ms=int(now_ms()))
+        ending = AttemptResult("done", BODY[:size], False, f"t{key}", since_ms=int(now_ms()))
         self.sched.later(1.0, lambda: attempt.end(ending))
 
     def cancel(self, attempt: Attempt) -> None:
--- a/tests/store/test_store_tier.py
+++ b/tests/store/test_store_tier.py
@@ -6,7 +6,7 @@
 from tiers import SMALL, START, Tiers
 
 from hitchtiller.back.jobs import Pull
-from hitchtiller.exchange import FAILED, REFUSED, SERVED, Ending
+from hitchtiller.exchange import FAILED, REFUSED, SERVED, AttemptResult
 from hitchtiller.store import recover
 from hitchtiller.store.disk import Disk
 from hitchtiller.store.jobs import Inline
@@ -65,12 +65,12 @@
     assert 3 not in tiers.answers and exchange.confirm == "t1"
     while sent := tiers.sent():
         sent[-1].written = True
-        sent[-1].end(Ending("err"))
+        sent[-1].end(AttemptResult("err"))
     assert tiers.answers[3].kind == SERVED and tiers.tier.hits["stale"] == 1
     tiers.wait(500.0)
     tiers.ask(name="brief")
     while sent := tiers.sent():
-        sent[-1].end(Ending("err"))
+        sent[-1].end(AttemptResult("err"))
     assert kinds(tiers)[4] in (FAILED, REFUSED), "past its grace it is not served"
 
 
@@ -161,7 +161,7 @@
     for _ in range(200):
         for attempt in tiers.sent():
             attempt.written = True
-            attempt.end(Ending("econnreset"))
+            attempt.end(AttemptResult("econnreset"))
     assert len(tiers.back.sent) <= 3 and len(tiers.answers) == 40
     assert all(answer.kind in (REFUSED, FAILED) for answer in tiers.answers.values())
 
--- a/tests/store/tiers.py
+++ b/tests/store/tiers.py
@@ -10,7 +10,7 @@
 from hitchtiller import interface as api
 from hitchtiller.decide import Router
 from hitchtiller.engine import Engine
-from hitchtiller.exchange import Answer, ClientRequest, Attempt, Ending, Exchange
+from hitchtiller.exchange import Answer, ClientRequest, Attempt, AttemptResult, Exchange
 from hitchtiller.news import Ban, Listed, Topology
 from hitchtiller.store import recover
 from hitchtiller.store.disk import Disk, Options
@@ -76,12 +76,12 @@
         """End an attempt with bytes."""
         given = int(self.clock.now if since is None else since)
         attempt.written = True
-        attempt.end(Ending("done", body, False, tag, since_ms=given))
+        attempt.end(AttemptResult("done", body, False, tag, since_ms=given))
 
     def keep(self, attempt: Attempt, tag: str, since: float) -> None:
         """End an attempt with KEEP."""
         attempt.written = True
-        attempt.end(Ending("done", b"", True, tag, since_ms=int(since)))
+        attempt.end(AttemptResult("done", b"", True, tag, since_ms=int(since)))
 
     def fetch(self, key: int = 42, name: str = "small", **how: Any) -> None:
         """Have one object kept, by way of a server."""
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -11,7 +11,7 @@
 from hitchtiller.codec.resp import BadResp
 from hitchtiller.decide import Router
 from hitchtiller.engine import Engine
-from hitchtiller.exchange import FAILED, REFUSED, SERVED, Answer, ClientRequest, Attempt, Ending
+from hitchtiller.exchange import FAILED, REFUSED, SERVED, Answer, ClientRequest, Attempt, AttemptResult
 from hitchtiller.news import Listed, Topology
 
 
@@ -76,8 +76,8 @@
 
     def test_a_second_end_is_passed_over(self) -> None:
         attempt = self.ask()
-        attempt.end(Ending("done", b"x"))
-        attempt.end(Ending("err"))
+        attempt.end(AttemptResult("done", b"x"))
+        attempt.end(AttemptResult("err"))
         self.assertEqual(self.kinds(), [SERVED])
         self.assertFalse(self.engine.open)
 
@@ -92,13 +92,13 @@
         handle, self.engine.router.handle = self.engine.router.handle, lambda *_: [][0]  # type: ignore[method-assign]
         self.engine.take(first.exchange.ask, self.answers.append)
         self.engine.router.handle = handle  # type: ignore[method-assign]
-        first.end(Ending("done"))
+        first.end(AttemptResult("done"))
         self.assertEqual(self.kinds(), [FAILED, SERVED])
 
     def test_a_client_that_left_is_owed_nothing(self) -> None:
         attempt = self.ask()
         self.engine.leave(self.exchange)
-        attempt.end(Ending("done"))
+        attempt.end(AttemptResult("done"))
         self.assertEqual((self.kinds(), self.back.cancelled), ([], [attempt]))
 
     def test_a_refused_connection_is_blamed(self) -> None:
@@ -136,7 +136,7 @@
         """Full collections of such cycles stalled the loop by 0.2 s."""
         attempt = self.ask()
         attempt.place = object()
-        attempt.end(Ending("done"))
+        attempt.end(AttemptResult("done"))
         self.assertEqual((self.exchange.attempts, attempt.place), ([], None))
 
     def test_an_attempt_is_barred_at_its_first_byte_if_target_or_source_drains(self) -> None:
