--- a/hitchtiller/engine.py
+++ b/hitchtiller/engine.py
@@ -8,7 +8,7 @@
 
 from hitchtiller import interface as api
 from hitchtiller.decide import NEVER_RAN, Router
-from hitchtiller.exchange import FAILED, REFUSED, SERVED, Answer, ClientRequest, Attempt, Clearance, AttemptResult, Exchange
+from hitchtiller.exchange import FAILED, REFUSED, SERVED, Answer, ClientRequest, Attempt, SendLimits, AttemptResult, Exchange
 from hitchtiller.log import logger
 from hitchtiller.news import Ban, Event, Topology
 from hitchtiller.ops.stats import Stats
@@ -292,7 +292,7 @@
         else:
             self.back.send(attempt)
 
-    def clear(self, attempt: Attempt) -> Clearance | None:
+    def clear(self, attempt: Attempt) -> SendLimits | None:
         """Ask the decisions again at the first byte: drains and purges may have come since."""
         now, ask = self.clock.now_ms(), attempt.exchange.request
         if attempt.ended or attempt.exchange.over or self.behind():
@@ -310,7 +310,7 @@
         if cap is None:
             return None
         self.effects.begin(ask.class_name, ask.dedupe, node.m, now)
-        return Clearance(cap, ask.deadline_ms - now)
+        return SendLimits(cap, ask.deadline_ms - now)
 
     def sent(self) -> None:
         """Count an attempt that was written whole."""
--- a/hitchtiller/exchange.py
+++ b/hitchtiller/exchange.py
@@ -58,7 +58,7 @@
 
 
 @dataclass(slots=True)
-class Clearance:
+class SendLimits:
     """What is settled only when an attempt's first byte goes out."""
 
     cap_ms: float
@@ -78,7 +78,7 @@
         exchange: "Exchange",
         get: api.Get,
         sent_ms: float,
-        clear: Callable[["Attempt"], Clearance | None],
+        clear: Callable[["Attempt"], SendLimits | None],
         on_end: Callable[["Attempt", AttemptResult], None],
         on_sent: Callable[[], None],
     ) -> None:
--- a/tests/ends/test_ends_links.py
+++ b/tests/ends/test_ends_links.py
@@ -12,7 +12,7 @@
 from hitchtiller.back.link import Link
 from hitchtiller.back.upstreams import Pool, Upstreams
 from hitchtiller.codec import resp
-from hitchtiller.exchange import ClientRequest, Attempt, Clearance, Exchange
+from hitchtiller.exchange import ClientRequest, Attempt, SendLimits, Exchange
 from hitchtiller.interface import Member
 from hitchtiller.news import Listed, Topology
 from hitchtiller.sched import READ, Scheduler, now_ms
@@ -193,7 +193,7 @@
         get = api.Get(1, "s", "s", 0.0)
         self.ended: list[str] = []
         attempt = Attempt(
-            exchange, get, now_ms(), lambda attempt: Clearance(0.0, 1_000.0),
+            exchange, get, now_ms(), lambda attempt: SendLimits(0.0, 1_000.0),
             lambda attempt, ending: self.ended.append(ending.status), lambda: None,
         )  # fmt: skip
         return attempt, exchange
@@ -211,7 +211,7 @@
         second, _ = self.attempt()
         second.exchange = exchange
         written: list[float] = []
-        second.clear = lambda attempt: written.append(now_ms()) or Clearance(0.0, 1_000.0)  # type: ignore[func-returns-value]
+        second.clear = lambda attempt: written.append(now_ms()) or SendLimits(0.0, 1_000.0)  # type: ignore[func-returns-value]
         self.back.send(second)
         self.until(lambda: bool(written))
         self.assertGreaterEqual(written[0], exchange.hold_ms)
