--- a/hitchtiller/back/jobs.py
+++ b/hitchtiller/back/jobs.py
@@ -111,7 +111,7 @@
 
     def hold(self, until_ms: float) -> None:
         """Keep further attempts back for so long: the server would have two copies out."""
-        self.attempt.exchange.hold_ms = max(self.attempt.exchange.hold_ms, until_ms)
+        self.attempt.exchange.blocked_until_ms = max(self.attempt.exchange.blocked_until_ms, until_ms)
 
     def broken(self, status: str) -> None:
         """End it with the connection: refused, or reset once written (unwritten jobs go elsewhere)."""
--- a/hitchtiller/back/upstreams.py
+++ b/hitchtiller/back/upstreams.py
@@ -127,7 +127,7 @@
 
     def send(self, attempt: Attempt) -> None:
         """Carry an attempt to its server, once none before it can be out any more."""
-        if (wait_ms := attempt.exchange.hold_ms - now_ms()) > 0.0:
+        if (wait_ms := attempt.exchange.blocked_until_ms - now_ms()) > 0.0:
             self.sched.later(wait_ms, partial(self._send, attempt))
         else:
             self._send(attempt)
--- a/hitchtiller/exchange.py
+++ b/hitchtiller/exchange.py
@@ -122,7 +122,7 @@
         self.over = False
         self.decided = False  # the decisions have it
         self.taken_ms = 0.0
-        self.hold_ms = 0.0  # until then an attempt that was given up may still be out: none may follow it
+        self.blocked_until_ms = 0.0  # until then an attempt that was given up may still be out: none may follow it
         self.confirm = ""  # tag of a copy of our own that a server is asked about
 
     def finish(self, answer: Answer) -> bool:
--- a/tests/ends/test_ends_links.py
+++ b/tests/ends/test_ends_links.py
@@ -207,14 +207,14 @@
         link.way_ms = 60.0
         self.back.cancel(first)
         first.drop("ecanceled")
-        self.assertGreater(exchange.hold_ms, now_ms() + 30.0)
+        self.assertGreater(exchange.blocked_until_ms, now_ms() + 30.0)
         second, _ = self.attempt()
         second.exchange = exchange
         written: list[float] = []
         second.clear = lambda attempt: written.append(now_ms()) or SendLimits(0.0, 1_000.0)  # type: ignore[func-returns-value]
         self.back.send(second)
         self.until(lambda: bool(written))
-        self.assertGreaterEqual(written[0], exchange.hold_ms)
+        self.assertGreaterEqual(written[0], exchange.blocked_until_ms)
 
     def opened_at_once(self) -> tuple[Attempt, Exchange, Link]:
         """Write an attempt on a connection that came up in no time, as on loopback."""
@@ -230,21 +230,21 @@
         begun = now_ms()
         link.close("stuck")
         self.until(lambda: bool(self.ended))
-        self.assertGreaterEqual(exchange.hold_ms, begun + CONNECT_MS / 20.0)
+        self.assertGreaterEqual(exchange.blocked_until_ms, begun + CONNECT_MS / 20.0)
 
     def test_a_kill_on_a_connection_that_opened_at_once_is_given_time_to_arrive(self) -> None:
         first, exchange, _ = self.opened_at_once()
         begun = now_ms()
         self.back.cancel(first)
-        self.assertGreaterEqual(exchange.hold_ms, begun + CONNECT_MS / 20.0)
+        self.assertGreaterEqual(exchange.blocked_until_ms, begun + CONNECT_MS / 20.0)
 
     def test_one_that_ends_while_it_is_held_back_is_never_written(self) -> None:
         first, exchange = self.attempt()
-        exchange.hold_ms = now_ms() + 20.0
+        exchange.blocked_until_ms = now_ms() + 20.0
         self.back.send(first)
         first.drop("ecanceled")
         self.assertEqual(self.ended, ["skipped"], "it never ran")
-        self.until(lambda: now_ms() > exchange.hold_ms + 5.0)
+        self.until(lambda: now_ms() > exchange.blocked_until_ms + 5.0)
         self.assertEqual(self.pool.links, [])
 
     def test_a_close_from_here_holds_further_attempts_back_too(self) -> None:
@@ -255,7 +255,7 @@
         link.way_ms = 60.0
         link.close("stuck")
         self.until(lambda: self.ended == ["etimedout"])
-        self.assertGreater(exchange.hold_ms, now_ms() + 20.0)
+        self.assertGreater(exchange.blocked_until_ms, now_ms() + 20.0)
 
 
 class BusyTurns(LinkCase):
