--- a/hitchtiller/exchange.py
+++ b/hitchtiller/exchange.py
@@ -24,7 +24,7 @@
     size_kb: float = 0.0
     body: bytes = b""
     dedupe: str = ""
-    have: str = ""  # tag of the copy that the client holds
+    client_tag: str = ""  # tag of the copy that the client holds
     background: bool = False  # gives way to others
     repeatable: bool = True  # its class may be repeated freely
     write: bool = False  # its class runs at the origin: the answer is no copy, and has neither tag nor time
--- a/hitchtiller/front/asks.py
+++ b/hitchtiller/front/asks.py
@@ -84,7 +84,7 @@
         size_kb=_number(fields, "m", LARGEST_KB, "0"),
         body=body,
         dedupe=_text(fields, "k", TOKEN, needed=cls.effect == "by_key"),
-        have=_text(fields, "ver", TOKEN, needed=False),
+        client_tag=_text(fields, "ver", TOKEN, needed=False),
         repeatable=cls.effect == "repeatable",
         write=cls.write,
     )
--- a/hitchtiller/store/join.py
+++ b/hitchtiller/store/join.py
@@ -25,7 +25,7 @@
     """
 
     number: int
-    have: str
+    client_tag: str
     after_ms: float  # a copy must be from after this: the purges known when it came
 
 
@@ -35,7 +35,7 @@
 
     mark: int
     leader: int
-    have: str
+    client_tag: str
     waiters: dict[int, Waiter] = field(default_factory=dict)
     attempts: int = 0
 
@@ -51,17 +51,17 @@
         self.waits: dict[int, Flight] = {}
         self.joined = self.promoted = self.impatient = self.spared = 0
 
-    def lead(self, number: int, mark: int, have: str) -> None:
+    def lead(self, number: int, mark: int, client_tag: str) -> None:
         """Begin a flight; one that is there goes on without this request, which then is nobody's leader."""
         if mark not in self.flights:
-            self.flights[mark] = self.leads[number] = Flight(mark, number, have)
+            self.flights[mark] = self.leads[number] = Flight(mark, number, client_tag)
 
-    def join(self, number: int, mark: int, have: str, after_ms: float) -> bool:
+    def join(self, number: int, mark: int, client_tag: str, after_ms: float) -> bool:
         """Wait for a flight; False if there is none, or none whose answer this client could use."""
         flight = self.flights.get(mark)
-        if flight is None or (flight.have and flight.have != have):
+        if flight is None or (flight.client_tag and flight.client_tag != client_tag):
             return False  # a leader whose client holds a copy may be told so, without the bytes
-        flight.waiters[number] = Waiter(number, have, after_ms)
+        flight.waiters[number] = Waiter(number, client_tag, after_ms)
         self.waits[number] = flight
         self.joined += 1
         return True
@@ -129,12 +129,12 @@
         if not waiters:
             return []
         first, *rest = waiters
-        fresh = Flight(flight.mark, first.number, first.have, attempts=attempts)
+        fresh = Flight(flight.mark, first.number, first.client_tag, attempts=attempts)
         self.flights[flight.mark] = self.leads[first.number] = fresh
         self.promoted += 1
         alone = []
         for waiter in rest:
-            if fresh.have and fresh.have != waiter.have:
+            if fresh.client_tag and fresh.client_tag != waiter.client_tag:
                 alone.append((Then.ALONE, waiter.number))
             else:
                 fresh.waiters[waiter.number] = waiter
--- a/hitchtiller/store/plan.py
+++ b/hitchtiller/store/plan.py
@@ -77,7 +77,7 @@
 
     def may_confirm(self, ask: ClientRequest) -> bool:
         """Tell whether our own tag may go with a request: not where the client's is another matter."""
-        return not ask.have
+        return not ask.client_tag
 
     def patience_ms(self, ask: ClientRequest, now_ms: float) -> float:
         """Give how long a request may wait for another's answer before it goes its own way."""
--- a/hitchtiller/store/tier.py
+++ b/hitchtiller/store/tier.py
@@ -76,12 +76,12 @@
             self._hold(exchange, copy, state, mark)
         else:
             self.memory.missed(ask.class_name, mark)
-        if self.joins.join(exchange.number, mark, ask.have, self.purges.last(ask.key, ask.group)):
+        if self.joins.join(exchange.number, mark, ask.client_tag, self.purges.last(ask.key, ask.group)):
             wait = self.plan.patience_ms(ask, now)
             self.engine.clock.later(wait, partial(self._impatient, exchange))
             return True
         self.misses += 1
-        self.joins.lead(exchange.number, mark, ask.have)
+        self.joins.lead(exchange.number, mark, ask.client_tag)
         return self._read(exchange, mark)
 
     def may_send(self, exchange: Exchange) -> bool:
@@ -122,9 +122,9 @@
             if self.plan.judge(fresh, now) is State.FRESH:
                 self.confirmed += 1
                 self._keep(fresh, copy.body)
-                if not ask.have:
+                if not ask.client_tag:
                     return AttemptResult("done", copy.body, False, ending.tag, ending.load, ending.since_ms)
-        if ask.have:
+        if ask.client_tag:
             return ending
         # guards against serving what was not confirmed: no bytes came, and ours are not proven
         self.refuted += 1
@@ -236,7 +236,7 @@
 
     def _answer(self, exchange: Exchange, copy: Copy, unchanged: bool = False) -> Answer:
         tag = copy.part.tag
-        known = unchanged or (exchange.request.have == tag and bool(tag))
+        known = unchanged or (exchange.request.client_tag == tag and bool(tag))
         return Answer(SERVED, b"" if known else copy.body, known, tag, since_ms=copy.part.since_ms)
 
     def _serve(self, exchange: Exchange, copy: Copy, tier: str, unchanged: bool = False) -> bool:
--- a/tests/store/test_store_tier.py
+++ b/tests/store/test_store_tier.py
@@ -26,7 +26,7 @@
 def test_the_second_request_is_answered_from_memory_and_nothing_is_sent(tiers: Tiers) -> None:
     tiers.fetch()
     tiers.ask()
-    tiers.ask(have="t1")
+    tiers.ask(client_tag="t1")
     assert tiers.answers[2].body == b"x" * 100 and tiers.answers[2].tag == "t1"
     assert tiers.answers[3].unchanged and tiers.answers[3].body == b""
     assert len(tiers.back.sent) == 1 and tiers.tier.hits["memory"] == 2
@@ -121,7 +121,7 @@
 
 def test_requests_under_way_share_one_attempt(tiers: Tiers) -> None:
     for have in ("", "", "t1"):
-        tiers.ask(have=have)
+        tiers.ask(client_tag=have)
     assert len(tiers.back.sent) == 1
     tiers.serve(tiers.sent()[0])
     assert [tiers.answers[n].body for n in (1, 2)] == [b"x" * 100] * 2
@@ -261,7 +261,7 @@
 
 def test_a_clients_own_tag_is_not_replaced_but_its_keep_proves_ours_too(tiers: Tiers) -> None:
     gap = suspected(tiers)
-    exchange = tiers.ask(have="t1")
+    exchange = tiers.ask(client_tag="t1")
     assert not exchange.confirm
     tiers.keep(tiers.sent()[0], "t1", gap + 1.0)
     assert tiers.answers[2].unchanged
