--- a/hitchtiller/engine.py
+++ b/hitchtiller/engine.py
@@ -63,7 +63,7 @@
     def arrived(self, attempt: Attempt, ending: AttemptResult) -> AttemptResult:
         """Take a served attempt's end, to keep it or to put a confirmed copy's bytes in."""
 
-    def instead(self, exchange: Exchange, answer: Answer) -> Answer:
+    def fallback(self, exchange: Exchange, answer: Answer) -> Answer:
         """Give what is better than a refusal or a failure, if there is something."""
 
     def over(self, exchange: Exchange, answer: Answer | None) -> None:
@@ -178,7 +178,7 @@
     def finish(self, exchange: Exchange, answer: Answer) -> None:
         """Give the final answer, once."""
         if self.copies and answer.kind != SERVED:
-            answer = self.copies.instead(exchange, answer)
+            answer = self.copies.fallback(exchange, answer)
         ask = exchange.request
         if answer.kind == REFUSED and not self.effects.retry_is_safe(
             ask.class_name, ask.dedupe, self.clock.now_ms()
--- a/hitchtiller/store/tier.py
+++ b/hitchtiller/store/tier.py
@@ -132,7 +132,7 @@
         self._forget(fingerprint(ask.key, ask.part))
         return AttemptResult("err", load=ending.load)
 
-    def instead(self, exchange: Exchange, answer: Answer) -> Answer:
+    def fallback(self, exchange: Exchange, answer: Answer) -> Answer:
         """Serve a copy within its grace rather than a refusal or a failure."""
         copy = self.held.get(exchange.number)
         if copy is None or self.plan.judge(copy.part, self.engine.clock.now_ms()) not in (
