--- a/hitchtiller/engine.py
+++ b/hitchtiller/engine.py
@@ -60,7 +60,7 @@
     def cap(self, exchange: Exchange, cap_ms: float, now_ms: float) -> float:
         """Bound the age of the copy that is asked for further; 0 for no bound."""
 
-    def arrived(self, attempt: Attempt, ending: AttemptResult) -> AttemptResult:
+    def on_result(self, attempt: Attempt, ending: AttemptResult) -> AttemptResult:
         """Take a served attempt's end, to keep it or to put a confirmed copy's bytes in."""
 
     def fallback(self, exchange: Exchange, answer: Answer) -> Answer:
@@ -329,7 +329,7 @@
         if attempt.written and ending.status in NEVER_RAN:
             self.effects.never_ran(exchange.request.class_name, exchange.request.dedupe)
         if ending.status == "done" and self.copies:
-            ending = self.copies.arrived(attempt, ending)
+            ending = self.copies.on_result(attempt, ending)
         if ending.status == "done" and not exchange.over:
             answer = Answer(SERVED, ending.body, ending.unchanged, ending.tag, since_ms=ending.since_ms)
             self.finish(exchange, answer)
--- a/hitchtiller/store/tier.py
+++ b/hitchtiller/store/tier.py
@@ -95,7 +95,7 @@
             return cap_ms
         return self.plan.cap_ms(now_ms, cap_ms)
 
-    def arrived(self, attempt: Attempt, ending: AttemptResult) -> AttemptResult:
+    def on_result(self, attempt: Attempt, ending: AttemptResult) -> AttemptResult:
         """Keep what came; give a confirmed copy's bytes to a client that has none."""
         exchange, now = attempt.exchange, self.engine.clock.now_ms()
         self.check_clock(now)
