--- a/hitchtiller/engine.py
+++ b/hitchtiller/engine.py
@@ -239,14 +239,14 @@
         """Decide on one event; a fault ends the one request concerned, not the program."""
         try:
             for action in self.router.handle(event, self.clock.now_ms()):
-                self.act(action)
+                self.execute(action)
         except Exception:  # noqa: BLE001  an exception for one request must not lose the others
             logger.exception("deciding on {} failed", type(event).__name__)
             exchange = self.open.get(getattr(event, "id", 0))
             if exchange and not isinstance(event, api.ClientLeft):
                 self.fail(exchange)
 
-    def act(self, action: api.Action) -> None:
+    def execute(self, action: api.Action) -> None:
         """Carry out one action."""
         match action:
             case api.Get():
--- a/hitchtiller/ops/members.py
+++ b/hitchtiller/ops/members.py
@@ -116,7 +116,7 @@
                 router.now, router.actions = now, []
                 router.blame(node, TRUST)
                 for action in router.actions:
-                    self.engine.act(action)
+                    self.engine.execute(action)
                 if now < node.out_until:
                     logger.info("server {} left out on the word of others", node.m.server)
         self.outs = {mark: node.out_until for mark, node in marks.items() if now < node.out_until}
