--- a/hitchtiller/engine.py
+++ b/hitchtiller/engine.py
@@ -93,7 +93,7 @@
         self.copies: Copies | None = None
         self.effects = Effects(router.settings.classes)
         self.behind: Callable[[], bool] = bool  # tells whether news may have been missed
-        self.purge_ears: list[Callable[[Ban], object]] = []
+        self.purge_listeners: list[Callable[[Ban], object]] = []
         self.ended_one: Callable[[Exchange, Answer], None] | None = None  # hears of each final answer
         self.stats = Stats(router.settings.classes)
         self.stats.levels = {
@@ -212,7 +212,7 @@
         if isinstance(event, Ban):
             if self.copies:
                 self.copies.purged(event)
-            for hear in self.purge_ears:
+            for hear in self.purge_listeners:
                 hear(event)
             age = max(0.0, self.clock.now_ms() - event.at_ms)
             self.give(api.Purged(event.key, event.group, age))
--- a/hitchtiller/repo/service.py
+++ b/hitchtiller/repo/service.py
@@ -89,7 +89,7 @@
         self.counts: dict[str, int] = {}
         # the decisions forget a purge once caches have dropped; indexes are held for longer
         self.purges = Purges()
-        engine.purge_ears.append(lambda ban: self.purges.add(ban.key, ban.group, ban.at_ms))
+        engine.purge_listeners.append(lambda ban: self.purges.add(ban.key, ban.group, ban.at_ms))
 
     def answer(
         self, method: str, target: bytes, headers: Mapping[str, str], client: str, waiting: Callable[[], int]
