--- a/hitchtiller/engine.py
+++ b/hitchtiller/engine.py
@@ -94,7 +94,7 @@
         self.effects = Effects(router.settings.classes)
         self.behind: Callable[[], bool] = bool  # tells whether news may have been missed
         self.purge_listeners: list[Callable[[Ban], object]] = []
-        self.ended_one: Callable[[Exchange, Answer], None] | None = None  # hears of each final answer
+        self.on_final_answer: Callable[[Exchange, Answer], None] | None = None  # hears of each final answer
         self.stats = Stats(router.settings.classes)
         self.stats.levels = {
             "in_flight": lambda: len(self.open),
@@ -188,8 +188,8 @@
         if exchange.finish(answer):
             self.stats.end(exchange.request.class_name, answer.kind)
             self._worth(answer.kind, exchange)
-            if self.ended_one:
-                self.ended_one(exchange, answer)
+            if self.on_final_answer:
+                self.on_final_answer(exchange, answer)
             if self.copies:
                 self.copies.over(exchange, answer)
         exchange.settle()
--- a/hitchtiller/repo/fetch.py
+++ b/hitchtiller/repo/fetch.py
@@ -66,7 +66,7 @@
         self.rng = random.Random(seed)
         self.queue: deque[greenlet] = deque()  # who waits for a place
         self.asked = self.came = 0
-        engine.ended_one = self._foreground
+        engine.on_final_answer = self._foreground
 
     def _foreground(self, exchange: Exchange, answer: Answer) -> None:
         """Learn from other classes' answers whether the foreground keeps up."""
