--- a/hitchtiller/codec/bus.py
+++ b/hitchtiller/codec/bus.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from hitchtiller import interface as api
-from hitchtiller.news import Ban, Event, Listed, Topology
+from hitchtiller.news import PurgeNotice, Event, Listed, Topology
 
 MOST = 1_048_576  # bytes of one frame
 HEAD = struct.Struct(">QB")
@@ -71,10 +71,10 @@
                 return number, Topology(hosts, kind == WHOLE)
             if kind == BAN_OBJECT:
                 key, at = OBJECT.unpack(payload)
-                return number, Ban(key, -1, float(at))
+                return number, PurgeNotice(key, -1, float(at))
             if kind == BAN_GROUP:
                 group, at = GROUP.unpack(payload)
-                return number, Ban(None, group, float(at))
+                return number, PurgeNotice(None, group, float(at))
         except struct.error as error:
             raise BadBus(str(error)) from None
         raise BadBus(f"kind {kind}")
@@ -115,7 +115,7 @@
             elif "ban" in entry:
                 ban = entry["ban"]
                 key = int(ban["url"], 16) if "url" in ban else None
-                events.append((number, Ban(key, int(ban.get("tag", -1)), float(ban["ts"]))))
+                events.append((number, PurgeNotice(key, int(ban.get("tag", -1)), float(ban["ts"]))))
         return [*events, (int(known.get("offset", 0)), None)]
     except (KeyError, ValueError, TypeError, AttributeError) as error:
         raise BadBus(f"known: {error!r}") from None
--- a/hitchtiller/engine.py
+++ b/hitchtiller/engine.py
@@ -10,7 +10,7 @@
 from hitchtiller.decide import NEVER_RAN, Router
 from hitchtiller.exchange import FAILED, REFUSED, SERVED, Answer, ClientRequest, Attempt, SendLimits, AttemptResult, Exchange
 from hitchtiller.log import logger
-from hitchtiller.news import Ban, Event, Topology
+from hitchtiller.news import PurgeNotice, Event, Topology
 from hitchtiller.ops.stats import Stats
 from hitchtiller.routing.effects import Effects
 
@@ -69,7 +69,7 @@
     def over(self, exchange: Exchange, answer: Answer | None) -> None:
         """Hear of a request's end; None if its client left."""
 
-    def purged(self, ban: Ban) -> None:
+    def purged(self, ban: PurgeNotice) -> None:
         """Hear of a purge before the decisions do."""
 
 
@@ -93,7 +93,7 @@
         self.copies: Copies | None = None
         self.effects = Effects(router.settings.classes)
         self.behind: Callable[[], bool] = bool  # tells whether news may have been missed
-        self.purge_listeners: list[Callable[[Ban], object]] = []
+        self.purge_listeners: list[Callable[[PurgeNotice], object]] = []
         self.on_final_answer: Callable[[Exchange, Answer], None] | None = None  # hears of each final answer
         self.stats = Stats(router.settings.classes)
         self.stats.levels = {
@@ -209,7 +209,7 @@
 
     def news(self, event: Event) -> None:
         """Take an event of the bus."""
-        if isinstance(event, Ban):
+        if isinstance(event, PurgeNotice):
             if self.copies:
                 self.copies.purged(event)
             for hear in self.purge_listeners:
--- a/hitchtiller/news.py
+++ b/hitchtiller/news.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ban:
+class PurgeNotice:
     """A purge of an object, or with no key of a group, at a Unix millisecond."""
 
     key: int | None
@@ -30,4 +30,4 @@
     at_ms: float
 
 
-Event = Topology | Ban
+Event = Topology | PurgeNotice
--- a/hitchtiller/store/tier.py
+++ b/hitchtiller/store/tier.py
@@ -12,7 +12,7 @@
 from hitchtiller.engine import Engine
 from hitchtiller.exchange import REFUSED, SERVED, Answer, Attempt, AttemptResult, Exchange
 from hitchtiller.log import logger
-from hitchtiller.news import Ban
+from hitchtiller.news import PurgeNotice
 from hitchtiller.store.disk import STALL_MS, Disk, steady_ms
 from hitchtiller.store.format import Part
 from hitchtiller.store.index import fingerprint
@@ -162,7 +162,7 @@
             for then, other in self.joins.failed(number):
                 self._then(then, other, None, False, answer)
 
-    def purged(self, ban: Ban) -> None:
+    def purged(self, ban: PurgeNotice) -> None:
         """Put a purge in force at once, and make it durable."""
         if self.purges.crowded:
             disk = self.disk.space.oldest_ms() if self.disk else math.inf
--- a/standins/scale/gateway.py
+++ b/standins/scale/gateway.py
@@ -17,7 +17,7 @@
     BusReader,
 )
 from hitchtiller.decide import Router
-from hitchtiller.news import Ban
+from hitchtiller.news import PurgeNotice
 from hitchtiller.ops.stats import Stats
 
 KINDS = ("box", "parent", "origin")
@@ -78,7 +78,7 @@
         """Read what discovery sent and decide on it."""
         actions: list[api.Action] = []
         for _, event in self.reader.feed(frame):
-            if isinstance(event, Ban):
+            if isinstance(event, PurgeNotice):
                 purged = api.Purged(event.key, event.group, max(0.0, now_ms - event.at_ms))
                 actions += self.router.handle(purged, now_ms)
             elif event is not None:
--- a/tests/store/tiers.py
+++ b/tests/store/tiers.py
@@ -11,7 +11,7 @@
 from hitchtiller.decide import Router
 from hitchtiller.engine import Engine
 from hitchtiller.exchange import Answer, ClientRequest, Attempt, AttemptResult, Exchange
-from hitchtiller.news import Ban, Listed, Topology
+from hitchtiller.news import PurgeNotice, Listed, Topology
 from hitchtiller.store import recover
 from hitchtiller.store.disk import Disk, Options
 from hitchtiller.store.files import Files
@@ -90,7 +90,7 @@
 
     def purge(self, key: int | None = 42, group: int = -1, at: float | None = None) -> None:
         """Tell of a purge."""
-        self.engine.news(Ban(key, group, self.clock.now if at is None else at))
+        self.engine.news(PurgeNotice(key, group, self.clock.now if at is None else at))
 
     def wait(self, ms: float) -> None:
         """Let time pass."""
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -5,7 +5,7 @@
 from hitchtiller.codec import frames, resp
 from hitchtiller.codec.bus import BadBus, BusReader
 from hitchtiller.front.client import Numbers
-from hitchtiller.news import Ban, Topology
+from hitchtiller.news import PurgeNotice, Topology
 
 
 class Frames(unittest.TestCase):
@@ -74,7 +74,7 @@
         (host,) = news.hosts
         self.assertEqual((host.member.server, host.address), ("s-00c41f7a", ("10.1.0.9", 8080)))
         self.assertEqual((host.member.state, host.member.weight, host.member.cell), ("DRAINING", 4.0, 2))
-        self.assertEqual(events[1:3], [(2, Ban(42, -1, 1000.0)), (3, Ban(None, 17, 1000.0))])
+        self.assertEqual(events[1:3], [(2, PurgeNotice(42, -1, 1000.0)), (3, PurgeNotice(None, 17, 1000.0))])
         self.assertEqual(events[3:], [(4, None), (0, None)])  # an empty frame is a sign of life too
 
     def test_junk_is_told(self) -> None:
