--- a/hitchtiller/back/upstreams.py
+++ b/hitchtiller/back/upstreams.py
@@ -9,7 +9,7 @@
 from hitchtiller.back.link import KILLED_MS, Link
 from hitchtiller.exchange import Attempt
 from hitchtiller.log import ended
-from hitchtiller.news import Listed, Topology
+from hitchtiller.news import ListedServer, Topology
 from hitchtiller.sched import Scheduler, now_ms
 
 MOST_MOVES = 2  # connections that an unwritten job may see end
@@ -20,7 +20,7 @@
 class Pool:
     """The connections to one process at one address."""
 
-    def __init__(self, owner: "Upstreams", host: Listed) -> None:
+    def __init__(self, owner: "Upstreams", host: ListedServer) -> None:
         """Start without a connection."""
         self.owner, self.host = owner, host
         self.links: list[Link] = []
--- a/hitchtiller/codec/bus.py
+++ b/hitchtiller/codec/bus.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from hitchtiller import interface as api
-from hitchtiller.news import PurgeNotice, Event, Listed, Topology
+from hitchtiller.news import PurgeNotice, Event, ListedServer, Topology
 
 MOST = 1_048_576  # bytes of one frame
 HEAD = struct.Struct(">QB")
@@ -28,14 +28,14 @@
     return f"s-{number:08x}"
 
 
-def read_record(record: Sequence[Any], zones: Sequence[str], kinds: Sequence[str]) -> Listed:
+def read_record(record: Sequence[Any], zones: Sequence[str], kinds: Sequence[str]) -> ListedServer:
     """Read one record of the binary list."""
     number, ip, port, state, zone, kind, cell, weight, started = record
     if state >= len(STATES) or zone >= len(zones) or kind >= len(kinds):
         raise BadBus(f"record of {host_id(number)}")
     units = max(weight / 1000.0, 1e-6)
     member = api.Member(host_id(number), zones[zone], kinds[kind], STATES[state], float(started), units, cell)
-    return Listed(member, (".".join(map(str, ip)), port))
+    return ListedServer(member, (".".join(map(str, ip)), port))
 
 
 class BusReader:
@@ -88,7 +88,7 @@
     return ip, int(port)
 
 
-def read_host(host: dict[str, Any]) -> Listed:
+def read_host(host: dict[str, Any]) -> ListedServer:
     """Read one host of the JSON list."""
     member = api.Member(
         host["host"],
@@ -99,7 +99,7 @@
         max(float(host.get("share", 1.0)), 1e-6),
         int(host.get("block", -1)),
     )
-    return Listed(member, read_dial(host["dial"]))
+    return ListedServer(member, read_dial(host["dial"]))
 
 
 def read_known(known: dict[str, Any]) -> list[Numbered]:
--- a/hitchtiller/news.py
+++ b/hitchtiller/news.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Listed:
+class ListedServer:
     """A line of the list: the member, and where it listens."""
 
     member: api.Member
@@ -17,7 +17,7 @@
 class Topology:
     """News of the list."""
 
-    hosts: tuple[Listed, ...]
+    hosts: tuple[ListedServer, ...]
     whole: bool
 
 
--- a/hitchtiller/ops/holdouts.py
+++ b/hitchtiller/ops/holdouts.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 from hitchtiller.log import logger
-from hitchtiller.news import Event, Listed, Topology
+from hitchtiller.news import Event, ListedServer, Topology
 from hitchtiller.ops.control import CallError
 from hitchtiller.sched import Scheduler
 
@@ -23,7 +23,7 @@
     def __init__(self, folder: Path | None, tell: Callable[[Event], None], origin: str | None = None) -> None:
         """Start from what was kept in the folder; without one it is kept in memory alone."""
         self.folder, self.tell, self.origin = folder, tell, origin
-        self.told: dict[str, Listed] = {}  # the list as the bus last told it
+        self.told: dict[str, ListedServer] = {}  # the list as the bus last told it
         self.out: frozenset[str] = frozenset()
         self.seen: tuple[int, ...] = ()  # which file was read last
         self.look()
@@ -42,7 +42,7 @@
             event = replace(event, hosts=tuple(map(self._shade, event.hosts)))
         self.tell(event)
 
-    def _shade(self, host: Listed) -> Listed:
+    def _shade(self, host: ListedServer) -> ListedServer:
         member = host.member
         if member.server in self.out and member.state == WORDS[0]:  # whatever the bus says meanwhile
             return replace(host, member=replace(member, state=WORDS[1]))
--- a/standins/lag.py
+++ b/standins/lag.py
@@ -24,7 +24,7 @@
 from hitchtiller.exchange import Answer, ClientRequest, Attempt, AttemptResult
 from hitchtiller.front.leave import Leave
 from hitchtiller.front.server import Front
-from hitchtiller.news import Listed, Topology
+from hitchtiller.news import ListedServer, Topology
 from hitchtiller.sched import Clock, Scheduler, now_ms
 from hitchtiller.settings import read_settings
 from hitchtiller.store.disk import Options
@@ -104,7 +104,7 @@
     engine = Engine(Router(setup, seed), Clock(sched), QuickBack(sched), lambda peer, note: None)
     kinds = (("c0", "north", "box"), ("c1", "north", "box"), ("p", "hub", "parent"), ("o", "hub", "origin"))
     members = tuple(
-        Listed(api.Member(n, z, k, "SERVING", weight=50.0), ("127.0.0.1", 1)) for n, z, k in kinds
+        ListedServer(api.Member(n, z, k, "SERVING", weight=50.0), ("127.0.0.1", 1)) for n, z, k in kinds
     )
     engine.news(Topology(members, whole=True))
     folder = Path(tempfile.mkdtemp(prefix="lag-"))
--- a/tests/ends/test_ends_descriptors.py
+++ b/tests/ends/test_ends_descriptors.py
@@ -21,7 +21,7 @@
 from hitchtiller.front.client import Client
 from hitchtiller.front.server import Front
 from hitchtiller.interface import Member
-from hitchtiller.news import Event, Listed, Topology
+from hitchtiller.news import Event, ListedServer, Topology
 from hitchtiller.ops.holdouts import HoldOuts
 from hitchtiller.ops.sign import Sign
 from hitchtiller.ops.upgrade import Upgrade
@@ -71,7 +71,7 @@
     def test_a_request_for_which_no_connection_opens_was_never_sent(self) -> None:
         """The fault was raised inside the decision's action: the request failed, its attempt never ended."""
         back = Upstreams(self.sched, (400.0, 1000.0), 4, 8)
-        back.follow(Topology((Listed(Member("s", "z", "k", "SERVING"), self.address),), True))
+        back.follow(Topology((ListedServer(Member("s", "z", "k", "SERVING"), self.address),), True))
         job = Job()
         with no_descriptors():
             back.pools["s"].submit(job)
@@ -140,7 +140,7 @@
         self.addCleanup(folder.cleanup)
         sched, told = Scheduler(), list[Event]()
         mine, other = (HoldOuts(Path(folder.name), told.append, "origin") for _ in range(2))
-        server = Listed(Member("s-1", "z", "k", "SERVING"), ("127.0.0.1", 1))
+        server = ListedServer(Member("s-1", "z", "k", "SERVING"), ("127.0.0.1", 1))
         for each in (mine, other):
             each.news(Topology((server,), True))
         sched.spawn(mine.run, sched)
--- a/tests/ends/test_ends_links.py
+++ b/tests/ends/test_ends_links.py
@@ -14,7 +14,7 @@
 from hitchtiller.codec import resp
 from hitchtiller.exchange import ClientRequest, Attempt, SendLimits, Exchange
 from hitchtiller.interface import Member
-from hitchtiller.news import Listed, Topology
+from hitchtiller.news import ListedServer, Topology
 from hitchtiller.sched import READ, Scheduler, now_ms
 
 CONNECT_MS = 400.0
@@ -29,7 +29,7 @@
         self.addCleanup(self.listener.close)
         self.back = Upstreams(self.sched, (CONNECT_MS, 15_000.0), 32, 64)
         address = ("127.0.0.1", int(self.listener.getsockname()[1]))
-        self.back.follow(Topology((Listed(Member("s", "z", "k", "SERVING"), address),), True))
+        self.back.follow(Topology((ListedServer(Member("s", "z", "k", "SERVING"), address),), True))
         self.pool: Pool = self.back.pools["s"]
         self.addCleanup(self.pool.close, "end")
 
@@ -178,7 +178,7 @@
             sock.connect_ex(full.getsockname())
         self.back.times = (50.0, 15_000.0)
         address = ("127.0.0.1", int(full.getsockname()[1]))
-        self.back.follow(Topology((Listed(Member("s", "z", "k", "SERVING"), address),), True))()
+        self.back.follow(Topology((ListedServer(Member("s", "z", "k", "SERVING"), address),), True))()
         self.back.pools["s"].submit(silent)
         self.until(lambda: bool(silent.ends))
         self.assertEqual(silent.ends, ["silent"])
--- a/tests/store/tiers.py
+++ b/tests/store/tiers.py
@@ -11,7 +11,7 @@
 from hitchtiller.decide import Router
 from hitchtiller.engine import Engine
 from hitchtiller.exchange import Answer, ClientRequest, Attempt, AttemptResult, Exchange
-from hitchtiller.news import PurgeNotice, Listed, Topology
+from hitchtiller.news import PurgeNotice, ListedServer, Topology
 from hitchtiller.store import recover
 from hitchtiller.store.disk import Disk, Options
 from hitchtiller.store.files import Files
@@ -38,7 +38,7 @@
         self.clock.now = START
         settings = replace(BASE, classes=CLASSES, siblings="none", purge_done_ms=6000.0, **changes)
         self.engine = Engine(Router(settings, 7), self.clock, self.back, lambda peer, note: None)
-        members = tuple(Listed(m, ("127.0.0.1", 1)) for m in FLEET)
+        members = tuple(ListedServer(m, ("127.0.0.1", 1)) for m in FLEET)
         self.engine.news(Topology(members, whole=True))
         self.drift = 0.0  # by which the steady clock has left the other
         self.proof = Proof(Kept(), 6000.0, 500.0)
--- a/tests/test_back.py
+++ b/tests/test_back.py
@@ -10,7 +10,7 @@
 from hitchtiller.back.upstreams import MOST_MOVES, Upstreams
 from hitchtiller.codec.resp import BadResp
 from hitchtiller.interface import Member
-from hitchtiller.news import Listed, Topology
+from hitchtiller.news import ListedServer, Topology
 from hitchtiller.sched import Closed, Scheduler
 
 
@@ -37,7 +37,7 @@
 class Connections(unittest.TestCase):
     def setUp(self) -> None:
         self.back = Upstreams(Scheduler(), (400.0, 1000.0), 4, 8)
-        self.back.follow(Topology((Listed(Member("s", "z", "k", "SERVING"), ("127.0.0.1", 1)),), True))
+        self.back.follow(Topology((ListedServer(Member("s", "z", "k", "SERVING"), ("127.0.0.1", 1)),), True))
         self.pool = self.back.pools["s"]
 
     def link(self, *jobs: Job) -> Link:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -8,7 +8,7 @@
 from hitchtiller.back.upstreams import Upstreams
 from hitchtiller.bus import BusLink
 from hitchtiller.codec.bus import HEAD, RECORD, BusReader
-from hitchtiller.news import Event, Listed, Topology
+from hitchtiller.news import Event, ListedServer, Topology
 from hitchtiller.sched import Scheduler
 
 ZONES, KINDS = ("hub", "z1", "z2"), ("box", "parent", "origin")
@@ -65,10 +65,10 @@
     def test_an_address_under_a_new_id_is_another_process(self) -> None:
         """What was out on the old one must not be taken for the new one's, nor its connections be used."""
         back, address = Upstreams(Scheduler(), (400.0, 1000.0), 4, 8), ("127.0.0.1", 1)
-        back.follow(Topology((Listed(api.Member("old", "z1", "box", "SERVING"), address),), True))()
+        back.follow(Topology((ListedServer(api.Member("old", "z1", "box", "SERVING"), address),), True))()
         pool = back.pools["old"]
         link = back.open(pool)
-        back.follow(Topology((Listed(api.Member("new", "z1", "box", "SERVING", 9.0), address),), True))()
+        back.follow(Topology((ListedServer(api.Member("new", "z1", "box", "SERVING", 9.0), address),), True))()
         self.assertEqual((list(back.pools), link.stream.code, pool.closed), (["new"], "gone", True))
         self.assertEqual(back.pools["new"].links, [])
 
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -12,7 +12,7 @@
 from hitchtiller.decide import Router
 from hitchtiller.engine import Engine
 from hitchtiller.exchange import FAILED, REFUSED, SERVED, Answer, ClientRequest, Attempt, AttemptResult
-from hitchtiller.news import Listed, Topology
+from hitchtiller.news import ListedServer, Topology
 
 
 class Later:
@@ -64,7 +64,7 @@
         self.news(*FLEET, whole=True)
 
     def news(self, *members: api.Member, whole: bool = False) -> None:
-        self.engine.news(Topology(tuple(Listed(m, ("127.0.0.1", 1)) for m in members), whole))
+        self.engine.news(Topology(tuple(ListedServer(m, ("127.0.0.1", 1)) for m in members), whole))
 
     def ask(self, **more: Any) -> Attempt:
         ask = ClientRequest("0" * 16, "small", "0" * 16, 42, self.clock.now + 900.0, size_kb=50.0, **more)
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -21,7 +21,7 @@
 from hitchtiller.engine import Engine
 from hitchtiller.exchange import ClientRequest, Attempt
 from hitchtiller.front.server import Front
-from hitchtiller.news import Listed, Topology
+from hitchtiller.news import ListedServer, Topology
 from hitchtiller.ops.control import LONGEST, MOST_CALLERS, CallError
 from hitchtiller.ops.holdouts import FILE, HoldOuts
 from hitchtiller.ops.sign import READY, STARTING, Sign
@@ -150,7 +150,7 @@
         self.member = FLEET[0]
 
     def news(self, *members: api.Member, whole: bool = False) -> None:
-        self.holdouts.news(Topology(tuple(Listed(m, ("127.0.0.1", 1)) for m in members), whole))
+        self.holdouts.news(Topology(tuple(ListedServer(m, ("127.0.0.1", 1)) for m in members), whole))
 
     def state(self, server: str = "c0") -> str:
         return self.engine.router.nodes[server].m.state
@@ -202,7 +202,7 @@
         other = HoldOuts(self.folder, lambda event: None)
         self.holdouts.disable("c0")
         self.assertEqual(HoldOuts(self.folder, lambda event: None).out, {"c0"})
-        other.news(Topology((Listed(self.member, ("127.0.0.1", 1)),), whole=True))
+        other.news(Topology((ListedServer(self.member, ("127.0.0.1", 1)),), whole=True))
         other.disable("c0")  # it has not looked yet
         other.enable("c0")
         self.holdouts.look()
