--- a/hitchtiller/bus.py
+++ b/hitchtiller/bus.py
@@ -33,7 +33,7 @@
         self.subscribed = self.told_all = False
         self.begun_ms = now_ms()
         self.heard_ms = -math.inf  # when its last whole frame came
-        self.heard: Callable[[], None] | None = None  # called when there is nothing more to tell
+        self.on_caught_up: Callable[[], None] | None = None  # called when there is nothing more to tell
 
     def behind(self) -> bool:
         """Tell whether this process did not run for a while and has not heard the bus since.
@@ -96,5 +96,5 @@
                 whole_ms = self.heard_ms = now_ms()
                 self.apply(event)
                 self.told_all = self.told_all or event[1] is None
-                if event[1] is None and self.heard:
-                    self.heard()
+                if event[1] is None and self.on_caught_up:
+                    self.on_caught_up()
--- a/hitchtiller/cli/serve.py
+++ b/hitchtiller/cli/serve.py
@@ -39,7 +39,7 @@
         proof = Proof(Kept(), config.settings.purge_done_ms, settings.purge_lag_ms)
         pace = Pace(config.flow_bytes_per_s, config.link_bytes_per_s)
         tier = Tier(gateway.engine, memory, proof, pace, settings.confirm)
-        gateway.bus.heard = tier.heard
+        gateway.bus.on_caught_up = tier.on_caught_up
         if settings.disk is None:
             return lambda: None
         disk = settings.disk
--- a/hitchtiller/store/light.py
+++ b/hitchtiller/store/light.py
@@ -32,6 +32,6 @@
     proof = Proof(Kept(), config.settings.purge_done_ms)
     pace = Pace(config.flow_bytes_per_s, config.link_bytes_per_s)
     tier = Tier(gateway.engine, Memory(int(size * 1e6)), proof, pace, confirm=False)
-    gateway.bus.heard = tier.heard
+    gateway.bus.on_caught_up = tier.on_caught_up
     logger.info("memory tier of {:.1f} MB", size)
     return lambda: None
--- a/hitchtiller/store/tier.py
+++ b/hitchtiller/store/tier.py
@@ -176,7 +176,7 @@
 
     # News
 
-    def heard(self) -> None:
+    def on_caught_up(self) -> None:
         """Hear from the bus that there is nothing more to tell."""
         now = self.engine.clock.now_ms()
         if not self.proof.begun:
--- a/standins/lag.py
+++ b/standins/lag.py
@@ -111,7 +111,7 @@
     keeper = jobs = None
     if way != "off":
         tier = Tier(engine, Memory(4 * MB), Proof(Kept(), 6000.0), Pace(0.0, 0.0))
-        tier.heard()
+        tier.on_caught_up()
         front = Front(sched, engine, setup, 10, 10)
         front.leave = Leave(front)
         jobs = Threads(sched)
@@ -120,7 +120,7 @@
         keeper = Keeper(sched, tier, front, folder, options, jobs, Rate(50e6, 5e6, 4e6), make)
         sched.spawn(keeper.run)
         for _ in range(int(seconds)):
-            sched.later(1000.0 * _, tier.heard)
+            sched.later(1000.0 * _, tier.on_caught_up)
     late: list[float] = []
     answers: list[Answer] = []
     begun = time.monotonic()
--- a/tests/store/test_store_tier.py
+++ b/tests/store/test_store_tier.py
@@ -281,10 +281,10 @@
     tiers.ask(1)
     assert tiers.tier.hits["memory"] == 1 and len(recover.load(files).index) == 1
     tiers.wait(1000.0)
-    tiers.tier.heard()
+    tiers.tier.on_caught_up()
     again = Tiers(heard=False)
     again.clock.now = tiers.clock.now + 100.0
-    again.tier.heard()
+    again.tier.on_caught_up()
     again.disk(files)
     again.ask(1)
     assert again.answers[1].body == b"x" * 100 and again.tier.hits["disk"] == 1
@@ -304,7 +304,7 @@
     tiers.purge(2)
     again = Tiers(heard=False)
     again.clock.now = START + 3_600_000.0
-    again.tier.heard()
+    again.tier.on_caught_up()
     again.disk(files)
     exchange = again.ask(1)
     assert exchange.confirm == "t1" and again.proof.era > 1
--- a/tests/store/tiers.py
+++ b/tests/store/tiers.py
@@ -52,7 +52,7 @@
         self.answers: dict[int, Answer] = {}
         self.ids = 0
         if heard:
-            self.tier.heard()
+            self.tier.on_caught_up()
 
     def ask(self, key: int = 42, name: str = "small", life: float = 2900.0, **more: Any) -> Exchange:
         """Take a request; its answer will be found under its number."""
