--- a/hitchtiller/bus.py
+++ b/hitchtiller/bus.py
@@ -32,7 +32,7 @@
         self.stream: Stream | None = None
         self.subscribed = self.told_all = False
         self.begun_ms = now_ms()
-        self.heard_ms = -math.inf  # when its last whole frame came
+        self.last_frame_ms = -math.inf  # when its last whole frame came
         self.on_caught_up: Callable[[], None] | None = None  # called when there is nothing more to tell
 
     def behind(self) -> bool:
@@ -42,7 +42,7 @@
         BEHIND_MS.
         """
         woke = self.sched.woke_ms
-        return woke > self.heard_ms and now_ms() - woke < BEHIND_MS
+        return woke > self.last_frame_ms and now_ms() - woke < BEHIND_MS
 
     def followed(self, whole: bool) -> bool:
         """Tell whether the bus is followed; with `whole`, whether it has told all that there was."""
@@ -93,7 +93,7 @@
             # guards against a bus that stops in the middle of an event: single bytes are no sign of life
             data = stream.read(max(1.0, whole_ms + SILENT_MS - now_ms()))
             for event in reader.feed(data):
-                whole_ms = self.heard_ms = now_ms()
+                whole_ms = self.last_frame_ms = now_ms()
                 self.apply(event)
                 self.told_all = self.told_all or event[1] is None
                 if event[1] is None and self.on_caught_up:
--- a/hitchtiller/ops/members.py
+++ b/hitchtiller/ops/members.py
@@ -95,7 +95,7 @@
             self.answers, self.answered_ms = answers, now
         caches = now - self.answered_ms < CACHE_MS
         young = self.detector.periods < HEARD_PERIODS
-        bus = now - self.bus.heard_ms < BUS_MS
+        bus = now - self.bus.last_frame_ms < BUS_MS
         new = self.partition.look(now, others, missing, heard or young, caches, bus)
         if new is not old:
             logger.info("standing {} was {} missing={}", new.name, old.name, sorted(missing))
--- a/tests/test_sched.py
+++ b/tests/test_sched.py
@@ -114,7 +114,7 @@
         self.assertFalse(bus.behind())
         sched.woke_ms = now_ms()
         self.assertTrue(bus.behind())
-        bus.heard_ms = sched.woke_ms + 1.0
+        bus.last_frame_ms = sched.woke_ms + 1.0
         self.assertFalse(bus.behind())
-        bus.heard_ms, sched.woke_ms = 0.0, now_ms() - BEHIND_MS - 1.0
+        bus.last_frame_ms, sched.woke_ms = 0.0, now_ms() - BEHIND_MS - 1.0
         self.assertFalse(bus.behind(), "a bus that is away keeps nothing back")
