--- a/hitchtiller/peers.py
+++ b/hitchtiller/peers.py
@@ -25,7 +25,7 @@
         # guards a new version's start beside the old one; the kernel gives datagrams to the later of the two
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.sock.bind(listen)
-        self.words: Callable[[int, bytes], bool] | None = None  # takes what is no note, where switched on
+        self.on_other_datagram: Callable[[int, bytes], bool] | None = None  # takes what is no note, where switched on
 
     def tell(self, peer: int, note: api.PeerNote | api.LeaseNote) -> None:
         """Send a note; like any datagram it may be lost."""
@@ -47,7 +47,7 @@
                 except OSError:
                     break
                 number = self.numbers.get(sender)
-                if self.words and number is not None and self.words(number, data):
+                if self.on_other_datagram and number is not None and self.on_other_datagram(number, data):
                     continue
                 note = unpack(data)
                 if number is not None and note is not None:
