--- a/hitchtiller/sched.py
+++ b/hitchtiller/sched.py
@@ -262,7 +262,7 @@
     """A non-blocking TCP socket: reads park, writes are buffered up to a bound."""
 
     opened = 0  # sockets of this process
-    held = 0  # bytes buffered in all of them, both ways
+    buffered_bytes = 0  # bytes buffered in all of them, both ways
 
     def __init__(self, sched: Scheduler, sock: socket.socket) -> None:
         """Take a socket over."""
@@ -323,7 +323,7 @@
             if len(part):
                 self.out.append(memoryview(part))
                 self.size += len(part)
-                Stream.held += len(part)
+                Stream.buffered_bytes += len(part)
         if not self.flushing:
             self._push()
             if self.out and not self.code:
@@ -341,7 +341,7 @@
     def keep(self, size: int) -> None:
         """Count the bytes that its reader holds of what can't be read whole yet."""
         if size != self.kept and not self.code:
-            Stream.held += size - self.kept
+            Stream.buffered_bytes += size - self.kept
             self.kept = size
 
     def waiting(self) -> bool:
@@ -362,7 +362,7 @@
     def discard(self) -> None:
         """Drop what has not been sent: nothing sensible can be written after it."""
         self.out.clear()
-        Stream.held -= self.size
+        Stream.buffered_bytes -= self.size
         self.size = 0
 
     def _push(self) -> None:
@@ -378,7 +378,7 @@
                 self.close("reset")
                 return
             self.size -= sent
-            Stream.held -= sent
+            Stream.buffered_bytes -= sent
             self.progress_ms = now_ms()
             while sent:
                 head = self.out[0]
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -56,8 +56,8 @@
         engine: Any = None
         self.front = Front(Scheduler(), engine, BASE, 4, 1000)
         self.addCleanup(self.front.listener.close)
-        self.addCleanup(setattr, Stream, "held", Stream.held)
-        Stream.held = 0
+        self.addCleanup(setattr, Stream, "held", Stream.buffered_bytes)
+        Stream.buffered_bytes = 0
 
     def test_what_lay_unread_in_a_loop_that_lags_is_turned_away(self) -> None:
         """At lags of 0.2 to 0.3 s all were taken, and all were late."""
@@ -65,5 +65,5 @@
         self.assertFalse(self.front.takes(now_ms() - 300.0))
 
     def test_buffers_have_a_bound_in_all(self) -> None:
-        Stream.held = 1001
+        Stream.buffered_bytes = 1001
         self.assertFalse(self.front.takes(now_ms()))
