--- a/hitchtiller/back/link.py
+++ b/hitchtiller/back/link.py
@@ -199,7 +199,7 @@
                 self.writer = getcurrent()
                 self.sched.park()
                 continue
-            if not looked and self.sched.lags():
+            if not looked and self.sched.is_lagging():
                 self.sched.look()  # guards clients that have gone: in a busy turn that is not known yet
                 looked = True
                 continue
--- a/hitchtiller/sched.py
+++ b/hitchtiller/sched.py
@@ -106,7 +106,7 @@
         self.wake(getcurrent())
         self.park()
 
-    def lags(self) -> bool:
+    def is_lagging(self) -> bool:
         """Tell whether much may have come that was not looked for yet."""
         return now_ms() - self.seen_ms > LAGS_MS
 
