--- a/hitchtiller/front/client.py
+++ b/hitchtiller/front/client.py
@@ -8,7 +8,7 @@
 from hitchtiller.exchange import FAILED, REFUSED, Answer, Exchange
 from hitchtiller.front.asks import BadAsk, read_ask, write_answer
 from hitchtiller.log import ended
-from hitchtiller.sched import LAGS_MS, Closed, Stream, now_ms
+from hitchtiller.sched import LAG_LIMIT_MS, Closed, Stream, now_ms
 
 if TYPE_CHECKING:
     from hitchtiller.front.server import Front
@@ -78,7 +78,7 @@
                 if fresh:  # else it lay there before the last look: deadlines count from the one before
                     self.arrived_ms = self.front.sched.arrival_ms
                 # guards clients that have gone: the end may lie behind what they asked for in a busy turn
-                if now_ms() - self.arrived_ms > LAGS_MS and self.stream.drained and self.stream.at_end():
+                if now_ms() - self.arrived_ms > LAG_LIMIT_MS and self.stream.drained and self.stream.at_end():
                     raise Closed("eof")
                 if not self.deaf:
                     self._take(reader, data)
--- a/hitchtiller/sched.py
+++ b/hitchtiller/sched.py
@@ -18,7 +18,7 @@
 CHUNK = 65_536  # bytes asked of a socket at once
 GATHER = 16  # buffers handed to one sendmsg
 STALL_MS = 300.0  # between two turns: sweeps alone come oftener, so the process did not run
-LAGS_MS = 20.0  # since the last look, from which what has come meanwhile is read before anything is sent
+LAG_LIMIT_MS = 20.0  # since the last look, from which what has come meanwhile is read before anything is sent
 READ = select.POLLIN
 WRITE = select.POLLOUT
 
@@ -108,7 +108,7 @@
 
     def is_lagging(self) -> bool:
         """Tell whether much may have come that was not looked for yet."""
-        return now_ms() - self.seen_ms > LAGS_MS
+        return now_ms() - self.seen_ms > LAG_LIMIT_MS
 
     def look(self) -> None:
         """Let the loop look once more, and those run for whom something has come."""
