--- a/hitchtiller/engine.py
+++ b/hitchtiller/engine.py
@@ -133,7 +133,7 @@
         if exchange.over or exchange.decided:
             return
         exchange.decided, ask = True, exchange.request
-        self.give(
+        self.submit(
             api.Request(
                 exchange.number, ask.class_name, ask.key, ask.deadline_ms, ask.size_kb, ask.group, ask.part
             )
@@ -165,7 +165,7 @@
         """Tell the decisions that a request is over and cancel what is out for it."""
         self._drop(exchange)
         if exchange.decided:
-            self.give(api.ClientLeft(exchange.number))
+            self.submit(api.ClientLeft(exchange.number))
         if self.copies:
             self.copies.over(exchange, None)
         for attempt in list(exchange.attempts):
@@ -215,15 +215,15 @@
             for hear in self.purge_listeners:
                 hear(event)
             age = max(0.0, self.clock.now_ms() - event.at_ms)
-            self.give(api.Purged(event.key, event.group, age))
+            self.submit(api.Purged(event.key, event.group, age))
             return
         settle = self.back.follow(event)  # new servers are known before the decisions name them,
-        self.give(api.Members(tuple(host.member for host in event.hosts), whole=event.whole))
+        self.submit(api.Members(tuple(host.member for host in event.hosts), whole=event.whole))
         settle()  # and gone ones end their attempts once the decisions know to go elsewhere
 
     # Decisions
 
-    def give(self, event: api.Event) -> None:
+    def submit(self, event: api.Event) -> None:
         """Hand an event over; events that come of its actions follow it in order."""
         self.events.append(event)
         if self.busy:
@@ -261,7 +261,7 @@
                 if exchange := self.open.get(action.id):
                     self.cancel(exchange.attempts[action.attempt], "ecanceled")
             case api.SetTimer():
-                self.clock.later(action.delay_ms, partial(self.give, api.TimerDue(action.token)))
+                self.clock.later(action.delay_ms, partial(self.submit, api.TimerDue(action.token)))
             case api.SendNote():
                 self.tell(action.peer, action.note)
             case api.Probe():
@@ -274,7 +274,7 @@
 
     def probed(self, server: str, begun: float, status: str, load: dict[str, float]) -> None:
         """Take a probe's result."""
-        self.give(api.Probed(server, status, self.clock.now_ms() - begun, load))
+        self.submit(api.Probed(server, status, self.clock.now_ms() - begun, load))
 
     def send(self, get: api.Get) -> None:
         """Make an attempt."""
@@ -333,7 +333,7 @@
         if ending.status == "done" and not exchange.over:
             answer = Answer(SERVED, ending.body, ending.unchanged, ending.tag, since_ms=ending.since_ms)
             self.finish(exchange, answer)
-        self.give(
+        self.submit(
             api.Outcome(
                 attempt.get.id,
                 attempt.shot,
--- a/hitchtiller/peers.py
+++ b/hitchtiller/peers.py
@@ -51,4 +51,4 @@
                     continue
                 note = unpack(data)
                 if number is not None and note is not None:
-                    engine.give(api.PeerMessage(number, note))
+                    engine.submit(api.PeerMessage(number, note))
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -152,7 +152,7 @@
         attempt = self.ask(group=3)
         clear = attempt.clear(attempt)
         assert clear and not clear.cap_ms
-        self.engine.give(api.Purged(42, -1, 100.0))
+        self.engine.submit(api.Purged(42, -1, 100.0))
         self.clock.now += 50.0
         clear = attempt.clear(attempt)
         assert clear
