--- a/hitchtiller/__main__.py
+++ b/hitchtiller/__main__.py
@@ -120,8 +120,8 @@
     times = (config.connect_ms, config.idle_ms)
     back = Upstreams(sched, times, config.streams, links)
     peers = Peers(sched, config.peer_listen, config.peers) if config.peer_listen else None
-    tell = peers.tell if peers else lambda peer, note: None
-    engine = Engine(Router(config.settings, config.seed), Clock(sched), back, tell)
+    send_note = peers.send_note if peers else lambda peer, note: None
+    engine = Engine(Router(config.settings, config.seed), Clock(sched), back, send_note)
     folder = shared(os.environ.get("TMPDIR", ""))
     holdouts = HoldOuts(folder, engine.news, config.settings.origin_kind)
     bus = BusLink(sched, holdouts.news, config.bus, (config.zones, config.kinds))
--- a/hitchtiller/engine.py
+++ b/hitchtiller/engine.py
@@ -81,10 +81,10 @@
         router: Router,
         clock: Clock,
         back: Back,
-        tell: Callable[[int, api.PeerNote | api.LeaseNote], None],
+        send_note: Callable[[int, api.PeerNote | api.LeaseNote], None],
     ) -> None:
         """Join the parts."""
-        self.router, self.clock, self.back, self.tell = router, clock, back, tell
+        self.router, self.clock, self.back, self.send_note = router, clock, back, send_note
         self.open: dict[int, Exchange] = {}
         self.ids: set[str] = set()  # of what is open, as clients name it
         self.numbers = count(1)
@@ -263,7 +263,7 @@
             case api.SetTimer():
                 self.clock.later(action.delay_ms, partial(self.submit, api.TimerDue(action.token)))
             case api.SendNote():
-                self.tell(action.peer, action.note)
+                self.send_note(action.peer, action.note)
             case api.Probe():
                 begun = self.clock.now_ms()
                 self.back.probe(action.server, partial(self.probed, action.server, begun))
--- a/hitchtiller/ops/members.py
+++ b/hitchtiller/ops/members.py
@@ -148,7 +148,7 @@
             name, told = next(reversed(entry.holders.items()), ("", 0.0))
             if told > router.purges.latest(item[0], entry.group) and home != self.me:
                 handed += 1
-                self.peers.tell(home, PeerNote("kept", *item, name, max(0, entry.group)))
+                self.peers.send_note(home, PeerNote("kept", *item, name, max(0, entry.group)))
         if handed:
             self.handed += handed
             logger.info("handed {} directory entries over", handed)
--- a/hitchtiller/peers.py
+++ b/hitchtiller/peers.py
@@ -27,7 +27,7 @@
         self.sock.bind(listen)
         self.on_other_datagram: Callable[[int, bytes], bool] | None = None  # takes what is no note, where switched on
 
-    def tell(self, peer: int, note: api.PeerNote | api.LeaseNote) -> None:
+    def send_note(self, peer: int, note: api.PeerNote | api.LeaseNote) -> None:
         """Send a note; like any datagram it may be lost."""
         self.send(peer, pack(note))
 
