--- a/hitchtiller/back/jobs.py
+++ b/hitchtiller/back/jobs.py
@@ -66,7 +66,7 @@
     def command(self) -> bytes | None:
         """Write PULL, with what is settled only now: the wait and the oldest copy that will do."""
         attempt = self.attempt
-        clearance = attempt.clear(attempt)
+        clearance = attempt.authorize(attempt)
         if clearance is None:
             attempt.drop("skipped")
             return None
--- a/hitchtiller/engine.py
+++ b/hitchtiller/engine.py
@@ -283,7 +283,7 @@
             return
         now = self.clock.now_ms()
         spared = self.copies is not None and not self.copies.may_send(exchange)
-        attempt = Attempt(exchange, get, now, self.clear, self.ended, self.sent)
+        attempt = Attempt(exchange, get, now, self.authorize, self.ended, self.sent)
         if 0.0 < get.timeout_ms < exchange.request.deadline_ms - now - 1.0:  # else the deadline ends it
             timer = self.clock.later(get.timeout_ms, partial(self.cancel, attempt, "etimedout"))
             attempt.timeout = timer.cancel
@@ -292,7 +292,7 @@
         else:
             self.back.send(attempt)
 
-    def clear(self, attempt: Attempt) -> SendLimits | None:
+    def authorize(self, attempt: Attempt) -> SendLimits | None:
         """Ask the decisions again at the first byte: drains and purges may have come since."""
         now, ask = self.clock.now_ms(), attempt.exchange.request
         if attempt.ended or attempt.exchange.over or self.behind():
--- a/hitchtiller/exchange.py
+++ b/hitchtiller/exchange.py
@@ -78,14 +78,14 @@
         exchange: "Exchange",
         get: api.Get,
         sent_ms: float,
-        clear: Callable[["Attempt"], SendLimits | None],
+        authorize: Callable[["Attempt"], SendLimits | None],
         on_end: Callable[["Attempt", AttemptResult], None],
         on_sent: Callable[[], None],
     ) -> None:
         """Make the next attempt; `clear` is asked before the first byte, `on_sent` hears of the last."""
         self.exchange, self.get, self.sent_ms = exchange, get, sent_ms
         self.shot = len(exchange.attempts)
-        self.clear, self.on_end, self.on_sent = clear, on_end, on_sent
+        self.clear, self.on_end, self.on_sent = authorize, on_end, on_sent
         self.timeout: Callable[[], None] | None = None  # takes its timer back
         self.place: Any = None  # where the server side put it
         self.written = False  # its first byte went out: from here it may run
--- a/tests/ends/test_ends_links.py
+++ b/tests/ends/test_ends_links.py
@@ -211,7 +211,7 @@
         second, _ = self.attempt()
         second.exchange = exchange
         written: list[float] = []
-        second.clear = lambda attempt: written.append(now_ms()) or SendLimits(0.0, 1_000.0)  # type: ignore[func-returns-value]
+        second.authorize = lambda attempt: written.append(now_ms()) or SendLimits(0.0, 1_000.0)  # type: ignore[func-returns-value]
         self.back.send(second)
         self.until(lambda: bool(written))
         self.assertGreaterEqual(written[0], exchange.blocked_until_ms)
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -142,18 +142,18 @@
     def test_an_attempt_is_barred_at_its_first_byte_if_target_or_source_drains(self) -> None:
         for name in ("server", "source"):
             attempt = self.ask()
-            self.assertIsNotNone(attempt.clear(attempt))
+            self.assertIsNotNone(attempt.authorize(attempt))
             named = getattr(attempt.get, name)
             (member,) = (m for m in FLEET if m.server == named)
             self.news(api.Member(named, member.zone, member.kind, "DRAINING", weight=member.weight))
-            self.assertIsNone(attempt.clear(attempt))
+            self.assertIsNone(attempt.authorize(attempt))
 
     def test_the_age_bound_heeds_a_purge_that_came_before_the_first_byte(self) -> None:
         attempt = self.ask(group=3)
-        clear = attempt.clear(attempt)
+        clear = attempt.authorize(attempt)
         assert clear and not clear.cap_ms
         self.engine.submit(api.Purged(42, -1, 100.0))
         self.clock.now += 50.0
-        clear = attempt.clear(attempt)
+        clear = attempt.authorize(attempt)
         assert clear
         self.assertEqual(clear.cap_ms, 150.0)
