--- a/hitchtiller/back/upstreams.py
+++ b/hitchtiller/back/upstreams.py
@@ -139,13 +139,13 @@
         if pool is None:
             attempt.drop("skipped")
             return
-        attempt.place = (pool, Pull(attempt))
-        pool.submit(attempt.place[1])
+        attempt.back_end_handle = (pool, Pull(attempt))
+        pool.submit(attempt.back_end_handle[1])
 
     def cancel(self, attempt: Attempt) -> None:
         """Give an attempt up."""
-        if attempt.place:
-            attempt.place[0].cancel(attempt.place[1])
+        if attempt.back_end_handle:
+            attempt.back_end_handle[0].cancel(attempt.back_end_handle[1])
 
     def probe(self, server: str, report: Callable[[str, dict[str, float]], None]) -> None:
         """Check a server."""
--- a/hitchtiller/exchange.py
+++ b/hitchtiller/exchange.py
@@ -87,7 +87,7 @@
         self.shot = len(exchange.attempts)
         self.clear, self.on_end, self.on_sent = authorize, on_end, on_sent
         self.timeout: Callable[[], None] | None = None  # takes its timer back
-        self.place: Any = None  # where the server side put it
+        self.back_end_handle: Any = None  # where the server side put it
         self.written = False  # its first byte went out: from here it may run
         self.ended = False
         exchange.attempts.append(self)
@@ -99,7 +99,7 @@
         self.ended = True
         if self.timeout:
             self.timeout()
-        self.timeout = self.place = None  # no cycles: they would need the garbage collector, which stalls
+        self.timeout = self.back_end_handle = None  # no cycles: they would need the garbage collector, which stalls
         self.on_end(self, ending)
 
     def drop(self, word: str) -> None:
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -135,9 +135,9 @@
     def test_what_is_over_holds_no_cycle(self) -> None:
         """Full collections of such cycles stalled the loop by 0.2 s."""
         attempt = self.ask()
-        attempt.place = object()
+        attempt.back_end_handle = object()
         attempt.end(AttemptResult("done"))
-        self.assertEqual((self.exchange.attempts, attempt.place), ([], None))
+        self.assertEqual((self.exchange.attempts, attempt.back_end_handle), ([], None))
 
     def test_an_attempt_is_barred_at_its_first_byte_if_target_or_source_drains(self) -> None:
         for name in ("server", "source"):
