--- a/hitchtiller/back/jobs.py
+++ b/hitchtiller/back/jobs.py
@@ -85,7 +85,7 @@
             fields += f",cap={max(1, int(clearance.cap_ms))}"  # 0 would mean any age that is fresh
         if how := HOW[get.join, get.held_only, get.renew]:
             fields += f",do={how}"
-        if have := ask.client_tag or attempt.exchange.confirm:
+        if have := ask.client_tag or attempt.exchange.confirm_tag:
             fields += f",inm={have}"
         return resp.write_command(b"PULL", self.name, fields.encode(), ask.body)
 
@@ -101,7 +101,7 @@
         if not status or (copy and not (REV.match(rev or "") and SINCE.match(since or ""))):
             raise resp.BadResp(f"answer {word!r:.20} rev={rev!r:.40} since={since!r:.40}")  # as may the rest
         unchanged = word == "KEEP"
-        if unchanged and not (ask.client_tag or self.attempt.exchange.confirm):
+        if unchanged and not (ask.client_tag or self.attempt.exchange.confirm_tag):
             status = "err"  # a server that keeps a copy the client never named
         load = resp.read_report(fields["rep"]) if "rep" in fields else {}
         served = body if word == "DONE" else b""
--- a/hitchtiller/engine.py
+++ b/hitchtiller/engine.py
@@ -344,7 +344,7 @@
                 note=ending.note,
                 waited_ms=ending.waited_ms,
                 silent=ending.silent,
-                whole=not ending.unchanged and not exchange.confirm,
+                whole=not ending.unchanged and not exchange.confirm_tag,
                 load=ending.load,
             )
         )
--- a/hitchtiller/exchange.py
+++ b/hitchtiller/exchange.py
@@ -123,7 +123,7 @@
         self.decided = False  # the decisions have it
         self.taken_ms = 0.0
         self.blocked_until_ms = 0.0  # until then an attempt that was given up may still be out: none may follow it
-        self.confirm = ""  # tag of a copy of our own that a server is asked about
+        self.confirm_tag = ""  # tag of a copy of our own that a server is asked about
 
     def finish(self, answer: Answer) -> bool:
         """Answer; False if the exchange was over: a second answer would lose the request."""
--- a/hitchtiller/store/tier.py
+++ b/hitchtiller/store/tier.py
@@ -91,7 +91,7 @@
     def cap(self, exchange: Exchange, cap_ms: float, now_ms: float) -> float:
         """What confirms a suspect must be from after the gap."""
         copy = self.held.get(exchange.number)
-        if not exchange.confirm or copy is None or copy.part.era == self.proof.era:
+        if not exchange.confirm_tag or copy is None or copy.part.era == self.proof.era:
             return cap_ms
         return self.plan.cap_ms(now_ms, cap_ms)
 
@@ -128,7 +128,7 @@
             return ending
         # guards against serving what was not confirmed: no bytes came, and ours are not proven
         self.refuted += 1
-        exchange.confirm = ""
+        exchange.confirm_tag = ""
         self._forget(fingerprint(ask.key, ask.part))
         return AttemptResult("err", load=ending.load)
 
@@ -232,7 +232,7 @@
         elif state is not State.FRESH:
             self.held[exchange.number] = copy
             if self.confirms and self.plan.may_confirm(exchange.request):
-                exchange.confirm = part.tag
+                exchange.confirm_tag = part.tag
 
     def _answer(self, exchange: Exchange, copy: Copy, unchanged: bool = False) -> Answer:
         tag = copy.part.tag
--- a/tests/store/test_store_tier.py
+++ b/tests/store/test_store_tier.py
@@ -62,7 +62,7 @@
     assert kinds(tiers)[2] == SERVED
     tiers.wait(2.0)
     exchange = tiers.ask(name="brief")
-    assert 3 not in tiers.answers and exchange.confirm == "t1"
+    assert 3 not in tiers.answers and exchange.confirm_tag == "t1"
     while sent := tiers.sent():
         sent[-1].written = True
         sent[-1].end(AttemptResult("err"))
@@ -220,7 +220,7 @@
     gap = suspected(tiers)
     exchange = tiers.ask()
     (attempt,) = tiers.sent()
-    assert exchange.confirm == "t1"
+    assert exchange.confirm_tag == "t1"
     tiers.wait(20.0)
     clearance = attempt.clear(attempt)
     assert clearance and clearance.cap_ms == pytest.approx(20.0)
@@ -246,7 +246,7 @@
     tiers.keep(attempt, tag, gap + age)
     assert 2 not in tiers.answers and tiers.tier.refuted == 1 and not tiers.tier.memory.copies
     (again,) = tiers.sent()
-    assert not again.exchange.confirm
+    assert not again.exchange.confirm_tag
     tiers.serve(again, b"new", "t3")
     assert tiers.answers[2].body == b"new"
 
@@ -262,7 +262,7 @@
 def test_a_clients_own_tag_is_not_replaced_but_its_keep_proves_ours_too(tiers: Tiers) -> None:
     gap = suspected(tiers)
     exchange = tiers.ask(client_tag="t1")
-    assert not exchange.confirm
+    assert not exchange.confirm_tag
     tiers.keep(tiers.sent()[0], "t1", gap + 1.0)
     assert tiers.answers[2].unchanged
     tiers.ask()
@@ -307,9 +307,9 @@
     again.tier.on_caught_up()
     again.disk(files)
     exchange = again.ask(1)
-    assert exchange.confirm == "t1" and again.proof.era > 1
+    assert exchange.confirm_tag == "t1" and again.proof.era > 1
     other = again.ask(2)
-    assert not other.confirm, "a purged copy is not even asked about"
+    assert not other.confirm_tag, "a purged copy is not even asked about"
 
 
 def test_purges_told_while_the_folder_was_closed_are_written_when_it_opens() -> None:
