--- a/hitchtiller/__main__.py
+++ b/hitchtiller/__main__.py
@@ -139,7 +139,7 @@
 
     sign = Sign(folder) if folder else None
     upgrade = Upgrade(sched, sign, front, bus.followed, share)
-    front.barred = upgrade.unready
+    front.not_ready_reason = upgrade.unready
     host, port = front.listen(config.listen, config.listen_fd)
     if config.control:
         at = Control(sched, calls).listen(config.control)
--- a/hitchtiller/front/server.py
+++ b/hitchtiller/front/server.py
@@ -30,7 +30,7 @@
         self.refusing = False  # no more requests are taken
         self.leave = Leave(self)
         self.accepting = True
-        self.barred: Callable[[], str] = str  # a further reason not to be ready
+        self.not_ready_reason: Callable[[], str] = str  # a further reason not to be ready
         self.doubts: list[Callable[[], str]] = []  # and more of them, from what is joined to the gateway
         self.listener = socket.socket()
 
@@ -60,7 +60,7 @@
             return self.state
         if not self.engine.router.nodes:
             return "no list of station caches yet"
-        return self.barred() or next(filter(None, (doubt() for doubt in self.doubts)), "")
+        return self.not_ready_reason() or next(filter(None, (doubt() for doubt in self.doubts)), "")
 
     def told(self) -> str:
         """Tell clients the same, but for a gateway whose next version is ready: the gateway as a whole is."""
