--- a/hitchtiller/cli/serve.py
+++ b/hitchtiller/cli/serve.py
@@ -104,7 +104,7 @@
         assert gateway.peers, "checked before the start"
         joined = (gateway.sched, gateway.engine, gateway.peers, gateway.bus)
         members = Members(*joined, settings.fleet, settings.period_ms)
-        gateway.front.not_ready_reasons.append(members.deaf)
+        gateway.front.not_ready_reasons.append(members.isolation_reason)
         gateway.calls.plain["members"] = members.listed
         gateway.calls.named["forget-member"] = members.forget
         gateway.sched.spawn(members.run)
--- a/hitchtiller/ops/members.py
+++ b/hitchtiller/ops/members.py
@@ -131,7 +131,7 @@
             change.number, new.state.name, new.incarnation, old.state.name, change.source,
         )  # fmt: skip
 
-    def deaf(self) -> str:
+    def isolation_reason(self) -> str:
         """Tell why clients should go elsewhere: nothing at all is heard here; nothing to tell otherwise."""
         return "neither gateways nor caches nor the bus are heard" if self.standing is Standing.DEAF else ""
 
