--- a/hitchtiller/front/leave.py
+++ b/hitchtiller/front/leave.py
@@ -28,7 +28,7 @@
         """Work on a front's state and clients."""
         self.front, self.sched = front, front.sched
         self.drains = 0  # so that one that was called back ends
-        self.handed = False  # a next version serves: what only one process can own is its
+        self.superseded = False  # a next version serves: what only one process can own is its
 
     def drain(self) -> None:
         """Say no from now on, and empty the gateway while it goes on listening."""
@@ -68,7 +68,7 @@
         """Leave the clients to the next version, which accepts from now on, and end when all have gone."""
         if self.front.state in (SERVING, DRAINED):
             self.front.state, self.front.accepting, self.front.refusing = HANDING, False, False
-            self.handed = True
+            self.superseded = True
             logger.info("handed over to the next version, {} clients", len(self.front.clients))
             self.sched.spawn(self._hand_over)
 
@@ -76,7 +76,7 @@
         """Serve on: the next version has ended."""
         if self.front.state == HANDING:
             logger.warning("the next version has ended, serving again")
-            self.front.state, self.front.accepting, self.handed = SERVING, True, False
+            self.front.state, self.front.accepting, self.superseded = SERVING, True, False
             self._forget_told()
 
     def _hand_over(self) -> None:
--- a/hitchtiller/store/keeper.py
+++ b/hitchtiller/store/keeper.py
@@ -61,7 +61,7 @@
             self.sched.sleep(wait)
 
     def _wanted(self) -> bool:
-        return not self.front.leave.handed and self.tier.proof.begun
+        return not self.front.leave.superseded and self.tier.proof.begun
 
     def _call(self, run: Callable[[], Any], lane: str = LOG_LANE) -> Any:
         """Run a call off the loop and wait for it in this greenlet; its error is raised here."""
