--- a/hitchtiller/back/jobs.py
+++ b/hitchtiller/back/jobs.py
@@ -53,7 +53,7 @@
         """Hear until when word that it was given up may be under way to its server."""
 
 
-class Pull:
+class PullJob:
     """An attempt as a PULL."""
 
     def __init__(self, attempt: Attempt) -> None:
--- a/hitchtiller/back/upstreams.py
+++ b/hitchtiller/back/upstreams.py
@@ -5,7 +5,7 @@
 from functools import partial
 from itertools import count
 
-from hitchtiller.back.jobs import Job, Meter, Pull
+from hitchtiller.back.jobs import Job, Meter, PullJob
 from hitchtiller.back.link import KILLED_MS, Link
 from hitchtiller.exchange import Attempt
 from hitchtiller.log import ended
@@ -139,7 +139,7 @@
         if pool is None:
             attempt.drop("skipped")
             return
-        attempt.back_end_handle = (pool, Pull(attempt))
+        attempt.back_end_handle = (pool, PullJob(attempt))
         pool.submit(attempt.back_end_handle[1])
 
     def cancel(self, attempt: Attempt) -> None:
--- a/tests/store/test_store_tier.py
+++ b/tests/store/test_store_tier.py
@@ -5,7 +5,7 @@
 import pytest
 from tiers import SMALL, START, Tiers
 
-from hitchtiller.back.jobs import Pull
+from hitchtiller.back.jobs import PullJob
 from hitchtiller.exchange import FAILED, REFUSED, SERVED, AttemptResult
 from hitchtiller.store import recover
 from hitchtiller.store.disk import Disk
@@ -234,7 +234,7 @@
     suspected(tiers)
     tiers.ask()
     (attempt,) = tiers.sent()
-    command = Pull(attempt).command()
+    command = PullJob(attempt).command()
     assert command and b"inm=t1" in command and b"cap=" in command
 
 
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -7,7 +7,7 @@
 from conftest import BASE, FLEET
 
 from hitchtiller import interface as api
-from hitchtiller.back.jobs import Pull
+from hitchtiller.back.jobs import PullJob
 from hitchtiller.codec.resp import BadResp
 from hitchtiller.decide import Router
 from hitchtiller.engine import Engine
@@ -104,18 +104,18 @@
     def test_a_refused_connection_is_blamed(self) -> None:
         """It was told as never sent, and silent machines were picked again and again."""
         attempt = self.ask()
-        Pull(attempt).broken("econnrefused")
+        PullJob(attempt).broken("econnrefused")
         self.assertGreater(self.engine.router.nodes[attempt.get.server].blame, 0.0)
 
     def test_what_an_answer_may_lack_follows_from_its_class(self) -> None:
         """Each sign-off, an effect without a key, ended its connection with all that was open on it."""
         for write, dedupe in ((True, ""), (True, "5c0f")):
             attempt = self.ask(write=write, dedupe=dedupe)
-            Pull(attempt).answered("DONE", {}, b"x")
+            PullJob(attempt).answered("DONE", {}, b"x")
             self.assertEqual((self.answers[-1].kind, self.answers[-1].since_ms), (SERVED, 0))
         attempt = self.ask(dedupe="5c0f")  # a copy has a tag and a time, whatever key came with it
         with self.assertRaises(BadResp):
-            Pull(attempt).answered("DONE", {}, b"x")
+            PullJob(attempt).answered("DONE", {}, b"x")
 
     def test_notes_and_waits_reach_the_decisions(self) -> None:
         """They were read nowhere, so no source was ever cleared where notes are told."""
@@ -129,7 +129,7 @@
             ("x", "20", 10, 20.0),
             ("?", "-1", 0, 0),
         ):
-            Pull(self.ask()).answered("DONE", {"rev": "a", "since": "1", "why": why, "fill": fill}, b"x")
+            PullJob(self.ask()).answered("DONE", {"rev": "a", "since": "1", "why": why, "fill": fill}, b"x")
             self.assertEqual((told[-1].note, told[-1].waited_ms), (note, waited))
 
     def test_what_is_over_holds_no_cycle(self) -> None:
