--- a/hitchtiller/bus.py
+++ b/hitchtiller/bus.py
@@ -4,7 +4,7 @@
 import socket
 from collections.abc import Callable
 
-from hitchtiller.codec.bus import BadBus, BusReader, Numbered
+from hitchtiller.codec.bus import BadBus, BusReader, NumberedEvent
 from hitchtiller.log import ended, logger
 from hitchtiller.news import Event
 from hitchtiller.sched import Closed, Scheduler, Stream, now_ms
@@ -49,7 +49,7 @@
         # guards against staying out of service for a bus that is away: what the file knows is of the start
         return self.told_all or (not whole and (self.subscribed or now_ms() - self.begun_ms > AWAY_MS))
 
-    def apply(self, event: Numbered) -> None:
+    def apply(self, event: NumberedEvent) -> None:
         """Apply an event once, whichever way it came and however often it is told."""
         number, news = event
         if news is not None and number > self.last:
--- a/hitchtiller/codec/bus.py
+++ b/hitchtiller/codec/bus.py
@@ -20,7 +20,7 @@
     """The bytes or values are no event."""
 
 
-Numbered = tuple[int, Event | None]  # None: nothing new
+NumberedEvent = tuple[int, Event | None]  # None: nothing new
 
 
 def host_id(number: int) -> str:
@@ -46,7 +46,7 @@
         self.zones, self.kinds = zones, kinds
         self.buffer = bytearray()
 
-    def feed(self, data: bytes) -> Iterator[Numbered]:
+    def feed(self, data: bytes) -> Iterator[NumberedEvent]:
         """Give the events that are whole now; raise BadBus on what can't be one."""
         self.buffer += data
         while len(self.buffer) >= 4:
@@ -59,7 +59,7 @@
             del self.buffer[: 4 + length]
             yield self.event(frame) if frame else (0, None)  # that of each second may be wholly empty
 
-    def event(self, frame: bytes) -> Numbered:
+    def event(self, frame: bytes) -> NumberedEvent:
         """Read one frame."""
         try:
             number, kind = HEAD.unpack_from(frame)
@@ -102,9 +102,9 @@
     return ListedServer(member, read_dial(host["dial"]))
 
 
-def read_known(known: dict[str, Any]) -> list[Numbered]:
+def read_known(known: dict[str, Any]) -> list[NumberedEvent]:
     """Read the events that the configuration holds; raise BadBus on what is none."""
-    events: list[Numbered] = []
+    events: list[NumberedEvent] = []
     try:
         for entry in known.get("batch", []):
             number = int(entry["offset"])
--- a/hitchtiller/config.py
+++ b/hitchtiller/config.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from hitchtiller import interface as api
-from hitchtiller.codec.bus import BadBus, Numbered, read_dial, read_known
+from hitchtiller.codec.bus import BadBus, NumberedEvent, read_dial, read_known
 from hitchtiller.settings import read_settings
 
 Address = tuple[str, int]
@@ -31,7 +31,7 @@
     bus: Address
     peer_listen: Address | None
     peers: tuple[Address, ...]
-    known: list[Numbered]
+    known: list[NumberedEvent]
     zones: tuple[str, ...]
     kinds: tuple[str, ...]
     settings: api.Settings
