--- a/hitchtiller/front/leave.py
+++ b/hitchtiller/front/leave.py
@@ -21,7 +21,7 @@
 MOVED = "moved"  # the code of connections whose clients go to the next version
 
 
-class Leave:
+class DrainControl:
     """Empties a front of its clients."""
 
     def __init__(self, front: "Front") -> None:
--- a/hitchtiller/front/server.py
+++ b/hitchtiller/front/server.py
@@ -6,7 +6,7 @@
 from hitchtiller import interface as api
 from hitchtiller.engine import Engine
 from hitchtiller.front.client import Client
-from hitchtiller.front.leave import HANDING, SERVING, Leave
+from hitchtiller.front.leave import HANDING, SERVING, DrainControl
 from hitchtiller.log import ended
 from hitchtiller.sched import READ, Scheduler, Stream, now_ms
 
@@ -28,7 +28,7 @@
         self.clients: set[Client] = set()
         self.state = SERVING
         self.refusing = False  # no more requests are taken
-        self.leave = Leave(self)
+        self.leave = DrainControl(self)
         self.accepting = True
         self.not_ready_reason: Callable[[], str] = str  # a further reason not to be ready
         self.not_ready_reasons: list[Callable[[], str]] = []  # and more of them, from what is joined to the gateway
--- a/standins/lag.py
+++ b/standins/lag.py
@@ -22,7 +22,7 @@
 from hitchtiller.decide import Router
 from hitchtiller.engine import Engine
 from hitchtiller.exchange import Answer, ClientRequest, Attempt, AttemptResult
-from hitchtiller.front.leave import Leave
+from hitchtiller.front.leave import DrainControl
 from hitchtiller.front.server import Front
 from hitchtiller.news import ListedServer, Topology
 from hitchtiller.sched import Clock, Scheduler, now_ms
@@ -113,7 +113,7 @@
         tier = Tier(engine, Memory(4 * MB), Proof(Kept(), 6000.0), Pace(0.0, 0.0))
         tier.on_caught_up()
         front = Front(sched, engine, setup, 10, 10)
-        front.leave = Leave(front)
+        front.leave = DrainControl(front)
         jobs = Threads(sched)
         options = Options(budget=200 * MB, segment_bytes=8 * MB, checkpoint_ms=2_000.0, sync_ms=200.0)
         make = Stalling if way == "stalled" else OsFiles
