--- a/hitchtiller/front/leave.py
+++ b/hitchtiller/front/leave.py
@@ -72,7 +72,7 @@
             logger.info("handed over to the next version, {} clients", len(self.front.clients))
             self.sched.spawn(self._hand_over)
 
-    def take_back(self) -> None:
+    def resume_after_hand_over(self) -> None:
         """Serve on: the next version has ended."""
         if self.front.state == HANDING:
             logger.warning("the next version has ended, serving again")
--- a/hitchtiller/ops/upgrade.py
+++ b/hitchtiller/ops/upgrade.py
@@ -81,5 +81,5 @@
         if self.succeeded():
             self.front.leave.hand_over()
         else:
-            self.front.leave.take_back()
+            self.front.leave.resume_after_hand_over()
             self.front.accepting = self.ready or not self.older()
