--- a/hitchtiller/membership/evidence.py
+++ b/hitchtiller/membership/evidence.py
@@ -29,7 +29,7 @@
 TIMES, FANOUT = 6, 3
 
 
-class Sign(IntEnum):
+class Symptom(IntEnum):
     """What a witness saw."""
 
     SILENT = 0
@@ -42,7 +42,7 @@
     """What one witness says of one server."""
 
     server: int  # mark of its name
-    sign: Sign
+    sign: Symptom
     by: int
     age_ms: float
     count: int = 1  # how often that witness saw it
@@ -52,7 +52,7 @@
 class Kept:
     """A report as it is kept here: when it was seen by this gateway's clock, how often it was told."""
 
-    sign: Sign
+    sign: Symptom
     at_ms: float
     count: int
     told: int = 0
@@ -69,7 +69,7 @@
         self.judged: dict[int, float] = {}  # when a verdict was last given
         self.counts: dict[int, int] = {}  # how often I saw a server sick: tells my reports apart
 
-    def saw(self, server: int, sign: Sign, now_ms: float) -> None:
+    def saw(self, server: int, sign: Symptom, now_ms: float) -> None:
         """Take what I saw myself; it is told, and is no witness for me."""
         self.counts[server] = self.counts.get(server, 0) + 1
         self.reports.setdefault(server, {})[self.me] = Kept(sign, now_ms, self.counts[server])
--- a/hitchtiller/membership/words.py
+++ b/hitchtiller/membership/words.py
@@ -19,7 +19,7 @@
 from dataclasses import dataclass, field
 from enum import IntEnum
 
-from hitchtiller.membership.evidence import Report, Sign
+from hitchtiller.membership.evidence import Report, Symptom
 from hitchtiller.membership.view import Claim, State
 
 MARK, VERSION, MOST = 0xA7, 1, 256
@@ -87,9 +87,9 @@
         return None
     if kind == Kind.REPORT:
         rows = list(REPORT.iter_unpack(data[HEAD.size :]))
-        if any(sign >= len(Sign) for _, _, sign, _, _ in rows):
+        if any(sign >= len(Symptom) for _, _, sign, _, _ in rows):
             return None
-        reports = [Report(s, Sign(sign), by, AGE_MS * age, n) for s, by, sign, age, n in rows]
+        reports = [Report(s, Symptom(sign), by, AGE_MS * age, n) for s, by, sign, age, n in rows]
         return Word(Kind.REPORT, sender, number, target, [], reports)
     items = []
     for about, state, high, low, by in ITEM.iter_unpack(data[HEAD.size :]):
--- a/hitchtiller/ops/members.py
+++ b/hitchtiller/ops/members.py
@@ -13,7 +13,7 @@
 from hitchtiller.interface import PeerNote
 from hitchtiller.log import logger
 from hitchtiller.membership.detector import Datagrams, Detector
-from hitchtiller.membership.evidence import Sign
+from hitchtiller.membership.evidence import Symptom
 from hitchtiller.membership.homes import Homes
 from hitchtiller.membership.partition import Partition, Standing
 from hitchtiller.membership.shares import preferred_share
@@ -107,7 +107,7 @@
         for mark, node in marks.items():
             if now < node.out_until:
                 if self.outs.get(mark) != node.out_until:  # once for each time that it is left out
-                    sign = Sign.REFUSED if node.refused_ms > now - OUT_MOST else Sign.SILENT
+                    sign = Symptom.REFUSED if node.refused_ms > now - OUT_MOST else Symptom.SILENT
                     evidence.saw(mark, sign, now)
             elif node.blame < SOUND and now - node.answered_ms < self.period_ms:
                 evidence.hears(mark, node.answered_ms)
--- a/tests/membership/test_membership_evidence.py
+++ b/tests/membership/test_membership_evidence.py
@@ -5,14 +5,14 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hitchtiller.membership.evidence import KEEP_MS, NEEDED, TIMES, WITNESSES, Evidence, Report, Sign
+from hitchtiller.membership.evidence import KEEP_MS, NEEDED, TIMES, WITNESSES, Evidence, Report, Symptom
 from hitchtiller.membership.words import MOST, REPORTS, Kind, Word, pack, unpack
 
 SICK = 77
 
 
 def said(by: int, age_ms: float = 0.0, count: int = 1) -> Report:
-    return Report(SICK, Sign.SILENT, by, age_ms, count)
+    return Report(SICK, Symptom.SILENT, by, age_ms, count)
 
 
 def test_one_witness_repeated_by_forty_is_one() -> None:
@@ -36,11 +36,11 @@
 
 def test_what_i_saw_myself_is_told_and_is_no_witness_for_me() -> None:
     mine = Evidence(0)
-    mine.saw(SICK, Sign.REFUSED, 1_000.0)
+    mine.saw(SICK, Symptom.REFUSED, 1_000.0)
     mine.take([said(1)], 1_000.0)
     assert mine.witnesses(SICK, 1_000.0) == {1}
     told = next(r for r in mine.tell(1_200.0, 9) if r.by == 0)
-    assert told.sign is Sign.REFUSED and told.age_ms == 200.0
+    assert told.sign is Symptom.REFUSED and told.age_ms == 200.0
     echo = Evidence(1)
     echo.take([told], 9_000.0)  # another clock
     assert echo.witnesses(SICK, 9_000.0) == {0}
@@ -84,7 +84,7 @@
 @given(
     st.lists(
         st.builds(
-            Report, st.integers(0, 2**32 - 1), st.sampled_from(Sign), st.integers(0, 999),
+            Report, st.integers(0, 2**32 - 1), st.sampled_from(Symptom), st.integers(0, 999),
             st.integers(0, 200).map(lambda n: 25.0 * n), st.integers(1, 255),
         ),
         max_size=40,
@@ -102,7 +102,7 @@
 def test_counts_of_servers_that_are_gone_do_not_pile_up() -> None:
     mine = Evidence(0)
     for server in range(500):  # caches that were replaced, each seen sick once
-        mine.saw(server, Sign.SILENT, 1_000.0)
-    mine.saw(SICK, Sign.SILENT, 1_000.0 + KEEP_MS)
+        mine.saw(server, Symptom.SILENT, 1_000.0)
+    mine.saw(SICK, Symptom.SILENT, 1_000.0 + KEEP_MS)
     mine.verdicts(1_000.0 + KEEP_MS)
     assert set(mine.counts) == {SICK} and mine.counts[SICK] == 2
