--- a/hitchtiller/__main__.py
+++ b/hitchtiller/__main__.py
@@ -20,7 +20,7 @@
 from hitchtiller.ops.calls import Calls
 from hitchtiller.ops.control import Control
 from hitchtiller.ops.holdouts import HoldOuts
-from hitchtiller.ops.sign import Sign
+from hitchtiller.ops.sign import ProcessMarker
 from hitchtiller.ops.upgrade import Upgrade
 from hitchtiller.peers import Peers
 from hitchtiller.reload import Reload
@@ -137,7 +137,7 @@
         front.room = room(config.memory_mb, two)
         front.most, back.most = descriptors(config.sockets, two, younger)
 
-    sign = Sign(folder) if folder else None
+    sign = ProcessMarker(folder) if folder else None
     upgrade = Upgrade(sched, sign, front, bus.followed, share)
     front.not_ready_reason = upgrade.unready
     host, port = front.listen(config.listen, config.listen_fd)
--- a/hitchtiller/ops/sign.py
+++ b/hitchtiller/ops/sign.py
@@ -10,7 +10,7 @@
 STARTING, READY = "starting", "ready"
 
 
-class Sign:
+class ProcessMarker:
     """This process's file, and a look at those of others; the name begins with the time of the start."""
 
     def __init__(self, folder: Path) -> None:
--- a/hitchtiller/ops/upgrade.py
+++ b/hitchtiller/ops/upgrade.py
@@ -5,7 +5,7 @@
 
 from hitchtiller.front.server import Front
 from hitchtiller.log import logger
-from hitchtiller.ops.sign import READY, Sign
+from hitchtiller.ops.sign import READY, ProcessMarker
 from hitchtiller.sched import Scheduler
 
 LOOK_MS, START_MS = 100.0, 20.0  # how often to look, and while not ready yet
@@ -17,7 +17,7 @@
     def __init__(
         self,
         sched: Scheduler,
-        sign: Sign | None,
+        sign: ProcessMarker | None,
         front: Front,
         followed: Callable[[bool], bool],
         share: Callable[[bool, bool], None],
--- a/tests/ends/test_ends_descriptors.py
+++ b/tests/ends/test_ends_descriptors.py
@@ -23,7 +23,7 @@
 from hitchtiller.interface import Member
 from hitchtiller.news import Event, ListedServer, Topology
 from hitchtiller.ops.holdouts import HoldOuts
-from hitchtiller.ops.sign import Sign
+from hitchtiller.ops.sign import ProcessMarker
 from hitchtiller.ops.upgrade import Upgrade
 from hitchtiller.sched import Scheduler, Stream
 
@@ -110,9 +110,9 @@
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
-        older = Sign(Path(folder.name))
+        older = ProcessMarker(Path(folder.name))
         self.addCleanup(older.remove)
-        self.sign = Sign(Path(folder.name))
+        self.sign = ProcessMarker(Path(folder.name))
         self.addCleanup(self.sign.remove)
         self.front: Any = mock.Mock(accepting=True)
         self.front.unready.return_value = "no list yet"
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -24,7 +24,7 @@
 from hitchtiller.news import ListedServer, Topology
 from hitchtiller.ops.control import LONGEST, MOST_CALLERS, CallError
 from hitchtiller.ops.holdouts import FILE, HoldOuts
-from hitchtiller.ops.sign import READY, STARTING, Sign
+from hitchtiller.ops.sign import READY, STARTING, ProcessMarker
 from hitchtiller.ops.stats import ENDS
 from hitchtiller.ops.upgrade import Upgrade as UpgradeOf
 from hitchtiller.peers import Peers
@@ -261,7 +261,7 @@
         with tempfile.TemporaryDirectory() as name:
             folder = Path(name)
             (folder / "gateway-00000000000000000001-1").write_text(READY)  # nobody holds its lock
-            old, new = Sign(folder), Sign(folder)
+            old, new = ProcessMarker(folder), ProcessMarker(folder)
             self.addCleanup(old.remove)
             self.assertLess(old.name, new.name)
             self.assertEqual((new.others(), old.others()), ({old.name: STARTING}, {new.name: STARTING}))
@@ -362,9 +362,9 @@
             engine = Engine(Router(BASE, 7), Later(), Back(), lambda *_: None)
             front = Front(Scheduler(), engine, BASE, 4, 1000)
             self.addCleanup(front.listener.close)
-            old = Sign(Path(name))
+            old = ProcessMarker(Path(name))
             upgrade = UpgradeOf(front.sched, old, front, lambda whole: True, lambda two, younger: None)
-            new = Sign(Path(name))
+            new = ProcessMarker(Path(name))
             new.say(READY)
             with patch.object(front.leave, "stop"):
                 upgrade.stop()
