--- a/hitchtiller/membership/detector.py
+++ b/hitchtiller/membership/detector.py
@@ -25,7 +25,7 @@
 from hitchtiller.membership.evidence import FANOUT, Evidence
 from hitchtiller.membership.gossip import Gossip
 from hitchtiller.membership.view import UNHEARD, Change, Claim, State, View
-from hitchtiller.membership.words import ITEMS, REPORTS, Kind, Word, pack, unpack
+from hitchtiller.membership.words import ITEMS, REPORTS, Kind, MembershipMessage, pack, unpack
 
 HELPERS, PAGE_EVERY, START_PAGES = 3, 10, 3
 DIRECT, ROUNDS = 0.3, 2  # of a period, for an answer; rounds of asking again, itself and by helpers
@@ -142,7 +142,7 @@
         out: Datagrams = []
         for peer in self._some(FANOUT, ()):
             if reports := self.evidence.tell(now_ms, REPORTS):
-                out += self._pack(peer, Word(Kind.REPORT, self.me, 0, reports=reports))
+                out += self._pack(peer, MembershipMessage(Kind.REPORT, self.me, 0, reports=reports))
         return out
 
     # Periods
@@ -185,7 +185,7 @@
         )
         return self._send(target, Kind.PING, self.numbers)
 
-    def _acked(self, word: Word, sender: int) -> Datagrams:
+    def _acked(self, word: MembershipMessage, sender: int) -> Datagrams:
         probe = self.probes.get(word.number)
         if probe is None or (probe.target != sender and probe.origin >= 0):
             return []
@@ -271,15 +271,15 @@
         size = len(self.view.claims)
         numbers = sorted(self.view.claims, key=lambda n: (n - start) % size)
         items = self.view.items(numbers)[:ITEMS]
-        return self._pack(peer, Word(Kind.TELL, self.me, 0, 0, items))
+        return self._pack(peer, MembershipMessage(Kind.TELL, self.me, 0, 0, items))
 
     def _send(self, peer: int, kind: Kind, number: int, target: int = 0) -> Datagrams:
         # a peer that I hold for gone is told so first: it refutes, or knows that it is superseded
         claim = self.view.claims.get(peer, UNHEARD)
         first = peer if claim.state is not State.ALIVE else None
         items = self.view.items(self.gossip.take(ITEMS, first))
-        return self._pack(peer, Word(kind, self.me, number, target, items))
+        return self._pack(peer, MembershipMessage(kind, self.me, number, target, items))
 
-    def _pack(self, peer: int, word: Word) -> Datagrams:
+    def _pack(self, peer: int, word: MembershipMessage) -> Datagrams:
         self.sent += 1
         return [(peer, pack(word, self.fleet))]
--- a/hitchtiller/membership/words.py
+++ b/hitchtiller/membership/words.py
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Word:
+class MembershipMessage:
     """One datagram."""
 
     kind: Kind
@@ -54,7 +54,7 @@
     reports: list[Report] = field(default_factory=list)  # of kind REPORT only
 
 
-def pack(word: Word, fleet: int) -> bytes:
+def pack(word: MembershipMessage, fleet: int) -> bytes:
     """Write a word; at most ITEMS claims go with it."""
     items = word.items[:ITEMS]
     tail = b"".join(
@@ -73,7 +73,7 @@
     return HEAD.pack(MARK, VERSION, fleet & 0xFFFFFFFF, zlib.crc32(bare), *fields) + tail
 
 
-def unpack(data: bytes, fleet: int) -> Word | None:
+def unpack(data: bytes, fleet: int) -> MembershipMessage | None:
     """Read a word; None for what is cut, altered, of another fleet, version or kind."""
     if not HEAD.size <= len(data) <= MOST:
         return None
@@ -90,13 +90,13 @@
         if any(sign >= len(Symptom) for _, _, sign, _, _ in rows):
             return None
         reports = [Report(s, Symptom(sign), by, AGE_MS * age, n) for s, by, sign, age, n in rows]
-        return Word(Kind.REPORT, sender, number, target, [], reports)
+        return MembershipMessage(Kind.REPORT, sender, number, target, [], reports)
     items = []
     for about, state, high, low, by in ITEM.iter_unpack(data[HEAD.size :]):
         if state >= len(State):
             return None
         items.append((about, Claim(high << 32 | low, State(state)), by))
-    return Word(Kind(kind), sender, number, target, items)
+    return MembershipMessage(Kind(kind), sender, number, target, items)
 
 
 def is_word(data: bytes) -> bool:
--- a/standins/scale/membership.py
+++ b/standins/scale/membership.py
@@ -12,7 +12,7 @@
 
 from hitchtiller.membership.detector import Datagrams, Detector
 from hitchtiller.membership.view import UNHEARD, Claim, State
-from hitchtiller.membership.words import Kind, Word, pack, unpack
+from hitchtiller.membership.words import Kind, MembershipMessage, pack, unpack
 from standins.gossipnet import TICKS, Net
 from standins.scale.fleet import UDP_HEAD
 
@@ -85,10 +85,10 @@
             if word is None or word.kind not in (Kind.PING, Kind.PAGE):
                 continue
             if word.kind is Kind.PING:
-                answer = Word(Kind.ACK, peer, word.number)
+                answer = MembershipMessage(Kind.ACK, peer, word.number)
             else:
                 numbers = [(word.target + place) % gateways for place in range(gateways)]
-                answer = Word(Kind.TELL, peer, 0, 0, [(n, whole[n], n) for n in numbers[:64]])
+                answer = MembershipMessage(Kind.TELL, peer, 0, 0, [(n, whole[n], n) for n in numbers[:64]])
             found.append((peer, pack(answer, FLEET_MARK)))
         return found
 
--- a/tests/membership/test_membership_evidence.py
+++ b/tests/membership/test_membership_evidence.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from hitchtiller.membership.evidence import KEEP_MS, NEEDED, TIMES, WITNESSES, Evidence, Report, Symptom
-from hitchtiller.membership.words import MOST, REPORTS, Kind, Word, pack, unpack
+from hitchtiller.membership.words import MOST, REPORTS, Kind, MembershipMessage, pack, unpack
 
 SICK = 77
 
@@ -91,7 +91,7 @@
     )
 )  # fmt: skip
 def test_reports_read_back_and_fit_a_datagram(reports: list[Report]) -> None:
-    data = pack(Word(Kind.REPORT, 3, 9, reports=reports), 7)
+    data = pack(MembershipMessage(Kind.REPORT, 3, 9, reports=reports), 7)
     assert len(data) <= MOST
     read = unpack(data, 7)
     assert read and read.reports == reports[:REPORTS] and read.items == []
--- a/tests/membership/test_membership_parts.py
+++ b/tests/membership/test_membership_parts.py
@@ -12,7 +12,7 @@
 from hitchtiller.membership.partition import CALM_MS, CUT_MS, Partition, Standing
 from hitchtiller.membership.shares import preferred_share, rule_share, weighed_share
 from hitchtiller.membership.view import UNHEARD, Claim, State, View
-from hitchtiller.membership.words import ITEMS, MOST, Kind, Word, is_word, pack, unpack
+from hitchtiller.membership.words import ITEMS, MOST, Kind, MembershipMessage, is_word, pack, unpack
 from hitchtiller.records import hash64
 
 CLAIMS = st.builds(Claim, st.integers(0, 5), st.sampled_from(State))
@@ -65,11 +65,11 @@
     assert not view.forget(0)
 
 
-WORD = Word(Kind.ACK, 3, 77, 9, [(5, Claim(1 << 47, State.SUSPECT), 4), (6, Claim(7, State.LEFT), 6)])
+WORD = MembershipMessage(Kind.ACK, 3, 77, 9, [(5, Claim(1 << 47, State.SUSPECT), 4), (6, Claim(7, State.LEFT), 6)])
 
 
 def test_words_fit_a_datagram_and_come_back() -> None:
-    full = Word(Kind.TELL, 1, 2, 3, [(n, Claim(n, State.DEAD), n) for n in range(99)])
+    full = MembershipMessage(Kind.TELL, 1, 2, 3, [(n, Claim(n, State.DEAD), n) for n in range(99)])
     assert len(pack(full, 7)) <= MOST
     read = unpack(pack(full, 7), 7)
     assert read and read.items == full.items[:ITEMS]
