--- a/hitchtiller/membership/words.py
+++ b/hitchtiller/membership/words.py
@@ -99,6 +99,6 @@
     return MembershipMessage(Kind(kind), sender, number, target, items)
 
 
-def is_word(data: bytes) -> bool:
+def is_membership_message(data: bytes) -> bool:
     """Tell whether a datagram is meant as a word, and not as a note on objects."""
     return data[:1] == bytes((MARK,))
--- a/hitchtiller/ops/members.py
+++ b/hitchtiller/ops/members.py
@@ -18,7 +18,7 @@
 from hitchtiller.membership.partition import Partition, Standing
 from hitchtiller.membership.shares import preferred_share
 from hitchtiller.membership.view import Change, State
-from hitchtiller.membership.words import is_word
+from hitchtiller.membership.words import is_membership_message
 from hitchtiller.ops.control import CallError
 from hitchtiller.peers import Peers
 from hitchtiller.sched import Scheduler, now_ms
@@ -72,7 +72,7 @@
 
     def receive(self, sender: int, data: bytes) -> bool:
         """Take a datagram; True if it was a word, and no note on objects."""
-        if not is_word(data):
+        if not is_membership_message(data):
             self.detector.hear(sender, now_ms())
             return False
         self.post(self.detector.receive(sender, data, now_ms()))
--- a/tests/membership/test_membership_parts.py
+++ b/tests/membership/test_membership_parts.py
@@ -12,7 +12,7 @@
 from hitchtiller.membership.partition import CALM_MS, CUT_MS, Partition, Standing
 from hitchtiller.membership.shares import preferred_share, rule_share, weighed_share
 from hitchtiller.membership.view import UNHEARD, Claim, State, View
-from hitchtiller.membership.words import ITEMS, MOST, Kind, MembershipMessage, is_word, pack, unpack
+from hitchtiller.membership.words import ITEMS, MOST, Kind, MembershipMessage, is_membership_message, pack, unpack
 from hitchtiller.records import hash64
 
 CLAIMS = st.builds(Claim, st.integers(0, 5), st.sampled_from(State))
@@ -92,7 +92,7 @@
 
 def test_an_older_neighbour_drops_words_and_a_note_is_no_word() -> None:
     assert notes.unpack(pack(WORD, 7)) is None
-    assert is_word(pack(WORD, 7)) and not is_word(b"\x00" * 20)
+    assert is_membership_message(pack(WORD, 7)) and not is_membership_message(b"\x00" * 20)
 
 
 @pytest.mark.parametrize("size", [3, 40, 200, 1000])
