--- a/hitchtiller/membership/detector.py
+++ b/hitchtiller/membership/detector.py
@@ -66,7 +66,7 @@
         self.me, self.fleet, self.period_ms, self.rng = me, fleet, period_ms, rng
         self.view = View(me, size, incarnation)
         self.gossip, self.evidence = Gossip(size), Evidence(me)
-        self.view.ears.append(self._changed)
+        self.view.listeners.append(self._changed)
         self.heard: dict[int, float] = {}
         self.probes: dict[int, Probe] = {}
         self.suspicions: dict[int, Suspicion] = {}
--- a/hitchtiller/membership/view.py
+++ b/hitchtiller/membership/view.py
@@ -58,7 +58,7 @@
         self.superseded = False
         self.since: dict[int, float] = {}
         self.said: dict[int, int] = {}  # who said what is held now
-        self.ears: list[Callable[[Change], object]] = []
+        self.listeners: list[Callable[[Change], object]] = []
 
     def merge(self, number: int, claim: Claim, source: int, now_ms: float) -> bool:
         """Take a claim in; True if it changed the view. One about myself may be refuted by `refute`."""
@@ -72,7 +72,7 @@
                 return self.refute(claim, now_ms)
         self.claims[number] = claim
         self.since[number], self.said[number] = now_ms, source
-        for ear in self.ears:
+        for ear in self.listeners:
             ear(Change(number, old, claim, source))
         return True
 
@@ -81,7 +81,7 @@
         old, new = self.claims[self.me], Claim(claim.incarnation + 1, State.ALIVE)
         self.claims[self.me] = new
         self.since[self.me], self.said[self.me] = now_ms, self.me
-        for ear in self.ears:
+        for ear in self.listeners:
             ear(Change(self.me, old, new, self.me))
         return True
 
@@ -90,7 +90,7 @@
         old = self.claims[self.me]
         new = self.claims[self.me] = Claim(old.incarnation, State.LEFT)
         self.since[self.me], self.said[self.me] = now_ms, self.me
-        for ear in self.ears:
+        for ear in self.listeners:
             ear(Change(self.me, old, new, self.me))
 
     def forget(self, number: int) -> bool:
--- a/hitchtiller/ops/members.py
+++ b/hitchtiller/ops/members.py
@@ -44,7 +44,7 @@
         mark = zlib.crc32(f"{fleet} {size} {' '.join(settings.zones)}".encode())
         self.detector = Detector(self.me, size, int(begun), mark, period_ms, Random(int(begun)), begun)
         self.view = self.detector.view
-        self.view.ears.append(self.changed)
+        self.view.listeners.append(self.changed)
         self.homes, self.partition = Homes(size), Partition()
         self.changes: Counter[str] = Counter()
         self.handed = 0  # directory entries told to a new home
--- a/standins/gossipnet.py
+++ b/standins/gossipnet.py
@@ -48,7 +48,7 @@
         incarnation = 1_700_000_000_000 + int(begun)
         rng = Random(f"{self.seed}/{number}/{begun}")
         node = Detector(number, self.size, incarnation, 7, self.period_ms, rng, begun)
-        node.view.ears.append(lambda change: self.watch(change.number, change.new.state))
+        node.view.listeners.append(lambda change: self.watch(change.number, change.new.state))
         self.nodes[number] = node
         self.at(begun, lambda: self.turn(number, node))
 
