--- a/hitchtiller/membership/shares.py
+++ b/hitchtiller/membership/shares.py
@@ -33,7 +33,7 @@
     )
 
 
-def spend(bound: float, wanted: float, size: int, serving: int) -> float:
+def capped_share(bound: float, wanted: float, size: int, serving: int) -> float:
     """Give what one gateway spends of a bound that is a rule, where a whole fleet would use `wanted` of it.
 
     The wanted part is divided by those believed to serve, so that the rest takes over what the dead don't
--- a/standins/explore.py
+++ b/standins/explore.py
@@ -21,7 +21,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from hitchtiller.membership.shares import spend
+from hitchtiller.membership.shares import capped_share
 from hitchtiller.membership.view import Claim, State, View
 
 BOUND, WANTED = 1.0, 0.8  # of the bound: what the fleet would use at most if it were whole
@@ -106,7 +106,7 @@
     for told in views:
         if told:
             serving = sum(state < State.DEAD for _, state in told)
-            total += spend(BOUND, WANTED, size, serving)
+            total += capped_share(BOUND, WANTED, size, serving)
     return total
 
 
