--- a/hitchtiller/store/log.py
+++ b/hitchtiller/store/log.py
@@ -13,7 +13,7 @@
 from hitchtiller.store.jobs import LOG_LANE, Jobs
 from hitchtiller.store.purges import Purges
 from hitchtiller.store.recover import LOG, LOG_NEW
-from hitchtiller.store.suspect import Kept
+from hitchtiller.store.suspect import SavedProof
 
 GROWN = 1 << 20
 MOST_MS = 1 << 52
@@ -23,7 +23,7 @@
     """Appends entries; `failed` hears of the first error, after which nothing is written any more."""
 
     def __init__(
-        self, files: Files, jobs: Jobs, purges: Purges, kept: Kept, failed: Callable[[OSError], None]
+        self, files: Files, jobs: Jobs, purges: Purges, kept: SavedProof, failed: Callable[[OSError], None]
     ) -> None:
         """Begin with a new file of what is in force: a torn end of the old one is left behind that way."""
         self.files, self.jobs, self.purges, self.kept, self.failed = files, jobs, purges, kept, failed
--- a/hitchtiller/store/recover.py
+++ b/hitchtiller/store/recover.py
@@ -13,7 +13,7 @@
 from hitchtiller.store.index import SLOT, Index, fingerprint, pack_place, unpack_place
 from hitchtiller.store.purges import Purges
 from hitchtiller.store.space import Segment
-from hitchtiller.store.suspect import Kept
+from hitchtiller.store.suspect import SavedProof
 
 LOG, LOG_NEW = "purges.log", "purges.new"
 SEGMENT, CHECKPOINT = "segment-", "checkpoint-"
@@ -44,7 +44,7 @@
     index: Index = field(default_factory=Index)
     segments: dict[int, Segment] = field(default_factory=dict)
     purges: Purges = field(default_factory=Purges)
-    kept: Kept = field(default_factory=Kept)
+    kept: SavedProof = field(default_factory=SavedProof)
     checkpoint: int = 0  # its number; 0: none was used
     scanned: int = 0  # records read one by one
     next_id: int = 1  # above all numbers that were ever in a checkpoint or the folder
@@ -134,7 +134,7 @@
         else:
             key = entry.key if entry.kind == fmt.PURGE_OBJECT else None
             state.purges.add(key, entry.group, float(entry.at_ms))
-    state.kept = Kept(era, followed, gap_end)
+    state.kept = SavedProof(era, followed, gap_end)
     return True
 
 
@@ -188,7 +188,7 @@
     if not logged:
         # guards against a lost log: which purges were told is not known, so every copy there is must be asked
         # about
-        state.kept = Kept(era=eras, followed_ms=0.0, gap_end_ms=math.inf if state.segments else 0.0)
+        state.kept = SavedProof(era=eras, followed_ms=0.0, gap_end_ms=math.inf if state.segments else 0.0)
     for _, place in state.index.items():
         id, _, length = unpack_place(place)
         state.segments[id].live += length
--- a/hitchtiller/store/suspect.py
+++ b/hitchtiller/store/suspect.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Kept:
+class SavedProof:
     """What was durable when the process ended."""
 
     era: int = 0
@@ -30,7 +30,7 @@
 class Proof:
     """Decides which copies are proven; it is told of the bus and of both clocks."""
 
-    def __init__(self, kept: Kept, replay_ms: float, lag_ms: float = LAG_MS) -> None:
+    def __init__(self, kept: SavedProof, replay_ms: float, lag_ms: float = LAG_MS) -> None:
         """Start from what was kept; a start is told the purges of the last `replay_ms` again."""
         self.era, self.followed_ms, self.gap_end_ms = kept.era, kept.followed_ms, kept.gap_end_ms
         self.replay_ms, self.lag_ms = replay_ms, lag_ms
@@ -51,13 +51,13 @@
             self._raise(now_ms)
         return gap or self.era == 1
 
-    def adopt(self, kept: Kept, now_ms: float) -> bool:
+    def adopt(self, kept: SavedProof, now_ms: float) -> bool:
         """Take over what a folder kept, read only now; True if the era has to be made durable there.
 
         The bus has been followed since `begun_ms`, so only what lies before that can have been missed. Of two
         eras the later holds: copies of the other are asked about once, which is rare and safe.
         """
-        if kept == Kept():  # nothing was ever kept there, so nothing is in doubt
+        if kept == SavedProof():  # nothing was ever kept there, so nothing is in doubt
             return True
         gap = (
             not kept.followed_ms
--- a/tests/store/test_store_decide.py
+++ b/tests/store/test_store_decide.py
@@ -11,34 +11,34 @@
 from hitchtiller.store.pace import Pace
 from hitchtiller.store.purges import Purges
 from hitchtiller.store.space import Rate, Segment, Space
-from hitchtiller.store.suspect import Kept, Proof
+from hitchtiller.store.suspect import SavedProof, Proof
 
 
-def begun(kept: Kept, now: float = START, replay: float = 6000.0) -> Proof:
+def begun(kept: SavedProof, now: float = START, replay: float = 6000.0) -> Proof:
     proof = Proof(kept, replay, 500.0)
     proof.begin(now, 0.0)
     return proof
 
 
 def test_a_short_absence_is_covered_by_what_the_bus_tells_again() -> None:
-    proof = begun(Kept(3, START - 5_900.0, 1.0))
+    proof = begun(SavedProof(3, START - 5_900.0, 1.0))
     assert proof.era == 3 and proof.proven(3, START - 9_000.0, START)
 
 
 @pytest.mark.parametrize("followed", [0.0, START - 6_100.0, START + 50.0])
 def test_a_gap_or_a_clock_that_went_back_makes_all_copies_suspect(followed: float) -> None:
-    proof = begun(Kept(3, followed, 1.0))
+    proof = begun(SavedProof(3, followed, 1.0))
     assert proof.era == 4 and not proof.proven(3, START - 9_000.0, START)
     assert proof.proven(4, START, START)
 
 
 def test_nothing_is_proven_before_the_bus_has_told_all() -> None:
-    proof = Proof(Kept(3, START, 1.0), 6000.0)
+    proof = Proof(SavedProof(3, START, 1.0), 6000.0)
     assert not proof.proven(3, START, START) and not proof.confirms(START, START)
 
 
 def test_a_confirmation_must_be_from_after_the_gap() -> None:
-    proof = begun(Kept())
+    proof = begun(SavedProof())
     assert not proof.confirms(START - 1.0, START + 100.0)
     assert proof.confirms(START + 1.0, START + 100.0)
     assert not proof.confirms(START + 10_000.0, START + 100.0)
@@ -47,7 +47,7 @@
 
 @pytest.mark.parametrize("step", [-3_600_000.0, -1_500.0, 1_500.0, 3_600_000.0])
 def test_a_step_of_the_clock_raises_the_era_and_drift_does_not(step: float) -> None:
-    proof = begun(Kept(3, START, 1.0))
+    proof = begun(SavedProof(3, START, 1.0))
     for second in range(1, 20):
         assert not proof.stepped(START + 1010.0 * second, 1000.0 * second)
     assert proof.stepped(START + 1010.0 * 20 + step, 20_000.0)
@@ -56,7 +56,7 @@
 
 
 def test_the_watermark_lags_and_never_goes_back() -> None:
-    proof = begun(Kept())
+    proof = begun(SavedProof())
     proof.follow(START + 1000.0)
     assert proof.followed_ms == START + 500.0
     proof.follow(START + 800.0)
@@ -64,24 +64,24 @@
 
 
 def test_a_copy_from_ahead_of_the_clock_is_never_fresh() -> None:
-    proof = begun(Kept(3, START, 1.0))
+    proof = begun(SavedProof(3, START, 1.0))
     assert not proof.proven(3, START + 3_000.0, START)
 
 
 def test_a_folder_read_late_is_judged_by_when_the_bus_was_first_followed() -> None:
-    proof = Proof(Kept(), 6000.0, 500.0)
+    proof = Proof(SavedProof(), 6000.0, 500.0)
     proof.begin(START, 0.0)
-    assert not proof.adopt(Kept(7, START - 5_000.0, 5.0), START + 60_000.0)
+    assert not proof.adopt(SavedProof(7, START - 5_000.0, 5.0), START + 60_000.0)
     assert proof.era == 7 and proof.proven(7, START - 9_000.0, START + 60_000.0)
-    late = Proof(Kept(), 6000.0, 500.0)
+    late = Proof(SavedProof(), 6000.0, 500.0)
     late.begin(START, 0.0)
-    assert late.adopt(Kept(7, START - 7_000.0, 5.0), START + 60_000.0)
+    assert late.adopt(SavedProof(7, START - 7_000.0, 5.0), START + 60_000.0)
     assert late.era == 8 and late.gap_end_ms == START + 60_000.0
 
 
 def test_the_later_of_two_eras_holds() -> None:
-    proof = begun(Kept(9, START, 1.0))
-    assert proof.adopt(Kept(4, START, 2.0), START)
+    proof = begun(SavedProof(9, START, 1.0))
+    assert proof.adopt(SavedProof(4, START, 2.0), START)
     assert proof.era == 9 and not proof.proven(4, START, START)
 
 
