--- a/tests/store/test_store_tier.py
+++ b/tests/store/test_store_tier.py
@@ -10,7 +10,7 @@
 from hitchtiller.store import recover
 from hitchtiller.store.disk import Disk
 from hitchtiller.store.jobs import Inline
-from hitchtiller.store.suspect import SavedProof, Proof
+from hitchtiller.store.suspect import SavedProof, FreshnessProof
 from standins.files import SimFiles
 
 
@@ -331,7 +331,7 @@
                 return True
             return super().submit(lane, run, done)
 
-    proof = Proof(SavedProof(), 6000.0)
+    proof = FreshnessProof(SavedProof(), 6000.0)
     disk = Disk(files, Slow(), SMALL, found, proof)
     disk.proof = tiers.proof
     tiers.tier.attach(disk)
