--- a/hitchtiller/cli/bench.py
+++ b/hitchtiller/cli/bench.py
@@ -38,7 +38,7 @@
         for number in range(parts):
             body = block[number % 997 : number % 997 + size]
             at = time.perf_counter()
-            disk.put(Part(number, 0, -1, "files", 10**12 + 1, "tag", proof.era), body)
+            disk.put(Part(number, 0, -1, "files", 10**12 + 1, "tag", proof.epoch), body)
             longest = max(longest, time.perf_counter() - at)
             if number % 64 == 0:
                 bar.update(task, completed=number)
--- a/hitchtiller/cli/store.py
+++ b/hitchtiller/cli/store.py
@@ -59,7 +59,7 @@
         "records_read": found.scanned,
         "load_ms": round((time.monotonic() - begun) * 1000.0, 1),
         "index_bytes": found.index.room,
-        "era": kept.era,
+        "era": kept.epoch,
         "followed_ms": int(kept.followed_ms),
         "purged_objects": len(found.purges.objects),
         "purged_groups": len(found.purges.groups),
@@ -190,7 +190,7 @@
                 {
                     "file": file, "object": f"{part.key:016x}", "part": part.part, "group": part.group,
                     "class": part.class_name, "tag": part.tag, "since_ms": part.since_ms, "bytes": len(body),
-                    "era": part.era, "purged": not allowed,
+                    "era": part.epoch, "purged": not allowed,
                 }
             )  # fmt: skip
     files.close()
--- a/hitchtiller/store/disk.py
+++ b/hitchtiller/store/disk.py
@@ -103,7 +103,7 @@
         False if it is dropped. With `only` it takes effect where the index still has that place.
         """
         size = part.size(len(body))
-        era_known = part.era <= self.log.kept.era  # guards against records of an era that a crash would undo
+        era_known = part.epoch <= self.log.kept.epoch  # guards against records of an era that a crash would undo
         if (
             self.closed
             or not (self.health.writes and era_known)
@@ -353,19 +353,19 @@
         """Note a purge: in force at once, durable a little later."""
         if self.purges.add(key, group, at_ms) and self.health.writes:
             kind = fmt.PURGE_GROUP if key is None else fmt.PURGE_OBJECT
-            self.log.add(fmt.LogEntry(kind, self.proof.era, int(at_ms), group, key or 0), durable)
+            self.log.add(fmt.LogEntry(kind, self.proof.epoch, int(at_ms), group, key or 0), durable)
         elif durable:
             durable()
 
     def mark_followed(self) -> None:
         """Write the watermark: behind all purges that were noted before, in the same order."""
         if self.health.writes and self.proof.begun:
-            self.log.add(fmt.LogEntry(fmt.FOLLOWED, self.proof.era, int(self.proof.followed_ms)))
+            self.log.add(fmt.LogEntry(fmt.FOLLOWED, self.proof.epoch, int(self.proof.followed_ms)))
 
     def mark_era(self, durable: Callable[[], None] | None = None) -> None:
         """Write the era in force."""
         if self.health.writes:
-            self.log.add(fmt.LogEntry(fmt.ERA, self.proof.era, int(self.proof.gap_end_ms)), durable)
+            self.log.add(fmt.LogEntry(fmt.ERA, self.proof.epoch, int(self.proof.gap_end_ms)), durable)
 
     def remove(self, segment: Segment) -> None:
         """Take a segment out of the folder.
--- a/hitchtiller/store/format.py
+++ b/hitchtiller/store/format.py
@@ -46,7 +46,7 @@
     class_name: str
     since_ms: int
     tag: str
-    era: int
+    epoch: int
 
     def size(self, body: int) -> int:
         """Give the bytes that its record takes on disk with a body of this length."""
@@ -67,7 +67,7 @@
     """One line of the purge log: a purge, a watermark, a new era or a floor under all copies' times."""
 
     kind: int
-    era: int
+    epoch: int
     at_ms: int
     group: int = -1
     key: int = 0
@@ -116,7 +116,7 @@
         raise BadBytes("body, class or tag too long for a record")
     seed = place_seed(salt, offset)
     head = RECORD_HEAD.pack(
-        RECORD_MAGIC, VERSION, PART, len(name), len(tag), len(body), part.era, part.key, part.part,
+        RECORD_MAGIC, VERSION, PART, len(name), len(tag), len(body), part.epoch, part.key, part.part,
         part.group, part.since_ms, 0, crc(seed, body), 0,
     )[:-4] + name + tag  # fmt: skip
     bare = len(name) + len(tag)
@@ -130,7 +130,7 @@
     if len(data) < RECORD_HEAD.size:
         raise BadBytes("record cut short")
     fields = RECORD_HEAD.unpack_from(data)
-    magic, version, kind, name_size, tag_size, body_size, era, key, part, group, since = fields[:11]
+    magic, version, kind, name_size, tag_size, body_size, epoch, key, part, group, since = fields[:11]
     if magic != RECORD_MAGIC or version != VERSION or kind != PART:
         raise BadBytes("no record")
     start = RECORD_HEAD.size + name_size + tag_size
@@ -140,7 +140,7 @@
     if fields[13] != crc(place_seed(salt, offset), bytes(data[: RECORD_HEAD.size - 4]) + texts):
         raise BadBytes("record head's checksum does not hold")
     name, tag = texts[:name_size].decode(), texts[name_size:].decode()
-    return Part(key, part, group, name, since, tag, era), start, body_size
+    return Part(key, part, group, name, since, tag, epoch), start, body_size
 
 
 def read_record(data: bytes | memoryview, salt: int, offset: int) -> tuple[Part, bytes]:
@@ -163,7 +163,7 @@
 
 def write_log_entry(entry: LogEntry, salt: int, offset: int) -> bytes:
     """Write one line of the log for its place."""
-    bare = LOG_ENTRY.pack(entry.kind, entry.era, entry.at_ms, entry.group, entry.key, 0)[:-4]
+    bare = LOG_ENTRY.pack(entry.kind, entry.epoch, entry.at_ms, entry.group, entry.key, 0)[:-4]
     return bare + struct.pack("<I", crc(place_seed(salt, offset), bare))
 
 
@@ -180,11 +180,11 @@
     entries: list[LogEntry] = []
     at = LOG_HEAD
     while at + LOG_ENTRY.size <= len(data):
-        kind, era, when, group, key, check = LOG_ENTRY.unpack_from(data, at)
+        kind, epoch, when, group, key, check = LOG_ENTRY.unpack_from(data, at)
         bare = data[at : at + LOG_ENTRY.size - 4]
         if kind not in LOG_KINDS or check != crc(place_seed(salt, at), bare):
             break
-        entries.append(LogEntry(kind, era, when, group, key))
+        entries.append(LogEntry(kind, epoch, when, group, key))
         at += LOG_ENTRY.size
     return salt, entries, at
 
--- a/hitchtiller/store/log.py
+++ b/hitchtiller/store/log.py
@@ -89,23 +89,23 @@
 
         The era and watermark are those that were durable: newer ones are in `waiting` and follow.
         """
-        era, followed, gap = self.kept.era, self.kept.followed_ms, self.kept.gap_end_ms
-        entries = [fmt.LogEntry(fmt.ERA, era, int(min(gap, MOST_MS)))] if era else []
+        epoch, followed, gap = self.kept.epoch, self.kept.followed_ms, self.kept.gap_end_ms
+        entries = [fmt.LogEntry(fmt.ERA, epoch, int(min(gap, MOST_MS)))] if epoch else []
         if self.purges.floor > 0:
-            entries.append(fmt.LogEntry(fmt.FLOOR, era, int(self.purges.floor)))
+            entries.append(fmt.LogEntry(fmt.FLOOR, epoch, int(self.purges.floor)))
         entries += [
-            fmt.LogEntry(fmt.PURGE_GROUP, era, int(at), group) for group, at in self.purges.groups.items()
+            fmt.LogEntry(fmt.PURGE_GROUP, epoch, int(at), group) for group, at in self.purges.groups.items()
         ]
         entries += [
-            fmt.LogEntry(fmt.PURGE_OBJECT, era, int(at), -1, key) for key, at in self.purges.objects.items()
+            fmt.LogEntry(fmt.PURGE_OBJECT, epoch, int(at), -1, key) for key, at in self.purges.objects.items()
         ]
         if followed:
-            entries.append(fmt.LogEntry(fmt.FOLLOWED, era, int(followed)))
+            entries.append(fmt.LogEntry(fmt.FOLLOWED, epoch, int(followed)))
         return entries
 
     def _note(self, entry: fmt.LogEntry) -> None:
         """Keep in mind what is durable now."""
         if entry.kind == fmt.ERA:
-            self.kept = replace(self.kept, era=entry.era, gap_end_ms=float(entry.at_ms))
+            self.kept = replace(self.kept, epoch=entry.epoch, gap_end_ms=float(entry.at_ms))
         elif entry.kind == fmt.FOLLOWED:
             self.kept = replace(self.kept, followed_ms=float(entry.at_ms))
--- a/hitchtiller/store/plan.py
+++ b/hitchtiller/store/plan.py
@@ -48,7 +48,7 @@
         age = now_ms - part.since_ms
         if cls.fresh_ms and age > cls.fresh_ms + cls.grace_ms:
             return State.DEAD
-        if not self.proof.proven(part.era, part.since_ms, now_ms):
+        if not self.proof.proven(part.epoch, part.since_ms, now_ms):
             return State.SUSPECT
         return State.STALE if cls.fresh_ms and age > cls.fresh_ms else State.FRESH
 
@@ -72,7 +72,7 @@
             return None
         if len(ending.body) > MOST_BODY or len(ending.tag.encode()) > MOST_TEXT or ask.group > 0xFFFF:
             return None
-        part = Part(ask.key, ask.part, ask.group, ask.class_name, ending.since_ms, ending.tag, self.proof.era)
+        part = Part(ask.key, ask.part, ask.group, ask.class_name, ending.since_ms, ending.tag, self.proof.epoch)
         return part if self.judge(part, now_ms) is State.FRESH else None
 
     def may_confirm(self, ask: ClientRequest) -> bool:
--- a/hitchtiller/store/recover.py
+++ b/hitchtiller/store/recover.py
@@ -123,10 +123,10 @@
         if not isinstance(error, FileNotFoundError):
             state.notes.append(f"{LOG}: {error}")
         return False
-    era, followed, gap_end = 0, 0.0, 0.0
+    epoch, followed, gap_end = 0, 0.0, 0.0
     for entry in entries:
         if entry.kind == fmt.ERA:
-            era, gap_end = entry.era, float(entry.at_ms)
+            epoch, gap_end = entry.epoch, float(entry.at_ms)
         elif entry.kind == fmt.FOLLOWED:
             followed = float(entry.at_ms)
         elif entry.kind == fmt.FLOOR:
@@ -134,7 +134,7 @@
         else:
             key = entry.key if entry.kind == fmt.PURGE_OBJECT else None
             state.purges.add(key, entry.group, float(entry.at_ms))
-    state.kept = SavedProof(era, followed, gap_end)
+    state.kept = SavedProof(epoch, followed, gap_end)
     return True
 
 
@@ -183,12 +183,12 @@
             state.scanned += 1
             state.index.put(fingerprint(part.key, part.part), pack_place(id, at, length))
             segment.oldest_ms = min(segment.oldest_ms, float(part.since_ms))
-            eras = max(eras, part.era)
+            eras = max(eras, part.epoch)
         tick(id)
     if not logged:
         # guards against a lost log: which purges were told is not known, so every copy there is must be asked
         # about
-        state.kept = SavedProof(era=eras, followed_ms=0.0, gap_end_ms=math.inf if state.segments else 0.0)
+        state.kept = SavedProof(epoch=eras, followed_ms=0.0, gap_end_ms=math.inf if state.segments else 0.0)
     for _, place in state.index.items():
         id, _, length = unpack_place(place)
         state.segments[id].live += length
--- a/hitchtiller/store/suspect.py
+++ b/hitchtiller/store/suspect.py
@@ -22,7 +22,7 @@
 class SavedProof:
     """What was durable when the process ended."""
 
-    era: int = 0
+    epoch: int = 0
     followed_ms: float = 0.0  # 0: never followed
     gap_end_ms: float = 0.0  # copies of older eras must be confirmed from after this
 
@@ -32,7 +32,7 @@
 
     def __init__(self, kept: SavedProof, replay_ms: float, lag_ms: float = LAG_MS) -> None:
         """Start from what was kept; a start is told the purges of the last `replay_ms` again."""
-        self.era, self.followed_ms, self.gap_end_ms = kept.era, kept.followed_ms, kept.gap_end_ms
+        self.epoch, self.followed_ms, self.gap_end_ms = kept.epoch, kept.followed_ms, kept.gap_end_ms
         self.replay_ms, self.lag_ms = replay_ms, lag_ms
         self.begun = False  # nothing is proven before the bus has told all there was
         self.begun_ms = 0.0  # purges from `replay_ms` before this on are known
@@ -47,9 +47,9 @@
         self.offset_ms = now_ms - steady_ms
         self.begun, self.begun_ms = True, now_ms
         gap = not self.followed_ms or now_ms < self.followed_ms or now_ms - self.replay_ms > self.followed_ms
-        if gap or not self.era:
+        if gap or not self.epoch:
             self._raise(now_ms)
-        return gap or self.era == 1
+        return gap or self.epoch == 1
 
     def adopt(self, kept: SavedProof, now_ms: float) -> bool:
         """Take over what a folder kept, read only now; True if the era has to be made durable there.
@@ -64,17 +64,17 @@
             or kept.followed_ms > now_ms
             or kept.followed_ms < self.begun_ms - self.replay_ms
         )
-        self.era = max(self.era, kept.era)
-        self.gap_end_ms = max(self.gap_end_ms if self.era > kept.era else 0.0, kept.gap_end_ms)
+        self.epoch = max(self.epoch, kept.epoch)
+        self.gap_end_ms = max(self.gap_end_ms if self.epoch > kept.epoch else 0.0, kept.gap_end_ms)
         self.followed_ms = (
             max(self.followed_ms, kept.followed_ms) if self.begun and not gap else kept.followed_ms
         )
         if self.begun and gap:
             self._raise(now_ms)
-        return self.era != kept.era
+        return self.epoch != kept.epoch
 
     def _raise(self, now_ms: float) -> None:
-        self.era += 1
+        self.epoch += 1
         self.gap_end_ms = now_ms
 
     def stepped(self, now_ms: float, steady_ms: float) -> bool:
@@ -101,9 +101,9 @@
         if self.begun:
             self.followed_ms = max(self.followed_ms, now_ms - self.lag_ms)
 
-    def proven(self, era: int, since_ms: float, now_ms: float) -> bool:
+    def proven(self, epoch: int, since_ms: float, now_ms: float) -> bool:
         """Tell whether a copy of this era may be served without asking, as far as missed purges go."""
-        return self.begun and era == self.era and since_ms <= now_ms + FUTURE_MS
+        return self.begun and epoch == self.epoch and since_ms <= now_ms + FUTURE_MS
 
     def confirms(self, since_ms: float, now_ms: float) -> bool:
         """Tell whether a confirmation with this time is from after the gap."""
--- a/hitchtiller/store/tier.py
+++ b/hitchtiller/store/tier.py
@@ -53,7 +53,7 @@
         ] = {}  # by request: a copy that may be confirmed, or serve where nothing else does
         self.hits = {"memory": 0, "disk": 0, "joined": 0, "stale": 0}
         self.confirmed = self.refuted = self.misses = self.slow_link = 0
-        self.era = proof.era
+        self.epoch = proof.epoch
         engine.copies = self
         self._publish()
 
@@ -91,7 +91,7 @@
     def cap(self, exchange: Exchange, cap_ms: float, now_ms: float) -> float:
         """What confirms a suspect must be from after the gap."""
         copy = self.held.get(exchange.number)
-        if not exchange.confirm_tag or copy is None or copy.part.era == self.proof.era:
+        if not exchange.confirm_tag or copy is None or copy.part.epoch == self.proof.epoch:
             return cap_ms
         return self.plan.cap_ms(now_ms, cap_ms)
 
@@ -104,7 +104,7 @@
         held = self.held.pop(exchange.number, None)
         part = self.plan.keep(exchange.request, ending, now)
         if held and held.part.tag != ending.tag:
-            self.refuted += held.part.era != self.proof.era
+            self.refuted += held.part.epoch != self.proof.epoch
             self._forget(fingerprint(held.part.key, held.part.part))
         if part:
             self._keep(part, ending.body)
@@ -117,7 +117,7 @@
         if copy and ours and self.proof.confirms(ending.since_ms, now):
             part = copy.part
             fresh = Part(
-                part.key, part.part, part.group, part.class_name, ending.since_ms, part.tag, self.proof.era
+                part.key, part.part, part.group, part.class_name, ending.since_ms, part.tag, self.proof.epoch
             )
             if self.plan.judge(fresh, now) is State.FRESH:
                 self.confirmed += 1
@@ -153,7 +153,7 @@
                 return
             ask = exchange.request
             part = Part(
-                ask.key, ask.part, ask.group, ask.class_name, answer.since_ms, answer.tag, self.proof.era
+                ask.key, ask.part, ask.group, ask.class_name, answer.since_ms, answer.tag, self.proof.epoch
             )
             copy = Copy(part, answer.body)
             for then, other in self.joins.served(number, answer.since_ms):
@@ -193,9 +193,9 @@
             self._new_era("the clock stepped")
 
     def _new_era(self, why: str) -> None:
-        if self.proof.era != self.era:
-            self.era = self.proof.era
-            logger.warning("copies from before are suspect, era {}: {}", self.era, why)
+        if self.proof.epoch != self.epoch:
+            self.epoch = self.proof.epoch
+            logger.warning("copies from before are suspect, era {}: {}", self.epoch, why)
             if self.disk:
                 self.disk.mark_era()
 
@@ -214,9 +214,9 @@
             disk.purge(key, -1, at)
         if self.proof.adopt(disk.log.kept, self.engine.clock.now_ms()):
             disk.mark_era()
-        if self.proof.era != self.era:
-            logger.info("era {}, the folder's was {}", self.proof.era, disk.log.kept.era)
-            self.era = self.proof.era
+        if self.proof.epoch != self.epoch:
+            logger.info("era {}, the folder's was {}", self.proof.epoch, disk.log.kept.epoch)
+            self.epoch = self.proof.epoch
 
     def detach(self) -> None:
         """Go on with memory alone."""
@@ -343,7 +343,7 @@
         for name in ("joined", "promoted", "impatient", "spared"):
             stats.counts[f"store.join.{name}"] = partial(getattr, self.joins, name)
         stats.levels["store.memory_bytes"] = lambda: self.memory.used
-        stats.levels["store.era"] = lambda: self.proof.era
+        stats.levels["store.era"] = lambda: self.proof.epoch
         for name in ("segments", "parts", "bytes", "dead_bytes", "queued_bytes", "state"):
             stats.levels[f"store.disk.{name}"] = partial(self._disk_figure, name)
         for name in ("puts", "dropped", "reads", "glanced", "torn", "checkpoints"):
--- a/standins/crashpoints.py
+++ b/standins/crashpoints.py
@@ -74,7 +74,7 @@
             key, draw = rng.randrange(KEYS), rng.random()
             if draw < 0.62:
                 version = model.version.get(key, 0)
-                part = Part(key, 0, key % 4, "files", int(model.now), f"v{version}", disk.proof.era)
+                part = Part(key, 0, key % 4, "files", int(model.now), f"v{version}", disk.proof.epoch)
                 disk.put(part, make_body(key, 0, version, rng.randrange(10, 6_000)))
             elif draw < 0.77:
                 model.version[key] = model.version.get(key, 0) + 1
@@ -135,7 +135,7 @@
         if body != make_body(key, 0, version, len(body)) or part.key != key:
             self.wrong.append(f"torn: object {key}")
         allowed = disk.purges.allows(part.key, part.group, part.since_ms)
-        proven = disk.proof.proven(part.era, part.since_ms, model.now)
+        proven = disk.proof.proven(part.epoch, part.since_ms, model.now)
         self.counts["proven" if allowed and proven else "suspect or dead"] += 1
         if allowed and proven and version < model.version.get(key, 0):
             self.wrong.append(f"old: object {key}, version {version} of {model.version[key]}")
--- a/tests/store/test_store_decide.py
+++ b/tests/store/test_store_decide.py
@@ -22,13 +22,13 @@
 
 def test_a_short_absence_is_covered_by_what_the_bus_tells_again() -> None:
     proof = begun(SavedProof(3, START - 5_900.0, 1.0))
-    assert proof.era == 3 and proof.proven(3, START - 9_000.0, START)
+    assert proof.epoch == 3 and proof.proven(3, START - 9_000.0, START)
 
 
 @pytest.mark.parametrize("followed", [0.0, START - 6_100.0, START + 50.0])
 def test_a_gap_or_a_clock_that_went_back_makes_all_copies_suspect(followed: float) -> None:
     proof = begun(SavedProof(3, followed, 1.0))
-    assert proof.era == 4 and not proof.proven(3, START - 9_000.0, START)
+    assert proof.epoch == 4 and not proof.proven(3, START - 9_000.0, START)
     assert proof.proven(4, START, START)
 
 
@@ -51,7 +51,7 @@
     for second in range(1, 20):
         assert not proof.stepped(START + 1010.0 * second, 1000.0 * second)
     assert proof.stepped(START + 1010.0 * 20 + step, 20_000.0)
-    assert proof.era == 4 and not proof.proven(3, START, START + 20_000.0)
+    assert proof.epoch == 4 and not proof.proven(3, START, START + 20_000.0)
     assert proof.followed_ms <= START + 20_200.0 + step
 
 
@@ -72,17 +72,17 @@
     proof = FreshnessProof(SavedProof(), 6000.0, 500.0)
     proof.begin(START, 0.0)
     assert not proof.adopt(SavedProof(7, START - 5_000.0, 5.0), START + 60_000.0)
-    assert proof.era == 7 and proof.proven(7, START - 9_000.0, START + 60_000.0)
+    assert proof.epoch == 7 and proof.proven(7, START - 9_000.0, START + 60_000.0)
     late = FreshnessProof(SavedProof(), 6000.0, 500.0)
     late.begin(START, 0.0)
     assert late.adopt(SavedProof(7, START - 7_000.0, 5.0), START + 60_000.0)
-    assert late.era == 8 and late.gap_end_ms == START + 60_000.0
+    assert late.epoch == 8 and late.gap_end_ms == START + 60_000.0
 
 
 def test_the_later_of_two_eras_holds() -> None:
     proof = begun(SavedProof(9, START, 1.0))
     assert proof.adopt(SavedProof(4, START, 2.0), START)
-    assert proof.era == 9 and not proof.proven(4, START, START)
+    assert proof.epoch == 9 and not proof.proven(4, START, START)
 
 
 def test_a_purge_forbids_what_is_as_old_as_itself() -> None:
--- a/tests/store/test_store_disk.py
+++ b/tests/store/test_store_disk.py
@@ -38,7 +38,7 @@
 
 def put(disk: Disk, key: int, size: int = 1000, since: float = START) -> bytes:
     body = make_body(key, 0, 0, size)
-    assert disk.put(part(key, since=int(since), era=disk.proof.era), body)
+    assert disk.put(part(key, since=int(since), epoch=disk.proof.epoch), body)
     return body
 
 
@@ -76,10 +76,10 @@
     disk = opened(files)
     body = put(disk, 1)
     files.faults["write"] = fail(code, "segment")  # type: ignore[assignment]
-    disk.put(part(2, era=disk.proof.era), b"x")
+    disk.put(part(2, epoch=disk.proof.epoch), b"x")
     assert disk.health.state == READ_ONLY and get(disk, 1) == body and get(disk, 2) is None
     del files.faults["write"]
-    assert not disk.put(part(3, era=disk.proof.era), b"x") and disk.counts.dropped
+    assert not disk.put(part(3, epoch=disk.proof.epoch), b"x") and disk.counts.dropped
     assert len(recover.load(files).index) == 1
 
 
@@ -109,7 +109,7 @@
     disk.mark_followed()
     assert not told and not disk.health.writes
     again = opened(files, START + 61_000.0)
-    assert again.proof.era == disk.proof.era + 1 and not again.proof.proven(1, START, START + 61_000.0)
+    assert again.proof.epoch == disk.proof.epoch + 1 and not again.proof.proven(1, START, START + 61_000.0)
 
 
 def test_a_folder_that_is_gone_switches_the_tier_off(tmp_path: Path) -> None:
@@ -150,8 +150,8 @@
 def test_a_record_within_a_body_is_never_found_by_a_scan() -> None:
     files = SimFiles()
     disk = opened(files)
-    inner = fmt.write_record(part(666, era=1), b"planted", disk.space.next_id, 64).ljust(4096, b"\0")
-    disk.put(part(1, era=disk.proof.era), b"\0" * 3 + inner)
+    inner = fmt.write_record(part(666, epoch=1), b"planted", disk.space.next_id, 64).ljust(4096, b"\0")
+    disk.put(part(1, epoch=disk.proof.epoch), b"\0" * 3 + inner)
     put(disk, 2)
     files.nodes[recover.segment_name(1)].content()
     node = files.nodes[recover.segment_name(1)]
@@ -172,7 +172,7 @@
     victim = disk.space.segments[1]
     assert victim.dead > victim.size / 2
     newer = make_body(25, 0, 1, 900)
-    disk.put(part(25, since=int(START), era=disk.proof.era, tag="t2"), newer)
+    disk.put(part(25, since=int(START), epoch=disk.proof.epoch, tag="t2"), newer)
     compactor = Compactor(disk, lambda mark: 2, FAST)
     while compactor.step(START, False):
         pass
@@ -187,7 +187,7 @@
     disk = opened(files)
     compactor = Compactor(disk, lambda mark: 2, FAST)
     for key in range(1500):
-        disk.put(part(key, since=int(START), era=disk.proof.era), bytes(1000))
+        disk.put(part(key, since=int(START), epoch=disk.proof.epoch), bytes(1000))
         while compactor.step(START, False):
             pass
         assert sum(files.size(name) for name in files.names() if name.startswith("segment")) <= SMALL.budget
@@ -214,10 +214,10 @@
     disk = opened(files)
     put(disk, 1)
     disk.sync()
-    era = disk.proof.era
+    epoch = disk.proof.epoch
     files.remove(recover.LOG)
     again = opened(files, START + 10.0)
-    assert again.proof.era == era + 1 and get(again, 1) is not None
+    assert again.proof.epoch == epoch + 1 and get(again, 1) is not None
 
 
 def test_records_wait_until_their_era_is_durable() -> None:
@@ -226,9 +226,9 @@
     found = recover.load(files)
     disk = Disk(files, Inline(), SMALL, found, FreshnessProof(found.kept, 6000.0))
     disk.proof.begin(START, 0.0)
-    assert not disk.put(part(1, era=disk.proof.era), b"x")
+    assert not disk.put(part(1, epoch=disk.proof.epoch), b"x")
     disk.mark_era()
-    assert disk.put(part(1, era=disk.proof.era), b"x")
+    assert disk.put(part(1, epoch=disk.proof.epoch), b"x")
 
 
 def test_one_owner_at_a_time(tmp_path: Path) -> None:
@@ -298,7 +298,7 @@
         """Let the wall clock step while the steady one stands; nothing from before may be proven any more."""
         disk = self.run.disk
         assert disk
-        old = disk.proof.era
+        old = disk.proof.epoch
         disk.proof.offset_ms = (disk.proof.offset_ms or 0.0) - ms
         assert disk.proof.stepped(self.run.model.now, self.run.model.now)
         disk.mark_era()
--- a/tests/store/test_store_format.py
+++ b/tests/store/test_store_format.py
@@ -15,7 +15,7 @@
     class_name=st.text(max_size=20),
     since_ms=st.integers(0, 2**52),
     tag=st.text("abc0123", max_size=20),
-    era=st.integers(0, 2**32 - 1),
+    epoch=st.integers(0, 2**32 - 1),
 )
 
 
--- a/tests/store/test_store_tier.py
+++ b/tests/store/test_store_tier.py
@@ -307,7 +307,7 @@
     again.tier.on_caught_up()
     again.disk(files)
     exchange = again.ask(1)
-    assert exchange.confirm_tag == "t1" and again.proof.era > 1
+    assert exchange.confirm_tag == "t1" and again.proof.epoch > 1
     other = again.ask(2)
     assert not other.confirm_tag, "a purged copy is not even asked about"
 
--- a/tests/store/tiers.py
+++ b/tests/store/tiers.py
@@ -109,7 +109,7 @@
         return disk
 
 
-def part(key: int = 1, number: int = 0, since: int = 1000, era: int = 1, **more: Any) -> Part:
+def part(key: int = 1, number: int = 0, since: int = 1000, epoch: int = 1, **more: Any) -> Part:
     """Make a part's description."""
     fields = {"group": 3, "class_name": "small", "tag": "t1"} | more
-    return Part(key, number, since_ms=since, era=era, **fields)
+    return Part(key, number, since_ms=since, epoch=epoch, **fields)
