--- a/hitchtiller/cli/bench.py
+++ b/hitchtiller/cli/bench.py
@@ -30,7 +30,7 @@
     proof = FreshnessProof(recover.Recovered().kept, 0.0)
     disk = Disk(files, Inline(), Options(budget, 0, 64 * MB // 64 * 64, 64 * MB), recover.Recovered(), proof)
     proof.begin(1e12, 1e12)
-    disk.mark_era()
+    disk.mark_epoch()
     block = random.Random(1).randbytes(size + parts % 997 + 997)
     begun, longest = time.perf_counter(), 0.0
     with show.progress() as bar:
--- a/hitchtiller/store/disk.py
+++ b/hitchtiller/store/disk.py
@@ -362,7 +362,7 @@
         if self.health.writes and self.proof.begun:
             self.log.add(fmt.LogEntry(fmt.FOLLOWED, self.proof.epoch, int(self.proof.followed_ms)))
 
-    def mark_era(self, durable: Callable[[], None] | None = None) -> None:
+    def mark_epoch(self, durable: Callable[[], None] | None = None) -> None:
         """Write the era in force."""
         if self.health.writes:
             self.log.add(fmt.LogEntry(fmt.ERA, self.proof.epoch, int(self.proof.gap_end_ms)), durable)
--- a/hitchtiller/store/tier.py
+++ b/hitchtiller/store/tier.py
@@ -197,7 +197,7 @@
             self.epoch = self.proof.epoch
             logger.warning("copies from before are suspect, era {}: {}", self.epoch, why)
             if self.disk:
-                self.disk.mark_era()
+                self.disk.mark_epoch()
 
     def attach(self, disk: Disk) -> None:
         """Take a folder's parts into use, with the purges it knows.
@@ -213,7 +213,7 @@
         for key, at in mine.objects.items():
             disk.purge(key, -1, at)
         if self.proof.adopt(disk.log.kept, self.engine.clock.now_ms()):
-            disk.mark_era()
+            disk.mark_epoch()
         if self.proof.epoch != self.epoch:
             logger.info("era {}, the folder's was {}", self.proof.epoch, disk.log.kept.epoch)
             self.epoch = self.proof.epoch
--- a/standins/crashpoints.py
+++ b/standins/crashpoints.py
@@ -59,7 +59,7 @@
         proof = FreshnessProof(found.kept, REPLAY_MS, 100.0)
         disk = self.disk = Disk(self.files, Inline(), OPTIONS, found, proof)
         self.counts["gaps"] += proof.begin(self.model.now, self.model.now)
-        disk.mark_era()
+        disk.mark_epoch()
         for key, at in self.model.told.items():  # the bus tells those of the last while again
             if at >= self.model.now - REPLAY_MS:
                 disk.purge(key, -1, at)
--- a/tests/store/test_store_disk.py
+++ b/tests/store/test_store_disk.py
@@ -32,7 +32,7 @@
     proof = FreshnessProof(found.kept, 6000.0, 500.0)
     disk = Disk(files, Inline(), options, found, proof)
     proof.begin(now, 0.0)
-    disk.mark_era()
+    disk.mark_epoch()
     return disk
 
 
@@ -227,7 +227,7 @@
     disk = Disk(files, Inline(), SMALL, found, FreshnessProof(found.kept, 6000.0))
     disk.proof.begin(START, 0.0)
     assert not disk.put(part(1, epoch=disk.proof.epoch), b"x")
-    disk.mark_era()
+    disk.mark_epoch()
     assert disk.put(part(1, epoch=disk.proof.epoch), b"x")
 
 
@@ -301,7 +301,7 @@
         old = disk.proof.epoch
         disk.proof.offset_ms = (disk.proof.offset_ms or 0.0) - ms
         assert disk.proof.stepped(self.run.model.now, self.run.model.now)
-        disk.mark_era()
+        disk.mark_epoch()
         assert not disk.proof.proven(old, self.run.model.now, self.run.model.now)
 
     @invariant()
