--- a/hitchtiller/store/jobs.py
+++ b/hitchtiller/store/jobs.py
@@ -29,7 +29,7 @@
         """Run a call; `done` hears of its result or its error, in the loop. False: the lane is full."""
 
 
-class Inline:
+class InlineJobs:
     """Runs each call at once: for tools and tests."""
 
     def submit(self, lane: str, run: Callable[[], Any], done: Done) -> bool:
--- a/standins/crashpoints.py
+++ b/standins/crashpoints.py
@@ -21,7 +21,7 @@
 from hitchtiller.store.disk import Disk, Options
 from hitchtiller.store.format import Part
 from hitchtiller.store.index import unpack_place
-from hitchtiller.store.jobs import Inline
+from hitchtiller.store.jobs import InlineJobs
 from hitchtiller.store.space import Rate
 from hitchtiller.store.suspect import FreshnessProof
 from standins.files import Crash, SimFiles
@@ -57,7 +57,7 @@
         """Start as a gateway does: read the folder, hear the bus, take over the era."""
         found = recover.load(self.files)
         proof = FreshnessProof(found.kept, REPLAY_MS, 100.0)
-        disk = self.disk = Disk(self.files, Inline(), OPTIONS, found, proof)
+        disk = self.disk = Disk(self.files, InlineJobs(), OPTIONS, found, proof)
         self.counts["gaps"] += proof.begin(self.model.now, self.model.now)
         disk.mark_epoch()
         for key, at in self.model.told.items():  # the bus tells those of the last while again
--- a/tests/store/test_store_disk.py
+++ b/tests/store/test_store_disk.py
@@ -17,7 +17,7 @@
 from hitchtiller.store.files import OsFiles
 from hitchtiller.store.health import OFF, READ_ONLY
 from hitchtiller.store.index import fingerprint
-from hitchtiller.store.jobs import Inline
+from hitchtiller.store.jobs import InlineJobs
 from hitchtiller.store.space import Rate
 from hitchtiller.store.suspect import FreshnessProof
 from standins.crashpoints import Run, point
@@ -30,7 +30,7 @@
 def opened(files: SimFiles | OsFiles, now: float = START, options: Options = SMALL) -> Disk:
     found = recover.load(files)
     proof = FreshnessProof(found.kept, 6000.0, 500.0)
-    disk = Disk(files, Inline(), options, found, proof)
+    disk = Disk(files, InlineJobs(), options, found, proof)
     proof.begin(now, 0.0)
     disk.mark_epoch()
     return disk
@@ -224,7 +224,7 @@
     """A crash would have given the same era to the next life, with this life's records in it."""
     files = SimFiles()
     found = recover.load(files)
-    disk = Disk(files, Inline(), SMALL, found, FreshnessProof(found.kept, 6000.0))
+    disk = Disk(files, InlineJobs(), SMALL, found, FreshnessProof(found.kept, 6000.0))
     disk.proof.begin(START, 0.0)
     assert not disk.put(part(1, epoch=disk.proof.epoch), b"x")
     disk.mark_epoch()
--- a/tests/store/test_store_tier.py
+++ b/tests/store/test_store_tier.py
@@ -9,7 +9,7 @@
 from hitchtiller.exchange import FAILED, REFUSED, SERVED, AttemptResult
 from hitchtiller.store import recover
 from hitchtiller.store.disk import Disk
-from hitchtiller.store.jobs import Inline
+from hitchtiller.store.jobs import InlineJobs
 from hitchtiller.store.suspect import SavedProof, FreshnessProof
 from standins.files import SimFiles
 
@@ -324,7 +324,7 @@
     found = recover.load(files)
     held: list[object] = []
 
-    class Slow(Inline):
+    class Slow(InlineJobs):
         def submit(self, lane, run, done):  # type: ignore[no-untyped-def]
             if lane == "read":
                 held.append(done)
--- a/tests/store/tiers.py
+++ b/tests/store/tiers.py
@@ -16,7 +16,7 @@
 from hitchtiller.store.disk import Disk, Options
 from hitchtiller.store.files import Files
 from hitchtiller.store.format import Part
-from hitchtiller.store.jobs import Inline
+from hitchtiller.store.jobs import InlineJobs
 from hitchtiller.store.memory import Memory
 from hitchtiller.store.pace import Pace
 from hitchtiller.store.suspect import SavedProof, FreshnessProof
@@ -104,7 +104,7 @@
     def disk(self, files: Files | None = None, options: Options = SMALL) -> Disk:
         """Attach a folder."""
         files = files or SimFiles(random.Random(1))
-        disk = Disk(files, Inline(), options, recover.load(files), self.proof)
+        disk = Disk(files, InlineJobs(), options, recover.load(files), self.proof)
         self.tier.attach(disk)
         return disk
 
