--- a/hitchtiller/cli/serve.py
+++ b/hitchtiller/cli/serve.py
@@ -24,7 +24,7 @@
 def with_store(settings: Store) -> Callable[[Gateway], Callable[[], None]]:
     """Join the tiers to a gateway."""
     from hitchtiller.store.disk import Options
-    from hitchtiller.store.jobs import Threads
+    from hitchtiller.store.jobs import ThreadJobs
     from hitchtiller.store.keeper import Keeper
     from hitchtiller.store.memory import Memory
     from hitchtiller.store.pace import Pace
@@ -52,7 +52,7 @@
             checkpoint_ms=disk.checkpoint_s * 1000.0,
         )
         rate = Rate(disk.compact_mb_per_s * MB, disk.compact_busy_mb_per_s * MB, 4.0 * MB)
-        jobs = Threads(sched, disk.readers)
+        jobs = ThreadJobs(sched, disk.readers)
         keeper = Keeper(sched, tier, gateway.front, Path(disk.folder), options, jobs, rate)
         sched.spawn(keeper.run)
         return keeper.finish
--- a/hitchtiller/store/jobs.py
+++ b/hitchtiller/store/jobs.py
@@ -43,7 +43,7 @@
         return True
 
 
-class Threads:
+class ThreadJobs:
     """Worker threads beside one scheduler.
 
     Only `submit` and `done` touch the store's state, both in the loop.
--- a/hitchtiller/store/keeper.py
+++ b/hitchtiller/store/keeper.py
@@ -21,7 +21,7 @@
 from hitchtiller.store.disk import Disk, Options
 from hitchtiller.store.files import OsFiles
 from hitchtiller.store.health import OFF
-from hitchtiller.store.jobs import LOG_LANE, WRITE_LANE, Threads
+from hitchtiller.store.jobs import LOG_LANE, WRITE_LANE, ThreadJobs
 from hitchtiller.store.space import Rate
 from hitchtiller.store.tier import Tier
 
@@ -41,7 +41,7 @@
         front: Front,
         folder: Path,
         options: Options,
-        jobs: Threads,
+        jobs: ThreadJobs,
         rate: Rate,
         open_files: Callable[[Path], OsFiles] = OsFiles,
     ) -> None:
--- a/standins/lag.py
+++ b/standins/lag.py
@@ -29,7 +29,7 @@
 from hitchtiller.settings import read_settings
 from hitchtiller.store.disk import Options
 from hitchtiller.store.files import OsFiles
-from hitchtiller.store.jobs import Threads
+from hitchtiller.store.jobs import ThreadJobs
 from hitchtiller.store.keeper import Keeper
 from hitchtiller.store.memory import Memory
 from hitchtiller.store.pace import Pace
@@ -114,7 +114,7 @@
         tier.on_caught_up()
         front = Front(sched, engine, setup, 10, 10)
         front.leave = DrainControl(front)
-        jobs = Threads(sched)
+        jobs = ThreadJobs(sched)
         options = Options(budget=200 * MB, segment_bytes=8 * MB, checkpoint_ms=2_000.0, sync_ms=200.0)
         make = Stalling if way == "stalled" else OsFiles
         keeper = Keeper(sched, tier, front, folder, options, jobs, Rate(50e6, 5e6, 4e6), make)
