--- a/hitchtiller/cli/store.py
+++ b/hitchtiller/cli/store.py
@@ -145,7 +145,7 @@
         "bytes_before": before,
         "bytes_after": after,
         "parts": len(disk.index),
-        "carried": compactor.carried,
+        "carried": compactor.records_copied,
         "segments": len(disk.space.segments),
         "state": state.state,
     }
--- a/hitchtiller/store/compact.py
+++ b/hitchtiller/store/compact.py
@@ -29,7 +29,7 @@
         self.open = 0  # copies being written
         self.moved = 0  # bytes of the victim written again
         self.failed = False
-        self.segments = self.carried = self.let_go = 0
+        self.segments = self.records_copied = self.let_go = 0
 
     def step(self, now_ms: float, busy: bool) -> bool:
         """Do a little; False if there is nothing to do now."""
@@ -109,7 +109,7 @@
             return  # a newer record is on its way: the index will point to that
         self.open += 1
         if disk.put(part, body, self._copied, only=place):
-            self.carried += 1
+            self.records_copied += 1
             self.moved += length
         else:
             self.open -= 1
