--- a/hitchtiller/repo/admission.py
+++ b/hitchtiller/repo/admission.py
@@ -56,7 +56,7 @@
 
 
 @dataclass(slots=True)
-class Doors:
+class ConnectionLimits:
     """Connections in all and from each address."""
 
     most: int
--- a/hitchtiller/repo/front.py
+++ b/hitchtiller/repo/front.py
@@ -14,7 +14,7 @@
 import h11
 
 from hitchtiller.log import ended, logger
-from hitchtiller.repo.admission import Doors
+from hitchtiller.repo.admission import ConnectionLimits
 from hitchtiller.repo.body import Broken
 from hitchtiller.repo.fetch import Failed, Refused
 from hitchtiller.repo.service import Reply, Service, refusal
@@ -218,7 +218,7 @@
 class RepoFront:
     """The listener of the second front."""
 
-    def __init__(self, sched: Scheduler, service: Service, doors: Doors, times: Times) -> None:
+    def __init__(self, sched: Scheduler, service: Service, doors: ConnectionLimits, times: Times) -> None:
         """Let clients in by `doors`."""
         self.sched, self.service, self.doors, self.times = sched, service, doors, times
         self.listener = socket.socket()
--- a/tests/repo/test_repo_decide.py
+++ b/tests/repo/test_repo_decide.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from hitchtiller.repo import conditions, ranges
-from hitchtiller.repo.admission import CEILING, FLOOR, Doors, GiveWay
+from hitchtiller.repo.admission import CEILING, FLOOR, ConnectionLimits, GiveWay
 from hitchtiller.repo.body import HOLD, Assembly, Broken, Piece, Proofs, Restart
 from hitchtiller.repo.budget import Budget, FileBudget
 from hitchtiller.repo.generations import KEPT, Line, Named, State
@@ -327,7 +327,7 @@
 
 
 def test_doors_are_bounded_in_all_and_by_address() -> None:
-    doors = Doors(3, 2)
+    doors = ConnectionLimits(3, 2)
     assert [doors.enter("a"), doors.enter("a"), doors.enter("a"), doors.enter("b"), doors.enter("c")] == [
         "", "", "too-many-of-one-address", "", "full",
     ]  # fmt: skip
