--- a/hitchtiller/cli/serve.py
+++ b/hitchtiller/cli/serve.py
@@ -117,7 +117,7 @@
     """Put the second front's figures where operators read them."""
     way, budget, service = fetcher.give_way, fetcher.budget, front.service
     stats.levels |= {
-        "repo.connections": lambda: front.doors.all,
+        "repo.connections": lambda: front.connection_limits.all,
         "repo.parts_open": lambda: way.open,
         "repo.parts_limit": lambda: int(way.limit),
     }
--- a/hitchtiller/repo/front.py
+++ b/hitchtiller/repo/front.py
@@ -220,7 +220,7 @@
 
     def __init__(self, sched: Scheduler, service: Service, doors: ConnectionLimits, times: Times) -> None:
         """Let clients in by `doors`."""
-        self.sched, self.service, self.doors, self.times = sched, service, doors, times
+        self.sched, self.service, self.connection_limits, self.times = sched, service, doors, times
         self.listener = socket.socket()
         self.turned_away: dict[str, int] = {}
         self.accepting = True
@@ -247,7 +247,7 @@
                 self.sched.sleep(10.0)  # out of descriptors, or the client left
                 continue
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER)
-            if code := self.doors.enter(address[0]):
+            if code := self.connection_limits.enter(address[0]):
                 self.turned_away[code] = self.turned_away.get(code, 0) + 1
                 sock.close()
                 ended("repo", f"{address[0]}:{address[1]}", code)
@@ -258,4 +258,4 @@
         try:
             Connection(self.sched, self.service, Stream(self.sched, sock), address, self.times).run()
         finally:
-            self.doors.leave(address)
+            self.connection_limits.leave(address)
