--- a/hitchtiller/cli/serve.py
+++ b/hitchtiller/cli/serve.py
@@ -62,7 +62,7 @@
 
 def with_repositories(settings: Repo) -> Callable[[Gateway], None]:
     """Join the second front to a gateway."""
-    from hitchtiller.repo.admission import ConnectionLimits, GiveWay
+    from hitchtiller.repo.admission import ConnectionLimits, BackgroundLimit
     from hitchtiller.repo.budget import Budget
     from hitchtiller.repo.fetch import Fetcher
     from hitchtiller.repo.front import RepoFront, Times
@@ -71,7 +71,7 @@
 
     def extend(gateway: Gateway) -> None:
         sched, engine = gateway.sched, gateway.engine
-        give_way = GiveWay(on=settings.give_way)
+        give_way = BackgroundLimit(on=settings.give_way)
         fetcher = Fetcher(sched, engine, give_way, Budget(), gateway.config.seed)
         served = [
             Repository(
--- a/hitchtiller/repo/admission.py
+++ b/hitchtiller/repo/admission.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(slots=True)
-class GiveWay:
+class BackgroundLimit:
     """The gateway's limit on background parts."""
 
     limit: float = 16.0
--- a/hitchtiller/repo/fetch.py
+++ b/hitchtiller/repo/fetch.py
@@ -15,7 +15,7 @@
 
 from hitchtiller.engine import Engine
 from hitchtiller.exchange import REFUSED, SERVED, Answer, ClientRequest, Exchange
-from hitchtiller.repo.admission import GiveWay
+from hitchtiller.repo.admission import BackgroundLimit
 from hitchtiller.repo.body import Piece
 from hitchtiller.repo.budget import HEDGE_AFTER, HEDGE_LAST, Budget, FileBudget
 from hitchtiller.repo.window import Window
@@ -59,7 +59,7 @@
     """Asks the engine for parts."""
 
     def __init__(
-        self, sched: Scheduler, engine: Engine, give_way: GiveWay, budget: Budget, seed: int
+        self, sched: Scheduler, engine: Engine, give_way: BackgroundLimit, budget: Budget, seed: int
     ) -> None:
         """Share limits and budget among all bodies."""
         self.sched, self.engine, self.give_way, self.budget = sched, engine, give_way, budget
--- a/tests/repo/test_repo_decide.py
+++ b/tests/repo/test_repo_decide.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from hitchtiller.repo import conditions, ranges
-from hitchtiller.repo.admission import CEILING, FLOOR, ConnectionLimits, GiveWay
+from hitchtiller.repo.admission import CEILING, FLOOR, ConnectionLimits, BackgroundLimit
 from hitchtiller.repo.body import HOLD, Assembly, Broken, Piece, Proofs, Restart
 from hitchtiller.repo.budget import Budget, FileBudget
 from hitchtiller.repo.generations import KEPT, Line, Named, State
@@ -306,7 +306,7 @@
 
 
 def test_background_gives_way_when_the_foreground_falls_behind_and_comes_back() -> None:
-    way, now = GiveWay(), 0.0
+    way, now = BackgroundLimit(), 0.0
     for _ in range(400):
         now += 10.0
         way.foreground(in_time=False, now_ms=now)
@@ -323,7 +323,7 @@
         now += 200.0
         way.look(100.0, now)
     assert way.limit == FLOOR, "the loop's lag counts too"
-    assert GiveWay(on=False, open=10**6).admits()
+    assert BackgroundLimit(on=False, open=10**6).admits()
 
 
 def test_doors_are_bounded_in_all_and_by_address() -> None:
