--- a/hitchtiller/cli/serve.py
+++ b/hitchtiller/cli/serve.py
@@ -126,7 +126,7 @@
         "repo.repeats": lambda: budget.spent,
         "repo.repeats_denied": lambda: budget.denied,
         "repo.gave_way": lambda: way.refused,
-        "repo.turned_away": lambda: sum(front.turned_away.values()),
+        "repo.turned_away": lambda: sum(front.rejected_connections.values()),
         "repo.answers": lambda: sum(service.counts.values()),
         "repo.held_back": lambda: sum(
             line.held_back for repo in service.repositories for line in repo.lines.values()
--- a/hitchtiller/repo/front.py
+++ b/hitchtiller/repo/front.py
@@ -222,7 +222,7 @@
         """Let clients in by `doors`."""
         self.sched, self.service, self.connection_limits, self.times = sched, service, doors, times
         self.listener = socket.socket()
-        self.turned_away: dict[str, int] = {}
+        self.rejected_connections: dict[str, int] = {}
         self.accepting = True
 
     def listen(self, address: tuple[str, int]) -> tuple[str, int]:
@@ -248,7 +248,7 @@
                 continue
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER)
             if code := self.connection_limits.enter(address[0]):
-                self.turned_away[code] = self.turned_away.get(code, 0) + 1
+                self.rejected_connections[code] = self.rejected_connections.get(code, 0) + 1
                 sock.close()
                 ended("repo", f"{address[0]}:{address[1]}", code)
                 continue
