--- a/hitchtiller/cli/repo.py
+++ b/hitchtiller/cli/repo.py
@@ -13,7 +13,7 @@
 
 from hitchtiller.cli import show
 from hitchtiller.repo.fetch import PART
-from hitchtiller.repo.generations import Named
+from hitchtiller.repo.generations import NamedFile
 from hitchtiller.repo.kinds import BadIndex, make
 
 CHUNK = 65_536
@@ -115,7 +115,7 @@
     raise AssertionError
 
 
-def named_by(source: Reader, kind_name: str, root: str) -> dict[str, Named]:
+def named_by(source: Reader, kind_name: str, root: str) -> dict[str, NamedFile]:
     """Read an index with what belongs to it."""
     kind = make(kind_name)
     parsed = kind.parse(root, whole(source, root))
@@ -128,7 +128,7 @@
     return files
 
 
-def fetch(source: Reader, named: Named, target: Path, tick: Callable[[int], None]) -> str:
+def fetch(source: Reader, named: NamedFile, target: Path, tick: Callable[[int], None]) -> str:
     """Fetch one file, going on where it broke off.
 
     Gives "" or what is wrong. The file has its name only when whole.
@@ -164,7 +164,7 @@
     return told
 
 
-def _index(place: str, kind: str, root: str) -> tuple[Reader, dict[str, Named]] | str:
+def _index(place: str, kind: str, root: str) -> tuple[Reader, dict[str, NamedFile]] | str:
     try:
         source = reader(place)
         return source, named_by(source, kind, root)
@@ -265,7 +265,7 @@
     return 1 if faults else 0
 
 
-def _right(file: Path, named: Named) -> bool:
+def _right(file: Path, named: NamedFile) -> bool:
     if not file.is_file() or not named.digest:
         return False
     with file.open("rb") as opened:
--- a/hitchtiller/repo/generations.py
+++ b/hitchtiller/repo/generations.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Named:
+class NamedFile:
     """A file as an index names it.
 
     SHA-256 in hexadecimal, "" where it gives none; size in bytes, -1 where untold.
@@ -42,7 +42,7 @@
     """One index, by the digest of its bytes, with what it names."""
 
     digest: str
-    files: Mapping[str, Named]
+    files: Mapping[str, NamedFile]
     since_ms: float  # when the origin gave out these bytes
     state: State = State.SEEN
     served_ms: float = -math.inf
@@ -67,7 +67,7 @@
     def saw(
         self,
         digest: str,
-        files: Mapping[str, Named],
+        files: Mapping[str, NamedFile],
         since_ms: float,
         body: bytes,
         optional: frozenset[str] = frozenset(),
@@ -146,7 +146,7 @@
             self.given.popitem(last=False)
         return generation
 
-    def permitted(self, client: str, path: str, now_ms: float) -> Named | None:
+    def permitted(self, client: str, path: str, now_ms: float) -> NamedFile | None:
         """Give what a file must be for a client: as the index names it that the client was given.
 
         An older index counts as long as it is permitted, for the clients that were given it. Bytes of another
--- a/hitchtiller/repo/kinds/__init__.py
+++ b/hitchtiller/repo/kinds/__init__.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from hitchtiller.repo.generations import Named
+from hitchtiller.repo.generations import NamedFile
 
 
 class BadIndex(ValueError):
@@ -17,7 +17,7 @@
 class Parsed:
     """What an index says: the files it names, and further indexes that belong to it and name more."""
 
-    files: dict[str, Named]
+    files: dict[str, NamedFile]
     nested: tuple[str, ...] = field(default=())
     optional: frozenset[str] = frozenset()  # named, but need not be there for the release to be whole
 
--- a/hitchtiller/repo/kinds/debian.py
+++ b/hitchtiller/repo/kinds/debian.py
@@ -12,7 +12,7 @@
 from collections.abc import Iterator
 from posixpath import dirname, normpath
 
-from hitchtiller.repo.generations import Named
+from hitchtiller.repo.generations import NamedFile
 from hitchtiller.repo.kinds import BadIndex, Parsed
 
 ROOT = re.compile(r"dists/.+/(InRelease|Release)\Z")
@@ -128,7 +128,7 @@
             raise BadIndex(f"{path}: no SHA256 field")
         folder = dirname(path)
         by_hash = fields.get("acquire-by-hash", "no") == "yes"
-        files: dict[str, Named] = {}
+        files: dict[str, NamedFile] = {}
         for line in fields["sha256"].splitlines():
             words = line.split()
             if not words:
@@ -139,11 +139,11 @@
             files[named.path] = named
             if by_hash:
                 beside = f"{dirname(named.path)}/by-hash/SHA256/{named.digest}"
-                files[beside] = Named(beside, named.digest, named.size)
+                files[beside] = NamedFile(beside, named.digest, named.size)
         nested = self._nested(files)
         return Parsed(files, nested, frozenset(files) - frozenset(nested))
 
-    def _nested(self, files: dict[str, Named]) -> tuple[str, ...]:
+    def _nested(self, files: dict[str, NamedFile]) -> tuple[str, ...]:
         """Of each Packages file the smallest form that is there."""
         best: dict[str, str] = {}
         for name in files:
@@ -153,8 +153,8 @@
                     best[stem] = name
         return tuple(sorted(best.values()))
 
-    def _packages(self, path: str, text: str) -> dict[str, Named]:
-        files: dict[str, Named] = {}
+    def _packages(self, path: str, text: str) -> dict[str, NamedFile]:
+        files: dict[str, NamedFile] = {}
         for line, fields in stanzas(path, text):
             missing = [name for name in ("filename", "size", "sha256") if name not in fields]
             if missing:
@@ -171,7 +171,7 @@
                 raise BadIndex(f"{path}:{line}: over {MOST_FILES} files")
         return files
 
-    def _named(self, where: str, name: str, digest: str, size: int) -> Named:
+    def _named(self, where: str, name: str, digest: str, size: int) -> NamedFile:
         if name != normpath(name) or name.startswith(("/", "..")) or "\\" in name or "\0" in name:
             raise BadIndex(f"{where}: {name[:60]!r} does not name a file of this archive")
-        return Named(name, digest, size)
+        return NamedFile(name, digest, size)
--- a/hitchtiller/repo/kinds/simple.py
+++ b/hitchtiller/repo/kinds/simple.py
@@ -19,7 +19,7 @@
     parse_wheel_filename,
 )
 
-from hitchtiller.repo.generations import Named
+from hitchtiller.repo.generations import NamedFile
 from hitchtiller.repo.kinds import BadIndex, Parsed
 
 ROOT = re.compile(r"simple/([^/]+)/(index\.(html|json))?\Z")
@@ -109,7 +109,7 @@
         read = self._json if text.lstrip().startswith("{") else self._html
         return Parsed(read(path, match.group(1), text))
 
-    def _json(self, path: str, project: str, text: str) -> dict[str, Named]:
+    def _json(self, path: str, project: str, text: str) -> dict[str, NamedFile]:
         try:
             page = msgspec.json.decode(text, type=_Project)
         except (msgspec.DecodeError, RecursionError) as error:
@@ -117,7 +117,7 @@
         self._version(path, page.meta.api_version)
         if canonicalize_name(page.name) != canonicalize_name(project):
             raise BadIndex(f"{path}: it is the page of {page.name[:60]!r}")
-        files: dict[str, Named] = {}
+        files: dict[str, NamedFile] = {}
         for number, file in enumerate(page.files, 1):
             where = f"{path}: file {number} ({file.filename[:60]!r})"
             digest = file.hashes.get("sha256", "").lower()
@@ -127,14 +127,14 @@
                 self._add(files, where, path, file.url.partition("#")[0] + ".metadata", beside, -1)
         return files
 
-    def _html(self, path: str, project: str, text: str) -> dict[str, Named]:
+    def _html(self, path: str, project: str, text: str) -> dict[str, NamedFile]:
         page = _Page()
         page.feed(text)
         page.close()
         if not page.tags:
             raise BadIndex(f"{path}: neither HTML nor JSON")
         self._version(path, page.version or "1.0")
-        files: dict[str, Named] = {}
+        files: dict[str, NamedFile] = {}
         for line, fields in page.anchors:
             where = f"{path}:{line}"
             url, _, fragment = fields["href"].strip().partition("#")
@@ -152,7 +152,7 @@
         if not (major.isdecimal() and minor.isdecimal()) or int(major) != 1:
             raise BadIndex(f"{path}: repository version {version[:20]!r}; 1.x is read")
 
-    def _add(self, files: dict[str, Named], where: str, path: str, url: str, digest: str, size: int) -> None:
+    def _add(self, files: dict[str, NamedFile], where: str, path: str, url: str, digest: str, size: int) -> None:
         if digest == "true":
             digest = ""
         if digest and not SHA256.match(digest):
@@ -171,6 +171,6 @@
         known = files.get(name)
         if known and known.digest != digest:
             raise BadIndex(f"{where}: {name[:60]!r} is named twice with different digests")
-        files[name] = Named(name, digest, size)
+        files[name] = NamedFile(name, digest, size)
         if len(files) > MOST_FILES:
             raise BadIndex(f"{where}: over {MOST_FILES} files")
--- a/hitchtiller/repo/service.py
+++ b/hitchtiller/repo/service.py
@@ -13,7 +13,7 @@
 from hitchtiller.repo.body import Assembly, Broken, Piece, Proofs, Proven, Restart
 from hitchtiller.repo.conditions import Validators, range_applies, status
 from hitchtiller.repo.fetch import ABSENT, PART, Failed, Fetcher, Refused, Source
-from hitchtiller.repo.generations import Line, Named
+from hitchtiller.repo.generations import Line, NamedFile
 from hitchtiller.repo.kinds import BadIndex, Kind, Parsed
 from hitchtiller.repo.paths import BadTarget, object_key, read_target
 from hitchtiller.repo.ranges import Span, Unsatisfiable, parts_of, read_ranges
@@ -237,7 +237,7 @@
 
     # Files
 
-    def _permitted(self, repo: Repository, path: str, client: str) -> list[Named]:
+    def _permitted(self, repo: Repository, path: str, client: str) -> list[NamedFile]:
         """Give what a file may be for a client, by each index that names it.
 
         One is read where none is known.
@@ -247,7 +247,7 @@
                 line = self._learn(repo, root, client)
                 if line:
                     line.serve(client, now_ms())
-        named: list[Named] = []
+        named: list[NamedFile] = []
         for root in sorted(repo.where.get(path, ())):
             each = repo.lines[root].permitted(client, path, now_ms())
             if each and each not in named:
@@ -300,14 +300,14 @@
         assembly = Assembly(PART, digest, size)
         return Reply(200, common, self._stream(source, first, assembly, waiting), whole, "whole")
 
-    def _suits(self, key: int, piece: Piece, permitted: list[Named]) -> bool:
+    def _suits(self, key: int, piece: Piece, permitted: list[NamedFile]) -> bool:
         """Tell whether a first part can be of a permitted release; others are asked for again for a while."""
         proof = self.proofs.get(key, piece.tag)
         if piece.tag == ABSENT:
             return False
         return any(_may_be(piece, named, proof.digest if proof else "") for named in permitted)
 
-    def _read_through(self, source: Source, first: Piece, named: Named) -> Proven:
+    def _read_through(self, source: Source, first: Piece, named: NamedFile) -> Proven:
         """Read a file once for its digest; nothing of it is sent or held."""
         assembly = Assembly(PART, named.digest, named.size)
         for _ in self._stream(source, first, assembly, lambda: 0):
@@ -388,7 +388,7 @@
                 yield piece.data[begin:end]
 
 
-def _may_be(piece: Piece, named: Named, proven: str) -> bool:
+def _may_be(piece: Piece, named: NamedFile, proven: str) -> bool:
     """Tell whether a file's first part can be of what an index names."""
     if proven:
         return named.digest in ("", proven)
--- a/tests/repo/test_repo_decide.py
+++ b/tests/repo/test_repo_decide.py
@@ -11,7 +11,7 @@
 from hitchtiller.repo.admission import CEILING, FLOOR, ConnectionLimits, BackgroundLimit
 from hitchtiller.repo.body import HOLD, Assembly, Broken, Piece, Proofs, Restart
 from hitchtiller.repo.budget import Budget, FileBudget
-from hitchtiller.repo.generations import KEPT, Line, Named, State
+from hitchtiller.repo.generations import KEPT, Line, NamedFile, State
 from hitchtiller.repo.paths import BadTarget, object_key, read_target
 from hitchtiller.repo.window import HIGH, MOST, Window
 
@@ -130,11 +130,11 @@
 # Generations
 
 
-def named(**files: str) -> dict[str, Named]:
-    return {name: Named(name, digest) for name, digest in files.items()}
+def named(**files: str) -> dict[str, NamedFile]:
+    return {name: NamedFile(name, digest) for name, digest in files.items()}
 
 
-def served(line: Line, digest: str, files: dict[str, Named], at: float, client: str = "c") -> None:
+def served(line: Line, digest: str, files: dict[str, NamedFile], at: float, client: str = "c") -> None:
     line.saw(digest, files, at, b"")
     for path in files:
         line.found(digest, path)
@@ -158,8 +158,8 @@
     line = Line(1000.0)
     served(line, "g1", named(a="1", b="1"), 10.0, "old")
     served(line, "g2", named(a="2", c="2"), 20.0, "new")
-    assert line.permitted("old", "a", 30.0) == Named("a", "1")
-    assert line.permitted("new", "a", 30.0) == Named("a", "2") == line.permitted("stranger", "a", 30.0)
+    assert line.permitted("old", "a", 30.0) == NamedFile("a", "1")
+    assert line.permitted("new", "a", 30.0) == NamedFile("a", "2") == line.permitted("stranger", "a", 30.0)
     assert not line.permitted("new", "b", 30.0), "its index does not name it"
     assert not line.permitted("old", "a", 1021.0) and line.outdated("old", 1021.0)
     assert line.permitted("new", "a", 1021.0)
@@ -172,7 +172,7 @@
     assert line.saw("g1", {}, 30.0, b"").state is State.RETIRED
     generation = line.serve("c", 30.0)
     assert generation and generation.digest == "g1" and line.rolled_back == 1
-    assert line.permitted("c", "a", 31.0) == Named("a", "1")
+    assert line.permitted("c", "a", 31.0) == NamedFile("a", "1")
 
 
 def test_a_cache_that_lags_changes_nothing() -> None:
