--- a/hitchtiller/cli/serve.py
+++ b/hitchtiller/cli/serve.py
@@ -129,7 +129,7 @@
         "repo.turned_away": lambda: sum(front.rejected_connections.values()),
         "repo.answers": lambda: sum(service.counts.values()),
         "repo.held_back": lambda: sum(
-            line.held_back for repo in service.repositories for line in repo.lines.values()
+            line.updates_withheld for repo in service.repositories for line in repo.lines.values()
         ),
     }
 
--- a/hitchtiller/repo/generations.py
+++ b/hitchtiller/repo/generations.py
@@ -62,7 +62,7 @@
         self.newest = ""  # the digest that came last from upstream
         self.current = ""  # the digest that is served
         self.given: OrderedDict[str, str] = OrderedDict()
-        self.held_back = self.rolled_back = 0
+        self.updates_withheld = self.rolled_back = 0
 
     def saw(
         self,
@@ -135,7 +135,7 @@
                 before.state, before.retired_ms = State.RETIRED, now_ms
             self.current = self.newest
         elif newest and newest.state is State.SEEN:
-            self.held_back += 1
+            self.updates_withheld += 1
         generation = self.known.get(self.current)
         if generation is None:
             return None
