--- a/standins/play.py
+++ b/standins/play.py
@@ -45,7 +45,7 @@
     cold: float = 0.0  # the most of a cold cache's bound that was used
 
 
-class Player:
+class SchedulePlayer:
     """Takes the steps of one schedule."""
 
     def __init__(self, schedule: Schedule, say: Callable[[str], None] = lambda text: None) -> None:
@@ -163,7 +163,7 @@
 
 def play(schedule: Schedule, say: Callable[[str], None] = lambda text: None) -> Outcome:
     """Play a schedule."""
-    return asyncio.run(Player(schedule, say).play())
+    return asyncio.run(SchedulePlayer(schedule, say).play())
 
 
 def shrink(schedule: Schedule, fails: Callable[[Schedule], bool], most: int = 40) -> tuple[Schedule, int]:
--- a/tests/fleet/test_fleet_tools.py
+++ b/tests/fleet/test_fleet_tools.py
@@ -14,7 +14,7 @@
 from hitchtiller.cli.members import code, disagree, read_answer
 from standins.fabric import Faults
 from standins.fleet import Fleet
-from standins.play import Player, play, shrink
+from standins.play import SchedulePlayer, play, shrink
 from standins.schedule import (
     DO,
     BadFile,
@@ -66,7 +66,7 @@
     assert smaller.steps == needed and plays < 60
 
 
-class Saboteur(Player):
+class Saboteur(SchedulePlayer):
     """Kills a process without a word to the fleet."""
 
     async def take(self, step: Step) -> bool:
