--- a/standins/gossipnet.py
+++ b/standins/gossipnet.py
@@ -92,7 +92,7 @@
         """Stop a process where it stands."""
         self.stopped.add(number)
 
-    def go_on(self, number: int) -> None:
+    def resume_process(self, number: int) -> None:
         """Let it go on; what came meanwhile lies in its socket."""
         self.stopped.discard(number)
         for sender, data in self.held.pop(number, []):
--- a/standins/scale/fleet.py
+++ b/standins/scale/fleet.py
@@ -83,7 +83,7 @@
         """Stop a process where it stands."""
         self.stopped[number] = []
 
-    def go_on(self, number: int) -> None:
+    def resume_process(self, number: int) -> None:
         """Let a stopped process go on; what came meanwhile is handled first."""
         gateway = self.running[number]
         for event in self.stopped.pop(number):
--- a/tests/membership/test_membership_fleet.py
+++ b/tests/membership/test_membership_fleet.py
@@ -73,7 +73,7 @@
     net.run(net.now + 20_000.0)
     assert net.believe(3, State.DEAD) == 7
     before = net.false_deaths
-    net.go_on(3)
+    net.resume_process(3)
     net.run(net.now + 20_000.0)
     assert net.false_deaths == before and net.agree()
     assert net.believe(3, State.ALIVE) == 7
