--- a/standins/detect.py
+++ b/standins/detect.py
@@ -110,7 +110,7 @@
             await fleet.launch(victim)
             await fleet.until({victim: {"ALIVE"}}, patience_s=PATIENCE * period / 1000.0)
         found.hours = (loop.time() - begun) * 1000.0 / period / 3600.0
-        found.false_deaths = len(fleet.called_dead() - killed)
+        found.false_deaths = len(fleet.declared_dead() - killed)
     finally:
         await fleet.finish()
     return found
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -251,7 +251,7 @@
             await asyncio.sleep(self.period_ms / 4000.0)
         raise AssertionError(f"after {patience_s} s {wanted} is not believed: {seen}")
 
-    def called_dead(self, among: list[int] | None = None) -> set[int]:
+    def declared_dead(self, among: list[int] | None = None) -> set[int]:
         """Give the numbers that a running process, or one of these, ever held for dead."""
         judges = [p for number, p in self.running.items() if among is None or number in among]
         lines = (line.split() for process in judges for line in process.lines)
--- a/tests/fleet/test_fleet_faults.py
+++ b/tests/fleet/test_fleet_faults.py
@@ -73,7 +73,7 @@
             fleet.fabric.faults = Faults()
             await fleet.until({n: ALIVE for n in range(4)})
         await load.stop()
-        assert fleet.called_dead(among=[0, 1, 3]) == {2}
+        assert fleet.declared_dead(among=[0, 1, 3]) == {2}
 
     tell(Fleet(4, 23), story)
 
@@ -87,7 +87,7 @@
             await fleet.until({n: ALIVE for n in range(3)})
         await load.until(20)
         await load.stop()
-        assert fleet.called_dead() == set()
+        assert fleet.declared_dead() == set()
 
     tell(Fleet(3, 24), story)
 
@@ -262,6 +262,6 @@
             lines = [line for line in await process.call("show-stat") if "members_words_dropped" in line]
             assert int(lines[0].partition(":")[2].partition("|")[0]) > 20
         assert await fleet.running[0].members() == {n: "ALIVE" for n in range(3)}
-        assert fleet.called_dead() == set()
+        assert fleet.declared_dead() == set()
 
     tell(Fleet(3, 34), story)
--- a/tests/fleet/test_fleet_processes.py
+++ b/tests/fleet/test_fleet_processes.py
@@ -75,7 +75,7 @@
         passed = len(fleet.fabric.history)
         while len(fleet.fabric.history) < passed + 400:  # some 25 periods of four
             await asyncio.sleep(0.05)
-        assert fleet.called_dead() == set()
+        assert fleet.declared_dead() == set()
 
     play(4, 5, story)
 
@@ -95,10 +95,10 @@
         passed = len(fleet.fabric.history)
         while len(fleet.fabric.history) < passed + 400:
             await asyncio.sleep(0.05)
-        assert fleet.called_dead() == set()
+        assert fleet.declared_dead() == set()
         await fleet.end(3)
         await fleet.until({3: GONE})
-        assert fleet.called_dead() == {3}
+        assert fleet.declared_dead() == {3}
 
     play(4, 6, story)
 
@@ -109,7 +109,7 @@
         await fleet.until({1: GONE}, among=[0, 2, 3])
         fleet.poke(1, signal.SIGCONT)
         await fleet.until({n: ALIVE for n in range(4)})
-        assert fleet.called_dead() == {1}  # it accuses nobody for the time in which it did not run
+        assert fleet.declared_dead() == {1}  # it accuses nobody for the time in which it did not run
 
     play(4, 7, story)
 
