--- a/hitchtiller/cli/demo.py
+++ b/hitchtiller/cli/demo.py
@@ -25,7 +25,7 @@
         "answer": {0: "served", 11: "refused"}.get(got.code, "failed") if got else "lost",
         "way": way or "?",
         "bytes": len(got.body) if got else 0,
-        "ms": round(got.got_ms - got.sent_ms, 1) if got else 0.0,
+        "ms": round(got.received_ms - got.sent_ms, 1) if got else 0.0,
         "note": note or ("unchanged" if got and got.fields.get("unchanged") else ""),
     }
 
--- a/standins/client.py
+++ b/standins/client.py
@@ -17,7 +17,7 @@
     fields: dict[str, str]
     body: bytes
     sent_ms: float
-    got_ms: float
+    received_ms: float
 
 
 @dataclass(slots=True)
@@ -127,11 +127,11 @@
         counts[{0: "served", 11: "refused", 5: "failed"}.get(got.code, "odd code")] += 1
         if got.code == 0:
             body = mine if got.fields.get("unchanged") else got.body
-            verdict = self.truth.judge(key, part, body, got.sent_ms, got.got_ms)
+            verdict = self.truth.judge(key, part, body, got.sent_ms, got.received_ms)
             if verdict:
                 counts[verdict] += 1
                 self.verdicts.wrong.append(f"{verdict}: {key:x}/{part}, {got.fields}, {len(body)} bytes")
-            self.verdicts.waits_ms.append(got.got_ms - got.sent_ms)
+            self.verdicts.waits_ms.append(got.received_ms - got.sent_ms)
             if self.rng.random() < 0.3 and "ver" in got.fields:
                 self.tags[key, part] = (got.fields["ver"], body)
         return got
