--- a/standins/releases.py
+++ b/standins/releases.py
@@ -17,7 +17,7 @@
 import msgspec
 
 from standins.parties import Script
-from standins.repo import RepoTruth, Shop, fetch_set
+from standins.repo import RepoTruth, ScriptedRepository, fetch_set
 from standins.rig import Rig
 
 
@@ -35,7 +35,7 @@
     for number in range(1, gateways):
         rigs.append(Rig(seed + number, 1))
         rigs[-1].share(first)
-    shop = Shop(truth, rng)
+    shop = ScriptedRepository(truth, rng)
     await shop.publish()
     counts: Counter[str] = Counter()
     wrong: list[str] = []
--- a/standins/repo.py
+++ b/standins/repo.py
@@ -82,7 +82,7 @@
 
 
 @dataclass(slots=True)
-class Shop:
+class ScriptedRepository:
     """Publishes a project's releases: the same paths with other bytes, and one path more each time."""
 
     truth: RepoTruth
--- a/tests/repo/test_repo_live.py
+++ b/tests/repo/test_repo_live.py
@@ -20,14 +20,14 @@
 
 from hitchtiller.cli.main import main
 from standins import releases
-from standins.repo import RepoTruth, Shop, get, page
+from standins.repo import RepoTruth, ScriptedRepository, get, page
 from standins.rig import Rig
 
 FILE = "/simple/files/demo-1.1-py3-none-any.whl"
 INDEX = "/simple/simple/demo/"
 
 
-def played(script: Callable[[Rig, Shop], Awaitable[None]], store: bool = False, **more: float) -> None:
+def played(script: Callable[[Rig, ScriptedRepository], Awaitable[None]], store: bool = False, **more: float) -> None:
     """Run a script on a gateway with a repository that has published one release."""
 
     async def run() -> None:
@@ -38,7 +38,7 @@
         if store:
             rig.disk()
         rig.repositories(**more)
-        shop = Shop(truth, random.Random(1))
+        shop = ScriptedRepository(truth, random.Random(1))
         await shop.publish()
         await rig.start()
         try:
@@ -57,7 +57,7 @@
 
 
 def test_an_index_and_its_files_are_served_whole_with_tags_that_hold() -> None:
-    async def script(rig: Rig, shop: Shop) -> None:
+    async def script(rig: Rig, shop: ScriptedRepository) -> None:
         index = await get(rig.http, INDEX)
         assert index.status == 200 and index.body == page(shop.files)
         again = await get(rig.http, INDEX, {"If-None-Match": index.headers["etag"]})
@@ -75,7 +75,7 @@
 
 
 def test_ranges_give_the_same_bytes_as_slicing_the_file() -> None:
-    async def script(rig: Rig, shop: Shop) -> None:
+    async def script(rig: Rig, shop: ScriptedRepository) -> None:
         data, rng = shop.files["demo-1.1-py3-none-any.whl"], random.Random(3)
         for number in range(60):
             first = rng.randrange(len(data))
@@ -98,7 +98,7 @@
 
 
 def test_a_file_that_broke_off_goes_on_and_after_a_new_release_begins_anew() -> None:
-    async def script(rig: Rig, shop: Shop) -> None:
+    async def script(rig: Rig, shop: ScriptedRepository) -> None:
         await get(rig.http, INDEX)
         part = await get(rig.http, FILE, cut=300_000)
         tag, old = part.headers["etag"], shop.files["demo-1.1-py3-none-any.whl"]
@@ -115,7 +115,7 @@
 
 
 def test_after_a_restart_a_client_that_comes_back_with_a_range_goes_on() -> None:
-    async def script(rig: Rig, shop: Shop) -> None:
+    async def script(rig: Rig, shop: ScriptedRepository) -> None:
         await get(rig.http, INDEX)
         part = await get(rig.http, FILE, cut=300_000)
         await rig.kill()
@@ -128,7 +128,7 @@
 
 
 def test_an_index_before_its_files_is_held_back_until_they_are_there() -> None:
-    async def script(rig: Rig, shop: Shop) -> None:
+    async def script(rig: Rig, shop: ScriptedRepository) -> None:
         truth = shop.truth
         await get(rig.http, INDEX)
         files = shop.files | {"demo-3.0.tar.gz": b"new" * 100}
@@ -147,7 +147,7 @@
 
 
 def test_a_client_with_an_older_index_never_gets_a_newer_file_under_its_old_name() -> None:
-    async def script(rig: Rig, shop: Shop) -> None:
+    async def script(rig: Rig, shop: ScriptedRepository) -> None:
         assert (await get(rig.http, INDEX, source="127.0.0.5")).status == 200
         await shop.publish()
         await told(rig)
@@ -161,7 +161,7 @@
 
 
 def test_a_file_whose_bytes_are_wrong_never_ends_well() -> None:
-    async def script(rig: Rig, shop: Shop) -> None:
+    async def script(rig: Rig, shop: ScriptedRepository) -> None:
         wrong = bytes(700_000)
         shop.truth.publish("files/demo-1.1-py3-none-any.whl", wrong, 0.0)
         await told(rig)
@@ -188,7 +188,7 @@
         finally:
             writer.close()
 
-    async def script(rig: Rig, shop: Shop) -> None:
+    async def script(rig: Rig, shop: ScriptedRepository) -> None:
         await get(rig.http, INDEX)
         odd = []
         for data, statuses in CORPUS:
@@ -204,7 +204,7 @@
 
 
 def test_slow_headers_idle_connections_and_crowds_are_ended_with_their_code() -> None:
-    async def script(rig: Rig, shop: Shop) -> None:
+    async def script(rig: Rig, shop: ScriptedRepository) -> None:
         slow, writer = await asyncio.open_connection("127.0.0.1", rig.http)
         writer.write(b"GET / HT")
         idle = [await asyncio.open_connection("127.0.0.1", rig.http) for _ in range(3)]
@@ -221,7 +221,7 @@
 
 
 def test_a_client_that_reads_slowly_is_given_up_and_holds_little() -> None:
-    async def script(rig: Rig, shop: Shop) -> None:
+    async def script(rig: Rig, shop: ScriptedRepository) -> None:
         big = bytes(20_000_000)
         shop.truth.publish("files/demo-4.0.tar.gz", big, 0.0)
         shop.truth.publish("simple/demo/", page(shop.files | {"demo-4.0.tar.gz": big}), 0.0)
@@ -290,7 +290,7 @@
 
 @pytest.mark.parametrize("swap, cut", [(False, False), (True, False), (False, True)])
 def test_pip_itself_downloads_through_swaps_and_cuts(tmp_path: Path, swap: bool, cut: bool) -> None:
-    async def script(rig: Rig, shop: Shop) -> None:
+    async def script(rig: Rig, shop: ScriptedRepository) -> None:
         def release(number: int) -> None:
             files = {
                 f"alpha-1.{n}-py3-none-any.whl": wheel_of("alpha", f"1.{n}", f"r={number}", 900_000)
@@ -348,7 +348,7 @@
     assert run.invoke(main, ["repo", "check", str(tmp_path / "none"), *args]).exit_code == 2
     assert run.invoke(main, ["repo", "check", place, "--index", "simple/none/"]).exit_code == 2
 
-    async def script(rig: Rig, shop: Shop) -> None:
+    async def script(rig: Rig, shop: ScriptedRepository) -> None:
         target = tmp_path / "out"
         url = f"http://127.0.0.1:{rig.http}/simple/"
         half = target / "files" / "demo-1.1-py3-none-any.whl.part"
