--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -21,7 +21,7 @@
 from standins.client import Terminal, Verdicts
 from standins.fabric import Fabric
 from standins.parties import Bus, Script, Server
-from standins.relay import Relay, Way
+from standins.relay import Relay, LinkMode
 from standins.rig import PORT, REPLAY_MS, ROOT, settings
 from standins.truth import Truth, now_ms
 from standins.watch import Watch
@@ -142,7 +142,7 @@
             host = bus.hosts[place]
             host |= news
             bus.change(host, setup["localities"], setup["skus"])
-            if self.wires[number, BUS].way is Way.PASS:
+            if self.wires[number, BUS].way is LinkMode.PASS:
                 self.watch.told(number, host)
 
     async def restart_cache(self, place: int, among: list[int] | None = None) -> None:
@@ -151,16 +151,16 @@
         now = now_ms()
         self.watch.cold.start(name(place), self.weight, now)
         for number in range(self.size):  # its connections end with its process
-            await self.wires[number, name(place)].set(Way.REFUSE)
-            await self.wires[number, name(place)].set(Way.PASS)
+            await self.wires[number, name(place)].set(LinkMode.REFUSE)
+            await self.wires[number, name(place)].set(LinkMode.PASS)
         self.tell(place, among, born_ms=int(now))
 
-    async def wire(self, way: Way, numbers: list[int], targets: list[str] | None = None) -> None:
+    async def wire(self, way: LinkMode, numbers: list[int], targets: list[str] | None = None) -> None:
         """Have a fault between gateways and some of the servers (or all), or the bus."""
         for (number, target), relay in self.wires.items():
             if number in numbers and (targets is None or target in targets):
                 await relay.set(way)
-                if target == BUS and way is Way.PASS:  # what it could not hear counts as told from now on
+                if target == BUS and way is LinkMode.PASS:  # what it could not hear counts as told from now on
                     for host in self.buses[number].hosts:
                         self.watch.told(number, host)
 
--- a/standins/play.py
+++ b/standins/play.py
@@ -14,7 +14,7 @@
 from standins.fabric import Faults
 from standins.fleet import BUS, Fleet
 from standins.load import Load
-from standins.relay import Way
+from standins.relay import LinkMode
 from standins.schedule import Schedule, Step, side, with_steps
 from standins.truth import now_ms
 
@@ -93,7 +93,7 @@
         """End all faults, start what does not run, wait for one view."""
         fleet = self.fleet
         fleet.fabric.faults = Faults()
-        await fleet.wire(Way.PASS, list(range(fleet.size)))
+        await fleet.wire(LinkMode.PASS, list(range(fleet.size)))
         for number in sorted(self.stopped):
             fleet.poke(number, signal.SIGCONT)
         self.stopped.clear()
@@ -137,14 +137,14 @@
                 fleet.fabric.faults.alter = step.share
             case "heal":
                 fleet.fabric.faults = Faults()
-                await fleet.wire(Way.PASS, list(range(fleet.size)))
+                await fleet.wire(LinkMode.PASS, list(range(fleet.size)))
             case "wire" if step.target == BUS and now_ms() - self.purged_ms < QUIET_MS:
                 return False
             case "wire":
                 targets: list[str] | None = None if step.target == "all" else [step.target]
                 if targets is None and now_ms() - self.purged_ms < QUIET_MS:
                     return False
-                await fleet.wire(Way(step.way), [number], targets)
+                await fleet.wire(LinkMode(step.way), [number], targets)
             case "cold":
                 await fleet.restart_cache(number)
             case "drain" | "back":
@@ -158,7 +158,7 @@
 
     def hears(self, number: int) -> bool:
         """Tell whether a gateway's bus reaches it."""
-        return self.fleet.wires[number, BUS].way is Way.PASS and number not in self.stopped
+        return self.fleet.wires[number, BUS].way is LinkMode.PASS and number not in self.stopped
 
 
 def play(schedule: Schedule, say: Callable[[str], None] = lambda text: None) -> Outcome:
--- a/standins/relay.py
+++ b/standins/relay.py
@@ -27,7 +27,7 @@
 LINGER = struct.pack("ii", 1, 0)  # a close with it is a reset
 
 
-class Way(Enum):
+class LinkMode(Enum):
     """What befalls a pair's connections."""
 
     PASS = "pass"
@@ -45,7 +45,7 @@
         self, target: Callable[[], tuple[str, int]], ends: dict[tuple[str, int], int], number: int
     ) -> None:
         """Carry to whoever `target` names; `ends` gets each connection's own end, for gateway `number`."""
-        self.target, self.way, self.port = target, Way.PASS, 0
+        self.target, self.way, self.port = target, LinkMode.PASS, 0
         self.ends, self.number, self.since = ends, number, 0.0
         self.server: asyncio.Server | None = None
         self.gates = {up: asyncio.Event() for up in (True, False)}  # towards the server, and back
@@ -59,24 +59,24 @@
         for gate in self.gates.values():
             gate.set()
 
-    async def set(self, way: Way) -> None:
+    async def set(self, way: LinkMode) -> None:
         """Have another fault from now on, or none."""
         if way is self.way:
             return
         old, self.way = self.way, way
         now = asyncio.get_running_loop().time()
-        if old in (Way.SILENT, Way.HALF) and now - self.since > FORGET_S:
+        if old in (LinkMode.SILENT, LinkMode.HALF) and now - self.since > FORGET_S:
             self._reset_all()
         self.since = now
         for up, gate in self.gates.items():
-            blocked = way is Way.SILENT or (way is Way.HALF and not up)
+            blocked = way is LinkMode.SILENT or (way is LinkMode.HALF and not up)
             gate.clear() if blocked else gate.set()
-        if way in (Way.REFUSE, Way.RESET):
+        if way in (LinkMode.REFUSE, LinkMode.RESET):
             self._reset_all()
-        if way is Way.REFUSE and self.server:
+        if way is LinkMode.REFUSE and self.server:
             self.server.close()
             self.server = None
-        elif old is Way.REFUSE:
+        elif old is LinkMode.REFUSE:
             await self.start()
 
     def close(self) -> None:
@@ -104,7 +104,7 @@
         self.writers.add(writer)
         far: asyncio.StreamWriter | None = None
         try:
-            if self.way is Way.RESET:
+            if self.way is LinkMode.RESET:
                 await reader.read(1)
                 return self._reset(writer)
             far_reader, far = await asyncio.open_connection(*self.target())
@@ -129,7 +129,7 @@
     async def _pump(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, up: bool) -> None:
         with contextlib.suppress(OSError):
             while data := await self._held(await reader.read(CHUNK), reader, self.gates[up]):
-                if self.way is Way.SLOW:
+                if self.way is LinkMode.SLOW:
                     await asyncio.sleep(len(data) / SLOW_BYTES)
                 writer.write(data)
                 await writer.drain()
--- a/tests/fleet/test_fleet_faults.py
+++ b/tests/fleet/test_fleet_faults.py
@@ -12,7 +12,7 @@
 from standins.fabric import Faults
 from standins.fleet import BUS, Fleet, name, tell
 from standins.load import Load
-from standins.relay import Way
+from standins.relay import LinkMode
 
 ALIVE, GONE = {"ALIVE"}, {"DEAD"}
 SLOW_FROM = 1 << 32  # objects whose fills take long
@@ -29,7 +29,7 @@
     async def story(fleet: Fleet) -> None:
         load = Load(fleet, 20.0)
         load.start()
-        await fleet.wire(Way.SILENT, [0], [BUS])
+        await fleet.wire(LinkMode.SILENT, [0], [BUS])
         ended = len([line for line in fleet.running[0].lines if "end bus" in line])
         while len([line for line in fleet.running[0].lines if "end bus" in line]) < ended + 2:
             await asyncio.sleep(0.05)  # it has given the silent bus up twice
@@ -37,7 +37,7 @@
         await load.until(30)
         assert await fleet.running[1].members() == {n: "ALIVE" for n in range(4)}
         assert (await fleet.running[0].call("members"))[-2] == "standing|WHOLE"
-        await fleet.wire(Way.PASS, [0], [BUS])
+        await fleet.wire(LinkMode.PASS, [0], [BUS])
         told = fleet.watch.reached.get((0, name(1)), 0)
         await load.until(60)
         await load.stop()
@@ -50,12 +50,12 @@
 def test_one_cut_from_everything_is_deaf_sends_clients_elsewhere_and_comes_back() -> None:
     async def story(fleet: Fleet) -> None:
         fleet.fabric.faults = Faults(cut=lambda a, b: 0 in (a, b))
-        await fleet.wire(Way.SILENT, [0])
+        await fleet.wire(LinkMode.SILENT, [0])
         await fleet.until({0: GONE}, among=[1, 2])
         await standing(fleet, 0, "DEAF")
         assert (await fleet.running[0].call("ready"))[0].startswith("-ERR neither gateways")
         fleet.fabric.faults = Faults()
-        await fleet.wire(Way.PASS, [0])
+        await fleet.wire(LinkMode.PASS, [0])
         await fleet.until({n: ALIVE for n in range(3)})
         await standing(fleet, 0, "WHOLE")
         assert await fleet.running[0].call("ready") == ["+OK ready"]
@@ -124,12 +124,12 @@
     async def story(fleet: Fleet) -> None:
         load = Load(fleet, 20.0)
         load.start()
-        await fleet.wire(Way.REFUSE, [1], [name(0)])
+        await fleet.wire(LinkMode.REFUSE, [1], [name(0)])
         await load.until(40)
-        await fleet.wire(Way.PASS, [1], [name(0)])
-        await fleet.wire(Way.RESET, [2], [name(1)])
+        await fleet.wire(LinkMode.PASS, [1], [name(0)])
+        await fleet.wire(LinkMode.RESET, [2], [name(1)])
         await load.until(40)
-        await fleet.wire(Way.PASS, [2], [name(1)])
+        await fleet.wire(LinkMode.PASS, [2], [name(1)])
         fleet.poke(0, signal.SIGSTOP)
         await fleet.until({0: GONE}, among=[1, 2])
         fleet.poke(0, signal.SIGCONT)
@@ -180,12 +180,12 @@
         load = Load(fleet, 30.0, numbers=asking)
         load.start()
         await load.until(10, among=asking)
-        await fleet.wire(Way.SILENT, [0, 1, 2, 3], [name(1)])
+        await fleet.wire(LinkMode.SILENT, [0, 1, 2, 3], [name(1)])
         before = fleet.watch.reached.get((3, name(1)), 0)
         await left_out(fleet, 3, f"server {name(1)} left out on the word of others")
         assert fleet.watch.reached.get((3, name(1)), 0) == before == 0, "it asked for nothing itself"
         assert not any(f"left out {name(1)}, 2" in line for line in fleet.running[3].lines)
-        await fleet.wire(Way.PASS, [0, 1, 2, 3])
+        await fleet.wire(LinkMode.PASS, [0, 1, 2, 3])
         await load.stop()
 
     tell(Fleet(4, 29), story)
@@ -196,11 +196,11 @@
         load = Load(fleet, 30.0)
         load.start()
         await load.until(10)
-        await fleet.wire(Way.SILENT, [0], [name(1)])
+        await fleet.wire(LinkMode.SILENT, [0], [name(1)])
         await left_out(fleet, 0, f"left out {name(1)}")
         await load.until(60)  # some 2 s in which its word travels
         assert not any("on the word of others" in line for p in fleet.running.values() for line in p.lines)
-        await fleet.wire(Way.PASS, [0])
+        await fleet.wire(LinkMode.PASS, [0])
         await load.stop()
 
     tell(Fleet(4, 30), story)
@@ -233,13 +233,13 @@
         load.start()
         await load.until(20)
         fleet.poke(0, signal.SIGSTOP)
-        await fleet.wire(Way.SILENT, [0], [BUS])  # so that its requests come before the news, as they may
+        await fleet.wire(LinkMode.SILENT, [0], [BUS])  # so that its requests come before the news, as they may
         fleet.tell(0, health="Terminating")
         fleet.watch.told(0, fleet.buses[0].hosts[0])
         await fleet.until({0: GONE}, among=[1, 2])
         fleet.poke(0, signal.SIGCONT)
         await load.until(20, among=[0])
-        await fleet.wire(Way.PASS, [0], [BUS])
+        await fleet.wire(LinkMode.PASS, [0], [BUS])
         await load.until(40)
         await load.stop()
         assert load.served[0] > 40
