--- a/standins/client.py
+++ b/standins/client.py
@@ -29,7 +29,7 @@
     waits_ms: list[float] = field(default_factory=list)
 
 
-class Terminal:
+class StandInClient:
     """One connection; `ask` waits for the answer, None if the connection ended first."""
 
     def __init__(self, truth: Truth, verdicts: Verdicts, rng: random.Random) -> None:
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -18,7 +18,7 @@
 from pathlib import Path
 from typing import Any
 
-from standins.client import Terminal, Verdicts
+from standins.client import StandInClient, Verdicts
 from standins.fabric import Fabric
 from standins.parties import Bus, Script, Server
 from standins.relay import Relay, LinkMode
@@ -260,7 +260,7 @@
     async def ask_all(self, count: int = 5) -> None:
         """Have each running gateway serve some requests, judged."""
         for process in list(self.running.values()):
-            terminal = Terminal(self.truth, self.verdicts, random.Random(self.rng.getrandbits(32)))
+            terminal = StandInClient(self.truth, self.verdicts, random.Random(self.rng.getrandbits(32)))
             await terminal.connect(process.port)
             for _ in range(count):
                 if await terminal.read("files", self.rng.randrange(40)) is None:
--- a/standins/kills.py
+++ b/standins/kills.py
@@ -15,7 +15,7 @@
 import click
 import msgspec
 
-from standins.client import Terminal
+from standins.client import StandInClient
 from standins.rig import LAG_MS, REPLAY_MS, Rig
 from standins.truth import now_ms
 
@@ -45,7 +45,7 @@
             rig.truth.purge(min(int(rng.paretovariate(0.7)), OBJECTS), -1, told)
 
 
-async def ask_on(rig: Rig, terminal: Terminal, busy: int) -> None:
+async def ask_on(rig: Rig, terminal: StandInClient, busy: int) -> None:
     """Keep some reads open on a connection until it ends."""
     rng = terminal.rng
 
--- a/standins/load.py
+++ b/standins/load.py
@@ -11,7 +11,7 @@
 from collections import Counter
 from typing import TYPE_CHECKING
 
-from standins.client import Terminal
+from standins.client import StandInClient
 
 if TYPE_CHECKING:
     from standins.fleet import Fleet, Process
@@ -29,7 +29,7 @@
         self.numbers = numbers if numbers is not None else list(range(fleet.size))
         self.fleet, self.pause_s, self.objects = fleet, 1.0 / each_per_s, objects
         self.rng = random.Random(fleet.rng.getrandbits(32))
-        self.terminals: dict[Process, Terminal] = {}
+        self.terminals: dict[Process, StandInClient] = {}
         self.asks: set[asyncio.Task[None]] = set()
         self.tasks: list[asyncio.Task[None]] = []
         self.served: Counter[int] = Counter()  # by gateway
@@ -78,8 +78,8 @@
                     ask.add_done_callback(self.asks.discard)
             await asyncio.sleep(self.pause_s)
 
-    async def _connect(self, process: "Process") -> Terminal | None:
-        terminal = Terminal(self.fleet.truth, self.fleet.verdicts, random.Random(self.rng.getrandbits(32)))
+    async def _connect(self, process: "Process") -> StandInClient | None:
+        terminal = StandInClient(self.fleet.truth, self.fleet.verdicts, random.Random(self.rng.getrandbits(32)))
         try:
             await terminal.connect(process.port)
         except OSError:
@@ -87,7 +87,7 @@
         self.terminals[process] = terminal
         return terminal
 
-    async def _ask(self, number: int, terminal: Terminal) -> None:
+    async def _ask(self, number: int, terminal: StandInClient) -> None:
         if self.rng.random() < EFFECTS:
             key = f"{self.rng.getrandbits(128):032x}"
             got = await terminal.effect("charge", self.rng.randrange(self.objects), key)
--- a/standins/rig.py
+++ b/standins/rig.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 from typing import Any
 
-from standins.client import Terminal, Verdicts
+from standins.client import StandInClient, Verdicts
 from standins.parties import Bus, Script, Server
 from standins.truth import Truth
 
@@ -191,9 +191,9 @@
         ]
         return {name: int(value) for name, _, value in pairs if value.lstrip("-").isdecimal()}
 
-    async def terminal(self) -> Terminal:
+    async def terminal(self) -> StandInClient:
         """Open a client's connection."""
-        terminal = Terminal(self.truth, self.verdicts, random.Random(self.rng.getrandbits(32)))
+        terminal = StandInClient(self.truth, self.verdicts, random.Random(self.rng.getrandbits(32)))
         await terminal.connect(self.port)
         return terminal
 
--- a/standins/speed.py
+++ b/standins/speed.py
@@ -17,7 +17,7 @@
 import msgspec
 import numpy as np
 
-from standins.client import Terminal, Verdicts
+from standins.client import StandInClient, Verdicts
 from standins.rig import Rig
 from standins.truth import Truth
 
@@ -27,7 +27,7 @@
 
     async def run() -> int:
         truth, rng = Truth(small=20_000, large=20_001), random.Random(seed)
-        terminal = Terminal(truth, Verdicts(), rng)
+        terminal = StandInClient(truth, Verdicts(), rng)
         await terminal.connect(port)
         served, until = 0, time.monotonic() + seconds
 
--- a/tests/fleet/test_fleet_faults.py
+++ b/tests/fleet/test_fleet_faults.py
@@ -8,7 +8,7 @@
 import random
 import signal
 
-from standins.client import Terminal
+from standins.client import StandInClient
 from standins.fabric import Faults
 from standins.fleet import BUS, Fleet, name, tell
 from standins.load import Load
@@ -153,7 +153,7 @@
             cache.hook = slow
         terminals = []
         for process in fleet.running.values():
-            terminal = Terminal(fleet.truth, fleet.verdicts, random.Random(process.number))
+            terminal = StandInClient(fleet.truth, fleet.verdicts, random.Random(process.number))
             await terminal.connect(process.port)
             terminals.append(terminal)
         asked = [t.read("files", SLOW_FROM + n, wait_ms=4_500.0) for n in range(4) for t in terminals]
