--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -20,7 +20,7 @@
 
 from standins.client import StandInClient, Verdicts
 from standins.fabric import Fabric
-from standins.parties import Bus, Script, Server
+from standins.parties import Bus, ServerBehaviour, Server
 from standins.relay import Relay, LinkMode
 from standins.rig import PORT, REPLAY_MS, ROOT, settings
 from standins.truth import Truth, now_ms
@@ -82,10 +82,10 @@
         """Prepare; nothing is started yet. `weight`, `flow_kb_per_s`: what a cache is told to carry."""
         self.size, self.seed, self.period_ms, self.old = size, seed, period_ms, old
         self.weight, self.flow = weight, flow_kb_per_s
-        self.rng, self.truth, script = random.Random(seed), Truth(), Script()
+        self.rng, self.truth, script = random.Random(seed), Truth(), ServerBehaviour()
         self.caches = [Server(self.truth, script, random.Random(seed + n)) for n in range(3)]
         self.parent = Server(self.truth, script, random.Random(seed + 50))
-        self.origin = Server(self.truth, Script(), random.Random(seed + 51), origin=True)
+        self.origin = Server(self.truth, ServerBehaviour(), random.Random(seed + 51), origin=True)
         self.servers = [*self.caches, self.parent, self.origin]
         self.fabric, self.verdicts = Fabric(size, seed), Verdicts()
         self.wires: dict[tuple[int, str], Relay] = {}  # of a gateway to a server or the bus
--- a/standins/parties.py
+++ b/standins/parties.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(slots=True)
-class Script:
+class ServerBehaviour:
     """How a server behaves; shares are of requests, times in ms."""
 
     delay_ms: float = 1.0
@@ -38,7 +38,7 @@
 class Server:
     """A station cache, a district cache or, with `origin`, the head office."""
 
-    def __init__(self, truth: Truth, script: Script, rng: random.Random, origin: bool = False) -> None:
+    def __init__(self, truth: Truth, script: ServerBehaviour, rng: random.Random, origin: bool = False) -> None:
         """Start empty."""
         self.truth, self.script, self.rng, self.origin = truth, script, rng, origin
         self.held: dict[tuple[int, int], Held] = {}
--- a/standins/releases.py
+++ b/standins/releases.py
@@ -16,7 +16,7 @@
 import click
 import msgspec
 
-from standins.parties import Script
+from standins.parties import ServerBehaviour
 from standins.repo import RepoTruth, ScriptedRepository, fetch_set
 from standins.rig import Rig
 
@@ -26,7 +26,7 @@
 ) -> dict[str, Any]:
     """Play it; gives what was seen."""
     rng = random.Random(seed)
-    first = Rig(seed, caches, Script(drop_ms=500.0))
+    first = Rig(seed, caches, ServerBehaviour(drop_ms=500.0))
     truth = RepoTruth()
     first.truth = truth
     for server in (*first.caches, first.parent, first.origin):
--- a/standins/rig.py
+++ b/standins/rig.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from standins.client import StandInClient, Verdicts
-from standins.parties import Bus, Script, Server
+from standins.parties import Bus, ServerBehaviour, Server
 from standins.truth import Truth
 
 PORT = re.compile(r"127\.0\.0\.1:(\d+)")
@@ -50,13 +50,13 @@
 class Rig:
     """Truth, servers, bus and a gateway; all that is drawn is drawn from one seed."""
 
-    def __init__(self, seed: int, caches: int = 2, script: Script | None = None) -> None:
+    def __init__(self, seed: int, caches: int = 2, script: ServerBehaviour | None = None) -> None:
         """Prepare; nothing is started yet."""
         self.rng, self.truth = random.Random(seed), Truth()
-        self.script = script or Script()
+        self.script = script or ServerBehaviour()
         self.caches = [Server(self.truth, self.script, random.Random(seed + n)) for n in range(caches)]
         self.parent = Server(self.truth, self.script, random.Random(seed + 50))
-        self.origin = Server(self.truth, Script(), random.Random(seed + 51), origin=True)
+        self.origin = Server(self.truth, ServerBehaviour(), random.Random(seed + 51), origin=True)
         self.verdicts = Verdicts()
         self.folder = Path(tempfile.mkdtemp(prefix="rig-"))
         (self.folder / "tmp").mkdir()
--- a/tests/scale/test_scale_lease_process.py
+++ b/tests/scale/test_scale_lease_process.py
@@ -10,7 +10,7 @@
 from hitchtiller.decide import ORIGIN_FILLS
 from hitchtiller.interface import LeaseKind, LeaseNote
 from standins.client import Answered
-from standins.parties import Script
+from standins.parties import ServerBehaviour
 from standins.rig import Rig, settings
 
 MANY, NUMBER = 200, 100
@@ -61,7 +61,7 @@
     """Ask one gateway for what only the origin has."""
     loop, rig, heard, transports = (
         asyncio.get_running_loop(),
-        Rig(5, script=Script(lacks=True)),
+        Rig(5, script=ServerBehaviour(lacks=True)),
         list[LeaseNote](),
         [],
     )
