--- a/standins/detect.py
+++ b/standins/detect.py
@@ -68,7 +68,7 @@
     for kill in range(kills):
         victim, at = (kill * 7 + 1) % size, net.now
         net.kill(victim)
-        while net.believe(victim, State.DEAD, State.LEFT) < len(net.nodes):
+        while net.count_believing(victim, State.DEAD, State.LEFT) < len(net.nodes):
             if net.now - at > PATIENCE * period:
                 break
             net.run(net.now + period / 4.0)
--- a/standins/gossipnet.py
+++ b/standins/gossipnet.py
@@ -108,7 +108,7 @@
         self.now = until_ms
         return self.now
 
-    def believe(self, number: int, *states: State) -> int:
+    def count_believing(self, number: int, *states: State) -> int:
         """Count the running others that hold a number for one of these."""
         return sum(node.view.claims[number].state in states for n, node in self.nodes.items() if n != number)
 
--- a/standins/scale/membership.py
+++ b/standins/scale/membership.py
@@ -46,7 +46,7 @@
     victim, at = gateways // 2, net.now
     net.kill(victim)
     others = len(net.nodes)
-    while net.believe(victim, State.DEAD) < others and net.now - at < PATIENCE * PERIOD_MS:
+    while net.count_believing(victim, State.DEAD) < others and net.now - at < PATIENCE * PERIOD_MS:
         net.run(net.now + PERIOD_MS / 4.0)
     return {
         "members_datagrams": datagrams,
--- a/tests/membership/test_membership_fleet.py
+++ b/tests/membership/test_membership_fleet.py
@@ -12,7 +12,7 @@
 def death_known_ms(net: Net, number: int, patience_ms: float = 40_000.0) -> float:
     begun = net.now
     net.kill(number)
-    while net.now < begun + patience_ms and net.believe(number, State.DEAD) < len(net.nodes):
+    while net.now < begun + patience_ms and net.count_believing(number, State.DEAD) < len(net.nodes):
         net.run(net.now + net.period_ms / 2)
     return net.now - begun
 
@@ -42,7 +42,7 @@
     net.run(SETTLE_MS)
     net.kill(*range(0, 20, 2))
     net.run(net.now + 25_000.0)
-    assert all(net.believe(n, State.DEAD) == 10 for n in range(0, 20, 2))
+    assert all(net.count_believing(n, State.DEAD) == 10 for n in range(0, 20, 2))
     assert net.false_deaths == 0 and net.agree()
 
 
@@ -71,12 +71,12 @@
     net.run(SETTLE_MS)
     net.stop(3)
     net.run(net.now + 20_000.0)
-    assert net.believe(3, State.DEAD) == 7
+    assert net.count_believing(3, State.DEAD) == 7
     before = net.false_deaths
     net.resume_process(3)
     net.run(net.now + 20_000.0)
     assert net.false_deaths == before and net.agree()
-    assert net.believe(3, State.ALIVE) == 7
+    assert net.count_believing(3, State.ALIVE) == 7
 
 
 def test_a_rolling_restart_ends_in_one_view() -> None:
@@ -103,7 +103,7 @@
     net.post(2, net.nodes[2].leave(net.now))
     net.kill(2)
     net.run(net.now + 15_000.0)
-    assert net.believe(2, State.LEFT) == 5 and net.believe(2, State.DEAD) == 0
+    assert net.count_believing(2, State.LEFT) == 5 and net.count_believing(2, State.DEAD) == 0
 
 
 def test_a_flapping_member_ends_as_what_it_is() -> None:
@@ -115,7 +115,7 @@
         net.start(1)
         net.run(net.now + 1_000.0)
     net.run(net.now + 20_000.0)
-    assert net.believe(1, State.ALIVE) == 5 and net.agree()
+    assert net.count_believing(1, State.ALIVE) == 5 and net.agree()
 
 
 def test_a_refutation_whose_every_word_was_lost_is_told_again() -> None:
@@ -124,10 +124,10 @@
     net.run(SETTLE_MS)
     net.cut = lambda a, b: a == 0 and b != 0  # it hears that it is held for dead; its words are lost
     net.run(net.now + 60_000.0)
-    assert net.believe(0, State.DEAD) == 4
+    assert net.count_believing(0, State.DEAD) == 4
     net.cut = lambda a, b: False
     net.run(net.now + 20_000.0)
-    assert net.agree() and net.believe(0, State.ALIVE) == 4
+    assert net.agree() and net.count_believing(0, State.ALIVE) == 4
 
 
 def test_the_figures_of_detection_count_a_live_one_that_is_held_for_dead() -> None:
