--- a/hitchtiller/cli/fleet.py
+++ b/hitchtiller/cli/fleet.py
@@ -61,9 +61,9 @@
 def _show(found: Outcome, as_json: bool) -> None:
     if as_json:
         print_json({"seed": found.schedule.seed, "broken": found.broken, "counts": found.counts,
-                    "met_ms": round(found.met_ms), "cold": round(found.cold, 3)})  # fmt: skip
+                    "met_ms": round(found.converged_ms), "cold": round(found.cold, 3)})  # fmt: skip
         return
-    rows = {"broken": len(found.broken), "one view after ms": round(found.met_ms),
+    rows = {"broken": len(found.broken), "one view after ms": round(found.converged_ms),
             "most of a cold cache's bound": f"{found.cold:.2f}", **found.counts}  # fmt: skip
     pairs(f"schedule of seed {found.schedule.seed}", rows)
     for text in found.broken[:10]:
@@ -78,7 +78,7 @@
         found = play(draw(seed + plays, size, steps))
         plays += 1
         requests += sum(found.counts.values())
-        met, cold = max(met, found.met_ms), max(cold, found.cold)
+        met, cold = max(met, found.converged_ms), max(cold, found.cold)
         verdict = "held"
         if found.broken:
             failing.append(found.schedule.seed)
--- a/standins/play.py
+++ b/standins/play.py
@@ -41,7 +41,7 @@
     broken: list[str] = field(default_factory=list)
     history: list[tuple[float, str]] = field(default_factory=list)  # ms since the start, what happened
     counts: dict[str, int] = field(default_factory=dict)
-    met_ms: float = 0.0  # from the end of all faults until one view
+    converged_ms: float = 0.0  # from the end of all faults until one view
     cold: float = 0.0  # the most of a cold cache's bound that was used
 
 
@@ -102,7 +102,7 @@
                 await fleet.launch(number)
         self.note("all faults ended")
         patience = MEET * fleet.period_ms / 1000.0
-        self.out.met_ms = 1000.0 * await fleet.until(
+        self.out.converged_ms = 1000.0 * await fleet.until(
             {n: {"ALIVE"} for n in range(fleet.size)}, patience_s=patience
         )
         self.note("one view")
