--- a/standins/detect.py
+++ b/standins/detect.py
@@ -92,7 +92,7 @@
     try:
         await fleet.start()
         begun = loop.time()
-        fleet.fabric.faults = Faults(lose=loss)
+        fleet.fabric.faults = Faults(loss_share=loss)
         await fleet.until(whole, patience_s=120.0)
         rows, quiet = len(fleet.fabric.history), loop.time()
         await asyncio.sleep(QUIET * period / 1000.0)
--- a/standins/fabric.py
+++ b/standins/fabric.py
@@ -19,7 +19,7 @@
 class Faults:
     """What befalls datagrams; shares from 0 to 1, times in ms."""
 
-    lose: float = 0.0
+    loss_share: float = 0.0
     repeat: float = 0.0
     delay_ms: tuple[float, float] = (0.0, 0.0)
     alter: float = 0.0
@@ -81,7 +81,7 @@
             if sender != self.home.get(j):
                 continue
             faults, draw = self.faults, self.rng.random
-            if faults.cut(j, i) or draw() < faults.lose:
+            if faults.cut(j, i) or draw() < faults.loss_share:
                 self.history.append((now_ms(), j, i, len(data), "lost"))
                 continue
             if draw() < faults.alter:
--- a/standins/play.py
+++ b/standins/play.py
@@ -129,7 +129,7 @@
             case "oneway":
                 fleet.fabric.faults.cut = one_way(side(step))
             case "lose":
-                fleet.fabric.faults.lose = step.share
+                fleet.fabric.faults.loss_share = step.share
             case "late":
                 fleet.fabric.faults.repeat = step.share
                 fleet.fabric.faults.delay_ms = (0.0, 1000.0 * step.share)
--- a/tests/fleet/test_fleet_processes.py
+++ b/tests/fleet/test_fleet_processes.py
@@ -83,7 +83,7 @@
 @pytest.mark.parametrize(
     "faults",
     [
-        Faults(lose=0.3),
+        Faults(loss_share=0.3),
         Faults(repeat=0.5, delay_ms=(0.0, 200.0)),
         Faults(alter=0.3),
     ],
