--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -289,7 +289,7 @@
     def awaits_lease(self, held: Held) -> bool:
         """Have a request that only lacked a lease go again under it, or wait for an owner's answer, once."""
         ready = held.lacks_lease and self.leases.may_begin(held.ask.deadline_ms, self.now)
-        if not held.lacks_lease or held.waited or not (ready or self.leases.asked):
+        if not held.lacks_lease or held.waited or not (ready or self.leases.pending_request):
             return False
         held.waited = True
         self.lease_waiters.append(held)
@@ -300,7 +300,7 @@
     def on_lease(self, messages: Messages) -> None:
         """Send notes on leases; once an owner has answered, or not, go on with what waited for it."""
         self.actions += [api.SendNote(peer, note) for peer, note in messages]
-        if not self.leases.asked:
+        if not self.leases.pending_request:
             waiters, self.lease_waiters = self.lease_waiters, []
             for held in waiters:
                 if held.ask.id in self.held and self.leases.may_begin(held.ask.deadline_ms, self.now):
@@ -414,9 +414,9 @@
         node, source = attempt.node, attempt.source
         node.answered_ms = self.now
         own = source is node or status.startswith("econn")
-        self.blame(node, BLAME[status] * (1.0 if own else 1.0 - source.blame))
+        self.add_failure(node, BLAME[status] * (1.0 if own else 1.0 - source.blame))
         if not own:
-            self.blame(source, BLAME[status] * (1.0 - node.blame))
+            self.add_failure(source, BLAME[status] * (1.0 - node.blame))
 
     def clear(self, node: Node, left: float = SUCCESS_FACTOR) -> None:
         """Note an answer: the server works."""
@@ -459,7 +459,7 @@
             attempt.late = True
             node.late += 1
             wrong = source if node.answered_ms > attempt.sent else node
-            self.blame(wrong, BLAME["silence" if wrong.answered_ms <= attempt.sent else "slow"])
+            self.add_failure(wrong, BLAME["silence" if wrong.answered_ms <= attempt.sent else "slow"])
 
     def on_timer(self, event: api.TimerDue) -> None:
         """Look for overdue work and drop old purges; ask discovery again; stop waiting for a home router."""
--- a/hitchtiller/engine.py
+++ b/hitchtiller/engine.py
@@ -102,7 +102,7 @@
             "station_caches_excluded": lambda: sum(not router.usable(n) for n in router.nodes.values()),
         }
         if not router.leases.fixed_fills:
-            self.stats.levels["origin_fills"] = lambda: router.leases.out
+            self.stats.levels["origin_fills"] = lambda: router.leases.fills_in_flight
             self.stats.counts["origin_leases_granted"] = lambda: router.leases.granted
             self.stats.counts["origin_leases_denied"] = lambda: router.leases.denied
 
@@ -122,7 +122,7 @@
         exchange.taken_ms = self.clock.now_ms()
         delay = ask.deadline_ms - exchange.taken_ms
         exchange.guard = self.clock.later(delay, partial(self.expire, exchange)).cancel
-        if self.effects.over(ask.class_name, ask.dedupe, exchange.taken_ms):
+        if self.effects.window_passed(ask.class_name, ask.dedupe, exchange.taken_ms):
             self.fail(exchange)  # an earlier try may have run, and a repeat would not be dropped any more
         elif self.copies is None or not self.copies.take(exchange):
             self.decide(exchange)
--- a/hitchtiller/exchange.py
+++ b/hitchtiller/exchange.py
@@ -69,7 +69,7 @@
     """One send of an exchange; it ends once, whoever says so first."""
 
     __slots__ = (
-        "clear", "ended", "exchange", "get", "on_end", "on_sent", "place", "sent_ms", "shot", "timeout",
+        "authorize", "ended", "exchange", "get", "on_end", "on_sent", "back_end_handle", "sent_ms", "shot", "timeout",
         "written",
     )  # fmt: skip
 
@@ -82,10 +82,10 @@
         on_end: Callable[["Attempt", AttemptResult], None],
         on_sent: Callable[[], None],
     ) -> None:
-        """Make the next attempt; `clear` is asked before the first byte, `on_sent` hears of the last."""
+        """Make the next attempt; `authorize` is asked before the first byte, `on_sent` hears of the last."""
         self.exchange, self.get, self.sent_ms = exchange, get, sent_ms
         self.shot = len(exchange.attempts)
-        self.clear, self.on_end, self.on_sent = authorize, on_end, on_sent
+        self.authorize, self.on_end, self.on_sent = authorize, on_end, on_sent
         self.timeout: Callable[[], None] | None = None  # takes its timer back
         self.back_end_handle: Any = None  # where the server side put it
         self.written = False  # its first byte went out: from here it may run
@@ -111,7 +111,7 @@
     """A taken request: it is owed exactly one final answer, unless its client leaves."""
 
     __slots__ = (
-        "ask", "attempts", "confirm", "decided", "deliver", "guard", "hold_ms", "number", "over", "taken_ms",
+        "request", "attempts", "confirm_tag", "decided", "deliver", "guard", "blocked_until_ms", "number", "over", "taken_ms",
     )  # fmt: skip
 
     def __init__(self, number: int, ask: ClientRequest, deliver: Callable[[Answer], None]) -> None:
--- a/hitchtiller/ops/members.py
+++ b/hitchtiller/ops/members.py
@@ -50,7 +50,7 @@
         self.handed = 0  # directory entries told to a new home
         self.outs: dict[int, float] = {}  # servers that I leave out, by mark, until when
         self.serving, self.present = set(range(size)), 1.0  # who is in service, and their share of all
-        peers.words = self.receive
+        peers.on_other_datagram = self.receive
         engine.router.present = lambda: self.present
         engine.router.home_of = lambda hashed: self.homes.home(hashed, self.serving)
         levels = {"members_alive": State.ALIVE, "members_suspect": State.SUSPECT, "members_dead": State.DEAD}
@@ -114,7 +114,7 @@
         for node in (marks[mark] for mark in evidence.verdicts(now) if mark in marks):
             if now >= node.out_until and not self.engine.busy:
                 router.now, router.actions = now, []
-                router.blame(node, TRUST)
+                router.add_failure(node, TRUST)
                 for action in router.actions:
                     self.engine.execute(action)
                 if now < node.out_until:
--- a/standins/lag.py
+++ b/standins/lag.py
@@ -79,7 +79,7 @@
 
     def send(self, attempt: Attempt) -> None:
         """Take an attempt."""
-        attempt.clear(attempt)
+        attempt.authorize(attempt)
         attempt.written = True
         key = attempt.exchange.request.key
         size = 1_000 + key * 7919 % 59_000
--- a/tests/ends/test_ends_clients.py
+++ b/tests/ends/test_ends_clients.py
@@ -22,7 +22,7 @@
         self.jam()
         self.other.sendall(cancel(2))
         self.until(lambda: bool(self.engine.left), "the cancel lies unread")
-        self.assertEqual(self.engine.left, [self.engine.open[waits].ask.id])
+        self.assertEqual(self.engine.left, [self.engine.open[waits].request.id])
 
     def test_an_end_is_seen_while_the_connection_is_jammed(self) -> None:
         self.ask(2)
--- a/tests/membership/test_membership_search.py
+++ b/tests/membership/test_membership_search.py
@@ -15,7 +15,7 @@
 
 
 def test_parts_that_follow_the_view_alone_pass_the_bound(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(explore, "spend", lambda bound, wanted, size, serving: wanted / serving)
+    monkeypatch.setattr(explore, "capped_share", lambda bound, wanted, size, serving: wanted / serving)
     found = explore.search(3, 5)
     assert found.broken and "the parts sum to" in found.broken[1]
 
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -90,7 +90,7 @@
     def test_a_fault_of_the_decisions_fails_one_request_only(self) -> None:
         first = self.ask()
         handle, self.engine.router.handle = self.engine.router.handle, lambda *_: [][0]  # type: ignore[method-assign]
-        self.engine.take(first.exchange.ask, self.answers.append)
+        self.engine.take(first.exchange.request, self.answers.append)
         self.engine.router.handle = handle  # type: ignore[method-assign]
         first.end(AttemptResult("done"))
         self.assertEqual(self.kinds(), [FAILED, SERVED])
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -56,7 +56,7 @@
         engine: Any = None
         self.front = Front(Scheduler(), engine, BASE, 4, 1000)
         self.addCleanup(self.front.listener.close)
-        self.addCleanup(setattr, Stream, "held", Stream.buffered_bytes)
+        self.addCleanup(setattr, Stream, "buffered_bytes", Stream.buffered_bytes)
         Stream.buffered_bytes = 0
 
     def test_what_lay_unread_in_a_loop_that_lags_is_turned_away(self) -> None:
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -176,7 +176,7 @@
         for name in ("server", "source"):
             attempt = self.ask(100)
             self.holdouts.disable(getattr(attempt.get, name))
-            self.assertIsNone(attempt.clear(attempt))
+            self.assertIsNone(attempt.authorize(attempt))
             self.engine.leave(attempt.exchange)
 
     def test_old_blame_does_not_keep_out_what_is_given_back(self) -> None:
