--- a/hitchtiller/back/jobs.py
+++ b/hitchtiller/back/jobs.py
@@ -107,7 +107,9 @@
         served = body if word == "DONE" else b""
         given = int(since) if copy and since else 0
         note, waited = NOTES.get(fields.get("why", ""), 0), _ms(fields.get("fill", ""))
-        self.attempt.end(AttemptResult(status, served, unchanged, fields.get("rev", ""), load, given, note, waited))
+        self.attempt.end(
+            AttemptResult(status, served, unchanged, fields.get("rev", ""), load, given, note, waited)
+        )
 
     def hold(self, until_ms: float) -> None:
         """Keep further attempts back for so long: the server would have two copies out."""
--- a/hitchtiller/cli/bench.py
+++ b/hitchtiller/cli/bench.py
@@ -28,7 +28,9 @@
     files.lock()
     budget = parts * (size + 256) * 2 + 512 * MB
     proof = FreshnessProof(recover.Recovered().kept, 0.0)
-    disk = Disk(files, InlineJobs(), Options(budget, 0, 64 * MB // 64 * 64, 64 * MB), recover.Recovered(), proof)
+    disk = Disk(
+        files, InlineJobs(), Options(budget, 0, 64 * MB // 64 * 64, 64 * MB), recover.Recovered(), proof
+    )
     proof.begin(1e12, 1e12)
     disk.mark_epoch()
     block = random.Random(1).randbytes(size + parts % 997 + 997)
--- a/hitchtiller/cli/serve.py
+++ b/hitchtiller/cli/serve.py
@@ -29,7 +29,7 @@
     from hitchtiller.store.memory import Memory
     from hitchtiller.store.pace import Pace
     from hitchtiller.store.space import Rate
-    from hitchtiller.store.suspect import SavedProof, FreshnessProof
+    from hitchtiller.store.suspect import FreshnessProof, SavedProof
     from hitchtiller.store.tier import Tier
 
     def extend(gateway: Gateway) -> Callable[[], None]:
@@ -62,7 +62,7 @@
 
 def with_repositories(settings: Repo) -> Callable[[Gateway], None]:
     """Join the second front to a gateway."""
-    from hitchtiller.repo.admission import ConnectionLimits, BackgroundLimit
+    from hitchtiller.repo.admission import BackgroundLimit, ConnectionLimits
     from hitchtiller.repo.budget import Budget
     from hitchtiller.repo.fetch import Fetcher
     from hitchtiller.repo.front import RepoFront, Times
@@ -82,7 +82,9 @@
         hosts = frozenset(host.strip().lower() for host in settings.hosts.split(",") if host.strip())
         service = Service(engine, fetcher, served, hosts)
         times = Times(settings.header_s * 1e3, settings.idle_s * 1e3, settings.slow_s * 1e3)
-        front = RepoFront(sched, service, ConnectionLimits(settings.connections, settings.each_address), times)
+        front = RepoFront(
+            sched, service, ConnectionLimits(settings.connections, settings.each_address), times
+        )
         front.listen(read_dial(settings.listen))
         publish(engine.stats, front, fetcher)
 
--- a/hitchtiller/codec/bus.py
+++ b/hitchtiller/codec/bus.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from hitchtiller import interface as api
-from hitchtiller.news import PurgeNotice, Event, ListedServer, Topology
+from hitchtiller.news import Event, ListedServer, PurgeNotice, Topology
 
 MOST = 1_048_576  # bytes of one frame
 HEAD = struct.Struct(">QB")
--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -13,7 +13,7 @@
 
 from hitchtiller import interface as api
 from hitchtiller.records import Attempt, Held, Node, by_hash, hash64, lru_put
-from hitchtiller.routing.blame import BLAME, SUCCESS_FACTOR, EJECT_AT, ASSUMED_FILL_SHARE, ejection_ms
+from hitchtiller.routing.blame import ASSUMED_FILL_SHARE, BLAME, EJECT_AT, SUCCESS_FACTOR, ejection_ms
 from hitchtiller.routing.capacity import Capacity
 from hitchtiller.routing.cold import ColdGuard
 from hitchtiller.routing.directory import ENTRY_MS, Directory
@@ -67,10 +67,10 @@
         self.capacity, self.mean = Capacity(settings), self.sizes.mean
         self.swept = math.inf  # when overdue work was last looked for
         self.tokens = RETRY_BANK  # further attempts that may be sent
-        self.handlers: dict[type, Callable[[Any], object]] = {
-            api.Request: self.on_request, api.Outcome: self.on_outcome, api.TimerDue: self.on_timer,
-            api.PeerMessage: self.on_peer, api.Members: self.on_members, api.Purged: self.on_purged,
-            api.StreamBegun: lambda e: None, api.Probed: lambda e: None, api.ClientLeft: self.on_left}  # fmt: skip
+        self.handlers: dict[type, Callable[[Any], object]] = {api.Request: self.on_request,
+            api.Outcome: self.on_outcome, api.TimerDue: self.on_timer, api.PeerMessage: self.on_peer,
+            api.Members: self.on_members, api.Purged: self.on_purged, api.StreamBegun: lambda e: None,
+            api.Probed: lambda e: None, api.ClientLeft: self.on_left}  # fmt: skip
         self.zone = zone = settings.zones.index(settings.my_zone)
         self.hub = settings.zones[settings.hub_of[zone]] if settings.hub_of else ""
         link = settings.link_kb_per_s[zone] if settings.link_kb_per_s else 0.0
--- a/hitchtiller/engine.py
+++ b/hitchtiller/engine.py
@@ -8,9 +8,19 @@
 
 from hitchtiller import interface as api
 from hitchtiller.decide import NEVER_RAN, Router
-from hitchtiller.exchange import FAILED, REFUSED, SERVED, Answer, ClientRequest, Attempt, SendLimits, AttemptResult, Exchange
+from hitchtiller.exchange import (
+    FAILED,
+    REFUSED,
+    SERVED,
+    Answer,
+    Attempt,
+    AttemptResult,
+    ClientRequest,
+    Exchange,
+    SendLimits,
+)
 from hitchtiller.log import logger
-from hitchtiller.news import PurgeNotice, Event, Topology
+from hitchtiller.news import Event, PurgeNotice, Topology
 from hitchtiller.ops.stats import Stats
 from hitchtiller.routing.effects import Effects
 
--- a/hitchtiller/exchange.py
+++ b/hitchtiller/exchange.py
@@ -69,8 +69,8 @@
     """One send of an exchange; it ends once, whoever says so first."""
 
     __slots__ = (
-        "authorize", "ended", "exchange", "get", "on_end", "on_sent", "back_end_handle", "sent_ms", "shot", "timeout",
-        "written",
+        "authorize", "ended", "exchange", "get", "on_end", "on_sent", "back_end_handle", "sent_ms", "shot",
+        "timeout", "written",
     )  # fmt: skip
 
     def __init__(
@@ -99,7 +99,9 @@
         self.ended = True
         if self.timeout:
             self.timeout()
-        self.timeout = self.back_end_handle = None  # no cycles: they would need the garbage collector, which stalls
+        self.timeout = self.back_end_handle = (
+            None  # no cycles: they would need the garbage collector, which stalls
+        )
         self.on_end(self, ending)
 
     def drop(self, word: str) -> None:
@@ -111,7 +113,8 @@
     """A taken request: it is owed exactly one final answer, unless its client leaves."""
 
     __slots__ = (
-        "request", "attempts", "confirm_tag", "decided", "deliver", "guard", "blocked_until_ms", "number", "over", "taken_ms",
+        "request", "attempts", "confirm_tag", "decided", "deliver", "guard", "blocked_until_ms", "number",
+        "over", "taken_ms",
     )  # fmt: skip
 
     def __init__(self, number: int, ask: ClientRequest, deliver: Callable[[Answer], None]) -> None:
@@ -122,7 +125,9 @@
         self.over = False
         self.decided = False  # the decisions have it
         self.taken_ms = 0.0
-        self.blocked_until_ms = 0.0  # until then an attempt that was given up may still be out: none may follow it
+        self.blocked_until_ms = (
+            0.0  # until then an attempt that was given up may still be out: none may follow it
+        )
         self.confirm_tag = ""  # tag of a copy of our own that a server is asked about
 
     def finish(self, answer: Answer) -> bool:
--- a/hitchtiller/front/asks.py
+++ b/hitchtiller/front/asks.py
@@ -1,4 +1,4 @@
-"""A request frame's fields, checked, as an Ask; an Answer as fields."""
+"""A request frame's fields, checked, as a ClientRequest; an Answer as fields."""
 
 import math
 import re
--- a/hitchtiller/front/server.py
+++ b/hitchtiller/front/server.py
@@ -31,7 +31,9 @@
         self.leave = DrainControl(self)
         self.accepting = True
         self.not_ready_reason: Callable[[], str] = str  # a further reason not to be ready
-        self.not_ready_reasons: list[Callable[[], str]] = []  # and more of them, from what is joined to the gateway
+        self.not_ready_reasons: list[
+            Callable[[], str]
+        ] = []  # and more of them, from what is joined to the gateway
         self.listener = socket.socket()
 
     def listen(self, address: tuple[str, int], held: int | None = None) -> tuple[str, int]:
@@ -60,7 +62,9 @@
             return self.state
         if not self.engine.router.nodes:
             return "no list of station caches yet"
-        return self.not_ready_reason() or next(filter(None, (doubt() for doubt in self.not_ready_reasons)), "")
+        return self.not_ready_reason() or next(
+            filter(None, (doubt() for doubt in self.not_ready_reasons)), ""
+        )
 
     def told(self) -> str:
         """Tell clients the same, but for a gateway whose next version is ready: the gateway as a whole is."""
--- a/hitchtiller/repo/fetch.py
+++ b/hitchtiller/repo/fetch.py
@@ -1,8 +1,8 @@
 """Parts by way of the engine: with a deadline, repeated within a budget, in order, within the window.
 
 Greenlets of the loop. Each part is a request like any other: the decision module chooses, repeats and
-refuses. Bounds: the window's parts a body; `GiveWay`'s parts in all; what waits for a place waits in order,
-until its deadline.
+refuses. Bounds: the window's parts a body; `BackgroundLimit`'s parts in all; what waits for a place waits in
+order, until its deadline.
 """
 
 import random
--- a/hitchtiller/repo/front.py
+++ b/hitchtiller/repo/front.py
@@ -219,7 +219,7 @@
     """The listener of the second front."""
 
     def __init__(self, sched: Scheduler, service: Service, doors: ConnectionLimits, times: Times) -> None:
-        """Let clients in by `doors`."""
+        """Let clients in by `connection_limits`."""
         self.sched, self.service, self.connection_limits, self.times = sched, service, doors, times
         self.listener = socket.socket()
         self.rejected_connections: dict[str, int] = {}
--- a/hitchtiller/repo/kinds/simple.py
+++ b/hitchtiller/repo/kinds/simple.py
@@ -152,7 +152,9 @@
         if not (major.isdecimal() and minor.isdecimal()) or int(major) != 1:
             raise BadIndex(f"{path}: repository version {version[:20]!r}; 1.x is read")
 
-    def _add(self, files: dict[str, NamedFile], where: str, path: str, url: str, digest: str, size: int) -> None:
+    def _add(
+        self, files: dict[str, NamedFile], where: str, path: str, url: str, digest: str, size: int
+    ) -> None:
         if digest == "true":
             digest = ""
         if digest and not SHA256.match(digest):
--- a/hitchtiller/routing/blame.py
+++ b/hitchtiller/routing/blame.py
@@ -1,8 +1,8 @@
 """What failed attempts say against a server, and how long one that has too much against it is left out.
 
 Blame is a number from 0 to 1 for each server. Each failure takes a share of what is missing to 1, each answer
-leaves CLEAR of it. From EJECT_AT on the server is left out for a time that doubles with each repetition, and
-comes back on trial, with one attempt at a time.
+leaves SUCCESS_FACTOR of it. From EJECT_AT on the server is left out for a time that doubles with each
+repetition, and comes back on trial, with one attempt at a time.
 """
 
 BLAME = {
--- a/hitchtiller/routing/capacity.py
+++ b/hitchtiller/routing/capacity.py
@@ -8,10 +8,10 @@
 their number: one cache's link is then SHARE of it; beyond FEW it shrinks as 1 / number.
 A parent's link is built for the zones that one parent serves.
 
-Bounds. A cache's estimate stays in LEAST to MOST transfers. `sure` is the end that guards use, so that cold
-servers are pushed to no more than their multiple also where the middle is too high; docs/deployments.md has
-the error over drawn days of two deployments. Each gateway derives it from the settings and the list alone:
-all 200 get the same, also one that has just started and knows nothing else.
+Bounds. A cache's estimate stays in LEAST to MOST transfers. `safe_capacity` is the end that guards use, so
+that cold servers are pushed to no more than their multiple also where the middle is too high;
+docs/deployments.md has the error over drawn days of two deployments. Each gateway derives it from the
+settings and the list alone: all 200 get the same, also one that has just started and knows nothing else.
 """
 
 from collections.abc import Iterable
--- a/hitchtiller/routing/cold.py
+++ b/hitchtiller/routing/cold.py
@@ -65,8 +65,8 @@
     ) -> float:
         """Give the work a ms that this gateway may add to what it has sent; infinite once the server is warm.
 
-        `sure` is the server's link in transfers, `mean_ms` the work of a call of the costliest class,
-        `present` the share of the gateways in service.
+        `safe_capacity` is the server's link in transfers, `mean_ms` the work of a call of the costliest
+        class, `present` the share of the gateways in service.
         """
         share, ramp, multiple, pool = self.figures[parent]
         if age_ms >= ramp:
--- a/hitchtiller/routing/directory.py
+++ b/hitchtiller/routing/directory.py
@@ -3,7 +3,7 @@
 Entries are pessimistic: a cache is listed once a gateway saw it keep a copy, and taken off when it lacks the
 object, has restarted, the object was purged, or the entry has aged.
 
-Bounds. MOST_ENTRIES objects, the least recently added go first; MOST_HOLDERS caches an object.
+Bounds. MAX_ENTRIES objects, the least recently added go first; MAX_HOLDERS caches an object.
 """
 
 from collections.abc import Iterator
--- a/hitchtiller/routing/effects.py
+++ b/hitchtiller/routing/effects.py
@@ -5,9 +5,9 @@
 from that one, whichever request it was made for, and holds at the first byte of each further one. Proof that
 an attempt never ran takes it off again; with none left, the key is new.
 
-Bounds. MOST keys, the oldest go first; a key is forgotten once its window has passed and all tries that its
-client can make within TRIES deadlines have ended. One process knows only its own attempts: one that has just
-started knows none.
+Bounds. MAX_KEYS keys, the oldest go first; a key is forgotten once its window has passed and all tries that
+its client can make within TRIES deadlines have ended. One process knows only its own attempts: one that has
+just started knows none.
 """
 
 from collections.abc import Mapping
@@ -67,7 +67,9 @@
         doubt = self.doubts.get((class_name, key))
         if doubt is None:
             return True
-        return same_scope(self.classes[class_name], doubt, member) and not self.window_passed(class_name, key, now_ms)
+        return same_scope(self.classes[class_name], doubt, member) and not self.window_passed(
+            class_name, key, now_ms
+        )
 
     def begin(self, class_name: str, key: str, member: Member, now_ms: float) -> None:
         """Hear that an attempt's first byte goes out."""
--- a/hitchtiller/routing/fills.py
+++ b/hitchtiller/routing/fills.py
@@ -13,7 +13,7 @@
 
 Bounds. One number for each listed server. The work asked of a source in a second is at most the
 gateway's requests in it times the limit; all gateways shrink alike, since they see the same jam, so over
-3, 40 or 200 of them the source settles where two fills in ten miss their aim. At LEAST of the mean a
+3, 40 or 200 of them the source settles where two fills in ten miss their aim. At MIN_SHARE of the mean a
 gateway still asks for all small fills, which is how it learns that a jam has ended.
 """
 
--- a/hitchtiller/routing/popularity.py
+++ b/hitchtiller/routing/popularity.py
@@ -1,9 +1,9 @@
 """How often objects are asked for here: at which rank a copy is kept, and how many caches share an object.
 
-Each request adds one to its object's heat, which decays over HEAT_MS. One gateway sees only its own requests;
-the caller scales them to the gateways of its zone.
+Each request adds one to its object's heat, which decays over DECAY_MS. One gateway sees only its own
+requests; the caller scales them to the gateways of its zone.
 
-Bounds. MOST_OBJECTS objects, the least recently asked for go first.
+Bounds. MAX_OBJECTS objects, the least recently asked for go first.
 """
 
 import math
@@ -26,7 +26,7 @@
         self.counts: dict[Item, tuple[float, float]] = {}
 
     def count(self, item: Item, now_ms: float) -> float:
-        """Count a request for an object; gives its heat, in requests within HEAT_MS."""
+        """Count a request for an object; gives its heat, in requests within DECAY_MS."""
         old, at_ms = self.counts.get(item, (0.0, now_ms))
         heat = old * math.exp((at_ms - now_ms) / DECAY_MS) + 1.0
         lru_put(self.counts, item, (heat, now_ms), MAX_OBJECTS)
--- a/hitchtiller/store/format.py
+++ b/hitchtiller/store/format.py
@@ -16,11 +16,11 @@
 SEGMENT_MAGIC, RECORD_MAGIC, LOG_MAGIC, CHECK_MAGIC = b"HTSG", b"HTRC", b"HTLG", b"HTCP"
 SEGMENT_HEAD = struct.Struct("<4sBxxxQQQI")  # magic, version, id, salt, made ms, crc
 RECORD_HEAD = struct.Struct("<4sBBBBIIQIiqIII")
-# magic, version, kind, class length, tag length, body length, era, key, part, group, since, size, body crc,
+# magic, version, kind, class length, tag length, body length, epoch, key, part, group, since, size, body crc,
 # head crc
 PART = 1  # the only kind of record so far
 MOST_BODY, MOST_TEXT = 262_144, 128  # bytes
-LOG_ENTRY = struct.Struct("<BxxxIqqQI")  # kind, era, time ms, group, key, crc
+LOG_ENTRY = struct.Struct("<BxxxIqqQI")  # kind, epoch, time ms, group, key, crc
 PURGE_OBJECT, PURGE_GROUP, FOLLOWED, ERA, FLOOR = 1, 2, 3, 4, 5
 LOG_KINDS = (PURGE_OBJECT, PURGE_GROUP, FOLLOWED, ERA, FLOOR)
 
--- a/hitchtiller/store/join.py
+++ b/hitchtiller/store/join.py
@@ -21,7 +21,7 @@
 class Waiter:
     """A request that waits.
 
-    `have` is the tag its client holds, `seq` how many purges had been told when it came.
+    `client_tag` is the tag its client holds, `seq` how many purges had been told when it came.
     """
 
     number: int
--- a/hitchtiller/store/light.py
+++ b/hitchtiller/store/light.py
@@ -11,7 +11,7 @@
 from hitchtiller.log import logger
 from hitchtiller.store.memory import Memory
 from hitchtiller.store.pace import Pace
-from hitchtiller.store.suspect import SavedProof, FreshnessProof
+from hitchtiller.store.suspect import FreshnessProof, SavedProof
 from hitchtiller.store.tier import Tier
 
 if TYPE_CHECKING:
--- a/hitchtiller/store/plan.py
+++ b/hitchtiller/store/plan.py
@@ -9,7 +9,7 @@
 from enum import Enum
 
 from hitchtiller import interface as api
-from hitchtiller.exchange import ClientRequest, AttemptResult
+from hitchtiller.exchange import AttemptResult, ClientRequest
 from hitchtiller.store.format import MOST_BODY, MOST_TEXT, Part
 from hitchtiller.store.purges import Purges
 from hitchtiller.store.suspect import FreshnessProof
@@ -72,7 +72,9 @@
             return None
         if len(ending.body) > MOST_BODY or len(ending.tag.encode()) > MOST_TEXT or ask.group > 0xFFFF:
             return None
-        part = Part(ask.key, ask.part, ask.group, ask.class_name, ending.since_ms, ending.tag, self.proof.epoch)
+        part = Part(
+            ask.key, ask.part, ask.group, ask.class_name, ending.since_ms, ending.tag, self.proof.epoch
+        )
         return part if self.judge(part, now_ms) is State.FRESH else None
 
     def may_confirm(self, ask: ClientRequest) -> bool:
--- a/hitchtiller/store/tier.py
+++ b/hitchtiller/store/tier.py
@@ -243,7 +243,9 @@
         """Answer from a copy when the link comes to it; False if that would be too late."""
         now, answer = self.engine.clock.now_ms(), self._answer(exchange, copy, unchanged)
         size = int(len(copy.body) * KNOWN_SHARE) if answer.unchanged else len(copy.body)
-        if not self.pace.fits(size, now, self.plan.until_ms(exchange.request, now, self.pace.transfer_ms(size))):
+        if not self.pace.fits(
+            size, now, self.plan.until_ms(exchange.request, now, self.pace.transfer_ms(size))
+        ):
             self.slow_link += 1
             return False
         begin = self.pace.take(size, now)
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -20,8 +20,8 @@
 
 from standins.client import StandInClient, Verdicts
 from standins.fabric import Fabric
-from standins.parties import Bus, ServerBehaviour, Server
-from standins.relay import Relay, LinkMode
+from standins.parties import Bus, Server, ServerBehaviour
+from standins.relay import LinkMode, Relay
 from standins.rig import PORT, REPLAY_MS, ROOT, settings
 from standins.truth import Truth, now_ms
 from standins.watch import Watch
@@ -160,7 +160,9 @@
         for (number, target), relay in self.wires.items():
             if number in numbers and (targets is None or target in targets):
                 await relay.set(way)
-                if target == BUS and way is LinkMode.PASS:  # what it could not hear counts as told from now on
+                if (
+                    target == BUS and way is LinkMode.PASS
+                ):  # what it could not hear counts as told from now on
                     for host in self.buses[number].hosts:
                         self.watch.told(number, host)
 
--- a/standins/lag.py
+++ b/standins/lag.py
@@ -21,7 +21,7 @@
 from hitchtiller import interface as api
 from hitchtiller.decide import Router
 from hitchtiller.engine import Engine
-from hitchtiller.exchange import Answer, ClientRequest, Attempt, AttemptResult
+from hitchtiller.exchange import Answer, Attempt, AttemptResult, ClientRequest
 from hitchtiller.front.leave import DrainControl
 from hitchtiller.front.server import Front
 from hitchtiller.news import ListedServer, Topology
@@ -34,7 +34,7 @@
 from hitchtiller.store.memory import Memory
 from hitchtiller.store.pace import Pace
 from hitchtiller.store.space import Rate
-from hitchtiller.store.suspect import SavedProof, FreshnessProof
+from hitchtiller.store.suspect import FreshnessProof, SavedProof
 from hitchtiller.store.tier import Tier
 from standins.rig import settings
 
@@ -139,7 +139,9 @@
                 key = rng.randrange(2_000) if rng.random() < 0.8 else 10_000 + rng.getrandbits(30)
                 name = f"{key:016x}"
                 wait = now_ms() + 2000.0
-                engine.take(ClientRequest(f"{count:016x}", "files", name, key, wait, size_kb=30.0), answers.append)
+                engine.take(
+                    ClientRequest(f"{count:016x}", "files", name, key, wait, size_kb=30.0), answers.append
+                )
             sched.sleep(1.0)
         sched.sleep(50.0)
         sched.stopped = True
--- a/standins/load.py
+++ b/standins/load.py
@@ -79,7 +79,9 @@
             await asyncio.sleep(self.pause_s)
 
     async def _connect(self, process: "Process") -> StandInClient | None:
-        terminal = StandInClient(self.fleet.truth, self.fleet.verdicts, random.Random(self.rng.getrandbits(32)))
+        terminal = StandInClient(
+            self.fleet.truth, self.fleet.verdicts, random.Random(self.rng.getrandbits(32))
+        )
         try:
             await terminal.connect(process.port)
         except OSError:
--- a/standins/parties.py
+++ b/standins/parties.py
@@ -38,7 +38,9 @@
 class Server:
     """A station cache, a district cache or, with `origin`, the head office."""
 
-    def __init__(self, truth: Truth, script: ServerBehaviour, rng: random.Random, origin: bool = False) -> None:
+    def __init__(
+        self, truth: Truth, script: ServerBehaviour, rng: random.Random, origin: bool = False
+    ) -> None:
         """Start empty."""
         self.truth, self.script, self.rng, self.origin = truth, script, rng, origin
         self.held: dict[tuple[int, int], Held] = {}
--- a/standins/rig.py
+++ b/standins/rig.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from standins.client import StandInClient, Verdicts
-from standins.parties import Bus, ServerBehaviour, Server
+from standins.parties import Bus, Server, ServerBehaviour
 from standins.truth import Truth
 
 PORT = re.compile(r"127\.0\.0\.1:(\d+)")
--- a/tests/ends/test_ends_links.py
+++ b/tests/ends/test_ends_links.py
@@ -12,7 +12,7 @@
 from hitchtiller.back.link import Link
 from hitchtiller.back.upstreams import Pool, Upstreams
 from hitchtiller.codec import resp
-from hitchtiller.exchange import ClientRequest, Attempt, SendLimits, Exchange
+from hitchtiller.exchange import Attempt, ClientRequest, Exchange, SendLimits
 from hitchtiller.interface import Member
 from hitchtiller.news import ListedServer, Topology
 from hitchtiller.sched import READ, Scheduler, now_ms
--- a/tests/membership/test_membership_parts.py
+++ b/tests/membership/test_membership_parts.py
@@ -12,7 +12,15 @@
 from hitchtiller.membership.partition import CALM_MS, CUT_MS, Partition, Standing
 from hitchtiller.membership.shares import preferred_share, rule_share, weighed_share
 from hitchtiller.membership.view import UNHEARD, Claim, State, View
-from hitchtiller.membership.words import ITEMS, MOST, Kind, MembershipMessage, is_membership_message, pack, unpack
+from hitchtiller.membership.words import (
+    ITEMS,
+    MOST,
+    Kind,
+    MembershipMessage,
+    is_membership_message,
+    pack,
+    unpack,
+)
 from hitchtiller.records import hash64
 
 CLAIMS = st.builds(Claim, st.integers(0, 5), st.sampled_from(State))
@@ -65,7 +73,9 @@
     assert not view.forget(0)
 
 
-WORD = MembershipMessage(Kind.ACK, 3, 77, 9, [(5, Claim(1 << 47, State.SUSPECT), 4), (6, Claim(7, State.LEFT), 6)])
+WORD = MembershipMessage(
+    Kind.ACK, 3, 77, 9, [(5, Claim(1 << 47, State.SUSPECT), 4), (6, Claim(7, State.LEFT), 6)]
+)
 
 
 def test_words_fit_a_datagram_and_come_back() -> None:
--- a/tests/membership/test_membership_search.py
+++ b/tests/membership/test_membership_search.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from hitchtiller.membership.shares import rule_share, capped_share
+from hitchtiller.membership.shares import capped_share, rule_share
 from hitchtiller.membership.view import Claim, View
 from standins import explore
 
--- a/tests/repo/test_repo_decide.py
+++ b/tests/repo/test_repo_decide.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from hitchtiller.repo import conditions, ranges
-from hitchtiller.repo.admission import CEILING, FLOOR, ConnectionLimits, BackgroundLimit
+from hitchtiller.repo.admission import CEILING, FLOOR, BackgroundLimit, ConnectionLimits
 from hitchtiller.repo.body import HOLD, Assembly, Broken, Piece, Proofs, Restart
 from hitchtiller.repo.budget import Budget, FileBudget
 from hitchtiller.repo.generations import KEPT, Line, NamedFile, State
--- a/tests/repo/test_repo_live.py
+++ b/tests/repo/test_repo_live.py
@@ -27,7 +27,9 @@
 INDEX = "/simple/simple/demo/"
 
 
-def played(script: Callable[[Rig, ScriptedRepository], Awaitable[None]], store: bool = False, **more: float) -> None:
+def played(
+    script: Callable[[Rig, ScriptedRepository], Awaitable[None]], store: bool = False, **more: float
+) -> None:
     """Run a script on a gateway with a repository that has published one release."""
 
     async def run() -> None:
--- a/tests/store/test_store_decide.py
+++ b/tests/store/test_store_decide.py
@@ -11,7 +11,7 @@
 from hitchtiller.store.pace import Pace
 from hitchtiller.store.purges import Purges
 from hitchtiller.store.space import Rate, Segment, Space
-from hitchtiller.store.suspect import SavedProof, FreshnessProof
+from hitchtiller.store.suspect import FreshnessProof, SavedProof
 
 
 def begun(kept: SavedProof, now: float = START, replay: float = 6000.0) -> FreshnessProof:
--- a/tests/store/test_store_tier.py
+++ b/tests/store/test_store_tier.py
@@ -10,7 +10,7 @@
 from hitchtiller.store import recover
 from hitchtiller.store.disk import Disk
 from hitchtiller.store.jobs import InlineJobs
-from hitchtiller.store.suspect import SavedProof, FreshnessProof
+from hitchtiller.store.suspect import FreshnessProof, SavedProof
 from standins.files import SimFiles
 
 
--- a/tests/store/tiers.py
+++ b/tests/store/tiers.py
@@ -10,8 +10,8 @@
 from hitchtiller import interface as api
 from hitchtiller.decide import Router
 from hitchtiller.engine import Engine
-from hitchtiller.exchange import Answer, ClientRequest, Attempt, AttemptResult, Exchange
-from hitchtiller.news import PurgeNotice, ListedServer, Topology
+from hitchtiller.exchange import Answer, Attempt, AttemptResult, ClientRequest, Exchange
+from hitchtiller.news import ListedServer, PurgeNotice, Topology
 from hitchtiller.store import recover
 from hitchtiller.store.disk import Disk, Options
 from hitchtiller.store.files import Files
@@ -19,7 +19,7 @@
 from hitchtiller.store.jobs import InlineJobs
 from hitchtiller.store.memory import Memory
 from hitchtiller.store.pace import Pace
-from hitchtiller.store.suspect import SavedProof, FreshnessProof
+from hitchtiller.store.suspect import FreshnessProof, SavedProof
 from hitchtiller.store.tier import Tier
 from standins.files import SimFiles
 
@@ -57,7 +57,9 @@
     def ask(self, key: int = 42, name: str = "small", life: float = 2900.0, **more: Any) -> Exchange:
         """Take a request; its answer will be found under its number."""
         self.ids += 1
-        ask = ClientRequest(f"{self.ids:016x}", name, f"{key:016x}", key, self.clock.now + life, size_kb=50.0, **more)
+        ask = ClientRequest(
+            f"{self.ids:016x}", name, f"{key:016x}", key, self.clock.now + life, size_kb=50.0, **more
+        )
         number = self.ids
 
         def deliver(answer: Answer) -> None:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -68,7 +68,9 @@
         back.follow(Topology((ListedServer(api.Member("old", "z1", "box", "SERVING"), address),), True))()
         pool = back.pools["old"]
         link = back.open(pool)
-        back.follow(Topology((ListedServer(api.Member("new", "z1", "box", "SERVING", 9.0), address),), True))()
+        back.follow(
+            Topology((ListedServer(api.Member("new", "z1", "box", "SERVING", 9.0), address),), True)
+        )()
         self.assertEqual((list(back.pools), link.stream.code, pool.closed), (["new"], "gone", True))
         self.assertEqual(back.pools["new"].links, [])
 
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -11,7 +11,7 @@
 from hitchtiller.codec.resp import BadResp
 from hitchtiller.decide import Router
 from hitchtiller.engine import Engine
-from hitchtiller.exchange import FAILED, REFUSED, SERVED, Answer, ClientRequest, Attempt, AttemptResult
+from hitchtiller.exchange import FAILED, REFUSED, SERVED, Answer, Attempt, AttemptResult, ClientRequest
 from hitchtiller.news import ListedServer, Topology
 
 
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -19,7 +19,7 @@
 from hitchtiller.codec import frames
 from hitchtiller.decide import Router
 from hitchtiller.engine import Engine
-from hitchtiller.exchange import ClientRequest, Attempt
+from hitchtiller.exchange import Attempt, ClientRequest
 from hitchtiller.front.server import Front
 from hitchtiller.news import ListedServer, Topology
 from hitchtiller.ops.control import LONGEST, MOST_CALLERS, CallError
@@ -156,7 +156,9 @@
         return self.engine.router.nodes[server].m.state
 
     def ask(self, number: int) -> Attempt:
-        ask = ClientRequest(f"{number:016x}", "small", f"{number:016x}", number, self.clock.now + 900.0, size_kb=50.0)
+        ask = ClientRequest(
+            f"{number:016x}", "small", f"{number:016x}", number, self.clock.now + 900.0, size_kb=50.0
+        )
         self.engine.take(ask, lambda answer: None)
         return self.back.sent[-1]
 
