--- a/hitchtiller/exchange.py
+++ b/hitchtiller/exchange.py
@@ -99,9 +99,8 @@
         self.ended = True
         if self.timeout:
             self.timeout()
-        self.timeout = self.back_end_handle = (
-            None  # no cycles: they would need the garbage collector, which stalls
-        )
+        # no cycles: they would need the garbage collector, which stalls
+        self.timeout = self.back_end_handle = None
         self.on_end(self, ending)
 
     def drop(self, word: str) -> None:
@@ -125,9 +124,8 @@
         self.over = False
         self.decided = False  # the decisions have it
         self.taken_ms = 0.0
-        self.blocked_until_ms = (
-            0.0  # until then an attempt that was given up may still be out: none may follow it
-        )
+        # until then an attempt that was given up may still be out: none may follow it
+        self.blocked_until_ms = 0.0
         self.confirm_tag = ""  # tag of a copy of our own that a server is asked about
 
     def finish(self, answer: Answer) -> bool:
--- a/hitchtiller/front/server.py
+++ b/hitchtiller/front/server.py
@@ -31,9 +31,8 @@
         self.leave = DrainControl(self)
         self.accepting = True
         self.not_ready_reason: Callable[[], str] = str  # a further reason not to be ready
-        self.not_ready_reasons: list[
-            Callable[[], str]
-        ] = []  # and more of them, from what is joined to the gateway
+        # and more of them, from what is joined to the gateway
+        self.not_ready_reasons: list[Callable[[], str]] = []
         self.listener = socket.socket()
 
     def listen(self, address: tuple[str, int], held: int | None = None) -> tuple[str, int]:
--- a/hitchtiller/peers.py
+++ b/hitchtiller/peers.py
@@ -25,9 +25,8 @@
         # guards a new version's start beside the old one; the kernel gives datagrams to the later of the two
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.sock.bind(listen)
-        self.on_other_datagram: Callable[[int, bytes], bool] | None = (
-            None  # takes what is no note, where switched on
-        )
+        # takes what is no note, where switched on
+        self.on_other_datagram: Callable[[int, bytes], bool] | None = None
 
     def send_note(self, peer: int, note: api.PeerNote | api.LeaseNote) -> None:
         """Send a note; like any datagram it may be lost."""
--- a/hitchtiller/store/disk.py
+++ b/hitchtiller/store/disk.py
@@ -103,9 +103,8 @@
         False if it is dropped. With `only` it takes effect where the index still has that place.
         """
         size = part.size(len(body))
-        era_known = (
-            part.epoch <= self.log.kept.epoch
-        )  # guards against records of an era that a crash would undo
+        # guards against records of an era that a crash would undo
+        era_known = part.epoch <= self.log.kept.epoch
         if (
             self.closed
             or not (self.health.writes and era_known)
--- a/tests/fleet/test_fleet_faults.py
+++ b/tests/fleet/test_fleet_faults.py
@@ -233,9 +233,8 @@
         load.start()
         await load.until(20)
         fleet.poke(0, signal.SIGSTOP)
-        await fleet.wire(
-            LinkMode.SILENT, [0], [BUS]
-        )  # so that its requests come before the news, as they may
+        # so that its requests come before the news, as they may
+        await fleet.wire(LinkMode.SILENT, [0], [BUS])
         fleet.tell(0, health="Terminating")
         fleet.watch.told(0, fleet.buses[0].hosts[0])
         await fleet.until({0: GONE}, among=[1, 2])
