--- a/tests/ends/sides.py
+++ b/tests/ends/sides.py
@@ -133,7 +133,7 @@
 
     def jam(self) -> None:
         """Let more answers wait on the connection than its client takes."""
-        self.engine.answer(self.request(1), bytes(16_000_000))
+        self.engine.answer(self.ask(1), bytes(16_000_000))
         self.assertGreater(self.client.stream.size, 1_000_000)
         self.other.sendall(frames.head(frames.GIVE_UP, 1, 0))  # of what is over: one more word is read
         seen = self.client.seen_ms
