--- a/tests/scale/test_scale_leases.py
+++ b/tests/scale/test_scale_leases.py
@@ -72,8 +72,9 @@
             if fleet.rng.random() < 0.5:
                 fleet.stop(number)
                 fleet.at(
-                    begin_ms + 11_500.0 + fleet.rng.random() * 100.0, lambda n=number: fleet.resume_process(n)
-                )  # type: ignore[misc]
+                    begin_ms + 11_500.0 + fleet.rng.random() * 100.0,
+                    lambda n=number: fleet.resume_process(n),  # type: ignore[misc]
+                )
 
     fleet.at(begin_ms + 1_000.0, stop)
 
