--- a/hitchtiller/cli/bench.py
+++ b/hitchtiller/cli/bench.py
@@ -18,7 +18,7 @@
 from hitchtiller.store.format import Part
 from hitchtiller.store.index import Index, fingerprint, pack_place, unpack_place
 from hitchtiller.store.jobs import InlineJobs
-from hitchtiller.store.suspect import FreshnessProof
+from hitchtiller.store.suspect import Proof
 
 MB = 1_000_000
 
@@ -27,7 +27,7 @@
     files = OsFiles(folder)
     files.lock()
     budget = parts * (size + 256) * 2 + 512 * MB
-    proof = FreshnessProof(recover.Recovered().kept, 0.0)
+    proof = Proof(recover.Recovered().kept, 0.0)
     disk = Disk(
         files, InlineJobs(), Options(budget, 0, 64 * MB // 64 * 64, 64 * MB), recover.Recovered(), proof
     )
@@ -98,7 +98,7 @@
     begun = time.perf_counter()
     found = recover.load(files, use_checkpoint)
     loaded = time.perf_counter() - begun
-    disk = Disk(files, InlineJobs(), Options(1 << 40), found, FreshnessProof(found.kept, 0.0))
+    disk = Disk(files, InlineJobs(), Options(1 << 40), found, Proof(found.kept, 0.0))
     got: list[int] = []
     disk.get(0, 0, lambda part, body: got.append(len(body)))
     took = time.perf_counter() - begun
--- a/hitchtiller/cli/serve.py
+++ b/hitchtiller/cli/serve.py
@@ -29,14 +29,14 @@
     from hitchtiller.store.memory import Memory
     from hitchtiller.store.pace import Pace
     from hitchtiller.store.space import Rate
-    from hitchtiller.store.suspect import FreshnessProof, SavedProof
+    from hitchtiller.store.suspect import Proof, SavedProof
     from hitchtiller.store.tier import Tier
 
     def extend(gateway: Gateway) -> Callable[[], None]:
         config, sched = gateway.config, gateway.sched
         weights = {name: share.weight for name, share in settings.share.items()}
         memory = Memory(int(settings.memory_mb * MB), weights, settings.policy)
-        proof = FreshnessProof(SavedProof(), config.settings.purge_done_ms, settings.purge_lag_ms)
+        proof = Proof(SavedProof(), config.settings.purge_done_ms, settings.purge_lag_ms)
         pace = Pace(config.flow_bytes_per_s, config.link_bytes_per_s)
         tier = Tier(gateway.engine, memory, proof, pace, settings.confirm)
         gateway.bus.on_caught_up = tier.on_caught_up
--- a/hitchtiller/cli/store.py
+++ b/hitchtiller/cli/store.py
@@ -15,7 +15,7 @@
 from hitchtiller.store.index import unpack_place
 from hitchtiller.store.jobs import InlineJobs
 from hitchtiller.store.space import Rate
-from hitchtiller.store.suspect import FreshnessProof
+from hitchtiller.store.suspect import Proof
 
 MB = 1_000_000
 
@@ -123,7 +123,7 @@
     before = sum(segment.size for segment in found.segments.values())
     if 2 * before + options.segment_bytes > options.budget:
         options = Options(2 * before + 2 * options.segment_bytes, 0, options.segment_bytes, 64 * MB)
-    proof = FreshnessProof(found.kept, 0.0)
+    proof = Proof(found.kept, 0.0)
     disk = Disk(files, InlineJobs(), options, found, proof)
     compactor = Compactor(disk, lambda mark: 16, Rate(1e15, 1e15, 1e15))
     old = sorted(found.segments)
--- a/hitchtiller/store/disk.py
+++ b/hitchtiller/store/disk.py
@@ -21,7 +21,7 @@
 from hitchtiller.store.log import PurgeLog
 from hitchtiller.store.recover import CHECKPOINT, Recovered, checkpoint_name, numbered, segment_name
 from hitchtiller.store.space import Segment, Space
-from hitchtiller.store.suspect import FreshnessProof
+from hitchtiller.store.suspect import Proof
 
 SLICE = 1 << 15  # index slots copied in one step of a checkpoint: half a megabyte
 STALL_MS = 100.0  # that a read may take before the next ones go to the caches
@@ -68,7 +68,7 @@
         jobs: Jobs,
         options: Options,
         found: Recovered,
-        proof: FreshnessProof,
+        proof: Proof,
         steady: Callable[[], float] = steady_ms,
     ) -> None:
         """Go on from what was found; the old segments are sealed, the next record opens a new one."""
--- a/hitchtiller/store/light.py
+++ b/hitchtiller/store/light.py
@@ -11,7 +11,7 @@
 from hitchtiller.log import logger
 from hitchtiller.store.memory import Memory
 from hitchtiller.store.pace import Pace
-from hitchtiller.store.suspect import FreshnessProof, SavedProof
+from hitchtiller.store.suspect import Proof, SavedProof
 from hitchtiller.store.tier import Tier
 
 if TYPE_CHECKING:
@@ -29,7 +29,7 @@
     """Join the memory tier to a gateway; suspects are forgotten, not asked about."""
     config = gateway.config
     size = room_mb(config.memory_mb)
-    proof = FreshnessProof(SavedProof(), config.settings.purge_done_ms)
+    proof = Proof(SavedProof(), config.settings.purge_done_ms)
     pace = Pace(config.flow_bytes_per_s, config.link_bytes_per_s)
     tier = Tier(gateway.engine, Memory(int(size * 1e6)), proof, pace, confirm=False)
     gateway.bus.on_caught_up = tier.on_caught_up
--- a/hitchtiller/store/plan.py
+++ b/hitchtiller/store/plan.py
@@ -12,7 +12,7 @@
 from hitchtiller.exchange import AttemptResult, ClientRequest
 from hitchtiller.store.format import MOST_BODY, MOST_TEXT, Part
 from hitchtiller.store.purges import Purges
-from hitchtiller.store.suspect import FreshnessProof
+from hitchtiller.store.suspect import Proof
 
 KNOWN_SHARE = 0.05  # of a transfer, that telling a client its copy holds costs
 JOIN_SHARE, JOIN_MS = 0.4, 1_000.0  # of a request's time, and in all, that it waits for another's answer
@@ -33,7 +33,7 @@
 
     classes: dict[str, api.ClassSettings]
     purges: Purges
-    proof: FreshnessProof
+    proof: Proof
 
     def keeps(self, class_name: str) -> bool:
         """Tell whether a class's answers may be kept at all."""
--- a/hitchtiller/store/suspect.py
+++ b/hitchtiller/store/suspect.py
@@ -27,7 +27,7 @@
     gap_end_ms: float = 0.0  # copies of older eras must be confirmed from after this
 
 
-class FreshnessProof:
+class Proof:
     """Decides which copies are proven; it is told of the bus and of both clocks."""
 
     def __init__(self, kept: SavedProof, replay_ms: float, lag_ms: float = LAG_MS) -> None:
--- a/hitchtiller/store/tier.py
+++ b/hitchtiller/store/tier.py
@@ -22,7 +22,7 @@
 from hitchtiller.store.plan import KNOWN_SHARE, Plan, State
 from hitchtiller.store.purges import Purges
 from hitchtiller.store.sketch import Sketch
-from hitchtiller.store.suspect import FreshnessProof
+from hitchtiller.store.suspect import Proof
 
 UNDER_WAY_MS = 60_000.0  # by then no copy from before a purge comes from anywhere
 DISK_COUNT = 1  # sightings before this one, from which on a part is written to disk
@@ -35,7 +35,7 @@
         self,
         engine: Engine,
         memory: Memory,
-        proof: FreshnessProof,
+        proof: Proof,
         pace: Pace,
         confirm: bool = True,
         steady: Callable[[], float] = steady_ms,
--- a/standins/crashpoints.py
+++ b/standins/crashpoints.py
@@ -23,7 +23,7 @@
 from hitchtiller.store.index import unpack_place
 from hitchtiller.store.jobs import InlineJobs
 from hitchtiller.store.space import Rate
-from hitchtiller.store.suspect import FreshnessProof
+from hitchtiller.store.suspect import Proof
 from standins.files import Crash, SimFiles
 from standins.truth import make_body
 
@@ -56,7 +56,7 @@
     def open(self) -> Disk:
         """Start as a gateway does: read the folder, hear the bus, take over the era."""
         found = recover.load(self.files)
-        proof = FreshnessProof(found.kept, REPLAY_MS, 100.0)
+        proof = Proof(found.kept, REPLAY_MS, 100.0)
         disk = self.disk = Disk(self.files, InlineJobs(), OPTIONS, found, proof)
         self.counts["gaps"] += proof.begin(self.model.now, self.model.now)
         disk.mark_epoch()
--- a/standins/lag.py
+++ b/standins/lag.py
@@ -34,7 +34,7 @@
 from hitchtiller.store.memory import Memory
 from hitchtiller.store.pace import Pace
 from hitchtiller.store.space import Rate
-from hitchtiller.store.suspect import FreshnessProof, SavedProof
+from hitchtiller.store.suspect import Proof, SavedProof
 from hitchtiller.store.tier import Tier
 from standins.rig import settings
 
@@ -110,7 +110,7 @@
     folder = Path(tempfile.mkdtemp(prefix="lag-"))
     keeper = jobs = None
     if way != "off":
-        tier = Tier(engine, Memory(4 * MB), FreshnessProof(SavedProof(), 6000.0), Pace(0.0, 0.0))
+        tier = Tier(engine, Memory(4 * MB), Proof(SavedProof(), 6000.0), Pace(0.0, 0.0))
         tier.on_caught_up()
         front = Front(sched, engine, setup, 10, 10)
         front.leave = DrainControl(front)
--- a/tests/store/test_store_decide.py
+++ b/tests/store/test_store_decide.py
@@ -11,11 +11,11 @@
 from hitchtiller.store.pace import Pace
 from hitchtiller.store.purges import Purges
 from hitchtiller.store.space import Rate, Segment, Space
-from hitchtiller.store.suspect import FreshnessProof, SavedProof
+from hitchtiller.store.suspect import Proof, SavedProof
 
 
-def begun(kept: SavedProof, now: float = START, replay: float = 6000.0) -> FreshnessProof:
-    proof = FreshnessProof(kept, replay, 500.0)
+def begun(kept: SavedProof, now: float = START, replay: float = 6000.0) -> Proof:
+    proof = Proof(kept, replay, 500.0)
     proof.begin(now, 0.0)
     return proof
 
@@ -33,7 +33,7 @@
 
 
 def test_nothing_is_proven_before_the_bus_has_told_all() -> None:
-    proof = FreshnessProof(SavedProof(3, START, 1.0), 6000.0)
+    proof = Proof(SavedProof(3, START, 1.0), 6000.0)
     assert not proof.proven(3, START, START) and not proof.confirms(START, START)
 
 
@@ -69,11 +69,11 @@
 
 
 def test_a_folder_read_late_is_judged_by_when_the_bus_was_first_followed() -> None:
-    proof = FreshnessProof(SavedProof(), 6000.0, 500.0)
+    proof = Proof(SavedProof(), 6000.0, 500.0)
     proof.begin(START, 0.0)
     assert not proof.adopt(SavedProof(7, START - 5_000.0, 5.0), START + 60_000.0)
     assert proof.epoch == 7 and proof.proven(7, START - 9_000.0, START + 60_000.0)
-    late = FreshnessProof(SavedProof(), 6000.0, 500.0)
+    late = Proof(SavedProof(), 6000.0, 500.0)
     late.begin(START, 0.0)
     assert late.adopt(SavedProof(7, START - 7_000.0, 5.0), START + 60_000.0)
     assert late.epoch == 8 and late.gap_end_ms == START + 60_000.0
--- a/tests/store/test_store_disk.py
+++ b/tests/store/test_store_disk.py
@@ -19,7 +19,7 @@
 from hitchtiller.store.index import fingerprint
 from hitchtiller.store.jobs import InlineJobs
 from hitchtiller.store.space import Rate
-from hitchtiller.store.suspect import FreshnessProof
+from hitchtiller.store.suspect import Proof
 from standins.crashpoints import Run, point
 from standins.files import Crash, SimFiles
 from standins.truth import make_body
@@ -29,7 +29,7 @@
 
 def opened(files: SimFiles | OsFiles, now: float = START, options: Options = SMALL) -> Disk:
     found = recover.load(files)
-    proof = FreshnessProof(found.kept, 6000.0, 500.0)
+    proof = Proof(found.kept, 6000.0, 500.0)
     disk = Disk(files, InlineJobs(), options, found, proof)
     proof.begin(now, 0.0)
     disk.mark_epoch()
@@ -224,7 +224,7 @@
     """A crash would have given the same era to the next life, with this life's records in it."""
     files = SimFiles()
     found = recover.load(files)
-    disk = Disk(files, InlineJobs(), SMALL, found, FreshnessProof(found.kept, 6000.0))
+    disk = Disk(files, InlineJobs(), SMALL, found, Proof(found.kept, 6000.0))
     disk.proof.begin(START, 0.0)
     assert not disk.put(part(1, epoch=disk.proof.epoch), b"x")
     disk.mark_epoch()
@@ -263,7 +263,7 @@
 
 
 def test_the_judge_of_crashes_notices_trust_without_proof(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(FreshnessProof, "proven", lambda *_: True)
+    monkeypatch.setattr(Proof, "proven", lambda *_: True)
     assert any("old" in line for seed in range(1, 15) for line in point(seed).wrong)
 
 
--- a/tests/store/test_store_tier.py
+++ b/tests/store/test_store_tier.py
@@ -10,7 +10,7 @@
 from hitchtiller.store import recover
 from hitchtiller.store.disk import Disk
 from hitchtiller.store.jobs import InlineJobs
-from hitchtiller.store.suspect import FreshnessProof, SavedProof
+from hitchtiller.store.suspect import Proof, SavedProof
 from standins.files import SimFiles
 
 
@@ -331,7 +331,7 @@
                 return True
             return super().submit(lane, run, done)
 
-    proof = FreshnessProof(SavedProof(), 6000.0)
+    proof = Proof(SavedProof(), 6000.0)
     disk = Disk(files, Slow(), SMALL, found, proof)
     disk.proof = tiers.proof
     tiers.tier.attach(disk)
--- a/tests/store/tiers.py
+++ b/tests/store/tiers.py
@@ -19,7 +19,7 @@
 from hitchtiller.store.jobs import InlineJobs
 from hitchtiller.store.memory import Memory
 from hitchtiller.store.pace import Pace
-from hitchtiller.store.suspect import FreshnessProof, SavedProof
+from hitchtiller.store.suspect import Proof, SavedProof
 from hitchtiller.store.tier import Tier
 from standins.files import SimFiles
 
@@ -41,7 +41,7 @@
         members = tuple(ListedServer(m, ("127.0.0.1", 1)) for m in FLEET)
         self.engine.news(Topology(members, whole=True))
         self.drift = 0.0  # by which the steady clock has left the other
-        self.proof = FreshnessProof(SavedProof(), 6000.0, 500.0)
+        self.proof = Proof(SavedProof(), 6000.0, 500.0)
         self.tier = Tier(
             self.engine,
             Memory(memory),
