--- a/hitchtiller/engine.py
+++ b/hitchtiller/engine.py
@@ -42,7 +42,7 @@
         """Call later."""
 
 
-class Back(Protocol):
+class BackEnd(Protocol):
     """The server side."""
 
     def send(self, attempt: Attempt) -> None:
@@ -90,7 +90,7 @@
         self,
         router: Router,
         clock: Clock,
-        back: Back,
+        back: BackEnd,
         send_note: Callable[[int, api.PeerNote | api.LeaseNote], None],
     ) -> None:
         """Join the parts."""
