--- a/hitchtiller/engine.py
+++ b/hitchtiller/engine.py
@@ -96,9 +96,9 @@
         """Join the parts."""
         self.router, self.clock, self.back, self.send_note = router, clock, back, send_note
         self.open: dict[int, Exchange] = {}
-        self.ids: set[str] = set()  # of what is open, as clients name it
-        self.numbers = count(1)
-        self.events: deque[api.Event] = deque()
+        self.open_ids: set[str] = set()  # of what is open, as clients name it
+        self.request_numbers = count(1)
+        self.event_queue: deque[api.Event] = deque()
         self.busy = False
         self.copies: Copies | None = None
         self.effects = Effects(router.settings.classes)
@@ -120,13 +120,13 @@
 
     def has(self, id: str) -> bool:
         """Tell whether a request of this id is open, whoever asked."""
-        return id.lower() in self.ids
+        return id.lower() in self.open_ids
 
     def take(self, ask: ClientRequest, deliver: Callable[[Answer], None]) -> Exchange:
         """Take a request; `deliver` gets its final answer, unless it leaves."""
-        exchange = Exchange(next(self.numbers), ask, deliver)
+        exchange = Exchange(next(self.request_numbers), ask, deliver)
         self.open[exchange.number] = exchange
-        self.ids.add(ask.id.lower())
+        self.open_ids.add(ask.id.lower())
         self.stats.taken += 1
         self._worth("asked", exchange)
         exchange.taken_ms = self.clock.now_ms()
@@ -183,7 +183,7 @@
 
     def _drop(self, exchange: Exchange) -> None:
         if self.open.pop(exchange.number, None):
-            self.ids.discard(exchange.request.id.lower())
+            self.open_ids.discard(exchange.request.id.lower())
 
     def finish(self, exchange: Exchange, answer: Answer) -> None:
         """Give the final answer, once."""
@@ -235,13 +235,13 @@
 
     def submit(self, event: api.Event) -> None:
         """Hand an event over; events that come of its actions follow it in order."""
-        self.events.append(event)
+        self.event_queue.append(event)
         if self.busy:
             return
         self.busy = True
         try:
-            while self.events:
-                self.step(self.events.popleft())
+            while self.event_queue:
+                self.step(self.event_queue.popleft())
         finally:
             self.busy = False
 
