--- a/hitchtiller/engine.py
+++ b/hitchtiller/engine.py
@@ -128,7 +128,7 @@
         self.open[exchange.number] = exchange
         self.open_ids.add(ask.id.lower())
         self.stats.taken += 1
-        self._worth("asked", exchange)
+        self._count_worth("asked", exchange)
         exchange.taken_ms = self.clock.now_ms()
         delay = ask.deadline_ms - exchange.taken_ms
         exchange.guard = self.clock.later(delay, partial(self.expire, exchange)).cancel
@@ -153,7 +153,7 @@
         """Nobody waits for it any more: stop its attempts."""
         if exchange.close():
             self.stats.left += 1
-            self._worth("left", exchange)
+            self._count_worth("left", exchange)
             self.abandon(exchange)
 
     def expire(self, exchange: Exchange) -> None:
@@ -173,7 +173,7 @@
 
     def abandon(self, exchange: Exchange) -> None:
         """Tell the decisions that a request is over and cancel what is out for it."""
-        self._drop(exchange)
+        self._remove_open(exchange)
         if exchange.decided:
             self.submit(api.ClientLeft(exchange.number))
         if self.copies:
@@ -181,7 +181,7 @@
         for attempt in list(exchange.attempts):
             self.cancel(attempt, "ecanceled")
 
-    def _drop(self, exchange: Exchange) -> None:
+    def _remove_open(self, exchange: Exchange) -> None:
         if self.open.pop(exchange.number, None):
             self.open_ids.discard(exchange.request.id.lower())
 
@@ -194,26 +194,26 @@
             ask.class_name, ask.dedupe, self.clock.now_ms()
         ):
             answer = Answer(FAILED)  # a refusal would say that trying again does no harm
-        self._drop(exchange)
+        self._remove_open(exchange)
         if exchange.finish(answer):
             self.stats.end(exchange.request.class_name, answer.kind)
-            self._worth(answer.kind, exchange)
+            self._count_worth(answer.kind, exchange)
             if self.on_final_answer:
                 self.on_final_answer(exchange, answer)
             if self.copies:
                 self.copies.over(exchange, answer)
         exchange.settle()
 
-    def _worth(self, what: str, exchange: Exchange) -> None:
+    def _count_worth(self, outcome: str, exchange: Exchange) -> None:
         """Count a request's worth under what became of it; `served` is told apart by its class's aim."""
         settings, ask = self.router.settings, exchange.request
         if (cls := settings.classes.get(ask.class_name)) is None:
             return
-        if what == SERVED:
-            work = 1000.0 * ask.size_kb / settings.flow_kb_per_s if settings.flow_kb_per_s else 0.0
-            prompt = self.clock.now_ms() - exchange.taken_ms <= cls.aim_ms + cls.aim_stretch * work
-            what = "in_time" if prompt else "late"
-        self.stats.worth[what] += cls.worth
+        if outcome == SERVED:
+            transfer_ms = 1000.0 * ask.size_kb / settings.flow_kb_per_s if settings.flow_kb_per_s else 0.0
+            in_time = self.clock.now_ms() - exchange.taken_ms <= cls.aim_ms + cls.aim_stretch * transfer_ms
+            outcome = "in_time" if in_time else "late"
+        self.stats.worth[outcome] += cls.worth
 
     # News
 
