--- a/hitchtiller/engine.py
+++ b/hitchtiller/engine.py
@@ -131,7 +131,7 @@
         self._count_worth("asked", exchange)
         exchange.taken_ms = self.clock.now_ms()
         delay = ask.deadline_ms - exchange.taken_ms
-        exchange.guard = self.clock.later(delay, partial(self.expire, exchange)).cancel
+        exchange.guard = self.clock.later(delay, partial(self.on_deadline, exchange)).cancel
         if self.effects.window_passed(ask.class_name, ask.dedupe, exchange.taken_ms):
             self.fail(exchange)  # an earlier try may have run, and a repeat would not be dropped any more
         elif self.copies is None or not self.copies.take(exchange):
@@ -156,7 +156,7 @@
             self._count_worth("left", exchange)
             self.abandon(exchange)
 
-    def expire(self, exchange: Exchange) -> None:
+    def on_deadline(self, exchange: Exchange) -> None:
         """At the deadline end what is out; answer in place of decisions that did not then."""
         for attempt in list(exchange.attempts):
             self.cancel(attempt, "etimedout")
@@ -241,11 +241,11 @@
         self.busy = True
         try:
             while self.event_queue:
-                self.step(self.event_queue.popleft())
+                self.process_event(self.event_queue.popleft())
         finally:
             self.busy = False
 
-    def step(self, event: api.Event) -> None:
+    def process_event(self, event: api.Event) -> None:
         """Decide on one event; a fault ends the one request concerned, not the program."""
         try:
             for action in self.router.handle(event, self.clock.now_ms()):
@@ -276,13 +276,13 @@
                 self.send_note(action.peer, action.note)
             case api.Probe():
                 begun = self.clock.now_ms()
-                self.back.probe(action.server, partial(self.probed, action.server, begun))
+                self.back.probe(action.server, partial(self.on_probe_result, action.server, begun))
             case api.Log():
                 logger.info("{}", action.text)
             case api.Watch():
                 pass  # the bus tells unasked
 
-    def probed(self, server: str, begun: float, status: str, load: dict[str, float]) -> None:
+    def on_probe_result(self, server: str, begun: float, status: str, load: dict[str, float]) -> None:
         """Take a probe's result."""
         self.submit(api.Probed(server, status, self.clock.now_ms() - begun, load))
 
@@ -293,7 +293,7 @@
             return
         now = self.clock.now_ms()
         spared = self.copies is not None and not self.copies.may_send(exchange)
-        attempt = Attempt(exchange, get, now, self.authorize, self.ended, self.sent)
+        attempt = Attempt(exchange, get, now, self.authorize, self.on_attempt_end, self.on_attempt_written)
         if 0.0 < get.timeout_ms < exchange.request.deadline_ms - now - 1.0:  # else the deadline ends it
             timer = self.clock.later(get.timeout_ms, partial(self.cancel, attempt, "etimedout"))
             attempt.timeout = timer.cancel
@@ -322,7 +322,7 @@
         self.effects.begin(ask.class_name, ask.dedupe, node.m, now)
         return SendLimits(cap, ask.deadline_ms - now)
 
-    def sent(self) -> None:
+    def on_attempt_written(self) -> None:
         """Count an attempt that was written whole."""
         self.stats.attempts += 1
 
@@ -332,7 +332,7 @@
             self.back.cancel(attempt)
             attempt.drop(word)
 
-    def ended(self, attempt: Attempt, ending: AttemptResult) -> None:
+    def on_attempt_end(self, attempt: Attempt, ending: AttemptResult) -> None:
         """Take an attempt's end: the first served one is the answer."""
         exchange = attempt.exchange
         self.stats.tried(ending.status)
