--- a/hitchtiller/engine.py
+++ b/hitchtiller/engine.py
@@ -70,7 +70,7 @@
     def cap(self, exchange: Exchange, cap_ms: float, now_ms: float) -> float:
         """Bound the age of the copy that is asked for further; 0 for no bound."""
 
-    def on_result(self, attempt: Attempt, ending: AttemptResult) -> AttemptResult:
+    def on_result(self, attempt: Attempt, result: AttemptResult) -> AttemptResult:
         """Take a served attempt's end, to keep it or to put a confirmed copy's bytes in."""
 
     def fallback(self, exchange: Exchange, answer: Answer) -> Answer:
@@ -79,7 +79,7 @@
     def over(self, exchange: Exchange, answer: Answer | None) -> None:
         """Hear of a request's end; None if its client left."""
 
-    def purged(self, ban: PurgeNotice) -> None:
+    def purged(self, purge: PurgeNotice) -> None:
         """Hear of a purge before the decisions do."""
 
 
@@ -122,17 +122,17 @@
         """Tell whether a request of this id is open, whoever asked."""
         return id.lower() in self.open_ids
 
-    def take(self, ask: ClientRequest, deliver: Callable[[Answer], None]) -> Exchange:
+    def take(self, request: ClientRequest, deliver: Callable[[Answer], None]) -> Exchange:
         """Take a request; `deliver` gets its final answer, unless it leaves."""
-        exchange = Exchange(next(self.request_numbers), ask, deliver)
+        exchange = Exchange(next(self.request_numbers), request, deliver)
         self.open[exchange.number] = exchange
-        self.open_ids.add(ask.id.lower())
+        self.open_ids.add(request.id.lower())
         self.stats.taken += 1
         self._count_worth("asked", exchange)
         exchange.taken_ms = self.clock.now_ms()
-        delay = ask.deadline_ms - exchange.taken_ms
-        exchange.guard = self.clock.later(delay, partial(self.on_deadline, exchange)).cancel
-        if self.effects.window_passed(ask.class_name, ask.dedupe, exchange.taken_ms):
+        delay_ms = request.deadline_ms - exchange.taken_ms
+        exchange.guard = self.clock.later(delay_ms, partial(self.on_deadline, exchange)).cancel
+        if self.effects.window_passed(request.class_name, request.dedupe, exchange.taken_ms):
             self.fail(exchange)  # an earlier try may have run, and a repeat would not be dropped any more
         elif self.copies is None or not self.copies.take(exchange):
             self.decide(exchange)
@@ -142,10 +142,16 @@
         """Hand a request to the decisions, once."""
         if exchange.over or exchange.decided:
             return
-        exchange.decided, ask = True, exchange.request
+        exchange.decided, request = True, exchange.request
         self.submit(
             api.Request(
-                exchange.number, ask.class_name, ask.key, ask.deadline_ms, ask.size_kb, ask.group, ask.part
+                exchange.number,
+                request.class_name,
+                request.key,
+                request.deadline_ms,
+                request.size_kb,
+                request.group,
+                request.part,
             )
         )
 
@@ -189,9 +195,9 @@
         """Give the final answer, once."""
         if self.copies and answer.kind != SERVED:
             answer = self.copies.fallback(exchange, answer)
-        ask = exchange.request
+        request = exchange.request
         if answer.kind == REFUSED and not self.effects.retry_is_safe(
-            ask.class_name, ask.dedupe, self.clock.now_ms()
+            request.class_name, request.dedupe, self.clock.now_ms()
         ):
             answer = Answer(FAILED)  # a refusal would say that trying again does no harm
         self._remove_open(exchange)
@@ -206,11 +212,11 @@
 
     def _count_worth(self, outcome: str, exchange: Exchange) -> None:
         """Count a request's worth under what became of it; `served` is told apart by its class's aim."""
-        settings, ask = self.router.settings, exchange.request
-        if (cls := settings.classes.get(ask.class_name)) is None:
+        settings, request = self.router.settings, exchange.request
+        if (cls := settings.classes.get(request.class_name)) is None:
             return
         if outcome == SERVED:
-            transfer_ms = 1000.0 * ask.size_kb / settings.flow_kb_per_s if settings.flow_kb_per_s else 0.0
+            transfer_ms = 1000.0 * request.size_kb / settings.flow_kb_per_s if settings.flow_kb_per_s else 0.0
             in_time = self.clock.now_ms() - exchange.taken_ms <= cls.aim_ms + cls.aim_stretch * transfer_ms
             outcome = "in_time" if in_time else "late"
         self.stats.worth[outcome] += cls.worth
@@ -222,14 +228,14 @@
         if isinstance(event, PurgeNotice):
             if self.copies:
                 self.copies.purged(event)
-            for hear in self.purge_listeners:
-                hear(event)
-            age = max(0.0, self.clock.now_ms() - event.at_ms)
-            self.submit(api.Purged(event.key, event.group, age))
+            for listener in self.purge_listeners:
+                listener(event)
+            age_ms = max(0.0, self.clock.now_ms() - event.at_ms)
+            self.submit(api.Purged(event.key, event.group, age_ms))
             return
-        settle = self.back.follow(event)  # new servers are known before the decisions name them,
+        close_stale = self.back.follow(event)  # new servers are known before the decisions name them,
         self.submit(api.Members(tuple(host.member for host in event.hosts), whole=event.whole))
-        settle()  # and gone ones end their attempts once the decisions know to go elsewhere
+        close_stale()  # and gone ones end their attempts once the decisions know to go elsewhere
 
     # Decisions
 
@@ -275,16 +281,16 @@
             case api.SendNote():
                 self.send_note(action.peer, action.note)
             case api.Probe():
-                begun = self.clock.now_ms()
-                self.back.probe(action.server, partial(self.on_probe_result, action.server, begun))
+                begun_ms = self.clock.now_ms()
+                self.back.probe(action.server, partial(self.on_probe_result, action.server, begun_ms))
             case api.Log():
                 logger.info("{}", action.text)
             case api.Watch():
                 pass  # the bus tells unasked
 
-    def on_probe_result(self, server: str, begun: float, status: str, load: dict[str, float]) -> None:
+    def on_probe_result(self, server: str, begun_ms: float, status: str, load: dict[str, float]) -> None:
         """Take a probe's result."""
-        self.submit(api.Probed(server, status, self.clock.now_ms() - begun, load))
+        self.submit(api.Probed(server, status, self.clock.now_ms() - begun_ms, load))
 
     def send(self, get: api.Get) -> None:
         """Make an attempt."""
@@ -292,24 +298,24 @@
         if exchange is None:
             return
         now = self.clock.now_ms()
-        spared = self.copies is not None and not self.copies.may_send(exchange)
+        withheld = self.copies is not None and not self.copies.may_send(exchange)
         attempt = Attempt(exchange, get, now, self.authorize, self.on_attempt_end, self.on_attempt_written)
         if 0.0 < get.timeout_ms < exchange.request.deadline_ms - now - 1.0:  # else the deadline ends it
             timer = self.clock.later(get.timeout_ms, partial(self.cancel, attempt, "etimedout"))
             attempt.timeout = timer.cancel
-        if spared:
+        if withheld:
             attempt.drop("skipped")  # it was never written, so it can't have run
         else:
             self.back.send(attempt)
 
     def authorize(self, attempt: Attempt) -> SendLimits | None:
         """Ask the decisions again at the first byte: drains and purges may have come since."""
-        now, ask = self.clock.now_ms(), attempt.exchange.request
+        now, request = self.clock.now_ms(), attempt.exchange.request
         if attempt.ended or attempt.exchange.over or self.behind():
             return None
         try:
             node = self.router.nodes.get(attempt.get.server)  # it may have gone meanwhile
-            if not node or not self.effects.may_begin(ask.class_name, ask.dedupe, node.m, now):
+            if not node or not self.effects.may_begin(request.class_name, request.dedupe, node.m, now):
                 return None
             cap = self.router.recheck_send(attempt.get.id, attempt.shot, now)
         except Exception:  # noqa: BLE001  it would take a connection's other jobs along
@@ -319,43 +325,43 @@
             cap = self.copies.cap(attempt.exchange, cap, now)
         if cap is None:
             return None
-        self.effects.begin(ask.class_name, ask.dedupe, node.m, now)
-        return SendLimits(cap, ask.deadline_ms - now)
+        self.effects.begin(request.class_name, request.dedupe, node.m, now)
+        return SendLimits(cap, request.deadline_ms - now)
 
     def on_attempt_written(self) -> None:
         """Count an attempt that was written whole."""
         self.stats.attempts += 1
 
-    def cancel(self, attempt: Attempt, word: str) -> None:
+    def cancel(self, attempt: Attempt, status: str) -> None:
         """Give an attempt up."""
         if not attempt.ended:
             self.back.cancel(attempt)
-            attempt.drop(word)
+            attempt.drop(status)
 
-    def on_attempt_end(self, attempt: Attempt, ending: AttemptResult) -> None:
+    def on_attempt_end(self, attempt: Attempt, result: AttemptResult) -> None:
         """Take an attempt's end: the first served one is the answer."""
         exchange = attempt.exchange
-        self.stats.tried(ending.status)
-        if attempt.written and ending.status in NEVER_RAN:
+        self.stats.tried(result.status)
+        if attempt.written and result.status in NEVER_RAN:
             self.effects.never_ran(exchange.request.class_name, exchange.request.dedupe)
-        if ending.status == "done" and self.copies:
-            ending = self.copies.on_result(attempt, ending)
-        if ending.status == "done" and not exchange.over:
-            answer = Answer(SERVED, ending.body, ending.unchanged, ending.tag, since_ms=ending.since_ms)
+        if result.status == "done" and self.copies:
+            result = self.copies.on_result(attempt, result)
+        if result.status == "done" and not exchange.over:
+            answer = Answer(SERVED, result.body, result.unchanged, result.tag, since_ms=result.since_ms)
             self.finish(exchange, answer)
         self.submit(
             api.Outcome(
                 attempt.get.id,
                 attempt.shot,
                 attempt.get.server,
-                ending.status,
+                result.status,
                 self.clock.now_ms() - attempt.sent_ms,
                 closed=exchange.over,
-                note=ending.note,
-                waited_ms=ending.waited_ms,
-                silent=ending.silent,
-                whole=not ending.unchanged and not exchange.confirm_tag,
-                load=ending.load,
+                note=result.note,
+                waited_ms=result.waited_ms,
+                silent=result.silent,
+                whole=not result.unchanged and not exchange.confirm_tag,
+                load=result.load,
             )
         )
         exchange.settle()
