--- a/hitchtiller/__main__.py
+++ b/hitchtiller/__main__.py
@@ -125,7 +125,7 @@
     folder = shared(os.environ.get("TMPDIR", ""))
     holdouts = HoldOuts(folder, engine.news, config.settings.origin_kind)
     bus = BusLink(sched, holdouts.news, config.bus, (config.zones, config.kinds))
-    engine.behind = bus.behind
+    engine.may_lack_events = bus.may_lack_events
     front = Front(sched, engine, config.settings, clients, room(config.memory_mb, two=False))
 
     calls = Calls(front, holdouts, engine.stats)
--- a/hitchtiller/bus.py
+++ b/hitchtiller/bus.py
@@ -35,7 +35,7 @@
         self.last_frame_ms = -math.inf  # when its last whole frame came
         self.on_caught_up: Callable[[], None] | None = None  # called when there is nothing more to tell
 
-    def behind(self) -> bool:
+    def may_lack_events(self) -> bool:
         """Tell whether this process did not run for a while and has not heard the bus since.
 
         Drains and purges may have been told meanwhile. A bus that is away keeps nothing back for longer than
--- a/hitchtiller/engine.py
+++ b/hitchtiller/engine.py
@@ -102,7 +102,7 @@
         self.busy = False
         self.copies: Copies | None = None
         self.effects = Effects(router.settings.classes)
-        self.behind: Callable[[], bool] = bool  # tells whether news may have been missed
+        self.may_lack_events: Callable[[], bool] = bool  # tells whether news may have been missed
         self.purge_listeners: list[Callable[[PurgeNotice], object]] = []
         self.on_final_answer: Callable[[Exchange, Answer], None] | None = None  # hears of each final answer
         self.stats = Stats(router.settings.classes)
@@ -311,7 +311,7 @@
     def authorize(self, attempt: Attempt) -> SendLimits | None:
         """Ask the decisions again at the first byte: drains and purges may have come since."""
         now, request = self.clock.now_ms(), attempt.exchange.request
-        if attempt.ended or attempt.exchange.over or self.behind():
+        if attempt.ended or attempt.exchange.over or self.may_lack_events():
             return None
         try:
             node = self.router.nodes.get(attempt.get.server)  # it may have gone meanwhile
--- a/tests/test_sched.py
+++ b/tests/test_sched.py
@@ -111,10 +111,10 @@
     def test_news_are_behind_until_the_bus_is_heard_and_not_for_long(self) -> None:
         sched = Scheduler()
         bus = BusLink(sched, lambda event: None, ("127.0.0.1", 1), ((), ()))
-        self.assertFalse(bus.behind())
+        self.assertFalse(bus.may_lack_events())
         sched.woke_ms = now_ms()
-        self.assertTrue(bus.behind())
+        self.assertTrue(bus.may_lack_events())
         bus.last_frame_ms = sched.woke_ms + 1.0
-        self.assertFalse(bus.behind())
+        self.assertFalse(bus.may_lack_events())
         bus.last_frame_ms, sched.woke_ms = 0.0, now_ms() - BEHIND_MS - 1.0
-        self.assertFalse(bus.behind(), "a bus that is away keeps nothing back")
+        self.assertFalse(bus.may_lack_events(), "a bus that is away keeps nothing back")
