--- a/hitchtiller/engine.py
+++ b/hitchtiller/engine.py
@@ -208,7 +208,7 @@
                 self.on_final_answer(exchange, answer)
             if self.copies:
                 self.copies.over(exchange, answer)
-        exchange.settle()
+        exchange.release_attempts()
 
     def _count_worth(self, outcome: str, exchange: Exchange) -> None:
         """Count a request's worth under what became of it; `served` is told apart by its class's aim."""
@@ -364,4 +364,4 @@
                 load=result.load,
             )
         )
-        exchange.settle()
+        exchange.release_attempts()
--- a/hitchtiller/exchange.py
+++ b/hitchtiller/exchange.py
@@ -138,7 +138,7 @@
             logger.exception("an answer could not be delivered")
         return True
 
-    def settle(self) -> None:
+    def release_attempts(self) -> None:
         """Let its attempts go once all is over: no cycles, as in Attempt.end."""
         if self.over and all(attempt.ended for attempt in self.attempts):
             self.attempts.clear()
