--- a/hitchtiller/engine.py
+++ b/hitchtiller/engine.py
@@ -317,7 +317,7 @@
             node = self.router.nodes.get(attempt.get.server)  # it may have gone meanwhile
             if not node or not self.effects.may_begin(request.class_name, request.dedupe, node.m, now):
                 return None
-            cap = self.router.recheck_send(attempt.get.id, attempt.shot, now)
+            cap = self.router.recheck_send(attempt.get.id, attempt.index, now)
         except Exception:  # noqa: BLE001  it would take a connection's other jobs along
             logger.exception("clearing an attempt failed")
             return None
@@ -352,7 +352,7 @@
         self.submit(
             api.Outcome(
                 attempt.get.id,
-                attempt.shot,
+                attempt.index,
                 attempt.get.server,
                 result.status,
                 self.clock.now_ms() - attempt.sent_ms,
--- a/hitchtiller/exchange.py
+++ b/hitchtiller/exchange.py
@@ -69,7 +69,7 @@
     """One send of an exchange; it ends once, whoever says so first."""
 
     __slots__ = (
-        "authorize", "ended", "exchange", "get", "on_end", "on_sent", "back_end_handle", "sent_ms", "shot",
+        "authorize", "ended", "exchange", "get", "on_end", "on_sent", "back_end_handle", "sent_ms", "index",
         "timeout", "written",
     )  # fmt: skip
 
@@ -84,7 +84,7 @@
     ) -> None:
         """Make the next attempt; `authorize` is asked before the first byte, `on_sent` hears of the last."""
         self.exchange, self.get, self.sent_ms = exchange, get, sent_ms
-        self.shot = len(exchange.attempts)
+        self.index = len(exchange.attempts)
         self.authorize, self.on_end, self.on_sent = authorize, on_end, on_sent
         self.timeout: Callable[[], None] | None = None  # takes its timer back
         self.back_end_handle: Any = None  # where the server side put it
