--- a/hitchtiller/engine.py
+++ b/hitchtiller/engine.py
@@ -302,7 +302,7 @@
         attempt = Attempt(exchange, get, now, self.authorize, self.on_attempt_end, self.on_attempt_written)
         if 0.0 < get.timeout_ms < exchange.request.deadline_ms - now - 1.0:  # else the deadline ends it
             timer = self.clock.later(get.timeout_ms, partial(self.cancel, attempt, "etimedout"))
-            attempt.timeout = timer.cancel
+            attempt.cancel_timer = timer.cancel
         if withheld:
             attempt.drop("skipped")  # it was never written, so it can't have run
         else:
--- a/hitchtiller/exchange.py
+++ b/hitchtiller/exchange.py
@@ -70,7 +70,7 @@
 
     __slots__ = (
         "authorize", "ended", "exchange", "get", "on_end", "on_sent", "back_end_handle", "sent_ms", "index",
-        "timeout", "written",
+        "cancel_timer", "written",
     )  # fmt: skip
 
     def __init__(
@@ -86,7 +86,7 @@
         self.exchange, self.get, self.sent_ms = exchange, get, sent_ms
         self.index = len(exchange.attempts)
         self.authorize, self.on_end, self.on_sent = authorize, on_end, on_sent
-        self.timeout: Callable[[], None] | None = None  # takes its timer back
+        self.cancel_timer: Callable[[], None] | None = None  # takes its timer back
         self.back_end_handle: Any = None  # where the server side put it
         self.written = False  # its first byte went out: from here it may run
         self.ended = False
@@ -97,10 +97,10 @@
         if self.ended:
             return
         self.ended = True
-        if self.timeout:
-            self.timeout()
+        if self.cancel_timer:
+            self.cancel_timer()
         # no cycles: they would need the garbage collector, which stalls
-        self.timeout = self.back_end_handle = None
+        self.cancel_timer = self.back_end_handle = None
         self.on_end(self, ending)
 
     def drop(self, word: str) -> None:
