--- a/hitchtiller/engine.py
+++ b/hitchtiller/engine.py
@@ -131,7 +131,7 @@
         self._count_worth("asked", exchange)
         exchange.taken_ms = self.clock.now_ms()
         delay_ms = request.deadline_ms - exchange.taken_ms
-        exchange.guard = self.clock.later(delay_ms, partial(self.on_deadline, exchange)).cancel
+        exchange.cancel_deadline = self.clock.later(delay_ms, partial(self.on_deadline, exchange)).cancel
         if self.effects.window_passed(request.class_name, request.dedupe, exchange.taken_ms):
             self.fail(exchange)  # an earlier try may have run, and a repeat would not be dropped any more
         elif self.copies is None or not self.copies.take(exchange):
--- a/hitchtiller/exchange.py
+++ b/hitchtiller/exchange.py
@@ -112,7 +112,7 @@
     """A taken request: it is owed exactly one final answer, unless its client leaves."""
 
     __slots__ = (
-        "request", "attempts", "confirm_tag", "decided", "deliver", "guard", "blocked_until_ms", "number",
+        "request", "attempts", "confirm_tag", "decided", "deliver", "cancel_deadline", "blocked_until_ms", "number",
         "over", "taken_ms",
     )  # fmt: skip
 
@@ -120,7 +120,7 @@
         """Take a request; `deliver` carries the final answer to the client."""
         self.number, self.request, self.deliver = number, ask, deliver
         self.attempts: list[Attempt] = []
-        self.guard: Callable[[], None] | None = None  # takes the overdue timer back
+        self.cancel_deadline: Callable[[], None] | None = None  # takes the overdue timer back
         self.over = False
         self.decided = False  # the decisions have it
         self.taken_ms = 0.0
@@ -148,6 +148,6 @@
         if self.over:
             return False
         self.over = True
-        if self.guard:
-            self.guard()
+        if self.cancel_deadline:
+            self.cancel_deadline()
         return True
