--- a/hitchtiller/exchange.py
+++ b/hitchtiller/exchange.py
@@ -92,7 +92,7 @@
         self.ended = False
         exchange.attempts.append(self)
 
-    def end(self, ending: AttemptResult) -> None:
+    def end(self, result: AttemptResult) -> None:
         """Report the end; a second report is passed over."""
         if self.ended:
             return
@@ -101,11 +101,11 @@
             self.cancel_timer()
         # no cycles: they would need the garbage collector, which stalls
         self.cancel_timer = self.back_end_handle = None
-        self.on_end(self, ending)
+        self.on_end(self, result)
 
-    def drop(self, word: str) -> None:
+    def drop(self, status: str) -> None:
         """End with a word, or with `skipped` if it was never written: then it can't have run."""
-        self.end(AttemptResult(word if self.written else "skipped"))
+        self.end(AttemptResult(status if self.written else "skipped"))
 
 
 class Exchange:
@@ -116,9 +116,9 @@
         "over", "taken_ms",
     )  # fmt: skip
 
-    def __init__(self, number: int, ask: ClientRequest, deliver: Callable[[Answer], None]) -> None:
+    def __init__(self, number: int, request: ClientRequest, deliver: Callable[[Answer], None]) -> None:
         """Take a request; `deliver` carries the final answer to the client."""
-        self.number, self.request, self.deliver = number, ask, deliver
+        self.number, self.request, self.deliver = number, request, deliver
         self.attempts: list[Attempt] = []
         self.cancel_deadline: Callable[[], None] | None = None  # takes the overdue timer back
         self.over = False
