--- a/hitchtiller/engine.py
+++ b/hitchtiller/engine.py
@@ -1,4 +1,9 @@
-"""Carries events to the decisions and their actions out; knows exchanges, no protocol and no socket."""
+"""Event dispatch of one gateway: feeds events to the router and executes the actions that it returns.
+
+Clients, back ends, the event bus and timers turn what happens into events. `Engine` hands them to
+`Router.handle` one at a time and in order, and executes the resulting actions. It works on exchanges (a
+request with its attempts and its final answer) and knows neither protocols nor sockets.
+"""
 
 from collections import deque
 from collections.abc import Callable
@@ -26,65 +31,69 @@
 
 
 class Timer(Protocol):
-    """What a clock gives for a later call."""
+    """A pending call, as returned by `Clock.later`."""
 
     def cancel(self) -> None:
-        """Take the call back."""
+        """Cancel the call."""
 
 
 class Clock(Protocol):
-    """Time in Unix milliseconds, and later calls."""
+    """The current time, and calls after a delay."""
 
     def now_ms(self) -> float:
-        """Read the clock."""
+        """Return the current time in Unix milliseconds."""
 
     def later(self, delay_ms: float, call: Callable[[], object]) -> Timer:
-        """Call later."""
+        """Schedule a call after a delay and return its timer."""
 
 
 class BackEnd(Protocol):
-    """The server side."""
+    """The server side: sends attempts and probes to the listed servers."""
 
     def send(self, attempt: Attempt) -> None:
-        """Carry an attempt to its server."""
+        """Send an attempt to its server."""
 
     def cancel(self, attempt: Attempt) -> None:
-        """Give an attempt up; its end is reported by the caller."""
+        """Give up an attempt; the caller reports its end."""
 
     def probe(self, server: str, report: Callable[[str, dict[str, float]], None]) -> None:
-        """Check a server."""
+        """Probe a server; `report` receives the status and the load report."""
 
     def follow(self, news: Topology) -> Callable[[], None]:
-        """Take the list's news; the call that it gives ends what was out on processes that are gone."""
+        """Apply a change of the list of servers.
+
+        Returns a callable that closes the connections to processes that are gone, and so ends the attempts on
+        them.
+        """
 
 
 class Copies(Protocol):
-    """Copies of the gateway's own, asked before the decisions are."""
+    """The gateway's own copies of objects, which are tried before a request goes to the router."""
 
     def take(self, exchange: Exchange) -> bool:
-        """Take a request: True if it is answered, or waits for what may answer it."""
+        """Try to serve a request; return True if it is answered, or waits for a fill or a disk read."""
 
     def may_send(self, exchange: Exchange) -> bool:
-        """Tell whether one more attempt may go out for all that wait for it."""
+        """Return whether one more attempt may be sent on behalf of all requests that wait for this object."""
 
     def cap(self, exchange: Exchange, cap_ms: float, now_ms: float) -> float:
-        """Bound the age of the copy that is asked for further; 0 for no bound."""
+        """Tighten the maximum age (ms) of the copy that a server may answer with; 0 means no bound."""
 
     def on_result(self, attempt: Attempt, result: AttemptResult) -> AttemptResult:
-        """Take a served attempt's end, to keep it or to put a confirmed copy's bytes in."""
+        """Store a served result as a copy, or fill in the body of a copy that the server has confirmed."""
 
     def fallback(self, exchange: Exchange, answer: Answer) -> Answer:
-        """Give what is better than a refusal or a failure, if there is something."""
+        """Return a better answer than a refusal or a failure if there is one, else `answer`."""
 
     def over(self, exchange: Exchange, answer: Answer | None) -> None:
-        """Hear of a request's end; None if its client left."""
+        """Handle the end of a request; `answer` is None if it was abandoned."""
 
     def purged(self, purge: PurgeNotice) -> None:
-        """Hear of a purge before the decisions do."""
+        """Handle a purge; called before the router handles it."""
 
 
 class Engine:
-    """The events of one gateway, in order, into `Router.handle`; the actions out."""
+    """Feeds the events of one gateway to `Router.handle` in order and executes the resulting actions."""
 
     def __init__(
         self,
@@ -93,18 +102,18 @@
         back: BackEnd,
         send_note: Callable[[int, api.PeerNote | api.LeaseNote], None],
     ) -> None:
-        """Join the parts."""
+        """Connect the router to the clock, to the back ends and to the other gateways."""
         self.router, self.clock, self.back, self.send_note = router, clock, back, send_note
         self.open: dict[int, Exchange] = {}
-        self.open_ids: set[str] = set()  # of what is open, as clients name it
+        self.open_ids: set[str] = set()  # ids given by clients, of the open requests
         self.request_numbers = count(1)
         self.event_queue: deque[api.Event] = deque()
         self.busy = False
         self.copies: Copies | None = None
         self.effects = Effects(router.settings.classes)
-        self.may_lack_events: Callable[[], bool] = bool  # tells whether news may have been missed
+        self.may_lack_events: Callable[[], bool] = bool  # whether bus events may have been missed
         self.purge_listeners: list[Callable[[PurgeNotice], object]] = []
-        self.on_final_answer: Callable[[Exchange, Answer], None] | None = None  # hears of each final answer
+        self.on_final_answer: Callable[[Exchange, Answer], None] | None = None  # called for each final answer
         self.stats = Stats(router.settings.classes)
         self.stats.levels = {
             "in_flight": lambda: len(self.open),
@@ -119,11 +128,11 @@
     # Client side
 
     def has(self, id: str) -> bool:
-        """Tell whether a request of this id is open, whoever asked."""
+        """Return whether a request with this id is open, from any client."""
         return id.lower() in self.open_ids
 
     def take(self, request: ClientRequest, deliver: Callable[[Answer], None]) -> Exchange:
-        """Take a request; `deliver` gets its final answer, unless it leaves."""
+        """Start handling a request; `deliver` receives its final answer unless the client leaves."""
         exchange = Exchange(next(self.request_numbers), request, deliver)
         self.open[exchange.number] = exchange
         self.open_ids.add(request.id.lower())
@@ -133,13 +142,13 @@
         delay_ms = request.deadline_ms - exchange.taken_ms
         exchange.cancel_deadline = self.clock.later(delay_ms, partial(self.on_deadline, exchange)).cancel
         if self.effects.window_passed(request.class_name, request.dedupe, exchange.taken_ms):
-            self.fail(exchange)  # an earlier try may have run, and a repeat would not be dropped any more
+            self.fail(exchange)  # an earlier attempt may have run, and servers no longer drop its repeat
         elif self.copies is None or not self.copies.take(exchange):
             self.decide(exchange)
         return exchange
 
     def decide(self, exchange: Exchange) -> None:
-        """Hand a request to the decisions, once."""
+        """Submit a request to the router, at most once."""
         if exchange.over or exchange.decided:
             return
         exchange.decided, request = True, exchange.request
@@ -156,29 +165,29 @@
         )
 
     def leave(self, exchange: Exchange) -> None:
-        """Nobody waits for it any more: stop its attempts."""
+        """Handle a client that left: close the exchange and cancel its attempts."""
         if exchange.close():
             self.stats.left += 1
             self._count_worth("left", exchange)
             self.abandon(exchange)
 
     def on_deadline(self, exchange: Exchange) -> None:
-        """At the deadline end what is out; answer in place of decisions that did not then."""
+        """At the deadline, end the attempts in flight; fail the request if the router has not answered it."""
         for attempt in list(exchange.attempts):
             self.cancel(attempt, "etimedout")
         if exchange.over:
             return
-        # guards against a request that stays without an end: one that waits for a peer, or a fault
-        logger.warning("request {} was overdue", exchange.request.id)
+        # prevents a request without any answer: it may still wait for another gateway, or a fault lost it
+        logger.warning("request {} got no answer before its deadline; failing it", exchange.request.id)
         self.fail(exchange)
 
     def fail(self, exchange: Exchange) -> None:
-        """Answer in place of the decisions, which hear of it as of a client that left."""
+        """Fail a request without the router, and report to the router that its client left."""
         self.finish(exchange, Answer(FAILED))
         self.abandon(exchange)
 
     def abandon(self, exchange: Exchange) -> None:
-        """Tell the decisions that a request is over and cancel what is out for it."""
+        """Tell the router and the copies that a request is over, and cancel its attempts."""
         self._remove_open(exchange)
         if exchange.decided:
             self.submit(api.ClientLeft(exchange.number))
@@ -192,14 +201,14 @@
             self.open_ids.discard(exchange.request.id.lower())
 
     def finish(self, exchange: Exchange, answer: Answer) -> None:
-        """Give the final answer, once."""
+        """Deliver the final answer, at most once."""
         if self.copies and answer.kind != SERVED:
             answer = self.copies.fallback(exchange, answer)
         request = exchange.request
         if answer.kind == REFUSED and not self.effects.retry_is_safe(
             request.class_name, request.dedupe, self.clock.now_ms()
         ):
-            answer = Answer(FAILED)  # a refusal would say that trying again does no harm
+            answer = Answer(FAILED)  # a refusal would tell the client that a retry is safe
         self._remove_open(exchange)
         if exchange.finish(answer):
             self.stats.end(exchange.request.class_name, answer.kind)
@@ -211,7 +220,10 @@
         exchange.release_attempts()
 
     def _count_worth(self, outcome: str, exchange: Exchange) -> None:
-        """Count a request's worth under what became of it; `served` is told apart by its class's aim."""
+        """Add a request's worth to the total of its outcome.
+
+        `served` is split into `in_time` and `late` by the aim of the request's class.
+        """
         settings, request = self.router.settings, exchange.request
         if (cls := settings.classes.get(request.class_name)) is None:
             return
@@ -221,10 +233,10 @@
             outcome = "in_time" if in_time else "late"
         self.stats.worth[outcome] += cls.worth
 
-    # News
+    # Bus events
 
     def news(self, event: Event) -> None:
-        """Take an event of the bus."""
+        """Handle an event of the bus: a purge, or a change of the list of servers."""
         if isinstance(event, PurgeNotice):
             if self.copies:
                 self.copies.purged(event)
@@ -233,14 +245,14 @@
             age_ms = max(0.0, self.clock.now_ms() - event.at_ms)
             self.submit(api.Purged(event.key, event.group, age_ms))
             return
-        close_stale = self.back.follow(event)  # new servers are known before the decisions name them,
+        close_stale = self.back.follow(event)  # first: servers must be known before the router names them
         self.submit(api.Members(tuple(host.member for host in event.hosts), whole=event.whole))
-        close_stale()  # and gone ones end their attempts once the decisions know to go elsewhere
+        close_stale()  # last: by now the router retries the attempts that this ends on other servers
 
-    # Decisions
+    # Decisions of the router
 
     def submit(self, event: api.Event) -> None:
-        """Hand an event over; events that come of its actions follow it in order."""
+        """Submit an event to the router; events that its actions cause are handled after it, in order."""
         self.event_queue.append(event)
         if self.busy:
             return
@@ -252,18 +264,18 @@
             self.busy = False
 
     def process_event(self, event: api.Event) -> None:
-        """Decide on one event; a fault ends the one request concerned, not the program."""
+        """Handle one event; an exception fails only the request concerned and is logged."""
         try:
             for action in self.router.handle(event, self.clock.now_ms()):
                 self.execute(action)
-        except Exception:  # noqa: BLE001  an exception for one request must not lose the others
-            logger.exception("deciding on {} failed", type(event).__name__)
+        except Exception:  # noqa: BLE001  a fault in one request must not affect the others
+            logger.exception("handling the event {} failed", type(event).__name__)
             exchange = self.open.get(getattr(event, "id", 0))
             if exchange and not isinstance(event, api.ClientLeft):
                 self.fail(exchange)
 
     def execute(self, action: api.Action) -> None:
-        """Carry out one action."""
+        """Execute one action."""
         match action:
             case api.Get():
                 self.send(action)
@@ -286,40 +298,43 @@
             case api.Log():
                 logger.info("{}", action.text)
             case api.Watch():
-                pass  # the bus tells unasked
+                pass  # the bus sends changes without being asked
 
     def on_probe_result(self, server: str, begun_ms: float, status: str, load: dict[str, float]) -> None:
-        """Take a probe's result."""
+        """Submit the result of a probe."""
         self.submit(api.Probed(server, status, self.clock.now_ms() - begun_ms, load))
 
     def send(self, get: api.Get) -> None:
-        """Make an attempt."""
+        """Start an attempt, unless the copies know that none may be sent for this request."""
         exchange = self.open.get(get.id)
         if exchange is None:
             return
         now = self.clock.now_ms()
         withheld = self.copies is not None and not self.copies.may_send(exchange)
         attempt = Attempt(exchange, get, now, self.authorize, self.on_attempt_end, self.on_attempt_written)
-        if 0.0 < get.timeout_ms < exchange.request.deadline_ms - now - 1.0:  # else the deadline ends it
+        if 0.0 < get.timeout_ms < exchange.request.deadline_ms - now - 1.0:  # otherwise the deadline ends it
             timer = self.clock.later(get.timeout_ms, partial(self.cancel, attempt, "etimedout"))
             attempt.cancel_timer = timer.cancel
         if withheld:
-            attempt.drop("skipped")  # it was never written, so it can't have run
+            attempt.drop("skipped")  # never written, so it can't have run
         else:
             self.back.send(attempt)
 
     def authorize(self, attempt: Attempt) -> SendLimits | None:
-        """Ask the decisions again at the first byte: drains and purges may have come since."""
+        """Check an attempt again just before its first byte is written; None if it must not be sent.
+
+        Drains and purges may have arrived since the router chose the server.
+        """
         now, request = self.clock.now_ms(), attempt.exchange.request
         if attempt.ended or attempt.exchange.over or self.may_lack_events():
             return None
         try:
-            node = self.router.nodes.get(attempt.get.server)  # it may have gone meanwhile
+            node = self.router.nodes.get(attempt.get.server)  # None if it was delisted in the meantime
             if not node or not self.effects.may_begin(request.class_name, request.dedupe, node.m, now):
                 return None
             cap = self.router.recheck_send(attempt.get.id, attempt.index, now)
-        except Exception:  # noqa: BLE001  it would take a connection's other jobs along
-            logger.exception("clearing an attempt failed")
+        except Exception:  # noqa: BLE001  it would end the other attempts of the connection
+            logger.exception("checking an attempt before its first byte failed")
             return None
         if cap is not None and self.copies:
             cap = self.copies.cap(attempt.exchange, cap, now)
@@ -329,17 +344,17 @@
         return SendLimits(cap, request.deadline_ms - now)
 
     def on_attempt_written(self) -> None:
-        """Count an attempt that was written whole."""
+        """Count an attempt that was written completely."""
         self.stats.attempts += 1
 
     def cancel(self, attempt: Attempt, status: str) -> None:
-        """Give an attempt up."""
+        """Give up an attempt and end it with `status`."""
         if not attempt.ended:
             self.back.cancel(attempt)
             attempt.drop(status)
 
     def on_attempt_end(self, attempt: Attempt, result: AttemptResult) -> None:
-        """Take an attempt's end: the first served one is the answer."""
+        """Handle the end of an attempt; the first served one becomes the final answer."""
         exchange = attempt.exchange
         self.stats.tried(result.status)
         if attempt.written and result.status in NEVER_RAN:
