--- a/hitchtiller/exchange.py
+++ b/hitchtiller/exchange.py
@@ -1,4 +1,8 @@
-"""Where client side and server side meet: a request, its attempts, and its one final answer."""
+"""The model shared by the client side and the server side: a request, its attempts and its one final answer.
+
+A front reads a `ClientRequest`; the engine makes an `Exchange` of it, and an `Attempt` each time that the
+router chooses a server. Each attempt ends with one `AttemptResult`, and each exchange with one `Answer`.
+"""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -12,7 +16,7 @@
 
 @dataclass(slots=True)
 class ClientRequest:
-    """A request as any front reads it; texts are passed on as the client wrote them."""
+    """A request as read by a front; texts are passed on as the client wrote them."""
 
     id: str
     class_name: str
@@ -24,49 +28,49 @@
     size_kb: float = 0.0
     body: bytes = b""
     dedupe: str = ""
-    client_tag: str = ""  # tag of the copy that the client holds
-    background: bool = False  # gives way to others
-    repeatable: bool = True  # its class may be repeated freely
-    write: bool = False  # its class runs at the origin: the answer is no copy, and has neither tag nor time
+    client_tag: str = ""  # tag of the copy that the client already has
+    background: bool = False  # yields to other requests
+    repeatable: bool = True  # requests of its class may be repeated without harm
+    write: bool = False  # runs at the origin: its answer is not a copy and has neither a tag nor a time
 
 
 @dataclass(slots=True)
 class Answer:
-    """A final answer as any front writes it."""
+    """A final answer, as written by a front."""
 
     kind: str
     body: bytes = b""
     unchanged: bool = False
     tag: str = ""
-    wait_ms: float = 0.0
-    since_ms: int = 0  # when the origin gave out the copy; 0 where it is no copy
+    wait_ms: float = 0.0  # delay before the client should retry a refused request
+    since_ms: int = 0  # when the origin sent the copy; 0 if the answer is not a copy
 
 
 @dataclass(slots=True)
 class AttemptResult:
-    """How an attempt ended, in the decisions' words, with what a served one brought."""
+    """How an attempt ended, with a status as in `api.Outcome`, and what a served one returned."""
 
     status: str
     body: bytes = b""
     unchanged: bool = False
     tag: str = ""
     load: dict[str, float] = field(default_factory=dict)
-    since_ms: int = 0  # when the origin gave out the copy; 0 where it is no copy
-    note: int = 0  # as in api.Outcome: 1 hit, 2 filled ...; 0 where untold
-    waited_ms: float = 0.0  # for the source's first byte, where told
-    silent: bool = False  # refused by silence: no connection came up, which tells nothing of the process
+    since_ms: int = 0  # when the origin sent the copy; 0 if the body is not a copy
+    note: int = 0  # as in api.Outcome: 1 hit, 2 filled ...; 0 if not reported
+    waited_ms: float = 0.0  # time that the server waited for the first byte of its source, if reported
+    silent: bool = False  # "econnrefused" because connecting timed out: the process itself may be alive
 
 
 @dataclass(slots=True)
 class SendLimits:
-    """What is settled only when an attempt's first byte goes out."""
+    """Limits of an attempt that are only known when its first byte is written."""
 
-    cap_ms: float
-    ttl_ms: float
+    cap_ms: float  # maximum age of the copy that the server may answer with; 0 for no bound
+    ttl_ms: float  # time until the deadline
 
 
 class Attempt:
-    """One send of an exchange; it ends once, whoever says so first."""
+    """One try of an exchange at one server; it ends once, by the first report of its end."""
 
     __slots__ = (
         "authorize", "ended", "exchange", "get", "on_end", "on_sent", "back_end_handle", "sent_ms", "index",
@@ -82,69 +86,69 @@
         on_end: Callable[["Attempt", AttemptResult], None],
         on_sent: Callable[[], None],
     ) -> None:
-        """Make the next attempt; `authorize` is asked before the first byte, `on_sent` hears of the last."""
+        """Add an attempt; `authorize` is called before its first byte is sent, `on_sent` after its last."""
         self.exchange, self.get, self.sent_ms = exchange, get, sent_ms
         self.index = len(exchange.attempts)
         self.authorize, self.on_end, self.on_sent = authorize, on_end, on_sent
-        self.cancel_timer: Callable[[], None] | None = None  # takes its timer back
-        self.back_end_handle: Any = None  # where the server side put it
-        self.written = False  # its first byte went out: from here it may run
+        self.cancel_timer: Callable[[], None] | None = None  # cancels the timer of its timeout
+        self.back_end_handle: Any = None  # set and read by the server side only
+        self.written = False  # its first byte was sent, so the server may have executed it
         self.ended = False
         exchange.attempts.append(self)
 
     def end(self, result: AttemptResult) -> None:
-        """Report the end; a second report is passed over."""
+        """Report the end; further reports are ignored."""
         if self.ended:
             return
         self.ended = True
         if self.cancel_timer:
             self.cancel_timer()
-        # no cycles: they would need the garbage collector, which stalls
+        # breaks reference cycles: only the garbage collector could free them, and it stalls the loop
         self.cancel_timer = self.back_end_handle = None
         self.on_end(self, result)
 
     def drop(self, status: str) -> None:
-        """End with a word, or with `skipped` if it was never written: then it can't have run."""
+        """End with a status, or with `skipped` if it was never written and so can't have run."""
         self.end(AttemptResult(status if self.written else "skipped"))
 
 
 class Exchange:
-    """A taken request: it is owed exactly one final answer, unless its client leaves."""
+    """An accepted request; it gets exactly one final answer unless its client leaves."""
 
     __slots__ = (
-        "request", "attempts", "confirm_tag", "decided", "deliver", "cancel_deadline", "blocked_until_ms", "number",
-        "over", "taken_ms",
+        "request", "attempts", "confirm_tag", "decided", "deliver", "cancel_deadline", "blocked_until_ms",
+        "number", "over", "taken_ms",
     )  # fmt: skip
 
     def __init__(self, number: int, request: ClientRequest, deliver: Callable[[Answer], None]) -> None:
-        """Take a request; `deliver` carries the final answer to the client."""
+        """Start with a request; `deliver` sends the final answer to the client."""
         self.number, self.request, self.deliver = number, request, deliver
         self.attempts: list[Attempt] = []
-        self.cancel_deadline: Callable[[], None] | None = None  # takes the overdue timer back
+        self.cancel_deadline: Callable[[], None] | None = None  # cancels the timer of its deadline
         self.over = False
-        self.decided = False  # the decisions have it
+        self.decided = False  # submitted to the router
         self.taken_ms = 0.0
-        # until then an attempt that was given up may still be out: none may follow it
+        # until then an attempt that was given up may still reach its server, so no other may be sent
         self.blocked_until_ms = 0.0
-        self.confirm_tag = ""  # tag of a copy of our own that a server is asked about
+        self.confirm_tag = ""  # tag of the gateway's own copy that a server is asked to confirm
 
     def finish(self, answer: Answer) -> bool:
-        """Answer; False if the exchange was over: a second answer would lose the request."""
+        """Deliver an answer; return False if the exchange was over, as a second answer loses the request."""
         if not self.close():
             return False
         try:
             self.deliver(answer)
-        except Exception:  # noqa: BLE001  a front's fault must not reach the engine's other requests
-            logger.exception("an answer could not be delivered")
+        except Exception:  # noqa: BLE001  a fault in a front must not affect other requests
+            logger.exception("delivering an answer failed")
         return True
 
     def release_attempts(self) -> None:
-        """Let its attempts go once all is over: no cycles, as in Attempt.end."""
+        """Release the attempts once all have ended; this breaks reference cycles, as in `Attempt.end`."""
         if self.over and all(attempt.ended for attempt in self.attempts):
             self.attempts.clear()
 
     def close(self) -> bool:
-        """End without an answer: the client has left."""
+        """Mark the exchange as over and cancel its deadline; return False if it was over already."""
         if self.over:
             return False
         self.over = True
