--- a/hitchtiller/sched.py
+++ b/hitchtiller/sched.py
@@ -15,8 +15,8 @@
 
 from hitchtiller.log import logger
 
-CHUNK = 65_536  # bytes asked of a socket at once
-GATHER = 16  # buffers handed to one sendmsg
+RECV_BYTES = 65_536  # bytes asked of a socket at once
+MAX_SEND_BUFFERS = 16  # buffers handed to one sendmsg
 STALL_MS = 300.0  # between two turns: sweeps alone come oftener, so the process did not run
 LAG_LIMIT_MS = 20.0  # since the last look, from which what has come meanwhile is read before anything is sent
 READ = select.POLLIN
@@ -302,7 +302,7 @@
                     raise Closed("silent")
                 continue
             try:
-                data = self.sock.recv(CHUNK)
+                data = self.sock.recv(RECV_BYTES)
             except BlockingIOError:
                 self.drained = True
                 continue
@@ -310,7 +310,7 @@
                 raise Closed("reset") from None
             if not data:
                 raise Closed("eof")
-            self.drained = len(data) < CHUNK
+            self.drained = len(data) < RECV_BYTES
             return data
 
     def write(self, *parts: bytes | memoryview) -> None:
@@ -371,7 +371,9 @@
                 if len(self.out) == 1:
                     sent = self.sock.send(self.out[0])
                 else:
-                    sent = self.sock.sendmsg([self.out[i] for i in range(min(GATHER, len(self.out)))])
+                    sent = self.sock.sendmsg(
+                        [self.out[i] for i in range(min(MAX_SEND_BUFFERS, len(self.out)))]
+                    )
             except BlockingIOError:
                 return
             except OSError:
