--- a/hitchtiller/sched.py
+++ b/hitchtiller/sched.py
@@ -17,7 +17,7 @@
 
 RECV_BYTES = 65_536  # bytes asked of a socket at once
 MAX_SEND_BUFFERS = 16  # buffers handed to one sendmsg
-STALL_MS = 300.0  # between two turns: sweeps alone come oftener, so the process did not run
+MIN_STALL_MS = 300.0  # between two turns: sweeps alone come oftener, so the process did not run
 LAG_LIMIT_MS = 20.0  # since the last look, from which what has come meanwhile is read before anything is sent
 READ = select.POLLIN
 WRITE = select.POLLOUT
@@ -210,7 +210,7 @@
         # what has come since the last look may be that old, unless poll had to wait for it: deadlines of
         # requests that lay unread in a busy turn are counted from here
         seen, self.seen_ms = self.seen_ms, now_ms()
-        if seen and self.seen_ms - seen > STALL_MS:
+        if seen and self.seen_ms - seen > MIN_STALL_MS:
             self.woke_ms = self.seen_ms
         self.arrival_ms = self.seen_ms if begun - asked > 0.001 else seen
         for fd, mask in found:
--- a/tests/test_sched.py
+++ b/tests/test_sched.py
@@ -5,7 +5,7 @@
 import unittest
 
 from hitchtiller.bus import BEHIND_MS, BusLink
-from hitchtiller.sched import STALL_MS, Closed, Scheduler, Stream, now_ms
+from hitchtiller.sched import MIN_STALL_MS, Closed, Scheduler, Stream, now_ms
 
 
 class Turns(unittest.TestCase):
@@ -99,11 +99,11 @@
         sched.later(1.0, lambda: None)
         sched.turn()
         self.assertEqual(sched.woke_ms, 0.0)
-        sched.seen_ms -= STALL_MS / 2
+        sched.seen_ms -= MIN_STALL_MS / 2
         sched.later(1.0, lambda: None)
         sched.turn()
         self.assertEqual(sched.woke_ms, 0.0)
-        sched.seen_ms -= STALL_MS + 1.0
+        sched.seen_ms -= MIN_STALL_MS + 1.0
         sched.later(1.0, lambda: None)
         sched.turn()
         self.assertEqual(sched.woke_ms, sched.seen_ms)
