--- a/hitchtiller/sched.py
+++ b/hitchtiller/sched.py
@@ -43,7 +43,7 @@
         self.call = None
 
 
-class Woken(Exception):  # noqa: N818  it is no error: the name says what happened
+class PollInterrupted(Exception):  # noqa: N818  it is no error: the name says what happened
     """A signal came while the loop waited in poll: raised by its handler so that poll returns at once."""
 
 
@@ -177,12 +177,12 @@
         No descriptor is written: the fleet's platform refuses socketpair and leads a socket's send and
         poll to itself, and neither a write from C nor a datagram to oneself was ever seen there. A handler
         runs in the main thread between two steps of Python, or inside poll on EINTR; if the loop is in
-        poll, or about to enter it, the handler raises `Woken`, which poll gives back at once.
+        poll, or about to enter it, the handler raises `PollInterrupted`, which poll gives back at once.
         """
         self.signalled.append(call)
         if self.polling:
             self.polling = False  # once: a second signal in the same turn must not raise outside the try
-            raise Woken
+            raise PollInterrupted
 
     def turn(self) -> None:
         """Wait for what comes first, then run all that is due."""
@@ -199,7 +199,10 @@
             # poll counts whole milliseconds; rounding up keeps a timer from spinning the loop
             found = self.poll.poll(None if timeout is None else int(timeout + 0.999))
             self.polling = False
-        except (InterruptedError, Woken):  # what poll had found is found again: poll is level-triggered
+        except (
+            InterruptedError,
+            PollInterrupted,
+        ):  # what poll had found is found again: poll is level-triggered
             self.polling = False
             found = []
         # what has come is heard before what was made ready earlier goes on: a client may have gone meanwhile
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -146,7 +146,7 @@
 
 
 def test_a_signal_breaks_a_poll_that_has_nothing_else_to_wait_for() -> None:
-    """No timer, no descriptor: without `Woken` this turn would wait for ever (the alarm ends the test)."""
+    """No timer, no descriptor: without `PollInterrupted` this turn would wait for ever (the alarm ends the test)."""
     sched, main = Scheduler(), threading.get_ident()
     old = signal.getsignal(signal.SIGUSR1), signal.getsignal(signal.SIGALRM)
 
