--- a/hitchtiller/sched.py
+++ b/hitchtiller/sched.py
@@ -61,7 +61,7 @@
         self.urgent: set[greenlet] = set()  # these run before all others of a turn
         self.hub: greenlet = getcurrent()
         self.stopped = False
-        self.seen_ms = self.arrival_ms = now_ms()
+        self.last_poll_ms = self.arrival_ms = now_ms()
         self.lag_ms = 0.0  # longest turn of the loop since it was last read
         self.woke_ms = 0.0  # when it last went on after a time in which it did not run
         self.signalled: deque[Callable[[], object]] = deque()  # calls of signals not yet begun
@@ -108,7 +108,7 @@
 
     def is_lagging(self) -> bool:
         """Tell whether much may have come that was not looked for yet."""
-        return now_ms() - self.seen_ms > LAG_LIMIT_MS
+        return now_ms() - self.last_poll_ms > LAG_LIMIT_MS
 
     def look(self) -> None:
         """Let the loop look once more, and those run for whom something has come."""
@@ -212,10 +212,10 @@
         begun = time.monotonic()
         # what has come since the last look may be that old, unless poll had to wait for it: deadlines of
         # requests that lay unread in a busy turn are counted from here
-        seen, self.seen_ms = self.seen_ms, now_ms()
-        if seen and self.seen_ms - seen > MIN_STALL_MS:
-            self.woke_ms = self.seen_ms
-        self.arrival_ms = self.seen_ms if begun - asked > 0.001 else seen
+        previous_poll_ms, self.last_poll_ms = self.last_poll_ms, now_ms()
+        if previous_poll_ms and self.last_poll_ms - previous_poll_ms > MIN_STALL_MS:
+            self.woke_ms = self.last_poll_ms
+        self.arrival_ms = self.last_poll_ms if begun - asked > 0.001 else previous_poll_ms
         for fd, mask in found:
             failed = mask & ~(READ | WRITE)
             woken = False
--- a/tests/test_sched.py
+++ b/tests/test_sched.py
@@ -44,10 +44,10 @@
         self.sched.turn()
         self.sched.spawn(time.sleep, 0.02)
         self.sched.turn()
-        looked = self.sched.seen_ms
+        polled_ms = self.sched.last_poll_ms
         self.other.sendall(b"a")
         self.until(1)
-        self.assertLessEqual(self.sched.arrival_ms, looked)
+        self.assertLessEqual(self.sched.arrival_ms, polled_ms)
 
     def test_a_due_call_does_not_wait_for_the_rest_of_a_busy_turn(self) -> None:
         """Answers at the deadline came too late at 0.15 s of lag."""
@@ -99,14 +99,14 @@
         sched.later(1.0, lambda: None)
         sched.turn()
         self.assertEqual(sched.woke_ms, 0.0)
-        sched.seen_ms -= MIN_STALL_MS / 2
+        sched.last_poll_ms -= MIN_STALL_MS / 2
         sched.later(1.0, lambda: None)
         sched.turn()
         self.assertEqual(sched.woke_ms, 0.0)
-        sched.seen_ms -= MIN_STALL_MS + 1.0
+        sched.last_poll_ms -= MIN_STALL_MS + 1.0
         sched.later(1.0, lambda: None)
         sched.turn()
-        self.assertEqual(sched.woke_ms, sched.seen_ms)
+        self.assertEqual(sched.woke_ms, sched.last_poll_ms)
 
     def test_news_are_behind_until_the_bus_is_heard_and_not_for_long(self) -> None:
         sched = Scheduler()
