--- a/hitchtiller/bus.py
+++ b/hitchtiller/bus.py
@@ -41,8 +41,8 @@
         Drains and purges may have been told meanwhile. A bus that is away keeps nothing back for longer than
         BEHIND_MS.
         """
-        woke = self.sched.woke_ms
-        return woke > self.last_frame_ms and now_ms() - woke < BEHIND_MS
+        resumed_ms = self.sched.resumed_ms
+        return resumed_ms > self.last_frame_ms and now_ms() - resumed_ms < BEHIND_MS
 
     def followed(self, whole: bool) -> bool:
         """Tell whether the bus is followed; with `whole`, whether it has told all that there was."""
--- a/hitchtiller/sched.py
+++ b/hitchtiller/sched.py
@@ -63,7 +63,7 @@
         self.stopped = False
         self.last_poll_ms = self.arrival_ms = now_ms()
         self.lag_ms = 0.0  # longest turn of the loop since it was last read
-        self.woke_ms = 0.0  # when it last went on after a time in which it did not run
+        self.resumed_ms = 0.0  # when it last went on after a time in which it did not run
         self.signalled: deque[Callable[[], object]] = deque()  # calls of signals not yet begun
         self.polling = False  # the loop is in poll, or about to be: a signal has to break it
 
@@ -214,7 +214,7 @@
         # requests that lay unread in a busy turn are counted from here
         previous_poll_ms, self.last_poll_ms = self.last_poll_ms, now_ms()
         if previous_poll_ms and self.last_poll_ms - previous_poll_ms > MIN_STALL_MS:
-            self.woke_ms = self.last_poll_ms
+            self.resumed_ms = self.last_poll_ms
         self.arrival_ms = self.last_poll_ms if begun - asked > 0.001 else previous_poll_ms
         for fd, mask in found:
             failed = mask & ~(READ | WRITE)
--- a/tests/test_sched.py
+++ b/tests/test_sched.py
@@ -98,23 +98,23 @@
         sched = Scheduler()
         sched.later(1.0, lambda: None)
         sched.turn()
-        self.assertEqual(sched.woke_ms, 0.0)
+        self.assertEqual(sched.resumed_ms, 0.0)
         sched.last_poll_ms -= MIN_STALL_MS / 2
         sched.later(1.0, lambda: None)
         sched.turn()
-        self.assertEqual(sched.woke_ms, 0.0)
+        self.assertEqual(sched.resumed_ms, 0.0)
         sched.last_poll_ms -= MIN_STALL_MS + 1.0
         sched.later(1.0, lambda: None)
         sched.turn()
-        self.assertEqual(sched.woke_ms, sched.last_poll_ms)
+        self.assertEqual(sched.resumed_ms, sched.last_poll_ms)
 
     def test_news_are_behind_until_the_bus_is_heard_and_not_for_long(self) -> None:
         sched = Scheduler()
         bus = BusLink(sched, lambda event: None, ("127.0.0.1", 1), ((), ()))
         self.assertFalse(bus.may_lack_events())
-        sched.woke_ms = now_ms()
+        sched.resumed_ms = now_ms()
         self.assertTrue(bus.may_lack_events())
-        bus.last_frame_ms = sched.woke_ms + 1.0
+        bus.last_frame_ms = sched.resumed_ms + 1.0
         self.assertFalse(bus.may_lack_events())
-        bus.last_frame_ms, sched.woke_ms = 0.0, now_ms() - BEHIND_MS - 1.0
+        bus.last_frame_ms, sched.resumed_ms = 0.0, now_ms() - BEHIND_MS - 1.0
         self.assertFalse(bus.may_lack_events(), "a bus that is away keeps nothing back")
