--- a/hitchtiller/sched.py
+++ b/hitchtiller/sched.py
@@ -65,7 +65,7 @@
         self.lag_ms = 0.0  # longest turn of the loop since it was last read
         self.resumed_ms = 0.0  # when it last went on after a time in which it did not run
         self.signalled: deque[Callable[[], object]] = deque()  # calls of signals not yet begun
-        self.polling = False  # the loop is in poll, or about to be: a signal has to break it
+        self.is_polling = False  # the loop is in poll, or about to be: a signal has to break it
 
     def spawn(self, run: Callable[..., object], *args: Any, urgent: bool = False) -> greenlet:
         """Start a greenlet; an exception in it is logged and ends it alone, never the loop."""
@@ -180,8 +180,8 @@
         poll, or about to enter it, the handler raises `PollInterrupted`, which poll gives back at once.
         """
         self.signalled.append(call)
-        if self.polling:
-            self.polling = False  # once: a second signal in the same turn must not raise outside the try
+        if self.is_polling:
+            self.is_polling = False  # once: a second signal in the same turn must not raise outside the try
             raise PollInterrupted
 
     def turn(self) -> None:
@@ -193,17 +193,17 @@
             timeout = max(0.0, (self.heap[0][0] - time.monotonic()) * 1000.0)
         asked = time.monotonic()
         try:
-            self.polling = True
+            self.is_polling = True
             if self.signalled:  # came before the flag was up: nobody else would break the wait
                 timeout = 0.0
             # poll counts whole milliseconds; rounding up keeps a timer from spinning the loop
             found = self.poll.poll(None if timeout is None else int(timeout + 0.999))
-            self.polling = False
+            self.is_polling = False
         except (
             InterruptedError,
             PollInterrupted,
         ):  # what poll had found is found again: poll is level-triggered
-            self.polling = False
+            self.is_polling = False
             found = []
         # what has come is heard before what was made ready earlier goes on: a client may have gone meanwhile
         earlier, self.ready = self.ready, deque()
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -152,7 +152,7 @@
 
     def send_when_polling() -> None:
         for _ in range(2000):  # bounded: 2 s at most
-            if sched.polling:
+            if sched.is_polling:
                 break
             threading.Event().wait(0.001)
         threading.Event().wait(0.01)  # so that the main thread is inside poll, not just past the flag
@@ -171,4 +171,4 @@
         signal.alarm(0)
         signal.signal(signal.SIGUSR1, old[0])
         signal.signal(signal.SIGALRM, old[1])
-    assert heard == [signal.SIGUSR1] and not sched.polling
+    assert heard == [signal.SIGUSR1] and not sched.is_polling
