--- a/hitchtiller/sched.py
+++ b/hitchtiller/sched.py
@@ -171,7 +171,7 @@
         while not self.stopped:
             self.turn()
 
-    def signal(self, call: Callable[[], object]) -> None:
+    def call_from_signal(self, call: Callable[[], object]) -> None:
         """Run `call` in a greenlet of its own at the next turn; made from a signal handler, in no greenlet.
 
         No descriptor is written: the fleet's platform refuses socketpair and leads a socket's send and
--- a/hitchtiller/signals.py
+++ b/hitchtiller/signals.py
@@ -1,6 +1,6 @@
 """Signals as calls in greenlets of their own: a handler only hands its call to the loop, nothing runs in it.
 
-The loop is woken without a descriptor (see `Scheduler.signal`): on the fleet's platform a socketpair is
+The loop is woken without a descriptor (see `Scheduler.call_from_signal`): on the fleet's platform a socketpair is
 refused, and a write from C or a datagram to oneself never woke a led poll. A process-directed signal
 reaches the main thread, where the loop polls; should one land on another thread, the loop's next timer
 (at most 1 s away, by the collector's tidy) takes it up.
@@ -24,4 +24,4 @@
 
     def _heard(self, number: int, _: FrameType | None) -> None:
         if call := self.calls.get(number):  # guards against taking any signal for SIGTERM
-            self.sched.signal(call)
+            self.sched.call_from_signal(call)
--- a/hitchtiller/wake.py
+++ b/hitchtiller/wake.py
@@ -5,7 +5,7 @@
 bound to 127.0.0.1 on a port the kernel picks and connected to that same address: it takes datagrams from
 itself alone, so nobody else can reach it. It serves `hitchtiller serve` on an ordinary kernel; on the
 fleet's platform a datagram to oneself was never seen (a rough roll+mass, seed 3), which is why signals
-wake the loop without any descriptor (`Scheduler.signal`).
+wake the loop without any descriptor (`Scheduler.call_from_signal`).
 
 Bounds: one descriptor; each `poke` is one datagram of one byte, dropped when the socket's buffer is full
 (the loop has been told already); `drain` reads at most `most` datagrams in one turn.
