--- a/hitchtiller/sched.py
+++ b/hitchtiller/sched.py
@@ -31,11 +31,11 @@
 class Timer:
     """A call that is due at a time, unless it is cancelled."""
 
-    __slots__ = ("call", "due")
+    __slots__ = ("call", "due_s")
 
-    def __init__(self, due: float, call: Callable[[], object]) -> None:
+    def __init__(self, due_s: float, call: Callable[[], object]) -> None:
         """Note when to call what."""
-        self.due = due
+        self.due_s = due_s
         self.call: Callable[[], object] | None = call
 
     def cancel(self) -> None:
@@ -53,18 +53,18 @@
     def __init__(self) -> None:
         """Start with nothing to run."""
         self.poll = select.poll()
-        self.waits: dict[int, dict[int, greenlet]] = {}  # descriptor: event: who waits
-        self.masks: dict[int, int] = {}  # what poll was told to look for
-        self.ready: deque[tuple[greenlet, Any]] = deque()
-        self.heap: list[tuple[float, int, Timer]] = []
-        self.order = count()
+        self.waiters: dict[int, dict[int, greenlet]] = {}  # descriptor: event: who waits
+        self.poll_masks: dict[int, int] = {}  # what poll was told to look for
+        self.runnable: deque[tuple[greenlet, Any]] = deque()
+        self.timers: list[tuple[float, int, Timer]] = []
+        self.timer_order = count()
         self.urgent: set[greenlet] = set()  # these run before all others of a turn
         self.hub: greenlet = getcurrent()
         self.stopped = False
         self.last_poll_ms = self.arrival_ms = now_ms()
         self.lag_ms = 0.0  # longest turn of the loop since it was last read
         self.resumed_ms = 0.0  # when it last went on after a time in which it did not run
-        self.signalled: deque[Callable[[], object]] = deque()  # calls of signals not yet begun
+        self.signal_calls: deque[Callable[[], object]] = deque()  # calls of signals not yet begun
         self.is_polling = False  # the loop is in poll, or about to be: a signal has to break it
 
     def spawn(self, run: Callable[..., object], *args: Any, urgent: bool = False) -> greenlet:
@@ -87,15 +87,15 @@
     def later(self, delay_ms: float, call: Callable[[], object]) -> Timer:
         """Call something after a while, in the loop."""
         timer = Timer(time.monotonic() + max(0.0, delay_ms) / 1000.0, call)
-        heapq.heappush(self.heap, (timer.due, next(self.order), timer))
+        heapq.heappush(self.timers, (timer.due_s, next(self.timer_order), timer))
         return timer
 
     def wake(self, task: greenlet, value: Any = None) -> None:
         """Let a parked greenlet go on in this turn of the loop."""
         if task in self.urgent:  # guards operators' calls against a loop that is full of client work
-            self.ready.appendleft((task, value))
+            self.runnable.appendleft((task, value))
         else:
-            self.ready.append((task, value))
+            self.runnable.append((task, value))
 
     def park(self) -> Any:
         """Stop the current greenlet until it is woken; gives what it was woken with."""
@@ -116,53 +116,53 @@
 
     def sleep(self, delay_ms: float) -> None:
         """Park for a while."""
-        me = getcurrent()
-        self.later(delay_ms, lambda: self.wake(me))
+        current = getcurrent()
+        self.later(delay_ms, lambda: self.wake(current))
         self.park()
 
     def wait(self, fd: int, event: int, timeout_ms: float | None = None) -> bool:
         """Park until a descriptor is ready (also: has failed or was closed); False if time ran out."""
-        me = getcurrent()
-        events = self.waits.get(fd)
+        current = getcurrent()
+        events = self.waiters.get(fd)
         if events is None:
-            events = self.waits[fd] = {}
-        events[event] = me
-        if self.masks.get(fd, 0) & event == 0:
-            self._watch(fd)
+            events = self.waiters[fd] = {}
+        events[event] = current
+        if self.poll_masks.get(fd, 0) & event == 0:
+            self._update_poll(fd)
         timer = None
         if timeout_ms is not None:
-            timer = self.later(timeout_ms, lambda: self._resume(fd, event, False))
+            timer = self.later(timeout_ms, lambda: self._wake_waiter(fd, event, False))
         try:
             return bool(self.park())
         finally:
             if timer:
                 timer.cancel()
 
-    def _watch(self, fd: int) -> None:
+    def _update_poll(self, fd: int) -> None:
         mask = 0
-        for event in self.waits.get(fd, ()):
+        for event in self.waiters.get(fd, ()):
             mask |= event
-        if mask == self.masks.get(fd, 0):
+        if mask == self.poll_masks.get(fd, 0):
             return
         if mask:
-            self.masks[fd] = mask
+            self.poll_masks[fd] = mask
             self.poll.register(fd, mask)
         else:
-            self.waits.pop(fd, None)
-            del self.masks[fd]
+            self.waiters.pop(fd, None)
+            del self.poll_masks[fd]
             self.poll.unregister(fd)
 
-    def _resume(self, fd: int, event: int, value: bool) -> None:
-        task = self.waits.get(fd, {}).pop(event, None)
+    def _wake_waiter(self, fd: int, event: int, value: bool) -> None:
+        task = self.waiters.get(fd, {}).pop(event, None)
         if task is not None:
             self.wake(task, value)  # still registered: mostly it waits for the same again
 
     def forget(self, fd: int) -> None:
         """Wake whoever waits for a descriptor that is about to be closed."""
-        for event in list(self.waits.get(fd, ())):
-            self._resume(fd, event, True)
-        self.waits.pop(fd, None)
-        if self.masks.pop(fd, 0):
+        for event in list(self.waiters.get(fd, ())):
+            self._wake_waiter(fd, event, True)
+        self.waiters.pop(fd, None)
+        if self.poll_masks.pop(fd, 0):
             self.poll.unregister(fd)
 
     def run(self) -> None:
@@ -179,7 +179,7 @@
         runs in the main thread between two steps of Python, or inside poll on EINTR; if the loop is in
         poll, or about to enter it, the handler raises `PollInterrupted`, which poll gives back at once.
         """
-        self.signalled.append(call)
+        self.signal_calls.append(call)
         if self.is_polling:
             self.is_polling = False  # once: a second signal in the same turn must not raise outside the try
             raise PollInterrupted
@@ -187,60 +187,60 @@
     def turn(self) -> None:
         """Wait for what comes first, then run all that is due."""
         timeout = None
-        if self.ready:
+        if self.runnable:
             timeout = 0.0
-        elif self.heap:
-            timeout = max(0.0, (self.heap[0][0] - time.monotonic()) * 1000.0)
-        asked = time.monotonic()
+        elif self.timers:
+            timeout = max(0.0, (self.timers[0][0] - time.monotonic()) * 1000.0)
+        poll_start_s = time.monotonic()
         try:
             self.is_polling = True
-            if self.signalled:  # came before the flag was up: nobody else would break the wait
+            if self.signal_calls:  # came before the flag was up: nobody else would break the wait
                 timeout = 0.0
             # poll counts whole milliseconds; rounding up keeps a timer from spinning the loop
-            found = self.poll.poll(None if timeout is None else int(timeout + 0.999))
+            ready_events = self.poll.poll(None if timeout is None else int(timeout + 0.999))
             self.is_polling = False
         except (
             InterruptedError,
             PollInterrupted,
         ):  # what poll had found is found again: poll is level-triggered
             self.is_polling = False
-            found = []
+            ready_events = []
         # what has come is heard before what was made ready earlier goes on: a client may have gone meanwhile
-        earlier, self.ready = self.ready, deque()
-        while self.signalled:
-            self.spawn(self.signalled.popleft())
-        begun = time.monotonic()
+        earlier, self.runnable = self.runnable, deque()
+        while self.signal_calls:
+            self.spawn(self.signal_calls.popleft())
+        turn_start_s = time.monotonic()
         # what has come since the last look may be that old, unless poll had to wait for it: deadlines of
         # requests that lay unread in a busy turn are counted from here
         previous_poll_ms, self.last_poll_ms = self.last_poll_ms, now_ms()
         if previous_poll_ms and self.last_poll_ms - previous_poll_ms > MIN_STALL_MS:
             self.resumed_ms = self.last_poll_ms
-        self.arrival_ms = self.last_poll_ms if begun - asked > 0.001 else previous_poll_ms
-        for fd, mask in found:
+        self.arrival_ms = self.last_poll_ms if turn_start_s - poll_start_s > 0.001 else previous_poll_ms
+        for fd, mask in ready_events:
             failed = mask & ~(READ | WRITE)
             woken = False
-            for event in list(self.waits.get(fd, ())):
+            for event in list(self.waiters.get(fd, ())):
                 if failed or mask & event:
-                    self._resume(fd, event, True)
+                    self._wake_waiter(fd, event, True)
                     woken = True
             if not woken:  # guards against spinning on what nobody waits for
-                self._watch(fd)
+                self._update_poll(fd)
         for task, value in earlier:
             self.wake(task, value)
-        self._fire(begun)
-        for _ in range(len(self.ready)):
-            task, value = self.ready.popleft()
+        self._run_due_timers(turn_start_s)
+        for _ in range(len(self.runnable)):
+            task, value = self.runnable.popleft()
             if not task.dead:
                 task.switch(value)
             # guards deadlines in a busy turn: at 0.15 s of lag some answers came after the client had gone
-            if self.heap and self.heap[0][0] <= (now := time.monotonic()):
-                self._fire(now)
-        self.lag_ms = max(self.lag_ms, (time.monotonic() - begun) * 1000.0)
+            if self.timers and self.timers[0][0] <= (now_s := time.monotonic()):
+                self._run_due_timers(now_s)
+        self.lag_ms = max(self.lag_ms, (time.monotonic() - turn_start_s) * 1000.0)
 
-    def _fire(self, now: float) -> None:
+    def _run_due_timers(self, now_s: float) -> None:
         """Make the calls that are due."""
-        while self.heap and self.heap[0][0] <= now:
-            timer = heapq.heappop(self.heap)[2]
+        while self.timers and self.timers[0][0] <= now_s:
+            timer = heapq.heappop(self.timers)[2]
             if timer.call is not None:
                 try:
                     timer.call()
