--- a/hitchtiller/sched.py
+++ b/hitchtiller/sched.py
@@ -272,14 +272,14 @@
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.sched, self.sock, self.fd = sched, sock, sock.fileno()
-        self.out: deque[memoryview] = deque()
+        self.unsent: deque[memoryview] = deque()
         self.size = 0  # bytes that wait in `out`
         self.progress_ms = 0.0  # when bytes last left it
-        self.flushing = False
+        self.is_flushing = False
         self.drained = True  # the last read took all there was
         self.code = ""  # why it was closed
         self.kept = 0  # bytes that its reader holds
-        self.finished = False  # nothing more will be written
+        self.shutdown_requested = False  # nothing more will be written
         Stream.opened += 1
 
     def connect(self, address: tuple[str, int], timeout_ms: float) -> None:
@@ -320,24 +320,24 @@
         """Send at once what the socket takes and buffer the rest; the caller bounds `size`."""
         if self.code:
             return
-        if not self.out:
+        if not self.unsent:
             self.progress_ms = now_ms()
         for part in parts:
             if len(part):
-                self.out.append(memoryview(part))
+                self.unsent.append(memoryview(part))
                 self.size += len(part)
                 Stream.buffered_bytes += len(part)
-        if not self.flushing:
-            self._push()
-            if self.out and not self.code:
-                self.flushing = True
+        if not self.is_flushing:
+            self._send_unsent()
+            if self.unsent and not self.code:
+                self.is_flushing = True
                 self.sched.spawn(self._flush)
 
     def write_whole(self, data: bytes) -> bool:
         """Send all of it, parking while the socket takes no more; False if the end came first."""
-        self.flushing = True
+        self.is_flushing = True
         self.write(data)
-        self._push()
+        self._send_unsent()
         self._flush()
         return not self.code
 
@@ -364,18 +364,18 @@
 
     def discard(self) -> None:
         """Drop what has not been sent: nothing sensible can be written after it."""
-        self.out.clear()
+        self.unsent.clear()
         Stream.buffered_bytes -= self.size
         self.size = 0
 
-    def _push(self) -> None:
-        while self.out:
+    def _send_unsent(self) -> None:
+        while self.unsent:
             try:
-                if len(self.out) == 1:
-                    sent = self.sock.send(self.out[0])
+                if len(self.unsent) == 1:
+                    sent = self.sock.send(self.unsent[0])
                 else:
                     sent = self.sock.sendmsg(
-                        [self.out[i] for i in range(min(MAX_SEND_BUFFERS, len(self.out)))]
+                        [self.unsent[i] for i in range(min(MAX_SEND_BUFFERS, len(self.unsent)))]
                     )
             except BlockingIOError:
                 return
@@ -386,26 +386,26 @@
             Stream.buffered_bytes -= sent
             self.progress_ms = now_ms()
             while sent:
-                head = self.out[0]
+                head = self.unsent[0]
                 if sent < len(head):
-                    self.out[0] = head[sent:]
+                    self.unsent[0] = head[sent:]
                     break
                 sent -= len(head)
-                self.out.popleft()
+                self.unsent.popleft()
 
     def _flush(self) -> None:
-        while self.out and not self.code:
+        while self.unsent and not self.code:
             self.sched.wait(self.fd, WRITE)
             if not self.code:
-                self._push()
-        self.flushing = False
-        if self.finished:
+                self._send_unsent()
+        self.is_flushing = False
+        if self.shutdown_requested:
             self.finish()
 
     def finish(self) -> None:
         """Shut down writing once all that is buffered has gone out; reading goes on."""
-        self.finished = True
-        if not self.out and not self.code:
+        self.shutdown_requested = True
+        if not self.unsent and not self.code:
             with contextlib.suppress(OSError):
                 self.sock.shutdown(socket.SHUT_WR)
 
