--- a/hitchtiller/sched.py
+++ b/hitchtiller/sched.py
@@ -123,10 +123,10 @@
     def wait(self, fd: int, event: int, timeout_ms: float | None = None) -> bool:
         """Park until a descriptor is ready (also: has failed or was closed); False if time ran out."""
         current = getcurrent()
-        events = self.waiters.get(fd)
-        if events is None:
-            events = self.waiters[fd] = {}
-        events[event] = current
+        tasks = self.waiters.get(fd)
+        if tasks is None:
+            tasks = self.waiters[fd] = {}
+        tasks[event] = current
         if self.poll_masks.get(fd, 0) & event == 0:
             self._update_poll(fd)
         timer = None
@@ -186,18 +186,18 @@
 
     def turn(self) -> None:
         """Wait for what comes first, then run all that is due."""
-        timeout = None
+        timeout_ms = None
         if self.runnable:
-            timeout = 0.0
+            timeout_ms = 0.0
         elif self.timers:
-            timeout = max(0.0, (self.timers[0][0] - time.monotonic()) * 1000.0)
+            timeout_ms = max(0.0, (self.timers[0][0] - time.monotonic()) * 1000.0)
         poll_start_s = time.monotonic()
         try:
             self.is_polling = True
             if self.signal_calls:  # came before the flag was up: nobody else would break the wait
-                timeout = 0.0
+                timeout_ms = 0.0
             # poll counts whole milliseconds; rounding up keeps a timer from spinning the loop
-            ready_events = self.poll.poll(None if timeout is None else int(timeout + 0.999))
+            ready_events = self.poll.poll(None if timeout_ms is None else int(timeout_ms + 0.999))
             self.is_polling = False
         except (
             InterruptedError,
@@ -206,7 +206,7 @@
             self.is_polling = False
             ready_events = []
         # what has come is heard before what was made ready earlier goes on: a client may have gone meanwhile
-        earlier, self.runnable = self.runnable, deque()
+        carried_over, self.runnable = self.runnable, deque()
         while self.signal_calls:
             self.spawn(self.signal_calls.popleft())
         turn_start_s = time.monotonic()
@@ -225,7 +225,7 @@
                     woken = True
             if not woken:  # guards against spinning on what nobody waits for
                 self._update_poll(fd)
-        for task, value in earlier:
+        for task, value in carried_over:
             self.wake(task, value)
         self._run_due_timers(turn_start_s)
         for _ in range(len(self.runnable)):
