--- a/hitchtiller/sched.py
+++ b/hitchtiller/sched.py
@@ -1,4 +1,9 @@
-"""A scheduler of greenlets over select.poll: timers in a heap, non-blocking sockets, bounded buffers."""
+"""A cooperative scheduler: greenlets on one thread over `select.poll`, with timers and non-blocking streams.
+
+A greenlet parks until a socket is ready, a time has come or another greenlet wakes it. `Scheduler.turn` is
+one round of the loop: poll, wake the greenlets whose events came, make the calls that are due, then run what
+is runnable. `Stream` is a TCP socket for greenlets. A greenlet is never preempted, so none may compute long.
+"""
 
 import contextlib
 import errno
@@ -15,66 +20,69 @@
 
 from hitchtiller.log import logger
 
-RECV_BYTES = 65_536  # bytes asked of a socket at once
-MAX_SEND_BUFFERS = 16  # buffers handed to one sendmsg
-MIN_STALL_MS = 300.0  # between two turns: sweeps alone come oftener, so the process did not run
-LAG_LIMIT_MS = 20.0  # since the last look, from which what has come meanwhile is read before anything is sent
+RECV_BYTES = 65_536  # requested by one recv
+MAX_SEND_BUFFERS = 16  # passed to one sendmsg
+# A longer time between two polls means that the process did not run: its own sweeps are more frequent.
+MIN_STALL_MS = 300.0
+# After a longer time since the last poll, sockets are read before anything is sent, as clients may have left.
+LAG_LIMIT_MS = 20.0
 READ = select.POLLIN
 WRITE = select.POLLOUT
 
 
 def now_ms() -> float:
-    """Read the one clock that everything here goes by: Unix milliseconds."""
+    """Return the current time in Unix milliseconds, the clock of all points in time named `..._ms`."""
     return time.time() * 1000.0
 
 
 class Timer:
-    """A call that is due at a time, unless it is cancelled."""
+    """A call that is made at a given time unless it is cancelled."""
 
     __slots__ = ("call", "due_s")
 
     def __init__(self, due_s: float, call: Callable[[], object]) -> None:
-        """Note when to call what."""
+        """Schedule `call` for a time of the monotonic clock, in seconds."""
         self.due_s = due_s
         self.call: Callable[[], object] | None = call
 
     def cancel(self) -> None:
-        """Let it pass; what it holds is freed at once."""
+        """Cancel the call and release its references at once."""
         self.call = None
 
 
-class PollInterrupted(Exception):  # noqa: N818  it is no error: the name says what happened
-    """A signal came while the loop waited in poll: raised by its handler so that poll returns at once."""
+class PollInterrupted(Exception):  # noqa: N818  not an error: raised to end a wait
+    """Raised by a signal handler while the loop waits in poll, so that poll returns at once."""
 
 
 class Scheduler:
-    """Runs greenlets on one thread; each waits for a socket, a signal or a time."""
+    """Runs greenlets on one thread; each may wait for a socket, for a time or for another greenlet."""
 
     def __init__(self) -> None:
-        """Start with nothing to run."""
+        """Create a scheduler without tasks; the calling greenlet is its loop until `run` is called."""
         self.poll = select.poll()
-        self.waiters: dict[int, dict[int, greenlet]] = {}  # descriptor: event: who waits
-        self.poll_masks: dict[int, int] = {}  # what poll was told to look for
+        self.waiters: dict[int, dict[int, greenlet]] = {}  # by descriptor and event
+        self.poll_masks: dict[int, int] = {}  # by descriptor: the events registered with poll
         self.runnable: deque[tuple[greenlet, Any]] = deque()
         self.timers: list[tuple[float, int, Timer]] = []
         self.timer_order = count()
-        self.urgent: set[greenlet] = set()  # these run before all others of a turn
+        self.urgent: set[greenlet] = set()  # run before all others of a turn
         self.hub: greenlet = getcurrent()
         self.stopped = False
+        # when the loop last polled, and the earliest time at which the data found then may have arrived
         self.last_poll_ms = self.arrival_ms = now_ms()
-        self.lag_ms = 0.0  # longest turn of the loop since it was last read
-        self.resumed_ms = 0.0  # when it last went on after a time in which it did not run
-        self.signal_calls: deque[Callable[[], object]] = deque()  # calls of signals not yet begun
-        self.is_polling = False  # the loop is in poll, or about to be: a signal has to break it
+        self.lag_ms = 0.0  # longest turn since a reader last reset it
+        self.resumed_ms = 0.0  # when the process last resumed after a stall
+        self.signal_calls: deque[Callable[[], object]] = deque()  # from signal handlers, not started yet
+        self.is_polling = False  # in poll or about to enter it: a signal handler has to interrupt it
 
     def spawn(self, run: Callable[..., object], *args: Any, urgent: bool = False) -> greenlet:
-        """Start a greenlet; an exception in it is logged and ends it alone, never the loop."""
+        """Start a greenlet; an exception in it is logged and ends this greenlet only, never the loop."""
 
         def guarded(_: object = None) -> None:
             try:
                 run(*args)
-            except Exception:  # noqa: BLE001  one connection's fault must not take the others along
-                logger.exception("a task failed")
+            except Exception:  # noqa: BLE001  a fault in one connection must not end the others
+                logger.exception("a background task failed")
             finally:
                 self.urgent.discard(task)
 
@@ -85,43 +93,43 @@
         return task
 
     def later(self, delay_ms: float, call: Callable[[], object]) -> Timer:
-        """Call something after a while, in the loop."""
+        """Make a call in the loop after a delay; the returned timer can cancel it."""
         timer = Timer(time.monotonic() + max(0.0, delay_ms) / 1000.0, call)
         heapq.heappush(self.timers, (timer.due_s, next(self.timer_order), timer))
         return timer
 
     def wake(self, task: greenlet, value: Any = None) -> None:
-        """Let a parked greenlet go on in this turn of the loop."""
-        if task in self.urgent:  # guards operators' calls against a loop that is full of client work
+        """Resume a parked greenlet in this turn of the loop; `park` returns `value` to it."""
+        if task in self.urgent:  # keeps operators' calls responsive in a loop full of client work
             self.runnable.appendleft((task, value))
         else:
             self.runnable.append((task, value))
 
     def park(self) -> Any:
-        """Stop the current greenlet until it is woken; gives what it was woken with."""
+        """Suspend the current greenlet until it is woken; return the value passed to `wake`."""
         return self.hub.switch()
 
     def pause(self) -> None:
-        """Let the others have a turn."""
+        """Let the other runnable greenlets run first."""
         self.wake(getcurrent())
         self.park()
 
     def is_lagging(self) -> bool:
-        """Tell whether much may have come that was not looked for yet."""
+        """Return whether much data may have arrived since the last poll."""
         return now_ms() - self.last_poll_ms > LAG_LIMIT_MS
 
     def look(self) -> None:
-        """Let the loop look once more, and those run for whom something has come."""
+        """Let the loop poll again, and let the greenlets run whose events have come."""
         self.pause()
 
     def sleep(self, delay_ms: float) -> None:
-        """Park for a while."""
+        """Suspend the current greenlet for a delay."""
         current = getcurrent()
         self.later(delay_ms, lambda: self.wake(current))
         self.park()
 
     def wait(self, fd: int, event: int, timeout_ms: float | None = None) -> bool:
-        """Park until a descriptor is ready (also: has failed or was closed); False if time ran out."""
+        """Park until a descriptor is ready, has failed or is being closed; return False on a timeout."""
         current = getcurrent()
         tasks = self.waiters.get(fd)
         if tasks is None:
@@ -155,10 +163,10 @@
     def _wake_waiter(self, fd: int, event: int, value: bool) -> None:
         task = self.waiters.get(fd, {}).pop(event, None)
         if task is not None:
-            self.wake(task, value)  # still registered: mostly it waits for the same again
+            self.wake(task, value)  # still registered: most tasks wait for the same event again
 
     def forget(self, fd: int) -> None:
-        """Wake whoever waits for a descriptor that is about to be closed."""
+        """Wake the tasks that wait for a descriptor and unregister it; called before it is closed."""
         for event in list(self.waiters.get(fd, ())):
             self._wake_waiter(fd, event, True)
         self.waiters.pop(fd, None)
@@ -166,26 +174,27 @@
             self.poll.unregister(fd)
 
     def run(self) -> None:
-        """Run until stopped."""
+        """Run the loop in the calling greenlet until `stopped` is set."""
         self.hub = getcurrent()
         while not self.stopped:
             self.turn()
 
     def call_from_signal(self, call: Callable[[], object]) -> None:
-        """Run `call` in a greenlet of its own at the next turn; made from a signal handler, in no greenlet.
+        """Run `call` in its own greenlet at the next turn; called by signal handlers, outside any task.
 
-        No descriptor is written: the fleet's platform refuses socketpair and leads a socket's send and
-        poll to itself, and neither a write from C nor a datagram to oneself was ever seen there. A handler
-        runs in the main thread between two steps of Python, or inside poll on EINTR; if the loop is in
-        poll, or about to enter it, the handler raises `PollInterrupted`, which poll gives back at once.
+        Wakes the loop without writing to a descriptor. The fleet's platform refuses socketpair and
+        intercepts a socket's send and poll, and neither a write from C nor a datagram that a socket sent to
+        itself ever arrived there. A handler runs in the main thread between two bytecode instructions, or
+        inside poll on EINTR. If the loop is in poll or about to enter it, the handler raises
+        `PollInterrupted`, which makes poll return at once.
         """
         self.signal_calls.append(call)
         if self.is_polling:
-            self.is_polling = False  # once: a second signal in the same turn must not raise outside the try
+            self.is_polling = False  # a second signal in this turn must not raise outside the try
             raise PollInterrupted
 
     def turn(self) -> None:
-        """Wait for what comes first, then run all that is due."""
+        """Run one round: wait for the first event or timer, then run all that is due or runnable."""
         timeout_ms = None
         if self.runnable:
             timeout_ms = 0.0
@@ -194,24 +203,22 @@
         poll_start_s = time.monotonic()
         try:
             self.is_polling = True
-            if self.signal_calls:  # came before the flag was up: nobody else would break the wait
+            if self.signal_calls:  # it came before the flag was set, so nothing would interrupt poll
                 timeout_ms = 0.0
-            # poll counts whole milliseconds; rounding up keeps a timer from spinning the loop
+            # poll takes whole milliseconds; rounding up prevents a busy loop until a timer is due
             ready_events = self.poll.poll(None if timeout_ms is None else int(timeout_ms + 0.999))
             self.is_polling = False
-        except (
-            InterruptedError,
-            PollInterrupted,
-        ):  # what poll had found is found again: poll is level-triggered
+        except (InterruptedError, PollInterrupted):
+            # no event is lost: poll is level-triggered and reports the same ones again
             self.is_polling = False
             ready_events = []
-        # what has come is heard before what was made ready earlier goes on: a client may have gone meanwhile
+        # tasks with new events run before those that were runnable already: a client may have left meanwhile
         carried_over, self.runnable = self.runnable, deque()
         while self.signal_calls:
             self.spawn(self.signal_calls.popleft())
         turn_start_s = time.monotonic()
-        # what has come since the last look may be that old, unless poll had to wait for it: deadlines of
-        # requests that lay unread in a busy turn are counted from here
+        # Data may have arrived as early as the previous poll, unless this poll had to wait for it. Deadlines
+        # of requests that stayed unread during a busy turn count from that time.
         previous_poll_ms, self.last_poll_ms = self.last_poll_ms, now_ms()
         if previous_poll_ms and self.last_poll_ms - previous_poll_ms > MIN_STALL_MS:
             self.resumed_ms = self.last_poll_ms
@@ -223,7 +230,7 @@
                 if failed or mask & event:
                     self._wake_waiter(fd, event, True)
                     woken = True
-            if not woken:  # guards against spinning on what nobody waits for
+            if not woken:  # prevents a busy loop on an event that no task waits for
                 self._update_poll(fd)
         for task, value in carried_over:
             self.wake(task, value)
@@ -232,58 +239,62 @@
             task, value = self.runnable.popleft()
             if not task.dead:
                 task.switch(value)
-            # guards deadlines in a busy turn: at 0.15 s of lag some answers came after the client had gone
+            # Prevents late timers in a long turn: at a lag of 0.15 s, some answers due at a deadline were
+            # sent after the client had left.
             if self.timers and self.timers[0][0] <= (now_s := time.monotonic()):
                 self._run_due_timers(now_s)
         self.lag_ms = max(self.lag_ms, (time.monotonic() - turn_start_s) * 1000.0)
 
     def _run_due_timers(self, now_s: float) -> None:
-        """Make the calls that are due."""
+        """Make the calls that are due at `now_s`."""
         while self.timers and self.timers[0][0] <= now_s:
             timer = heapq.heappop(self.timers)[2]
             if timer.call is not None:
                 try:
                     timer.call()
-                except Exception:  # noqa: BLE001  one late call must not take the loop along
-                    logger.exception("a timer failed")
+                except Exception:  # noqa: BLE001  a fault in one call must not end the loop
+                    logger.exception("a timer's call failed")
 
 
 class Clock:
-    """The scheduler's time, as the engine wants it."""
+    """The scheduler's time and timers, as the engine's `Clock` protocol."""
 
     def __init__(self, sched: Scheduler) -> None:
-        """Call later by way of a scheduler."""
+        """Schedule calls by a scheduler."""
         self.now_ms = now_ms
         self.later = sched.later
 
 
 class Closed(Exception):
-    """A socket's stream has ended; the text is the reason code."""
+    """The stream of a socket has ended; the text is the reason code."""
 
 
 class Stream:
-    """A non-blocking TCP socket: reads park, writes are buffered up to a bound."""
+    """A non-blocking TCP socket: reads park the greenlet, writes are buffered.
+
+    The caller has to bound `size`; `buffered_bytes` is the total over all streams of the process.
+    """
 
-    opened = 0  # sockets of this process
-    buffered_bytes = 0  # bytes buffered in all of them, both ways
+    opened = 0  # open sockets of this process
+    buffered_bytes = 0  # in all of them, received and to be sent
 
     def __init__(self, sched: Scheduler, sock: socket.socket) -> None:
-        """Take a socket over."""
+        """Take over a socket; it is closed by `close` only."""
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.sched, self.sock, self.fd = sched, sock, sock.fileno()
         self.unsent: deque[memoryview] = deque()
-        self.size = 0  # bytes that wait in `out`
-        self.progress_ms = 0.0  # when bytes last left it
+        self.size = 0  # bytes in `unsent`
+        self.progress_ms = 0.0  # when bytes were last sent, or a write last found `unsent` empty
         self.is_flushing = False
-        self.drained = True  # the last read took all there was
-        self.code = ""  # why it was closed
-        self.kept = 0  # bytes that its reader holds
-        self.shutdown_requested = False  # nothing more will be written
+        self.drained = True  # no unread input is known: the last read emptied the receive buffer
+        self.code = ""  # reason code of the close; empty while open
+        self.kept = 0  # bytes of incomplete input that its reader holds
+        self.shutdown_requested = False  # writing is shut down once `unsent` is empty
         Stream.opened += 1
 
     def connect(self, address: tuple[str, int], timeout_ms: float) -> None:
-        """Connect or raise Closed: `refused`, or `silent` where nothing came in time."""
+        """Connect, or raise Closed: `refused`, `silent` on a timeout, or the code of its close."""
         error = self.sock.connect_ex(address)
         if error == errno.EINPROGRESS:
             if not self.sched.wait(self.fd, WRITE, timeout_ms):
@@ -295,11 +306,11 @@
             raise Closed("refused")
 
     def read(self, timeout_ms: float | None = None) -> bytes:
-        """Wait for bytes; raise Closed with eof, reset, silent or the code it was closed with."""
+        """Wait for bytes, or raise Closed: `eof`, `reset`, `silent` on a timeout, or the close's code."""
         while True:
             if self.code:
                 raise Closed(self.code)
-            if self.drained:  # nothing is there: asking the socket first would cost a call each time
+            if self.drained:  # nothing to read: trying recv first would waste a system call
                 self.drained = False
                 if not self.sched.wait(self.fd, READ, timeout_ms):
                     raise Closed("silent")
@@ -317,7 +328,7 @@
             return data
 
     def write(self, *parts: bytes | memoryview) -> None:
-        """Send at once what the socket takes and buffer the rest; the caller bounds `size`."""
+        """Send at once what the socket accepts and buffer the rest; the caller has to bound `size`."""
         if self.code:
             return
         if not self.unsent:
@@ -334,7 +345,7 @@
                 self.sched.spawn(self._flush)
 
     def write_whole(self, data: bytes) -> bool:
-        """Send all of it, parking while the socket takes no more; False if the end came first."""
+        """Send all of `data`, parking while the socket accepts no more; False if it was closed first."""
         self.is_flushing = True
         self.write(data)
         self._send_unsent()
@@ -342,13 +353,13 @@
         return not self.code
 
     def keep(self, size: int) -> None:
-        """Count the bytes that its reader holds of what can't be read whole yet."""
+        """Set how many bytes of incomplete input its reader holds, for `buffered_bytes`."""
         if size != self.kept and not self.code:
             Stream.buffered_bytes += size - self.kept
             self.kept = size
 
     def waiting(self) -> bool:
-        """Tell whether something has come that was not read, the end included."""
+        """Return whether unread input has arrived; the end of the stream counts as input."""
         try:
             self.sock.recv(1, socket.MSG_PEEK)
         except OSError as error:
@@ -356,14 +367,14 @@
         return True
 
     def at_end(self) -> bool:
-        """Tell whether nothing is left to read but the end: the other side has closed, or broken off."""
+        """Return whether the other side has closed or reset the connection and no data is left to read."""
         try:
             return not self.code and not self.sock.recv(1, socket.MSG_PEEK)
         except OSError as error:
             return not isinstance(error, BlockingIOError)
 
     def discard(self) -> None:
-        """Drop what has not been sent: nothing sensible can be written after it."""
+        """Drop all unsent data; nothing meaningful can be written on the stream after that."""
         self.unsent.clear()
         Stream.buffered_bytes -= self.size
         self.size = 0
@@ -403,14 +414,14 @@
             self.finish()
 
     def finish(self) -> None:
-        """Shut down writing once all that is buffered has gone out; reading goes on."""
+        """Shut down writing once all buffered data is sent; reading continues."""
         self.shutdown_requested = True
         if not self.unsent and not self.code:
             with contextlib.suppress(OSError):
                 self.sock.shutdown(socket.SHUT_WR)
 
     def close(self, code: str) -> None:
-        """Close it once; the first reason code stays, and a parked reader wakes with it."""
+        """Close the socket once; the first reason code is kept, and a parked reader is woken with it."""
         if self.code:
             return
         self.keep(0)
