--- a/hitchtiller/bus.py
+++ b/hitchtiller/bus.py
@@ -11,9 +11,11 @@
 
 CONNECT_MS = 400.0
 SILENT_MS = 1_800.0  # a frame comes each second; without a whole one the link is dead
-AGAIN_MS = 100.0
-BEHIND_MS = 1_500.0  # a frame comes each second, and a link may have to be opened first
-AWAY_MS = 2_000.0  # from the start, until which a bus that is away keeps the gateway from being ready
+RETRY_DELAY_MS = 100.0
+CATCH_UP_LIMIT_MS = 1_500.0  # a frame comes each second, and a link may have to be opened first
+MAX_READY_DELAY_MS = (
+    2_000.0  # from the start, until which a bus that is away keeps the gateway from being ready
+)
 
 
 class BusLink:
@@ -42,12 +44,14 @@
         BEHIND_MS.
         """
         resumed_ms = self.sched.resumed_ms
-        return resumed_ms > self.last_frame_ms and now_ms() - resumed_ms < BEHIND_MS
+        return resumed_ms > self.last_frame_ms and now_ms() - resumed_ms < CATCH_UP_LIMIT_MS
 
     def followed(self, whole: bool) -> bool:
         """Tell whether the bus is followed; with `whole`, whether it has told all that there was."""
         # guards against staying out of service for a bus that is away: what the file knows is of the start
-        return self.told_all or (not whole and (self.subscribed or now_ms() - self.begun_ms > AWAY_MS))
+        return self.told_all or (
+            not whole and (self.subscribed or now_ms() - self.begun_ms > MAX_READY_DELAY_MS)
+        )
 
     def apply(self, event: NumberedEvent) -> None:
         """Apply an event once, whichever way it came and however often it is told."""
@@ -74,7 +78,7 @@
                 self.stream = stream = Stream(self.sched, socket.socket())
             except OSError as error:  # no descriptor left: one of a client's may be free in a moment
                 ended("bus", f"{address[0]}:{address[1]}", "no-descriptor", error.strerror or "")
-                self.sched.sleep(AGAIN_MS)
+                self.sched.sleep(RETRY_DELAY_MS)
                 continue
             try:
                 stream.connect(address, CONNECT_MS)
@@ -85,7 +89,7 @@
                 stream.close(str(error) if isinstance(error, Closed) else "junk")
             ended("bus", f"{address[0]}:{address[1]}", stream.code, last=self.last)
             if stream.code != "moved" and self.last == last:  # else ask on at once: it was a good link
-                self.sched.sleep(AGAIN_MS)
+                self.sched.sleep(RETRY_DELAY_MS)
 
     def _follow(self, stream: Stream) -> None:
         reader, whole_ms = BusReader(*self.names), now_ms()
--- a/tests/test_sched.py
+++ b/tests/test_sched.py
@@ -4,7 +4,7 @@
 import time
 import unittest
 
-from hitchtiller.bus import BEHIND_MS, BusLink
+from hitchtiller.bus import CATCH_UP_LIMIT_MS, BusLink
 from hitchtiller.sched import MIN_STALL_MS, Closed, Scheduler, Stream, now_ms
 
 
@@ -116,5 +116,5 @@
         self.assertTrue(bus.may_lack_events())
         bus.last_frame_ms = sched.resumed_ms + 1.0
         self.assertFalse(bus.may_lack_events())
-        bus.last_frame_ms, sched.resumed_ms = 0.0, now_ms() - BEHIND_MS - 1.0
+        bus.last_frame_ms, sched.resumed_ms = 0.0, now_ms() - CATCH_UP_LIMIT_MS - 1.0
         self.assertFalse(bus.may_lack_events(), "a bus that is away keeps nothing back")
