--- a/hitchtiller/bus.py
+++ b/hitchtiller/bus.py
@@ -24,12 +24,12 @@
     def __init__(
         self,
         sched: Scheduler,
-        tell: Callable[[Event], None],
+        on_event: Callable[[Event], None],
         address: tuple[str, int],
         names: tuple[tuple[str, ...], ...],
     ) -> None:
         """Follow the bus at an address; `names` are the zones and the kinds of the settings."""
-        self.sched, self.tell, self.address, self.names = sched, tell, address, names
+        self.sched, self.on_event, self.address, self.names = sched, on_event, address, names
         self.last = 0
         self.stream: Stream | None = None
         self.subscribed = self.told_all = False
@@ -58,7 +58,7 @@
         number, news = event
         if news is not None and number > self.last:
             try:
-                self.tell(news)
+                self.on_event(news)
             except Exception:  # noqa: BLE001  one event must not end the subscription
                 logger.exception("event {} failed", number)
         self.last = max(self.last, number)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -56,9 +56,9 @@
         def fail(_: Event) -> None:
             raise ValueError("no such zone")
 
-        self.bus.tell = fail
+        self.bus.on_event = fail
         self.feed(frame(5, 2, record(7, 1)))
-        self.bus.tell = self.heard.append
+        self.bus.on_event = self.heard.append
         self.feed(frame(6, 2, record(7, 1)))
         self.assertEqual((self.states(), self.bus.last), (["DRAINING"], 6))
 
