--- a/hitchtiller/bus.py
+++ b/hitchtiller/bus.py
@@ -26,14 +26,14 @@
         sched: Scheduler,
         on_event: Callable[[Event], None],
         address: tuple[str, int],
-        names: tuple[tuple[str, ...], ...],
+        name_lists: tuple[tuple[str, ...], ...],
     ) -> None:
         """Follow the bus at an address; `names` are the zones and the kinds of the settings."""
-        self.sched, self.on_event, self.address, self.names = sched, on_event, address, names
+        self.sched, self.on_event, self.address, self.name_lists = sched, on_event, address, name_lists
         self.last = 0
         self.stream: Stream | None = None
-        self.subscribed = self.told_all = False
-        self.begun_ms = now_ms()
+        self.has_subscribed = self.told_all = False
+        self.started_ms = now_ms()
         self.last_frame_ms = -math.inf  # when its last whole frame came
         self.on_caught_up: Callable[[], None] | None = None  # called when there is nothing more to tell
 
@@ -50,15 +50,15 @@
         """Tell whether the bus is followed; with `whole`, whether it has told all that there was."""
         # guards against staying out of service for a bus that is away: what the file knows is of the start
         return self.told_all or (
-            not whole and (self.subscribed or now_ms() - self.begun_ms > MAX_READY_DELAY_MS)
+            not whole and (self.has_subscribed or now_ms() - self.started_ms > MAX_READY_DELAY_MS)
         )
 
-    def apply(self, event: NumberedEvent) -> None:
+    def apply(self, numbered: NumberedEvent) -> None:
         """Apply an event once, whichever way it came and however often it is told."""
-        number, news = event
-        if news is not None and number > self.last:
+        number, event = numbered
+        if event is not None and number > self.last:
             try:
-                self.on_event(news)
+                self.on_event(event)
             except Exception:  # noqa: BLE001  one event must not end the subscription
                 logger.exception("event {} failed", number)
         self.last = max(self.last, number)
@@ -83,22 +83,22 @@
             try:
                 stream.connect(address, CONNECT_MS)
                 stream.write(self.last.to_bytes(8, "big"))
-                self.subscribed = True
-                self._follow(stream)
+                self.has_subscribed = True
+                self._read_events(stream)
             except (Closed, BadBus) as error:
                 stream.close(str(error) if isinstance(error, Closed) else "junk")
             ended("bus", f"{address[0]}:{address[1]}", stream.code, last=self.last)
             if stream.code != "moved" and self.last == last:  # else ask on at once: it was a good link
                 self.sched.sleep(RETRY_DELAY_MS)
 
-    def _follow(self, stream: Stream) -> None:
-        reader, whole_ms = BusReader(*self.names), now_ms()
+    def _read_events(self, stream: Stream) -> None:
+        reader, last_whole_ms = BusReader(*self.name_lists), now_ms()
         while True:
             # guards against a bus that stops in the middle of an event: single bytes are no sign of life
-            data = stream.read(max(1.0, whole_ms + SILENT_MS - now_ms()))
-            for event in reader.feed(data):
-                whole_ms = self.last_frame_ms = now_ms()
-                self.apply(event)
-                self.told_all = self.told_all or event[1] is None
-                if event[1] is None and self.on_caught_up:
+            data = stream.read(max(1.0, last_whole_ms + SILENT_MS - now_ms()))
+            for numbered in reader.feed(data):
+                last_whole_ms = self.last_frame_ms = now_ms()
+                self.apply(numbered)
+                self.told_all = self.told_all or numbered[1] is None
+                if numbered[1] is None and self.on_caught_up:
                     self.on_caught_up()
