--- a/hitchtiller/peers.py
+++ b/hitchtiller/peers.py
@@ -9,8 +9,8 @@
 from hitchtiller.engine import Engine
 from hitchtiller.sched import READ, Scheduler
 
-MOST = 256  # bytes of a datagram
-AT_ONCE = 64  # datagrams read in one turn
+MAX_DATAGRAM_BYTES = 256  # bytes of a datagram
+MAX_DATAGRAMS_PER_TURN = 64  # datagrams read in one turn
 
 
 class Peers:
@@ -19,7 +19,7 @@
     def __init__(self, sched: Scheduler, listen: tuple[str, int], peers: tuple[tuple[str, int], ...]) -> None:
         """Bind; a gateway's number is its address's place in `peers`."""
         self.sched, self.peers = sched, peers
-        self.numbers = {address: number for number, address in enumerate(peers)}
+        self.number_by_address = {address: number for number, address in enumerate(peers)}
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.sock.setblocking(False)
         # guards a new version's start beside the old one; the kernel gives datagrams to the later of the two
@@ -34,7 +34,7 @@
 
     def send(self, peer: int, data: bytes) -> None:
         """Send a datagram that fits."""
-        if 0 <= peer < len(self.peers) and len(data) <= MOST:
+        if 0 <= peer < len(self.peers) and len(data) <= MAX_DATAGRAM_BYTES:
             with contextlib.suppress(OSError):
                 self.sock.sendto(data, self.peers[peer])
 
@@ -42,12 +42,12 @@
         """Carry notes to the engine; what is no note of a known peer is dropped."""
         while True:
             self.sched.wait(self.sock.fileno(), READ)
-            for _ in range(AT_ONCE):
+            for _ in range(MAX_DATAGRAMS_PER_TURN):
                 try:
-                    data, sender = self.sock.recvfrom(MOST + 1)
+                    data, sender = self.sock.recvfrom(MAX_DATAGRAM_BYTES + 1)
                 except OSError:
                     break
-                number = self.numbers.get(sender)
+                number = self.number_by_address.get(sender)
                 if self.on_other_datagram and number is not None and self.on_other_datagram(number, data):
                     continue
                 note = unpack(data)
