--- a/hitchtiller/wake.py
+++ b/hitchtiller/wake.py
@@ -8,14 +8,14 @@
 wake the loop without any descriptor (`Scheduler.call_from_signal`).
 
 Bounds: one descriptor; each `poke` is one datagram of one byte, dropped when the socket's buffer is full
-(the loop has been told already); `drain` reads at most `most` datagrams in one turn.
+(the loop has been told already); `drain` reads at most `max_datagrams` datagrams in one turn.
 """
 
 import contextlib
 import socket
 
 LOOPBACK = "127.0.0.1"
-AT_ONCE = 64  # datagrams read in one turn
+MAX_DATAGRAMS_PER_TURN = 64  # datagrams read in one turn
 
 
 class Wakeup:
@@ -41,15 +41,15 @@
         with contextlib.suppress(BlockingIOError, InterruptedError):
             self.sock.send(bytes((byte & 0xFF,)))
 
-    def drain(self, most: int = AT_ONCE) -> bytes:
-        """Give the bytes of what arrived, at most `most` datagrams; empty when nothing had."""
-        got = bytearray()
-        for _ in range(most):
+    def drain(self, max_datagrams: int = MAX_DATAGRAMS_PER_TURN) -> bytes:
+        """Give the bytes of what arrived, at most `max_datagrams` datagrams; empty when nothing had."""
+        received = bytearray()
+        for _ in range(max_datagrams):
             try:
-                got += self.sock.recv(AT_ONCE)
+                received += self.sock.recv(MAX_DATAGRAMS_PER_TURN)
             except (BlockingIOError, InterruptedError):
                 break
-        return bytes(got)
+        return bytes(received)
 
     def close(self) -> None:
         """Let the descriptor go."""
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -105,7 +105,7 @@
     wakeup = Wakeup()
     for _ in range(100_000):  # far beyond a datagram socket's buffer
         wakeup.poke()
-    assert 0 < len(wakeup.drain(most=1_000_000)) < 100_000
+    assert 0 < len(wakeup.drain(max_datagrams=1_000_000)) < 100_000
     assert wakeup.drain() == b""
     wakeup.close()
 
