--- a/hitchtiller/signals.py
+++ b/hitchtiller/signals.py
@@ -16,12 +16,12 @@
 class Signals:
     """Listens for the signals it is given calls for."""
 
-    def __init__(self, sched: Scheduler, calls: Mapping[int, Callable[[], None]]) -> None:
+    def __init__(self, sched: Scheduler, handlers: Mapping[int, Callable[[], None]]) -> None:
         """Take the signals over; guards against one without a handler, which would end the program."""
-        self.sched, self.calls = sched, calls
-        for number in calls:
-            signal.signal(number, self._heard)
+        self.sched, self.handlers = sched, handlers
+        for number in handlers:
+            signal.signal(number, self._on_signal)
 
-    def _heard(self, number: int, _: FrameType | None) -> None:
-        if call := self.calls.get(number):  # guards against taking any signal for SIGTERM
-            self.sched.call_from_signal(call)
+    def _on_signal(self, number: int, _: FrameType | None) -> None:
+        if handler := self.handlers.get(number):  # guards against taking any signal for SIGTERM
+            self.sched.call_from_signal(handler)
