--- a/hitchtiller/config.py
+++ b/hitchtiller/config.py
@@ -56,14 +56,14 @@
     if not isinstance(data, dict):
         raise ConfigError(f"{path}: not an object")
     try:
-        return _config(data, environ)
+        return _build_config(data, environ)
     except KeyError as error:
         raise ConfigError(f"{path}: {error.args[0]!r} is missing") from None
     except (ValueError, TypeError, AttributeError, IndexError, OverflowError, BadBus) as error:
         raise ConfigError(f"{path}: {error}") from None
 
 
-def _config(data: dict[str, Any], environ: Mapping[str, str]) -> Config:
+def _build_config(data: dict[str, Any], environ: Mapping[str, str]) -> Config:
     setup, limits = data["settings"], data.get("limits", {})
     settings = read_settings(setup)
     if settings.my_zone not in settings.zones:
