--- a/hitchtiller/log.py
+++ b/hitchtiller/log.py
@@ -9,23 +9,23 @@
 __all__ = ["ended", "logger", "start"]
 
 
-def _load() -> None:
+def _import_loguru() -> None:
     """Import loguru without asyncio, which it has for sinks that are coroutines; we have none.
 
     Guards the memory of an upgrade: asyncio and what it brings are 3 MB of each of two processes.
     """
     if "asyncio" in sys.modules:
         return
-    stand_in = ModuleType("asyncio")
-    vars(stand_in).update(iscoroutinefunction=iscoroutinefunction, get_running_loop=None)
-    sys.modules["asyncio"] = stand_in
+    placeholder = ModuleType("asyncio")
+    vars(placeholder).update(iscoroutinefunction=iscoroutinefunction, get_running_loop=None)
+    sys.modules["asyncio"] = placeholder
     try:
         import loguru  # noqa: F401
     finally:
         del sys.modules["asyncio"]  # whoever else needs it gets the real one
 
 
-_load()
+_import_loguru()
 from loguru import logger  # noqa: E402  only now
 
 
