--- a/hitchtiller/__main__.py
+++ b/hitchtiller/__main__.py
@@ -27,19 +27,22 @@
 from hitchtiller.sched import Clock, Scheduler, Stream
 from hitchtiller.signals import Signals
 
-MEMORY_TIER, TIER_LEAST_MB = "--memory-tier", 64.0  # limits under which there is no room for copies
-REPORT_MS, FIGURES_MS = 10_000.0, 5_000.0
-TIDY_MS = 1_000.0
-OWN_MB = 26.0  # what the program holds in service without its buffers
-OWN_TWO_MB = 18.0  # and early on, as two versions do that live side by side
-EXTRA = 16  # clients beyond their third: a probe must not be turned away when they hold it all
-SPARE = 48  # descriptors kept for the listener, the bus, the log and the like
+MEMORY_TIER_OPTION, MIN_TIER_MEMORY_MB = (
+    "--memory-tier",
+    64.0,
+)  # limits under which there is no room for copies
+COUNTS_INTERVAL_MS, FIGURES_INTERVAL_MS = 10_000.0, 5_000.0
+GC_INTERVAL_MS = 1_000.0
+SERVING_MB = 26.0  # what the program holds in service without its buffers
+EARLY_MB = 18.0  # and early on, as two versions do that live side by side
+EXTRA_CLIENTS = 16  # clients beyond their third: a probe must not be turned away when they hold it all
+RESERVED_DESCRIPTORS = 48  # descriptors kept for the listener, the bus, the log and the like
 
 
 def report(sched: Scheduler, engine: Engine, front: Front) -> None:
     """Write a regular line: counts, the loop's lag, open sockets."""
     while True:
-        sched.sleep(REPORT_MS)
+        sched.sleep(COUNTS_INTERVAL_MS)
         logger.info(
             "taken={} {} left={} attempts={} open={} clients={} sockets={} lag_ms={:.1f}",
             engine.stats.taken,
@@ -59,20 +62,20 @@
     while True:
         engine.stats.links = back.opened
         logger.info("{}", engine.stats.figures())
-        sched.sleep(FIGURES_MS)
+        sched.sleep(FIGURES_INTERVAL_MS)
 
 
 def room(memory_mb: float, two: bool) -> int:
     """Give the bytes that buffers may hold in all: what the program itself leaves, and half for copies."""
-    own, least = (2.0 * OWN_TWO_MB, 1.0) if two else (OWN_MB, 2.0)
+    own, least = (2.0 * EARLY_MB, 1.0) if two else (SERVING_MB, 2.0)
     return int(max(least, (memory_mb - own) / (4.0 if two else 2.0)) * 1e6)
 
 
 def descriptors(limit: int, two: bool, younger: bool) -> tuple[int, int]:
     """Give how many clients and how many connections to servers a process may hold."""
     # under 256 both shrink: idle clients may hold all that they may, and links and bus need theirs
-    spare = min(SPARE, limit * 3 // 16)
-    clients = limit // 3 + min(EXTRA, limit // 16)
+    spare = min(RESERVED_DESCRIPTORS, limit * 3 // 16)
+    clients = limit // 3 + min(EXTRA_CLIENTS, limit // 16)
     if not two:
         return clients, limit - clients - spare
     half = clients // 2  # guards two processes' sum: silent clients may hold the older one's whole third
@@ -92,7 +95,7 @@
     gc.freeze()
     gc.disable()  # full collections stalled the loop by 0.2 s under load; nothing of a request is a cycle
     for turn in count(1):
-        sched.sleep(TIDY_MS)
+        sched.sleep(GC_INTERVAL_MS)
         # guards against growth: what outlived one look at the young was never looked at again
         gc.collect(2 if turn % 60 == 0 else 1 if turn % 10 == 0 else 0)
 
@@ -165,8 +168,8 @@
 
 def main() -> int:
     """Start; a bad configuration is told in one line."""
-    if sys.argv[1:] not in ([], [MEMORY_TIER]):
-        print(f"hitchtiller: {sys.argv[1]!r} is not known; there is {MEMORY_TIER}", file=sys.stderr)
+    if sys.argv[1:] not in ([], [MEMORY_TIER_OPTION]):
+        print(f"hitchtiller: {sys.argv[1]!r} is not known; there is {MEMORY_TIER_OPTION}", file=sys.stderr)
         return 2
     try:
         config = read_config(os.environ)
@@ -175,7 +178,7 @@
         return 2
     log.start(config.name)
     extend: Callable[[Gateway], Callable[[], None]] | None = None
-    if sys.argv[1:] and config.memory_mb >= TIER_LEAST_MB:
+    if sys.argv[1:] and config.memory_mb >= MIN_TIER_MEMORY_MB:
         from hitchtiller.store import light  # else nothing of it is imported: two versions have to fit 32 MB
 
         extend = light.join
