--- a/hitchtiller/__main__.py
+++ b/hitchtiller/__main__.py
@@ -39,7 +39,7 @@
 RESERVED_DESCRIPTORS = 48  # descriptors kept for the listener, the bus, the log and the like
 
 
-def report(sched: Scheduler, engine: Engine, front: Front) -> None:
+def log_counts(sched: Scheduler, engine: Engine, front: Front) -> None:
     """Write a regular line: counts, the loop's lag, open sockets."""
     while True:
         sched.sleep(COUNTS_INTERVAL_MS)
@@ -57,7 +57,7 @@
         sched.lag_ms = 0.0
 
 
-def figures(sched: Scheduler, engine: Engine, back: Upstreams) -> None:
+def log_figures(sched: Scheduler, engine: Engine, back: Upstreams) -> None:
     """Write what `hitchtiller worth` sums over all gateways: one line each 5 s, and one at the start."""
     while True:
         engine.stats.links = back.opened
@@ -90,14 +90,14 @@
     return None
 
 
-def tidy(sched: Scheduler) -> None:
+def collect_garbage(sched: Scheduler) -> None:
     """Free the few cycles that exceptions leave: what is new each second, all of it once a minute."""
     gc.freeze()
     gc.disable()  # full collections stalled the loop by 0.2 s under load; nothing of a request is a cycle
-    for turn in count(1):
+    for round_number in count(1):
         sched.sleep(GC_INTERVAL_MS)
         # guards against growth: what outlived one look at the young was never looked at again
-        gc.collect(2 if turn % 60 == 0 else 1 if turn % 10 == 0 else 0)
+        gc.collect(2 if round_number % 60 == 0 else 1 if round_number % 10 == 0 else 0)
 
 
 @dataclass(frozen=True, slots=True)
@@ -150,11 +150,11 @@
     sched.spawn(bus.run)
     if peers:
         sched.spawn(peers.run, engine)
-    sched.spawn(report, sched, engine, front)
-    sched.spawn(figures, sched, engine, back)
+    sched.spawn(log_counts, sched, engine, front)
+    sched.spawn(log_figures, sched, engine, back)
     reload = Reload(config, os.environ, bus.move)
     Signals(sched, {signal.SIGTERM: upgrade.stop, signal.SIGINT: upgrade.stop, signal.SIGHUP: reload})
-    sched.spawn(tidy, sched)
+    sched.spawn(collect_garbage, sched)
     logger.info("serving on {}:{}, {} sockets, {} MB", host, port, config.sockets, config.memory_mb)
     sched.spawn(upgrade.run)
     sched.spawn(holdouts.run, sched)
