--- a/hitchtiller/__main__.py
+++ b/hitchtiller/__main__.py
@@ -67,19 +67,21 @@
 
 def room(memory_mb: float, two: bool) -> int:
     """Give the bytes that buffers may hold in all: what the program itself leaves, and half for copies."""
-    own, least = (2.0 * EARLY_MB, 1.0) if two else (SERVING_MB, 2.0)
-    return int(max(least, (memory_mb - own) / (4.0 if two else 2.0)) * 1e6)
+    own_mb, minimum_mb = (2.0 * EARLY_MB, 1.0) if two else (SERVING_MB, 2.0)
+    return int(max(minimum_mb, (memory_mb - own_mb) / (4.0 if two else 2.0)) * 1e6)
 
 
 def descriptors(limit: int, two: bool, younger: bool) -> tuple[int, int]:
     """Give how many clients and how many connections to servers a process may hold."""
     # under 256 both shrink: idle clients may hold all that they may, and links and bus need theirs
-    spare = min(RESERVED_DESCRIPTORS, limit * 3 // 16)
+    reserved = min(RESERVED_DESCRIPTORS, limit * 3 // 16)
     clients = limit // 3 + min(EXTRA_CLIENTS, limit // 16)
     if not two:
-        return clients, limit - clients - spare
-    half = clients // 2  # guards two processes' sum: silent clients may hold the older one's whole third
-    return half if younger else clients, max(1, (limit - clients - half - spare) // 2)
+        return clients, limit - clients - reserved
+    half_clients = (
+        clients // 2
+    )  # guards two processes' sum: silent clients may hold the older one's whole third
+    return half_clients if younger else clients, max(1, (limit - clients - half_clients - reserved) // 2)
 
 
 def shared(name: str) -> Path | None:
@@ -136,17 +138,17 @@
     for event in config.known:
         bus.apply(event)
 
-    def share(two: bool, younger: bool) -> None:
+    def set_limits(two: bool, younger: bool) -> None:
         front.room = room(config.memory_mb, two)
         front.most, back.most = descriptors(config.sockets, two, younger)
 
-    sign = ProcessMarker(folder) if folder else None
-    upgrade = Upgrade(sched, sign, front, bus.followed, share)
+    marker = ProcessMarker(folder) if folder else None
+    upgrade = Upgrade(sched, marker, front, bus.followed, set_limits)
     front.not_ready_reason = upgrade.unready
     host, port = front.listen(config.listen, config.listen_fd)
     if config.control:
-        at = Control(sched, calls).listen(config.control)
-        logger.info("control on {}:{}", *at)
+        bound_address = Control(sched, calls).listen(config.control)
+        logger.info("control on {}:{}", *bound_address)
     sched.spawn(bus.run)
     if peers:
         sched.spawn(peers.run, engine)
@@ -161,8 +163,8 @@
     sched.run()
     if finish:
         finish()
-    if sign:
-        sign.remove()
+    if marker:
+        marker.remove()
     logger.info("stopped")
 
 
