--- a/hitchtiller/bus.py
+++ b/hitchtiller/bus.py
@@ -1,4 +1,8 @@
-"""Follows the event bus: from the last number it has, again and again."""
+"""The subscription to the event bus, which sends the list of servers, its changes and purges.
+
+`BusLink` sends the number of the last event that it has, reads the events after it and reconnects whenever
+the connection ends. Of the past it keeps that number only; each event with a higher one is passed on once.
+"""
 
 import math
 import socket
@@ -10,16 +14,15 @@
 from hitchtiller.sched import Closed, Scheduler, Stream, now_ms
 
 CONNECT_MS = 400.0
-SILENT_MS = 1_800.0  # a frame comes each second; without a whole one the link is dead
+SILENT_MS = 1_800.0  # the bus sends a frame each second; without a complete one the connection is dead
 RETRY_DELAY_MS = 100.0
-CATCH_UP_LIMIT_MS = 1_500.0  # a frame comes each second, and a link may have to be opened first
-MAX_READY_DELAY_MS = (
-    2_000.0  # from the start, until which a bus that is away keeps the gateway from being ready
-)
+CATCH_UP_LIMIT_MS = 1_500.0  # the bus sends a frame each second, and a connection may have to be opened first
+# After this time from the start, an unreachable bus no longer keeps the gateway from being ready.
+MAX_READY_DELAY_MS = 2_000.0
 
 
 class BusLink:
-    """The gateway's subscription."""
+    """The gateway's subscription to the event bus."""
 
     def __init__(
         self,
@@ -28,33 +31,34 @@
         address: tuple[str, int],
         name_lists: tuple[tuple[str, ...], ...],
     ) -> None:
-        """Follow the bus at an address; `names` are the zones and the kinds of the settings."""
+        """Follow the bus at an address; `name_lists` are the zones and the kinds of the settings."""
         self.sched, self.on_event, self.address, self.name_lists = sched, on_event, address, name_lists
         self.last = 0
         self.stream: Stream | None = None
         self.has_subscribed = self.told_all = False
         self.started_ms = now_ms()
-        self.last_frame_ms = -math.inf  # when its last whole frame came
-        self.on_caught_up: Callable[[], None] | None = None  # called when there is nothing more to tell
+        self.last_frame_ms = -math.inf  # when the last complete frame came
+        self.on_caught_up: Callable[[], None] | None = None  # called when no older events are left to come
 
     def may_lack_events(self) -> bool:
-        """Tell whether this process did not run for a while and has not heard the bus since.
+        """Return whether this process has stalled and has received no frame of the bus since then.
 
-        Drains and purges may have been told meanwhile. A bus that is away keeps nothing back for longer than
-        BEHIND_MS.
+        It may have missed drains and purges. An unreachable bus holds attempts back for CATCH_UP_LIMIT_MS at
+        the most.
         """
         resumed_ms = self.sched.resumed_ms
         return resumed_ms > self.last_frame_ms and now_ms() - resumed_ms < CATCH_UP_LIMIT_MS
 
     def followed(self, whole: bool) -> bool:
-        """Tell whether the bus is followed; with `whole`, whether it has told all that there was."""
-        # guards against staying out of service for a bus that is away: what the file knows is of the start
+        """Return whether the bus is followed; with `whole`, whether it has sent all older events."""
+        # An unreachable bus must not keep the gateway out of service. The list in the configuration file only
+        # shows the state at the start, so `whole` always waits for the bus.
         return self.told_all or (
             not whole and (self.has_subscribed or now_ms() - self.started_ms > MAX_READY_DELAY_MS)
         )
 
     def apply(self, numbered: NumberedEvent) -> None:
-        """Apply an event once, whichever way it came and however often it is told."""
+        """Pass on an event once, whether it comes from the file or the bus and however often it comes."""
         number, event = numbered
         if event is not None and number > self.last:
             try:
@@ -64,19 +68,19 @@
         self.last = max(self.last, number)
 
     def move(self, address: tuple[str, int]) -> None:
-        """Go on at another address at once: the old one tells nothing more."""
+        """Follow the bus at another address from now on, and close the connection to the old one."""
         if address != self.address:
             self.address = address
             if self.stream:
                 self.stream.close("moved")
 
     def run(self) -> None:
-        """Subscribe for ever."""
+        """Subscribe, and resubscribe whenever the connection ends; never returns."""
         while True:
             address, last = self.address, self.last
             try:
                 self.stream = stream = Stream(self.sched, socket.socket())
-            except OSError as error:  # no descriptor left: one of a client's may be free in a moment
+            except OSError as error:  # out of descriptors: a client may free one soon
                 ended("bus", f"{address[0]}:{address[1]}", "no-descriptor", error.strerror or "")
                 self.sched.sleep(RETRY_DELAY_MS)
                 continue
@@ -88,13 +92,14 @@
             except (Closed, BadBus) as error:
                 stream.close(str(error) if isinstance(error, Closed) else "junk")
             ended("bus", f"{address[0]}:{address[1]}", stream.code, last=self.last)
-            if stream.code != "moved" and self.last == last:  # else ask on at once: it was a good link
+            # Reconnects at once after a move, or if the connection delivered events.
+            if stream.code != "moved" and self.last == last:
                 self.sched.sleep(RETRY_DELAY_MS)
 
     def _read_events(self, stream: Stream) -> None:
         reader, last_whole_ms = BusReader(*self.name_lists), now_ms()
         while True:
-            # guards against a bus that stops in the middle of an event: single bytes are no sign of life
+            # Detects a bus that hangs within an event: only whole frames extend the wait, not single bytes.
             data = stream.read(max(1.0, last_whole_ms + SILENT_MS - now_ms()))
             for numbered in reader.feed(data):
                 last_whole_ms = self.last_frame_ms = now_ms()
