--- a/hitchtiller/news.py
+++ b/hitchtiller/news.py
@@ -1,4 +1,4 @@
-"""What a gateway hears of servers and purges, however it is told."""
+"""Events about listed servers and purges, independent of how a gateway receives them."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListedServer:
-    """A line of the list: the member, and where it listens."""
+    """An entry of the list of servers: the member and the address that it listens on."""
 
     member: api.Member
     address: tuple[str, int]
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Topology:
-    """News of the list."""
+    """A change of the list of servers, or with `whole` the complete list."""
 
     hosts: tuple[ListedServer, ...]
     whole: bool
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PurgeNotice:
-    """A purge of an object, or with no key of a group, at a Unix millisecond."""
+    """A purge of an object, or without a key of a whole group; `at_ms` is in Unix milliseconds."""
 
     key: int | None
     group: int
