--- a/hitchtiller/wake.py
+++ b/hitchtiller/wake.py
@@ -1,28 +1,28 @@
-"""A descriptor that wakes the loop: one UDP socket on loopback, connected to itself.
+"""A descriptor that wakes the loop from other threads: a UDP socket on loopback, connected to itself.
 
-The fleet's platform gives a process TCP and UDP over IPv4 and nothing else: no Unix sockets (so no
-`socketpair`), no fork, no child programs. So the store's worker threads write into one datagram socket
-bound to 127.0.0.1 on a port the kernel picks and connected to that same address: it takes datagrams from
-itself alone, so nobody else can reach it. It serves `hitchtiller serve` on an ordinary kernel; on the
-fleet's platform a datagram to oneself was never seen (a rough roll+mass, seed 3), which is why signals
-wake the loop without any descriptor (`Scheduler.call_from_signal`).
+The fleet's platform only offers a process TCP and UDP over IPv4: no Unix sockets (so no `socketpair`), no
+fork and no child processes. The store's worker threads therefore write to a datagram socket that is bound to
+127.0.0.1 on a port chosen by the kernel and connected to its own address. It accepts datagrams from itself
+only, so no other socket can reach it. It is used by `hitchtiller serve` on an ordinary kernel. On the fleet's
+platform a datagram that a socket sent to itself never arrived (seen in a rough roll+mass run, seed 3), so
+signals wake the loop without a descriptor (`Scheduler.call_from_signal`).
 
-Bounds: one descriptor; each `poke` is one datagram of one byte, dropped when the socket's buffer is full
-(the loop has been told already); `drain` reads at most `max_datagrams` datagrams in one turn.
+Bounds: one descriptor. Each `poke` is one datagram of one byte, which is dropped if the socket's buffer is
+full (the loop is due to wake anyway). `drain` reads at most `max_datagrams` datagrams in one turn.
 """
 
 import contextlib
 import socket
 
 LOOPBACK = "127.0.0.1"
-MAX_DATAGRAMS_PER_TURN = 64  # datagrams read in one turn
+MAX_DATAGRAMS_PER_TURN = 64  # by one `drain`; also the bytes requested by a recv, where 1 would do
 
 
 class Wakeup:
-    """Writes that wake a reader; safe to poke from any thread or from C (`signal.set_wakeup_fd`)."""
+    """A socket whose writes wake its reader; usable from any thread and from C (`signal.set_wakeup_fd`)."""
 
     def __init__(self) -> None:
-        """Bind and connect; OSError if loopback can't be had."""
+        """Bind and connect the socket; raise OSError if loopback is not available."""
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         try:
             self.sock.bind((LOOPBACK, 0))
@@ -33,16 +33,16 @@
             raise
 
     def fileno(self) -> int:
-        """The descriptor to wait on, or to hand to `signal.set_wakeup_fd`; -1 once closed."""
+        """Return the descriptor to wait on or to pass to `signal.set_wakeup_fd`; -1 once closed."""
         return self.sock.fileno()
 
     def poke(self, byte: int = 0) -> None:
-        """Wake the reader; a full buffer is no error: it is awake already."""
+        """Wake the reader; a full buffer is ignored, as the reader is due to wake already."""
         with contextlib.suppress(BlockingIOError, InterruptedError):
             self.sock.send(bytes((byte & 0xFF,)))
 
     def drain(self, max_datagrams: int = MAX_DATAGRAMS_PER_TURN) -> bytes:
-        """Give the bytes of what arrived, at most `max_datagrams` datagrams; empty when nothing had."""
+        """Return the bytes of at most `max_datagrams` received datagrams; empty if there are none."""
         received = bytearray()
         for _ in range(max_datagrams):
             try:
@@ -52,5 +52,5 @@
         return bytes(received)
 
     def close(self) -> None:
-        """Let the descriptor go."""
+        """Close the socket."""
         self.sock.close()
