--- a/hitchtiller/reload.py
+++ b/hitchtiller/reload.py
@@ -1,4 +1,7 @@
-"""A new configuration file while the program runs: what can change live does, the rest is told."""
+"""Reloads the configuration file while the program runs.
+
+Settings that can change at run time are applied; changes of the others are logged and need a restart.
+"""
 
 from collections.abc import Callable, Mapping
 from dataclasses import fields
@@ -6,20 +9,20 @@
 from hitchtiller.config import Address, Config, ConfigError, read_config
 from hitchtiller.log import logger
 
-LIVE_FIELDS = ("bus", "known")  # the bus tells what `known` holds from the last number on
+LIVE_FIELDS = ("bus", "known")  # `known` needs no reload: the bus sends later events
 
 
 class Reload:
-    """Reads the file again when told to; requests, connections and clients stay as they are."""
+    """Reads the file again on each call; open requests, connections and clients are not affected."""
 
     def __init__(
         self, config: Config, environ: Mapping[str, str], move_bus: Callable[[Address], None]
     ) -> None:
-        """Start from the configuration in force; `move` follows the bus to another address."""
+        """Start with the current configuration; `move_bus` is called with the address of the bus."""
         self.config, self.environ, self.move_bus = config, environ, move_bus
 
     def __call__(self) -> None:
-        """Take the file as it is now; a bad one is told in one line and changes nothing."""
+        """Apply the file as it is now; an invalid one is logged in one line and changes nothing."""
         try:
             new = read_config(self.environ)
         except ConfigError as error:
