--- a/hitchtiller/config.py
+++ b/hitchtiller/config.py
@@ -1,4 +1,7 @@
-"""BALANCER_* and the JSON file they point at, checked; a ConfigError says in one line what is wrong."""
+"""Reads and checks the configuration: the variables BALANCER_* and the JSON file that BALANCER_CONFIG names.
+
+A ConfigError says in one line what is wrong.
+"""
 
 import json
 from collections.abc import Mapping
@@ -14,17 +17,17 @@
 
 
 class ConfigError(Exception):
-    """What is missing or wrong, in one line."""
+    """The configuration is invalid; the text says in one line what is missing or wrong."""
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """All that a gateway is told at its start."""
+    """The configuration that a gateway starts with."""
 
     name: str
     listen: Address
-    listen_fd: int | None  # the clients' listening socket, where the platform holds it
-    control: Address | None  # where operators call
+    listen_fd: int | None  # a listening socket for clients that the platform has opened, if any
+    control: Address | None  # address for operators' calls
     seed: int
     sockets: int
     memory_mb: float
@@ -37,13 +40,13 @@
     settings: api.Settings
     connect_ms: float
     idle_ms: float
-    streams: int  # attempts carried together on one connection
-    flow_bytes_per_s: float  # of one transfer of the gateway's own, and of all; 0: no bound
-    link_bytes_per_s: float
+    streams: int  # concurrent attempts on one connection
+    flow_bytes_per_s: float  # bound for one answer from the gateway's own copies; 0: no bound
+    link_bytes_per_s: float  # bound for all of them together; 0: no bound
 
 
 def read_config(environ: Mapping[str, str]) -> Config:
-    """Read and check the configuration; the variables go before what the file says."""
+    """Read and check the configuration; environment variables override the file."""
     path = environ.get("BALANCER_CONFIG")
     if not path:
         raise ConfigError("BALANCER_CONFIG is not set")
@@ -75,7 +78,7 @@
     listen = environ.get("BALANCER_LISTEN") or data["listen"]
     listen_fd = environ.get("BALANCER_LISTEN_FD", "")
     if listen_fd and not listen_fd.isdecimal():
-        raise ConfigError(f"BALANCER_LISTEN_FD {listen_fd!r} is no descriptor")
+        raise ConfigError(f"BALANCER_LISTEN_FD {listen_fd!r} is not a descriptor number")
     control = environ.get("BALANCER_CONTROL") or data.get("control")
     peer_listen = data.get("peer_listen")
     return Config(
