--- a/hitchtiller/log.py
+++ b/hitchtiller/log.py
@@ -1,4 +1,7 @@
-"""The log: one line for each connection that ends, with a code for the reason; none for a request."""
+"""Logging: plain lines on standard error or records for a sink.
+
+Each connection that ends is logged with a reason code; single requests are not logged.
+"""
 
 import sys
 from collections.abc import Callable
@@ -10,9 +13,9 @@
 
 
 def _import_loguru() -> None:
-    """Import loguru without asyncio, which it has for sinks that are coroutines; we have none.
+    """Import loguru without asyncio, which it needs only for sinks that are coroutines; there are none here.
 
-    Guards the memory of an upgrade: asyncio and what it brings are 3 MB of each of two processes.
+    Saves memory in an upgrade: asyncio and its imports take 3 MB in each of the two processes.
     """
     if "asyncio" in sys.modules:
         return
@@ -22,15 +25,15 @@
     try:
         import loguru  # noqa: F401
     finally:
-        del sys.modules["asyncio"]  # whoever else needs it gets the real one
+        del sys.modules["asyncio"]  # a later import gets the real module
 
 
 _import_loguru()
-from loguru import logger  # noqa: E402  only now
+from loguru import logger  # noqa: E402  after _import_loguru
 
 
 def start(name: str, sink: Callable[[Any], None] | None = None) -> None:
-    """Write plain lines to standard error, or hand each record to a sink."""
+    """Start logging: write plain lines to standard error, or pass each record to `sink`."""
     logger.remove()
     if sink:
         logger.add(sink, format="{message}", diagnose=False)
@@ -40,7 +43,7 @@
 
 
 def ended(side: str, peer: str, code: str, detail: str = "", **counts: int) -> None:
-    """Write the line of a connection that has ended."""
+    """Log that a connection has ended, with its reason code and counts."""
     texts = [f"{name}={count}" for name, count in counts.items()]
     line = logger.bind(side=side, peer=peer, code=code, **counts)
     line.info("end {} {} code={} {}", side, peer, code, " ".join([*texts, detail] if detail else texts))
