--- a/hitchtiller/__main__.py
+++ b/hitchtiller/__main__.py
@@ -1,4 +1,4 @@
-"""One gateway on real sockets: reads its configuration and wires the parts together."""
+"""Entry point of one gateway: reads its configuration, connects its parts and runs the loop."""
 
 import gc
 import os
@@ -27,20 +27,19 @@
 from hitchtiller.sched import Clock, Scheduler, Stream
 from hitchtiller.signals import Signals
 
-MEMORY_TIER_OPTION, MIN_TIER_MEMORY_MB = (
-    "--memory-tier",
-    64.0,
-)  # limits under which there is no room for copies
+# With a memory limit below the minimum, there is no memory for copies and the option has no effect.
+MEMORY_TIER_OPTION, MIN_TIER_MEMORY_MB = "--memory-tier", 64.0
 COUNTS_INTERVAL_MS, FIGURES_INTERVAL_MS = 10_000.0, 5_000.0
 GC_INTERVAL_MS = 1_000.0
-SERVING_MB = 26.0  # what the program holds in service without its buffers
-EARLY_MB = 18.0  # and early on, as two versions do that live side by side
-EXTRA_CLIENTS = 16  # clients beyond their third: a probe must not be turned away when they hold it all
-RESERVED_DESCRIPTORS = 48  # descriptors kept for the listener, the bus, the log and the like
+SERVING_MB = 26.0  # memory of the process in service, without its buffers
+EARLY_MB = 18.0  # soon after its start, as for two versions that run side by side
+# Clients beyond a third of the descriptors, so that a probe is accepted when clients hold all of that third.
+EXTRA_CLIENTS = 16
+RESERVED_DESCRIPTORS = 48  # for the listener, the bus, the log and similar uses
 
 
 def log_counts(sched: Scheduler, engine: Engine, front: Front) -> None:
-    """Write a regular line: counts, the loop's lag, open sockets."""
+    """Log a line at regular intervals: counts, open sockets and the lag of the loop."""
     while True:
         sched.sleep(COUNTS_INTERVAL_MS)
         logger.info(
@@ -58,7 +57,7 @@
 
 
 def log_figures(sched: Scheduler, engine: Engine, back: Upstreams) -> None:
-    """Write what `hitchtiller worth` sums over all gateways: one line each 5 s, and one at the start."""
+    """Log the figures that `hitchtiller worth` sums over all gateways: at the start and every 5 s."""
     while True:
         engine.stats.links = back.opened
         logger.info("{}", engine.stats.figures())
@@ -66,45 +65,51 @@
 
 
 def room(memory_mb: float, two: bool) -> int:
-    """Give the bytes that buffers may hold in all: what the program itself leaves, and half for copies."""
+    """Return the bytes that all buffers may hold: half of the memory that the process leaves.
+
+    The other half is for copies. With `two`, two processes share the limit.
+    """
     own_mb, minimum_mb = (2.0 * EARLY_MB, 1.0) if two else (SERVING_MB, 2.0)
     return int(max(minimum_mb, (memory_mb - own_mb) / (4.0 if two else 2.0)) * 1e6)
 
 
 def descriptors(limit: int, two: bool, younger: bool) -> tuple[int, int]:
-    """Give how many clients and how many connections to servers a process may hold."""
-    # under 256 both shrink: idle clients may hold all that they may, and links and bus need theirs
+    """Return how many clients and how many connections to servers a process may hold.
+
+    With `two`, two processes share the limit, and `younger` says which of them this is.
+    """
+    # Below a limit of 256 both reserves shrink: idle clients may use all of their share, and the connections
+    # to servers and to the bus need theirs.
     reserved = min(RESERVED_DESCRIPTORS, limit * 3 // 16)
     clients = limit // 3 + min(EXTRA_CLIENTS, limit // 16)
     if not two:
         return clients, limit - clients - reserved
-    half_clients = (
-        clients // 2
-    )  # guards two processes' sum: silent clients may hold the older one's whole third
+    # bounds the sum of two processes: silent clients may hold all of the older one's third
+    half_clients = clients // 2
     return half_clients if younger else clients, max(1, (limit - clients - half_clients - reserved) // 2)
 
 
 def shared(name: str) -> Path | None:
-    """Give the folder that processes of one gateway share; without one it serves all the same."""
+    """Return the folder that the processes of one gateway share; the gateway also serves without one."""
     if name and os.access(name, os.W_OK | os.X_OK):
         return Path(name)
-    logger.warning("TMPDIR {!r} can't be written: hold-outs are not kept, no version takes over", name)
+    logger.warning("TMPDIR {!r} is not writable: hold-outs are not saved, no version takes over", name)
     return None
 
 
 def collect_garbage(sched: Scheduler) -> None:
-    """Free the few cycles that exceptions leave: what is new each second, all of it once a minute."""
+    """Collect the few reference cycles that exceptions leave: young ones each second, all once a minute."""
     gc.freeze()
-    gc.disable()  # full collections stalled the loop by 0.2 s under load; nothing of a request is a cycle
+    gc.disable()  # full collections stalled the loop by 0.2 s under load; requests leave no cycles
     for round_number in count(1):
         sched.sleep(GC_INTERVAL_MS)
-        # guards against growth: what outlived one look at the young was never looked at again
+        # Prevents memory growth: with young collections only, objects that survived one were never freed.
         gc.collect(2 if round_number % 60 == 0 else 1 if round_number % 10 == 0 else 0)
 
 
 @dataclass(frozen=True, slots=True)
 class Gateway:
-    """The parts of a running gateway that what the operator's file asks for is joined to."""
+    """The parts of a running gateway to which optional parts are added, as the operator's file requests."""
 
     config: Config
     sched: Scheduler
@@ -116,9 +121,9 @@
 
 
 def serve(config: Config, extend: Callable[[Gateway], Callable[[], None]] | None = None) -> None:
-    """Run one gateway until it is told to stop.
+    """Run one gateway until it is stopped.
 
-    `extend` joins more to it, and gives what is to be done at the end.
+    `extend` adds optional parts to it and returns a callable that is called at the end.
     """
     sched = Scheduler()
     clients, links = descriptors(config.sockets, two=False, younger=False)
@@ -169,9 +174,11 @@
 
 
 def main() -> int:
-    """Start; a bad configuration is told in one line."""
+    """Run the gateway and return its exit code; an invalid configuration is reported in one line."""
     if sys.argv[1:] not in ([], [MEMORY_TIER_OPTION]):
-        print(f"hitchtiller: {sys.argv[1]!r} is not known; there is {MEMORY_TIER_OPTION}", file=sys.stderr)
+        print(
+            f"hitchtiller: unknown argument {sys.argv[1]!r}; there is {MEMORY_TIER_OPTION}", file=sys.stderr
+        )
         return 2
     try:
         config = read_config(os.environ)
@@ -181,7 +188,7 @@
     log.start(config.name)
     extend: Callable[[Gateway], Callable[[], None]] | None = None
     if sys.argv[1:] and config.memory_mb >= MIN_TIER_MEMORY_MB:
-        from hitchtiller.store import light  # else nothing of it is imported: two versions have to fit 32 MB
+        from hitchtiller.store import light  # imported only if used: two versions have to fit into 32 MB
 
         extend = light.join
     try:
