--- a/hitchtiller/__init__.py
+++ b/hitchtiller/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions of a gateway for caches of large objects behind thin links."""
+"""A gateway in front of caches of large objects: routes requests to caches behind links of low bandwidth."""
