--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -57,71 +57,71 @@
         return lambda: None
 
 
-class Exchanges(unittest.TestCase):
+class EngineTest(unittest.TestCase):
     def setUp(self) -> None:
         self.clock, self.back, self.answers = Later(), Back(), list[Answer]()
         self.engine = Engine(Router(BASE, 7), self.clock, self.back, lambda peer, note: None)
-        self.news(*FLEET, whole=True)
+        self.announce(*FLEET, whole=True)
 
-    def news(self, *members: api.Member, whole: bool = False) -> None:
+    def announce(self, *members: api.Member, whole: bool = False) -> None:
         self.engine.news(Topology(tuple(ListedServer(m, ("127.0.0.1", 1)) for m in members), whole))
 
-    def ask(self, **more: Any) -> Attempt:
-        ask = ClientRequest("0" * 16, "small", "0" * 16, 42, self.clock.now + 900.0, size_kb=50.0, **more)
-        self.exchange = self.engine.take(ask, self.answers.append)
+    def start_request(self, **more: Any) -> Attempt:
+        request = ClientRequest("0" * 16, "small", "0" * 16, 42, self.clock.now + 900.0, size_kb=50.0, **more)
+        self.exchange = self.engine.take(request, self.answers.append)
         return self.back.sent[-1]
 
     def kinds(self) -> list[str]:
         return [answer.kind for answer in self.answers]
 
-    def test_a_second_end_is_passed_over(self) -> None:
-        attempt = self.ask()
+    def test_a_second_end_of_an_attempt_is_ignored(self) -> None:
+        attempt = self.start_request()
         attempt.end(AttemptResult("done", b"x"))
         attempt.end(AttemptResult("err"))
         self.assertEqual(self.kinds(), [SERVED])
         self.assertFalse(self.engine.open)
 
-    def test_silence_ends_at_the_deadline(self) -> None:
-        self.ask()
+    def test_a_request_without_any_outcome_is_refused_at_its_deadline(self) -> None:
+        self.start_request()
         self.clock.move(1900.0)
         self.assertEqual(self.kinds(), [REFUSED])
         self.assertEqual(self.back.cancelled, self.back.sent)
 
-    def test_a_fault_of_the_decisions_fails_one_request_only(self) -> None:
-        first = self.ask()
+    def test_an_exception_in_the_router_fails_only_the_request_concerned(self) -> None:
+        first = self.start_request()
         handle, self.engine.router.handle = self.engine.router.handle, lambda *_: [][0]  # type: ignore[method-assign]
         self.engine.take(first.exchange.request, self.answers.append)
         self.engine.router.handle = handle  # type: ignore[method-assign]
         first.end(AttemptResult("done"))
         self.assertEqual(self.kinds(), [FAILED, SERVED])
 
-    def test_a_client_that_left_is_owed_nothing(self) -> None:
-        attempt = self.ask()
+    def test_a_client_that_left_gets_no_answer_and_its_attempt_is_cancelled(self) -> None:
+        attempt = self.start_request()
         self.engine.leave(self.exchange)
         attempt.end(AttemptResult("done"))
         self.assertEqual((self.kinds(), self.back.cancelled), ([], [attempt]))
 
-    def test_a_refused_connection_is_blamed(self) -> None:
+    def test_a_refused_connection_raises_the_failure_score(self) -> None:
         """It was told as never sent, and silent machines were picked again and again."""
-        attempt = self.ask()
+        attempt = self.start_request()
         PullJob(attempt).broken("econnrefused")
         self.assertGreater(self.engine.router.nodes[attempt.get.server].blame, 0.0)
 
-    def test_what_an_answer_may_lack_follows_from_its_class(self) -> None:
+    def test_the_class_decides_whether_an_answer_needs_a_tag_and_a_time(self) -> None:
         """Each sign-off, an effect without a key, ended its connection with all that was open on it."""
         for write, dedupe in ((True, ""), (True, "5c0f")):
-            attempt = self.ask(write=write, dedupe=dedupe)
+            attempt = self.start_request(write=write, dedupe=dedupe)
             PullJob(attempt).answered("DONE", {}, b"x")
             self.assertEqual((self.answers[-1].kind, self.answers[-1].since_ms), (SERVED, 0))
-        attempt = self.ask(dedupe="5c0f")  # a copy has a tag and a time, whatever key came with it
+        attempt = self.start_request(dedupe="5c0f")  # a copy has a tag and a time, whatever key came with it
         with self.assertRaises(BadResp):
             PullJob(attempt).answered("DONE", {}, b"x")
 
-    def test_notes_and_waits_reach_the_decisions(self) -> None:
+    def test_the_note_and_the_wait_of_an_answer_reach_the_router(self) -> None:
         """They were read nowhere, so no source was ever cleared where notes are told."""
-        told, handle = list[api.Outcome](), self.engine.router.handle
+        outcomes, handle = list[api.Outcome](), self.engine.router.handle
         self.engine.router.handle = lambda event, now: (  # type: ignore[method-assign]
-            told.append(event) if isinstance(event, api.Outcome) else None
+            outcomes.append(event) if isinstance(event, api.Outcome) else None
         ) or handle(event, now)
         for why, fill, note, waited in (
             ("h", "", 1, 0.0),
@@ -129,31 +129,33 @@
             ("x", "20", 10, 20.0),
             ("?", "-1", 0, 0),
         ):
-            PullJob(self.ask()).answered("DONE", {"rev": "a", "since": "1", "why": why, "fill": fill}, b"x")
-            self.assertEqual((told[-1].note, told[-1].waited_ms), (note, waited))
+            PullJob(self.start_request()).answered(
+                "DONE", {"rev": "a", "since": "1", "why": why, "fill": fill}, b"x"
+            )
+            self.assertEqual((outcomes[-1].note, outcomes[-1].waited_ms), (note, waited))
 
-    def test_what_is_over_holds_no_cycle(self) -> None:
+    def test_a_finished_exchange_holds_no_reference_cycle(self) -> None:
         """Full collections of such cycles stalled the loop by 0.2 s."""
-        attempt = self.ask()
+        attempt = self.start_request()
         attempt.back_end_handle = object()
         attempt.end(AttemptResult("done"))
         self.assertEqual((self.exchange.attempts, attempt.back_end_handle), ([], None))
 
-    def test_an_attempt_is_barred_at_its_first_byte_if_target_or_source_drains(self) -> None:
+    def test_an_attempt_is_not_sent_if_its_server_or_source_has_begun_to_drain(self) -> None:
         for name in ("server", "source"):
-            attempt = self.ask()
+            attempt = self.start_request()
             self.assertIsNotNone(attempt.authorize(attempt))
-            named = getattr(attempt.get, name)
-            (member,) = (m for m in FLEET if m.server == named)
-            self.news(api.Member(named, member.zone, member.kind, "DRAINING", weight=member.weight))
+            server = getattr(attempt.get, name)
+            (member,) = (m for m in FLEET if m.server == server)
+            self.announce(api.Member(server, member.zone, member.kind, "DRAINING", weight=member.weight))
             self.assertIsNone(attempt.authorize(attempt))
 
-    def test_the_age_bound_heeds_a_purge_that_came_before_the_first_byte(self) -> None:
-        attempt = self.ask(group=3)
-        clear = attempt.authorize(attempt)
-        assert clear and not clear.cap_ms
+    def test_the_age_bound_includes_a_purge_that_came_before_the_first_byte(self) -> None:
+        attempt = self.start_request(group=3)
+        limits = attempt.authorize(attempt)
+        assert limits and not limits.cap_ms
         self.engine.submit(api.Purged(42, -1, 100.0))
         self.clock.now += 50.0
-        clear = attempt.authorize(attempt)
-        assert clear
-        self.assertEqual(clear.cap_ms, 150.0)
+        limits = attempt.authorize(attempt)
+        assert limits
+        self.assertEqual(limits.cap_ms, 150.0)
