--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -23,10 +23,10 @@
     return len(body).to_bytes(4, "big") + body
 
 
-class Discovery(unittest.TestCase):
+class DiscoveryTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.heard: list[Event] = []
-        self.bus = BusLink(Scheduler(), self.heard.append, ("127.0.0.1", 1), (ZONES, KINDS))
+        self.received: list[Event] = []
+        self.bus = BusLink(Scheduler(), self.received.append, ("127.0.0.1", 1), (ZONES, KINDS))
         self.reader = BusReader(ZONES, KINDS)
 
     def feed(self, data: bytes) -> None:
@@ -34,31 +34,36 @@
             self.bus.apply(event)
 
     def states(self) -> list[str]:
-        return [host.member.state for news in self.heard if isinstance(news, Topology) for host in news.hosts]
-
-    def test_an_event_told_twice_or_with_an_old_number_changes_nothing(self) -> None:
+        return [
+            host.member.state
+            for event in self.received
+            if isinstance(event, Topology)
+            for host in event.hosts
+        ]
+
+    def test_a_repeated_event_or_one_with_an_old_number_changes_nothing(self) -> None:
         """A drain must not be undone by the news from before it, told late."""
         drain, older = frame(5, 2, record(7, 1)), frame(4, 2, record(7, 0))
         self.feed(drain + drain + older + frame(5, 1, record(7, 0)))
         self.assertEqual((self.states(), self.bus.last), (["DRAINING"], 5))
 
-    def test_an_event_cut_anywhere_is_not_applied_in_part(self) -> None:
+    def test_an_incomplete_event_is_not_applied(self) -> None:
         """Half a whole list would make all that it lacks look gone."""
         whole = frame(6, 1, record(7, 0), record(8, 0), record(9, 0))
         for cut in range(len(whole)):
             reader = BusReader(ZONES, KINDS)
             self.assertEqual(list(reader.feed(whole[:cut])), [])
-            ((number, news),) = reader.feed(whole[cut:])
-            assert isinstance(news, Topology)
-            self.assertEqual((number, len(news.hosts)), (6, 3))
+            ((number, event),) = reader.feed(whole[cut:])
+            assert isinstance(event, Topology)
+            self.assertEqual((number, len(event.hosts)), (6, 3))
 
-    def test_a_fault_in_one_event_does_not_end_the_subscription(self) -> None:
+    def test_an_exception_in_one_event_does_not_end_the_subscription(self) -> None:
         def fail(_: Event) -> None:
             raise ValueError("no such zone")
 
         self.bus.on_event = fail
         self.feed(frame(5, 2, record(7, 1)))
-        self.bus.on_event = self.heard.append
+        self.bus.on_event = self.received.append
         self.feed(frame(6, 2, record(7, 1)))
         self.assertEqual((self.states(), self.bus.last), (["DRAINING"], 6))
 
@@ -74,7 +79,7 @@
         self.assertEqual((list(back.pools), link.stream.code, pool.closed), (["new"], "gone", True))
         self.assertEqual(back.pools["new"].links, [])
 
-    def test_a_repeated_whole_list_forgets_nothing_and_starts_nothing_cold(self) -> None:
+    def test_a_repeated_complete_list_resets_no_state_and_no_slow_start(self) -> None:
         bench = Bench(siblings="none")
         (get,) = gets(bench.ask(1, key=5))
         node = bench.router.nodes[get.server]
@@ -85,7 +90,7 @@
         self.assertEqual((node.blame, node.flights), (0.3, 1))
         self.assertEqual(bench.router.cold_rate(node), float("inf"))
 
-    def test_a_list_that_names_nothing_is_answered_at_once_and_the_next_one_is_taken(self) -> None:
+    def test_with_an_empty_list_requests_are_refused_at_once_and_the_next_list_is_used(self) -> None:
         bench = Bench(siblings="none")
         bench.give(api.Members((), whole=True))
         (final,) = bench.ask(1, key=5)
