--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -14,7 +14,7 @@
 EXAMPLE = ROOT / "examples" / "config.json"
 
 
-class Configuration(unittest.TestCase):
+class ConfigTest(unittest.TestCase):
     def read(self, env: dict[str, str] | None = None, **changes: Any) -> Any:
         with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
             file.write(json.dumps(json.loads(EXAMPLE.read_text()) | changes))
@@ -26,7 +26,7 @@
         self.assertEqual((config.name, config.listen, config.streams), ("n7", ("127.0.0.1", 7100), 32))
         self.assertEqual([number for number, _ in config.known], [1, 1])
 
-    def test_what_is_wrong_is_named(self) -> None:
+    def test_an_error_names_what_is_wrong(self) -> None:
         cases: list[tuple[dict[str, Any], str]] = [
             ({"seed": "xyz"}, "xyz"),
             ({"listen": "nowhere"}, "nowhere"),
@@ -35,18 +35,20 @@
             ({"settings": {}}, "classes"),
             ({"known": {"batch": [{"offset": 1, "topology": {"hosts": [{}]}}]}}, "host"),
         ]
-        for changes, word in cases:
-            with self.assertRaisesRegex(ConfigError, word):
+        for changes, pattern in cases:
+            with self.assertRaisesRegex(ConfigError, pattern):
                 self.read(**changes)
 
-    def test_where_operators_call_may_be_absent_and_the_variable_goes_first(self) -> None:
+    def test_the_control_address_is_optional_and_variables_override_the_file(self) -> None:
         self.assertIsNone(self.read(control=None).control)
         self.assertEqual(self.read({"BALANCER_CONTROL": "127.0.0.1:9"}).control, ("127.0.0.1", 9))
         with self.assertRaisesRegex(ConfigError, "BALANCER_LISTEN_FD"):
             self.read({"BALANCER_LISTEN_FD": "seven"})
 
-    def test_the_program_ends_with_2_and_one_line(self) -> None:
+    def test_the_program_exits_with_status_2_and_one_line(self) -> None:
         command = [sys.executable, "-m", "hitchtiller"]
         for env in ({}, {"BALANCER_CONFIG": "/nowhere.json"}):
-            ended = subprocess.run(command, cwd=ROOT, env=env, capture_output=True, text=True, check=False)
-            self.assertEqual((ended.returncode, ended.stderr.count("\n")), (2, 1), ended.stderr)
+            completed = subprocess.run(
+                command, cwd=ROOT, env=env, capture_output=True, text=True, check=False
+            )
+            self.assertEqual((completed.returncode, completed.stderr.count("\n")), (2, 1), completed.stderr)
