--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -14,7 +14,7 @@
 ROOT = Path(__file__).resolve().parent.parent
 # Names whose use means a refused call: other programs, fork, Unix sockets, pipes the platform may not lead,
 # zero-copy calls, IPv6.
-REFUSED = {
+REFUSED_NAMES = {
     "socketpair",
     "pipe",
     "pipe2",
@@ -54,10 +54,10 @@
     """Give the line and name of each refused call or import in a module's source."""
     found = []
     for node in ast.walk(ast.parse(source)):
-        if isinstance(node, ast.Attribute) and node.attr in REFUSED:
+        if isinstance(node, ast.Attribute) and node.attr in REFUSED_NAMES:
             found.append((node.lineno, node.attr))
         elif isinstance(node, ast.ImportFrom) and node.module:
-            found += [(node.lineno, f"{node.module}.{a.name}") for a in node.names if a.name in REFUSED]
+            found += [(node.lineno, f"{node.module}.{a.name}") for a in node.names if a.name in REFUSED_NAMES]
             if node.module in REFUSED_MODULES:
                 found.append((node.lineno, node.module))
         elif isinstance(node, ast.Import):
@@ -86,11 +86,11 @@
 
 
 def test_a_poke_from_another_thread_wakes_the_loop() -> None:
-    sched, wakeup, got = Scheduler(), Wakeup(), []
+    sched, wakeup, received = Scheduler(), Wakeup(), []
 
     def wait() -> None:
         sched.wait(wakeup.fileno(), 1)
-        got.append(wakeup.drain())
+        received.append(wakeup.drain())
         sched.stopped = True
 
     sched.spawn(wait)
@@ -98,7 +98,7 @@
     threading.Thread(target=wakeup.poke, args=(7,)).start()
     sched.run()
     wakeup.close()
-    assert got == [b"\x07"]
+    assert received == [b"\x07"]
 
 
 def test_a_full_socket_drops_pokes_without_an_error() -> None:
@@ -110,7 +110,7 @@
     wakeup.close()
 
 
-def test_the_wakeup_takes_no_datagram_from_another_socket() -> None:
+def test_the_wakeup_ignores_datagrams_from_other_sockets() -> None:
     import socket
 
     wakeup = Wakeup()
@@ -122,33 +122,33 @@
     wakeup.close()
 
 
-def listen(sched: Scheduler, number: int) -> list[int]:
-    heard: list[int] = []
+def count_signal(sched: Scheduler, number: int) -> list[int]:
+    received: list[int] = []
 
     def call() -> None:
-        heard.append(number)
+        received.append(number)
         sched.stopped = True
 
     Signals(sched, {number: call})
-    return heard
+    return received
 
 
-def test_a_signal_before_the_loop_waits_is_taken_at_the_next_turn() -> None:
+def test_a_signal_before_the_loop_waits_is_handled_at_the_next_turn() -> None:
     sched = Scheduler()
-    old = signal.getsignal(signal.SIGUSR1)
+    previous = signal.getsignal(signal.SIGUSR1)
     try:
-        heard = listen(sched, signal.SIGUSR1)
+        received = count_signal(sched, signal.SIGUSR1)
         signal.raise_signal(signal.SIGUSR1)  # its handler runs here, outside poll
         sched.run()
     finally:
-        signal.signal(signal.SIGUSR1, old)
-    assert heard == [signal.SIGUSR1]
+        signal.signal(signal.SIGUSR1, previous)
+    assert received == [signal.SIGUSR1]
 
 
-def test_a_signal_breaks_a_poll_that_has_nothing_else_to_wait_for() -> None:
+def test_a_signal_interrupts_a_poll_that_has_nothing_else_to_wait_for() -> None:
     """No timer, no descriptor: without `PollInterrupted` this turn would wait for ever (the alarm ends the test)."""
     sched, main = Scheduler(), threading.get_ident()
-    old = signal.getsignal(signal.SIGUSR1), signal.getsignal(signal.SIGALRM)
+    previous = signal.getsignal(signal.SIGUSR1), signal.getsignal(signal.SIGALRM)
 
     def send_when_polling() -> None:
         for _ in range(2000):  # bounded: 2 s at most
@@ -158,17 +158,17 @@
         threading.Event().wait(0.01)  # so that the main thread is inside poll, not just past the flag
         signal.pthread_kill(main, signal.SIGUSR1)
 
-    def too_long(*_: object) -> None:
+    def fail_on_alarm(*_: object) -> None:
         raise TimeoutError("the signal did not break the wait")
 
     try:
-        heard = listen(sched, signal.SIGUSR1)
-        signal.signal(signal.SIGALRM, too_long)
+        received = count_signal(sched, signal.SIGUSR1)
+        signal.signal(signal.SIGALRM, fail_on_alarm)
         signal.alarm(5)
         threading.Thread(target=send_when_polling, daemon=True).start()
         sched.run()
     finally:
         signal.alarm(0)
-        signal.signal(signal.SIGUSR1, old[0])
-        signal.signal(signal.SIGALRM, old[1])
-    assert heard == [signal.SIGUSR1] and not sched.is_polling
+        signal.signal(signal.SIGUSR1, previous[0])
+        signal.signal(signal.SIGALRM, previous[1])
+    assert received == [signal.SIGUSR1] and not sched.is_polling
