--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -1,4 +1,4 @@
-"""The engine with a back of the test's own: one final answer, whatever happens."""
+"""The engine with a simulated back end: each request gets exactly one final answer."""
 
 import unittest
 from collections.abc import Callable
@@ -16,7 +16,7 @@
 
 
 class Later:
-    """A clock that stands still until it is moved."""
+    """A clock that only advances when told to."""
 
     def __init__(self) -> None:
         self.now, self.calls = 1000.0, list[tuple[float, Callable[[], object]]]()
@@ -39,7 +39,7 @@
 
 
 class Back:
-    """Keeps what it is given."""
+    """Records the attempts that are sent and cancelled."""
 
     def __init__(self) -> None:
         self.sent, self.cancelled = list[Attempt](), list[Attempt]()
@@ -102,23 +102,23 @@
         self.assertEqual((self.kinds(), self.back.cancelled), ([], [attempt]))
 
     def test_a_refused_connection_raises_the_failure_score(self) -> None:
-        """It was told as never sent, and silent machines were picked again and again."""
+        """When it was reported as never sent, unreachable machines were chosen again and again."""
         attempt = self.start_request()
         PullJob(attempt).broken("econnrefused")
         self.assertGreater(self.engine.router.nodes[attempt.get.server].blame, 0.0)
 
     def test_the_class_decides_whether_an_answer_needs_a_tag_and_a_time(self) -> None:
-        """Each sign-off, an effect without a key, ended its connection with all that was open on it."""
+        """Each answer to a sign-off, an effect without a key, ended its connection and all attempts on it."""
         for write, dedupe in ((True, ""), (True, "5c0f")):
             attempt = self.start_request(write=write, dedupe=dedupe)
             PullJob(attempt).answered("DONE", {}, b"x")
             self.assertEqual((self.answers[-1].kind, self.answers[-1].since_ms), (SERVED, 0))
-        attempt = self.start_request(dedupe="5c0f")  # a copy has a tag and a time, whatever key came with it
+        attempt = self.start_request(dedupe="5c0f")  # a copy has a tag and a time, with or without a key
         with self.assertRaises(BadResp):
             PullJob(attempt).answered("DONE", {}, b"x")
 
     def test_the_note_and_the_wait_of_an_answer_reach_the_router(self) -> None:
-        """They were read nowhere, so no source was ever cleared where notes are told."""
+        """When they were not read, no source was ever cleared of suspicion in deployments that send notes."""
         outcomes, handle = list[api.Outcome](), self.engine.router.handle
         self.engine.router.handle = lambda event, now: (  # type: ignore[method-assign]
             outcomes.append(event) if isinstance(event, api.Outcome) else None
@@ -135,7 +135,7 @@
             self.assertEqual((outcomes[-1].note, outcomes[-1].waited_ms), (note, waited))
 
     def test_a_finished_exchange_holds_no_reference_cycle(self) -> None:
-        """Full collections of such cycles stalled the loop by 0.2 s."""
+        """Full garbage collections of such cycles stalled the loop by 0.2 s."""
         attempt = self.start_request()
         attempt.back_end_handle = object()
         attempt.end(AttemptResult("done"))
