--- a/tests/test_sched.py
+++ b/tests/test_sched.py
@@ -1,4 +1,4 @@
-"""The scheduler, turn by turn."""
+"""The scheduler and its streams, one turn of the loop at a time."""
 
 import socket
 import time
@@ -39,7 +39,7 @@
         self.assertEqual(self.received, [b"a", "eof"])
 
     def test_data_left_unread_in_a_busy_turn_counts_from_the_previous_poll(self) -> None:
-        """Deadlines counted from the read were late by the loop's lag, and requests were lost."""
+        """When deadlines counted from the read, they were late by the loop's lag, and requests were lost."""
         self.sched.spawn(self.read)
         self.sched.turn()
         self.sched.spawn(time.sleep, 0.02)
@@ -50,7 +50,7 @@
         self.assertLessEqual(self.sched.arrival_ms, polled_ms)
 
     def test_a_due_timer_does_not_wait_for_the_rest_of_a_busy_turn(self) -> None:
-        """Answers at the deadline came too late at 0.15 s of lag."""
+        """At a lag of 0.15 s, answers due at the deadline came too late."""
         order: list[str] = []
         self.sched.later(5.0, lambda: order.append("due"))
         self.sched.spawn(time.sleep, 0.02)
@@ -117,4 +117,4 @@
         bus.last_frame_ms = sched.resumed_ms + 1.0
         self.assertFalse(bus.may_lack_events())
         bus.last_frame_ms, sched.resumed_ms = 0.0, now_ms() - CATCH_UP_LIMIT_MS - 1.0
-        self.assertFalse(bus.may_lack_events(), "a bus that is away keeps nothing back")
+        self.assertFalse(bus.may_lack_events(), "an unreachable bus holds nothing back")
