--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""Discovery that answers late, in part, twice, out of order, or with an address under a new id."""
+"""Server lists that arrive late, incomplete, twice, out of order, or with a known address under a new id."""
 
 import unittest
 
@@ -42,13 +42,13 @@
         ]
 
     def test_a_repeated_event_or_one_with_an_old_number_changes_nothing(self) -> None:
-        """A drain must not be undone by the news from before it, told late."""
+        """A drain must not be undone by an older event that arrives late."""
         drain, older = frame(5, 2, record(7, 1)), frame(4, 2, record(7, 0))
         self.feed(drain + drain + older + frame(5, 1, record(7, 0)))
         self.assertEqual((self.states(), self.bus.last), (["DRAINING"], 5))
 
     def test_an_incomplete_event_is_not_applied(self) -> None:
-        """Half a whole list would make all that it lacks look gone."""
+        """Half of a complete list would make the servers that it lacks look gone."""
         whole = frame(6, 1, record(7, 0), record(8, 0), record(9, 0))
         for cut in range(len(whole)):
             reader = BusReader(ZONES, KINDS)
@@ -68,7 +68,7 @@
         self.assertEqual((self.states(), self.bus.last), (["DRAINING"], 6))
 
     def test_an_address_under_a_new_id_is_another_process(self) -> None:
-        """What was out on the old one must not be taken for the new one's, nor its connections be used."""
+        """Attempts at the old process must not count as the new one's, nor may its connections be reused."""
         back, address = Upstreams(Scheduler(), (400.0, 1000.0), 4, 8), ("127.0.0.1", 1)
         back.follow(Topology((ListedServer(api.Member("old", "z1", "box", "SERVING"), address),), True))()
         pool = back.pools["old"]
