--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""The configuration: what is missing or wrong is told in one line."""
+"""The configuration: an error says in one line what is missing or wrong."""
 
 import json
 import subprocess
