--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""What the fleet's platform refuses is used nowhere in the gateway, and the wake-ups that replace it work."""
+"""The gateway uses no call that the fleet's platform refuses, and its own ways to wake the loop work."""
 
 import ast
 import signal
@@ -12,8 +12,8 @@
 from hitchtiller.wake import Wakeup
 
 ROOT = Path(__file__).resolve().parent.parent
-# Names whose use means a refused call: other programs, fork, Unix sockets, pipes the platform may not lead,
-# zero-copy calls, IPv6.
+# Names that are only used for refused calls: child processes, fork, Unix sockets, pipes (which the platform
+# may not intercept), zero-copy calls, IPv6.
 REFUSED_NAMES = {
     "socketpair",
     "pipe",
@@ -43,7 +43,7 @@
 
 
 def gateway_files() -> Iterator[Path]:
-    """Every Python file that the deploy file names as the real gateway's."""
+    """Yield the Python files that the deploy file lists as those of the real gateway."""
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
     for name in [*deploy["node"], *deploy["policy"]]:
         path = ROOT / name
@@ -51,7 +51,7 @@
 
 
 def refused_uses(source: str) -> list[tuple[int, str]]:
-    """Give the line and name of each refused call or import in a module's source."""
+    """Return the line and name of each refused call or import in a module's source."""
     found = []
     for node in ast.walk(ast.parse(source)):
         if isinstance(node, ast.Attribute) and node.attr in REFUSED_NAMES:
@@ -76,7 +76,7 @@
 
 def test_no_file_of_the_gateway_uses_a_call_the_platform_refuses() -> None:
     files = list(gateway_files())
-    assert len(files) > 40  # the deploy file's list was read, not an empty one
+    assert len(files) > 40  # the list of the deploy file was read and is not empty
     found = {
         f"{path.relative_to(ROOT)}:{line} {name}"
         for path in files
@@ -146,20 +146,23 @@
 
 
 def test_a_signal_interrupts_a_poll_that_has_nothing_else_to_wait_for() -> None:
-    """No timer, no descriptor: without `PollInterrupted` this turn would wait for ever (the alarm ends the test)."""
+    """Without `PollInterrupted`, a turn without timers and descriptors would never end.
+
+    The alarm ends the test in that case.
+    """
     sched, main = Scheduler(), threading.get_ident()
     previous = signal.getsignal(signal.SIGUSR1), signal.getsignal(signal.SIGALRM)
 
     def send_when_polling() -> None:
-        for _ in range(2000):  # bounded: 2 s at most
+        for _ in range(2000):  # for at most 2 s
             if sched.is_polling:
                 break
             threading.Event().wait(0.001)
-        threading.Event().wait(0.01)  # so that the main thread is inside poll, not just past the flag
+        threading.Event().wait(0.01)  # so that the main thread is in poll, not only past setting the flag
         signal.pthread_kill(main, signal.SIGUSR1)
 
     def fail_on_alarm(*_: object) -> None:
-        raise TimeoutError("the signal did not break the wait")
+        raise TimeoutError("the signal did not interrupt poll")
 
     try:
         received = count_signal(sched, signal.SIGUSR1)
