--- a/hitchtiller/bus.py
+++ b/hitchtiller/bus.py
@@ -35,7 +35,7 @@
         self.sched, self.on_event, self.address, self.name_lists = sched, on_event, address, name_lists
         self.last = 0
         self.stream: Stream | None = None
-        self.has_subscribed = self.told_all = False
+        self.has_subscribed = self.is_caught_up = False
         self.started_ms = now_ms()
         self.last_frame_ms = -math.inf  # when the last complete frame came
         self.on_caught_up: Callable[[], None] | None = None  # called when no older events are left to come
@@ -53,7 +53,7 @@
         """Return whether the bus is followed; with `whole`, whether it has sent all older events."""
         # An unreachable bus must not keep the gateway out of service. The list in the configuration file only
         # shows the state at the start, so `whole` always waits for the bus.
-        return self.told_all or (
+        return self.is_caught_up or (
             not whole and (self.has_subscribed or now_ms() - self.started_ms > MAX_READY_DELAY_MS)
         )
 
@@ -104,6 +104,6 @@
             for numbered in reader.feed(data):
                 last_whole_ms = self.last_frame_ms = now_ms()
                 self.apply(numbered)
-                self.told_all = self.told_all or numbered[1] is None
+                self.is_caught_up = self.is_caught_up or numbered[1] is None
                 if numbered[1] is None and self.on_caught_up:
                     self.on_caught_up()
