--- a/hitchtiller/__main__.py
+++ b/hitchtiller/__main__.py
@@ -148,7 +148,7 @@
         front.most, back.most = descriptors(config.sockets, two, younger)
 
     marker = ProcessMarker(folder) if folder else None
-    upgrade = Upgrade(sched, marker, front, bus.followed, set_limits)
+    upgrade = Upgrade(sched, marker, front, bus.is_followed, set_limits)
     front.not_ready_reason = upgrade.unready
     host, port = front.listen(config.listen, config.listen_fd)
     if config.control:
--- a/hitchtiller/bus.py
+++ b/hitchtiller/bus.py
@@ -49,7 +49,7 @@
         resumed_ms = self.sched.resumed_ms
         return resumed_ms > self.last_frame_ms and now_ms() - resumed_ms < CATCH_UP_LIMIT_MS
 
-    def followed(self, whole: bool) -> bool:
+    def is_followed(self, whole: bool) -> bool:
         """Return whether the bus is followed; with `whole`, whether it has sent all older events."""
         # An unreachable bus must not keep the gateway out of service. The list in the configuration file only
         # shows the state at the start, so `whole` always waits for the bus.
