--- a/hitchtiller/__main__.py
+++ b/hitchtiller/__main__.py
@@ -1,4 +1,4 @@
-"""One gateway on real sockets: reads its configuration and wires the parts together."""
+"""Entry point of one gateway: reads its configuration, connects its parts and runs the loop."""
 
 import gc
 import os
@@ -27,19 +27,21 @@
 from hitchtiller.sched import Clock, Scheduler, Stream
 from hitchtiller.signals import Signals
 
-MEMORY_TIER, TIER_LEAST_MB = "--memory-tier", 64.0  # limits under which there is no room for copies
-REPORT_MS, FIGURES_MS = 10_000.0, 5_000.0
-TIDY_MS = 1_000.0
-OWN_MB = 26.0  # what the program holds in service without its buffers
-OWN_TWO_MB = 18.0  # and early on, as two versions do that live side by side
-EXTRA = 16  # clients beyond their third: a probe must not be turned away when they hold it all
-SPARE = 48  # descriptors kept for the listener, the bus, the log and the like
+# With a memory limit below the minimum, there is no memory for copies and the option has no effect.
+MEMORY_TIER_OPTION, MIN_TIER_MEMORY_MB = "--memory-tier", 64.0
+COUNTS_INTERVAL_MS, FIGURES_INTERVAL_MS = 10_000.0, 5_000.0
+GC_INTERVAL_MS = 1_000.0
+SERVING_MB = 26.0  # memory of the process in service, without its buffers
+EARLY_MB = 18.0  # soon after its start, as for two versions that run side by side
+# Clients beyond a third of the descriptors, so that a probe is accepted when clients hold all of that third.
+EXTRA_CLIENTS = 16
+RESERVED_DESCRIPTORS = 48  # for the listener, the bus, the log and similar uses
 
 
-def report(sched: Scheduler, engine: Engine, front: Front) -> None:
-    """Write a regular line: counts, the loop's lag, open sockets."""
+def log_counts(sched: Scheduler, engine: Engine, front: Front) -> None:
+    """Log a line at regular intervals: counts, open sockets and the lag of the loop."""
     while True:
-        sched.sleep(REPORT_MS)
+        sched.sleep(COUNTS_INTERVAL_MS)
         logger.info(
             "taken={} {} left={} attempts={} open={} clients={} sockets={} lag_ms={:.1f}",
             engine.stats.taken,
@@ -54,52 +56,60 @@
         sched.lag_ms = 0.0
 
 
-def figures(sched: Scheduler, engine: Engine, back: Upstreams) -> None:
-    """Write what `hitchtiller worth` sums over all gateways: one line each 5 s, and one at the start."""
+def log_figures(sched: Scheduler, engine: Engine, back: Upstreams) -> None:
+    """Log the figures that `hitchtiller worth` sums over all gateways: at the start and every 5 s."""
     while True:
         engine.stats.links = back.opened
         logger.info("{}", engine.stats.figures())
-        sched.sleep(FIGURES_MS)
+        sched.sleep(FIGURES_INTERVAL_MS)
 
 
 def room(memory_mb: float, two: bool) -> int:
-    """Give the bytes that buffers may hold in all: what the program itself leaves, and half for copies."""
-    own, least = (2.0 * OWN_TWO_MB, 1.0) if two else (OWN_MB, 2.0)
-    return int(max(least, (memory_mb - own) / (4.0 if two else 2.0)) * 1e6)
+    """Return the bytes that all buffers may hold: half of the memory that the process leaves.
+
+    The other half is for copies. With `two`, two processes share the limit.
+    """
+    own_mb, minimum_mb = (2.0 * EARLY_MB, 1.0) if two else (SERVING_MB, 2.0)
+    return int(max(minimum_mb, (memory_mb - own_mb) / (4.0 if two else 2.0)) * 1e6)
 
 
 def descriptors(limit: int, two: bool, younger: bool) -> tuple[int, int]:
-    """Give how many clients and how many connections to servers a process may hold."""
-    # under 256 both shrink: idle clients may hold all that they may, and links and bus need theirs
-    spare = min(SPARE, limit * 3 // 16)
-    clients = limit // 3 + min(EXTRA, limit // 16)
+    """Return how many clients and how many connections to servers a process may hold.
+
+    With `two`, two processes share the limit, and `younger` says which of them this is.
+    """
+    # Below a limit of 256 both reserves shrink: idle clients may use all of their share, and the connections
+    # to servers and to the bus need theirs.
+    reserved = min(RESERVED_DESCRIPTORS, limit * 3 // 16)
+    clients = limit // 3 + min(EXTRA_CLIENTS, limit // 16)
     if not two:
-        return clients, limit - clients - spare
-    half = clients // 2  # guards two processes' sum: silent clients may hold the older one's whole third
-    return half if younger else clients, max(1, (limit - clients - half - spare) // 2)
+        return clients, limit - clients - reserved
+    # bounds the sum of two processes: silent clients may hold all of the older one's third
+    half_clients = clients // 2
+    return half_clients if younger else clients, max(1, (limit - clients - half_clients - reserved) // 2)
 
 
 def shared(name: str) -> Path | None:
-    """Give the folder that processes of one gateway share; without one it serves all the same."""
+    """Return the folder that the processes of one gateway share; the gateway also serves without one."""
     if name and os.access(name, os.W_OK | os.X_OK):
         return Path(name)
-    logger.warning("TMPDIR {!r} can't be written: hold-outs are not kept, no version takes over", name)
+    logger.warning("TMPDIR {!r} is not writable: hold-outs are not saved, no version takes over", name)
     return None
 
 
-def tidy(sched: Scheduler) -> None:
-    """Free the few cycles that exceptions leave: what is new each second, all of it once a minute."""
+def collect_garbage(sched: Scheduler) -> None:
+    """Collect the few reference cycles that exceptions leave: young ones each second, all once a minute."""
     gc.freeze()
-    gc.disable()  # full collections stalled the loop by 0.2 s under load; nothing of a request is a cycle
-    for turn in count(1):
-        sched.sleep(TIDY_MS)
-        # guards against growth: what outlived one look at the young was never looked at again
-        gc.collect(2 if turn % 60 == 0 else 1 if turn % 10 == 0 else 0)
+    gc.disable()  # full collections stalled the loop by 0.2 s under load; requests leave no cycles
+    for round_number in count(1):
+        sched.sleep(GC_INTERVAL_MS)
+        # Prevents memory growth: with young collections only, objects that survived one were never freed.
+        gc.collect(2 if round_number % 60 == 0 else 1 if round_number % 10 == 0 else 0)
 
 
 @dataclass(frozen=True, slots=True)
 class Gateway:
-    """The parts of a running gateway that what the operator's file asks for is joined to."""
+    """The parts of a running gateway to which optional parts are added, as the operator's file requests."""
 
     config: Config
     sched: Scheduler
@@ -111,9 +121,9 @@
 
 
 def serve(config: Config, extend: Callable[[Gateway], Callable[[], None]] | None = None) -> None:
-    """Run one gateway until it is told to stop.
+    """Run one gateway until it is stopped.
 
-    `extend` joins more to it, and gives what is to be done at the end.
+    `extend` adds optional parts to it and returns a callable that is called at the end.
     """
     sched = Scheduler()
     clients, links = descriptors(config.sockets, two=False, younger=False)
@@ -125,7 +135,7 @@
     folder = shared(os.environ.get("TMPDIR", ""))
     holdouts = HoldOuts(folder, engine.news, config.settings.origin_kind)
     bus = BusLink(sched, holdouts.news, config.bus, (config.zones, config.kinds))
-    engine.behind = bus.behind
+    engine.may_lack_events = bus.may_lack_events
     front = Front(sched, engine, config.settings, clients, room(config.memory_mb, two=False))
 
     calls = Calls(front, holdouts, engine.stats)
@@ -133,40 +143,42 @@
     for event in config.known:
         bus.apply(event)
 
-    def share(two: bool, younger: bool) -> None:
+    def set_limits(two: bool, younger: bool) -> None:
         front.room = room(config.memory_mb, two)
         front.most, back.most = descriptors(config.sockets, two, younger)
 
-    sign = ProcessMarker(folder) if folder else None
-    upgrade = Upgrade(sched, sign, front, bus.followed, share)
+    marker = ProcessMarker(folder) if folder else None
+    upgrade = Upgrade(sched, marker, front, bus.is_followed, set_limits)
     front.not_ready_reason = upgrade.unready
     host, port = front.listen(config.listen, config.listen_fd)
     if config.control:
-        at = Control(sched, calls).listen(config.control)
-        logger.info("control on {}:{}", *at)
+        bound_address = Control(sched, calls).listen(config.control)
+        logger.info("control on {}:{}", *bound_address)
     sched.spawn(bus.run)
     if peers:
         sched.spawn(peers.run, engine)
-    sched.spawn(report, sched, engine, front)
-    sched.spawn(figures, sched, engine, back)
+    sched.spawn(log_counts, sched, engine, front)
+    sched.spawn(log_figures, sched, engine, back)
     reload = Reload(config, os.environ, bus.move)
     Signals(sched, {signal.SIGTERM: upgrade.stop, signal.SIGINT: upgrade.stop, signal.SIGHUP: reload})
-    sched.spawn(tidy, sched)
+    sched.spawn(collect_garbage, sched)
     logger.info("serving on {}:{}, {} sockets, {} MB", host, port, config.sockets, config.memory_mb)
     sched.spawn(upgrade.run)
     sched.spawn(holdouts.run, sched)
     sched.run()
     if finish:
         finish()
-    if sign:
-        sign.remove()
+    if marker:
+        marker.remove()
     logger.info("stopped")
 
 
 def main() -> int:
-    """Start; a bad configuration is told in one line."""
-    if sys.argv[1:] not in ([], [MEMORY_TIER]):
-        print(f"hitchtiller: {sys.argv[1]!r} is not known; there is {MEMORY_TIER}", file=sys.stderr)
+    """Run the gateway and return its exit code; an invalid configuration is reported in one line."""
+    if sys.argv[1:] not in ([], [MEMORY_TIER_OPTION]):
+        print(
+            f"hitchtiller: unknown argument {sys.argv[1]!r}; there is {MEMORY_TIER_OPTION}", file=sys.stderr
+        )
         return 2
     try:
         config = read_config(os.environ)
@@ -175,8 +187,8 @@
         return 2
     log.start(config.name)
     extend: Callable[[Gateway], Callable[[], None]] | None = None
-    if sys.argv[1:] and config.memory_mb >= TIER_LEAST_MB:
-        from hitchtiller.store import light  # else nothing of it is imported: two versions have to fit 32 MB
+    if sys.argv[1:] and config.memory_mb >= MIN_TIER_MEMORY_MB:
+        from hitchtiller.store import light  # imported only if used: two versions have to fit into 32 MB
 
         extend = light.join
     try:
