--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -93,7 +93,7 @@
         if self.settings.asks_discovery and (event.failed or not self.nodes):
             self.actions.append(api.SetTimer(AGAIN_MS * event.failed, "watch"))
         listed = {member.server for member in event.members}
-        lost = [n.m for n in self.nodes.values() if event.whole and n.m.server not in listed]
+        lost = [n.member for n in self.nodes.values() if event.whole and n.member.server not in listed]
         for member in [*event.members, *(replace(m, state="DELETED") for m in lost)]:
             node = self.nodes.get(member.server)
             if node is None:
@@ -101,12 +101,12 @@
                 self.nodes[member.server] = Node(member, salt, self.now, member.started_ms or -math.inf)
                 continue
             node.follow(member, self.now)
-        self.nodes = {name: n for name, n in self.nodes.items() if n.m.state != "DELETED"}
+        self.nodes = {name: n for name, n in self.nodes.items() if n.member.state != "DELETED"}
         mine, tiers = self.settings.my_zone, (self.settings.parent_kind, self.settings.origin_kind, None)
-        self.caches = [n for n in self.nodes.values() if n.m.zone == mine and n.m.kind not in tiers]
-        self.parents = [n for n in self.nodes.values() if n.m.kind == self.settings.parent_kind]
-        self.origins = [n for n in self.nodes.values() if n.m.kind == self.settings.origin_kind]
-        for name, links in self.capacity.estimate(n.m for n in self.nodes.values()).items():
+        self.caches = [n for n in self.nodes.values() if n.member.zone == mine and n.member.kind not in tiers]
+        self.parents = [n for n in self.nodes.values() if n.member.kind == self.settings.parent_kind]
+        self.origins = [n for n in self.nodes.values() if n.member.kind == self.settings.origin_kind]
+        for name, links in self.capacity.estimate(n.member for n in self.nodes.values()).items():
             self.nodes[name].link, self.nodes[name].safe_capacity = links
         self.weight = sum(n.link for n in self.caches)
         self.rankings.clear()
@@ -139,7 +139,7 @@
         if held.ran is None or cls.effect == "repeatable":
             return True
         within = self.now < held.ran[0] + cls.repeat_window_ms - MARGIN_MS
-        return cls.effect == "by_key" and within and same_scope(cls, held.ran[1].m, node.m)
+        return cls.effect == "by_key" and within and same_scope(cls, held.ran[1].member, node.member)
 
     def recheck_send(self, id: int, shot: int, now_ms: float) -> float | None:
         """Guards again at an attempt's first byte: its age bound then, or None if it may not go."""
@@ -148,12 +148,12 @@
             return None
         if attempt.from_origin and not self.leases.covers(held.ask.deadline_ms, now_ms):
             return None
-        serving = attempt.node.m.state == "SERVING" and attempt.source.m.state == "SERVING"
+        serving = attempt.node.member.state == "SERVING" and attempt.source.member.state == "SERVING"
         return self.oldest(held, attempt.stage) if serving and self.may_repeat(held, attempt.node) else None
 
     def usable(self, node: Node) -> bool:
         """Tell whether a server may be picked: listed, not left out, or due for its single trial."""
-        return node.m.state == "SERVING" and self.now >= node.out_until and not (node.trial and node.flights)
+        return node.member.state == "SERVING" and self.now >= node.out_until and not (node.trial and node.flights)
 
     def ranked(self, hashed: int) -> tuple[list[Node], list[Node]]:
         """Order the zone's caches, and the parents, by weighted rendezvous hash, until the list changes."""
@@ -166,7 +166,7 @@
     def pick(self, held: Held, width: int) -> tuple[Node | None, bool]:
         """Pick the cache (better one left out than none); tell if the object is spread or moved."""
         order = self.ranked(held.hash)[0]
-        serving = [n for n in order if n.m.state == "SERVING" and n not in held.avoid]
+        serving = [n for n in order if n.member.state == "SERVING" and n not in held.avoid]
         open_to = [n for n in serving if self.admits(n)]
         able = [n for n in open_to if self.usable(n)] or open_to
         if not able:
@@ -198,7 +198,7 @@
     def source(self, held: Held) -> Node | None:
         """Name where a miss is filled from: hashed hub parent, one parent hashed over all, the origin."""
         wide = [n for n in self.ranked(held.hash)[1] if self.usable(n) and n not in held.avoid]
-        for node in [n for n in wide if n.m.zone == self.hub][:1] + wide:
+        for node in [n for n in wide if n.member.zone == self.hub][:1] + wide:
             if not held.cls.write and self.admits(node):
                 return node
         if not held.cls.write and not self.leases.may_begin(held.ask.deadline_ms, self.now):
@@ -254,7 +254,7 @@
 
     def send(self, held: Held, node: Node | None, source: Node | None, stage: str) -> None:
         """Run the guards, then send; what may not be sent is given up at once."""
-        servers = [n for n in (node, source) if n and n.m.state == "SERVING"]  # drain guard, for sources too
+        servers = [n for n in (node, source) if n and n.member.state == "SERVING"]  # drain guard, for sources too
         if not node or not source or len(servers) < 2 or not self.may_send(held, node):
             return self.give_up(held)
         aim = held.cls.aim_ms + held.cls.aim_stretch * held.work
@@ -263,14 +263,14 @@
         attempt = Attempt(node, source, stage, self.now, held.work, aim)
         self.flights[held.ask.id, held.shots] = attempt
         attempt.book(1)
-        attempt.from_origin = source.m.kind == self.settings.origin_kind and not held.cls.write
+        attempt.from_origin = source.member.kind == self.settings.origin_kind and not held.cls.write
         if attempt.from_origin:
             self.leases.begin(self.now)
         for server in servers[: 1 + (source is not node)]:
             server.debt_ms += self.mean[held.cls.name]
         held.shots, held.out = held.shots + 1, True
         keep, left = 0 if held.cls.write else held.keep, held.ask.deadline_ms - self.now
-        names = (node.m.server, source.m.server)
+        names = (node.member.server, source.member.server)
         how = (self.settings.joins, stage == "sibling", stage == "fill")
         overdue = OVERDUE[0] + OVERDUE[1] * held.work
         if source is not node:  # it may wait for its source, and a thin connection carries nothing else
@@ -335,22 +335,22 @@
     def served(self, held: Held, node: Node) -> None:
         """Tell home of the kept copy, not oftener than its entry needs."""
         known, when = self.reported.get(held.item, ("", 0.0))
-        due = known != node.m.server or self.now - when > ENTRY_MS / 2
-        near = node.m.zone == self.settings.my_zone and not held.cls.write
+        due = known != node.member.server or self.now - when > ENTRY_MS / 2
+        near = node.member.zone == self.settings.my_zone and not held.cls.write
         if due and near and self.settings.siblings != "none":
-            lru_put(self.reported, held.item, (node.m.server, self.now), TABLE)
-            self.tell(held.home, api.PeerNote("kept", *held.item, node.m.server, max(0, held.ask.group)))
+            lru_put(self.reported, held.item, (node.member.server, self.now), TABLE)
+            self.tell(held.home, api.PeerNote("kept", *held.item, node.member.server, max(0, held.ask.group)))
 
     def further(self, held: Held, attempt: Attempt, status: str) -> None:
         """Send the next attempt: the directory's after a miss, within a budget after a failure."""
         if status == "enoent" and attempt.stage == "look":
             held.looked = attempt.node
-            self.ask_home(held, attempt.node.m.server)
+            self.ask_home(held, attempt.node.member.server)
         elif status == "enoent" and attempt.stage == "check":
             held.looked = attempt.node
             self.fill(held, None)
         elif status == "enoent" and attempt.stage == "sibling":
-            self.tell(held.home, api.PeerNote("lacks", *held.item, attempt.source.m.server))
+            self.tell(held.home, api.PeerNote("lacks", *held.item, attempt.source.member.server))
             self.fill(held, None)
         elif self.tokens < 1.0 or attempt.stage == "only" or len(held.errors) >= MOST_ERRORS:
             self.give_up(held)
@@ -428,21 +428,21 @@
     def add_failure(self, node: Node, share: float) -> None:
         """Blame a server and leave it out, but not where its likes are blamed too: the cause is shared."""
         node.blame += (1.0 - node.blame) * share
-        if node.blame < EJECT_AT or self.now < node.out_until or node.m.kind == self.settings.origin_kind:
+        if node.blame < EJECT_AT or self.now < node.out_until or node.member.kind == self.settings.origin_kind:
             return
         alike = [n for n in self.nodes.values() if n is not node and self.alike(n, node)]
         if 2 * sum(self.now < n.out_until or n.blame > EJECT_AT / 2 for n in alike) >= len(alike):
             return
         node.ejections, node.trial = node.ejections + 1, True
         node.out_until = self.now + ejection_ms(node.ejections)
-        self.actions.append(api.Log(f"left out {node.m.server}, {node.ejections} in a row"))
+        self.actions.append(api.Log(f"left out {node.member.server}, {node.ejections} in a row"))
         stuck = [shot for shot, a in self.flights.items() if a.node is node or (a.source is node and a.late)]
         self.actions += [api.Cancel(*shot) for shot in stuck if self.settings.cancel]  # to find another way
 
     def alike(self, other: Node, node: Node) -> bool:
         """Tell whether another server in service fails for the same causes: a parent, or of its zone."""
-        kin = other in self.parents if node in self.parents else other.m.zone == node.m.zone
-        return kin and other.m.state == "SERVING"
+        kin = other in self.parents if node in self.parents else other.member.zone == node.member.zone
+        return kin and other.member.state == "SERVING"
 
     def slow(self, attempt: Attempt) -> None:
         """Ask a source for less after a fill that missed its aim, once for each."""
@@ -500,7 +500,7 @@
 
     def may_fill(self, node: Node, zone: str) -> bool:
         """Tell whether a zone's caches may fill from this one: allowed, in service, warm."""
-        near = self.settings.siblings == "any" or node.m.zone == zone
+        near = self.settings.siblings == "any" or node.member.zone == zone
         return near and self.usable(node) and self.cold_rate(node) == math.inf
 
     def candidate(self, item: tuple[int, int], zone: str, asking: str) -> Node | None:
@@ -530,7 +530,7 @@
         item, node = (note.key, note.part), self.nodes.get(note.server)
         if note.kind == "ask" and note.number < len(zones):
             found = self.candidate(item, zones[note.number], note.server)
-            self.tell(event.sender, api.PeerNote("holder", *item, found.m.server if found else ""))
+            self.tell(event.sender, api.PeerNote("holder", *item, found.member.server if found else ""))
         elif note.kind == "holder":
             self.go_on(item, node)
         elif note.kind == "lacks":
--- a/hitchtiller/engine.py
+++ b/hitchtiller/engine.py
@@ -309,7 +309,7 @@
             return None
         try:
             node = self.router.nodes.get(attempt.get.server)  # it may have gone meanwhile
-            if not node or not self.effects.may_begin(ask.class_name, ask.dedupe, node.m, now):
+            if not node or not self.effects.may_begin(ask.class_name, ask.dedupe, node.member, now):
                 return None
             cap = self.router.recheck_send(attempt.get.id, attempt.shot, now)
         except Exception:  # noqa: BLE001  it would take a connection's other jobs along
@@ -319,7 +319,7 @@
             cap = self.copies.cap(attempt.exchange, cap, now)
         if cap is None:
             return None
-        self.effects.begin(ask.class_name, ask.dedupe, node.m, now)
+        self.effects.begin(ask.class_name, ask.dedupe, node.member, now)
         return SendLimits(cap, ask.deadline_ms - now)
 
     def sent(self) -> None:
--- a/hitchtiller/ops/members.py
+++ b/hitchtiller/ops/members.py
@@ -118,7 +118,7 @@
                 for action in router.actions:
                     self.engine.execute(action)
                 if now < node.out_until:
-                    logger.info("server {} left out on the word of others", node.m.server)
+                    logger.info("server {} left out on the word of others", node.member.server)
         self.outs = {mark: node.out_until for mark, node in marks.items() if now < node.out_until}
 
     def changed(self, change: Change) -> None:
--- a/hitchtiller/records.py
+++ b/hitchtiller/records.py
@@ -34,7 +34,7 @@
 class Node:
     """A listed server, with what this gateway has seen of it."""
 
-    m: Member
+    member: Member
     salt: int
     answered_ms: float
     joined_ms: float  # last start or return, 0: long ago
@@ -57,12 +57,12 @@
 
     def follow(self, member: Member, now_ms: float) -> None:
         """Take its new line of the list; a start, or a return to service, clears what was held against it."""
-        restarted = member.started_ms != self.m.started_ms
-        if restarted or self.m.state != "SERVING":
+        restarted = member.started_ms != self.member.started_ms
+        if restarted or self.member.state != "SERVING":
             self.refused_ms = 0.0 if restarted else self.refused_ms
             self.blame = self.out_until = self.debt_ms = 0.0
             self.joined_ms, self.trial = now_ms, False
-        self.m = member
+        self.member = member
 
 
 def by_hash(hashed: int, nodes: Iterable[Node]) -> list[Node]:
--- a/hitchtiller/routing/cold.py
+++ b/hitchtiller/routing/cold.py
@@ -45,15 +45,15 @@
 
     def rate_of(self, node: Node, now_ms: float, mean_ms: float, present: float) -> float:
         """Give `rate` for a listed server by its start, or by a refusal: its process was gone."""
-        start = max(node.m.started_ms, node.refused_ms)
-        if node.m.kind == self.origin_kind or not start:
+        start = max(node.member.started_ms, node.refused_ms)
+        if node.member.kind == self.origin_kind or not start:
             return math.inf
-        parent = node.m.kind == self.parent_kind
+        parent = node.member.kind == self.parent_kind
         return self.rate(parent, now_ms - start, node.safe_capacity, node.salt, mean_ms, present)
 
     def admits(self, node: Node, now_ms: float, mean_ms: float, present: float) -> bool:
         """Tell whether what was sent to a cold server is paid off, so that it may get one more call."""
-        if not node.m.started_ms and not node.refused_ms:
+        if not node.member.started_ms and not node.refused_ms:
             return True
         rate, passed = self.rate_of(node, now_ms, mean_ms, present), now_ms - node.debt_at_ms
         node.debt_at_ms = now_ms
--- a/standins/world.py
+++ b/standins/world.py
@@ -285,7 +285,7 @@
         end = self.flying.get(name)
         server, source, item = self.servers[get.server], self.servers[get.source], (ask.key, ask.part)
         knows = gateway.router.nodes.get(get.server)
-        told = knows is not None and knows.m.started_ms == max(0.0, server.started_ms)
+        told = knows is not None and knows.member.started_ms == max(0.0, server.started_ms)
         self.cold.reach(get.server, self.made.work_ms[cls.name], self.now, told)
         if end is None:
             return
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -153,7 +153,7 @@
         self.holdouts.news(Topology(tuple(ListedServer(m, ("127.0.0.1", 1)) for m in members), whole))
 
     def state(self, server: str = "c0") -> str:
-        return self.engine.router.nodes[server].m.state
+        return self.engine.router.nodes[server].member.state
 
     def ask(self, number: int) -> Attempt:
         ask = ClientRequest(
@@ -172,7 +172,7 @@
                 self.assertEqual(self.state(), "DRAINING")
         self.assertFalse([number for number in range(60) if self.ask(number).get.server == "c0"])
         self.holdouts.enable("c0")
-        self.assertEqual(self.engine.router.nodes["c0"].m, back)  # cold: it started meanwhile
+        self.assertEqual(self.engine.router.nodes["c0"].member, back)  # cold: it started meanwhile
 
     def test_sources_and_unwritten_jobs_are_barred_too(self) -> None:
         for name in ("server", "source"):
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -434,7 +434,7 @@
     bench = Bench(siblings="none", gateways_in_zone=(0, 1, 0))
     (get,) = gets(bench.ask(1, key=1, name="big", size_kb=4000.0, life_ms=5000.0))
     (attempt,) = bench.router.flights.values()
-    assert attempt.source.m.server == get.source and attempt.source.fills.unlimited
+    assert attempt.source.member.server == get.source and attempt.source.fills.unlimited
     bench.router.now = 4950.0
     bench.router.watch(attempt)
     assert not attempt.source.fills.unlimited
@@ -450,7 +450,7 @@
     bench.now = 4700.0
     (again,) = gets(bench.end(get, "econnrefused"))
     (attempt,) = bench.router.flights.values()
-    assert again.source == attempt.source.m.server != attempt.node.m.server
+    assert again.source == attempt.source.member.server != attempt.node.member.server
     bench.router.now = 4990.0
     bench.router.watch(attempt)
     assert attempt.source.fills.unlimited
