--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -53,7 +53,7 @@
         self.now, self.actions = 0.0, list[api.Action]()
         self.nodes, self.caches, self.parents = dict[str, Node](), list[Node](), list[Node]()
         self.origins, self.weight = list[Node](), 0.0  # of the zone's caches together
-        self.held, self.flights = dict[int, Held](), dict[tuple[int, int], Attempt]()
+        self.held, self.in_flight = dict[int, Held](), dict[tuple[int, int], Attempt]()
         self.popularity = Popularity()
         self.directory = Directory()  # my slice of it
         self.reported: dict[tuple[int, int], tuple[str, float]] = {}
@@ -143,7 +143,7 @@
 
     def recheck_send(self, id: int, shot: int, now_ms: float) -> float | None:
         """Guards again at an attempt's first byte: its age bound then, or None if it may not go."""
-        held, attempt, self.now = self.held.get(id), self.flights.get((id, shot)), now_ms
+        held, attempt, self.now = self.held.get(id), self.in_flight.get((id, shot)), now_ms
         if not held or not attempt or now_ms >= held.ask.deadline_ms:
             return None
         if attempt.from_origin and not self.leases.covers(held.ask.deadline_ms, now_ms):
@@ -153,7 +153,7 @@
 
     def usable(self, node: Node) -> bool:
         """Tell whether a server may be picked: listed, not left out, or due for its single trial."""
-        return node.member.state == "SERVING" and self.now >= node.out_until and not (node.trial and node.flights)
+        return node.member.state == "SERVING" and self.now >= node.out_until and not (node.trial and node.in_flight)
 
     def ranked(self, hashed: int) -> tuple[list[Node], list[Node]]:
         """Order the zone's caches, and the parents, by weighted rendezvous hash, until the list changes."""
@@ -230,7 +230,7 @@
         """Send to the picked cache: a look-up for spread or moved objects, else one attempt with its fill."""
         node, look = self.pick(held, width)
         if node is None:  # straight up where allowed and the zone's link has room: else all fills would jam
-            out = len(self.flights) - sum(n.asked for n in self.caches)
+            out = len(self.in_flight) - sum(n.asked for n in self.caches)
             fits = held.cls.write or self.suits(held, (1 + self.around() * out) / self.room)
             up = self.source(held) if self.settings.direct and fits else None
             self.send(held, up, up, "fill")
@@ -247,7 +247,7 @@
 
     def fillable(self, held: Held, source: Node) -> bool:
         """Tell whether a source may be asked for a fill now that can end in time on the zone's link in."""
-        crowd = (1 + self.around() * sum(a.stage == "fill" for a in self.flights.values())) / self.room
+        crowd = (1 + self.around() * sum(a.stage == "fill" for a in self.in_flight.values())) / self.room
         if self.fed and held.work * crowd > held.ask.deadline_ms - self.now:
             return False
         return source.fills.admits(held.work, max(self.mean.values()), held.draw)
@@ -261,7 +261,7 @@
         if not held.shots:  # one that times out was slow; a later one had less than its time
             aim = min(aim, held.ask.deadline_ms - self.now - MARGIN_MS)
         attempt = Attempt(node, source, stage, self.now, held.work, aim)
-        self.flights[held.ask.id, held.shots] = attempt
+        self.in_flight[held.ask.id, held.shots] = attempt
         attempt.book(1)
         attempt.from_origin = source.member.kind == self.settings.origin_kind and not held.cls.write
         if attempt.from_origin:
@@ -310,7 +310,7 @@
 
     def on_outcome(self, event: api.Outcome) -> None:
         """Book an attempt's end, then finish the request or send the next attempt."""
-        attempt, held = self.flights.pop((event.id, event.attempt), None), self.held.get(event.id)
+        attempt, held = self.in_flight.pop((event.id, event.attempt), None), self.held.get(event.id)
         if attempt:
             attempt.book(-1)
             if attempt.from_origin:
@@ -436,7 +436,7 @@
         node.ejections, node.trial = node.ejections + 1, True
         node.out_until = self.now + ejection_ms(node.ejections)
         self.actions.append(api.Log(f"left out {node.member.server}, {node.ejections} in a row"))
-        stuck = [shot for shot, a in self.flights.items() if a.node is node or (a.source is node and a.late)]
+        stuck = [shot for shot, a in self.in_flight.items() if a.node is node or (a.source is node and a.late)]
         self.actions += [api.Cancel(*shot) for shot in stuck if self.settings.cancel]  # to find another way
 
     def alike(self, other: Node, node: Node) -> bool:
@@ -473,7 +473,7 @@
         else:
             self.actions.append(api.SetTimer(SWEEP_MS, "sweep"))
             prompt, self.swept = self.now - self.swept < 4.0 * SWEEP_MS, self.now
-            for attempt in list(self.flights.values()) if prompt else ():  # else the lag is mine: answers
+            for attempt in list(self.in_flight.values()) if prompt else ():  # else the lag is mine: answers
                 self.watch(attempt)  # may lie unread, and good servers would be left out for it
             self.on_lease(self.leases.tick(self.now))
             self.purges.forget_until(self.now - self.settings.purge_done_ms - MARGIN_MS)
--- a/hitchtiller/records.py
+++ b/hitchtiller/records.py
@@ -43,7 +43,7 @@
     debt_ms: float = 0.0  # work sent to it while cold and not yet earned
     debt_at_ms: float = 0.0
     load_ms: float = 0.0  # my work out there
-    flights: int = 0  # my attempts out there, also as a source
+    in_flight: int = 0  # my attempts out there, also as a source
     asked: int = 0  # those sent to it itself
     late: int = 0  # the overdue of these
     blame: float = 0.0
@@ -89,7 +89,7 @@
         self.node.asked += sign
         for server in (self.node,) if self.source is self.node else (self.node, self.source):
             server.load_ms += sign * self.work
-            server.flights += sign
+            server.in_flight += sign
 
 
 @dataclass(slots=True, eq=False)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -82,7 +82,7 @@
         for _ in range(3):
             bench.give(api.Members(FLEET, whole=True))
         self.assertIs(bench.router.nodes[get.server], node)
-        self.assertEqual((node.blame, node.flights), (0.3, 1))
+        self.assertEqual((node.blame, node.in_flight), (0.3, 1))
         self.assertEqual(bench.router.cold_rate(node), float("inf"))
 
     def test_a_list_that_names_nothing_is_answered_at_once_and_the_next_one_is_taken(self) -> None:
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -96,7 +96,7 @@
     assert all(
         len(table) <= TABLE for table in (router.directory.entries, router.popularity.counts, router.reported)
     )
-    assert not router.held and not router.flights and not router.waiting
+    assert not router.held and not router.in_flight and not router.waiting
 
 
 def test_quick_failures_leave_a_cache_out_and_a_trial_brings_it_back(bench: Bench) -> None:
@@ -163,7 +163,7 @@
     bench = Bench(notes="none")
     for id in range(300):
         bench.ask(id, key=id, name="big", size_kb=900.0, life_ms=5000.0)
-    for attempt in bench.router.flights.values():
+    for attempt in bench.router.in_flight.values():
         attempt.late = True  # stuck, while others were answered: the caches are not silent
         attempt.node.late += 1
     (get,) = gets(bench.ask(900, key=1, name="big", size_kb=900.0))
@@ -433,7 +433,7 @@
     """The aim of a large object lay past its deadline: its time-outs never made the gateway ask for less."""
     bench = Bench(siblings="none", gateways_in_zone=(0, 1, 0))
     (get,) = gets(bench.ask(1, key=1, name="big", size_kb=4000.0, life_ms=5000.0))
-    (attempt,) = bench.router.flights.values()
+    (attempt,) = bench.router.in_flight.values()
     assert attempt.source.member.server == get.source and attempt.source.fills.unlimited
     bench.router.now = 4950.0
     bench.router.watch(attempt)
@@ -449,7 +449,7 @@
     (get,) = gets(bench.ask(1, key=1, name="big", size_kb=100.0, life_ms=5000.0))
     bench.now = 4700.0
     (again,) = gets(bench.end(get, "econnrefused"))
-    (attempt,) = bench.router.flights.values()
+    (attempt,) = bench.router.in_flight.values()
     assert again.source == attempt.source.member.server != attempt.node.member.server
     bench.router.now = 4990.0
     bench.router.watch(attempt)
