--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -153,7 +153,7 @@
 
     def usable(self, node: Node) -> bool:
         """Tell whether a server may be picked: listed, not left out, or due for its single trial."""
-        return node.member.state == "SERVING" and self.now >= node.out_until and not (node.trial and node.in_flight)
+        return node.member.state == "SERVING" and self.now >= node.ejected_until_ms and not (node.trial and node.in_flight)
 
     def ranked(self, hashed: int) -> tuple[list[Node], list[Node]]:
         """Order the zone's caches, and the parents, by weighted rendezvous hash, until the list changes."""
@@ -428,13 +428,13 @@
     def add_failure(self, node: Node, share: float) -> None:
         """Blame a server and leave it out, but not where its likes are blamed too: the cause is shared."""
         node.blame += (1.0 - node.blame) * share
-        if node.blame < EJECT_AT or self.now < node.out_until or node.member.kind == self.settings.origin_kind:
+        if node.blame < EJECT_AT or self.now < node.ejected_until_ms or node.member.kind == self.settings.origin_kind:
             return
         alike = [n for n in self.nodes.values() if n is not node and self.alike(n, node)]
-        if 2 * sum(self.now < n.out_until or n.blame > EJECT_AT / 2 for n in alike) >= len(alike):
+        if 2 * sum(self.now < n.ejected_until_ms or n.blame > EJECT_AT / 2 for n in alike) >= len(alike):
             return
         node.ejections, node.trial = node.ejections + 1, True
-        node.out_until = self.now + ejection_ms(node.ejections)
+        node.ejected_until_ms = self.now + ejection_ms(node.ejections)
         self.actions.append(api.Log(f"left out {node.member.server}, {node.ejections} in a row"))
         stuck = [shot for shot, a in self.in_flight.items() if a.node is node or (a.source is node and a.late)]
         self.actions += [api.Cancel(*shot) for shot in stuck if self.settings.cancel]  # to find another way
--- a/hitchtiller/ops/members.py
+++ b/hitchtiller/ops/members.py
@@ -105,21 +105,23 @@
         now, router, evidence = now_ms(), self.engine.router, self.detector.evidence
         marks = {zlib.crc32(name.encode()): node for name, node in router.nodes.items()}
         for mark, node in marks.items():
-            if now < node.out_until:
-                if self.outs.get(mark) != node.out_until:  # once for each time that it is left out
+            if now < node.ejected_until_ms:
+                if self.outs.get(mark) != node.ejected_until_ms:  # once for each time that it is left out
                     sign = Symptom.REFUSED if node.refused_ms > now - OUT_MOST else Symptom.SILENT
                     evidence.saw(mark, sign, now)
             elif node.blame < SOUND and now - node.answered_ms < self.period_ms:
                 evidence.hears(mark, node.answered_ms)
         for node in (marks[mark] for mark in evidence.verdicts(now) if mark in marks):
-            if now >= node.out_until and not self.engine.busy:
+            if now >= node.ejected_until_ms and not self.engine.busy:
                 router.now, router.actions = now, []
                 router.add_failure(node, TRUST)
                 for action in router.actions:
                     self.engine.execute(action)
-                if now < node.out_until:
+                if now < node.ejected_until_ms:
                     logger.info("server {} left out on the word of others", node.member.server)
-        self.outs = {mark: node.out_until for mark, node in marks.items() if now < node.out_until}
+        self.outs = {
+            mark: node.ejected_until_ms for mark, node in marks.items() if now < node.ejected_until_ms
+        }
 
     def changed(self, change: Change) -> None:
         """Log a change with who said so, and follow it where it is preference."""
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -110,9 +110,9 @@
             sent = gets(bench.end(sent[0], "econnrefused" if fails else "done", shot, closed=not fails))
             shot += 1
     node = bench.router.nodes[bad]
-    assert bench.now < node.out_until
+    assert bench.now < node.ejected_until_ms
     assert gets(bench.ask(100, key=5))[0].server != bad
-    bench.now = node.out_until + 1.0
+    bench.now = node.ejected_until_ms + 1.0
     (trial,) = gets(bench.ask(101, key=5, size_kb=1.0))
     assert trial.server == bad
     assert gets(bench.ask(102, key=5, size_kb=1.0))[0].server != bad  # one at a time
@@ -137,7 +137,7 @@
                 [act for _, act in bench.sent if act.id == id] if shot else gets(bench.ask(id, key=id))
             ):
                 bench.end(get, "err", shot)
-    out = [n for n in bench.router.caches if n.out_until > bench.now]
+    out = [n for n in bench.router.caches if n.ejected_until_ms > bench.now]
     assert len(out) <= 1
 
 
