--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -414,24 +414,24 @@
         node, source = attempt.node, attempt.source
         node.answered_ms = self.now
         own = source is node or status.startswith("econn")
-        self.add_failure(node, BLAME[status] * (1.0 if own else 1.0 - source.blame))
+        self.add_failure(node, BLAME[status] * (1.0 if own else 1.0 - source.failure_score))
         if not own:
-            self.add_failure(source, BLAME[status] * (1.0 - node.blame))
+            self.add_failure(source, BLAME[status] * (1.0 - node.failure_score))
 
     def clear(self, node: Node, left: float = SUCCESS_FACTOR) -> None:
         """Note an answer: the server works."""
-        node.blame *= left
+        node.failure_score *= left
         node.answered_ms = self.now
         if node.trial:
-            node.trial, node.blame, node.ejections = False, EJECT_AT / 2, max(0, node.ejections - 1)
+            node.trial, node.failure_score, node.ejections = False, EJECT_AT / 2, max(0, node.ejections - 1)
 
     def add_failure(self, node: Node, share: float) -> None:
         """Blame a server and leave it out, but not where its likes are blamed too: the cause is shared."""
-        node.blame += (1.0 - node.blame) * share
-        if node.blame < EJECT_AT or self.now < node.ejected_until_ms or node.member.kind == self.settings.origin_kind:
+        node.failure_score += (1.0 - node.failure_score) * share
+        if node.failure_score < EJECT_AT or self.now < node.ejected_until_ms or node.member.kind == self.settings.origin_kind:
             return
         alike = [n for n in self.nodes.values() if n is not node and self.alike(n, node)]
-        if 2 * sum(self.now < n.ejected_until_ms or n.blame > EJECT_AT / 2 for n in alike) >= len(alike):
+        if 2 * sum(self.now < n.ejected_until_ms or n.failure_score > EJECT_AT / 2 for n in alike) >= len(alike):
             return
         node.ejections, node.trial = node.ejections + 1, True
         node.ejected_until_ms = self.now + ejection_ms(node.ejections)
--- a/hitchtiller/ops/members.py
+++ b/hitchtiller/ops/members.py
@@ -109,7 +109,7 @@
                 if self.outs.get(mark) != node.ejected_until_ms:  # once for each time that it is left out
                     sign = Symptom.REFUSED if node.refused_ms > now - OUT_MOST else Symptom.SILENT
                     evidence.saw(mark, sign, now)
-            elif node.blame < SOUND and now - node.answered_ms < self.period_ms:
+            elif node.failure_score < SOUND and now - node.answered_ms < self.period_ms:
                 evidence.hears(mark, node.answered_ms)
         for node in (marks[mark] for mark in evidence.verdicts(now) if mark in marks):
             if now >= node.ejected_until_ms and not self.engine.busy:
--- a/hitchtiller/records.py
+++ b/hitchtiller/records.py
@@ -46,7 +46,7 @@
     in_flight: int = 0  # my attempts out there, also as a source
     asked: int = 0  # those sent to it itself
     late: int = 0  # the overdue of these
-    blame: float = 0.0
+    failure_score: float = 0.0
     ejected_until_ms: float = 0.0  # left out until then
     ejections: int = 0
     broke_ms: float = -1.0  # when a connection to it last broke
@@ -60,7 +60,7 @@
         restarted = member.started_ms != self.member.started_ms
         if restarted or self.member.state != "SERVING":
             self.refused_ms = 0.0 if restarted else self.refused_ms
-            self.blame = self.ejected_until_ms = self.debt_ms = 0.0
+            self.failure_score = self.ejected_until_ms = self.debt_ms = 0.0
             self.joined_ms, self.trial = now_ms, False
         self.member = member
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -78,11 +78,11 @@
         bench = Bench(siblings="none")
         (get,) = gets(bench.ask(1, key=5))
         node = bench.router.nodes[get.server]
-        node.blame = 0.3
+        node.failure_score = 0.3
         for _ in range(3):
             bench.give(api.Members(FLEET, whole=True))
         self.assertIs(bench.router.nodes[get.server], node)
-        self.assertEqual((node.blame, node.in_flight), (0.3, 1))
+        self.assertEqual((node.failure_score, node.in_flight), (0.3, 1))
         self.assertEqual(bench.router.cold_rate(node), float("inf"))
 
     def test_a_list_that_names_nothing_is_answered_at_once_and_the_next_one_is_taken(self) -> None:
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -105,7 +105,7 @@
         """It was told as never sent, and silent machines were picked again and again."""
         attempt = self.ask()
         PullJob(attempt).broken("econnrefused")
-        self.assertGreater(self.engine.router.nodes[attempt.get.server].blame, 0.0)
+        self.assertGreater(self.engine.router.nodes[attempt.get.server].failure_score, 0.0)
 
     def test_what_an_answer_may_lack_follows_from_its_class(self) -> None:
         """Each sign-off, an effect without a key, ended its connection with all that was open on it."""
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -183,7 +183,7 @@
 
     def test_old_blame_does_not_keep_out_what_is_given_back(self) -> None:
         node = self.engine.router.nodes["c0"]
-        node.blame, node.ejected_until_ms, node.trial = 0.9, self.clock.now + 60_000.0, True
+        node.failure_score, node.ejected_until_ms, node.trial = 0.9, self.clock.now + 60_000.0, True
         self.holdouts.disable("c0")
         self.holdouts.enable("c0")
         self.assertTrue(self.engine.router.usable(self.engine.router.nodes["c0"]))
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -316,7 +316,7 @@
     for get in sent:
         bench.end(get, "econnreset")
     node = bench.router.nodes[sent[0].server]
-    assert 0.0 < node.blame <= 0.25
+    assert 0.0 < node.failure_score <= 0.25
 
 
 def test_an_error_is_blamed_in_full_only_if_another_attempt_is_served(bench: Bench) -> None:
@@ -326,12 +326,12 @@
     (third,) = gets(bench.end(second, "err", shot=1))
     acts = bench.end(third, "err", shot=2)
     assert isinstance(acts[-1], api.Refuse)
-    assert max(node.blame for node in bench.router.nodes.values()) < 0.3
+    assert max(node.failure_score for node in bench.router.nodes.values()) < 0.3
     (first,) = gets(bench.ask(2, key=5, size_kb=10.0))
-    before = bench.router.nodes[first.source].blame
+    before = bench.router.nodes[first.source].failure_score
     (second,) = gets(bench.end(first, "err"))
     bench.end(second, "done", shot=1, closed=True)
-    assert bench.router.nodes[first.source].blame > before + 0.1
+    assert bench.router.nodes[first.source].failure_score > before + 0.1
 
 
 def test_sizes_that_cannot_be_do_not_spoil_a_classs_mean(bench: Bench) -> None:
@@ -360,9 +360,9 @@
     bench.give(api.TimerDue("sweep"), at=50.0)
     bench.ask(1, key=5, size_kb=10.0)
     bench.give(api.TimerDue("sweep"), at=2000.0)
-    assert not any(node.blame for node in bench.router.nodes.values())
+    assert not any(node.failure_score for node in bench.router.nodes.values())
     bench.give(api.TimerDue("sweep"), at=2050.0)
-    assert any(node.blame for node in bench.router.nodes.values())
+    assert any(node.failure_score for node in bench.router.nodes.values())
 
 
 def test_a_client_that_leaves_while_a_home_router_is_asked_leaves_no_entry() -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -248,9 +248,9 @@
     bench.give(api.Outcome(get.id, 0, get.server, "econnrefused", 1.0))
     refused = bench.router.nodes[get.server]
     assert refused.refused_ms == 5000.0 and bench.router.cold_rate(refused) < math.inf
-    refused.blame = 0.5
+    refused.failure_score = 0.5
     bench.give(api.Members(FLEET, whole=True), 6000.0)  # the old record again: it tells nothing new
-    assert refused.blame == 0.5 and bench.router.cold_rate(refused) < math.inf
+    assert refused.failure_score == 0.5 and bench.router.cold_rate(refused) < math.inf
     told = tuple(replace(m, started_ms=-20_000.0) if m.server == get.server else m for m in FLEET)
     bench.give(api.Members(told, whole=True), 6100.0)  # the list tells its start: that wins
     assert refused.refused_ms == 0.0 and bench.router.cold_rate(refused) == math.inf
