--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -13,7 +13,7 @@
 
 from hitchtiller import interface as api
 from hitchtiller.records import Attempt, Held, Node, by_hash, hash64, lru_put
-from hitchtiller.routing.blame import ASSUMED_FILL_SHARE, BLAME, EJECT_AT, SUCCESS_FACTOR, ejection_ms
+from hitchtiller.routing.blame import ASSUMED_FILL_SHARE, FAILURE_SHARES, EJECT_AT, SUCCESS_FACTOR, ejection_ms
 from hitchtiller.routing.capacity import Capacity
 from hitchtiller.routing.cold import ColdGuard
 from hitchtiller.routing.directory import ENTRY_MS, Directory
@@ -403,7 +403,7 @@
         elif event.status == "err" and held:
             held.errors += (attempt,)  # a client's bad request must not have good servers left out
             self.fault(attempt, "doubt")
-        elif event.status in BLAME and not (event.status == "econnreset" and attempt.sent <= node.broke_ms):
+        elif event.status in FAILURE_SHARES and not (event.status == "econnreset" and attempt.sent <= node.broke_ms):
             node.broke_ms = self.now if event.status == "econnreset" else node.broke_ms
             if event.status == "econnrefused" and not event.silent:  # its process is gone: back cold
                 node.refused_ms = self.now
@@ -414,9 +414,9 @@
         node, source = attempt.node, attempt.source
         node.answered_ms = self.now
         own = source is node or status.startswith("econn")
-        self.add_failure(node, BLAME[status] * (1.0 if own else 1.0 - source.failure_score))
+        self.add_failure(node, FAILURE_SHARES[status] * (1.0 if own else 1.0 - source.failure_score))
         if not own:
-            self.add_failure(source, BLAME[status] * (1.0 - node.failure_score))
+            self.add_failure(source, FAILURE_SHARES[status] * (1.0 - node.failure_score))
 
     def clear(self, node: Node, left: float = SUCCESS_FACTOR) -> None:
         """Note an answer: the server works."""
@@ -459,7 +459,7 @@
             attempt.late = True
             node.late += 1
             wrong = source if node.answered_ms > attempt.sent else node
-            self.add_failure(wrong, BLAME["silence" if wrong.answered_ms <= attempt.sent else "slow"])
+            self.add_failure(wrong, FAILURE_SHARES["silence" if wrong.answered_ms <= attempt.sent else "slow"])
 
     def on_timer(self, event: api.TimerDue) -> None:
         """Look for overdue work and drop old purges; ask discovery again; stop waiting for a home router."""
--- a/hitchtiller/routing/blame.py
+++ b/hitchtiller/routing/blame.py
@@ -5,7 +5,7 @@
 repetition, and comes back on trial, with one attempt at a time.
 """
 
-BLAME = {
+FAILURE_SHARES = {
     "err": 0.25,
     "econnreset": 0.25,
     "econnrefused": 0.4,
