--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -53,7 +53,7 @@
         self.now, self.actions = 0.0, list[api.Action]()
         self.nodes, self.caches, self.parents = dict[str, Node](), list[Node](), list[Node]()
         self.origins, self.weight = list[Node](), 0.0  # of the zone's caches together
-        self.held, self.in_flight = dict[int, Held](), dict[tuple[int, int], Attempt]()
+        self.open_requests, self.in_flight = dict[int, Held](), dict[tuple[int, int], Attempt]()
         self.popularity = Popularity()
         self.directory = Directory()  # my slice of it
         self.reported: dict[tuple[int, int], tuple[str, float]] = {}
@@ -143,7 +143,7 @@
 
     def recheck_send(self, id: int, shot: int, now_ms: float) -> float | None:
         """Guards again at an attempt's first byte: its age bound then, or None if it may not go."""
-        held, attempt, self.now = self.held.get(id), self.in_flight.get((id, shot)), now_ms
+        held, attempt, self.now = self.open_requests.get(id), self.in_flight.get((id, shot)), now_ms
         if not held or not attempt or now_ms >= held.ask.deadline_ms:
             return None
         if attempt.from_origin and not self.leases.covers(held.ask.deadline_ms, now_ms):
@@ -222,7 +222,7 @@
         hashed = hash64(ask.key, ask.part)
         item, home = (ask.key, ask.part), self.home_of(hashed)
         held = Held(ask, cls, work, known, item, hashed, home, self.rng.random())
-        self.held[ask.id] = held
+        self.open_requests[ask.id] = held
         self.tokens = min(RETRY_BANK, self.tokens + RETRY_EARN)
         self.start(held, self.count(held))
 
@@ -279,7 +279,7 @@
 
     def give_up(self, held: Held) -> None:
         """Answer finally, at once; effects guard: a refusal says that trying again is harmless."""
-        if held.out or self.awaits_lease(held) or self.held.pop(held.ask.id, None) is None:
+        if held.out or self.awaits_lease(held) or self.open_requests.pop(held.ask.id, None) is None:
             return
         cls, asked = held.cls, RETRY_AFTER_MS * (0.5 + self.rng.random())
         wait = min(asked, self.settings.max_retry_after_ms) if self.settings.retry_after else 0.0
@@ -303,14 +303,14 @@
         if not self.leases.pending_request:
             waiters, self.lease_waiters = self.lease_waiters, []
             for held in waiters:
-                if held.ask.id in self.held and self.leases.may_begin(held.ask.deadline_ms, self.now):
+                if held.ask.id in self.open_requests and self.leases.may_begin(held.ask.deadline_ms, self.now):
                     self.start(held, 1)
                 else:
                     self.give_up(held)
 
     def on_outcome(self, event: api.Outcome) -> None:
         """Book an attempt's end, then finish the request or send the next attempt."""
-        attempt, held = self.in_flight.pop((event.id, event.attempt), None), self.held.get(event.id)
+        attempt, held = self.in_flight.pop((event.id, event.attempt), None), self.open_requests.get(event.id)
         if attempt:
             attempt.book(-1)
             if attempt.from_origin:
@@ -323,7 +323,7 @@
         if event.status not in NEVER_RAN and held.ran is None:
             held.ran = (attempt.sent, attempt.node)
         if event.closed:
-            del self.held[event.id]
+            del self.open_requests[event.id]
             if event.status == "done":
                 self.sizes.learn(held.ask, event, not held.cls.write, attempt.node.pace.now(self.now))
                 self.served(held, attempt.node)
@@ -378,7 +378,7 @@
 
     def on_left(self, event: api.ClientLeft) -> None:
         """Forget a request, also where it waits for a home router."""
-        held = self.held.pop(event.id, None)
+        held = self.open_requests.pop(event.id, None)
         if held and event.id in (waiting := self.waiting.get(held.item, [])):
             waiting.remove(event.id)
             if not waiting:
@@ -466,7 +466,7 @@
         if event.token == "watch":
             self.actions.append(api.Watch())
         elif event.token != "sweep":
-            held = self.held.get(int(event.token)) if event.token.isdecimal() else None
+            held = self.open_requests.get(int(event.token)) if event.token.isdecimal() else None
             if held and held.ask.id in self.waiting.get(held.item, []):  # not an older wait's timer
                 self.silent_homes[held.home] = self.now + AGAIN_MS
                 self.go_on(held.item, None)
@@ -495,8 +495,8 @@
     def go_on(self, item: tuple[int, int], sibling: Node | None) -> None:
         """Go on with the requests that waited for a home router."""
         for request in self.waiting.pop(item, []):
-            if request in self.held:
-                self.fill(self.held[request], sibling)
+            if request in self.open_requests:
+                self.fill(self.open_requests[request], sibling)
 
     def may_fill(self, node: Node, zone: str) -> bool:
         """Tell whether a zone's caches may fill from this one: allowed, in service, warm."""
--- a/tests/routing/test_routing_leases.py
+++ b/tests/routing/test_routing_leases.py
@@ -254,7 +254,7 @@
     assert isinstance(told.note, LeaseNote)
     denial = replace(told.note, kind=LeaseKind.DENIAL, wait_ms=500.0)
     (refused,) = bench.give(api.PeerMessage(told.peer, denial), START_MS + 20.0)
-    assert isinstance(refused, api.Refuse) and bench.router.held == {}
+    assert isinstance(refused, api.Refuse) and bench.router.open_requests == {}
 
 
 def test_a_miss_whose_owner_does_not_answer_is_given_up_after_a_while() -> None:
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -96,7 +96,7 @@
     assert all(
         len(table) <= TABLE for table in (router.directory.entries, router.popularity.counts, router.reported)
     )
-    assert not router.held and not router.in_flight and not router.waiting
+    assert not router.open_requests and not router.in_flight and not router.waiting
 
 
 def test_quick_failures_leave_a_cache_out_and_a_trial_brings_it_back(bench: Bench) -> None:
@@ -282,7 +282,7 @@
         acts = bench.end(look, "enoent")
         timers.append(next(act for act in acts if isinstance(act, api.SetTimer)))
         if id == 1:  # home answers, the wait is over; its timer is still to come
-            answer = api.PeerMessage(bench.router.held[1].home, api.PeerNote("holder", 9, 0, ""))
+            answer = api.PeerMessage(bench.router.open_requests[1].home, api.PeerNote("holder", 9, 0, ""))
             assert gets(bench.give(answer))
     assert bench.give(api.TimerDue(timers[0].token)) == []
     assert [get.id for get in gets(bench.give(api.TimerDue(timers[1].token)))] == [2]
@@ -382,7 +382,7 @@
     bench.give(api.Members(FLEET, whole=True), 1.0)
     for id in range(6):
         bench.ask(id, key=id, name="big", size_kb=400.0)
-    held = next(iter(bench.router.held.values()))
+    held = next(iter(bench.router.open_requests.values()))
     node = bench.router.nodes["c0"]
     bench.router.present = lambda: 1.0
     assert not bench.router.in_time(held, node)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -29,7 +29,7 @@
 def test_a_time_out_at_the_deadline_is_answered_at_once(bench: Bench) -> None:
     (get,) = gets(bench.ask(1))
     bench.now = 3000.0
-    assert finals(bench.end(get, "etimedout")) and not bench.router.held
+    assert finals(bench.end(get, "etimedout")) and not bench.router.open_requests
 
 
 def test_a_request_held_for_its_home_goes_on_when_home_is_silent() -> None:
