--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -59,7 +59,7 @@
         self.reported: dict[tuple[int, int], tuple[str, float]] = {}
         self.waiting: dict[tuple[int, int], list[int]] = {}
         self.home_of: Callable[[int], int] = lambda hashed: hashed % settings.group_size  # or by membership
-        self.present: Callable[[], float] = lambda: 1.0  # share of the gateways in service, by membership
+        self.serving_share: Callable[[], float] = lambda: 1.0  # share of the gateways in service, by membership
         self.silent_homes: dict[int, float] = {}  # home routers that did not answer, until when
         self.purges = PurgeLog()
         self.rankings: dict[int, tuple[list[Node], list[Node]]] = {}  # of caches and parents, by hash
@@ -115,11 +115,11 @@
 
     def cold_rate(self, node: Node) -> float:
         """Cold guard: work I may add a ms to a server that started lately, less the one attempt above it."""
-        return self.cold.rate_of(node, self.now, max(self.mean.values()), self.present())
+        return self.cold.rate_of(node, self.now, max(self.mean.values()), self.serving_share())
 
     def admits(self, node: Node) -> bool:
         """Tell whether a cold server's debt is paid off, so that it may get one more."""
-        return self.cold.admits(node, self.now, max(self.mean.values()), self.present())
+        return self.cold.admits(node, self.now, max(self.mean.values()), self.serving_share())
 
     def oldest(self, held: Held, stage: str) -> float:
         """Bound a copy's age by purges and its fresh time; with the grace where no fill would follow."""
@@ -179,7 +179,7 @@
 
     def around(self) -> float:
         """Give the gateways of my zone in service: crowds are guessed by it, never a rule's share."""
-        return max(1.0, self.cold.in_zone * self.present())
+        return max(1.0, self.cold.in_zone * self.serving_share())
 
     def in_time(self, held: Held, node: Node, stuck: bool = True) -> bool:
         """Tell whether a request can be in time in this crowd (overload), with or without stuck fills."""
--- a/hitchtiller/ops/members.py
+++ b/hitchtiller/ops/members.py
@@ -49,9 +49,9 @@
         self.changes: Counter[str] = Counter()
         self.handed = 0  # directory entries told to a new home
         self.outs: dict[int, float] = {}  # servers that I leave out, by mark, until when
-        self.serving, self.present = set(range(size)), 1.0  # who is in service, and their share of all
+        self.serving, self.serving_share = set(range(size)), 1.0  # who is in service, and their share of all
         peers.on_other_datagram = self.receive
-        engine.router.present = lambda: self.present
+        engine.router.serving_share = lambda: self.serving_share
         engine.router.home_of = lambda hashed: self.homes.home(hashed, self.serving)
         levels = {"members_alive": State.ALIVE, "members_suspect": State.SUSPECT, "members_dead": State.DEAD}
         for name, state in levels.items():
@@ -160,7 +160,7 @@
         before, self.serving = self.serving, set(self.view.in_service())
         for number in self.serving - before:
             self.hand_over(before, self.serving, number)
-        self.present = 1.0 / preferred_share(self.serving, self.me) / len(self.view.claims)
+        self.serving_share = 1.0 / preferred_share(self.serving, self.me) / len(self.view.claims)
 
     def leave(self) -> None:
         """Hand my directory entries over, and tell a few that I leave by plan."""
--- a/hitchtiller/routing/cold.py
+++ b/hitchtiller/routing/cold.py
@@ -43,30 +43,36 @@
             True: (s.parent_cold_share, s.parent_cold_ms, s.parent_fall_multiple, s.group_size),
         }
 
-    def rate_of(self, node: Node, now_ms: float, mean_ms: float, present: float) -> float:
+    def rate_of(self, node: Node, now_ms: float, mean_ms: float, serving_share: float) -> float:
         """Give `rate` for a listed server by its start, or by a refusal: its process was gone."""
         start = max(node.member.started_ms, node.refused_ms)
         if node.member.kind == self.origin_kind or not start:
             return math.inf
         parent = node.member.kind == self.parent_kind
-        return self.rate(parent, now_ms - start, node.safe_capacity, node.salt, mean_ms, present)
+        return self.rate(parent, now_ms - start, node.safe_capacity, node.salt, mean_ms, serving_share)
 
-    def admits(self, node: Node, now_ms: float, mean_ms: float, present: float) -> bool:
+    def admits(self, node: Node, now_ms: float, mean_ms: float, serving_share: float) -> bool:
         """Tell whether what was sent to a cold server is paid off, so that it may get one more call."""
         if not node.member.started_ms and not node.refused_ms:
             return True
-        rate, passed = self.rate_of(node, now_ms, mean_ms, present), now_ms - node.debt_at_ms
+        rate, passed = self.rate_of(node, now_ms, mean_ms, serving_share), now_ms - node.debt_at_ms
         node.debt_at_ms = now_ms
         node.debt_ms = 0.0 if rate == math.inf else max(0.0, node.debt_ms - rate * passed)
         return rate > 0.0 and node.debt_ms <= 0.0
 
     def rate(
-        self, parent: bool, age_ms: float, safe_capacity: float, salt: int, mean_ms: float, present: float
+        self,
+        parent: bool,
+        age_ms: float,
+        safe_capacity: float,
+        salt: int,
+        mean_ms: float,
+        serving_share: float,
     ) -> float:
         """Give the work a ms that this gateway may add to what it has sent; infinite once the server is warm.
 
         `safe_capacity` is the server's link in transfers, `mean_ms` the work of a call of the costliest
-        class, `present` the share of the gateways in service.
+        class, `serving_share` the share of the gateways in service.
         """
         share, ramp, multiple, pool = self.figures[parent]
         if age_ms >= ramp:
@@ -75,7 +81,7 @@
         budget = multiple * able * self.fall_ms / mean_ms  # N
         users = max(1.0, math.floor(SAFETY * budget / 2.0))
         if pool <= users:
-            users, wanted = pool, max(1.0, pool * present)
+            users, wanted = pool, max(1.0, pool * serving_share)
         elif pool == self.group:
             if (self.mine * TURN + salt) % pool >= users:
                 return 0.0
--- a/tests/scale/test_scale_leases.py
+++ b/tests/scale/test_scale_leases.py
@@ -83,7 +83,7 @@
     """Have each believe something else of who is in service: alone, half of them, all."""
     shares = (1.0 / fleet.plan.demand.gateways, 0.5, 1.0)
     for number, gateway in fleet.running.items():
-        gateway.router.present = lambda share=shares[number % 3]: share  # type: ignore[misc]
+        gateway.router.serving_share = lambda share=shares[number % 3]: share  # type: ignore[misc]
 
 
 @pytest.mark.parametrize(("gateways", "each_per_s", "seconds"), FAULTY)
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -37,7 +37,7 @@
                       siblings="none", notes="none", fall_multiple=MULTIPLE, cold_share=SHARE,
                       cold_ms=RAMP_MS)  # fmt: skip
         bench.router.mean.update(dict.fromkeys(bench.router.mean, work_ms))
-        bench.router.present = lambda: present
+        bench.router.serving_share = lambda: present
         bench.give(api.Members(cold, whole=True), 1.0)
         benches.append(bench)
     sent = []
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -384,9 +384,9 @@
         bench.ask(id, key=id, name="big", size_kb=400.0)
     held = next(iter(bench.router.open_requests.values()))
     node = bench.router.nodes["c0"]
-    bench.router.present = lambda: 1.0
+    bench.router.serving_share = lambda: 1.0
     assert not bench.router.in_time(held, node)
-    bench.router.present = lambda: 0.1
+    bench.router.serving_share = lambda: 0.1
     assert bench.router.in_time(held, node)
 
 
