--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -187,7 +187,7 @@
         mine = node.asked if stuck else node.asked - node.late
         zone = (self.around() - 1.0) * asked  # the others': as mine on average
         crowd = zone / self.weight + (1 + mine) / node.link
-        return self.suits(held, crowd if held.cls.write else max(crowd, node.pace.crowd(self.now)))
+        return self.suits(held, crowd if held.cls.write else max(crowd, node.pace.significant_stretch(self.now)))
 
     def suits(self, held: Held, crowd: float) -> bool:
         """Tell whether sending, stretched by a crowd, stays within the aim."""
--- a/hitchtiller/routing/pace.py
+++ b/hitchtiller/routing/pace.py
@@ -30,7 +30,7 @@
         """Give the stretch to expect."""
         return 1.0 + self.over * math.exp((self.at_ms - now_ms) / FORGET_MS) if self.over else 1.0
 
-    def crowd(self, now_ms: float) -> float:
+    def significant_stretch(self, now_ms: float) -> float:
         """Give the stretch where it is worth a word: at full pace there may be no crowd at all."""
         stretch = self.now(now_ms)
         return stretch if stretch > WORTH else 0.0
