--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from hitchtiller import interface as api
-from hitchtiller.records import Attempt, Held, Node, by_hash, hash64, lru_put
+from hitchtiller.records import Attempt, OpenRequest, Node, by_hash, hash64, lru_put
 from hitchtiller.routing.blame import ASSUMED_FILL_SHARE, FAILURE_SHARES, EJECT_AT, SUCCESS_FACTOR, ejection_ms
 from hitchtiller.routing.capacity import Capacity
 from hitchtiller.routing.cold import ColdGuard
@@ -53,7 +53,7 @@
         self.now, self.actions = 0.0, list[api.Action]()
         self.nodes, self.caches, self.parents = dict[str, Node](), list[Node](), list[Node]()
         self.origins, self.weight = list[Node](), 0.0  # of the zone's caches together
-        self.open_requests, self.in_flight = dict[int, Held](), dict[tuple[int, int], Attempt]()
+        self.open_requests, self.in_flight = dict[int, OpenRequest](), dict[tuple[int, int], Attempt]()
         self.popularity = Popularity()
         self.directory = Directory()  # my slice of it
         self.reported: dict[tuple[int, int], tuple[str, float]] = {}
@@ -77,7 +77,7 @@
         self.room = link / (settings.flow_kb_per_s or math.inf) or 8.0  # transfers on my zone's link
         self.fed = link > 0.0 and settings.flow_kb_per_s > 0.0  # it is told
         self.cold = ColdGuard(settings)
-        self.leases, self.lease_waiters = OriginLeases(settings, ORIGIN_FILLS), list[Held]()
+        self.leases, self.lease_waiters = OriginLeases(settings, ORIGIN_FILLS), list[OpenRequest]()
 
     def handle(self, event: api.Event, now_ms: float) -> list[api.Action]:
         """Decide on one event; the actions are to be carried out in this order."""
@@ -121,35 +121,35 @@
         """Tell whether a cold server's debt is paid off, so that it may get one more."""
         return self.cold.admits(node, self.now, max(self.mean.values()), self.serving_share())
 
-    def oldest(self, held: Held, stage: str) -> float:
+    def oldest(self, req: OpenRequest, stage: str) -> float:
         """Bound a copy's age by purges and its fresh time; with the grace where no fill would follow."""
-        fresh = held.cls.fresh_ms + (held.cls.grace_ms if stage == "only" else 0.0)
-        age = min(fresh or math.inf, max(1.0, self.now - self.purges.latest(held.ask.key, held.ask.group)))
+        fresh = req.cls.fresh_ms + (req.cls.grace_ms if stage == "only" else 0.0)
+        age = min(fresh or math.inf, max(1.0, self.now - self.purges.latest(req.ask.key, req.ask.group)))
         return 0.0 if age == math.inf else age
 
-    def may_send(self, held: Held, node: Node) -> bool:
+    def may_send(self, req: OpenRequest, node: Node) -> bool:
         """Deadline and effects guard: no send past the end, none that could repeat an effect."""
-        if held.out or held.shots >= self.settings.max_attempts or self.now >= held.ask.deadline_ms:
+        if req.out or req.shots >= self.settings.max_attempts or self.now >= req.ask.deadline_ms:
             return False
-        return self.may_repeat(held, node)
+        return self.may_repeat(req, node)
 
-    def may_repeat(self, held: Held, node: Node) -> bool:
+    def may_repeat(self, req: OpenRequest, node: Node) -> bool:
         """Effects guard, again at the first byte: the window counts from the first that may have run."""
-        cls = held.cls
-        if held.ran is None or cls.effect == "repeatable":
+        cls = req.cls
+        if req.ran is None or cls.effect == "repeatable":
             return True
-        within = self.now < held.ran[0] + cls.repeat_window_ms - MARGIN_MS
-        return cls.effect == "by_key" and within and same_scope(cls, held.ran[1].member, node.member)
+        within = self.now < req.ran[0] + cls.repeat_window_ms - MARGIN_MS
+        return cls.effect == "by_key" and within and same_scope(cls, req.ran[1].member, node.member)
 
     def recheck_send(self, id: int, shot: int, now_ms: float) -> float | None:
         """Guards again at an attempt's first byte: its age bound then, or None if it may not go."""
-        held, attempt, self.now = self.open_requests.get(id), self.in_flight.get((id, shot)), now_ms
-        if not held or not attempt or now_ms >= held.ask.deadline_ms:
+        req, attempt, self.now = self.open_requests.get(id), self.in_flight.get((id, shot)), now_ms
+        if not req or not attempt or now_ms >= req.ask.deadline_ms:
             return None
-        if attempt.from_origin and not self.leases.covers(held.ask.deadline_ms, now_ms):
+        if attempt.from_origin and not self.leases.covers(req.ask.deadline_ms, now_ms):
             return None
         serving = attempt.node.member.state == "SERVING" and attempt.source.member.state == "SERVING"
-        return self.oldest(held, attempt.stage) if serving and self.may_repeat(held, attempt.node) else None
+        return self.oldest(req, attempt.stage) if serving and self.may_repeat(req, attempt.node) else None
 
     def usable(self, node: Node) -> bool:
         """Tell whether a server may be picked: listed, not left out, or due for its single trial."""
@@ -163,56 +163,56 @@
             lru_put(self.rankings, hashed, orders, TABLE)
         return orders
 
-    def pick(self, held: Held, width: int) -> tuple[Node | None, bool]:
+    def pick(self, req: OpenRequest, width: int) -> tuple[Node | None, bool]:
         """Pick the cache (better one left out than none); tell if the object is spread or moved."""
-        order = self.ranked(held.hash)[0]
-        serving = [n for n in order if n.member.state == "SERVING" and n not in held.avoid]
+        order = self.ranked(req.hash)[0]
+        serving = [n for n in order if n.member.state == "SERVING" and n not in req.avoid]
         open_to = [n for n in serving if self.admits(n)]
         able = [n for n in open_to if self.usable(n)] or open_to
         if not able:
             return None, False
         node = min(able[:width], key=lambda n: n.load_ms / n.link)
-        if not self.in_time(held, node):  # exception: the rest of the zone before a refusal
-            node = min(able, key=lambda n: (n.load_ms + held.work) * n.pace.now(self.now) / n.link)
+        if not self.in_time(req, node):  # exception: the rest of the zone before a refusal
+            node = min(able, key=lambda n: (n.load_ms + req.work) * n.pace.now(self.now) / n.link)
         moved = width > 1 or node is not order[0] or self.now < node.joined_ms + MOVED_MS
-        return node, moved and not held.cls.write and self.settings.siblings != "none"
+        return node, moved and not req.cls.write and self.settings.siblings != "none"
 
     def around(self) -> float:
         """Give the gateways of my zone in service: crowds are guessed by it, never a rule's share."""
         return max(1.0, self.cold.in_zone * self.serving_share())
 
-    def in_time(self, held: Held, node: Node, stuck: bool = True) -> bool:
+    def in_time(self, req: OpenRequest, node: Node, stuck: bool = True) -> bool:
         """Tell whether a request can be in time in this crowd (overload), with or without stuck fills."""
         asked = sum(n.asked if stuck else n.asked - n.late for n in self.caches)
         mine = node.asked if stuck else node.asked - node.late
         zone = (self.around() - 1.0) * asked  # the others': as mine on average
         crowd = zone / self.weight + (1 + mine) / node.link
-        return self.suits(held, crowd if held.cls.write else max(crowd, node.pace.significant_stretch(self.now)))
+        return self.suits(req, crowd if req.cls.write else max(crowd, node.pace.significant_stretch(self.now)))
 
-    def suits(self, held: Held, crowd: float) -> bool:
+    def suits(self, req: OpenRequest, crowd: float) -> bool:
         """Tell whether sending, stretched by a crowd, stays within the aim."""
-        work = held.work * (1.0 if held.known else UNTOLD)
-        whole = held.cls.aim_ms + held.cls.aim_stretch * work  # a link that is not full stretches nothing
+        work = req.work * (1.0 if req.known else UNTOLD)
+        whole = req.cls.aim_ms + req.cls.aim_stretch * work  # a link that is not full stretches nothing
         return work * crowd < (whole if crowd < 1.0 else IN_TIME * whole)
 
-    def source(self, held: Held) -> Node | None:
+    def source(self, req: OpenRequest) -> Node | None:
         """Name where a miss is filled from: hashed hub parent, one parent hashed over all, the origin."""
-        wide = [n for n in self.ranked(held.hash)[1] if self.usable(n) and n not in held.avoid]
+        wide = [n for n in self.ranked(req.hash)[1] if self.usable(n) and n not in req.avoid]
         for node in [n for n in wide if n.member.zone == self.hub][:1] + wide:
-            if not held.cls.write and self.admits(node):
+            if not req.cls.write and self.admits(node):
                 return node
-        if not held.cls.write and not self.leases.may_begin(held.ask.deadline_ms, self.now):
+        if not req.cls.write and not self.leases.may_begin(req.ask.deadline_ms, self.now):
             self.actions += [api.SendNote(peer, note) for peer, note in self.leases.request_lease(self.now)]
-            held.lacks_lease = True
+            req.lacks_lease = True
             return None
         return next(iter(self.origins), None)
 
-    def count(self, held: Held) -> int:
+    def count(self, req: OpenRequest) -> int:
         """Count a request for an object: its rank when kept, and how many caches should share it."""
-        heat = self.popularity.count(held.item, self.now)
-        held.keep = keep_rank(heat)
+        heat = self.popularity.count(req.item, self.now)
+        req.keep = keep_rank(heat)
         link = self.weight / max(1, len(self.caches)) or 1.0
-        share = heat * held.work * self.around() / DECAY_MS / link
+        share = heat * req.work * self.around() / DECAY_MS / link
         return caches_for(heat, share)
 
     def on_request(self, ask: api.Request) -> None:
@@ -221,78 +221,78 @@
         work, known = self.sizes.estimate(ask)
         hashed = hash64(ask.key, ask.part)
         item, home = (ask.key, ask.part), self.home_of(hashed)
-        held = Held(ask, cls, work, known, item, hashed, home, self.rng.random())
-        self.open_requests[ask.id] = held
+        req = OpenRequest(ask, cls, work, known, item, hashed, home, self.rng.random())
+        self.open_requests[ask.id] = req
         self.tokens = min(RETRY_BANK, self.tokens + RETRY_EARN)
-        self.start(held, self.count(held))
+        self.start(req, self.count(req))
 
-    def start(self, held: Held, width: int) -> None:
+    def start(self, req: OpenRequest, width: int) -> None:
         """Send to the picked cache: a look-up for spread or moved objects, else one attempt with its fill."""
-        node, look = self.pick(held, width)
+        node, look = self.pick(req, width)
         if node is None:  # straight up where allowed and the zone's link has room: else all fills would jam
             out = len(self.in_flight) - sum(n.asked for n in self.caches)
-            fits = held.cls.write or self.suits(held, (1 + self.around() * out) / self.room)
-            up = self.source(held) if self.settings.direct and fits else None
-            self.send(held, up, up, "fill")
-        elif not self.in_time(held, node):  # exception: beside stuck fills a hit may be in time
-            self.send(held, node if self.in_time(held, node, stuck=False) else None, node, "only")
-        elif look and held.shots + 2 < self.settings.max_attempts:
-            self.send(held, node, node, "look")
+            fits = req.cls.write or self.suits(req, (1 + self.around() * out) / self.room)
+            up = self.source(req) if self.settings.direct and fits else None
+            self.send(req, up, up, "fill")
+        elif not self.in_time(req, node):  # exception: beside stuck fills a hit may be in time
+            self.send(req, node if self.in_time(req, node, stuck=False) else None, node, "only")
+        elif look and req.shots + 2 < self.settings.max_attempts:
+            self.send(req, node, node, "look")
         else:
-            source = self.source(held)
-            if held.cls.write or (source and source.fills.unlimited and self.fillable(held, source)):
-                return self.send(held, node, source, "fill")
-            stage = "check" if source and self.fillable(held, source) else "only"  # exception: hits stay
-            self.send(held, node, node, stage)  # prompt while fills jam, and only fills are counted as such
+            source = self.source(req)
+            if req.cls.write or (source and source.fills.unlimited and self.fillable(req, source)):
+                return self.send(req, node, source, "fill")
+            stage = "check" if source and self.fillable(req, source) else "only"  # exception: hits stay
+            self.send(req, node, node, stage)  # prompt while fills jam, and only fills are counted as such
 
-    def fillable(self, held: Held, source: Node) -> bool:
+    def fillable(self, req: OpenRequest, source: Node) -> bool:
         """Tell whether a source may be asked for a fill now that can end in time on the zone's link in."""
         crowd = (1 + self.around() * sum(a.stage == "fill" for a in self.in_flight.values())) / self.room
-        if self.fed and held.work * crowd > held.ask.deadline_ms - self.now:
+        if self.fed and req.work * crowd > req.ask.deadline_ms - self.now:
             return False
-        return source.fills.admits(held.work, max(self.mean.values()), held.draw)
+        return source.fills.admits(req.work, max(self.mean.values()), req.draw)
 
-    def send(self, held: Held, node: Node | None, source: Node | None, stage: str) -> None:
+    def send(self, req: OpenRequest, node: Node | None, source: Node | None, stage: str) -> None:
         """Run the guards, then send; what may not be sent is given up at once."""
         servers = [n for n in (node, source) if n and n.member.state == "SERVING"]  # drain guard, for sources too
-        if not node or not source or len(servers) < 2 or not self.may_send(held, node):
-            return self.give_up(held)
-        aim = held.cls.aim_ms + held.cls.aim_stretch * held.work
-        if not held.shots:  # one that times out was slow; a later one had less than its time
-            aim = min(aim, held.ask.deadline_ms - self.now - MARGIN_MS)
-        attempt = Attempt(node, source, stage, self.now, held.work, aim)
-        self.in_flight[held.ask.id, held.shots] = attempt
+        if not node or not source or len(servers) < 2 or not self.may_send(req, node):
+            return self.give_up(req)
+        aim = req.cls.aim_ms + req.cls.aim_stretch * req.work
+        if not req.shots:  # one that times out was slow; a later one had less than its time
+            aim = min(aim, req.ask.deadline_ms - self.now - MARGIN_MS)
+        attempt = Attempt(node, source, stage, self.now, req.work, aim)
+        self.in_flight[req.ask.id, req.shots] = attempt
         attempt.book(1)
-        attempt.from_origin = source.member.kind == self.settings.origin_kind and not held.cls.write
+        attempt.from_origin = source.member.kind == self.settings.origin_kind and not req.cls.write
         if attempt.from_origin:
             self.leases.begin(self.now)
         for server in servers[: 1 + (source is not node)]:
-            server.debt_ms += self.mean[held.cls.name]
-        held.shots, held.out = held.shots + 1, True
-        keep, left = 0 if held.cls.write else held.keep, held.ask.deadline_ms - self.now
+            server.debt_ms += self.mean[req.cls.name]
+        req.shots, req.out = req.shots + 1, True
+        keep, left = 0 if req.cls.write else req.keep, req.ask.deadline_ms - self.now
         names = (node.member.server, source.member.server)
         how = (self.settings.joins, stage == "sibling", stage == "fill")
-        overdue = OVERDUE[0] + OVERDUE[1] * held.work
+        overdue = OVERDUE[0] + OVERDUE[1] * req.work
         if source is not node:  # it may wait for its source, and a thin connection carries nothing else
-            overdue = max(STILL[0] * aim, STILL[1] * held.cls.deadline_ms)
-        self.actions.append(api.Get(held.ask.id, *names, left, keep, self.oldest(held, stage), *how, overdue))
+            overdue = max(STILL[0] * aim, STILL[1] * req.cls.deadline_ms)
+        self.actions.append(api.Get(req.ask.id, *names, left, keep, self.oldest(req, stage), *how, overdue))
 
-    def give_up(self, held: Held) -> None:
+    def give_up(self, req: OpenRequest) -> None:
         """Answer finally, at once; effects guard: a refusal says that trying again is harmless."""
-        if held.out or self.awaits_lease(held) or self.open_requests.pop(held.ask.id, None) is None:
+        if req.out or self.awaits_lease(req) or self.open_requests.pop(req.ask.id, None) is None:
             return
-        cls, asked = held.cls, RETRY_AFTER_MS * (0.5 + self.rng.random())
+        cls, asked = req.cls, RETRY_AFTER_MS * (0.5 + self.rng.random())
         wait = min(asked, self.settings.max_retry_after_ms) if self.settings.retry_after else 0.0
-        harmless = held.ran is None or repeats_anywhere(cls)
-        self.actions.append(api.Refuse(held.ask.id, wait) if harmless else api.Fail(held.ask.id))
+        harmless = req.ran is None or repeats_anywhere(cls)
+        self.actions.append(api.Refuse(req.ask.id, wait) if harmless else api.Fail(req.ask.id))
 
-    def awaits_lease(self, held: Held) -> bool:
+    def awaits_lease(self, req: OpenRequest) -> bool:
         """Have a request that only lacked a lease go again under it, or wait for an owner's answer, once."""
-        ready = held.lacks_lease and self.leases.may_begin(held.ask.deadline_ms, self.now)
-        if not held.lacks_lease or held.waited or not (ready or self.leases.pending_request):
+        ready = req.lacks_lease and self.leases.may_begin(req.ask.deadline_ms, self.now)
+        if not req.lacks_lease or req.waited or not (ready or self.leases.pending_request):
             return False
-        held.waited = True
-        self.lease_waiters.append(held)
+        req.waited = True
+        self.lease_waiters.append(req)
         if ready:
             self.on_lease([])
         return True
@@ -302,106 +302,106 @@
         self.actions += [api.SendNote(peer, note) for peer, note in messages]
         if not self.leases.pending_request:
             waiters, self.lease_waiters = self.lease_waiters, []
-            for held in waiters:
-                if held.ask.id in self.open_requests and self.leases.may_begin(held.ask.deadline_ms, self.now):
-                    self.start(held, 1)
+            for req in waiters:
+                if req.ask.id in self.open_requests and self.leases.may_begin(req.ask.deadline_ms, self.now):
+                    self.start(req, 1)
                 else:
-                    self.give_up(held)
+                    self.give_up(req)
 
     def on_outcome(self, event: api.Outcome) -> None:
         """Book an attempt's end, then finish the request or send the next attempt."""
-        attempt, held = self.in_flight.pop((event.id, event.attempt), None), self.open_requests.get(event.id)
+        attempt, req = self.in_flight.pop((event.id, event.attempt), None), self.open_requests.get(event.id)
         if attempt:
             attempt.book(-1)
             if attempt.from_origin:
                 self.leases.end(self.now)
             attempt.node.late -= attempt.late
-            self.judge(held, attempt, event)
-        if not attempt or not held:
+            self.judge(req, attempt, event)
+        if not attempt or not req:
             return
-        held.out = False
-        if event.status not in NEVER_RAN and held.ran is None:
-            held.ran = (attempt.sent, attempt.node)
+        req.out = False
+        if event.status not in NEVER_RAN and req.ran is None:
+            req.ran = (attempt.sent, attempt.node)
         if event.closed:
             del self.open_requests[event.id]
             if event.status == "done":
-                self.sizes.learn(held.ask, event, not held.cls.write, attempt.node.pace.now(self.now))
-                self.served(held, attempt.node)
-        elif self.now >= held.ask.deadline_ms - 1.0:
-            self.give_up(held)
+                self.sizes.learn(req.ask, event, not req.cls.write, attempt.node.pace.now(self.now))
+                self.served(req, attempt.node)
+        elif self.now >= req.ask.deadline_ms - 1.0:
+            self.give_up(req)
         else:
-            self.further(held, attempt, event.status)
+            self.further(req, attempt, event.status)
 
-    def served(self, held: Held, node: Node) -> None:
+    def served(self, req: OpenRequest, node: Node) -> None:
         """Tell home of the kept copy, not oftener than its entry needs."""
-        known, when = self.reported.get(held.item, ("", 0.0))
+        known, when = self.reported.get(req.item, ("", 0.0))
         due = known != node.member.server or self.now - when > ENTRY_MS / 2
-        near = node.member.zone == self.settings.my_zone and not held.cls.write
+        near = node.member.zone == self.settings.my_zone and not req.cls.write
         if due and near and self.settings.siblings != "none":
-            lru_put(self.reported, held.item, (node.member.server, self.now), TABLE)
-            self.tell(held.home, api.PeerNote("kept", *held.item, node.member.server, max(0, held.ask.group)))
+            lru_put(self.reported, req.item, (node.member.server, self.now), TABLE)
+            self.tell(req.home, api.PeerNote("kept", *req.item, node.member.server, max(0, req.ask.group)))
 
-    def further(self, held: Held, attempt: Attempt, status: str) -> None:
+    def further(self, req: OpenRequest, attempt: Attempt, status: str) -> None:
         """Send the next attempt: the directory's after a miss, within a budget after a failure."""
         if status == "enoent" and attempt.stage == "look":
-            held.looked = attempt.node
-            self.ask_home(held, attempt.node.member.server)
+            req.looked = attempt.node
+            self.ask_home(req, attempt.node.member.server)
         elif status == "enoent" and attempt.stage == "check":
-            held.looked = attempt.node
-            self.fill(held, None)
+            req.looked = attempt.node
+            self.fill(req, None)
         elif status == "enoent" and attempt.stage == "sibling":
-            self.tell(held.home, api.PeerNote("lacks", *held.item, attempt.source.member.server))
-            self.fill(held, None)
-        elif self.tokens < 1.0 or attempt.stage == "only" or len(held.errors) >= MOST_ERRORS:
-            self.give_up(held)
+            self.tell(req.home, api.PeerNote("lacks", *req.item, attempt.source.member.server))
+            self.fill(req, None)
+        elif self.tokens < 1.0 or attempt.stage == "only" or len(req.errors) >= MOST_ERRORS:
+            self.give_up(req)
         else:
             way = status in WAY  # not the source failed: a reset may be no more than that connection's
             self.tokens -= WAY_COST if way else 1.0
-            if way and (status != "econnreset" or held.shots > 1):
-                held.avoid.append(attempt.node)
+            if way and (status != "econnreset" or req.shots > 1):
+                req.avoid.append(attempt.node)
             if way:
-                return self.start(held, 1)
-            again = attempt.source in (attempt.node, *held.avoid)  # else its cache with another source first
-            held.avoid.append(attempt.node if again else attempt.source)
-            self.start(held, 1)
+                return self.start(req, 1)
+            again = attempt.source in (attempt.node, *req.avoid)  # else its cache with another source first
+            req.avoid.append(attempt.node if again else attempt.source)
+            self.start(req, 1)
 
-    def fill(self, held: Held, sibling: Node | None) -> None:
+    def fill(self, req: OpenRequest, sibling: Node | None) -> None:
         """Fill the cache that was looked at from a usable warm sibling, else from above."""
-        node = held.looked
-        if node is None or node in held.avoid or not (self.usable(node) and self.admits(node)):
-            self.start(held, 1)
+        node = req.looked
+        if node is None or node in req.avoid or not (self.usable(node) and self.admits(node)):
+            self.start(req, 1)
         elif sibling and sibling is not node and self.may_fill(sibling, self.settings.my_zone):
-            self.send(held, node, sibling, "sibling")
+            self.send(req, node, sibling, "sibling")
         else:
-            source = self.source(held)
-            self.send(held, node, source if source and self.fillable(held, source) else None, "fill")
+            source = self.source(req)
+            self.send(req, node, source if source and self.fillable(req, source) else None, "fill")
 
     def on_left(self, event: api.ClientLeft) -> None:
         """Forget a request, also where it waits for a home router."""
-        held = self.open_requests.pop(event.id, None)
-        if held and event.id in (waiting := self.waiting.get(held.item, [])):
+        req = self.open_requests.pop(event.id, None)
+        if req and event.id in (waiting := self.waiting.get(req.item, [])):
             waiting.remove(event.id)
             if not waiting:
-                del self.waiting[held.item]
+                del self.waiting[req.item]
 
-    def judge(self, held: Held | None, attempt: Attempt, event: api.Outcome) -> None:
+    def judge(self, req: OpenRequest | None, attempt: Attempt, event: api.Outcome) -> None:
         """Blame failures: an error in full only if another attempt is served, a break only once."""
         node, source = attempt.node, attempt.source
         if event.status == "busy" or (event.status == "done" and self.now - attempt.sent > attempt.aim):
             self.slow(attempt)
         elif event.status == "done" and source is not node:
             source.fills.grow()
-        if event.status == "done" and event.note == 1 and held and held.known and event.whole:
-            node.pace.record(self.now, event.latency_ms / held.work)
+        if event.status == "done" and event.note == 1 and req and req.known and event.whole:
+            node.pace.record(self.now, event.latency_ms / req.work)
         if event.status in ("done", "enoent"):
             self.clear(node)
             unknown = self.settings.notes == "none" and event.status == "done"
             if source is not node and (event.note in (2, 3) or unknown):
                 self.clear(source, SUCCESS_FACTOR**ASSUMED_FILL_SHARE if unknown else SUCCESS_FACTOR)
-            for failed in held.errors if held and event.status == "done" else ():
+            for failed in req.errors if req and event.status == "done" else ():
                 self.fault(failed, "err")
-        elif event.status == "err" and held:
-            held.errors += (attempt,)  # a client's bad request must not have good servers left out
+        elif event.status == "err" and req:
+            req.errors += (attempt,)  # a client's bad request must not have good servers left out
             self.fault(attempt, "doubt")
         elif event.status in FAILURE_SHARES and not (event.status == "econnreset" and attempt.sent <= node.broke_ms):
             node.broke_ms = self.now if event.status == "econnreset" else node.broke_ms
@@ -466,10 +466,10 @@
         if event.token == "watch":
             self.actions.append(api.Watch())
         elif event.token != "sweep":
-            held = self.open_requests.get(int(event.token)) if event.token.isdecimal() else None
-            if held and held.ask.id in self.waiting.get(held.item, []):  # not an older wait's timer
-                self.silent_homes[held.home] = self.now + AGAIN_MS
-                self.go_on(held.item, None)
+            req = self.open_requests.get(int(event.token)) if event.token.isdecimal() else None
+            if req and req.ask.id in self.waiting.get(req.item, []):  # not an older wait's timer
+                self.silent_homes[req.home] = self.now + AGAIN_MS
+                self.go_on(req.item, None)
         else:
             self.actions.append(api.SetTimer(SWEEP_MS, "sweep"))
             prompt, self.swept = self.now - self.swept < 4.0 * SWEEP_MS, self.now
@@ -480,17 +480,17 @@
 
     # Directory
 
-    def ask_home(self, held: Held, asking: str) -> None:
+    def ask_home(self, req: OpenRequest, asking: str) -> None:
         """Ask home for a holder and wait a small share of the aim; not near the deadline."""
-        wait, left = PEER_WAIT * held.cls.aim_ms, held.ask.deadline_ms - self.now
-        if held.home == self.settings.my_number:
-            self.fill(held, self.candidate(held.item, self.settings.my_zone, asking))
-        elif not self.settings.peers or self.now < self.silent_homes.get(held.home, 0.0) or left < 3.0 * wait:
-            self.fill(held, None)
+        wait, left = PEER_WAIT * req.cls.aim_ms, req.ask.deadline_ms - self.now
+        if req.home == self.settings.my_number:
+            self.fill(req, self.candidate(req.item, self.settings.my_zone, asking))
+        elif not self.settings.peers or self.now < self.silent_homes.get(req.home, 0.0) or left < 3.0 * wait:
+            self.fill(req, None)
         else:
-            self.waiting.setdefault(held.item, []).append(held.ask.id)
-            self.tell(held.home, api.PeerNote("ask", *held.item, asking, self.zone))
-            self.actions.append(api.SetTimer(wait, str(held.ask.id)))
+            self.waiting.setdefault(req.item, []).append(req.ask.id)
+            self.tell(req.home, api.PeerNote("ask", *req.item, asking, self.zone))
+            self.actions.append(api.SetTimer(wait, str(req.ask.id)))
 
     def go_on(self, item: tuple[int, int], sibling: Node | None) -> None:
         """Go on with the requests that waited for a home router."""
--- a/hitchtiller/records.py
+++ b/hitchtiller/records.py
@@ -93,7 +93,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Held:
+class OpenRequest:
     """A request in hand."""
 
     ask: Request
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -382,12 +382,12 @@
     bench.give(api.Members(FLEET, whole=True), 1.0)
     for id in range(6):
         bench.ask(id, key=id, name="big", size_kb=400.0)
-    held = next(iter(bench.router.open_requests.values()))
+    req = next(iter(bench.router.open_requests.values()))
     node = bench.router.nodes["c0"]
     bench.router.serving_share = lambda: 1.0
-    assert not bench.router.in_time(held, node)
+    assert not bench.router.in_time(req, node)
     bench.router.serving_share = lambda: 0.1
-    assert bench.router.in_time(held, node)
+    assert bench.router.in_time(req, node)
 
 
 def test_a_fill_that_waits_for_its_source_is_no_sign_of_a_stuck_connection(bench: Bench) -> None:
