--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -124,12 +124,12 @@
     def oldest(self, req: OpenRequest, stage: str) -> float:
         """Bound a copy's age by purges and its fresh time; with the grace where no fill would follow."""
         fresh = req.cls.fresh_ms + (req.cls.grace_ms if stage == "only" else 0.0)
-        age = min(fresh or math.inf, max(1.0, self.now - self.purges.latest(req.ask.key, req.ask.group)))
+        age = min(fresh or math.inf, max(1.0, self.now - self.purges.latest(req.event.key, req.event.group)))
         return 0.0 if age == math.inf else age
 
     def may_send(self, req: OpenRequest, node: Node) -> bool:
         """Deadline and effects guard: no send past the end, none that could repeat an effect."""
-        if req.out or req.shots >= self.settings.max_attempts or self.now >= req.ask.deadline_ms:
+        if req.out or req.shots >= self.settings.max_attempts or self.now >= req.event.deadline_ms:
             return False
         return self.may_repeat(req, node)
 
@@ -144,9 +144,9 @@
     def recheck_send(self, id: int, shot: int, now_ms: float) -> float | None:
         """Guards again at an attempt's first byte: its age bound then, or None if it may not go."""
         req, attempt, self.now = self.open_requests.get(id), self.in_flight.get((id, shot)), now_ms
-        if not req or not attempt or now_ms >= req.ask.deadline_ms:
+        if not req or not attempt or now_ms >= req.event.deadline_ms:
             return None
-        if attempt.from_origin and not self.leases.covers(req.ask.deadline_ms, now_ms):
+        if attempt.from_origin and not self.leases.covers(req.event.deadline_ms, now_ms):
             return None
         serving = attempt.node.member.state == "SERVING" and attempt.source.member.state == "SERVING"
         return self.oldest(req, attempt.stage) if serving and self.may_repeat(req, attempt.node) else None
@@ -201,7 +201,7 @@
         for node in [n for n in wide if n.member.zone == self.hub][:1] + wide:
             if not req.cls.write and self.admits(node):
                 return node
-        if not req.cls.write and not self.leases.may_begin(req.ask.deadline_ms, self.now):
+        if not req.cls.write and not self.leases.may_begin(req.event.deadline_ms, self.now):
             self.actions += [api.SendNote(peer, note) for peer, note in self.leases.request_lease(self.now)]
             req.lacks_lease = True
             return None
@@ -248,7 +248,7 @@
     def fillable(self, req: OpenRequest, source: Node) -> bool:
         """Tell whether a source may be asked for a fill now that can end in time on the zone's link in."""
         crowd = (1 + self.around() * sum(a.stage == "fill" for a in self.in_flight.values())) / self.room
-        if self.fed and req.work * crowd > req.ask.deadline_ms - self.now:
+        if self.fed and req.work * crowd > req.event.deadline_ms - self.now:
             return False
         return source.fills.admits(req.work, max(self.mean.values()), req.draw)
 
@@ -259,9 +259,9 @@
             return self.give_up(req)
         aim = req.cls.aim_ms + req.cls.aim_stretch * req.work
         if not req.shots:  # one that times out was slow; a later one had less than its time
-            aim = min(aim, req.ask.deadline_ms - self.now - MARGIN_MS)
+            aim = min(aim, req.event.deadline_ms - self.now - MARGIN_MS)
         attempt = Attempt(node, source, stage, self.now, req.work, aim)
-        self.in_flight[req.ask.id, req.shots] = attempt
+        self.in_flight[req.event.id, req.shots] = attempt
         attempt.book(1)
         attempt.from_origin = source.member.kind == self.settings.origin_kind and not req.cls.write
         if attempt.from_origin:
@@ -269,26 +269,26 @@
         for server in servers[: 1 + (source is not node)]:
             server.debt_ms += self.mean[req.cls.name]
         req.shots, req.out = req.shots + 1, True
-        keep, left = 0 if req.cls.write else req.keep, req.ask.deadline_ms - self.now
+        keep, left = 0 if req.cls.write else req.keep, req.event.deadline_ms - self.now
         names = (node.member.server, source.member.server)
         how = (self.settings.joins, stage == "sibling", stage == "fill")
         overdue = OVERDUE[0] + OVERDUE[1] * req.work
         if source is not node:  # it may wait for its source, and a thin connection carries nothing else
             overdue = max(STILL[0] * aim, STILL[1] * req.cls.deadline_ms)
-        self.actions.append(api.Get(req.ask.id, *names, left, keep, self.oldest(req, stage), *how, overdue))
+        self.actions.append(api.Get(req.event.id, *names, left, keep, self.oldest(req, stage), *how, overdue))
 
     def give_up(self, req: OpenRequest) -> None:
         """Answer finally, at once; effects guard: a refusal says that trying again is harmless."""
-        if req.out or self.awaits_lease(req) or self.open_requests.pop(req.ask.id, None) is None:
+        if req.out or self.awaits_lease(req) or self.open_requests.pop(req.event.id, None) is None:
             return
         cls, asked = req.cls, RETRY_AFTER_MS * (0.5 + self.rng.random())
         wait = min(asked, self.settings.max_retry_after_ms) if self.settings.retry_after else 0.0
         harmless = req.ran is None or repeats_anywhere(cls)
-        self.actions.append(api.Refuse(req.ask.id, wait) if harmless else api.Fail(req.ask.id))
+        self.actions.append(api.Refuse(req.event.id, wait) if harmless else api.Fail(req.event.id))
 
     def awaits_lease(self, req: OpenRequest) -> bool:
         """Have a request that only lacked a lease go again under it, or wait for an owner's answer, once."""
-        ready = req.lacks_lease and self.leases.may_begin(req.ask.deadline_ms, self.now)
+        ready = req.lacks_lease and self.leases.may_begin(req.event.deadline_ms, self.now)
         if not req.lacks_lease or req.waited or not (ready or self.leases.pending_request):
             return False
         req.waited = True
@@ -303,7 +303,7 @@
         if not self.leases.pending_request:
             waiters, self.lease_waiters = self.lease_waiters, []
             for req in waiters:
-                if req.ask.id in self.open_requests and self.leases.may_begin(req.ask.deadline_ms, self.now):
+                if req.event.id in self.open_requests and self.leases.may_begin(req.event.deadline_ms, self.now):
                     self.start(req, 1)
                 else:
                     self.give_up(req)
@@ -325,9 +325,9 @@
         if event.closed:
             del self.open_requests[event.id]
             if event.status == "done":
-                self.sizes.learn(req.ask, event, not req.cls.write, attempt.node.pace.now(self.now))
+                self.sizes.learn(req.event, event, not req.cls.write, attempt.node.pace.now(self.now))
                 self.served(req, attempt.node)
-        elif self.now >= req.ask.deadline_ms - 1.0:
+        elif self.now >= req.event.deadline_ms - 1.0:
             self.give_up(req)
         else:
             self.further(req, attempt, event.status)
@@ -339,7 +339,7 @@
         near = node.member.zone == self.settings.my_zone and not req.cls.write
         if due and near and self.settings.siblings != "none":
             lru_put(self.reported, req.item, (node.member.server, self.now), TABLE)
-            self.tell(req.home, api.PeerNote("kept", *req.item, node.member.server, max(0, req.ask.group)))
+            self.tell(req.home, api.PeerNote("kept", *req.item, node.member.server, max(0, req.event.group)))
 
     def further(self, req: OpenRequest, attempt: Attempt, status: str) -> None:
         """Send the next attempt: the directory's after a miss, within a budget after a failure."""
@@ -467,7 +467,7 @@
             self.actions.append(api.Watch())
         elif event.token != "sweep":
             req = self.open_requests.get(int(event.token)) if event.token.isdecimal() else None
-            if req and req.ask.id in self.waiting.get(req.item, []):  # not an older wait's timer
+            if req and req.event.id in self.waiting.get(req.item, []):  # not an older wait's timer
                 self.silent_homes[req.home] = self.now + AGAIN_MS
                 self.go_on(req.item, None)
         else:
@@ -482,15 +482,15 @@
 
     def ask_home(self, req: OpenRequest, asking: str) -> None:
         """Ask home for a holder and wait a small share of the aim; not near the deadline."""
-        wait, left = PEER_WAIT * req.cls.aim_ms, req.ask.deadline_ms - self.now
+        wait, left = PEER_WAIT * req.cls.aim_ms, req.event.deadline_ms - self.now
         if req.home == self.settings.my_number:
             self.fill(req, self.candidate(req.item, self.settings.my_zone, asking))
         elif not self.settings.peers or self.now < self.silent_homes.get(req.home, 0.0) or left < 3.0 * wait:
             self.fill(req, None)
         else:
-            self.waiting.setdefault(req.item, []).append(req.ask.id)
+            self.waiting.setdefault(req.item, []).append(req.event.id)
             self.tell(req.home, api.PeerNote("ask", *req.item, asking, self.zone))
-            self.actions.append(api.SetTimer(wait, str(req.ask.id)))
+            self.actions.append(api.SetTimer(wait, str(req.event.id)))
 
     def go_on(self, item: tuple[int, int], sibling: Node | None) -> None:
         """Go on with the requests that waited for a home router."""
--- a/hitchtiller/records.py
+++ b/hitchtiller/records.py
@@ -96,7 +96,7 @@
 class OpenRequest:
     """A request in hand."""
 
-    ask: Request
+    event: Request
     cls: ClassSettings
     work: float
     known: bool  # its own size is, not only its class's mean
