--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -123,7 +123,7 @@
 
     def oldest(self, req: OpenRequest, stage: str) -> float:
         """Bound a copy's age by purges and its fresh time; with the grace where no fill would follow."""
-        fresh = req.cls.fresh_ms + (req.cls.grace_ms if stage == "only" else 0.0)
+        fresh = req.spec.fresh_ms + (req.spec.grace_ms if stage == "only" else 0.0)
         age = min(fresh or math.inf, max(1.0, self.now - self.purges.latest(req.event.key, req.event.group)))
         return 0.0 if age == math.inf else age
 
@@ -135,7 +135,7 @@
 
     def may_repeat(self, req: OpenRequest, node: Node) -> bool:
         """Effects guard, again at the first byte: the window counts from the first that may have run."""
-        cls = req.cls
+        cls = req.spec
         if req.ran is None or cls.effect == "repeatable":
             return True
         within = self.now < req.ran[0] + cls.repeat_window_ms - MARGIN_MS
@@ -175,7 +175,7 @@
         if not self.in_time(req, node):  # exception: the rest of the zone before a refusal
             node = min(able, key=lambda n: (n.load_ms + req.work) * n.pace.now(self.now) / n.link)
         moved = width > 1 or node is not order[0] or self.now < node.joined_ms + MOVED_MS
-        return node, moved and not req.cls.write and self.settings.siblings != "none"
+        return node, moved and not req.spec.write and self.settings.siblings != "none"
 
     def around(self) -> float:
         """Give the gateways of my zone in service: crowds are guessed by it, never a rule's share."""
@@ -187,21 +187,21 @@
         mine = node.asked if stuck else node.asked - node.late
         zone = (self.around() - 1.0) * asked  # the others': as mine on average
         crowd = zone / self.weight + (1 + mine) / node.link
-        return self.suits(req, crowd if req.cls.write else max(crowd, node.pace.significant_stretch(self.now)))
+        return self.suits(req, crowd if req.spec.write else max(crowd, node.pace.significant_stretch(self.now)))
 
     def suits(self, req: OpenRequest, crowd: float) -> bool:
         """Tell whether sending, stretched by a crowd, stays within the aim."""
         work = req.work * (1.0 if req.known else UNTOLD)
-        whole = req.cls.aim_ms + req.cls.aim_stretch * work  # a link that is not full stretches nothing
+        whole = req.spec.aim_ms + req.spec.aim_stretch * work  # a link that is not full stretches nothing
         return work * crowd < (whole if crowd < 1.0 else IN_TIME * whole)
 
     def source(self, req: OpenRequest) -> Node | None:
         """Name where a miss is filled from: hashed hub parent, one parent hashed over all, the origin."""
         wide = [n for n in self.ranked(req.hash)[1] if self.usable(n) and n not in req.avoid]
         for node in [n for n in wide if n.member.zone == self.hub][:1] + wide:
-            if not req.cls.write and self.admits(node):
+            if not req.spec.write and self.admits(node):
                 return node
-        if not req.cls.write and not self.leases.may_begin(req.event.deadline_ms, self.now):
+        if not req.spec.write and not self.leases.may_begin(req.event.deadline_ms, self.now):
             self.actions += [api.SendNote(peer, note) for peer, note in self.leases.request_lease(self.now)]
             req.lacks_lease = True
             return None
@@ -231,7 +231,7 @@
         node, look = self.pick(req, width)
         if node is None:  # straight up where allowed and the zone's link has room: else all fills would jam
             out = len(self.in_flight) - sum(n.asked for n in self.caches)
-            fits = req.cls.write or self.suits(req, (1 + self.around() * out) / self.room)
+            fits = req.spec.write or self.suits(req, (1 + self.around() * out) / self.room)
             up = self.source(req) if self.settings.direct and fits else None
             self.send(req, up, up, "fill")
         elif not self.in_time(req, node):  # exception: beside stuck fills a hit may be in time
@@ -240,7 +240,7 @@
             self.send(req, node, node, "look")
         else:
             source = self.source(req)
-            if req.cls.write or (source and source.fills.unlimited and self.fillable(req, source)):
+            if req.spec.write or (source and source.fills.unlimited and self.fillable(req, source)):
                 return self.send(req, node, source, "fill")
             stage = "check" if source and self.fillable(req, source) else "only"  # exception: hits stay
             self.send(req, node, node, stage)  # prompt while fills jam, and only fills are counted as such
@@ -257,31 +257,31 @@
         servers = [n for n in (node, source) if n and n.member.state == "SERVING"]  # drain guard, for sources too
         if not node or not source or len(servers) < 2 or not self.may_send(req, node):
             return self.give_up(req)
-        aim = req.cls.aim_ms + req.cls.aim_stretch * req.work
+        aim = req.spec.aim_ms + req.spec.aim_stretch * req.work
         if not req.shots:  # one that times out was slow; a later one had less than its time
             aim = min(aim, req.event.deadline_ms - self.now - MARGIN_MS)
         attempt = Attempt(node, source, stage, self.now, req.work, aim)
         self.in_flight[req.event.id, req.shots] = attempt
         attempt.book(1)
-        attempt.from_origin = source.member.kind == self.settings.origin_kind and not req.cls.write
+        attempt.from_origin = source.member.kind == self.settings.origin_kind and not req.spec.write
         if attempt.from_origin:
             self.leases.begin(self.now)
         for server in servers[: 1 + (source is not node)]:
-            server.debt_ms += self.mean[req.cls.name]
+            server.debt_ms += self.mean[req.spec.name]
         req.shots, req.out = req.shots + 1, True
-        keep, left = 0 if req.cls.write else req.keep, req.event.deadline_ms - self.now
+        keep, left = 0 if req.spec.write else req.keep, req.event.deadline_ms - self.now
         names = (node.member.server, source.member.server)
         how = (self.settings.joins, stage == "sibling", stage == "fill")
         overdue = OVERDUE[0] + OVERDUE[1] * req.work
         if source is not node:  # it may wait for its source, and a thin connection carries nothing else
-            overdue = max(STILL[0] * aim, STILL[1] * req.cls.deadline_ms)
+            overdue = max(STILL[0] * aim, STILL[1] * req.spec.deadline_ms)
         self.actions.append(api.Get(req.event.id, *names, left, keep, self.oldest(req, stage), *how, overdue))
 
     def give_up(self, req: OpenRequest) -> None:
         """Answer finally, at once; effects guard: a refusal says that trying again is harmless."""
         if req.out or self.awaits_lease(req) or self.open_requests.pop(req.event.id, None) is None:
             return
-        cls, asked = req.cls, RETRY_AFTER_MS * (0.5 + self.rng.random())
+        cls, asked = req.spec, RETRY_AFTER_MS * (0.5 + self.rng.random())
         wait = min(asked, self.settings.max_retry_after_ms) if self.settings.retry_after else 0.0
         harmless = req.ran is None or repeats_anywhere(cls)
         self.actions.append(api.Refuse(req.event.id, wait) if harmless else api.Fail(req.event.id))
@@ -325,7 +325,7 @@
         if event.closed:
             del self.open_requests[event.id]
             if event.status == "done":
-                self.sizes.learn(req.event, event, not req.cls.write, attempt.node.pace.now(self.now))
+                self.sizes.learn(req.event, event, not req.spec.write, attempt.node.pace.now(self.now))
                 self.served(req, attempt.node)
         elif self.now >= req.event.deadline_ms - 1.0:
             self.give_up(req)
@@ -336,7 +336,7 @@
         """Tell home of the kept copy, not oftener than its entry needs."""
         known, when = self.reported.get(req.item, ("", 0.0))
         due = known != node.member.server or self.now - when > ENTRY_MS / 2
-        near = node.member.zone == self.settings.my_zone and not req.cls.write
+        near = node.member.zone == self.settings.my_zone and not req.spec.write
         if due and near and self.settings.siblings != "none":
             lru_put(self.reported, req.item, (node.member.server, self.now), TABLE)
             self.tell(req.home, api.PeerNote("kept", *req.item, node.member.server, max(0, req.event.group)))
@@ -482,7 +482,7 @@
 
     def ask_home(self, req: OpenRequest, asking: str) -> None:
         """Ask home for a holder and wait a small share of the aim; not near the deadline."""
-        wait, left = PEER_WAIT * req.cls.aim_ms, req.event.deadline_ms - self.now
+        wait, left = PEER_WAIT * req.spec.aim_ms, req.event.deadline_ms - self.now
         if req.home == self.settings.my_number:
             self.fill(req, self.candidate(req.item, self.settings.my_zone, asking))
         elif not self.settings.peers or self.now < self.silent_homes.get(req.home, 0.0) or left < 3.0 * wait:
--- a/hitchtiller/records.py
+++ b/hitchtiller/records.py
@@ -97,7 +97,7 @@
     """A request in hand."""
 
     event: Request
-    cls: ClassSettings
+    spec: ClassSettings
     work: float
     known: bool  # its own size is, not only its class's mean
     item: tuple[int, int]  # object and part
