--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -173,7 +173,7 @@
             return None, False
         node = min(able[:width], key=lambda n: n.load_ms / n.link)
         if not self.in_time(req, node):  # exception: the rest of the zone before a refusal
-            node = min(able, key=lambda n: (n.load_ms + req.work) * n.pace.now(self.now) / n.link)
+            node = min(able, key=lambda n: (n.load_ms + req.work_ms) * n.pace.now(self.now) / n.link)
         moved = width > 1 or node is not order[0] or self.now < node.joined_ms + MOVED_MS
         return node, moved and not req.spec.write and self.settings.siblings != "none"
 
@@ -191,7 +191,7 @@
 
     def suits(self, req: OpenRequest, crowd: float) -> bool:
         """Tell whether sending, stretched by a crowd, stays within the aim."""
-        work = req.work * (1.0 if req.known else UNTOLD)
+        work = req.work_ms * (1.0 if req.known else UNTOLD)
         whole = req.spec.aim_ms + req.spec.aim_stretch * work  # a link that is not full stretches nothing
         return work * crowd < (whole if crowd < 1.0 else IN_TIME * whole)
 
@@ -212,7 +212,7 @@
         heat = self.popularity.count(req.item, self.now)
         req.keep = keep_rank(heat)
         link = self.weight / max(1, len(self.caches)) or 1.0
-        share = heat * req.work * self.around() / DECAY_MS / link
+        share = heat * req.work_ms * self.around() / DECAY_MS / link
         return caches_for(heat, share)
 
     def on_request(self, ask: api.Request) -> None:
@@ -248,19 +248,19 @@
     def fillable(self, req: OpenRequest, source: Node) -> bool:
         """Tell whether a source may be asked for a fill now that can end in time on the zone's link in."""
         crowd = (1 + self.around() * sum(a.stage == "fill" for a in self.in_flight.values())) / self.room
-        if self.fed and req.work * crowd > req.event.deadline_ms - self.now:
+        if self.fed and req.work_ms * crowd > req.event.deadline_ms - self.now:
             return False
-        return source.fills.admits(req.work, max(self.mean.values()), req.draw)
+        return source.fills.admits(req.work_ms, max(self.mean.values()), req.draw)
 
     def send(self, req: OpenRequest, node: Node | None, source: Node | None, stage: str) -> None:
         """Run the guards, then send; what may not be sent is given up at once."""
         servers = [n for n in (node, source) if n and n.member.state == "SERVING"]  # drain guard, for sources too
         if not node or not source or len(servers) < 2 or not self.may_send(req, node):
             return self.give_up(req)
-        aim = req.spec.aim_ms + req.spec.aim_stretch * req.work
+        aim = req.spec.aim_ms + req.spec.aim_stretch * req.work_ms
         if not req.shots:  # one that times out was slow; a later one had less than its time
             aim = min(aim, req.event.deadline_ms - self.now - MARGIN_MS)
-        attempt = Attempt(node, source, stage, self.now, req.work, aim)
+        attempt = Attempt(node, source, stage, self.now, req.work_ms, aim)
         self.in_flight[req.event.id, req.shots] = attempt
         attempt.book(1)
         attempt.from_origin = source.member.kind == self.settings.origin_kind and not req.spec.write
@@ -272,7 +272,7 @@
         keep, left = 0 if req.spec.write else req.keep, req.event.deadline_ms - self.now
         names = (node.member.server, source.member.server)
         how = (self.settings.joins, stage == "sibling", stage == "fill")
-        overdue = OVERDUE[0] + OVERDUE[1] * req.work
+        overdue = OVERDUE[0] + OVERDUE[1] * req.work_ms
         if source is not node:  # it may wait for its source, and a thin connection carries nothing else
             overdue = max(STILL[0] * aim, STILL[1] * req.spec.deadline_ms)
         self.actions.append(api.Get(req.event.id, *names, left, keep, self.oldest(req, stage), *how, overdue))
@@ -392,7 +392,7 @@
         elif event.status == "done" and source is not node:
             source.fills.grow()
         if event.status == "done" and event.note == 1 and req and req.known and event.whole:
-            node.pace.record(self.now, event.latency_ms / req.work)
+            node.pace.record(self.now, event.latency_ms / req.work_ms)
         if event.status in ("done", "enoent"):
             self.clear(node)
             unknown = self.settings.notes == "none" and event.status == "done"
@@ -455,7 +455,7 @@
         node, source, age = attempt.node, attempt.source, self.now - attempt.sent
         if age > attempt.aim:
             self.slow(attempt)
-        if not attempt.late and age > OVERDUE[0] + OVERDUE[1] * attempt.work:
+        if not attempt.late and age > OVERDUE[0] + OVERDUE[1] * attempt.work_ms:
             attempt.late = True
             node.late += 1
             wrong = source if node.answered_ms > attempt.sent else node
--- a/hitchtiller/records.py
+++ b/hitchtiller/records.py
@@ -78,7 +78,7 @@
     source: Node
     stage: str
     sent: float
-    work: float
+    work_ms: float
     aim: float  # time in which its answer earns the full worth
     late: bool = False  # overdue
     slow: bool = False  # past its aim
@@ -88,7 +88,7 @@
         """Add it to its cache's and source's work with 1, or take it off with -1."""
         self.node.asked += sign
         for server in (self.node,) if self.source is self.node else (self.node, self.source):
-            server.load_ms += sign * self.work
+            server.load_ms += sign * self.work_ms
             server.in_flight += sign
 
 
@@ -98,7 +98,7 @@
 
     event: Request
     spec: ClassSettings
-    work: float
+    work_ms: float
     known: bool  # its own size is, not only its class's mean
     item: tuple[int, int]  # object and part
     hash: int
