--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -250,7 +250,7 @@
         crowd = (1 + self.around() * sum(a.stage == "fill" for a in self.in_flight.values())) / self.room
         if self.fed and req.work_ms * crowd > req.event.deadline_ms - self.now:
             return False
-        return source.fills.admits(req.work_ms, max(self.mean.values()), req.draw)
+        return source.fills.admits(req.work_ms, max(self.mean.values()), req.admission_draw)
 
     def send(self, req: OpenRequest, node: Node | None, source: Node | None, stage: str) -> None:
         """Run the guards, then send; what may not be sent is given up at once."""
--- a/hitchtiller/records.py
+++ b/hitchtiller/records.py
@@ -103,7 +103,7 @@
     item: tuple[int, int]  # object and part
     hash: int
     home: int  # router that keeps its directory entry
-    draw: float = 0.0  # from [0, 1): its chance in a jam, the same for all its attempts
+    admission_draw: float = 0.0  # from [0, 1): its chance in a jam, the same for all its attempts
     shots: int = 0
     out: bool = False
     keep: int = 1
