--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -129,7 +129,7 @@
 
     def may_send(self, req: OpenRequest, node: Node) -> bool:
         """Deadline and effects guard: no send past the end, none that could repeat an effect."""
-        if req.out or req.shots >= self.settings.max_attempts or self.now >= req.event.deadline_ms:
+        if req.out or req.tries >= self.settings.max_attempts or self.now >= req.event.deadline_ms:
             return False
         return self.may_repeat(req, node)
 
@@ -236,7 +236,7 @@
             self.send(req, up, up, "fill")
         elif not self.in_time(req, node):  # exception: beside stuck fills a hit may be in time
             self.send(req, node if self.in_time(req, node, stuck=False) else None, node, "only")
-        elif look and req.shots + 2 < self.settings.max_attempts:
+        elif look and req.tries + 2 < self.settings.max_attempts:
             self.send(req, node, node, "look")
         else:
             source = self.source(req)
@@ -258,17 +258,17 @@
         if not node or not source or len(servers) < 2 or not self.may_send(req, node):
             return self.give_up(req)
         aim = req.spec.aim_ms + req.spec.aim_stretch * req.work_ms
-        if not req.shots:  # one that times out was slow; a later one had less than its time
+        if not req.tries:  # one that times out was slow; a later one had less than its time
             aim = min(aim, req.event.deadline_ms - self.now - MARGIN_MS)
         attempt = Attempt(node, source, stage, self.now, req.work_ms, aim)
-        self.in_flight[req.event.id, req.shots] = attempt
+        self.in_flight[req.event.id, req.tries] = attempt
         attempt.book(1)
         attempt.from_origin = source.member.kind == self.settings.origin_kind and not req.spec.write
         if attempt.from_origin:
             self.leases.begin(self.now)
         for server in servers[: 1 + (source is not node)]:
             server.debt_ms += self.mean[req.spec.name]
-        req.shots, req.out = req.shots + 1, True
+        req.tries, req.out = req.tries + 1, True
         keep, left = 0 if req.spec.write else req.keep, req.event.deadline_ms - self.now
         names = (node.member.server, source.member.server)
         how = (self.settings.joins, stage == "sibling", stage == "fill")
@@ -357,7 +357,7 @@
         else:
             way = status in WAY  # not the source failed: a reset may be no more than that connection's
             self.tokens -= WAY_COST if way else 1.0
-            if way and (status != "econnreset" or req.shots > 1):
+            if way and (status != "econnreset" or req.tries > 1):
                 req.avoid.append(attempt.node)
             if way:
                 return self.start(req, 1)
