--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -129,7 +129,7 @@
 
     def may_send(self, req: OpenRequest, node: Node) -> bool:
         """Deadline and effects guard: no send past the end, none that could repeat an effect."""
-        if req.out or req.tries >= self.settings.max_attempts or self.now >= req.event.deadline_ms:
+        if req.in_flight or req.tries >= self.settings.max_attempts or self.now >= req.event.deadline_ms:
             return False
         return self.may_repeat(req, node)
 
@@ -268,7 +268,7 @@
             self.leases.begin(self.now)
         for server in servers[: 1 + (source is not node)]:
             server.debt_ms += self.mean[req.spec.name]
-        req.tries, req.out = req.tries + 1, True
+        req.tries, req.in_flight = req.tries + 1, True
         keep, left = 0 if req.spec.write else req.keep, req.event.deadline_ms - self.now
         names = (node.member.server, source.member.server)
         how = (self.settings.joins, stage == "sibling", stage == "fill")
@@ -279,7 +279,7 @@
 
     def give_up(self, req: OpenRequest) -> None:
         """Answer finally, at once; effects guard: a refusal says that trying again is harmless."""
-        if req.out or self.awaits_lease(req) or self.open_requests.pop(req.event.id, None) is None:
+        if req.in_flight or self.awaits_lease(req) or self.open_requests.pop(req.event.id, None) is None:
             return
         cls, asked = req.spec, RETRY_AFTER_MS * (0.5 + self.rng.random())
         wait = min(asked, self.settings.max_retry_after_ms) if self.settings.retry_after else 0.0
@@ -319,7 +319,7 @@
             self.judge(req, attempt, event)
         if not attempt or not req:
             return
-        req.out = False
+        req.in_flight = False
         if event.status not in NEVER_RAN and req.ran is None:
             req.ran = (attempt.sent, attempt.node)
         if event.closed:
--- a/hitchtiller/records.py
+++ b/hitchtiller/records.py
@@ -105,7 +105,7 @@
     home: int  # router that keeps its directory entry
     admission_draw: float = 0.0  # from [0, 1): its chance in a jam, the same for all its attempts
     tries: int = 0
-    out: bool = False
+    in_flight: bool = False
     keep: int = 1
     avoid: list[Node] = field(default_factory=list)  # caches and sources that failed it
     errors: tuple[Attempt, ...] = ()  # it may be at fault itself
