--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -210,7 +210,7 @@
     def count(self, req: OpenRequest) -> int:
         """Count a request for an object: its rank when kept, and how many caches should share it."""
         heat = self.popularity.count(req.item, self.now)
-        req.keep = keep_rank(heat)
+        req.keep_rank = keep_rank(heat)
         link = self.weight / max(1, len(self.caches)) or 1.0
         share = heat * req.work_ms * self.around() / DECAY_MS / link
         return caches_for(heat, share)
@@ -269,7 +269,7 @@
         for server in servers[: 1 + (source is not node)]:
             server.debt_ms += self.mean[req.spec.name]
         req.tries, req.in_flight = req.tries + 1, True
-        keep, left = 0 if req.spec.write else req.keep, req.event.deadline_ms - self.now
+        keep, left = 0 if req.spec.write else req.keep_rank, req.event.deadline_ms - self.now
         names = (node.member.server, source.member.server)
         how = (self.settings.joins, stage == "sibling", stage == "fill")
         overdue = OVERDUE[0] + OVERDUE[1] * req.work_ms
--- a/hitchtiller/records.py
+++ b/hitchtiller/records.py
@@ -106,7 +106,7 @@
     admission_draw: float = 0.0  # from [0, 1): its chance in a jam, the same for all its attempts
     tries: int = 0
     in_flight: bool = False
-    keep: int = 1
+    keep_rank: int = 1
     avoid: list[Node] = field(default_factory=list)  # caches and sources that failed it
     errors: tuple[Attempt, ...] = ()  # it may be at fault itself
     looked: Node | None = None  # the cache that lacks it
