--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -352,7 +352,7 @@
         elif status == "enoent" and attempt.stage == "sibling":
             self.tell(req.home, api.PeerNote("lacks", *req.item, attempt.source.member.server))
             self.fill(req, None)
-        elif self.tokens < 1.0 or attempt.stage == "only" or len(req.errors) >= MOST_ERRORS:
+        elif self.tokens < 1.0 or attempt.stage == "only" or len(req.error_attempts) >= MOST_ERRORS:
             self.give_up(req)
         else:
             way = status in WAY  # not the source failed: a reset may be no more than that connection's
@@ -398,10 +398,10 @@
             unknown = self.settings.notes == "none" and event.status == "done"
             if source is not node and (event.note in (2, 3) or unknown):
                 self.clear(source, SUCCESS_FACTOR**ASSUMED_FILL_SHARE if unknown else SUCCESS_FACTOR)
-            for failed in req.errors if req and event.status == "done" else ():
+            for failed in req.error_attempts if req and event.status == "done" else ():
                 self.fault(failed, "err")
         elif event.status == "err" and req:
-            req.errors += (attempt,)  # a client's bad request must not have good servers left out
+            req.error_attempts += (attempt,)  # a client's bad request must not have good servers left out
             self.fault(attempt, "doubt")
         elif event.status in FAILURE_SHARES and not (event.status == "econnreset" and attempt.sent <= node.broke_ms):
             node.broke_ms = self.now if event.status == "econnreset" else node.broke_ms
