--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -344,10 +344,10 @@
     def further(self, req: OpenRequest, attempt: Attempt, status: str) -> None:
         """Send the next attempt: the directory's after a miss, within a budget after a failure."""
         if status == "enoent" and attempt.stage == "look":
-            req.looked = attempt.node
+            req.missed_cache = attempt.node
             self.ask_home(req, attempt.node.member.server)
         elif status == "enoent" and attempt.stage == "check":
-            req.looked = attempt.node
+            req.missed_cache = attempt.node
             self.fill(req, None)
         elif status == "enoent" and attempt.stage == "sibling":
             self.tell(req.home, api.PeerNote("lacks", *req.item, attempt.source.member.server))
@@ -367,7 +367,7 @@
 
     def fill(self, req: OpenRequest, sibling: Node | None) -> None:
         """Fill the cache that was looked at from a usable warm sibling, else from above."""
-        node = req.looked
+        node = req.missed_cache
         if node is None or node in req.avoid or not (self.usable(node) and self.admits(node)):
             self.start(req, 1)
         elif sibling and sibling is not node and self.may_fill(sibling, self.settings.my_zone):
--- a/hitchtiller/records.py
+++ b/hitchtiller/records.py
@@ -109,7 +109,7 @@
     keep_rank: int = 1
     avoid: list[Node] = field(default_factory=list)  # caches and sources that failed it
     error_attempts: tuple[Attempt, ...] = ()  # it may be at fault itself
-    looked: Node | None = None  # the cache that lacks it
+    missed_cache: Node | None = None  # the cache that lacks it
     ran: tuple[float, Node] | None = None  # first attempt that may have run
     lacks_lease: bool = False  # its miss could only be filled from the origin, under a lease
     waited: bool = False  # for one
