--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -136,10 +136,10 @@
     def may_repeat(self, req: OpenRequest, node: Node) -> bool:
         """Effects guard, again at the first byte: the window counts from the first that may have run."""
         cls = req.spec
-        if req.ran is None or cls.effect == "repeatable":
+        if req.first_run is None or cls.effect == "repeatable":
             return True
-        within = self.now < req.ran[0] + cls.repeat_window_ms - MARGIN_MS
-        return cls.effect == "by_key" and within and same_scope(cls, req.ran[1].member, node.member)
+        within = self.now < req.first_run[0] + cls.repeat_window_ms - MARGIN_MS
+        return cls.effect == "by_key" and within and same_scope(cls, req.first_run[1].member, node.member)
 
     def recheck_send(self, id: int, shot: int, now_ms: float) -> float | None:
         """Guards again at an attempt's first byte: its age bound then, or None if it may not go."""
@@ -283,7 +283,7 @@
             return
         cls, asked = req.spec, RETRY_AFTER_MS * (0.5 + self.rng.random())
         wait = min(asked, self.settings.max_retry_after_ms) if self.settings.retry_after else 0.0
-        harmless = req.ran is None or repeats_anywhere(cls)
+        harmless = req.first_run is None or repeats_anywhere(cls)
         self.actions.append(api.Refuse(req.event.id, wait) if harmless else api.Fail(req.event.id))
 
     def awaits_lease(self, req: OpenRequest) -> bool:
@@ -320,8 +320,8 @@
         if not attempt or not req:
             return
         req.in_flight = False
-        if event.status not in NEVER_RAN and req.ran is None:
-            req.ran = (attempt.sent, attempt.node)
+        if event.status not in NEVER_RAN and req.first_run is None:
+            req.first_run = (attempt.sent, attempt.node)
         if event.closed:
             del self.open_requests[event.id]
             if event.status == "done":
--- a/hitchtiller/records.py
+++ b/hitchtiller/records.py
@@ -110,6 +110,6 @@
     avoid: list[Node] = field(default_factory=list)  # caches and sources that failed it
     error_attempts: tuple[Attempt, ...] = ()  # it may be at fault itself
     missed_cache: Node | None = None  # the cache that lacks it
-    ran: tuple[float, Node] | None = None  # first attempt that may have run
+    first_run: tuple[float, Node] | None = None  # first attempt that may have run
     lacks_lease: bool = False  # its miss could only be filled from the origin, under a lease
     waited: bool = False  # for one
