--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -289,9 +289,9 @@
     def awaits_lease(self, req: OpenRequest) -> bool:
         """Have a request that only lacked a lease go again under it, or wait for an owner's answer, once."""
         ready = req.lacks_lease and self.leases.may_begin(req.event.deadline_ms, self.now)
-        if not req.lacks_lease or req.waited or not (ready or self.leases.pending_request):
+        if not req.lacks_lease or req.waited_for_lease or not (ready or self.leases.pending_request):
             return False
-        req.waited = True
+        req.waited_for_lease = True
         self.lease_waiters.append(req)
         if ready:
             self.on_lease([])
--- a/hitchtiller/records.py
+++ b/hitchtiller/records.py
@@ -112,4 +112,4 @@
     missed_cache: Node | None = None  # the cache that lacks it
     first_run: tuple[float, Node] | None = None  # first attempt that may have run
     lacks_lease: bool = False  # its miss could only be filled from the origin, under a lease
-    waited: bool = False  # for one
+    waited_for_lease: bool = False  # for one
