--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -165,7 +165,7 @@
 
     def pick(self, req: OpenRequest, width: int) -> tuple[Node | None, bool]:
         """Pick the cache (better one left out than none); tell if the object is spread or moved."""
-        order = self.ranked(req.hash)[0]
+        order = self.ranked(req.object_hash)[0]
         serving = [n for n in order if n.member.state == "SERVING" and n not in req.avoid]
         open_to = [n for n in serving if self.admits(n)]
         able = [n for n in open_to if self.usable(n)] or open_to
@@ -197,7 +197,7 @@
 
     def source(self, req: OpenRequest) -> Node | None:
         """Name where a miss is filled from: hashed hub parent, one parent hashed over all, the origin."""
-        wide = [n for n in self.ranked(req.hash)[1] if self.usable(n) and n not in req.avoid]
+        wide = [n for n in self.ranked(req.object_hash)[1] if self.usable(n) and n not in req.avoid]
         for node in [n for n in wide if n.member.zone == self.hub][:1] + wide:
             if not req.spec.write and self.admits(node):
                 return node
--- a/hitchtiller/records.py
+++ b/hitchtiller/records.py
@@ -101,7 +101,7 @@
     work_ms: float
     known: bool  # its own size is, not only its class's mean
     item: tuple[int, int]  # object and part
-    hash: int
+    object_hash: int
     home: int  # router that keeps its directory entry
     admission_draw: float = 0.0  # from [0, 1): its chance in a jam, the same for all its attempts
     tries: int = 0
