--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -183,8 +183,8 @@
 
     def in_time(self, req: OpenRequest, node: Node, stuck: bool = True) -> bool:
         """Tell whether a request can be in time in this crowd (overload), with or without stuck fills."""
-        asked = sum(n.asked if stuck else n.asked - n.late for n in self.caches)
-        mine = node.asked if stuck else node.asked - node.late
+        asked = sum(n.asked if stuck else n.asked - n.overdue for n in self.caches)
+        mine = node.asked if stuck else node.asked - node.overdue
         zone = (self.around() - 1.0) * asked  # the others': as mine on average
         crowd = zone / self.weight + (1 + mine) / node.link
         return self.suits(req, crowd if req.spec.write else max(crowd, node.pace.significant_stretch(self.now)))
@@ -315,7 +315,7 @@
             attempt.book(-1)
             if attempt.from_origin:
                 self.leases.end(self.now)
-            attempt.node.late -= attempt.late
+            attempt.node.overdue -= attempt.overdue
             self.judge(req, attempt, event)
         if not attempt or not req:
             return
@@ -436,7 +436,7 @@
         node.ejections, node.trial = node.ejections + 1, True
         node.ejected_until_ms = self.now + ejection_ms(node.ejections)
         self.actions.append(api.Log(f"left out {node.member.server}, {node.ejections} in a row"))
-        stuck = [shot for shot, a in self.in_flight.items() if a.node is node or (a.source is node and a.late)]
+        stuck = [shot for shot, a in self.in_flight.items() if a.node is node or (a.source is node and a.overdue)]
         self.actions += [api.Cancel(*shot) for shot in stuck if self.settings.cancel]  # to find another way
 
     def alike(self, other: Node, node: Node) -> bool:
@@ -455,9 +455,9 @@
         node, source, age = attempt.node, attempt.source, self.now - attempt.sent
         if age > attempt.aim:
             self.slow(attempt)
-        if not attempt.late and age > OVERDUE[0] + OVERDUE[1] * attempt.work_ms:
-            attempt.late = True
-            node.late += 1
+        if not attempt.overdue and age > OVERDUE[0] + OVERDUE[1] * attempt.work_ms:
+            attempt.overdue = True
+            node.overdue += 1
             wrong = source if node.answered_ms > attempt.sent else node
             self.add_failure(wrong, FAILURE_SHARES["silence" if wrong.answered_ms <= attempt.sent else "slow"])
 
--- a/hitchtiller/records.py
+++ b/hitchtiller/records.py
@@ -45,7 +45,7 @@
     load_ms: float = 0.0  # my work out there
     in_flight: int = 0  # my attempts out there, also as a source
     asked: int = 0  # those sent to it itself
-    late: int = 0  # the overdue of these
+    overdue: int = 0  # the overdue of these
     failure_score: float = 0.0
     ejected_until_ms: float = 0.0  # left out until then
     ejections: int = 0
@@ -80,7 +80,7 @@
     sent: float
     work_ms: float
     aim: float  # time in which its answer earns the full worth
-    late: bool = False  # overdue
+    overdue: bool = False  # overdue
     slow: bool = False  # past its aim
     from_origin: bool = False  # a fill at the origin, which all gateways together bound
 
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -164,8 +164,8 @@
     for id in range(300):
         bench.ask(id, key=id, name="big", size_kb=900.0, life_ms=5000.0)
     for attempt in bench.router.in_flight.values():
-        attempt.late = True  # stuck, while others were answered: the caches are not silent
-        attempt.node.late += 1
+        attempt.overdue = True  # stuck, while others were answered: the caches are not silent
+        attempt.node.overdue += 1
     (get,) = gets(bench.ask(900, key=1, name="big", size_kb=900.0))
     assert get.source == get.server
     (final,) = bench.end(get, "enoent")
