--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -321,7 +321,7 @@
             return
         req.in_flight = False
         if event.status not in NEVER_RAN and req.first_run is None:
-            req.first_run = (attempt.sent, attempt.node)
+            req.first_run = (attempt.sent_ms, attempt.node)
         if event.closed:
             del self.open_requests[event.id]
             if event.status == "done":
@@ -387,7 +387,7 @@
     def judge(self, req: OpenRequest | None, attempt: Attempt, event: api.Outcome) -> None:
         """Blame failures: an error in full only if another attempt is served, a break only once."""
         node, source = attempt.node, attempt.source
-        if event.status == "busy" or (event.status == "done" and self.now - attempt.sent > attempt.aim):
+        if event.status == "busy" or (event.status == "done" and self.now - attempt.sent_ms > attempt.aim):
             self.slow(attempt)
         elif event.status == "done" and source is not node:
             source.fills.grow()
@@ -403,7 +403,7 @@
         elif event.status == "err" and req:
             req.error_attempts += (attempt,)  # a client's bad request must not have good servers left out
             self.fault(attempt, "doubt")
-        elif event.status in FAILURE_SHARES and not (event.status == "econnreset" and attempt.sent <= node.broke_ms):
+        elif event.status in FAILURE_SHARES and not (event.status == "econnreset" and attempt.sent_ms <= node.broke_ms):
             node.broke_ms = self.now if event.status == "econnreset" else node.broke_ms
             if event.status == "econnrefused" and not event.silent:  # its process is gone: back cold
                 node.refused_ms = self.now
@@ -452,14 +452,14 @@
 
     def watch(self, attempt: Attempt) -> None:
         """Blame an overdue attempt, on its source if its cache answered since."""
-        node, source, age = attempt.node, attempt.source, self.now - attempt.sent
+        node, source, age = attempt.node, attempt.source, self.now - attempt.sent_ms
         if age > attempt.aim:
             self.slow(attempt)
         if not attempt.overdue and age > OVERDUE[0] + OVERDUE[1] * attempt.work_ms:
             attempt.overdue = True
             node.overdue += 1
-            wrong = source if node.answered_ms > attempt.sent else node
-            self.add_failure(wrong, FAILURE_SHARES["silence" if wrong.answered_ms <= attempt.sent else "slow"])
+            wrong = source if node.answered_ms > attempt.sent_ms else node
+            self.add_failure(wrong, FAILURE_SHARES["silence" if wrong.answered_ms <= attempt.sent_ms else "slow"])
 
     def on_timer(self, event: api.TimerDue) -> None:
         """Look for overdue work and drop old purges; ask discovery again; stop waiting for a home router."""
--- a/hitchtiller/records.py
+++ b/hitchtiller/records.py
@@ -77,7 +77,7 @@
     node: Node
     source: Node
     stage: str
-    sent: float
+    sent_ms: float
     work_ms: float
     aim: float  # time in which its answer earns the full worth
     overdue: bool = False  # overdue
