--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -387,7 +387,7 @@
     def judge(self, req: OpenRequest | None, attempt: Attempt, event: api.Outcome) -> None:
         """Blame failures: an error in full only if another attempt is served, a break only once."""
         node, source = attempt.node, attempt.source
-        if event.status == "busy" or (event.status == "done" and self.now - attempt.sent_ms > attempt.aim):
+        if event.status == "busy" or (event.status == "done" and self.now - attempt.sent_ms > attempt.aim_ms):
             self.slow(attempt)
         elif event.status == "done" and source is not node:
             source.fills.grow()
@@ -453,7 +453,7 @@
     def watch(self, attempt: Attempt) -> None:
         """Blame an overdue attempt, on its source if its cache answered since."""
         node, source, age = attempt.node, attempt.source, self.now - attempt.sent_ms
-        if age > attempt.aim:
+        if age > attempt.aim_ms:
             self.slow(attempt)
         if not attempt.overdue and age > OVERDUE[0] + OVERDUE[1] * attempt.work_ms:
             attempt.overdue = True
--- a/hitchtiller/records.py
+++ b/hitchtiller/records.py
@@ -79,7 +79,7 @@
     stage: str
     sent_ms: float
     work_ms: float
-    aim: float  # time in which its answer earns the full worth
+    aim_ms: float  # time in which its answer earns the full worth
     overdue: bool = False  # overdue
     slow: bool = False  # past its aim
     from_origin: bool = False  # a fill at the origin, which all gateways together bound
