--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -446,9 +446,9 @@
 
     def slow(self, attempt: Attempt) -> None:
         """Ask a source for less after a fill that missed its aim, once for each."""
-        if not attempt.slow and attempt.source is not attempt.node:
+        if not attempt.missed_aim and attempt.source is not attempt.node:
             attempt.source.fills.shrink()
-        attempt.slow = True
+        attempt.missed_aim = True
 
     def watch(self, attempt: Attempt) -> None:
         """Blame an overdue attempt, on its source if its cache answered since."""
--- a/hitchtiller/records.py
+++ b/hitchtiller/records.py
@@ -81,7 +81,7 @@
     work_ms: float
     aim_ms: float  # time in which its answer earns the full worth
     overdue: bool = False  # overdue
-    slow: bool = False  # past its aim
+    missed_aim: bool = False  # past its aim
     from_origin: bool = False  # a fill at the origin, which all gateways together bound
 
     def book(self, sign: int) -> None:
