--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -262,7 +262,7 @@
             aim = min(aim, req.event.deadline_ms - self.now - MARGIN_MS)
         attempt = Attempt(node, source, stage, self.now, req.work_ms, aim)
         self.in_flight[req.event.id, req.tries] = attempt
-        attempt.book(1)
+        attempt.adjust_load(1)
         attempt.from_origin = source.member.kind == self.settings.origin_kind and not req.spec.write
         if attempt.from_origin:
             self.leases.begin(self.now)
@@ -312,7 +312,7 @@
         """Book an attempt's end, then finish the request or send the next attempt."""
         attempt, req = self.in_flight.pop((event.id, event.attempt), None), self.open_requests.get(event.id)
         if attempt:
-            attempt.book(-1)
+            attempt.adjust_load(-1)
             if attempt.from_origin:
                 self.leases.end(self.now)
             attempt.node.overdue -= attempt.overdue
--- a/hitchtiller/records.py
+++ b/hitchtiller/records.py
@@ -84,7 +84,7 @@
     missed_aim: bool = False  # past its aim
     from_origin: bool = False  # a fill at the origin, which all gateways together bound
 
-    def book(self, sign: int) -> None:
+    def adjust_load(self, sign: int) -> None:
         """Add it to its cache's and source's work with 1, or take it off with -1."""
         self.node.asked += sign
         for server in (self.node,) if self.source is self.node else (self.node, self.source):
