--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -64,7 +64,7 @@
         self.purges = PurgeLog()
         self.rankings: dict[int, tuple[list[Node], list[Node]]] = {}  # of caches and parents, by hash
         self.sizes = Sizes(settings)
-        self.capacity, self.mean = Capacity(settings), self.sizes.mean
+        self.capacity_model, self.mean = Capacity(settings), self.sizes.mean
         self.swept = math.inf  # when overdue work was last looked for
         self.tokens = RETRY_BANK  # further attempts that may be sent
         self.handlers: dict[type, Callable[[Any], object]] = {api.Request: self.on_request,
@@ -106,7 +106,7 @@
         self.caches = [n for n in self.nodes.values() if n.member.zone == mine and n.member.kind not in tiers]
         self.parents = [n for n in self.nodes.values() if n.member.kind == self.settings.parent_kind]
         self.origins = [n for n in self.nodes.values() if n.member.kind == self.settings.origin_kind]
-        for name, links in self.capacity.estimate(n.member for n in self.nodes.values()).items():
+        for name, links in self.capacity_model.estimate(n.member for n in self.nodes.values()).items():
             self.nodes[name].link, self.nodes[name].safe_capacity = links
         self.weight = sum(n.link for n in self.caches)
         self.rankings.clear()
