--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -107,8 +107,8 @@
         self.parents = [n for n in self.nodes.values() if n.member.kind == self.settings.parent_kind]
         self.origins = [n for n in self.nodes.values() if n.member.kind == self.settings.origin_kind]
         for name, links in self.capacity_model.estimate(n.member for n in self.nodes.values()).items():
-            self.nodes[name].link, self.nodes[name].safe_capacity = links
-        self.weight = sum(n.link for n in self.caches)
+            self.nodes[name].capacity, self.nodes[name].safe_capacity = links
+        self.weight = sum(n.capacity for n in self.caches)
         self.rankings.clear()
 
     # Rule guards
@@ -171,9 +171,9 @@
         able = [n for n in open_to if self.usable(n)] or open_to
         if not able:
             return None, False
-        node = min(able[:width], key=lambda n: n.load_ms / n.link)
+        node = min(able[:width], key=lambda n: n.load_ms / n.capacity)
         if not self.in_time(req, node):  # exception: the rest of the zone before a refusal
-            node = min(able, key=lambda n: (n.load_ms + req.work_ms) * n.pace.now(self.now) / n.link)
+            node = min(able, key=lambda n: (n.load_ms + req.work_ms) * n.pace.now(self.now) / n.capacity)
         moved = width > 1 or node is not order[0] or self.now < node.joined_ms + MOVED_MS
         return node, moved and not req.spec.write and self.settings.siblings != "none"
 
@@ -186,7 +186,7 @@
         asked = sum(n.asked if stuck else n.asked - n.overdue for n in self.caches)
         mine = node.asked if stuck else node.asked - node.overdue
         zone = (self.around() - 1.0) * asked  # the others': as mine on average
-        crowd = zone / self.weight + (1 + mine) / node.link
+        crowd = zone / self.weight + (1 + mine) / node.capacity
         return self.suits(req, crowd if req.spec.write else max(crowd, node.pace.significant_stretch(self.now)))
 
     def suits(self, req: OpenRequest, crowd: float) -> bool:
--- a/hitchtiller/records.py
+++ b/hitchtiller/records.py
@@ -38,7 +38,7 @@
     salt: int
     answered_ms: float
     joined_ms: float  # last start or return, 0: long ago
-    link: float = 1.0  # transfers at full pace at once: likely
+    capacity: float = 1.0  # transfers at full pace at once: likely
     safe_capacity: float = 1.0  # and at least
     debt_ms: float = 0.0  # work sent to it while cold and not yet earned
     debt_at_ms: float = 0.0
@@ -67,7 +67,9 @@
 
 def by_hash(hashed: int, nodes: Iterable[Node]) -> list[Node]:
     """Order servers by weighted rendezvous hash."""
-    return sorted(nodes, key=lambda n: -math.log((combine_hashes(hashed, n.salt) + 1) / (1 << 64)) / n.link)
+    return sorted(
+        nodes, key=lambda n: -math.log((combine_hashes(hashed, n.salt) + 1) / (1 << 64)) / n.capacity
+    )
 
 
 @dataclass(slots=True, eq=False)
