--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -183,8 +183,8 @@
 
     def in_time(self, req: OpenRequest, node: Node, stuck: bool = True) -> bool:
         """Tell whether a request can be in time in this crowd (overload), with or without stuck fills."""
-        asked = sum(n.asked if stuck else n.asked - n.overdue for n in self.caches)
-        mine = node.asked if stuck else node.asked - node.overdue
+        asked = sum(n.attempts if stuck else n.attempts - n.overdue for n in self.caches)
+        mine = node.attempts if stuck else node.attempts - node.overdue
         zone = (self.around() - 1.0) * asked  # the others': as mine on average
         crowd = zone / self.weight + (1 + mine) / node.capacity
         return self.suits(req, crowd if req.spec.write else max(crowd, node.pace.significant_stretch(self.now)))
@@ -230,7 +230,7 @@
         """Send to the picked cache: a look-up for spread or moved objects, else one attempt with its fill."""
         node, look = self.pick(req, width)
         if node is None:  # straight up where allowed and the zone's link has room: else all fills would jam
-            out = len(self.in_flight) - sum(n.asked for n in self.caches)
+            out = len(self.in_flight) - sum(n.attempts for n in self.caches)
             fits = req.spec.write or self.suits(req, (1 + self.around() * out) / self.room)
             up = self.source(req) if self.settings.direct and fits else None
             self.send(req, up, up, "fill")
--- a/hitchtiller/records.py
+++ b/hitchtiller/records.py
@@ -44,7 +44,7 @@
     debt_at_ms: float = 0.0
     load_ms: float = 0.0  # my work out there
     in_flight: int = 0  # my attempts out there, also as a source
-    asked: int = 0  # those sent to it itself
+    attempts: int = 0  # those sent to it itself
     overdue: int = 0  # the overdue of these
     failure_score: float = 0.0
     ejected_until_ms: float = 0.0  # left out until then
@@ -88,7 +88,7 @@
 
     def adjust_load(self, sign: int) -> None:
         """Add it to its cache's and source's work with 1, or take it off with -1."""
-        self.node.asked += sign
+        self.node.attempts += sign
         for server in (self.node,) if self.source is self.node else (self.node, self.source):
             server.load_ms += sign * self.work_ms
             server.in_flight += sign
