--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -403,8 +403,8 @@
         elif event.status == "err" and req:
             req.error_attempts += (attempt,)  # a client's bad request must not have good servers left out
             self.fault(attempt, "doubt")
-        elif event.status in FAILURE_SHARES and not (event.status == "econnreset" and attempt.sent_ms <= node.broke_ms):
-            node.broke_ms = self.now if event.status == "econnreset" else node.broke_ms
+        elif event.status in FAILURE_SHARES and not (event.status == "econnreset" and attempt.sent_ms <= node.reset_ms):
+            node.reset_ms = self.now if event.status == "econnreset" else node.reset_ms
             if event.status == "econnrefused" and not event.silent:  # its process is gone: back cold
                 node.refused_ms = self.now
             self.fault(attempt, event.status)
--- a/hitchtiller/records.py
+++ b/hitchtiller/records.py
@@ -49,7 +49,7 @@
     failure_score: float = 0.0
     ejected_until_ms: float = 0.0  # left out until then
     ejections: int = 0
-    broke_ms: float = -1.0  # when a connection to it last broke
+    reset_ms: float = -1.0  # when a connection to it last broke
     refused_ms: float = 0.0  # when it refused a connection: it comes back cold; 0: not since its listed start
     fills: FillLimit = field(default_factory=FillLimit)  # asked of it as a source
     pace: Pace = field(default_factory=Pace)
