--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -240,7 +240,7 @@
             self.send(req, node, node, "look")
         else:
             source = self.source(req)
-            if req.spec.write or (source and source.fills.unlimited and self.fillable(req, source)):
+            if req.spec.write or (source and source.fill_limit.unlimited and self.fillable(req, source)):
                 return self.send(req, node, source, "fill")
             stage = "check" if source and self.fillable(req, source) else "only"  # exception: hits stay
             self.send(req, node, node, stage)  # prompt while fills jam, and only fills are counted as such
@@ -250,7 +250,7 @@
         crowd = (1 + self.around() * sum(a.stage == "fill" for a in self.in_flight.values())) / self.room
         if self.fed and req.work_ms * crowd > req.event.deadline_ms - self.now:
             return False
-        return source.fills.admits(req.work_ms, max(self.mean.values()), req.admission_draw)
+        return source.fill_limit.admits(req.work_ms, max(self.mean.values()), req.admission_draw)
 
     def send(self, req: OpenRequest, node: Node | None, source: Node | None, stage: str) -> None:
         """Run the guards, then send; what may not be sent is given up at once."""
@@ -390,7 +390,7 @@
         if event.status == "busy" or (event.status == "done" and self.now - attempt.sent_ms > attempt.aim_ms):
             self.slow(attempt)
         elif event.status == "done" and source is not node:
-            source.fills.grow()
+            source.fill_limit.grow()
         if event.status == "done" and event.note == 1 and req and req.known and event.whole:
             node.pace.record(self.now, event.latency_ms / req.work_ms)
         if event.status in ("done", "enoent"):
@@ -447,7 +447,7 @@
     def slow(self, attempt: Attempt) -> None:
         """Ask a source for less after a fill that missed its aim, once for each."""
         if not attempt.missed_aim and attempt.source is not attempt.node:
-            attempt.source.fills.shrink()
+            attempt.source.fill_limit.shrink()
         attempt.missed_aim = True
 
     def watch(self, attempt: Attempt) -> None:
--- a/hitchtiller/records.py
+++ b/hitchtiller/records.py
@@ -51,7 +51,7 @@
     ejections: int = 0
     reset_ms: float = -1.0  # when a connection to it last broke
     refused_ms: float = 0.0  # when it refused a connection: it comes back cold; 0: not since its listed start
-    fills: FillLimit = field(default_factory=FillLimit)  # asked of it as a source
+    fill_limit: FillLimit = field(default_factory=FillLimit)  # asked of it as a source
     pace: Pace = field(default_factory=Pace)
     trial: bool = False  # back on trial: one attempt at a time
 
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -180,7 +180,7 @@
         count = 0
         for id in range(200):
             for node in bench.router.parents:
-                node.fills.share = 0.1
+                node.fill_limit.share = 0.1
             (look,) = gets(bench.ask(id, key=id, size_kb=share * mean))
             assert look.source == look.server
             for get in gets(bench.end(look, "enoent")):
@@ -197,7 +197,7 @@
     bench.router.directory.entries.clear()
     (look,) = gets(bench.ask(1, key=9, size_kb=400.0))
     for node in bench.router.parents:
-        node.fills.share = 1e-9
+        node.fill_limit.share = 1e-9
     (final,) = bench.end(look, "enoent")
     assert isinstance(final, api.Refuse)
 
@@ -205,7 +205,7 @@
 def test_fills_that_miss_their_aim_or_are_turned_away_shrink_the_limit_and_prompt_ones_restore_it() -> None:
     bench = Bench(siblings="none")
     (get,) = gets(bench.ask(1, key=1))
-    fills = bench.router.nodes[get.source].fills
+    fills = bench.router.nodes[get.source].fill_limit
     bench.end(get, "busy")
     first = fills.share
     assert first < MAX_SHARE
@@ -301,7 +301,7 @@
     (fill,) = gets(bench.ask(1, key=5))
     assert fill.renew and fill.age_ms == 5000.0
     for node in bench.router.parents:
-        node.fills.share = 1e-9  # jammed: no fill is asked for
+        node.fill_limit.share = 1e-9  # jammed: no fill is asked for
     (only,) = gets(bench.ask(2, key=6))
     assert only.source == only.server and only.age_ms == 7000.0 and not only.renew
     bench.give(api.Purged(6, 0, 500.0))
@@ -434,10 +434,10 @@
     bench = Bench(siblings="none", gateways_in_zone=(0, 1, 0))
     (get,) = gets(bench.ask(1, key=1, name="big", size_kb=4000.0, life_ms=5000.0))
     (attempt,) = bench.router.in_flight.values()
-    assert attempt.source.member.server == get.source and attempt.source.fills.unlimited
+    assert attempt.source.member.server == get.source and attempt.source.fill_limit.unlimited
     bench.router.now = 4950.0
     bench.router.watch(attempt)
-    assert not attempt.source.fills.unlimited
+    assert not attempt.source.fill_limit.unlimited
 
 
 def test_a_later_attempt_that_had_little_time_left_is_no_sign_of_a_slow_source() -> None:
@@ -453,4 +453,4 @@
     assert again.source == attempt.source.member.server != attempt.node.member.server
     bench.router.now = 4990.0
     bench.router.watch(attempt)
-    assert attempt.source.fills.unlimited
+    assert attempt.source.fill_limit.unlimited
