--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -100,7 +100,7 @@
                 salt = hash64(*member.server.encode())
                 self.nodes[member.server] = Node(member, salt, self.now, member.started_ms or -math.inf)
                 continue
-            node.follow(member, self.now)
+            node.update(member, self.now)
         self.nodes = {name: n for name, n in self.nodes.items() if n.member.state != "DELETED"}
         mine, tiers = self.settings.my_zone, (self.settings.parent_kind, self.settings.origin_kind, None)
         self.caches = [n for n in self.nodes.values() if n.member.zone == mine and n.member.kind not in tiers]
--- a/hitchtiller/records.py
+++ b/hitchtiller/records.py
@@ -55,7 +55,7 @@
     pace: Pace = field(default_factory=Pace)
     trial: bool = False  # back on trial: one attempt at a time
 
-    def follow(self, member: Member, now_ms: float) -> None:
+    def update(self, member: Member, now_ms: float) -> None:
         """Take its new line of the list; a start, or a return to service, clears what was held against it."""
         restarted = member.started_ms != self.member.started_ms
         if restarted or self.member.state != "SERVING":
