--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from hitchtiller import interface as api
-from hitchtiller.records import Attempt, OpenRequest, Node, by_hash, hash64, lru_put
+from hitchtiller.records import Attempt, OpenRequest, Node, rank_by_hash, hash64, lru_put
 from hitchtiller.routing.blame import ASSUMED_FILL_SHARE, FAILURE_SHARES, EJECT_AT, SUCCESS_FACTOR, ejection_ms
 from hitchtiller.routing.capacity import Capacity
 from hitchtiller.routing.cold import ColdGuard
@@ -159,7 +159,7 @@
         """Order the zone's caches, and the parents, by weighted rendezvous hash, until the list changes."""
         orders = self.rankings.get(hashed)
         if orders is None:
-            orders = (by_hash(hashed, self.caches), by_hash(hashed, self.parents))
+            orders = (rank_by_hash(hashed, self.caches), rank_by_hash(hashed, self.parents))
             lru_put(self.rankings, hashed, orders, TABLE)
         return orders
 
--- a/hitchtiller/records.py
+++ b/hitchtiller/records.py
@@ -65,7 +65,7 @@
         self.member = member
 
 
-def by_hash(hashed: int, nodes: Iterable[Node]) -> list[Node]:
+def rank_by_hash(hashed: int, nodes: Iterable[Node]) -> list[Node]:
     """Order servers by weighted rendezvous hash."""
     return sorted(
         nodes, key=lambda n: -math.log((combine_hashes(hashed, n.salt) + 1) / (1 << 64)) / n.capacity
