--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -52,12 +52,12 @@
         self.settings, self.rng = settings, Random(seed)
         self.now, self.actions = 0.0, list[api.Action]()
         self.nodes, self.caches, self.parents = dict[str, Node](), list[Node](), list[Node]()
-        self.origins, self.weight = list[Node](), 0.0  # of the zone's caches together
+        self.origins, self.zone_capacity = list[Node](), 0.0  # of the zone's caches together
         self.open_requests, self.in_flight = dict[int, OpenRequest](), dict[tuple[int, int], Attempt]()
         self.popularity = Popularity()
         self.directory = Directory()  # my slice of it
         self.reported: dict[tuple[int, int], tuple[str, float]] = {}
-        self.waiting: dict[tuple[int, int], list[int]] = {}
+        self.waiting_for_home: dict[tuple[int, int], list[int]] = {}
         self.home_of: Callable[[int], int] = lambda hashed: hashed % settings.group_size  # or by membership
         self.serving_share: Callable[[], float] = lambda: 1.0  # share of the gateways in service, by membership
         self.silent_homes: dict[int, float] = {}  # home routers that did not answer, until when
@@ -65,18 +65,18 @@
         self.rankings: dict[int, tuple[list[Node], list[Node]]] = {}  # of caches and parents, by hash
         self.sizes = Sizes(settings)
         self.capacity_model, self.mean = Capacity(settings), self.sizes.mean
-        self.swept = math.inf  # when overdue work was last looked for
-        self.tokens = RETRY_BANK  # further attempts that may be sent
+        self.last_sweep_ms = math.inf  # when overdue work was last looked for
+        self.retry_tokens = RETRY_BANK  # further attempts that may be sent
         self.handlers: dict[type, Callable[[Any], object]] = {api.Request: self.on_request,
             api.Outcome: self.on_outcome, api.TimerDue: self.on_timer, api.PeerMessage: self.on_peer,
             api.Members: self.on_members, api.Purged: self.on_purged, api.StreamBegun: lambda e: None,
             api.Probed: lambda e: None, api.ClientLeft: self.on_left}  # fmt: skip
-        self.zone = zone = settings.zones.index(settings.my_zone)
-        self.hub = settings.zones[settings.hub_of[zone]] if settings.hub_of else ""
+        self.zone_number = zone = settings.zones.index(settings.my_zone)
+        self.hub_zone = settings.zones[settings.hub_of[zone]] if settings.hub_of else ""
         link = settings.link_kb_per_s[zone] if settings.link_kb_per_s else 0.0
-        self.room = link / (settings.flow_kb_per_s or math.inf) or 8.0  # transfers on my zone's link
-        self.fed = link > 0.0 and settings.flow_kb_per_s > 0.0  # it is told
-        self.cold = ColdGuard(settings)
+        self.link = link / (settings.flow_kb_per_s or math.inf) or 8.0  # transfers on my zone's link
+        self.link_known = link > 0.0 and settings.flow_kb_per_s > 0.0  # it is told
+        self.cold_guard = ColdGuard(settings)
         self.leases, self.lease_waiters = OriginLeases(settings, ORIGIN_FILLS), list[OpenRequest]()
 
     def handle(self, event: api.Event, now_ms: float) -> list[api.Action]:
@@ -108,18 +108,18 @@
         self.origins = [n for n in self.nodes.values() if n.member.kind == self.settings.origin_kind]
         for name, links in self.capacity_model.estimate(n.member for n in self.nodes.values()).items():
             self.nodes[name].capacity, self.nodes[name].safe_capacity = links
-        self.weight = sum(n.capacity for n in self.caches)
+        self.zone_capacity = sum(n.capacity for n in self.caches)
         self.rankings.clear()
 
     # Rule guards
 
     def cold_rate(self, node: Node) -> float:
         """Cold guard: work I may add a ms to a server that started lately, less the one attempt above it."""
-        return self.cold.rate_of(node, self.now, max(self.mean.values()), self.serving_share())
+        return self.cold_guard.rate_of(node, self.now, max(self.mean.values()), self.serving_share())
 
     def admits(self, node: Node) -> bool:
         """Tell whether a cold server's debt is paid off, so that it may get one more."""
-        return self.cold.admits(node, self.now, max(self.mean.values()), self.serving_share())
+        return self.cold_guard.admits(node, self.now, max(self.mean.values()), self.serving_share())
 
     def oldest(self, req: OpenRequest, stage: str) -> float:
         """Bound a copy's age by purges and its fresh time; with the grace where no fill would follow."""
@@ -179,14 +179,14 @@
 
     def around(self) -> float:
         """Give the gateways of my zone in service: crowds are guessed by it, never a rule's share."""
-        return max(1.0, self.cold.in_zone * self.serving_share())
+        return max(1.0, self.cold_guard.in_zone * self.serving_share())
 
     def in_time(self, req: OpenRequest, node: Node, stuck: bool = True) -> bool:
         """Tell whether a request can be in time in this crowd (overload), with or without stuck fills."""
         asked = sum(n.attempts if stuck else n.attempts - n.overdue for n in self.caches)
         mine = node.attempts if stuck else node.attempts - node.overdue
         zone = (self.around() - 1.0) * asked  # the others': as mine on average
-        crowd = zone / self.weight + (1 + mine) / node.capacity
+        crowd = zone / self.zone_capacity + (1 + mine) / node.capacity
         return self.suits(req, crowd if req.spec.write else max(crowd, node.pace.significant_stretch(self.now)))
 
     def suits(self, req: OpenRequest, crowd: float) -> bool:
@@ -198,7 +198,7 @@
     def source(self, req: OpenRequest) -> Node | None:
         """Name where a miss is filled from: hashed hub parent, one parent hashed over all, the origin."""
         wide = [n for n in self.ranked(req.object_hash)[1] if self.usable(n) and n not in req.avoid]
-        for node in [n for n in wide if n.member.zone == self.hub][:1] + wide:
+        for node in [n for n in wide if n.member.zone == self.hub_zone][:1] + wide:
             if not req.spec.write and self.admits(node):
                 return node
         if not req.spec.write and not self.leases.may_begin(req.event.deadline_ms, self.now):
@@ -211,7 +211,7 @@
         """Count a request for an object: its rank when kept, and how many caches should share it."""
         heat = self.popularity.count(req.item, self.now)
         req.keep_rank = keep_rank(heat)
-        link = self.weight / max(1, len(self.caches)) or 1.0
+        link = self.zone_capacity / max(1, len(self.caches)) or 1.0
         share = heat * req.work_ms * self.around() / DECAY_MS / link
         return caches_for(heat, share)
 
@@ -223,7 +223,7 @@
         item, home = (ask.key, ask.part), self.home_of(hashed)
         req = OpenRequest(ask, cls, work, known, item, hashed, home, self.rng.random())
         self.open_requests[ask.id] = req
-        self.tokens = min(RETRY_BANK, self.tokens + RETRY_EARN)
+        self.retry_tokens = min(RETRY_BANK, self.retry_tokens + RETRY_EARN)
         self.start(req, self.count(req))
 
     def start(self, req: OpenRequest, width: int) -> None:
@@ -231,7 +231,7 @@
         node, look = self.pick(req, width)
         if node is None:  # straight up where allowed and the zone's link has room: else all fills would jam
             out = len(self.in_flight) - sum(n.attempts for n in self.caches)
-            fits = req.spec.write or self.suits(req, (1 + self.around() * out) / self.room)
+            fits = req.spec.write or self.suits(req, (1 + self.around() * out) / self.link)
             up = self.source(req) if self.settings.direct and fits else None
             self.send(req, up, up, "fill")
         elif not self.in_time(req, node):  # exception: beside stuck fills a hit may be in time
@@ -247,8 +247,8 @@
 
     def fillable(self, req: OpenRequest, source: Node) -> bool:
         """Tell whether a source may be asked for a fill now that can end in time on the zone's link in."""
-        crowd = (1 + self.around() * sum(a.stage == "fill" for a in self.in_flight.values())) / self.room
-        if self.fed and req.work_ms * crowd > req.event.deadline_ms - self.now:
+        crowd = (1 + self.around() * sum(a.stage == "fill" for a in self.in_flight.values())) / self.link
+        if self.link_known and req.work_ms * crowd > req.event.deadline_ms - self.now:
             return False
         return source.fill_limit.admits(req.work_ms, max(self.mean.values()), req.admission_draw)
 
@@ -352,11 +352,11 @@
         elif status == "enoent" and attempt.stage == "sibling":
             self.tell(req.home, api.PeerNote("lacks", *req.item, attempt.source.member.server))
             self.fill(req, None)
-        elif self.tokens < 1.0 or attempt.stage == "only" or len(req.error_attempts) >= MOST_ERRORS:
+        elif self.retry_tokens < 1.0 or attempt.stage == "only" or len(req.error_attempts) >= MOST_ERRORS:
             self.give_up(req)
         else:
             way = status in WAY  # not the source failed: a reset may be no more than that connection's
-            self.tokens -= WAY_COST if way else 1.0
+            self.retry_tokens -= WAY_COST if way else 1.0
             if way and (status != "econnreset" or req.tries > 1):
                 req.avoid.append(attempt.node)
             if way:
@@ -379,10 +379,10 @@
     def on_left(self, event: api.ClientLeft) -> None:
         """Forget a request, also where it waits for a home router."""
         req = self.open_requests.pop(event.id, None)
-        if req and event.id in (waiting := self.waiting.get(req.item, [])):
+        if req and event.id in (waiting := self.waiting_for_home.get(req.item, [])):
             waiting.remove(event.id)
             if not waiting:
-                del self.waiting[req.item]
+                del self.waiting_for_home[req.item]
 
     def judge(self, req: OpenRequest | None, attempt: Attempt, event: api.Outcome) -> None:
         """Blame failures: an error in full only if another attempt is served, a break only once."""
@@ -467,12 +467,12 @@
             self.actions.append(api.Watch())
         elif event.token != "sweep":
             req = self.open_requests.get(int(event.token)) if event.token.isdecimal() else None
-            if req and req.event.id in self.waiting.get(req.item, []):  # not an older wait's timer
+            if req and req.event.id in self.waiting_for_home.get(req.item, []):  # not an older wait's timer
                 self.silent_homes[req.home] = self.now + AGAIN_MS
                 self.go_on(req.item, None)
         else:
             self.actions.append(api.SetTimer(SWEEP_MS, "sweep"))
-            prompt, self.swept = self.now - self.swept < 4.0 * SWEEP_MS, self.now
+            prompt, self.last_sweep_ms = self.now - self.last_sweep_ms < 4.0 * SWEEP_MS, self.now
             for attempt in list(self.in_flight.values()) if prompt else ():  # else the lag is mine: answers
                 self.watch(attempt)  # may lie unread, and good servers would be left out for it
             self.on_lease(self.leases.tick(self.now))
@@ -488,13 +488,13 @@
         elif not self.settings.peers or self.now < self.silent_homes.get(req.home, 0.0) or left < 3.0 * wait:
             self.fill(req, None)
         else:
-            self.waiting.setdefault(req.item, []).append(req.event.id)
-            self.tell(req.home, api.PeerNote("ask", *req.item, asking, self.zone))
+            self.waiting_for_home.setdefault(req.item, []).append(req.event.id)
+            self.tell(req.home, api.PeerNote("ask", *req.item, asking, self.zone_number))
             self.actions.append(api.SetTimer(wait, str(req.event.id)))
 
     def go_on(self, item: tuple[int, int], sibling: Node | None) -> None:
         """Go on with the requests that waited for a home router."""
-        for request in self.waiting.pop(item, []):
+        for request in self.waiting_for_home.pop(item, []):
             if request in self.open_requests:
                 self.fill(self.open_requests[request], sibling)
 
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -96,7 +96,7 @@
     assert all(
         len(table) <= TABLE for table in (router.directory.entries, router.popularity.counts, router.reported)
     )
-    assert not router.open_requests and not router.in_flight and not router.waiting
+    assert not router.open_requests and not router.in_flight and not router.waiting_for_home
 
 
 def test_quick_failures_leave_a_cache_out_and_a_trial_brings_it_back(bench: Bench) -> None:
@@ -343,10 +343,10 @@
 def test_a_break_is_tried_on_the_same_cache_a_second_one_and_a_refused_way_elsewhere(bench: Bench) -> None:
     """Another source was tried, at the origin's price; a burst of breaks used up the further attempts."""
     (first,) = gets(bench.ask(1, key=5, size_kb=10.0))
-    tokens = bench.router.tokens
+    tokens = bench.router.retry_tokens
     (second,) = gets(bench.end(first, "econnreset"))
     assert (second.server, second.source) == (first.server, first.source)
-    assert bench.router.tokens == tokens - 0.25
+    assert bench.router.retry_tokens == tokens - 0.25
     bench.now += 1.0
     (third,) = gets(bench.end(second, "econnreset", shot=1))
     assert third.server != first.server
@@ -373,7 +373,7 @@
             bench.end(get, "enoent")
         bench.give(api.ClientLeft(id))
     assert any(isinstance(act, api.Get) for _, act in bench.sent)
-    assert not bench.router.waiting
+    assert not bench.router.waiting_for_home
 
 
 def test_the_crowd_is_guessed_from_the_gateways_that_are_in_service() -> None:
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -147,7 +147,7 @@
     for id, step in enumerate(steps):
         world.step(id, *step)
     world.pass_to(world.now + 5000.0)
-    assert not world.open and not world.router.open_requests and not world.router.waiting
+    assert not world.open and not world.router.open_requests and not world.router.waiting_for_home
     router = world.router
     assert all(
         len(table) <= TABLE for table in (router.directory.entries, router.popularity.counts, router.reported)
