--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -70,7 +70,7 @@
         self.handlers: dict[type, Callable[[Any], object]] = {api.Request: self.on_request,
             api.Outcome: self.on_outcome, api.TimerDue: self.on_timer, api.PeerMessage: self.on_peer,
             api.Members: self.on_members, api.Purged: self.on_purged, api.StreamBegun: lambda e: None,
-            api.Probed: lambda e: None, api.ClientLeft: self.on_left}  # fmt: skip
+            api.Probed: lambda e: None, api.ClientLeft: self.on_client_left}  # fmt: skip
         self.zone_number = zone = settings.zones.index(settings.my_zone)
         self.hub_zone = settings.zones[settings.hub_of[zone]] if settings.hub_of else ""
         link = settings.link_kb_per_s[zone] if settings.link_kb_per_s else 0.0
@@ -121,7 +121,7 @@
         """Tell whether a cold server's debt is paid off, so that it may get one more."""
         return self.cold_guard.admits(node, self.now, max(self.mean.values()), self.serving_share())
 
-    def oldest(self, req: OpenRequest, stage: str) -> float:
+    def max_age_ms(self, req: OpenRequest, stage: str) -> float:
         """Bound a copy's age by purges and its fresh time; with the grace where no fill would follow."""
         fresh = req.spec.fresh_ms + (req.spec.grace_ms if stage == "only" else 0.0)
         age = min(fresh or math.inf, max(1.0, self.now - self.purges.latest(req.event.key, req.event.group)))
@@ -149,13 +149,13 @@
         if attempt.from_origin and not self.leases.covers(req.event.deadline_ms, now_ms):
             return None
         serving = attempt.node.member.state == "SERVING" and attempt.source.member.state == "SERVING"
-        return self.oldest(req, attempt.stage) if serving and self.may_repeat(req, attempt.node) else None
+        return self.max_age_ms(req, attempt.stage) if serving and self.may_repeat(req, attempt.node) else None
 
     def usable(self, node: Node) -> bool:
         """Tell whether a server may be picked: listed, not left out, or due for its single trial."""
         return node.member.state == "SERVING" and self.now >= node.ejected_until_ms and not (node.trial and node.in_flight)
 
-    def ranked(self, hashed: int) -> tuple[list[Node], list[Node]]:
+    def rank(self, hashed: int) -> tuple[list[Node], list[Node]]:
         """Order the zone's caches, and the parents, by weighted rendezvous hash, until the list changes."""
         orders = self.rankings.get(hashed)
         if orders is None:
@@ -163,9 +163,9 @@
             lru_put(self.rankings, hashed, orders, TABLE)
         return orders
 
-    def pick(self, req: OpenRequest, width: int) -> tuple[Node | None, bool]:
+    def pick_cache(self, req: OpenRequest, width: int) -> tuple[Node | None, bool]:
         """Pick the cache (better one left out than none); tell if the object is spread or moved."""
-        order = self.ranked(req.object_hash)[0]
+        order = self.rank(req.object_hash)[0]
         serving = [n for n in order if n.member.state == "SERVING" and n not in req.avoid]
         open_to = [n for n in serving if self.admits(n)]
         able = [n for n in open_to if self.usable(n)] or open_to
@@ -177,7 +177,7 @@
         moved = width > 1 or node is not order[0] or self.now < node.joined_ms + MOVED_MS
         return node, moved and not req.spec.write and self.settings.siblings != "none"
 
-    def around(self) -> float:
+    def gateways(self) -> float:
         """Give the gateways of my zone in service: crowds are guessed by it, never a rule's share."""
         return max(1.0, self.cold_guard.in_zone * self.serving_share())
 
@@ -185,19 +185,19 @@
         """Tell whether a request can be in time in this crowd (overload), with or without stuck fills."""
         asked = sum(n.attempts if stuck else n.attempts - n.overdue for n in self.caches)
         mine = node.attempts if stuck else node.attempts - node.overdue
-        zone = (self.around() - 1.0) * asked  # the others': as mine on average
+        zone = (self.gateways() - 1.0) * asked  # the others': as mine on average
         crowd = zone / self.zone_capacity + (1 + mine) / node.capacity
-        return self.suits(req, crowd if req.spec.write else max(crowd, node.pace.significant_stretch(self.now)))
+        return self.meets(req, crowd if req.spec.write else max(crowd, node.pace.significant_stretch(self.now)))
 
-    def suits(self, req: OpenRequest, crowd: float) -> bool:
+    def meets(self, req: OpenRequest, crowd: float) -> bool:
         """Tell whether sending, stretched by a crowd, stays within the aim."""
         work = req.work_ms * (1.0 if req.known else UNTOLD)
         whole = req.spec.aim_ms + req.spec.aim_stretch * work  # a link that is not full stretches nothing
         return work * crowd < (whole if crowd < 1.0 else IN_TIME * whole)
 
-    def source(self, req: OpenRequest) -> Node | None:
+    def pick_source(self, req: OpenRequest) -> Node | None:
         """Name where a miss is filled from: hashed hub parent, one parent hashed over all, the origin."""
-        wide = [n for n in self.ranked(req.object_hash)[1] if self.usable(n) and n not in req.avoid]
+        wide = [n for n in self.rank(req.object_hash)[1] if self.usable(n) and n not in req.avoid]
         for node in [n for n in wide if n.member.zone == self.hub_zone][:1] + wide:
             if not req.spec.write and self.admits(node):
                 return node
@@ -207,12 +207,12 @@
             return None
         return next(iter(self.origins), None)
 
-    def count(self, req: OpenRequest) -> int:
+    def count_request(self, req: OpenRequest) -> int:
         """Count a request for an object: its rank when kept, and how many caches should share it."""
         heat = self.popularity.count(req.item, self.now)
         req.keep_rank = keep_rank(heat)
         link = self.zone_capacity / max(1, len(self.caches)) or 1.0
-        share = heat * req.work_ms * self.around() / DECAY_MS / link
+        share = heat * req.work_ms * self.gateways() / DECAY_MS / link
         return caches_for(heat, share)
 
     def on_request(self, ask: api.Request) -> None:
@@ -224,30 +224,30 @@
         req = OpenRequest(ask, cls, work, known, item, hashed, home, self.rng.random())
         self.open_requests[ask.id] = req
         self.retry_tokens = min(RETRY_BANK, self.retry_tokens + RETRY_EARN)
-        self.start(req, self.count(req))
+        self.route(req, self.count_request(req))
 
-    def start(self, req: OpenRequest, width: int) -> None:
+    def route(self, req: OpenRequest, width: int) -> None:
         """Send to the picked cache: a look-up for spread or moved objects, else one attempt with its fill."""
-        node, look = self.pick(req, width)
+        node, look = self.pick_cache(req, width)
         if node is None:  # straight up where allowed and the zone's link has room: else all fills would jam
             out = len(self.in_flight) - sum(n.attempts for n in self.caches)
-            fits = req.spec.write or self.suits(req, (1 + self.around() * out) / self.link)
-            up = self.source(req) if self.settings.direct and fits else None
+            fits = req.spec.write or self.meets(req, (1 + self.gateways() * out) / self.link)
+            up = self.pick_source(req) if self.settings.direct and fits else None
             self.send(req, up, up, "fill")
         elif not self.in_time(req, node):  # exception: beside stuck fills a hit may be in time
             self.send(req, node if self.in_time(req, node, stuck=False) else None, node, "only")
         elif look and req.tries + 2 < self.settings.max_attempts:
             self.send(req, node, node, "look")
         else:
-            source = self.source(req)
-            if req.spec.write or (source and source.fill_limit.unlimited and self.fillable(req, source)):
+            source = self.pick_source(req)
+            if req.spec.write or (source and source.fill_limit.unlimited and self.may_ask_fill(req, source)):
                 return self.send(req, node, source, "fill")
-            stage = "check" if source and self.fillable(req, source) else "only"  # exception: hits stay
+            stage = "check" if source and self.may_ask_fill(req, source) else "only"  # exception: hits stay
             self.send(req, node, node, stage)  # prompt while fills jam, and only fills are counted as such
 
-    def fillable(self, req: OpenRequest, source: Node) -> bool:
+    def may_ask_fill(self, req: OpenRequest, source: Node) -> bool:
         """Tell whether a source may be asked for a fill now that can end in time on the zone's link in."""
-        crowd = (1 + self.around() * sum(a.stage == "fill" for a in self.in_flight.values())) / self.link
+        crowd = (1 + self.gateways() * sum(a.stage == "fill" for a in self.in_flight.values())) / self.link
         if self.link_known and req.work_ms * crowd > req.event.deadline_ms - self.now:
             return False
         return source.fill_limit.admits(req.work_ms, max(self.mean.values()), req.admission_draw)
@@ -275,18 +275,18 @@
         overdue = OVERDUE[0] + OVERDUE[1] * req.work_ms
         if source is not node:  # it may wait for its source, and a thin connection carries nothing else
             overdue = max(STILL[0] * aim, STILL[1] * req.spec.deadline_ms)
-        self.actions.append(api.Get(req.event.id, *names, left, keep, self.oldest(req, stage), *how, overdue))
+        self.actions.append(api.Get(req.event.id, *names, left, keep, self.max_age_ms(req, stage), *how, overdue))
 
     def give_up(self, req: OpenRequest) -> None:
         """Answer finally, at once; effects guard: a refusal says that trying again is harmless."""
-        if req.in_flight or self.awaits_lease(req) or self.open_requests.pop(req.event.id, None) is None:
+        if req.in_flight or self.wait_for_lease(req) or self.open_requests.pop(req.event.id, None) is None:
             return
         cls, asked = req.spec, RETRY_AFTER_MS * (0.5 + self.rng.random())
         wait = min(asked, self.settings.max_retry_after_ms) if self.settings.retry_after else 0.0
         harmless = req.first_run is None or repeats_anywhere(cls)
         self.actions.append(api.Refuse(req.event.id, wait) if harmless else api.Fail(req.event.id))
 
-    def awaits_lease(self, req: OpenRequest) -> bool:
+    def wait_for_lease(self, req: OpenRequest) -> bool:
         """Have a request that only lacked a lease go again under it, or wait for an owner's answer, once."""
         ready = req.lacks_lease and self.leases.may_begin(req.event.deadline_ms, self.now)
         if not req.lacks_lease or req.waited_for_lease or not (ready or self.leases.pending_request):
@@ -294,17 +294,17 @@
         req.waited_for_lease = True
         self.lease_waiters.append(req)
         if ready:
-            self.on_lease([])
+            self.on_lease_messages([])
         return True
 
-    def on_lease(self, messages: Messages) -> None:
+    def on_lease_messages(self, messages: Messages) -> None:
         """Send notes on leases; once an owner has answered, or not, go on with what waited for it."""
         self.actions += [api.SendNote(peer, note) for peer, note in messages]
         if not self.leases.pending_request:
             waiters, self.lease_waiters = self.lease_waiters, []
             for req in waiters:
                 if req.event.id in self.open_requests and self.leases.may_begin(req.event.deadline_ms, self.now):
-                    self.start(req, 1)
+                    self.route(req, 1)
                 else:
                     self.give_up(req)
 
@@ -316,7 +316,7 @@
             if attempt.from_origin:
                 self.leases.end(self.now)
             attempt.node.overdue -= attempt.overdue
-            self.judge(req, attempt, event)
+            self.update_health(req, attempt, event)
         if not attempt or not req:
             return
         req.in_flight = False
@@ -330,7 +330,7 @@
         elif self.now >= req.event.deadline_ms - 1.0:
             self.give_up(req)
         else:
-            self.further(req, attempt, event.status)
+            self.send_next_attempt(req, attempt, event.status)
 
     def served(self, req: OpenRequest, node: Node) -> None:
         """Tell home of the kept copy, not oftener than its entry needs."""
@@ -339,19 +339,19 @@
         near = node.member.zone == self.settings.my_zone and not req.spec.write
         if due and near and self.settings.siblings != "none":
             lru_put(self.reported, req.item, (node.member.server, self.now), TABLE)
-            self.tell(req.home, api.PeerNote("kept", *req.item, node.member.server, max(0, req.event.group)))
+            self.post(req.home, api.PeerNote("kept", *req.item, node.member.server, max(0, req.event.group)))
 
-    def further(self, req: OpenRequest, attempt: Attempt, status: str) -> None:
+    def send_next_attempt(self, req: OpenRequest, attempt: Attempt, status: str) -> None:
         """Send the next attempt: the directory's after a miss, within a budget after a failure."""
         if status == "enoent" and attempt.stage == "look":
             req.missed_cache = attempt.node
             self.ask_home(req, attempt.node.member.server)
         elif status == "enoent" and attempt.stage == "check":
             req.missed_cache = attempt.node
-            self.fill(req, None)
+            self.fill_missed_cache(req, None)
         elif status == "enoent" and attempt.stage == "sibling":
-            self.tell(req.home, api.PeerNote("lacks", *req.item, attempt.source.member.server))
-            self.fill(req, None)
+            self.post(req.home, api.PeerNote("lacks", *req.item, attempt.source.member.server))
+            self.fill_missed_cache(req, None)
         elif self.retry_tokens < 1.0 or attempt.stage == "only" or len(req.error_attempts) >= MOST_ERRORS:
             self.give_up(req)
         else:
@@ -360,23 +360,23 @@
             if way and (status != "econnreset" or req.tries > 1):
                 req.avoid.append(attempt.node)
             if way:
-                return self.start(req, 1)
+                return self.route(req, 1)
             again = attempt.source in (attempt.node, *req.avoid)  # else its cache with another source first
             req.avoid.append(attempt.node if again else attempt.source)
-            self.start(req, 1)
+            self.route(req, 1)
 
-    def fill(self, req: OpenRequest, sibling: Node | None) -> None:
+    def fill_missed_cache(self, req: OpenRequest, sibling: Node | None) -> None:
         """Fill the cache that was looked at from a usable warm sibling, else from above."""
         node = req.missed_cache
         if node is None or node in req.avoid or not (self.usable(node) and self.admits(node)):
-            self.start(req, 1)
-        elif sibling and sibling is not node and self.may_fill(sibling, self.settings.my_zone):
+            self.route(req, 1)
+        elif sibling and sibling is not node and self.may_fill_from(sibling, self.settings.my_zone):
             self.send(req, node, sibling, "sibling")
         else:
-            source = self.source(req)
-            self.send(req, node, source if source and self.fillable(req, source) else None, "fill")
+            source = self.pick_source(req)
+            self.send(req, node, source if source and self.may_ask_fill(req, source) else None, "fill")
 
-    def on_left(self, event: api.ClientLeft) -> None:
+    def on_client_left(self, event: api.ClientLeft) -> None:
         """Forget a request, also where it waits for a home router."""
         req = self.open_requests.pop(event.id, None)
         if req and event.id in (waiting := self.waiting_for_home.get(req.item, [])):
@@ -384,32 +384,32 @@
             if not waiting:
                 del self.waiting_for_home[req.item]
 
-    def judge(self, req: OpenRequest | None, attempt: Attempt, event: api.Outcome) -> None:
+    def update_health(self, req: OpenRequest | None, attempt: Attempt, event: api.Outcome) -> None:
         """Blame failures: an error in full only if another attempt is served, a break only once."""
         node, source = attempt.node, attempt.source
         if event.status == "busy" or (event.status == "done" and self.now - attempt.sent_ms > attempt.aim_ms):
-            self.slow(attempt)
+            self.record_missed_aim(attempt)
         elif event.status == "done" and source is not node:
             source.fill_limit.grow()
         if event.status == "done" and event.note == 1 and req and req.known and event.whole:
             node.pace.record(self.now, event.latency_ms / req.work_ms)
         if event.status in ("done", "enoent"):
-            self.clear(node)
+            self.record_success(node)
             unknown = self.settings.notes == "none" and event.status == "done"
             if source is not node and (event.note in (2, 3) or unknown):
-                self.clear(source, SUCCESS_FACTOR**ASSUMED_FILL_SHARE if unknown else SUCCESS_FACTOR)
+                self.record_success(source, SUCCESS_FACTOR**ASSUMED_FILL_SHARE if unknown else SUCCESS_FACTOR)
             for failed in req.error_attempts if req and event.status == "done" else ():
-                self.fault(failed, "err")
+                self.attribute_failure(failed, "err")
         elif event.status == "err" and req:
             req.error_attempts += (attempt,)  # a client's bad request must not have good servers left out
-            self.fault(attempt, "doubt")
+            self.attribute_failure(attempt, "doubt")
         elif event.status in FAILURE_SHARES and not (event.status == "econnreset" and attempt.sent_ms <= node.reset_ms):
             node.reset_ms = self.now if event.status == "econnreset" else node.reset_ms
             if event.status == "econnrefused" and not event.silent:  # its process is gone: back cold
                 node.refused_ms = self.now
-            self.fault(attempt, event.status)
+            self.attribute_failure(attempt, event.status)
 
-    def fault(self, attempt: Attempt, status: str) -> None:
+    def attribute_failure(self, attempt: Attempt, status: str) -> None:
         """Blame quick failures on whichever of cache and source has the worse name."""
         node, source = attempt.node, attempt.source
         node.answered_ms = self.now
@@ -418,7 +418,7 @@
         if not own:
             self.add_failure(source, FAILURE_SHARES[status] * (1.0 - node.failure_score))
 
-    def clear(self, node: Node, left: float = SUCCESS_FACTOR) -> None:
+    def record_success(self, node: Node, left: float = SUCCESS_FACTOR) -> None:
         """Note an answer: the server works."""
         node.failure_score *= left
         node.answered_ms = self.now
@@ -430,7 +430,7 @@
         node.failure_score += (1.0 - node.failure_score) * share
         if node.failure_score < EJECT_AT or self.now < node.ejected_until_ms or node.member.kind == self.settings.origin_kind:
             return
-        alike = [n for n in self.nodes.values() if n is not node and self.alike(n, node)]
+        alike = [n for n in self.nodes.values() if n is not node and self.fails_alike(n, node)]
         if 2 * sum(self.now < n.ejected_until_ms or n.failure_score > EJECT_AT / 2 for n in alike) >= len(alike):
             return
         node.ejections, node.trial = node.ejections + 1, True
@@ -439,22 +439,22 @@
         stuck = [shot for shot, a in self.in_flight.items() if a.node is node or (a.source is node and a.overdue)]
         self.actions += [api.Cancel(*shot) for shot in stuck if self.settings.cancel]  # to find another way
 
-    def alike(self, other: Node, node: Node) -> bool:
+    def fails_alike(self, other: Node, node: Node) -> bool:
         """Tell whether another server in service fails for the same causes: a parent, or of its zone."""
         kin = other in self.parents if node in self.parents else other.member.zone == node.member.zone
         return kin and other.member.state == "SERVING"
 
-    def slow(self, attempt: Attempt) -> None:
+    def record_missed_aim(self, attempt: Attempt) -> None:
         """Ask a source for less after a fill that missed its aim, once for each."""
         if not attempt.missed_aim and attempt.source is not attempt.node:
             attempt.source.fill_limit.shrink()
         attempt.missed_aim = True
 
-    def watch(self, attempt: Attempt) -> None:
+    def check_overdue(self, attempt: Attempt) -> None:
         """Blame an overdue attempt, on its source if its cache answered since."""
         node, source, age = attempt.node, attempt.source, self.now - attempt.sent_ms
         if age > attempt.aim_ms:
-            self.slow(attempt)
+            self.record_missed_aim(attempt)
         if not attempt.overdue and age > OVERDUE[0] + OVERDUE[1] * attempt.work_ms:
             attempt.overdue = True
             node.overdue += 1
@@ -469,13 +469,13 @@
             req = self.open_requests.get(int(event.token)) if event.token.isdecimal() else None
             if req and req.event.id in self.waiting_for_home.get(req.item, []):  # not an older wait's timer
                 self.silent_homes[req.home] = self.now + AGAIN_MS
-                self.go_on(req.item, None)
+                self.resume_waiting(req.item, None)
         else:
             self.actions.append(api.SetTimer(SWEEP_MS, "sweep"))
             prompt, self.last_sweep_ms = self.now - self.last_sweep_ms < 4.0 * SWEEP_MS, self.now
             for attempt in list(self.in_flight.values()) if prompt else ():  # else the lag is mine: answers
-                self.watch(attempt)  # may lie unread, and good servers would be left out for it
-            self.on_lease(self.leases.tick(self.now))
+                self.check_overdue(attempt)  # may lie unread, and good servers would be left out for it
+            self.on_lease_messages(self.leases.tick(self.now))
             self.purges.forget_until(self.now - self.settings.purge_done_ms - MARGIN_MS)
 
     # Directory
@@ -484,21 +484,21 @@
         """Ask home for a holder and wait a small share of the aim; not near the deadline."""
         wait, left = PEER_WAIT * req.spec.aim_ms, req.event.deadline_ms - self.now
         if req.home == self.settings.my_number:
-            self.fill(req, self.candidate(req.item, self.settings.my_zone, asking))
+            self.fill_missed_cache(req, self.candidate(req.item, self.settings.my_zone, asking))
         elif not self.settings.peers or self.now < self.silent_homes.get(req.home, 0.0) or left < 3.0 * wait:
-            self.fill(req, None)
+            self.fill_missed_cache(req, None)
         else:
             self.waiting_for_home.setdefault(req.item, []).append(req.event.id)
-            self.tell(req.home, api.PeerNote("ask", *req.item, asking, self.zone_number))
+            self.post(req.home, api.PeerNote("ask", *req.item, asking, self.zone_number))
             self.actions.append(api.SetTimer(wait, str(req.event.id)))
 
-    def go_on(self, item: tuple[int, int], sibling: Node | None) -> None:
+    def resume_waiting(self, item: tuple[int, int], sibling: Node | None) -> None:
         """Go on with the requests that waited for a home router."""
         for request in self.waiting_for_home.pop(item, []):
             if request in self.open_requests:
-                self.fill(self.open_requests[request], sibling)
+                self.fill_missed_cache(self.open_requests[request], sibling)
 
-    def may_fill(self, node: Node, zone: str) -> bool:
+    def may_fill_from(self, node: Node, zone: str) -> bool:
         """Tell whether a zone's caches may fill from this one: allowed, in service, warm."""
         near = self.settings.siblings == "any" or node.member.zone == zone
         return near and self.usable(node) and self.cold_rate(node) == math.inf
@@ -510,12 +510,12 @@
             node = self.nodes.get(name)
             if node is None or listed <= node.joined_ms:
                 self.directory.drop(item, name)
-            elif name != asking and self.may_fill(node, zone):
+            elif name != asking and self.may_fill_from(node, zone):
                 self.directory.name(item, name)
                 return node
         return None
 
-    def tell(self, peer: int, note: api.PeerNote) -> None:
+    def post(self, peer: int, note: api.PeerNote) -> None:
         """Send a note to a peer; to myself without a message."""
         if peer == self.settings.my_number:
             self.on_peer(api.PeerMessage(peer, note))
@@ -525,14 +525,14 @@
     def on_peer(self, event: api.PeerMessage) -> None:
         """Take a query or answer, a kept copy for my slice, or word that a listed cache lacks the object."""
         if isinstance(event.note, api.LeaseNote):
-            return self.on_lease(self.leases.receive(event.sender, event.note, self.now))
+            return self.on_lease_messages(self.leases.receive(event.sender, event.note, self.now))
         note, zones = event.note, self.settings.zones
         item, node = (note.key, note.part), self.nodes.get(note.server)
         if note.kind == "ask" and note.number < len(zones):
             found = self.candidate(item, zones[note.number], note.server)
-            self.tell(event.sender, api.PeerNote("holder", *item, found.member.server if found else ""))
+            self.post(event.sender, api.PeerNote("holder", *item, found.member.server if found else ""))
         elif note.kind == "holder":
-            self.go_on(item, node)
+            self.resume_waiting(item, node)
         elif note.kind == "lacks":
             self.directory.drop(item, note.server)
         elif note.kind == "kept" and node is not None:
