--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -24,22 +24,22 @@
 from hitchtiller.routing.sizes import Sizes
 
 # Ordinary path
-TABLE = 4096  # entries in each table: memory or sight of the tail
-MOVED_MS = 15_000.0  # a change of caches is over: look-ups or fills
-PEER_WAIT = 0.08  # share of the aim spent on waiting for home: latency or sibling fills
-AGAIN_MS = 500.0  # wait before a silent home router, or discovery, is asked again
+MAX_TABLE_ENTRIES = 4096  # entries in each table: memory or sight of the tail
+PLACEMENT_CHANGE_MS = 15_000.0  # a change of caches is over: look-ups or fills
+HOME_WAIT_SHARE = 0.08  # share of the aim spent on waiting for home: latency or sibling fills
+ASK_AGAIN_MS = 500.0  # wait before a silent home router, or discovery, is asked again
 # Guards
 ORIGIN_FILLS = 24  # straight from the origin at once, of all gateways together: a thin link
-MARGIN_MS = 100.0  # kept from the ends of windows: clocks and ways
+WINDOW_MARGIN_MS = 100.0  # kept from the ends of windows: clocks and ways
 # Health
-MOST_ERRORS = 3  # errors from which on it is: tries or load
-OVERDUE, SWEEP_MS = (400.0, 2.0), 50.0  # overdue after this and so many times its work; how often to look
-STILL = 2.0, 0.5  # times its aim, share of its time, until a fill's silence is a sign of its connection
+MAX_ERRORS = 3  # errors from which on it is: tries or load
+OVERDUE_AFTER, SWEEP_MS = (400.0, 2.0), 50.0  # overdue after this and so many times its work; how often to look
+SILENT_FILL_AFTER = 2.0, 0.5  # times its aim, share of its time, until a fill's silence is a sign of its connection
 # Further attempts
-RETRY_EARN, RETRY_BANK = 0.2, 20.0  # further attempts earned by a request, saved at most: rescue or load
-WAY, WAY_COST = ("econnreset", "econnrefused", "etimedout"), 0.25  # a break may hit many at once
-RETRY_AFTER_MS = 400.0  # mean advice to a refused client
-IN_TIME, UNTOLD = 0.65, 0.6  # expected time over the aim to shed at; an untold size over the mean (median)
+RETRY_TOKENS_PER_REQUEST, MAX_RETRY_TOKENS = 0.2, 20.0  # further attempts earned by a request, saved at most: rescue or load
+LINK_FAILURES, LINK_RETRY_COST = ("econnreset", "econnrefused", "etimedout"), 0.25  # a break may hit many at once
+MEAN_RETRY_AFTER_MS = 400.0  # mean advice to a refused client
+MAX_AIM_SHARE, UNKNOWN_SIZE_FACTOR = 0.65, 0.6  # expected time over the aim to shed at; an untold size over the mean (median)
 
 NEVER_RAN = ("busy", "econnrefused", "skipped", "enoent")
 
@@ -66,7 +66,7 @@
         self.sizes = Sizes(settings)
         self.capacity_model, self.mean = Capacity(settings), self.sizes.mean
         self.last_sweep_ms = math.inf  # when overdue work was last looked for
-        self.retry_tokens = RETRY_BANK  # further attempts that may be sent
+        self.retry_tokens = MAX_RETRY_TOKENS  # further attempts that may be sent
         self.handlers: dict[type, Callable[[Any], object]] = {api.Request: self.on_request,
             api.Outcome: self.on_outcome, api.TimerDue: self.on_timer, api.PeerMessage: self.on_peer,
             api.Members: self.on_members, api.Purged: self.on_purged, api.StreamBegun: lambda e: None,
@@ -91,7 +91,7 @@
             self.leases.start(self.now)
             self.actions.append(api.SetTimer(SWEEP_MS, "sweep"))
         if self.settings.asks_discovery and (event.failed or not self.nodes):
-            self.actions.append(api.SetTimer(AGAIN_MS * event.failed, "watch"))
+            self.actions.append(api.SetTimer(ASK_AGAIN_MS * event.failed, "watch"))
         listed = {member.server for member in event.members}
         lost = [n.member for n in self.nodes.values() if event.whole and n.member.server not in listed]
         for member in [*event.members, *(replace(m, state="DELETED") for m in lost)]:
@@ -138,7 +138,7 @@
         cls = req.spec
         if req.first_run is None or cls.effect == "repeatable":
             return True
-        within = self.now < req.first_run[0] + cls.repeat_window_ms - MARGIN_MS
+        within = self.now < req.first_run[0] + cls.repeat_window_ms - WINDOW_MARGIN_MS
         return cls.effect == "by_key" and within and same_scope(cls, req.first_run[1].member, node.member)
 
     def recheck_send(self, id: int, shot: int, now_ms: float) -> float | None:
@@ -160,7 +160,7 @@
         orders = self.rankings.get(hashed)
         if orders is None:
             orders = (rank_by_hash(hashed, self.caches), rank_by_hash(hashed, self.parents))
-            lru_put(self.rankings, hashed, orders, TABLE)
+            lru_put(self.rankings, hashed, orders, MAX_TABLE_ENTRIES)
         return orders
 
     def pick_cache(self, req: OpenRequest, width: int) -> tuple[Node | None, bool]:
@@ -174,7 +174,7 @@
         node = min(able[:width], key=lambda n: n.load_ms / n.capacity)
         if not self.in_time(req, node):  # exception: the rest of the zone before a refusal
             node = min(able, key=lambda n: (n.load_ms + req.work_ms) * n.pace.now(self.now) / n.capacity)
-        moved = width > 1 or node is not order[0] or self.now < node.joined_ms + MOVED_MS
+        moved = width > 1 or node is not order[0] or self.now < node.joined_ms + PLACEMENT_CHANGE_MS
         return node, moved and not req.spec.write and self.settings.siblings != "none"
 
     def gateways(self) -> float:
@@ -191,9 +191,9 @@
 
     def meets(self, req: OpenRequest, crowd: float) -> bool:
         """Tell whether sending, stretched by a crowd, stays within the aim."""
-        work = req.work_ms * (1.0 if req.known else UNTOLD)
+        work = req.work_ms * (1.0 if req.known else UNKNOWN_SIZE_FACTOR)
         whole = req.spec.aim_ms + req.spec.aim_stretch * work  # a link that is not full stretches nothing
-        return work * crowd < (whole if crowd < 1.0 else IN_TIME * whole)
+        return work * crowd < (whole if crowd < 1.0 else MAX_AIM_SHARE * whole)
 
     def pick_source(self, req: OpenRequest) -> Node | None:
         """Name where a miss is filled from: hashed hub parent, one parent hashed over all, the origin."""
@@ -223,7 +223,7 @@
         item, home = (ask.key, ask.part), self.home_of(hashed)
         req = OpenRequest(ask, cls, work, known, item, hashed, home, self.rng.random())
         self.open_requests[ask.id] = req
-        self.retry_tokens = min(RETRY_BANK, self.retry_tokens + RETRY_EARN)
+        self.retry_tokens = min(MAX_RETRY_TOKENS, self.retry_tokens + RETRY_TOKENS_PER_REQUEST)
         self.route(req, self.count_request(req))
 
     def route(self, req: OpenRequest, width: int) -> None:
@@ -259,7 +259,7 @@
             return self.give_up(req)
         aim = req.spec.aim_ms + req.spec.aim_stretch * req.work_ms
         if not req.tries:  # one that times out was slow; a later one had less than its time
-            aim = min(aim, req.event.deadline_ms - self.now - MARGIN_MS)
+            aim = min(aim, req.event.deadline_ms - self.now - WINDOW_MARGIN_MS)
         attempt = Attempt(node, source, stage, self.now, req.work_ms, aim)
         self.in_flight[req.event.id, req.tries] = attempt
         attempt.adjust_load(1)
@@ -272,16 +272,16 @@
         keep, left = 0 if req.spec.write else req.keep_rank, req.event.deadline_ms - self.now
         names = (node.member.server, source.member.server)
         how = (self.settings.joins, stage == "sibling", stage == "fill")
-        overdue = OVERDUE[0] + OVERDUE[1] * req.work_ms
+        overdue = OVERDUE_AFTER[0] + OVERDUE_AFTER[1] * req.work_ms
         if source is not node:  # it may wait for its source, and a thin connection carries nothing else
-            overdue = max(STILL[0] * aim, STILL[1] * req.spec.deadline_ms)
+            overdue = max(SILENT_FILL_AFTER[0] * aim, SILENT_FILL_AFTER[1] * req.spec.deadline_ms)
         self.actions.append(api.Get(req.event.id, *names, left, keep, self.max_age_ms(req, stage), *how, overdue))
 
     def give_up(self, req: OpenRequest) -> None:
         """Answer finally, at once; effects guard: a refusal says that trying again is harmless."""
         if req.in_flight or self.wait_for_lease(req) or self.open_requests.pop(req.event.id, None) is None:
             return
-        cls, asked = req.spec, RETRY_AFTER_MS * (0.5 + self.rng.random())
+        cls, asked = req.spec, MEAN_RETRY_AFTER_MS * (0.5 + self.rng.random())
         wait = min(asked, self.settings.max_retry_after_ms) if self.settings.retry_after else 0.0
         harmless = req.first_run is None or repeats_anywhere(cls)
         self.actions.append(api.Refuse(req.event.id, wait) if harmless else api.Fail(req.event.id))
@@ -338,7 +338,7 @@
         due = known != node.member.server or self.now - when > ENTRY_MS / 2
         near = node.member.zone == self.settings.my_zone and not req.spec.write
         if due and near and self.settings.siblings != "none":
-            lru_put(self.reported, req.item, (node.member.server, self.now), TABLE)
+            lru_put(self.reported, req.item, (node.member.server, self.now), MAX_TABLE_ENTRIES)
             self.post(req.home, api.PeerNote("kept", *req.item, node.member.server, max(0, req.event.group)))
 
     def send_next_attempt(self, req: OpenRequest, attempt: Attempt, status: str) -> None:
@@ -352,11 +352,11 @@
         elif status == "enoent" and attempt.stage == "sibling":
             self.post(req.home, api.PeerNote("lacks", *req.item, attempt.source.member.server))
             self.fill_missed_cache(req, None)
-        elif self.retry_tokens < 1.0 or attempt.stage == "only" or len(req.error_attempts) >= MOST_ERRORS:
+        elif self.retry_tokens < 1.0 or attempt.stage == "only" or len(req.error_attempts) >= MAX_ERRORS:
             self.give_up(req)
         else:
-            way = status in WAY  # not the source failed: a reset may be no more than that connection's
-            self.retry_tokens -= WAY_COST if way else 1.0
+            way = status in LINK_FAILURES  # not the source failed: a reset may be no more than that connection's
+            self.retry_tokens -= LINK_RETRY_COST if way else 1.0
             if way and (status != "econnreset" or req.tries > 1):
                 req.avoid.append(attempt.node)
             if way:
@@ -455,7 +455,7 @@
         node, source, age = attempt.node, attempt.source, self.now - attempt.sent_ms
         if age > attempt.aim_ms:
             self.record_missed_aim(attempt)
-        if not attempt.overdue and age > OVERDUE[0] + OVERDUE[1] * attempt.work_ms:
+        if not attempt.overdue and age > OVERDUE_AFTER[0] + OVERDUE_AFTER[1] * attempt.work_ms:
             attempt.overdue = True
             node.overdue += 1
             wrong = source if node.answered_ms > attempt.sent_ms else node
@@ -468,7 +468,7 @@
         elif event.token != "sweep":
             req = self.open_requests.get(int(event.token)) if event.token.isdecimal() else None
             if req and req.event.id in self.waiting_for_home.get(req.item, []):  # not an older wait's timer
-                self.silent_homes[req.home] = self.now + AGAIN_MS
+                self.silent_homes[req.home] = self.now + ASK_AGAIN_MS
                 self.resume_waiting(req.item, None)
         else:
             self.actions.append(api.SetTimer(SWEEP_MS, "sweep"))
@@ -476,13 +476,13 @@
             for attempt in list(self.in_flight.values()) if prompt else ():  # else the lag is mine: answers
                 self.check_overdue(attempt)  # may lie unread, and good servers would be left out for it
             self.on_lease_messages(self.leases.tick(self.now))
-            self.purges.forget_until(self.now - self.settings.purge_done_ms - MARGIN_MS)
+            self.purges.forget_until(self.now - self.settings.purge_done_ms - WINDOW_MARGIN_MS)
 
     # Directory
 
     def ask_home(self, req: OpenRequest, asking: str) -> None:
         """Ask home for a holder and wait a small share of the aim; not near the deadline."""
-        wait, left = PEER_WAIT * req.spec.aim_ms, req.event.deadline_ms - self.now
+        wait, left = HOME_WAIT_SHARE * req.spec.aim_ms, req.event.deadline_ms - self.now
         if req.home == self.settings.my_number:
             self.fill_missed_cache(req, self.candidate(req.item, self.settings.my_zone, asking))
         elif not self.settings.peers or self.now < self.silent_homes.get(req.home, 0.0) or left < 3.0 * wait:
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -8,7 +8,7 @@
 from conftest import BASE, FLEET, Bench, gets
 
 from hitchtiller import interface as api
-from hitchtiller.decide import ORIGIN_FILLS, TABLE
+from hitchtiller.decide import MAX_TABLE_ENTRIES, ORIGIN_FILLS
 from hitchtiller.routing.fills import MAX_SHARE
 
 POLICY = Path(__file__).parent.parent / "hitchtiller" / "decide.py"
@@ -88,13 +88,14 @@
 
 
 def test_tables_stay_bounded(bench: Bench) -> None:
-    for key in range(TABLE + 50):
+    for key in range(MAX_TABLE_ENTRIES + 50):
         bench.give(api.PeerMessage(0, api.PeerNote("kept", key, 0, "c1")))
         for get in gets(bench.ask(key, key=key, size_kb=1.0)):
             bench.end(get, "done", closed=True, note=2)
     router = bench.router
     assert all(
-        len(table) <= TABLE for table in (router.directory.entries, router.popularity.counts, router.reported)
+        len(table) <= MAX_TABLE_ENTRIES
+        for table in (router.directory.entries, router.popularity.counts, router.reported)
     )
     assert not router.open_requests and not router.in_flight and not router.waiting_for_home
 
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from hitchtiller import interface as api
-from hitchtiller.decide import TABLE, Router
+from hitchtiller.decide import MAX_TABLE_ENTRIES, Router
 
 SETTINGS = st.fixed_dictionaries(
     {
@@ -150,5 +150,6 @@
     assert not world.open and not world.router.open_requests and not world.router.waiting_for_home
     router = world.router
     assert all(
-        len(table) <= TABLE for table in (router.directory.entries, router.popularity.counts, router.reported)
+        len(table) <= MAX_TABLE_ENTRIES
+        for table in (router.directory.entries, router.popularity.counts, router.reported)
     )
