--- a/hitchtiller/records.py
+++ b/hitchtiller/records.py
@@ -1,4 +1,4 @@
-"""What the policy keeps of servers, attempts and requests: plain data, no decisions."""
+"""Records that the decisions keep of servers, attempts and open requests: data only, no decisions."""
 
 import math
 from collections.abc import Iterable
@@ -12,51 +12,51 @@
 
 
 def hash64(*values: int) -> int:
-    """Hash numbers to 64 bits, the same in every process."""
+    """Return a 64-bit hash of numbers that is the same in every process."""
     return int.from_bytes(blake2b(repr(values).encode(), digest_size=8).digest(), "big")
 
 
 def combine_hashes(a: int, b: int) -> int:
-    """Mix two 64-bit hashes into one; cheap, for rankings that are made for each new object."""
+    """Combine two 64-bit hashes into one; cheap, as each new object needs a ranking of all servers."""
     mixed = ((a ^ b) * 0x9E3779B97F4A7C15) & 0xFFFFFFFFFFFFFFFF
     return ((mixed ^ mixed >> 32) * 0xD6E8FEB86659FD93) & 0xFFFFFFFFFFFFFFFF
 
 
-def lru_put(table: dict[Any, Any], key: Any, value: Any, most: int) -> None:
-    """Put a value in as the latest used; the least recently used makes room."""
+def lru_put(table: dict[Any, Any], key: Any, value: Any, max_size: int) -> None:
+    """Store a value as the most recently used; above `max_size` entries drop the least recently used."""
     table.pop(key, None)
     table[key] = value
-    if len(table) > most:
+    if len(table) > max_size:
         del table[next(iter(table))]
 
 
 @dataclass(slots=True, eq=False)
 class Node:
-    """A listed server, with what this gateway has seen of it."""
+    """A listed server and what this gateway has observed of it."""
 
     member: Member
-    salt: int
-    answered_ms: float
-    joined_ms: float  # last start or return, 0: long ago
-    capacity: float = 1.0  # transfers at full pace at once: likely
-    safe_capacity: float = 1.0  # and at least
-    debt_ms: float = 0.0  # work sent to it while cold and not yet earned
-    debt_at_ms: float = 0.0
-    load_ms: float = 0.0  # my work out there
-    in_flight: int = 0  # my attempts out there, also as a source
-    attempts: int = 0  # those sent to it itself
-    overdue: int = 0  # the overdue of these
-    failure_score: float = 0.0
-    ejected_until_ms: float = 0.0  # left out until then
-    ejections: int = 0
-    reset_ms: float = -1.0  # when a connection to it last broke
-    refused_ms: float = 0.0  # when it refused a connection: it comes back cold; 0: not since its listed start
-    fill_limit: FillLimit = field(default_factory=FillLimit)  # asked of it as a source
-    pace: Pace = field(default_factory=Pace)
-    trial: bool = False  # back on trial: one attempt at a time
+    salt: int  # hash of its name, for rankings
+    answered_ms: float  # when it last responded, if only with a quick failure
+    joined_ms: float  # when it last started or returned to service; minus infinity: long ago
+    capacity: float = 1.0  # simultaneous transfers at full rate: the likely number
+    safe_capacity: float = 1.0  # lower bound of the capacity, used by the guards
+    debt_ms: float = 0.0  # cold guard: work sent beyond what its rate has paid off
+    debt_at_ms: float = 0.0  # when the debt was last updated
+    load_ms: float = 0.0  # work of this gateway's attempts in flight at it, also as a source
+    in_flight: int = 0  # number of this gateway's attempts in flight at it, also as a source
+    attempts: int = 0  # of these, the ones sent to it itself
+    overdue: int = 0  # of `attempts`, the overdue ones
+    failure_score: float = 0.0  # from 0 to 1, see routing/blame.py
+    ejected_until_ms: float = 0.0  # not picked until then
+    ejections: int = 0  # in a row
+    reset_ms: float = -1.0  # when a reset connection to it was last scored
+    refused_ms: float = 0.0  # when it refused a connection: cold when it returns; 0: not since its start
+    fill_limit: FillLimit = field(default_factory=FillLimit)  # on fills requested from it as a source
+    pace: Pace = field(default_factory=Pace)  # stretch of its answers
+    trial: bool = False  # used again after an ejection, with one attempt at a time
 
     def update(self, member: Member, now_ms: float) -> None:
-        """Take its new line of the list; a start, or a return to service, clears what was held against it."""
+        """Apply its new list entry; a start or a return to service clears its failures and cold debt."""
         restarted = member.started_ms != self.member.started_ms
         if restarted or self.member.state != "SERVING":
             self.refused_ms = 0.0 if restarted else self.refused_ms
@@ -66,7 +66,7 @@
 
 
 def rank_by_hash(hashed: int, nodes: Iterable[Node]) -> list[Node]:
-    """Order servers by weighted rendezvous hash."""
+    """Return the servers in the order of their weighted rendezvous hash, weighted by capacity."""
     return sorted(
         nodes, key=lambda n: -math.log((combine_hashes(hashed, n.salt) + 1) / (1 << 64)) / n.capacity
     )
@@ -74,20 +74,25 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One send: `stage` is look, check (a jam), sibling, fill or only (no fill after it)."""
+    """One attempt, sent to `node`; a miss is filled from `source`, or not at all if that is `node` itself.
+
+    `stage` says what it is for: `look` is a look-up that may be followed by a fill from a sibling; `check` is
+    one that comes before a limited fill from above; `sibling` and `fill` are fills from a sibling and from
+    above; `only` is a look-up that no fill follows.
+    """
 
     node: Node
     source: Node
     stage: str
     sent_ms: float
     work_ms: float
-    aim_ms: float  # time in which its answer earns the full worth
-    overdue: bool = False  # overdue
-    missed_aim: bool = False  # past its aim
-    from_origin: bool = False  # a fill at the origin, which all gateways together bound
+    aim_ms: float  # time from `sent_ms` within which its answer earns the full worth
+    overdue: bool = False  # its answer has taken too long
+    missed_aim: bool = False  # `aim_ms` has passed, or the server refused it as busy
+    from_origin: bool = False  # a fill at the origin, whose number is bounded over all gateways
 
     def adjust_load(self, sign: int) -> None:
-        """Add it to its cache's and source's work with 1, or take it off with -1."""
+        """Add the attempt to the load of its cache and its source with 1, or remove it with -1."""
         self.node.attempts += sign
         for server in (self.node,) if self.source is self.node else (self.node, self.source):
             server.load_ms += sign * self.work_ms
@@ -96,22 +101,22 @@
 
 @dataclass(slots=True, eq=False)
 class OpenRequest:
-    """A request in hand."""
+    """A client's request that has no final answer yet."""
 
     event: Request
-    spec: ClassSettings
-    work_ms: float
-    known: bool  # its own size is, not only its class's mean
+    spec: ClassSettings  # of its request class
+    work_ms: float  # time to send its bytes at full rate
+    known: bool  # `work_ms` comes from its own size, not only from its class's mean
     item: tuple[int, int]  # object and part
     object_hash: int
-    home: int  # router that keeps its directory entry
-    admission_draw: float = 0.0  # from [0, 1): its chance in a jam, the same for all its attempts
-    tries: int = 0
-    in_flight: bool = False
-    keep_rank: int = 1
-    avoid: list[Node] = field(default_factory=list)  # caches and sources that failed it
-    error_attempts: tuple[Attempt, ...] = ()  # it may be at fault itself
-    missed_cache: Node | None = None  # the cache that lacks it
-    first_run: tuple[float, Node] | None = None  # first attempt that may have run
-    lacks_lease: bool = False  # its miss could only be filled from the origin, under a lease
-    waited_for_lease: bool = False  # for one
+    home: int  # number of the gateway that keeps its directory entry
+    admission_draw: float = 0.0  # from [0, 1), for limited sources; the same for all its attempts
+    tries: int = 0  # attempts sent so far
+    in_flight: bool = False  # an attempt is in flight
+    keep_rank: int = 1  # rank at which a cache keeps the copy
+    avoid: list[Node] = field(default_factory=list)  # caches and sources at which an attempt failed
+    error_attempts: tuple[Attempt, ...] = ()  # answered with `err`; the request may be at fault
+    missed_cache: Node | None = None  # the cache whose look-up found no copy
+    first_run: tuple[float, Node] | None = None  # when and where the first attempt went that may have run
+    lacks_lease: bool = False  # its miss can only be filled from the origin, under a lease
+    waited_for_lease: bool = False  # at most once
