--- a/hitchtiller/interface.py
+++ b/hitchtiller/interface.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 from enum import IntEnum
 
-Text = str | None
+OptionalText = str | None
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,8 +38,8 @@
     gateways_in_zone: tuple[int, ...]
     link_kb_per_s: tuple[float, ...]  # each zone's link in; 0 where untold
     classes: dict[str, ClassSettings]
-    parent_kind: Text
-    origin_kind: Text
+    parent_kind: OptionalText
+    origin_kind: OptionalText
     flow_kb_per_s: float  # one transfer to a client
     direct: bool = False
     joins: bool = False
