--- a/hitchtiller/settings.py
+++ b/hitchtiller/settings.py
@@ -6,7 +6,7 @@
 
 from hitchtiller import interface as api
 
-Fields = dict[str, Any]
+JsonObject = dict[str, Any]
 EFFECTS = ("repeatable", "by_key", "once")
 NAMES = {"float": "number from 0 up", "int": "whole number from 0 up", "bool": "yes or no", "str": "text"}
 
@@ -53,7 +53,7 @@
         raise ValueError(f"settings: hub_of {list(s.hub_of)!r:.80} names none of {zones} localities")
 
 
-def _class(fields: Fields, index: int, info: Fields) -> api.ClassSettings:
+def _class(fields: JsonObject, index: int, info: JsonObject) -> api.ClassSettings:
     return api.ClassSettings(
         name=fields["name"],
         aim_ms=fields["aim_ms"],
@@ -72,7 +72,7 @@
     )
 
 
-def read_settings(setup: Fields) -> api.Settings:
+def read_settings(setup: JsonObject) -> api.Settings:
     """Turn the `setup` object into settings; unknown keys are passed over."""
     info, limits, rules = (setup.get(key, {}) for key in ("family_info", "limits", "contract"))
     kinds, zones = setup.get("skus", []), setup.get("localities", [])
--- a/hitchtiller/wirehost.py
+++ b/hitchtiller/wirehost.py
@@ -8,7 +8,7 @@
 from hitchtiller import interface as api
 from hitchtiller.codec.notes import pack, unpack
 from hitchtiller.decide import Router
-from hitchtiller.settings import Fields, read_settings
+from hitchtiller.settings import JsonObject, read_settings
 
 __all__ = ["Host", "WireError", "main", "pack", "read_settings", "unpack"]
 
@@ -17,7 +17,7 @@
     """The input is not the wire: end with one clear line."""
 
 
-def _member(entry: Fields) -> api.Member:
+def _member(entry: JsonObject) -> api.Member:
     return api.Member(
         entry["cache"],
         entry.get("zone", ""),
@@ -29,12 +29,12 @@
     )
 
 
-def _load(f: Fields) -> dict[str, float]:
+def _load(f: JsonObject) -> dict[str, float]:
     stats = f.get("server_stats") or {}
     return dict(stats)
 
 
-def _message(f: Fields) -> api.PeerMessage | None:
+def _message(f: JsonObject) -> api.PeerMessage | None:
     try:
         note = unpack(bytes.fromhex(f.get("body", "")))
     except ValueError:
@@ -42,7 +42,7 @@
     return api.PeerMessage(f["neighbour"], note) if note else None
 
 
-READERS: dict[str, Callable[[Fields], api.Event | None]] = {
+READERS: dict[str, Callable[[JsonObject], api.Event | None]] = {
     "request": lambda f: api.Request(
         f["tid"],
         f["priority"],
@@ -73,7 +73,7 @@
 }
 
 
-def _get(a: api.Get) -> Fields:
+def _get(a: api.Get) -> JsonObject:
     manner = a.join * 1 | a.held_only * 2 | a.renew * 8
     return {
         "tid": a.id,
@@ -86,7 +86,7 @@
     }
 
 
-WRITERS: dict[type, tuple[str, Callable[[Any], Fields]]] = {
+WRITERS: dict[type, tuple[str, Callable[[Any], JsonObject]]] = {
     api.Get: ("fetch_through", _get),
     api.Cancel: ("cancel", lambda a: {"tid": a.id, "shot": a.attempt}),
     api.Refuse: ("reject", lambda a: {"tid": a.id, "wait_ms": a.retry_after_ms}),
@@ -120,7 +120,7 @@
         except (KeyError, ValueError, TypeError) as error:
             raise WireError(f"malformed message: {text[:80]!r} ({error!r})") from error
 
-    def message(self, name: str, fields: Fields) -> None:
+    def message(self, name: str, fields: JsonObject) -> None:
         """Act on one message."""
         if name == "turn":
             self.now_ms = fields["t_ms"]
@@ -140,7 +140,7 @@
         else:
             raise WireError(f"unknown message {name!r}")
 
-    def members(self, fields: Fields) -> api.Members:
+    def members(self, fields: JsonObject) -> api.Members:
         """Resolve the numbered list that a `view` points at."""
         if fields["mode"] == "Error":
             return api.Members((), failed=True)
@@ -164,7 +164,7 @@
             name, fields = WRITERS[type(action)]
             self.write(name, {"gateway": gateway, **fields(action)})
 
-    def write(self, name: str, fields: Fields) -> None:
+    def write(self, name: str, fields: JsonObject) -> None:
         """Write one line of the reply."""
         self.out.write(json.dumps({name: fields}, separators=(",", ":")) + "\n")
 
