--- a/hitchtiller/settings.py
+++ b/hitchtiller/settings.py
@@ -8,14 +8,19 @@
 
 JsonObject = dict[str, Any]
 EFFECTS = ("repeatable", "by_key", "once")
-NAMES = {"float": "number from 0 up", "int": "whole number from 0 up", "bool": "yes or no", "str": "text"}
+KIND_DESCRIPTIONS = {
+    "float": "number from 0 up",
+    "int": "whole number from 0 up",
+    "bool": "yes or no",
+    "str": "text",
+}
 
 
-def _at(values: list[Any] | None, index: int, default: Any) -> Any:
+def _entry_at(values: list[Any] | None, index: int, default: Any) -> Any:
     return values[index] if values and index < len(values) else default
 
 
-def _fits(value: Any, kind: str) -> bool:
+def _is_of_kind(value: Any, kind: str) -> bool:
     """Tell whether a value is of a field's kind; numbers are finite and not negative."""
     number = isinstance(value, int | float) and not isinstance(value, bool)
     match kind:
@@ -30,12 +35,12 @@
     return True
 
 
-def _check(settings: api.Settings | api.ClassSettings, where: str) -> None:
+def _check_fields(settings: api.Settings | api.ClassSettings, where: str) -> None:
     """Raise ValueError for what would fail only once a request needs it."""
     for field in fields(settings):
         kind, value = str(getattr(field.type, "__name__", field.type)), getattr(settings, field.name)
-        if not _fits(value, kind):
-            raise ValueError(f"{where}: {field.name} {value!r} is no {NAMES[kind]}")
+        if not _is_of_kind(value, kind):
+            raise ValueError(f"{where}: {field.name} {value!r} is no {KIND_DESCRIPTIONS[kind]}")
 
 
 def _check_lists(settings: api.Settings) -> None:
@@ -47,9 +52,9 @@
         raise ValueError(f"settings: my_number {s.my_number} of {s.group_size} gateways")
     for name, values in (("hub_of", s.hub_of), ("instances_by_zone", s.gateways_in_zone),
                          ("feed_kb_per_s", s.link_kb_per_s)):  # fmt: skip
-        if len(values) not in (0, zones) or not all(_fits(value, "float") for value in values):
+        if len(values) not in (0, zones) or not all(_is_of_kind(value, "float") for value in values):
             raise ValueError(f"settings: {name} {list(values)!r:.80} for {zones} localities")
-    if not all(_fits(hub, "int") and hub < zones for hub in s.hub_of):
+    if not all(_is_of_kind(hub, "int") and hub < zones for hub in s.hub_of):
         raise ValueError(f"settings: hub_of {list(s.hub_of)!r:.80} names none of {zones} localities")
 
 
@@ -65,10 +70,10 @@
         key_scope=fields.get("key_scope", "all"),
         repeat_window_ms=fields.get("repeat_window_ms", 0.0),
         stream=fields.get("stream", False),
-        fresh_ms=_at(info.get("lifetime_by_class_ms"), index, 0.0),
-        grace_ms=_at(info.get("grace_for_ms"), index, 0.0),
-        stale_share=_at(info.get("old_copy_worth"), index, 0.0),
-        write=_at(info.get("uncached"), index, False),
+        fresh_ms=_entry_at(info.get("lifetime_by_class_ms"), index, 0.0),
+        grace_ms=_entry_at(info.get("grace_for_ms"), index, 0.0),
+        stale_share=_entry_at(info.get("old_copy_worth"), index, 0.0),
+        write=_entry_at(info.get("uncached"), index, False),
     )
 
 
@@ -117,9 +122,9 @@
         asks_discovery=setup.get("discovery") == "ask",
         ask_within_ms=rules.get("ask_within_ms", 0.0),
     )
-    _check(settings, "settings")
+    _check_fields(settings, "settings")
     for entry in classes:
-        _check(entry, f"class {entry.name!r}")
+        _check_fields(entry, f"class {entry.name!r}")
         if entry.effect not in EFFECTS:
             raise ValueError(f"class {entry.name!r}: effect {entry.effect!r} is none of {', '.join(EFFECTS)}")
     _check_lists(settings)
