--- a/hitchtiller/wirehost.py
+++ b/hitchtiller/wirehost.py
@@ -29,12 +29,12 @@
     )
 
 
-def _load(f: JsonObject) -> dict[str, float]:
+def _server_stats(f: JsonObject) -> dict[str, float]:
     stats = f.get("server_stats") or {}
     return dict(stats)
 
 
-def _message(f: JsonObject) -> api.PeerMessage | None:
+def _peer_message(f: JsonObject) -> api.PeerMessage | None:
     try:
         note = unpack(bytes.fromhex(f.get("body", "")))
     except ValueError:
@@ -63,21 +63,23 @@
         f.get("ended", False),
         f.get("remark", 0),
         f.get("waited_ms", 0.0),
-        _load(f),
+        _server_stats(f),
     ),
     "left": lambda f: api.ClientLeft(f["tid"]),
     "elapsed": lambda f: api.TimerDue(f["tag"]),
-    "health_result": lambda f: api.Probed(f["cache"], f["disposition"], f.get("spent_ms", 0.0), _load(f)),
-    "message": _message,
+    "health_result": lambda f: api.Probed(
+        f["cache"], f["disposition"], f.get("spent_ms", 0.0), _server_stats(f)
+    ),
+    "message": _peer_message,
     "voided": lambda f: api.Purged(f.get("item"), int(f.get("set_no", -1)), f.get("copy_age_ms", 0.0)),
 }
 
 
-def _get(a: api.Get) -> JsonObject:
-    manner = a.join * 1 | a.held_only * 2 | a.renew * 8
+def _fetch_fields(a: api.Get) -> JsonObject:
+    flags = a.join * 1 | a.held_only * 2 | a.renew * 8
     return {
         "tid": a.id,
-        "manner": manner,
+        "manner": flags,
         "copy_age_ms": a.age_ms,
         "max_wait_ms": a.timeout_ms,
         "keep": a.keep,
@@ -87,7 +89,7 @@
 
 
 WRITERS: dict[type, tuple[str, Callable[[Any], JsonObject]]] = {
-    api.Get: ("fetch_through", _get),
+    api.Get: ("fetch_through", _fetch_fields),
     api.Cancel: ("cancel", lambda a: {"tid": a.id, "shot": a.attempt}),
     api.Refuse: ("reject", lambda a: {"tid": a.id, "wait_ms": a.retry_after_ms}),
     api.Fail: ("finish_error", lambda a: {"tid": a.id}),
@@ -109,18 +111,18 @@
         self.lists: dict[int, tuple[api.Member, ...]] = {}
         self.now_ms = 0.0
 
-    def line(self, text: str) -> None:
+    def handle_line(self, text: str) -> None:
         """Take one line of the wire; raise WireError on what is not the wire."""
         try:
             message = json.loads(text)
             ((name, fields),) = message.items()
-            self.message(name, fields)
+            self.handle_message(name, fields)
         except (json.JSONDecodeError, AttributeError) as error:
             raise WireError(f"not a wire message: {text[:80]!r} ({error})") from error
         except (KeyError, ValueError, TypeError) as error:
             raise WireError(f"malformed message: {text[:80]!r} ({error!r})") from error
 
-    def message(self, name: str, fields: JsonObject) -> None:
+    def handle_message(self, name: str, fields: JsonObject) -> None:
         """Act on one message."""
         if name == "turn":
             self.now_ms = fields["t_ms"]
@@ -134,13 +136,13 @@
         elif name == "halt":
             self.routers.pop(fields["gateway"], None)
         elif name == "view":
-            self.give(fields["gateway"], self.members(fields))
+            self.deliver(fields["gateway"], self.resolve_members(fields))
         elif name in READERS:
-            self.give(fields["gateway"], READERS[name](fields))
+            self.deliver(fields["gateway"], READERS[name](fields))
         else:
             raise WireError(f"unknown message {name!r}")
 
-    def members(self, fields: JsonObject) -> api.Members:
+    def resolve_members(self, fields: JsonObject) -> api.Members:
         """Resolve the numbered list that a `view` points at."""
         if fields["mode"] == "Error":
             return api.Members((), failed=True)
@@ -148,7 +150,7 @@
             raise WireError(f"view of list {fields['sheet']}, which was never given")
         return api.Members(self.lists[fields["sheet"]], whole=fields["mode"] != "Partial")
 
-    def give(self, gateway: str, event: api.Event | None) -> None:
+    def deliver(self, gateway: str, event: api.Event | None) -> None:
         """Hand an event to its instance; an exception of the policy is reported, never swallowed."""
         router = self.routers.get(gateway)
         if router is None:
@@ -175,7 +177,7 @@
     try:
         for text in sys.stdin:
             if text.strip():
-                host.line(text)
+                host.handle_line(text)
     except WireError as error:
         print(f"hitchtiller: {error}", file=sys.stderr)
         return 2
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -120,22 +120,24 @@
     out = io.StringIO()
     made = Host(out)
     for text in script("gateway_0").splitlines()[:4]:
-        made.line(text)
+        made.handle_line(text)
     return made, out
 
 
 def test_a_missing_list_a_missing_field_and_unknown_fields() -> None:
     made, _ = host()
     with pytest.raises(WireError, match="never given"):
-        made.line(line("view", gateway="gateway_0", mode="Complete", sheet=3, serial=1))
+        made.handle_line(line("view", gateway="gateway_0", mode="Complete", sheet=3, serial=1))
     with pytest.raises(WireError, match="malformed"):
-        made.line(line("request", gateway="gateway_0", tid=1))
-    made.line(line("left", gateway="gateway_0", tid=1, colour="blue"))
+        made.handle_line(line("request", gateway="gateway_0", tid=1))
+    made.handle_line(line("left", gateway="gateway_0", tid=1, colour="blue"))
 
 
 def test_an_exception_of_the_policy_is_reported() -> None:
     made, out = host()
-    made.line(line("request", gateway="gateway_0", tid=1, priority="unknown", item=1, deadline_ms=90.0))
+    made.handle_line(
+        line("request", gateway="gateway_0", tid=1, priority="unknown", item=1, deadline_ms=90.0)
+    )
     assert "crash" in replies(out.getvalue())[-1]
 
 
@@ -143,11 +145,11 @@
     made, out = host()
     before = out.getvalue()
     for body in ("", "ff", "zz", "00", "01" + "00" * 12 + "ff"):
-        made.line(line("message", gateway="gateway_0", neighbour=1, body=body))
-    made.line(line("attempt_end", gateway="gateway_0", tid=5, cache="10.0.0.1:1", disposition="done"))
-    made.line(line("elapsed", gateway="gateway_0", tag="5 0 1"))
+        made.handle_line(line("message", gateway="gateway_0", neighbour=1, body=body))
+    made.handle_line(line("attempt_end", gateway="gateway_0", tid=5, cache="10.0.0.1:1", disposition="done"))
+    made.handle_line(line("elapsed", gateway="gateway_0", tag="5 0 1"))
     assert out.getvalue() == before
-    made.line(line("halt", gateway="gateway_0"))
+    made.handle_line(line("halt", gateway="gateway_0"))
 
 
 def test_notes_survive_the_wire() -> None:
