--- a/hitchtiller/settings.py
+++ b/hitchtiller/settings.py
@@ -1,4 +1,4 @@
-"""The setup object, as the simulator and the configuration file give it, to Settings, checked."""
+"""Converts the `setup` object of the simulator or the configuration file to checked Settings."""
 
 import math
 from dataclasses import fields
@@ -21,7 +21,7 @@
 
 
 def _is_of_kind(value: Any, kind: str) -> bool:
-    """Tell whether a value is of a field's kind; numbers are finite and not negative."""
+    """Return whether a value is of a field's type; numbers must be finite and not negative."""
     number = isinstance(value, int | float) and not isinstance(value, bool)
     match kind:
         case "float":
@@ -36,26 +36,28 @@
 
 
 def _check_fields(settings: api.Settings | api.ClassSettings, where: str) -> None:
-    """Raise ValueError for what would fail only once a request needs it."""
+    """Raise ValueError for a value of the wrong type, which would fail only once a request uses it."""
     for field in fields(settings):
         kind, value = str(getattr(field.type, "__name__", field.type)), getattr(settings, field.name)
         if not _is_of_kind(value, kind):
-            raise ValueError(f"{where}: {field.name} {value!r} is no {KIND_DESCRIPTIONS[kind]}")
+            raise ValueError(f"{where}: {field.name} {value!r} is not a {KIND_DESCRIPTIONS[kind]}")
 
 
 def _check_lists(settings: api.Settings) -> None:
-    """Raise ValueError for lists by zone that don't have one entry for each, or that name none there is."""
+    """Raise ValueError for lists without one entry for each zone, or with indexes that do not exist."""
     s, zones = settings, len(settings.zones)
     if not s.classes:
         raise ValueError("settings: no classes")
     if not s.my_number < s.group_size:
-        raise ValueError(f"settings: my_number {s.my_number} of {s.group_size} gateways")
+        raise ValueError(f"settings: my_number {s.my_number} of {s.group_size} gateways is too large")
     for name, values in (("hub_of", s.hub_of), ("instances_by_zone", s.gateways_in_zone),
                          ("feed_kb_per_s", s.link_kb_per_s)):  # fmt: skip
         if len(values) not in (0, zones) or not all(_is_of_kind(value, "float") for value in values):
-            raise ValueError(f"settings: {name} {list(values)!r:.80} for {zones} localities")
+            raise ValueError(
+                f"settings: {name} {list(values)!r:.80} must have a number for each of {zones} localities"
+            )
     if not all(_is_of_kind(hub, "int") and hub < zones for hub in s.hub_of):
-        raise ValueError(f"settings: hub_of {list(s.hub_of)!r:.80} names none of {zones} localities")
+        raise ValueError(f"settings: hub_of {list(s.hub_of)!r:.80} must hold indexes of {zones} localities")
 
 
 def _class(fields: JsonObject, index: int, info: JsonObject) -> api.ClassSettings:
@@ -78,7 +80,7 @@
 
 
 def read_settings(setup: JsonObject) -> api.Settings:
-    """Turn the `setup` object into settings; unknown keys are passed over."""
+    """Convert the `setup` object to settings; unknown keys are ignored."""
     info, limits, rules = (setup.get(key, {}) for key in ("family_info", "limits", "contract"))
     kinds, zones = setup.get("skus", []), setup.get("localities", [])
     parent, origin = info.get("second_tier_kind", -1), info.get("store_kind", -1)
@@ -126,6 +128,8 @@
     for entry in classes:
         _check_fields(entry, f"class {entry.name!r}")
         if entry.effect not in EFFECTS:
-            raise ValueError(f"class {entry.name!r}: effect {entry.effect!r} is none of {', '.join(EFFECTS)}")
+            raise ValueError(
+                f"class {entry.name!r}: effect {entry.effect!r} is not one of {', '.join(EFFECTS)}"
+            )
     _check_lists(settings)
     return settings
