--- a/hitchtiller/wirehost.py
+++ b/hitchtiller/wirehost.py
@@ -1,4 +1,4 @@
-"""Adapter: the simulator's JSON lines to and from the policy's interface, one Router per instance."""
+"""Adapter between the simulator's JSON lines and the interface of the decisions, one Router per instance."""
 
 import json
 import sys
@@ -14,7 +14,7 @@
 
 
 class WireError(Exception):
-    """The input is not the wire: end with one clear line."""
+    """The input does not follow the wire format; the program ends with this error as one line."""
 
 
 def _member(entry: JsonObject) -> api.Member:
@@ -102,17 +102,17 @@
 
 
 class Host:
-    """Holds the instances of one process and carries events to them in order."""
+    """Holds the Router instances of one process and passes events to them in order."""
 
     def __init__(self, out: TextIO) -> None:
-        """Write replies to `out`."""
+        """Create a host without instances that writes replies to `out`."""
         self.out = out
         self.routers: dict[str, Router] = {}
         self.lists: dict[int, tuple[api.Member, ...]] = {}
         self.now_ms = 0.0
 
     def handle_line(self, text: str) -> None:
-        """Take one line of the wire; raise WireError on what is not the wire."""
+        """Handle one input line; raise WireError if it does not follow the wire format."""
         try:
             message = json.loads(text)
             ((name, fields),) = message.items()
@@ -123,7 +123,7 @@
             raise WireError(f"malformed message: {text[:80]!r} ({error!r})") from error
 
     def handle_message(self, name: str, fields: JsonObject) -> None:
-        """Act on one message."""
+        """Handle one message."""
         if name == "turn":
             self.now_ms = fields["t_ms"]
         elif name == "commit":
@@ -143,7 +143,7 @@
             raise WireError(f"unknown message {name!r}")
 
     def resolve_members(self, fields: JsonObject) -> api.Members:
-        """Resolve the numbered list that a `view` points at."""
+        """Return the event for a `view` message, with the numbered list that it refers to."""
         if fields["mode"] == "Error":
             return api.Members((), failed=True)
         if fields["sheet"] not in self.lists:
@@ -151,7 +151,7 @@
         return api.Members(self.lists[fields["sheet"]], whole=fields["mode"] != "Partial")
 
     def deliver(self, gateway: str, event: api.Event | None) -> None:
-        """Hand an event to its instance; an exception of the policy is reported, never swallowed."""
+        """Pass an event to its instance; an exception of the decisions is reported, not suppressed."""
         router = self.routers.get(gateway)
         if router is None:
             raise WireError(f"event for {gateway!r}, which is not attached")
@@ -159,7 +159,7 @@
             return
         try:
             actions = router.handle(event, self.now_ms)
-        except Exception as error:  # noqa: BLE001  the wire's word for a failed policy is `crash`
+        except Exception as error:  # noqa: BLE001  failed decisions are reported on the wire
             self.write("crash", {"gateway": gateway, "message": f"{type(error).__name__}: {error}"})
             return
         for action in actions:
@@ -172,7 +172,7 @@
 
 
 def main() -> int:
-    """Serve standard input until it ends."""
+    """Handle standard input until it ends; return the exit status."""
     host = Host(sys.stdout)
     try:
         for text in sys.stdin:
