--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -20,7 +20,7 @@
             bench.end(get, "done", closed=True, note=1)
 
 
-def test_the_policy_is_short_and_stands_alone() -> None:
+def test_decide_module_is_short_and_imports_only_allowed_modules() -> None:
     lines = POLICY.read_text().splitlines()
     assert sum(bool(line.strip()) for line in lines) <= 490
     assert max(map(len, lines)) <= 110
@@ -43,7 +43,7 @@
     assert len(seen) == 1 and seen.pop()[1] in ("p0", "p1")
 
 
-def test_a_hot_object_is_spread_and_looked_up_without_a_fill(bench: Bench) -> None:
+def test_a_frequently_requested_object_is_spread_and_looked_up_without_a_fill(bench: Bench) -> None:
     spread(bench, 9)
     busy = [gets(bench.ask(id, key=9, size_kb=400.0))[0] for id in range(4)]
     assert len({get.server for get in busy}) > 1
@@ -63,14 +63,14 @@
     assert "d0" not in bench.router.directory.entries[9, 0].holders
 
 
-def test_location_siblings_are_of_the_zone(bench: Bench) -> None:
+def test_siblings_by_location_are_only_those_of_the_same_zone(bench: Bench) -> None:
     bench = Bench(siblings="location")
     bench.give(api.PeerMessage(0, api.PeerNote("kept", 9, 0, "d0")), 1.0)
     assert bench.router.candidate((9, 0), "z1", "c0") is None
     assert bench.router.candidate((9, 0), "z2", "") is not None
 
 
-def test_old_entries_and_restarted_servers_drop(bench: Bench) -> None:
+def test_old_directory_entries_and_those_of_restarted_servers_are_dropped(bench: Bench) -> None:
     bench.give(api.PeerMessage(0, api.PeerNote("kept", 9, 0, "d0")), 1.0)
     bench.give(api.PeerMessage(0, api.PeerNote("kept", 8, 0, "c1")), 11_000.0)
     assert bench.router.candidate((9, 0), "z1", "c0") is None
@@ -78,7 +78,7 @@
     assert bench.router.candidate((8, 0), "z1", "c0") is None
 
 
-def test_a_query_is_answered_in_one_note(bench: Bench) -> None:
+def test_a_directory_query_is_answered_with_one_note(bench: Bench) -> None:
     bench.give(api.PeerMessage(0, api.PeerNote("kept", 9, 0, "c1")), 1.0)
     (act,) = bench.give(api.PeerMessage(3, api.PeerNote("ask", 9, 0, "c0", 1)))
     assert act == api.SendNote(3, api.PeerNote("holder", 9, 0, "c1"))
@@ -100,7 +100,7 @@
     assert not router.open_requests and not router.in_flight and not router.waiting_for_home
 
 
-def test_quick_failures_leave_a_cache_out_and_a_trial_brings_it_back(bench: Bench) -> None:
+def test_quick_failures_eject_a_cache_and_a_successful_trial_restores_it(bench: Bench) -> None:
     bad = gets(bench.ask(1, key=5))[0].server
     bench.end(bench.sent[-1][1], "econnrefused")
     bench.end(bench.sent[-1][1], "done", 1, closed=True)
@@ -121,7 +121,7 @@
     assert gets(bench.ask(103, key=5, size_kb=1.0))[0].server == bad
 
 
-def test_silence_is_seen_by_overdue_work_and_the_waiting_is_moved(bench: Bench) -> None:
+def test_overdue_attempts_eject_a_silent_cache_and_its_requests_move_to_another(bench: Bench) -> None:
     (first,) = gets(bench.ask(1, key=5))
     for id in range(2, 6):
         bench.ask(id, key=5)
@@ -131,7 +131,7 @@
     assert moved.server != first.server
 
 
-def test_mass_blame_leaves_nobody_out(bench: Bench) -> None:
+def test_failures_of_all_caches_eject_at_most_one(bench: Bench) -> None:
     for id in range(200):
         for shot in range(2):
             for get in (
@@ -142,7 +142,7 @@
     assert len(out) <= 1
 
 
-def test_a_crowd_sheds_the_large_first(bench: Bench) -> None:
+def test_large_requests_are_refused_first_under_overload(bench: Bench) -> None:
     for id in range(300):
         bench.ask(id, key=id, name="big", size_kb=900.0, life_ms=5000.0)
     assert isinstance(bench.ask(900, key=1, name="big", size_kb=900.0)[-1], api.Refuse)
@@ -150,7 +150,7 @@
 
 
 @pytest.mark.parametrize("peers", [True, False])
-def test_a_kept_copy_is_told_to_its_home_once_in_a_while(peers: bool) -> None:
+def test_a_kept_copy_is_reported_to_its_home_gateway_only_now_and_then(peers: bool) -> None:
     bench = Bench(group_size=50, peers=peers)
     notes = []
     for id in range(3):
@@ -160,7 +160,7 @@
     assert notes == (["kept"] if peers else [])
 
 
-def test_beside_stuck_fills_only_a_held_copy_is_asked_for_and_a_miss_is_refused() -> None:
+def test_while_fills_are_stuck_only_held_copies_are_requested_and_a_miss_is_refused() -> None:
     bench = Bench(notes="none")
     for id in range(300):
         bench.ask(id, key=id, name="big", size_kb=900.0, life_ms=5000.0)
@@ -173,7 +173,7 @@
     assert isinstance(final, api.Refuse)
 
 
-def test_a_jammed_source_gets_fewer_and_smaller_fills_and_held_copies_are_still_asked_for() -> None:
+def test_a_limited_source_gets_fewer_and_smaller_fills_and_look_ups_continue() -> None:
     bench = Bench(siblings="none")
     mean = max(bench.router.mean.values())
 
@@ -193,7 +193,7 @@
     assert fills(0.05) == 200
 
 
-def test_a_look_that_found_nothing_asks_a_jammed_source_for_no_fill(bench: Bench) -> None:
+def test_a_missed_look_up_requests_no_fill_from_a_limited_source(bench: Bench) -> None:
     spread(bench, 9)
     bench.router.directory.entries.clear()
     (look,) = gets(bench.ask(1, key=9, size_kb=400.0))
@@ -203,7 +203,7 @@
     assert isinstance(final, api.Refuse)
 
 
-def test_fills_that_miss_their_aim_or_are_turned_away_shrink_the_limit_and_prompt_ones_restore_it() -> None:
+def test_late_or_refused_fills_lower_the_limit_of_a_source_and_prompt_ones_restore_it() -> None:
     bench = Bench(siblings="none")
     (get,) = gets(bench.ask(1, key=1))
     fills = bench.router.nodes[get.source].fill_limit
@@ -237,13 +237,13 @@
     assert fourth.server != first.server or fourth.source not in (first.source, second.source)
 
 
-def test_the_origin_gets_a_bounded_number_at_once() -> None:
+def test_simultaneous_fills_at_the_origin_are_bounded() -> None:
     bench = Bench(parent_kind=None, siblings="none")
     asked = [get for id in range(100) for get in gets(bench.ask(id, key=id, size_kb=1.0))]
     assert 0 < sum(get.source == "o" for get in asked) == ORIGIN_FILLS < 100
 
 
-def test_other_gateways_count_as_my_mean_and_my_request_once() -> None:
+def test_the_load_estimate_counts_the_new_request_only_once() -> None:
     bench = Bench(gateways_in_zone=(0, 4, 1), group_size=5)
     bench.ask(1, key=1, name="big", size_kb=900.0, life_ms=5000.0)
     bench.ask(2, key=1, name="big", size_kb=900.0, life_ms=5000.0)
@@ -252,14 +252,14 @@
 
 
 @pytest.mark.parametrize("link", [900.0, 90_000.0])
-def test_past_cold_caches_only_while_the_zones_link_has_room(link: float) -> None:
+def test_caches_out_of_service_are_bypassed_only_while_the_zone_link_has_room(link: float) -> None:
     bench = Bench(direct=True, siblings="none", link_kb_per_s=(0.0, link, 0.0))
     bench.give(api.Members(tuple(replace(m, state="DRAINING") for m in FLEET[:3])), 1.0)
     sent = sum(bool(gets(bench.ask(id, key=id, name="big", size_kb=500.0))) for id in range(40))
     assert (0 < sent < 10) if link == 900.0 else sent == 40
 
 
-def test_gone_servers_are_forgotten_and_their_names_raise_nothing(bench: Bench) -> None:
+def test_removed_servers_are_forgotten_and_later_events_that_name_them_are_accepted(bench: Bench) -> None:
     (get,) = gets(bench.ask(1, key=5))
     bench.give(api.PeerMessage(0, api.PeerNote("kept", 9, 0, get.server)))
     for number in range(500):
@@ -289,14 +289,14 @@
     assert [get.id for get in gets(bench.give(api.TimerDue(timers[1].token)))] == [2]
 
 
-def test_entries_from_before_a_restart_drop_when_it_is_warm_at_once() -> None:
+def test_entries_from_before_a_restart_are_dropped_though_the_server_is_warm_at_once() -> None:
     bench = Bench(cold_ms=0.0)
     bench.give(api.PeerMessage(0, api.PeerNote("kept", 8, 0, "c1")), 11_000.0)
     bench.give(api.Members((replace(FLEET[1], started_ms=11_500.0),)), 11_500.0)
     assert bench.router.candidate((8, 0), "z1", "c0") is None
 
 
-def test_an_ageing_copy_is_renewed_behind_and_its_grace_is_used_where_no_fill_would_follow() -> None:
+def test_an_ageing_copy_is_renewed_in_the_background_and_grace_applies_where_no_fill_would_follow() -> None:
     fresh = replace(BASE.classes["small"], fresh_ms=5000.0, grace_ms=2000.0)
     bench = Bench(classes={**BASE.classes, "small": fresh}, siblings="none")
     (fill,) = gets(bench.ask(1, key=5))
@@ -310,7 +310,7 @@
     assert purged.age_ms == 500.0
 
 
-def test_a_break_is_blamed_once_however_many_attempts_it_ended(bench: Bench) -> None:
+def test_a_connection_reset_is_scored_once_however_many_attempts_it_ended(bench: Bench) -> None:
     """One connection with ten attempts on it had a good cache left out."""
     sent = [get for id in range(10) for get in gets(bench.ask(id, key=5, size_kb=10.0))]
     bench.now += 10.0
@@ -320,7 +320,7 @@
     assert 0.0 < node.failure_score <= 0.25
 
 
-def test_an_error_is_blamed_in_full_only_if_another_attempt_is_served(bench: Bench) -> None:
+def test_an_error_is_scored_in_full_only_if_another_attempt_is_served(bench: Bench) -> None:
     """Bad clients' requests had good caches left out, and used up the further attempts of all."""
     (first,) = gets(bench.ask(1, key=5, size_kb=10.0))
     (second,) = gets(bench.end(first, "err"))
@@ -335,13 +335,13 @@
     assert bench.router.nodes[first.source].failure_score > before + 0.1
 
 
-def test_sizes_that_cannot_be_do_not_spoil_a_classs_mean(bench: Bench) -> None:
+def test_impossible_sizes_do_not_distort_the_mean_of_a_class(bench: Bench) -> None:
     for id in range(50):
         bench.ask(id, size_kb=1e6)
     assert bench.router.mean["small"] <= 3000.0
 
 
-def test_a_break_is_tried_on_the_same_cache_a_second_one_and_a_refused_way_elsewhere(bench: Bench) -> None:
+def test_a_first_reset_is_retried_at_the_same_cache_a_second_one_or_a_refusal_elsewhere(bench: Bench) -> None:
     """Another source was tried, at the origin's price; a burst of breaks used up the further attempts."""
     (first,) = gets(bench.ask(1, key=5, size_kb=10.0))
     tokens = bench.router.retry_tokens
@@ -356,7 +356,7 @@
     assert again.server != other.server
 
 
-def test_after_a_lag_of_its_own_a_gateway_blames_nobody(bench: Bench) -> None:
+def test_after_a_lag_of_its_own_a_gateway_scores_no_server(bench: Bench) -> None:
     """Answers lay unread meanwhile, and all servers looked overdue."""
     bench.give(api.TimerDue("sweep"), at=50.0)
     bench.ask(1, key=5, size_kb=10.0)
@@ -366,7 +366,7 @@
     assert any(node.failure_score for node in bench.router.nodes.values())
 
 
-def test_a_client_that_leaves_while_a_home_router_is_asked_leaves_no_entry() -> None:
+def test_a_client_that_leaves_while_its_home_gateway_is_asked_leaves_no_entry() -> None:
     bench = Bench(group_size=5)
     for id in range(200):  # some of these objects are moved and have another home
         bench.ask(id, key=id % 3, size_kb=400.0)
@@ -377,7 +377,7 @@
     assert not bench.router.waiting_for_home
 
 
-def test_the_crowd_is_guessed_from_the_gateways_that_are_in_service() -> None:
+def test_the_load_is_estimated_from_the_gateways_in_service() -> None:
     """After a mass kill the rest refused as if all were there."""
     bench = Bench(gateways_in_zone=(0, 10, 0), group_size=10)
     bench.give(api.Members(FLEET, whole=True), 1.0)
@@ -401,7 +401,7 @@
     assert look.source == look.server and look.overdue_ms == 400.0 + 2.0 * 100.0
 
 
-def test_no_fill_is_asked_for_that_the_zones_link_can_not_end_in_time() -> None:
+def test_no_fill_is_requested_that_the_zone_link_cannot_finish_in_time() -> None:
     """All gateways of a zone filled large objects over a full link, and none ended before its deadline.
 
     cajas-rapidas, calm+mass: of the largest tenth 0.55 were answered, after it 0.73.
@@ -422,7 +422,7 @@
     assert again.source != again.server, "the link is free again"
 
 
-def test_where_the_zones_link_is_not_told_no_fill_is_held_back_for_it() -> None:
+def test_no_fill_is_held_back_where_the_capacity_of_the_zone_link_is_unknown() -> None:
     bench = Bench(siblings="none", gateways_in_zone=(0, 10, 0), group_size=10, link_kb_per_s=())
     for id in range(2):
         gets(bench.ask(id, key=id, name="big", size_kb=100.0, life_ms=5000.0))
