--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -40,9 +40,9 @@
         self.settings = replace(BASE, **changes)
         self.router, self.now = Router(self.settings, 3), 1000.0
         self.open: dict[int, api.Request] = {}
-        self.shots: dict[int, int] = {}
-        self.ran: dict[int, tuple[float, str]] = {}
-        self.out: list[tuple[api.Get, int, float]] = []
+        self.attempts_sent: dict[int, int] = {}
+        self.first_run: dict[int, tuple[float, str]] = {}
+        self.in_flight: list[tuple[api.Get, int, float]] = []
         self.timers: list[tuple[float, str]] = []
         self.state = {m.server: "SERVING" for m in FLEET}
         self.purges: list[tuple[float, int | None, int]] = []
@@ -56,49 +56,49 @@
                 asked = self.open.pop(act.id)  # a second final answer would raise
                 cls = CLASSES[asked.class_name]
                 refused = isinstance(act, api.Refuse)
-                assert not (refused and act.id in self.ran and cls.effect != "repeatable")
+                assert not (refused and act.id in self.first_run and cls.effect != "repeatable")
                 assert self.now <= asked.deadline_ms + 8.0
             elif isinstance(act, api.SetTimer):
                 self.timers.append((self.now + act.delay_ms, act.token))
             elif isinstance(act, api.SendNote):
                 assert self.settings.peers
             elif isinstance(act, api.Cancel):
-                assert self.settings.cancel and act.attempt < self.shots[act.id]
+                assert self.settings.cancel and act.attempt < self.attempts_sent[act.id]
 
     def check(self, get: api.Get) -> None:
         asked = self.open[get.id]
         cls = CLASSES[asked.class_name]
-        assert all(open.id != get.id for open, _, _ in self.out), "two out at once"
-        assert self.shots.get(get.id, 0) < self.settings.max_attempts and self.now < asked.deadline_ms
+        assert all(open.id != get.id for open, _, _ in self.in_flight), "two out at once"
+        assert self.attempts_sent.get(get.id, 0) < self.settings.max_attempts and self.now < asked.deadline_ms
         assert self.state[get.server] == self.state[get.source] == "SERVING"
         zone = {m.server: m.zone for m in FLEET}
         assert zone[get.server] == "z1" or (self.settings.direct and zone[get.server] == "hub")
         if get.source == "d0":
             assert self.settings.siblings == "any"
-        if get.id in self.ran and cls.effect != "repeatable":
-            since, server = self.ran[get.id]
+        if get.id in self.first_run and cls.effect != "repeatable":
+            since, server = self.first_run[get.id]
             assert cls.effect == "by_key" and self.now < since + cls.repeat_window_ms
             assert zone[server] == zone[get.server]
         for made, key, group in self.purges:
             if self.now < made + 6000.0 and (key == asked.key if key is not None else group == asked.group):
                 assert 0.0 < get.age_ms <= self.now - made
-        self.out.append((get, self.shots.get(get.id, 0), self.now))
-        self.shots[get.id] = self.shots.get(get.id, 0) + 1
+        self.in_flight.append((get, self.attempts_sent.get(get.id, 0), self.now))
+        self.attempts_sent[get.id] = self.attempts_sent.get(get.id, 0) + 1
 
     def finish(self, place: int, status: str) -> None:
-        get, shot, sent = self.out.pop(place)
+        get, shot, sent = self.in_flight.pop(place)
         closed = get.id not in self.open or status == "done"
         if status not in ("busy", "econnrefused", "enoent"):
-            self.ran.setdefault(get.id, (sent, get.server))
+            self.first_run.setdefault(get.id, (sent, get.server))
         if status == "done":
             self.open.pop(get.id, None)
         self.give(api.Outcome(get.id, shot, get.server, status, self.now - sent, closed))
 
-    def pass_to(self, then: float) -> None:
+    def advance_to(self, then: float) -> None:
         while True:
             ends = [
                 (self.open[get.id].deadline_ms, n)
-                for n, (get, _, _) in enumerate(self.out)
+                for n, (get, _, _) in enumerate(self.in_flight)
                 if get.id in self.open
             ]
             due = min([t for t, _ in self.timers] + [t for t, _ in ends] + [then])
@@ -114,13 +114,13 @@
             self.give(api.TimerDue(timer[1]))
 
     def step(self, id: int, kind: str, pick: int, gap: int, status: str) -> None:
-        self.pass_to(self.now + gap)
+        self.advance_to(self.now + gap)
         if kind == "ask":
             name = list(CLASSES)[pick % 4]
             self.open[id] = api.Request(id, name, pick % 3, self.now + 900.0, 100.0 * (pick % 2), pick % 2)
             self.give(self.open[id])
-        elif kind == "end" and self.out:
-            self.finish(pick % len(self.out), status)
+        elif kind == "end" and self.in_flight:
+            self.finish(pick % len(self.in_flight), status)
         elif kind == "left" and self.open:
             gone = list(self.open)[pick % len(self.open)]
             del self.open[gone]
@@ -140,13 +140,13 @@
 
 
 @given(SETTINGS, st.lists(STEP, max_size=120))
-def test_the_five_rules_hold_in_random_play(
+def test_the_five_rules_hold_for_random_events(
     changes: dict[str, Any], steps: list[tuple[str, int, int, str]]
 ) -> None:
     world = World(changes)
     for id, step in enumerate(steps):
         world.step(id, *step)
-    world.pass_to(world.now + 5000.0)
+    world.advance_to(world.now + 5000.0)
     assert not world.open and not world.router.open_requests and not world.router.waiting_for_home
     router = world.router
     assert all(
