--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -79,8 +79,8 @@
 
 
 def test_an_empty_batch_and_end_of_input() -> None:
-    done = run(line("turn", t_ms=1.0) + line("commit"))
-    assert (done.returncode, done.stdout, done.stderr) == (0, '{"ack":{}}\n', "")
+    process = run(line("turn", t_ms=1.0) + line("commit"))
+    assert (process.returncode, process.stdout, process.stderr) == (0, '{"ack":{}}\n', "")
 
 
 def test_the_same_events_give_the_same_actions_whatever_the_hash_seed() -> None:
@@ -93,8 +93,8 @@
     both = replies(run(script("gateway_0", "gateway_1")).stdout)
     for name in ("gateway_0", "gateway_1"):
         alone = replies(run(script(name)).stdout)
-        mine = [r for r in both if "ack" in r or next(iter(r.values()))["gateway"] == name]
-        assert mine == alone
+        own_replies = [r for r in both if "ack" in r or next(iter(r.values()))["gateway"] == name]
+        assert own_replies == alone
 
 
 @pytest.mark.parametrize(
@@ -110,49 +110,51 @@
         line("elapsed", gateway="never", tag="x"),
     ],
 )
-def test_what_is_not_the_wire_ends_with_one_clear_line(text: str) -> None:
-    done = run(text + "\n")
-    assert done.returncode != 0 and done.stdout == ""
-    assert re.fullmatch(r"hitchtiller: .+\n", done.stderr)
+def test_input_that_is_not_the_wire_format_ends_with_one_error_line(text: str) -> None:
+    process = run(text + "\n")
+    assert process.returncode != 0 and process.stdout == ""
+    assert re.fullmatch(r"hitchtiller: .+\n", process.stderr)
 
 
-def host() -> tuple[Host, io.StringIO]:
+def attached_host() -> tuple[Host, io.StringIO]:
     out = io.StringIO()
-    made = Host(out)
+    adapter = Host(out)
     for text in script("gateway_0").splitlines()[:4]:
-        made.handle_line(text)
-    return made, out
+        adapter.handle_line(text)
+    return adapter, out
 
 
 def test_a_missing_list_a_missing_field_and_unknown_fields() -> None:
-    made, _ = host()
+    adapter, _ = attached_host()
     with pytest.raises(WireError, match="never given"):
-        made.handle_line(line("view", gateway="gateway_0", mode="Complete", sheet=3, serial=1))
+        adapter.handle_line(line("view", gateway="gateway_0", mode="Complete", sheet=3, serial=1))
     with pytest.raises(WireError, match="malformed"):
-        made.handle_line(line("request", gateway="gateway_0", tid=1))
-    made.handle_line(line("left", gateway="gateway_0", tid=1, colour="blue"))
+        adapter.handle_line(line("request", gateway="gateway_0", tid=1))
+    adapter.handle_line(line("left", gateway="gateway_0", tid=1, colour="blue"))
 
 
-def test_an_exception_of_the_policy_is_reported() -> None:
-    made, out = host()
-    made.handle_line(
+def test_an_exception_of_the_decisions_is_reported() -> None:
+    adapter, out = attached_host()
+    adapter.handle_line(
         line("request", gateway="gateway_0", tid=1, priority="unknown", item=1, deadline_ms=90.0)
     )
     assert "crash" in replies(out.getvalue())[-1]
 
 
-def test_foreign_messages_outcomes_and_timers_are_passed_over() -> None:
-    made, out = host()
+def test_unknown_messages_outcomes_and_timers_are_ignored() -> None:
+    adapter, out = attached_host()
     before = out.getvalue()
     for body in ("", "ff", "zz", "00", "01" + "00" * 12 + "ff"):
-        made.handle_line(line("message", gateway="gateway_0", neighbour=1, body=body))
-    made.handle_line(line("attempt_end", gateway="gateway_0", tid=5, cache="10.0.0.1:1", disposition="done"))
-    made.handle_line(line("elapsed", gateway="gateway_0", tag="5 0 1"))
+        adapter.handle_line(line("message", gateway="gateway_0", neighbour=1, body=body))
+    adapter.handle_line(
+        line("attempt_end", gateway="gateway_0", tid=5, cache="10.0.0.1:1", disposition="done")
+    )
+    adapter.handle_line(line("elapsed", gateway="gateway_0", tag="5 0 1"))
     assert out.getvalue() == before
-    made.handle_line(line("halt", gateway="gateway_0"))
+    adapter.handle_line(line("halt", gateway="gateway_0"))
 
 
-def test_notes_survive_the_wire() -> None:
+def test_notes_are_unchanged_by_packing_and_unpacking() -> None:
     for kind in ("ask", "holder", "kept", "lacks"):
         note = api.PeerNote(kind, 2**52 - 1, 17, "10.0.0.1:1", 3)
         assert unpack(pack(note)) == note
