--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -77,9 +77,9 @@
 
     def give(self, event: api.Event, at: float | None = None) -> list[api.Action]:
         self.now = self.now if at is None else at
-        acts = self.router.handle(event, self.now)
-        self.sent += [(self.now, act) for act in acts if isinstance(act, api.Get)]
-        return acts
+        actions = self.router.handle(event, self.now)
+        self.sent += [(self.now, act) for act in actions if isinstance(act, api.Get)]
+        return actions
 
     def ask(self, id: int, key: int = 1, name: str = "small", **more: Any) -> list[api.Action]:
         size = more.pop("size_kb", 50.0)
@@ -90,8 +90,8 @@
         return self.give(api.Outcome(get.id, shot, get.server, status, 1.0, **more))
 
 
-def gets(acts: list[api.Action]) -> list[api.Get]:
-    return [act for act in acts if isinstance(act, api.Get)]
+def gets(actions: list[api.Action]) -> list[api.Get]:
+    return [act for act in actions if isinstance(act, api.Get)]
 
 
 @pytest.fixture
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -125,8 +125,8 @@
     (first,) = gets(bench.ask(1, key=5))
     for id in range(2, 6):
         bench.ask(id, key=5)
-    acts = bench.give(api.TimerDue("sweep"), 700.0)
-    assert {act.id for act in acts if isinstance(act, api.Cancel)} == {1, 2, 3, 4, 5}
+    actions = bench.give(api.TimerDue("sweep"), 700.0)
+    assert {act.id for act in actions if isinstance(act, api.Cancel)} == {1, 2, 3, 4, 5}
     (moved,) = gets(bench.end(first, "ecanceled"))
     assert moved.server != first.server
 
@@ -155,8 +155,8 @@
     notes = []
     for id in range(3):
         (get,) = gets(bench.ask(id, key=5))
-        acts = bench.end(get, "done", closed=True, note=1)
-        notes += [act.note.kind for act in acts if isinstance(act, api.SendNote)]
+        actions = bench.end(get, "done", closed=True, note=1)
+        notes += [act.note.kind for act in actions if isinstance(act, api.SendNote)]
     assert notes == (["kept"] if peers else [])
 
 
@@ -280,8 +280,8 @@
     for id in (1, 2):
         (look,) = gets(bench.ask(id, key=9, size_kb=400.0))
         looks.append(look)
-        acts = bench.end(look, "enoent")
-        timers.append(next(act for act in acts if isinstance(act, api.SetTimer)))
+        actions = bench.end(look, "enoent")
+        timers.append(next(act for act in actions if isinstance(act, api.SetTimer)))
         if id == 1:  # home answers, the wait is over; its timer is still to come
             answer = api.PeerMessage(bench.router.open_requests[1].home, api.PeerNote("holder", 9, 0, ""))
             assert gets(bench.give(answer))
@@ -325,8 +325,8 @@
     (first,) = gets(bench.ask(1, key=5, size_kb=10.0))
     (second,) = gets(bench.end(first, "err"))
     (third,) = gets(bench.end(second, "err", shot=1))
-    acts = bench.end(third, "err", shot=2)
-    assert isinstance(acts[-1], api.Refuse)
+    actions = bench.end(third, "err", shot=2)
+    assert isinstance(actions[-1], api.Refuse)
     assert max(node.failure_score for node in bench.router.nodes.values()) < 0.3
     (first,) = gets(bench.ask(2, key=5, size_kb=10.0))
     before = bench.router.nodes[first.source].failure_score
