--- a/hitchtiller/wirehost.py
+++ b/hitchtiller/wirehost.py
@@ -29,17 +29,17 @@
     )
 
 
-def _server_stats(f: JsonObject) -> dict[str, float]:
-    stats = f.get("server_stats") or {}
+def _server_stats(fields: JsonObject) -> dict[str, float]:
+    stats = fields.get("server_stats") or {}
     return dict(stats)
 
 
-def _peer_message(f: JsonObject) -> api.PeerMessage | None:
+def _peer_message(fields: JsonObject) -> api.PeerMessage | None:
     try:
-        note = unpack(bytes.fromhex(f.get("body", "")))
+        note = unpack(bytes.fromhex(fields.get("body", "")))
     except ValueError:
         note = None
-    return api.PeerMessage(f["neighbour"], note) if note else None
+    return api.PeerMessage(fields["neighbour"], note) if note else None
 
 
 READERS: dict[str, Callable[[JsonObject], api.Event | None]] = {
@@ -75,16 +75,16 @@
 }
 
 
-def _fetch_fields(a: api.Get) -> JsonObject:
-    flags = a.join * 1 | a.held_only * 2 | a.renew * 8
+def _fetch_fields(action: api.Get) -> JsonObject:
+    flags = action.join * 1 | action.held_only * 2 | action.renew * 8
     return {
-        "tid": a.id,
+        "tid": action.id,
         "manner": flags,
-        "copy_age_ms": a.age_ms,
-        "max_wait_ms": a.timeout_ms,
-        "keep": a.keep,
-        "cache": a.server,
-        "feeder": a.source,
+        "copy_age_ms": action.age_ms,
+        "max_wait_ms": action.timeout_ms,
+        "keep": action.keep,
+        "cache": action.server,
+        "feeder": action.source,
     }
 
 
