--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,11 +1,11 @@
-"""A small hand-made deployment; nothing of it is a real one's."""
+"""A small made-up deployment and a driver for one Router, shared by the tests."""
 
 from dataclasses import replace
 from typing import Any
 
 import pytest
 from hypothesis import settings as hypothesis_settings
-from known_red import (  # noqa: F401  pytest finds its hooks here
+from known_red import (  # noqa: F401  pytest looks for hooks in this module
     pytest_addoption,
     pytest_collection_modifyitems,
     pytest_configure,
@@ -67,7 +67,7 @@
 
 
 class Bench:
-    """One router, its clock and all that it sent."""
+    """One router with its clock and a record of all attempts that it sent."""
 
     def __init__(self, **changes: Any) -> None:
         self.router = Router(replace(BASE, **changes), 7)
