--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -1,4 +1,4 @@
-"""Random legal events under many settings; the five rules are asserted on the actions."""
+"""Property test: random valid events under many settings; the actions must keep the five rules."""
 
 from dataclasses import replace
 from typing import Any
@@ -34,7 +34,7 @@
 
 
 class World:
-    """Plays the wire's part: clock, timers, attempts out, and what the rules remember."""
+    """Simulates what surrounds a Router: clock, timers, attempts in flight, and what the rules refer to."""
 
     def __init__(self, changes: dict[str, Any]) -> None:
         self.settings = replace(BASE, **changes)
@@ -68,7 +68,7 @@
     def check(self, get: api.Get) -> None:
         asked = self.open[get.id]
         cls = CLASSES[asked.class_name]
-        assert all(open.id != get.id for open, _, _ in self.in_flight), "two out at once"
+        assert all(open.id != get.id for open, _, _ in self.in_flight), "two attempts in flight"
         assert self.attempts_sent.get(get.id, 0) < self.settings.max_attempts and self.now < asked.deadline_ms
         assert self.state[get.server] == self.state[get.source] == "SERVING"
         zone = {m.server: m.zone for m in FLEET}
