--- a/tests/test_worth.py
+++ b/tests/test_worth.py
@@ -1,4 +1,4 @@
-"""The table of a fleet's worth from its gateways' logs, spoilt ones included."""
+"""Tests of `worth`: the table of a fleet's worth from its gateways' logs, also from damaged ones."""
 
 import json
 from pathlib import Path
@@ -28,7 +28,7 @@
 def logs(tmp_path: Path) -> Path:
     first = figures_line(1.0, "n0", 0, 0, 0) + "n0 says something else\n" + figures_line(6.0, "n0", 10, 2, 3)
     (tmp_path / "n0.log").write_text(first + figures_line(11.0, "n0", 14, 2, 3))
-    # killed after its second line: the third counts from 0 again
+    # this gateway was killed after its second line, so the third counts from 0 again
     second = figures_line(1.5, "n1", 0, 0, 0) + figures_line(6.5, "n1", 8, 1, 1)
     (tmp_path / "n1.log").write_text(second + figures_line(11.5, "n1", 3, 1, 0))
     return tmp_path
