--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The adapter: the wire in, the wire out, and plain words for what is not the wire."""
+"""Tests of the simulator adapter: events in, actions out, and one clear error line for invalid input."""
 
 import io
 import json
