--- a/hitchtiller/settings.py
+++ b/hitchtiller/settings.py
@@ -8,12 +8,7 @@
 
 JsonObject = dict[str, Any]
 EFFECTS = ("repeatable", "by_key", "once")
-KIND_DESCRIPTIONS = {
-    "float": "number from 0 up",
-    "int": "whole number from 0 up",
-    "bool": "yes or no",
-    "str": "text",
-}
+KIND_DESCRIPTIONS = {"float": "number >= 0", "int": "whole number >= 0", "bool": "boolean", "str": "string"}
 
 
 def _entry_at(values: list[Any] | None, index: int, default: Any) -> Any:
