--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -47,21 +47,21 @@
     def __init__(self, settings: api.Settings, seed: int) -> None:
         """Start from the settings alone, with no server known."""
         self.settings, self.rng = settings, Random(seed)
-        self.now, self.actions = 0.0, list[api.Action]()
+        self.now, self.actions = 0.0, list[api.Action]()  # time of the event in hand, and actions so far
         self.nodes, self.caches, self.parents = dict[str, Node](), list[Node](), list[Node]()
         self.origins, self.zone_capacity = list[Node](), 0.0  # sum over the zone's caches
         self.open_requests, self.in_flight = dict[int, OpenRequest](), dict[tuple[int, int], Attempt]()
         self.popularity = Popularity()
         self.directory = Directory()  # the slice that this gateway keeps as a home gateway
-        self.reported: dict[tuple[int, int], tuple[str, float]] = {}
-        self.waiting_for_home: dict[tuple[int, int], list[int]] = {}
+        self.reported: dict[tuple[int, int], tuple[str, float]] = {}  # kept copies told to home, and when
+        self.waiting_for_home: dict[tuple[int, int], list[int]] = {}  # ids of requests
         self.home_of: Callable[[int], int] = lambda hashed: hashed % settings.group_size  # set by membership
         self.serving_share: Callable[[], float] = lambda: 1.0  # of all gateways, by membership
         self.silent_homes: dict[int, float] = {}  # gateways that did not answer; asked again from then on
         self.purges = PurgeLog()
         self.rankings: dict[int, tuple[list[Node], list[Node]]] = {}  # caches and parents, by object hash
         self.sizes = Sizes(settings)
-        self.capacity_model, self.mean = Capacity(settings), self.sizes.mean
+        self.capacity_model, self.mean = Capacity(settings), self.sizes.mean  # mean work by class
         self.last_sweep_ms = math.inf  # last check for overdue attempts
         self.retry_tokens = MAX_RETRY_TOKENS  # retries that may be sent now
         self.handlers: dict[type, Callable[[Any], object]] = {api.Request: self.on_request,
@@ -77,7 +77,7 @@
         self.leases, self.lease_waiters = OriginLeases(settings, ORIGIN_FILLS), list[OpenRequest]()
 
     def handle(self, event: api.Event, now_ms: float) -> list[api.Action]:
-        """Decide on one event; the returned actions are to be carried out in this order."""
+        """Decide on one event; the returned actions are to be carried out in their order."""
         self.now, self.actions = now_ms, []
         self.handlers[type(event)](event)
         return self.actions
@@ -160,7 +160,7 @@
         return ranking
 
     def pick_cache(self, req: OpenRequest, width: int) -> tuple[Node | None, bool]:
-        """Pick a cache (an ejected one rather than none) and tell if a copy may be at another one."""
+        """Pick a cache, an ejected one rather than none; also return whether a copy may be at another one."""
         ranking = self.rank(req.object_hash)[0]
         serving = [n for n in ranking if n.member.state == "SERVING" and n not in req.avoid]
         admitted = [n for n in serving if self.admits(n)]
@@ -212,7 +212,7 @@
         return caches_for(requests, load_share)
 
     def on_request(self, event: api.Request) -> None:
-        """Take a client's request and send its first attempt."""
+        """Handle a client's request: send its first attempt."""
         spec = self.settings.classes[event.class_name]
         work_ms, known = self.sizes.estimate(event)
         hashed = hash64(event.key, event.part)
@@ -267,8 +267,8 @@
         req.tries, req.in_flight = req.tries + 1, True
         rank, left = 0 if req.spec.write else req.keep_rank, req.event.deadline_ms - self.now
         pair = (node.member.server, source.member.server)
-        how = (self.settings.joins, stage == "sibling", stage == "fill")
-        late = OVERDUE_AFTER[0] + OVERDUE_AFTER[1] * req.work_ms
+        how = (self.settings.joins, stage == "sibling", stage == "fill")  # join, held_only, renew
+        late = OVERDUE_AFTER[0] + OVERDUE_AFTER[1] * req.work_ms  # when a missing answer is a bad sign
         if source is not node:  # it may wait for its source, and a thin link carries nothing else meanwhile
             late = max(SILENT_FILL_AFTER[0] * aim_ms, SILENT_FILL_AFTER[1] * req.spec.deadline_ms)
         self.actions.append(api.Get(req.event.id, *pair, left, rank, self.max_age_ms(req, stage), *how, late))
@@ -283,7 +283,7 @@
         self.actions.append(api.Refuse(req.event.id, wait_ms) if retry_is_safe else api.Fail(req.event.id))
 
     def wait_for_lease(self, req: OpenRequest) -> bool:
-        """Reroute a request that only lacked a lease, or have it wait for the answer; return if so, once."""
+        """Reroute a request that only lacked a lease, or have it wait for one, once; return whether it did."""
         ready = req.lacks_lease and self.leases.may_begin(req.event.deadline_ms, self.now)
         if not req.lacks_lease or req.waited_for_lease or not (ready or self.leases.pending_request):
             return False
@@ -329,7 +329,7 @@
             self.send_next_attempt(req, attempt, event.status)
 
     def served(self, req: OpenRequest, node: Node) -> None:
-        """Tell the home gateway of a kept copy, no more often than its directory entry needs."""
+        """Report a kept copy to the home gateway, no more often than its directory entry needs."""
         last_server, reported_ms = self.reported.get(req.item, ("", 0.0))
         due = last_server != node.member.server or self.now - reported_ms > ENTRY_MS / 2
         in_own_zone = node.member.zone == self.settings.my_zone and not req.spec.write
