--- a/hitchtiller/records.py
+++ b/hitchtiller/records.py
@@ -66,7 +66,7 @@
 
 
 def rank_by_hash(hashed: int, nodes: Iterable[Node]) -> list[Node]:
-    """Return the servers in the order of their weighted rendezvous hash, weighted by capacity."""
+    """Return the servers ranked by rendezvous hash, weighted by their capacity."""
     return sorted(
         nodes, key=lambda n: -math.log((combine_hashes(hashed, n.salt) + 1) / (1 << 64)) / n.capacity
     )
