--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -49,65 +49,69 @@
         self.give(api.Members(FLEET, whole=True))
 
     def give(self, event: api.Event) -> None:
-        for act in self.router.handle(event, self.now):
-            if isinstance(act, api.Get):
-                self.check(act)
-            elif isinstance(act, api.Refuse | api.Fail):
-                asked = self.open.pop(act.id)  # a second final answer would raise
-                cls = CLASSES[asked.class_name]
-                refused = isinstance(act, api.Refuse)
-                assert not (refused and act.id in self.first_run and cls.effect != "repeatable")
-                assert self.now <= asked.deadline_ms + 8.0
-            elif isinstance(act, api.SetTimer):
-                self.timers.append((self.now + act.delay_ms, act.token))
-            elif isinstance(act, api.SendNote):
+        for action in self.router.handle(event, self.now):
+            if isinstance(action, api.Get):
+                self.check(action)
+            elif isinstance(action, api.Refuse | api.Fail):
+                request = self.open.pop(action.id)  # a second final answer would raise
+                cls = CLASSES[request.class_name]
+                refused = isinstance(action, api.Refuse)
+                assert not (refused and action.id in self.first_run and cls.effect != "repeatable")
+                assert self.now <= request.deadline_ms + 8.0
+            elif isinstance(action, api.SetTimer):
+                self.timers.append((self.now + action.delay_ms, action.token))
+            elif isinstance(action, api.SendNote):
                 assert self.settings.peers
-            elif isinstance(act, api.Cancel):
-                assert self.settings.cancel and act.attempt < self.attempts_sent[act.id]
+            elif isinstance(action, api.Cancel):
+                assert self.settings.cancel and action.attempt < self.attempts_sent[action.id]
 
     def check(self, get: api.Get) -> None:
-        asked = self.open[get.id]
-        cls = CLASSES[asked.class_name]
+        request = self.open[get.id]
+        cls = CLASSES[request.class_name]
         assert all(open.id != get.id for open, _, _ in self.in_flight), "two attempts in flight"
-        assert self.attempts_sent.get(get.id, 0) < self.settings.max_attempts and self.now < asked.deadline_ms
+        assert (
+            self.attempts_sent.get(get.id, 0) < self.settings.max_attempts and self.now < request.deadline_ms
+        )
         assert self.state[get.server] == self.state[get.source] == "SERVING"
         zone = {m.server: m.zone for m in FLEET}
         assert zone[get.server] == "z1" or (self.settings.direct and zone[get.server] == "hub")
         if get.source == "d0":
             assert self.settings.siblings == "any"
         if get.id in self.first_run and cls.effect != "repeatable":
-            since, server = self.first_run[get.id]
-            assert cls.effect == "by_key" and self.now < since + cls.repeat_window_ms
+            since_ms, server = self.first_run[get.id]
+            assert cls.effect == "by_key" and self.now < since_ms + cls.repeat_window_ms
             assert zone[server] == zone[get.server]
-        for made, key, group in self.purges:
-            if self.now < made + 6000.0 and (key == asked.key if key is not None else group == asked.group):
-                assert 0.0 < get.age_ms <= self.now - made
+        for purged_ms, key, group in self.purges:
+            if self.now < purged_ms + 6000.0 and (
+                key == request.key if key is not None else group == request.group
+            ):
+                assert 0.0 < get.age_ms <= self.now - purged_ms
         self.in_flight.append((get, self.attempts_sent.get(get.id, 0), self.now))
         self.attempts_sent[get.id] = self.attempts_sent.get(get.id, 0) + 1
 
-    def finish(self, place: int, status: str) -> None:
-        get, shot, sent = self.in_flight.pop(place)
+    def finish(self, index: int, status: str) -> None:
+        get, number, sent_ms = self.in_flight.pop(index)
         closed = get.id not in self.open or status == "done"
         if status not in ("busy", "econnrefused", "enoent"):
-            self.first_run.setdefault(get.id, (sent, get.server))
+            self.first_run.setdefault(get.id, (sent_ms, get.server))
         if status == "done":
             self.open.pop(get.id, None)
-        self.give(api.Outcome(get.id, shot, get.server, status, self.now - sent, closed))
+        self.give(api.Outcome(get.id, number, get.server, status, self.now - sent_ms, closed))
 
-    def advance_to(self, then: float) -> None:
+    def advance_to(self, until_ms: float) -> None:
         while True:
-            ends = [
+            deadlines = [
                 (self.open[get.id].deadline_ms, n)
                 for n, (get, _, _) in enumerate(self.in_flight)
                 if get.id in self.open
             ]
-            due = min([t for t, _ in self.timers] + [t for t, _ in ends] + [then])
+            due = min([t for t, _ in self.timers] + [t for t, _ in deadlines] + [until_ms])
             self.now = max(self.now, due)
-            if due >= then:
+            if due >= until_ms:
                 return
-            late = [n for t, n in ends if t <= due]
-            if late:
-                self.finish(late[0], "etimedout")
+            overdue = [n for t, n in deadlines if t <= due]
+            if overdue:
+                self.finish(overdue[0], "etimedout")
                 continue
             timer = min(self.timers)
             self.timers.remove(timer)
@@ -122,15 +126,17 @@
         elif kind == "end" and self.in_flight:
             self.finish(pick % len(self.in_flight), status)
         elif kind == "left" and self.open:
-            gone = list(self.open)[pick % len(self.open)]
-            del self.open[gone]
-            self.give(api.ClientLeft(gone))
+            client = list(self.open)[pick % len(self.open)]
+            del self.open[client]
+            self.give(api.ClientLeft(client))
         elif kind == "purge":
             self.purges.append((self.now - 50.0, pick % 3 if gap % 2 else None, pick % 2))
             self.give(api.Purged(self.purges[-1][1], pick % 2, 50.0))
         elif kind == "peer":
-            word = ("ask", "holder", "kept", "lacks")[pick % 4]
-            self.give(api.PeerMessage(1, api.PeerNote(word, gap % 3, 0, FLEET[gap % 4].server, pick % 4)))
+            kind_of_note = ("ask", "holder", "kept", "lacks")[pick % 4]
+            self.give(
+                api.PeerMessage(1, api.PeerNote(kind_of_note, gap % 3, 0, FLEET[gap % 4].server, pick % 4))
+            )
         elif kind in ("list", "whole"):
             member = FLEET[pick % len(FLEET)]
             self.state[member.server] = ("SERVING", "DRAINING", "DELETED")[gap % 3]
