--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -45,9 +45,9 @@
 
 def test_a_frequently_requested_object_is_spread_and_looked_up_without_a_fill(bench: Bench) -> None:
     spread(bench, 9)
-    busy = [gets(bench.ask(id, key=9, size_kb=400.0))[0] for id in range(4)]
-    assert len({get.server for get in busy}) > 1
-    assert all(get.source == get.server for get in busy)
+    attempts = [gets(bench.ask(id, key=9, size_kb=400.0))[0] for id in range(4)]
+    assert len({get.server for get in attempts}) > 1
+    assert all(get.source == get.server for get in attempts)
 
 
 def test_a_miss_fills_from_a_listed_sibling_then_from_the_parent(bench: Bench) -> None:
@@ -55,11 +55,11 @@
     bench.router.directory.entries.clear()
     bench.now = 100.0
     bench.give(api.PeerMessage(0, api.PeerNote("kept", 9, 0, "d0")))
-    (look,) = gets(bench.ask(1, key=9, size_kb=400.0))
-    (fill,) = gets(bench.end(look, "enoent"))
-    assert fill.source == "d0" and fill.held_only and fill.server == look.server
+    (look_up,) = gets(bench.ask(1, key=9, size_kb=400.0))
+    (fill,) = gets(bench.end(look_up, "enoent"))
+    assert fill.source == "d0" and fill.held_only and fill.server == look_up.server
     (parent,) = gets(bench.end(fill, "enoent", 1))
-    assert parent.source in ("p0", "p1") and parent.server == look.server
+    assert parent.source in ("p0", "p1") and parent.server == look_up.server
     assert "d0" not in bench.router.directory.entries[9, 0].holders
 
 
@@ -80,10 +80,10 @@
 
 def test_a_directory_query_is_answered_with_one_note(bench: Bench) -> None:
     bench.give(api.PeerMessage(0, api.PeerNote("kept", 9, 0, "c1")), 1.0)
-    (act,) = bench.give(api.PeerMessage(3, api.PeerNote("ask", 9, 0, "c0", 1)))
-    assert act == api.SendNote(3, api.PeerNote("holder", 9, 0, "c1"))
-    (act,) = bench.give(api.PeerMessage(3, api.PeerNote("ask", 9, 0, "c1", 1)))
-    assert act == api.SendNote(3, api.PeerNote("holder", 9, 0, ""))
+    (action,) = bench.give(api.PeerMessage(3, api.PeerNote("ask", 9, 0, "c0", 1)))
+    assert action == api.SendNote(3, api.PeerNote("holder", 9, 0, "c1"))
+    (action,) = bench.give(api.PeerMessage(3, api.PeerNote("ask", 9, 0, "c1", 1)))
+    assert action == api.SendNote(3, api.PeerNote("holder", 9, 0, ""))
     assert bench.give(api.PeerMessage(3, api.PeerNote("ask", 9, 0, "c1", 99))) == []
 
 
@@ -126,7 +126,7 @@
     for id in range(2, 6):
         bench.ask(id, key=5)
     actions = bench.give(api.TimerDue("sweep"), 700.0)
-    assert {act.id for act in actions if isinstance(act, api.Cancel)} == {1, 2, 3, 4, 5}
+    assert {action.id for action in actions if isinstance(action, api.Cancel)} == {1, 2, 3, 4, 5}
     (moved,) = gets(bench.end(first, "ecanceled"))
     assert moved.server != first.server
 
@@ -135,11 +135,13 @@
     for id in range(200):
         for shot in range(2):
             for get in (
-                [act for _, act in bench.sent if act.id == id] if shot else gets(bench.ask(id, key=id))
+                [action for _, action in bench.sent if action.id == id]
+                if shot
+                else gets(bench.ask(id, key=id))
             ):
                 bench.end(get, "err", shot)
-    out = [n for n in bench.router.caches if n.ejected_until_ms > bench.now]
-    assert len(out) <= 1
+    ejected = [n for n in bench.router.caches if n.ejected_until_ms > bench.now]
+    assert len(ejected) <= 1
 
 
 def test_large_requests_are_refused_first_under_overload(bench: Bench) -> None:
@@ -156,7 +158,7 @@
     for id in range(3):
         (get,) = gets(bench.ask(id, key=5))
         actions = bench.end(get, "done", closed=True, note=1)
-        notes += [act.note.kind for act in actions if isinstance(act, api.SendNote)]
+        notes += [action.note.kind for action in actions if isinstance(action, api.SendNote)]
     assert notes == (["kept"] if peers else [])
 
 
@@ -182,9 +184,9 @@
         for id in range(200):
             for node in bench.router.parents:
                 node.fill_limit.share = 0.1
-            (look,) = gets(bench.ask(id, key=id, size_kb=share * mean))
-            assert look.source == look.server
-            for get in gets(bench.end(look, "enoent")):
+            (look_up,) = gets(bench.ask(id, key=id, size_kb=share * mean))
+            assert look_up.source == look_up.server
+            for get in gets(bench.end(look_up, "enoent")):
                 bench.end(get, "done", 1, closed=True)
                 count += get.source != get.server
         return count
@@ -196,10 +198,10 @@
 def test_a_missed_look_up_requests_no_fill_from_a_limited_source(bench: Bench) -> None:
     spread(bench, 9)
     bench.router.directory.entries.clear()
-    (look,) = gets(bench.ask(1, key=9, size_kb=400.0))
+    (look_up,) = gets(bench.ask(1, key=9, size_kb=400.0))
     for node in bench.router.parents:
         node.fill_limit.share = 1e-9
-    (final,) = bench.end(look, "enoent")
+    (final,) = bench.end(look_up, "enoent")
     assert isinstance(final, api.Refuse)
 
 
@@ -210,8 +212,8 @@
     bench.end(get, "busy")
     first = fills.share
     assert first < MAX_SHARE
-    (look,) = gets(bench.ask(2, key=1, size_kb=1.0))
-    (late,) = gets(bench.end(look, "enoent"))
+    (look_up,) = gets(bench.ask(2, key=1, size_kb=1.0))
+    (late,) = gets(bench.end(look_up, "enoent"))
     bench.give(api.TimerDue("sweep"), 450.0)
     for at in (500.0, 550.0):  # past the aim of 302 ms; counted once, however often it is checked
         bench.give(api.TimerDue("sweep"), at)
@@ -222,8 +224,8 @@
     bench.end(hit, "done", closed=True)
     assert fills.share == pytest.approx(0.8 * first)  # a hit is no evidence about the source
     for id in range(4, 40):
-        for look in gets(bench.ask(id, key=1, size_kb=1.0)):
-            for get in gets(bench.end(look, "enoent" if look.source == look.server else "done")):
+        for look_up in gets(bench.ask(id, key=1, size_kb=1.0)):
+            for get in gets(bench.end(look_up, "enoent" if look_up.source == look_up.server else "done")):
                 bench.end(get, "done", 1, closed=True)
     assert fills.share == MAX_SHARE
 
@@ -239,11 +241,11 @@
 
 def test_simultaneous_fills_at_the_origin_are_bounded() -> None:
     bench = Bench(parent_kind=None, siblings="none")
-    asked = [get for id in range(100) for get in gets(bench.ask(id, key=id, size_kb=1.0))]
-    assert 0 < sum(get.source == "o" for get in asked) == ORIGIN_FILLS < 100
+    attempts = [get for id in range(100) for get in gets(bench.ask(id, key=id, size_kb=1.0))]
+    assert 0 < sum(get.source == "o" for get in attempts) == ORIGIN_FILLS < 100
 
 
-def test_the_load_estimate_counts_the_new_request_only_once() -> None:
+def test_load_estimate_gives_other_gateways_the_own_mean_and_counts_a_new_request_once() -> None:
     bench = Bench(gateways_in_zone=(0, 4, 1), group_size=5)
     bench.ask(1, key=1, name="big", size_kb=900.0, life_ms=5000.0)
     bench.ask(2, key=1, name="big", size_kb=900.0, life_ms=5000.0)
@@ -276,12 +278,12 @@
 def test_an_old_home_timer_does_not_end_a_later_wait_for_the_same_object() -> None:
     bench = Bench(group_size=50)
     spread(bench, 9)
-    timers, looks = [], []
+    timers, look_ups = [], []
     for id in (1, 2):
-        (look,) = gets(bench.ask(id, key=9, size_kb=400.0))
-        looks.append(look)
-        actions = bench.end(look, "enoent")
-        timers.append(next(act for act in actions if isinstance(act, api.SetTimer)))
+        (look_up,) = gets(bench.ask(id, key=9, size_kb=400.0))
+        look_ups.append(look_up)
+        actions = bench.end(look_up, "enoent")
+        timers.append(next(action for action in actions if isinstance(action, api.SetTimer)))
         if id == 1:  # the home gateway answers, so the wait ends; its timer is still pending
             answer = api.PeerMessage(bench.router.open_requests[1].home, api.PeerNote("holder", 9, 0, ""))
             assert gets(bench.give(answer))
@@ -373,7 +375,7 @@
         for get in [get for _, get in bench.sent if get.id == id]:
             bench.end(get, "enoent")
         bench.give(api.ClientLeft(id))
-    assert any(isinstance(act, api.Get) for _, act in bench.sent)
+    assert any(isinstance(action, api.Get) for _, action in bench.sent)
     assert not bench.router.waiting_for_home
 
 
@@ -397,8 +399,8 @@
     assert fill.source != fill.server
     assert fill.overdue_ms >= 2.0 * (500.0 + 2.0 * 100.0)  # aim_ms and aim_stretch of the class
     spread(bench, 5)
-    (look,) = gets(bench.ask(2, key=5, name="big", size_kb=100.0))
-    assert look.source == look.server and look.overdue_ms == 400.0 + 2.0 * 100.0
+    (look_up,) = gets(bench.ask(2, key=5, name="big", size_kb=100.0))
+    assert look_up.source == look_up.server and look_up.overdue_ms == 400.0 + 2.0 * 100.0
 
 
 def test_no_fill_is_requested_that_the_zone_link_cannot_finish_in_time() -> None:
@@ -407,8 +409,8 @@
     Without this rule 0.55 of the largest tenth of the requests were answered, with it 0.73 (deployment
     cajas-rapidas, days calm+mass).
     """
-    told = (0.0, 2000.0, 0.0)
-    bench = Bench(siblings="none", gateways_in_zone=(0, 10, 0), group_size=10, link_kb_per_s=told)
+    link_rates = (0.0, 2000.0, 0.0)
+    bench = Bench(siblings="none", gateways_in_zone=(0, 10, 0), group_size=10, link_kb_per_s=link_rates)
     for id in range(2):  # the other gateways of the zone are assumed to have as many in flight
         (get,) = gets(bench.ask(id, key=id, name="big", size_kb=100.0, life_ms=5000.0))
         assert get.source != get.server
