--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -283,7 +283,7 @@
         self.actions.append(api.Refuse(req.event.id, wait_ms) if retry_is_safe else api.Fail(req.event.id))
 
     def wait_for_lease(self, req: OpenRequest) -> bool:
-        """Reroute a request that only lacked a lease, or have it wait for one, once; return whether it did."""
+        """Reroute a request that only lacked a lease, or have it wait for one, once; return if it did."""
         ready = req.lacks_lease and self.leases.may_begin(req.event.deadline_ms, self.now)
         if not req.lacks_lease or req.waited_for_lease or not (ready or self.leases.pending_request):
             return False
