--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -126,9 +126,9 @@
         elif kind == "end" and self.in_flight:
             self.finish(pick % len(self.in_flight), status)
         elif kind == "left" and self.open:
-            client = list(self.open)[pick % len(self.open)]
-            del self.open[client]
-            self.give(api.ClientLeft(client))
+            request_id = list(self.open)[pick % len(self.open)]
+            del self.open[request_id]
+            self.give(api.ClientLeft(request_id))
         elif kind == "purge":
             self.purges.append((self.now - 50.0, pick % 3 if gap % 2 else None, pick % 2))
             self.give(api.Purged(self.purges[-1][1], pick % 2, 50.0))
