--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -53,7 +53,9 @@
         self.open_requests, self.in_flight = dict[int, OpenRequest](), dict[tuple[int, int], Attempt]()
         self.popularity = Popularity()
         self.directory = Directory()  # the slice that this gateway keeps as a home gateway
-        self.reported: dict[tuple[int, int], tuple[str, float]] = {}  # kept copies told to home, and when
+        self.reported: dict[
+            tuple[int, int], tuple[str, float]
+        ] = {}  # by object: last cache reported, and when
         self.waiting_for_home: dict[tuple[int, int], list[int]] = {}  # ids of requests
         self.home_of: Callable[[int], int] = lambda hashed: hashed % settings.group_size  # set by membership
         self.serving_share: Callable[[], float] = lambda: 1.0  # of all gateways, by membership
@@ -225,7 +227,7 @@
     def route(self, req: OpenRequest, width: int) -> None:
         """Send to the picked cache: a look-up if a copy may be elsewhere, else an attempt with its fill."""
         node, look_up = self.pick_cache(req, width)
-        if node is None:  # bypass the caches where allowed and the link has room, or all fills would jam
+        if node is None:  # bypass the caches where allowed and the link has room, or all fills are late
             direct = len(self.in_flight) - sum(n.attempts for n in self.caches)
             fits = req.spec.write or self.meets(req, (1 + self.gateways() * direct) / self.link)
             upstream = self.pick_source(req) if self.settings.direct and fits else None
@@ -238,8 +240,8 @@
             source = self.pick_source(req)
             if req.spec.write or (source and source.fill_limit.unlimited and self.may_ask_fill(req, source)):
                 return self.send(req, node, source, "fill")
-            stage = "check" if source and self.may_ask_fill(req, source) else "only"  # while fills jam, hits
-            self.send(req, node, node, stage)  # stay prompt, and the fill limit learns from fills alone
+            stage = "check" if source and self.may_ask_fill(req, source) else "only"  # while fills are late,
+            self.send(req, node, node, stage)  # hits stay prompt, and the fill limit learns from fills alone
 
     def may_ask_fill(self, req: OpenRequest, source: Node) -> bool:
         """Return whether a source may be asked for a fill now that can end in time on the zone's link."""
@@ -391,9 +393,9 @@
             node.pace.record(self.now, event.latency_ms / req.work_ms)
         if event.status in ("done", "enoent"):
             self.record_success(node)
-            untold = self.settings.notes == "none" and event.status == "done"
-            if source is not node and (event.note in (2, 3) or untold):
-                self.record_success(source, SUCCESS_FACTOR**ASSUMED_FILL_SHARE if untold else SUCCESS_FACTOR)
+            unknown = self.settings.notes == "none" and event.status == "done"
+            if source is not node and (event.note in (2, 3) or unknown):
+                self.record_success(source, SUCCESS_FACTOR**ASSUMED_FILL_SHARE if unknown else SUCCESS_FACTOR)
             for failed in req.error_attempts if req and event.status == "done" else ():
                 self.attribute_failure(failed, "err")
         elif event.status == "err" and req:
