--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -53,9 +53,7 @@
         self.open_requests, self.in_flight = dict[int, OpenRequest](), dict[tuple[int, int], Attempt]()
         self.popularity = Popularity()
         self.directory = Directory()  # the slice that this gateway keeps as a home gateway
-        self.reported: dict[
-            tuple[int, int], tuple[str, float]
-        ] = {}  # by object: last cache reported, and when
+        self.reported: dict[tuple[int, int], tuple[str, float]] = {}  # last cache reported, and when
         self.waiting_for_home: dict[tuple[int, int], list[int]] = {}  # ids of requests
         self.home_of: Callable[[int], int] = lambda hashed: hashed % settings.group_size  # set by membership
         self.serving_share: Callable[[], float] = lambda: 1.0  # of all gateways, by membership
