--- a/hitchtiller/engine.py
+++ b/hitchtiller/engine.py
@@ -330,7 +330,7 @@
             return None
         try:
             node = self.router.nodes.get(attempt.get.server)  # None if it was delisted in the meantime
-            if not node or not self.effects.may_begin(request.class_name, request.dedupe, node.m, now):
+            if not node or not self.effects.may_begin(request.class_name, request.dedupe, node.member, now):
                 return None
             cap = self.router.recheck_send(attempt.get.id, attempt.index, now)
         except Exception:  # noqa: BLE001  it would end the other attempts of the connection
@@ -340,7 +340,7 @@
             cap = self.copies.cap(attempt.exchange, cap, now)
         if cap is None:
             return None
-        self.effects.begin(request.class_name, request.dedupe, node.m, now)
+        self.effects.begin(request.class_name, request.dedupe, node.member, now)
         return SendLimits(cap, request.deadline_ms - now)
 
     def on_attempt_written(self) -> None:
--- a/hitchtiller/ops/members.py
+++ b/hitchtiller/ops/members.py
@@ -49,9 +49,9 @@
         self.changes: Counter[str] = Counter()
         self.handed = 0  # directory entries told to a new home
         self.outs: dict[int, float] = {}  # servers that I leave out, by mark, until when
-        self.serving, self.present = set(range(size)), 1.0  # who is in service, and their share of all
+        self.serving, self.serving_share = set(range(size)), 1.0  # who is in service, and their share of all
         peers.on_other_datagram = self.receive
-        engine.router.present = lambda: self.present
+        engine.router.serving_share = lambda: self.serving_share
         engine.router.home_of = lambda hashed: self.homes.home(hashed, self.serving)
         levels = {"members_alive": State.ALIVE, "members_suspect": State.SUSPECT, "members_dead": State.DEAD}
         for name, state in levels.items():
@@ -105,21 +105,23 @@
         now, router, evidence = now_ms(), self.engine.router, self.detector.evidence
         marks = {zlib.crc32(name.encode()): node for name, node in router.nodes.items()}
         for mark, node in marks.items():
-            if now < node.out_until:
-                if self.outs.get(mark) != node.out_until:  # once for each time that it is left out
+            if now < node.ejected_until_ms:
+                if self.outs.get(mark) != node.ejected_until_ms:  # once for each time that it is left out
                     sign = Symptom.REFUSED if node.refused_ms > now - OUT_MOST else Symptom.SILENT
                     evidence.saw(mark, sign, now)
-            elif node.blame < SOUND and now - node.answered_ms < self.period_ms:
+            elif node.failure_score < SOUND and now - node.answered_ms < self.period_ms:
                 evidence.hears(mark, node.answered_ms)
         for node in (marks[mark] for mark in evidence.verdicts(now) if mark in marks):
-            if now >= node.out_until and not self.engine.busy:
+            if now >= node.ejected_until_ms and not self.engine.busy:
                 router.now, router.actions = now, []
                 router.add_failure(node, TRUST)
                 for action in router.actions:
                     self.engine.execute(action)
-                if now < node.out_until:
-                    logger.info("server {} left out on the word of others", node.m.server)
-        self.outs = {mark: node.out_until for mark, node in marks.items() if now < node.out_until}
+                if now < node.ejected_until_ms:
+                    logger.info("server {} left out on the word of others", node.member.server)
+        self.outs = {
+            mark: node.ejected_until_ms for mark, node in marks.items() if now < node.ejected_until_ms
+        }
 
     def changed(self, change: Change) -> None:
         """Log a change with who said so, and follow it where it is preference."""
@@ -158,7 +160,7 @@
         before, self.serving = self.serving, set(self.view.in_service())
         for number in self.serving - before:
             self.hand_over(before, self.serving, number)
-        self.present = 1.0 / preferred_share(self.serving, self.me) / len(self.view.claims)
+        self.serving_share = 1.0 / preferred_share(self.serving, self.me) / len(self.view.claims)
 
     def leave(self) -> None:
         """Hand my directory entries over, and tell a few that I leave by plan."""
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -105,7 +105,7 @@
         """When it was reported as never sent, unreachable machines were chosen again and again."""
         attempt = self.start_request()
         PullJob(attempt).broken("econnrefused")
-        self.assertGreater(self.engine.router.nodes[attempt.get.server].blame, 0.0)
+        self.assertGreater(self.engine.router.nodes[attempt.get.server].failure_score, 0.0)
 
     def test_the_class_decides_whether_an_answer_needs_a_tag_and_a_time(self) -> None:
         """Each answer to a sign-off, an effect without a key, ended its connection and all attempts on it."""
