--- a/hitchtiller/front/client.py
+++ b/hitchtiller/front/client.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from hitchtiller.front.server import Front
 
-MOST_OPEN = 32  # requests on one connection
+MAX_OPEN_REQUESTS = 32  # requests on one connection
 MOST_HOLES = 64  # stream numbers passed over that may still come
 HIGH_WATER = 1_000_000  # bytes that a client has not taken, from which its requests wait: backpressure
 MOST_EXCESS = 32  # requests past MOST_OPEN that are refused before their sender is taken for a flood
@@ -156,7 +156,7 @@
         if frame.kind == frames.REQUEST:
             if self.stream.size <= HIGH_WATER and not self.waiting:
                 self._request(frame, arrived)
-            elif len(self.waiting) < MOST_OPEN and frame.stream not in self.waiting:
+            elif len(self.waiting) < MAX_OPEN_REQUESTS and frame.stream not in self.waiting:
                 if not self.waiting:
                     self.front.sched.spawn(self._take_waiting)
                 self.waiting[frame.stream] = (frame, arrived)
@@ -220,7 +220,7 @@
             self._say(stream, Answer(FAILED))
             return
         self.taken += 1
-        full = len(self.open) >= MOST_OPEN
+        full = len(self.open) >= MAX_OPEN_REQUESTS
         self.excess = self.excess + 1 if full else 0
         if self.excess > MOST_EXCESS:
             return self._flood()
--- a/tests/ends/test_ends_clients.py
+++ b/tests/ends/test_ends_clients.py
@@ -7,7 +7,7 @@
 from sides import FrontCase, request
 
 from hitchtiller.codec import frames
-from hitchtiller.front.client import MOST_EXCESS, MOST_OPEN
+from hitchtiller.front.client import MOST_EXCESS, MAX_OPEN_REQUESTS
 from hitchtiller.sched import now_ms
 
 
@@ -77,14 +77,14 @@
 
 class Floods(FrontCase):
     def test_one_that_asks_far_more_than_it_may_is_ended_and_others_are_not(self) -> None:
-        for stream in range(1, MOST_OPEN + 1):
+        for stream in range(1, MAX_OPEN_REQUESTS + 1):
             self.other.sendall(request(stream))
-        self.until(lambda: len(self.engine.taken) == MOST_OPEN)
-        for stream in range(MOST_OPEN + 1, MOST_OPEN + MOST_EXCESS + 2):
+        self.until(lambda: len(self.engine.taken) == MAX_OPEN_REQUESTS)
+        for stream in range(MAX_OPEN_REQUESTS + 1, MAX_OPEN_REQUESTS + MOST_EXCESS + 2):
             self.other.sendall(request(stream))
         self.until(lambda: self.client.closing == "flood")
         self.assertEqual(self.client.open, {})
-        self.assertEqual(len(self.engine.taken), MOST_OPEN)
+        self.assertEqual(len(self.engine.taken), MAX_OPEN_REQUESTS)
         flooder = self.client
         self.other.close()
         self.until(lambda: bool(flooder.stream.code))
@@ -95,7 +95,7 @@
     def test_one_that_asks_on_and_takes_nothing_is_ended_at_a_bound(self) -> None:
         """Requests may wait for a jam to end, but no more of them than may be open."""
         self.jam()
-        for stream in range(2, MOST_OPEN + 3):
+        for stream in range(2, MAX_OPEN_REQUESTS + 3):
             self.other.sendall(request(stream))
         self.until(lambda: self.client.closing == "flood")
         self.assertEqual((len(self.engine.taken), self.client.waiting), (1, {}))
