--- a/hitchtiller/front/client.py
+++ b/hitchtiller/front/client.py
@@ -16,7 +16,7 @@
 MAX_OPEN_REQUESTS = 32  # requests on one connection
 MOST_HOLES = 64  # stream numbers passed over that may still come
 HIGH_WATER = 1_000_000  # bytes that a client has not taken, from which its requests wait: backpressure
-MOST_EXCESS = 32  # requests past MOST_OPEN that are refused before their sender is taken for a flood
+MAX_EXCESS_REQUESTS = 32  # requests past MOST_OPEN that are refused before their sender is taken for a flood
 AT_ONCE = 16  # frames of one connection in a turn: hundreds at once must not hold up the others
 OWED_MS = 2_200.0  # for a first whole frame, or the rest of one
 GROWTH, WHOLE_MS = 32, 6_000.0  # bytes with which that begins anew; until when all of a frame has to be here
@@ -222,7 +222,7 @@
         self.taken += 1
         full = len(self.open) >= MAX_OPEN_REQUESTS
         self.excess = self.excess + 1 if full else 0
-        if self.excess > MOST_EXCESS:
+        if self.excess > MAX_EXCESS_REQUESTS:
             return self._flood()
         if full or self.closing or not self.front.takes(arrived):
             stats.end(ask.class_name, REFUSED)
--- a/tests/ends/test_ends_clients.py
+++ b/tests/ends/test_ends_clients.py
@@ -7,7 +7,7 @@
 from sides import FrontCase, request
 
 from hitchtiller.codec import frames
-from hitchtiller.front.client import MOST_EXCESS, MAX_OPEN_REQUESTS
+from hitchtiller.front.client import MAX_EXCESS_REQUESTS, MAX_OPEN_REQUESTS
 from hitchtiller.sched import now_ms
 
 
@@ -80,7 +80,7 @@
         for stream in range(1, MAX_OPEN_REQUESTS + 1):
             self.other.sendall(request(stream))
         self.until(lambda: len(self.engine.taken) == MAX_OPEN_REQUESTS)
-        for stream in range(MAX_OPEN_REQUESTS + 1, MAX_OPEN_REQUESTS + MOST_EXCESS + 2):
+        for stream in range(MAX_OPEN_REQUESTS + 1, MAX_OPEN_REQUESTS + MAX_EXCESS_REQUESTS + 2):
             self.other.sendall(request(stream))
         self.until(lambda: self.client.closing == "flood")
         self.assertEqual(self.client.open, {})
