--- a/hitchtiller/front/client.py
+++ b/hitchtiller/front/client.py
@@ -14,16 +14,19 @@
     from hitchtiller.front.server import Front
 
 MAX_OPEN_REQUESTS = 32  # requests on one connection
-MOST_HOLES = 64  # stream numbers passed over that may still come
-HIGH_WATER = 1_000_000  # bytes that a client has not taken, from which its requests wait: backpressure
+MAX_SKIPPED_STREAMS = 64  # stream numbers passed over that may still come
+HIGH_WATER_BYTES = 1_000_000  # bytes that a client has not taken, from which its requests wait: backpressure
 MAX_EXCESS_REQUESTS = 32  # requests past MOST_OPEN that are refused before their sender is taken for a flood
-AT_ONCE = 16  # frames of one connection in a turn: hundreds at once must not hold up the others
-OWED_MS = 2_200.0  # for a first whole frame, or the rest of one
-GROWTH, WHOLE_MS = 32, 6_000.0  # bytes with which that begins anew; until when all of a frame has to be here
-QUIET_MS = 200.0  # without a word, from which a connection is let go: requests may cross frame 3
-PROBE_MS = 1_000.0  # the front's probes come ten times a second, and may keep theirs
-LOOK_MS = 20.0
-LINGER_MS = 1_500.0  # what is unread at a close is read and dropped for so long
+FRAMES_PER_TURN = 16  # frames of one connection in a turn: hundreds at once must not hold up the others
+FRAME_TIMEOUT_MS = 2_200.0  # for a first whole frame, or the rest of one
+MIN_GROWTH_BYTES, MAX_FRAME_MS = (
+    32,
+    6_000.0,
+)  # bytes with which that begins anew; until when all of a frame has to be here
+MIN_IDLE_MS = 200.0  # without a word, from which a connection is let go: requests may cross frame 3
+PROBE_KEEP_MS = 1_000.0  # the front's probes come ten times a second, and may keep theirs
+QUEUE_CHECK_MS = 20.0
+DEFAULT_LINGER_MS = 1_500.0  # what is unread at a close is read and dropped for so long
 
 
 class Numbers:
@@ -39,8 +42,8 @@
             known = number in self.holes
             self.holes.discard(number)
             return known
-        self.holes.update(range(max(self.top + 1, number - MOST_HOLES), number))
-        while len(self.holes) > MOST_HOLES:
+        self.holes.update(range(max(self.top + 1, number - MAX_SKIPPED_STREAMS), number))
+        while len(self.holes) > MAX_SKIPPED_STREAMS:
             self.holes.remove(min(self.holes))
         self.top = number
         return True
@@ -66,7 +69,10 @@
         self.arrived_ms = self.seen_ms = now_ms()  # when one came last
         self.owed_ms: float | None = self.seen_ms  # since when the client owes the rest of a frame
         self.half_ms, self.half = self.seen_ms, 0  # when that frame began, and what was here at `owed_ms`
-        self.linger_ms, self.until_ms = LINGER_MS, math.inf  # how long a close lingers, and until when
+        self.linger_ms, self.until_ms = (
+            DEFAULT_LINGER_MS,
+            math.inf,
+        )  # how long a close lingers, and until when
 
     def run(self) -> None:
         """Serve until the connection ends."""
@@ -104,7 +110,7 @@
             for count, frame in enumerate(reader.feed(data), 1):
                 self.asked, self.seen_ms, self.owed_ms = True, begun, None
                 self._frame(frame, arrived)
-                if count % AT_ONCE == 0:
+                if count % FRAMES_PER_TURN == 0:
                     self.front.sched.pause()
                 if self.stream.code:
                     raise Closed(self.stream.code)
@@ -118,7 +124,7 @@
         if half and self.owed_ms is None:
             self.half_ms = begun
         # guards requests in pieces: those that took longer than the 2.2 s were cut, though they grew
-        if half and (self.owed_ms is None or half >= self.half + GROWTH):
+        if half and (self.owed_ms is None or half >= self.half + MIN_GROWTH_BYTES):
             self.owed_ms, self.half = begun, half
 
     def refuse_all(self, code: str) -> None:
@@ -136,7 +142,9 @@
         """Tell why a client should wait no longer, if so."""
         if self.closing:
             return self.closing if now > self.until_ms else ""
-        if self.owed_ms is None or (now - self.owed_ms <= OWED_MS and now - self.half_ms <= WHOLE_MS):
+        if self.owed_ms is None or (
+            now - self.owed_ms <= FRAME_TIMEOUT_MS and now - self.half_ms <= MAX_FRAME_MS
+        ):
             return ""
         return "half" if self.asked else "unasked"
 
@@ -154,7 +162,7 @@
 
     def _frame(self, frame: frames.Frame, arrived: float) -> None:
         if frame.kind == frames.REQUEST:
-            if self.stream.size <= HIGH_WATER and not self.waiting:
+            if self.stream.size <= HIGH_WATER_BYTES and not self.waiting:
                 self._request(frame, arrived)
             elif len(self.waiting) < MAX_OPEN_REQUESTS and frame.stream not in self.waiting:
                 if not self.waiting:
@@ -168,7 +176,7 @@
                 self.front.engine.leave(exchange)
         elif frame.kind == frames.READY:
             self.probed_ms = now_ms()
-            if self.stream.size > HIGH_WATER:
+            if self.stream.size > HIGH_WATER_BYTES:
                 return self._flood()
             code = frames.REFUSED if self.front.told() else frames.SERVED
             payload = bytes([code]) + frames.write_fields({})
@@ -191,8 +199,8 @@
         Meanwhile the connection is read on: a client that gives up, or leaves, is seen at once.
         """
         while self.waiting and not self.stream.code:
-            if self.stream.size > HIGH_WATER:
-                self.front.sched.sleep(LOOK_MS)
+            if self.stream.size > HIGH_WATER_BYTES:
+                self.front.sched.sleep(QUEUE_CHECK_MS)
                 continue
             frame, arrived = self.waiting.pop(next(iter(self.waiting)))
             self._keep()
@@ -249,11 +257,11 @@
 
     def settled(self, now: float, last: bool) -> bool:
         """Tell whether it may be closed when all leave: nothing open, nothing unread, no word for a while."""
-        if not self.idle() or now - self.probed_ms <= PROBE_MS:
+        if not self.idle() or now - self.probed_ms <= PROBE_KEEP_MS:
             return False
-        return last or (not self.stream.kept and now - self.seen_ms > QUIET_MS)
+        return last or (not self.stream.kept and now - self.seen_ms > MIN_IDLE_MS)
 
-    def close_when_done(self, code: str, linger_ms: float = LINGER_MS) -> None:
+    def close_when_done(self, code: str, linger_ms: float = DEFAULT_LINGER_MS) -> None:
         """Close after the answers in hand: those requests were taken and must not be lost."""
         self.closing, self.linger_ms = self.closing or code, linger_ms
         self._close_if_done()
