--- a/hitchtiller/front/client.py
+++ b/hitchtiller/front/client.py
@@ -29,7 +29,7 @@
 DEFAULT_LINGER_MS = 1_500.0  # what is unread at a close is read and dropped for so long
 
 
-class Numbers:
+class StreamNumbers:
     """The stream numbers used so far, in bounded space."""
 
     def __init__(self) -> None:
@@ -56,7 +56,7 @@
         """Take an accepted connection."""
         self.front, self.stream, self.peer = front, stream, peer
         self.open: dict[int, Exchange] = {}
-        self.numbers = Numbers()
+        self.numbers = StreamNumbers()
         self.waiting: dict[int, tuple[frames.Frame, float]] = {}  # requests that came above HIGH_WATER
         self.rest = 0  # bytes of a frame that is not whole yet
         self.excess = 0  # requests refused since one was last taken, for want of room on the connection
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -4,7 +4,7 @@
 
 from hitchtiller.codec import frames, resp
 from hitchtiller.codec.bus import BadBus, BusReader
-from hitchtiller.front.client import Numbers
+from hitchtiller.front.client import StreamNumbers
 from hitchtiller.news import PurgeNotice, Topology
 
 
@@ -34,7 +34,7 @@
             frames.read_fields(data)
 
     def test_stream_numbers_are_new_in_bounded_space(self) -> None:
-        numbers = Numbers()
+        numbers = StreamNumbers()
         self.assertEqual([numbers.use(n) for n in (1, 4, 3, 3, 4, 5)], [True, True, True, False, False, True])
         for number in range(10, 100_000, 7):
             self.assertTrue(numbers.use(number))
