--- a/hitchtiller/front/client.py
+++ b/hitchtiller/front/client.py
@@ -34,17 +34,17 @@
 
     def __init__(self) -> None:
         """Start with none."""
-        self.top, self.holes = 0, set[int]()
+        self.top, self.skipped = 0, set[int]()
 
     def use(self, number: int) -> bool:
         """Use a number; False if it was used before, or never may be."""
         if number <= self.top:
-            known = number in self.holes
-            self.holes.discard(number)
+            known = number in self.skipped
+            self.skipped.discard(number)
             return known
-        self.holes.update(range(max(self.top + 1, number - MAX_SKIPPED_STREAMS), number))
-        while len(self.holes) > MAX_SKIPPED_STREAMS:
-            self.holes.remove(min(self.holes))
+        self.skipped.update(range(max(self.top + 1, number - MAX_SKIPPED_STREAMS), number))
+        while len(self.skipped) > MAX_SKIPPED_STREAMS:
+            self.skipped.remove(min(self.skipped))
         self.top = number
         return True
 
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -38,7 +38,7 @@
         self.assertEqual([numbers.use(n) for n in (1, 4, 3, 3, 4, 5)], [True, True, True, False, False, True])
         for number in range(10, 100_000, 7):
             self.assertTrue(numbers.use(number))
-        self.assertLessEqual(len(numbers.holes), 64)
+        self.assertLessEqual(len(numbers.skipped), 64)
 
 
 class Resp(unittest.TestCase):
