--- a/hitchtiller/front/client.py
+++ b/hitchtiller/front/client.py
@@ -36,7 +36,7 @@
         """Start with none."""
         self.top, self.skipped = 0, set[int]()
 
-    def use(self, number: int) -> bool:
+    def claim(self, number: int) -> bool:
         """Use a number; False if it was used before, or never may be."""
         if number <= self.top:
             known = number in self.skipped
@@ -222,7 +222,7 @@
             stats.end(error.class_name, FAILED)
             self._say(stream, Answer(FAILED))  # never sent on
             return
-        fresh = stream != 0 and self.numbers.use(stream)
+        fresh = stream != 0 and self.numbers.claim(stream)
         if not fresh or self.front.engine.has(ask.id):  # guards against one id twice at a cache
             stats.end(ask.class_name, FAILED)
             self._say(stream, Answer(FAILED))
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -35,9 +35,11 @@
 
     def test_stream_numbers_are_new_in_bounded_space(self) -> None:
         numbers = StreamNumbers()
-        self.assertEqual([numbers.use(n) for n in (1, 4, 3, 3, 4, 5)], [True, True, True, False, False, True])
+        self.assertEqual(
+            [numbers.claim(n) for n in (1, 4, 3, 3, 4, 5)], [True, True, True, False, False, True]
+        )
         for number in range(10, 100_000, 7):
-            self.assertTrue(numbers.use(number))
+            self.assertTrue(numbers.claim(number))
         self.assertLessEqual(len(numbers.skipped), 64)
 
 
