--- a/hitchtiller/front/client.py
+++ b/hitchtiller/front/client.py
@@ -34,42 +34,49 @@
 
     def __init__(self) -> None:
         """Start with none."""
-        self.top, self.skipped = 0, set[int]()
+        self.highest, self.skipped = 0, set[int]()
 
     def claim(self, number: int) -> bool:
         """Use a number; False if it was used before, or never may be."""
-        if number <= self.top:
+        if number <= self.highest:
             known = number in self.skipped
             self.skipped.discard(number)
             return known
-        self.skipped.update(range(max(self.top + 1, number - MAX_SKIPPED_STREAMS), number))
+        self.skipped.update(range(max(self.highest + 1, number - MAX_SKIPPED_STREAMS), number))
         while len(self.skipped) > MAX_SKIPPED_STREAMS:
             self.skipped.remove(min(self.skipped))
-        self.top = number
+        self.highest = number
         return True
 
 
 class Client:
     """Reads one connection until it ends; what is open on it then has no one to wait for it."""
 
-    def __init__(self, front: "Front", stream: Stream, peer: str) -> None:
+    def __init__(self, front: "Front", stream: Stream, remote_address: str) -> None:
         """Take an accepted connection."""
-        self.front, self.stream, self.peer = front, stream, peer
+        self.front, self.stream, self.remote_address = front, stream, remote_address
         self.open: dict[int, Exchange] = {}
-        self.numbers = StreamNumbers()
+        self.stream_numbers = StreamNumbers()
         self.waiting: dict[int, tuple[frames.Frame, float]] = {}  # requests that came above HIGH_WATER
-        self.rest = 0  # bytes of a frame that is not whole yet
-        self.excess = 0  # requests refused since one was last taken, for want of room on the connection
+        self.incomplete_bytes = 0  # bytes of a frame that is not whole yet
+        self.excess_requests = (
+            0  # requests refused since one was last taken, for want of room on the connection
+        )
         self.closing = ""  # a reason to close once all in hand is answered
-        self.deaf = False  # what comes is dropped: no frame can be told apart, or no answer can be written
-        self.taken = 0
+        self.discards_input = (
+            False  # what comes is dropped: no frame can be told apart, or no answer can be written
+        )
+        self.accepted = 0
         self.asked = False  # a whole frame has come
         self.told = False  # that no new request may come
-        self.probed_ms = -math.inf  # when it asked last whether the gateway is ready
+        self.last_probe_ms = -math.inf  # when it asked last whether the gateway is ready
         self.arrived_ms = self.seen_ms = now_ms()  # when one came last
-        self.owed_ms: float | None = self.seen_ms  # since when the client owes the rest of a frame
-        self.half_ms, self.half = self.seen_ms, 0  # when that frame began, and what was here at `owed_ms`
-        self.linger_ms, self.until_ms = (
+        self.frame_progress_ms: float | None = self.seen_ms  # since when the client owes the rest of a frame
+        self.frame_started_ms, self.frame_progress_bytes = (
+            self.seen_ms,
+            0,
+        )  # when that frame began, and what was here at `owed_ms`
+        self.linger_ms, self.linger_until_ms = (
             DEFAULT_LINGER_MS,
             math.inf,
         )  # how long a close lingers, and until when
@@ -86,9 +93,9 @@
                 # guards clients that have gone: the end may lie behind what they asked for in a busy turn
                 if now_ms() - self.arrived_ms > LAG_LIMIT_MS and self.stream.drained and self.stream.at_end():
                     raise Closed("eof")
-                if not self.deaf:
+                if not self.discards_input:
                     self._take(reader, data)
-                if self.deaf:
+                if self.discards_input:
                     self.stream.keep(0)
                     self.front.sched.sleep(2.0)  # guards the loop against senders of 60 MB at full speed
                 elif not self.stream.drained:
@@ -98,41 +105,43 @@
         finally:
             self.stream.close("fault")
             self.front.gone(self)
-            ended("client", self.peer, self.stream.code, taken=self.taken, open=len(self.open))
+            ended("client", self.remote_address, self.stream.code, taken=self.accepted, open=len(self.open))
             self.waiting.clear()
             exchanges, self.open = list(self.open.values()), {}
             for exchange in exchanges:
                 self.front.engine.leave(exchange)
 
     def _take(self, reader: frames.FrameReader, data: bytes) -> None:
-        arrived, begun = self.arrived_ms, now_ms()
+        arrived_ms, started_ms = self.arrived_ms, now_ms()
         try:
             for count, frame in enumerate(reader.feed(data), 1):
-                self.asked, self.seen_ms, self.owed_ms = True, begun, None
-                self._frame(frame, arrived)
+                self.asked, self.seen_ms, self.frame_progress_ms = True, started_ms, None
+                self._handle_frame(frame, arrived_ms)
                 if count % FRAMES_PER_TURN == 0:
                     self.front.sched.pause()
                 if self.stream.code:
                     raise Closed(self.stream.code)
-                if self.deaf:
+                if self.discards_input:
                     return
         except frames.BadFrame:
             reader.buffer.clear()
-            self.refuse_all("bad-frame")
-        self.rest = half = len(reader.buffer)
-        self._keep()
-        if half and self.owed_ms is None:
-            self.half_ms = begun
+            self.fail_all("bad-frame")
+        self.incomplete_bytes = buffered = len(reader.buffer)
+        self._count_buffered()
+        if buffered and self.frame_progress_ms is None:
+            self.frame_started_ms = started_ms
         # guards requests in pieces: those that took longer than the 2.2 s were cut, though they grew
-        if half and (self.owed_ms is None or half >= self.half + MIN_GROWTH_BYTES):
-            self.owed_ms, self.half = begun, half
+        if buffered and (
+            self.frame_progress_ms is None or buffered >= self.frame_progress_bytes + MIN_GROWTH_BYTES
+        ):
+            self.frame_progress_ms, self.frame_progress_bytes = started_ms, buffered
 
-    def refuse_all(self, code: str) -> None:
+    def fail_all(self, code: str) -> None:
         """End a connection that can't be read on: tell so, and end all that is open on it at once."""
-        self.deaf = True
-        self._say(0, Answer(FAILED))
+        self.discards_input = True
+        self._send_answer(0, Answer(FAILED))
         for stream in list(self.waiting):
-            self._say(stream, Answer(FAILED))
+            self._send_answer(stream, Answer(FAILED))
         self.waiting.clear()
         for exchange in list(self.open.values()):
             self.front.engine.fail(exchange)
@@ -141,9 +150,9 @@
     def overdue(self, now: float) -> str:
         """Tell why a client should wait no longer, if so."""
         if self.closing:
-            return self.closing if now > self.until_ms else ""
-        if self.owed_ms is None or (
-            now - self.owed_ms <= FRAME_TIMEOUT_MS and now - self.half_ms <= MAX_FRAME_MS
+            return self.closing if now > self.linger_until_ms else ""
+        if self.frame_progress_ms is None or (
+            now - self.frame_progress_ms <= FRAME_TIMEOUT_MS and now - self.frame_started_ms <= MAX_FRAME_MS
         ):
             return ""
         return "half" if self.asked else "unasked"
@@ -160,40 +169,42 @@
         """Tell whether it is being closed and nothing is owed on it any more."""
         return bool(self.closing) and not self.owes()
 
-    def _frame(self, frame: frames.Frame, arrived: float) -> None:
+    def _handle_frame(self, frame: frames.Frame, arrived_ms: float) -> None:
         if frame.kind == frames.REQUEST:
             if self.stream.size <= HIGH_WATER_BYTES and not self.waiting:
-                self._request(frame, arrived)
+                self._handle_request(frame, arrived_ms)
             elif len(self.waiting) < MAX_OPEN_REQUESTS and frame.stream not in self.waiting:
                 if not self.waiting:
-                    self.front.sched.spawn(self._take_waiting)
-                self.waiting[frame.stream] = (frame, arrived)
+                    self.front.sched.spawn(self._process_queued)
+                self.waiting[frame.stream] = (frame, arrived_ms)
             else:
-                self._flood()
+                self._fail_flood()
         elif frame.kind == frames.GIVE_UP:
             self.waiting.pop(frame.stream, None)
             if exchange := self.open.pop(frame.stream, None):
                 self.front.engine.leave(exchange)
         elif frame.kind == frames.READY:
-            self.probed_ms = now_ms()
+            self.last_probe_ms = now_ms()
             if self.stream.size > HIGH_WATER_BYTES:
-                return self._flood()
+                return self._fail_flood()
             code = frames.REFUSED if self.front.told() else frames.SERVED
             payload = bytes([code]) + frames.write_fields({})
             self.stream.write(frames.head(frames.READY_ANSWER, frame.stream, len(payload)) + payload)
         else:
             raise frames.BadFrame(f"type {frame.kind}")
 
-    def _keep(self) -> None:
+    def _count_buffered(self) -> None:
         """Count the bytes that are held of what could not be taken yet."""
-        self.stream.keep(self.rest + sum(len(frame.payload) for frame, _ in self.waiting.values()))
+        self.stream.keep(
+            self.incomplete_bytes + sum(len(frame.payload) for frame, _ in self.waiting.values())
+        )
 
-    def _flood(self) -> None:
+    def _fail_flood(self) -> None:
         """End a client that asks on and on for what it does not take, or for more than it may."""
-        if not self.deaf:
-            self.refuse_all("flood")
+        if not self.discards_input:
+            self.fail_all("flood")
 
-    def _take_waiting(self) -> None:
+    def _process_queued(self) -> None:
         """Take the requests that wait once the client has taken its answers.
 
         Meanwhile the connection is read on: a client that gives up, or leaves, is seen at once.
@@ -202,51 +213,51 @@
             if self.stream.size > HIGH_WATER_BYTES:
                 self.front.sched.sleep(QUEUE_CHECK_MS)
                 continue
-            frame, arrived = self.waiting.pop(next(iter(self.waiting)))
-            self._keep()
+            frame, arrived_ms = self.waiting.pop(next(iter(self.waiting)))
+            self._count_buffered()
             try:
-                self._request(frame, arrived)
+                self._handle_request(frame, arrived_ms)
             except frames.BadFrame:
-                self.refuse_all("bad-frame")
+                self.fail_all("bad-frame")
         if not self.stream.code:
             self._close_if_done()
 
-    def _request(self, frame: frames.Frame, arrived: float) -> None:
+    def _handle_request(self, frame: frames.Frame, arrived_ms: float) -> None:
         stream = frame.stream
         if stream in self.open:  # guards against two answers under one number
             raise frames.BadFrame(f"stream {stream} is open")
         stats = self.front.engine.stats
         try:
-            ask = read_ask(frame.payload, self.front.settings, arrived)
+            request = read_ask(frame.payload, self.front.settings, arrived_ms)
         except BadAsk as error:
             stats.end(error.class_name, FAILED)
-            self._say(stream, Answer(FAILED))  # never sent on
+            self._send_answer(stream, Answer(FAILED))  # never sent on
             return
-        fresh = stream != 0 and self.numbers.claim(stream)
-        if not fresh or self.front.engine.has(ask.id):  # guards against one id twice at a cache
-            stats.end(ask.class_name, FAILED)
-            self._say(stream, Answer(FAILED))
+        fresh = stream != 0 and self.stream_numbers.claim(stream)
+        if not fresh or self.front.engine.has(request.id):  # guards against one id twice at a cache
+            stats.end(request.class_name, FAILED)
+            self._send_answer(stream, Answer(FAILED))
             return
-        self.taken += 1
+        self.accepted += 1
         full = len(self.open) >= MAX_OPEN_REQUESTS
-        self.excess = self.excess + 1 if full else 0
-        if self.excess > MAX_EXCESS_REQUESTS:
-            return self._flood()
-        if full or self.closing or not self.front.takes(arrived):
-            stats.end(ask.class_name, REFUSED)
-            self._say(stream, Answer(REFUSED, wait_ms=self.front.settings.max_retry_after_ms))
+        self.excess_requests = self.excess_requests + 1 if full else 0
+        if self.excess_requests > MAX_EXCESS_REQUESTS:
+            return self._fail_flood()
+        if full or self.closing or not self.front.takes(arrived_ms):
+            stats.end(request.class_name, REFUSED)
+            self._send_answer(stream, Answer(REFUSED, wait_ms=self.front.settings.max_retry_after_ms))
             return
-        exchange = self.front.engine.take(ask, partial(self._answer, stream))
+        exchange = self.front.engine.take(request, partial(self._on_answer, stream))
         if not exchange.over:
             self.open[stream] = exchange
 
-    def _answer(self, stream: int, answer: Answer) -> None:
+    def _on_answer(self, stream: int, answer: Answer) -> None:
         self.open.pop(stream, None)
         self.seen_ms = now_ms()
-        self._say(stream, answer)
+        self._send_answer(stream, answer)
         self._close_if_done()
 
-    def _say(self, stream: int, answer: Answer) -> None:
+    def _send_answer(self, stream: int, answer: Answer) -> None:
         self.stream.write(*write_answer(stream, answer))
 
     def going(self) -> None:
@@ -257,7 +268,7 @@
 
     def settled(self, now: float, last: bool) -> bool:
         """Tell whether it may be closed when all leave: nothing open, nothing unread, no word for a while."""
-        if not self.idle() or now - self.probed_ms <= PROBE_KEEP_MS:
+        if not self.idle() or now - self.last_probe_ms <= PROBE_KEEP_MS:
             return False
         return last or (not self.stream.kept and now - self.seen_ms > MIN_IDLE_MS)
 
@@ -273,6 +284,6 @@
         answer can be written, so what is read is no request of ours: its client sends it again elsewhere.
         """
         if self.closing and not (self.open or self.waiting):
-            self.deaf = True
-            self.until_ms = min(self.until_ms, now_ms() + self.linger_ms)
+            self.discards_input = True
+            self.linger_until_ms = min(self.linger_until_ms, now_ms() + self.linger_ms)
             self.stream.finish()
