--- a/hitchtiller/front/client.py
+++ b/hitchtiller/front/client.py
@@ -94,7 +94,7 @@
                 if now_ms() - self.arrived_ms > LAG_LIMIT_MS and self.stream.drained and self.stream.at_end():
                     raise Closed("eof")
                 if not self.discards_input:
-                    self._take(reader, data)
+                    self._receive(reader, data)
                 if self.discards_input:
                     self.stream.keep(0)
                     self.front.sched.sleep(2.0)  # guards the loop against senders of 60 MB at full speed
@@ -111,7 +111,7 @@
             for exchange in exchanges:
                 self.front.engine.leave(exchange)
 
-    def _take(self, reader: frames.FrameReader, data: bytes) -> None:
+    def _receive(self, reader: frames.FrameReader, data: bytes) -> None:
         arrived_ms, started_ms = self.arrived_ms, now_ms()
         try:
             for count, frame in enumerate(reader.feed(data), 1):
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -40,7 +40,7 @@
         with patch("hitchtiller.front.client.now_ms", lambda: self.begun + at):
             why = self.client.overdue(self.begun + at)
             first = not self.reader.buffer
-            self.client._take(self.reader, (b"\0\0\x80\0" if first else b"") + bytes(size))
+            self.client._receive(self.reader, (b"\0\0\x80\0" if first else b"") + bytes(size))
         return why
 
     def test_a_frame_that_grows_is_not_cut_at_2_s(self) -> None:
