--- a/hitchtiller/front/client.py
+++ b/hitchtiller/front/client.py
@@ -55,7 +55,7 @@
     def __init__(self, front: "Front", stream: Stream, remote_address: str) -> None:
         """Take an accepted connection."""
         self.front, self.stream, self.remote_address = front, stream, remote_address
-        self.open: dict[int, Exchange] = {}
+        self.open_exchanges: dict[int, Exchange] = {}
         self.stream_numbers = StreamNumbers()
         self.waiting: dict[int, tuple[frames.Frame, float]] = {}  # requests that came above HIGH_WATER
         self.incomplete_bytes = 0  # bytes of a frame that is not whole yet
@@ -105,9 +105,15 @@
         finally:
             self.stream.close("fault")
             self.front.gone(self)
-            ended("client", self.remote_address, self.stream.code, taken=self.accepted, open=len(self.open))
+            ended(
+                "client",
+                self.remote_address,
+                self.stream.code,
+                taken=self.accepted,
+                open=len(self.open_exchanges),
+            )
             self.waiting.clear()
-            exchanges, self.open = list(self.open.values()), {}
+            exchanges, self.open_exchanges = list(self.open_exchanges.values()), {}
             for exchange in exchanges:
                 self.front.engine.leave(exchange)
 
@@ -143,7 +149,7 @@
         for stream in list(self.waiting):
             self._send_answer(stream, Answer(FAILED))
         self.waiting.clear()
-        for exchange in list(self.open.values()):
+        for exchange in list(self.open_exchanges.values()):
             self.front.engine.fail(exchange)
         self.close_when_done(code)
 
@@ -163,7 +169,7 @@
 
     def owes(self) -> bool:
         """Tell whether an answer is owed on it, or has not gone out."""
-        return bool(self.open or self.waiting or self.stream.size)
+        return bool(self.open_exchanges or self.waiting or self.stream.size)
 
     def answered(self) -> bool:
         """Tell whether it is being closed and nothing is owed on it any more."""
@@ -181,7 +187,7 @@
                 self._fail_flood()
         elif frame.kind == frames.GIVE_UP:
             self.waiting.pop(frame.stream, None)
-            if exchange := self.open.pop(frame.stream, None):
+            if exchange := self.open_exchanges.pop(frame.stream, None):
                 self.front.engine.leave(exchange)
         elif frame.kind == frames.READY:
             self.last_probe_ms = now_ms()
@@ -224,7 +230,7 @@
 
     def _handle_request(self, frame: frames.Frame, arrived_ms: float) -> None:
         stream = frame.stream
-        if stream in self.open:  # guards against two answers under one number
+        if stream in self.open_exchanges:  # guards against two answers under one number
             raise frames.BadFrame(f"stream {stream} is open")
         stats = self.front.engine.stats
         try:
@@ -239,7 +245,7 @@
             self._send_answer(stream, Answer(FAILED))
             return
         self.accepted += 1
-        full = len(self.open) >= MAX_OPEN_REQUESTS
+        full = len(self.open_exchanges) >= MAX_OPEN_REQUESTS
         self.excess_requests = self.excess_requests + 1 if full else 0
         if self.excess_requests > MAX_EXCESS_REQUESTS:
             return self._fail_flood()
@@ -249,10 +255,10 @@
             return
         exchange = self.front.engine.take(request, partial(self._on_answer, stream))
         if not exchange.over:
-            self.open[stream] = exchange
+            self.open_exchanges[stream] = exchange
 
     def _on_answer(self, stream: int, answer: Answer) -> None:
-        self.open.pop(stream, None)
+        self.open_exchanges.pop(stream, None)
         self.seen_ms = now_ms()
         self._send_answer(stream, answer)
         self._close_if_done()
@@ -283,7 +289,7 @@
         Guards against a reset for unread bytes, which would take the last answer along. From here on no
         answer can be written, so what is read is no request of ours: its client sends it again elsewhere.
         """
-        if self.closing and not (self.open or self.waiting):
+        if self.closing and not (self.open_exchanges or self.waiting):
             self.discards_input = True
             self.linger_until_ms = min(self.linger_until_ms, now_ms() + self.linger_ms)
             self.stream.finish()
--- a/hitchtiller/front/leave.py
+++ b/hitchtiller/front/leave.py
@@ -112,7 +112,7 @@
             self.sched.sleep(10.0)
         front.refusing = True  # whatever still comes is refused at once
         for client in list(front.clients):
-            for exchange in list(client.open.values()):
+            for exchange in list(client.open_exchanges.values()):
                 front.engine.fail(exchange)  # guards against a kill while a request has no answer
         while front.clients and now_ms() < exit_ms:
             self._close_settled(last=True)
--- a/tests/ends/test_ends_clients.py
+++ b/tests/ends/test_ends_clients.py
@@ -83,7 +83,7 @@
         for stream in range(MAX_OPEN_REQUESTS + 1, MAX_OPEN_REQUESTS + MAX_EXCESS_REQUESTS + 2):
             self.other.sendall(request(stream))
         self.until(lambda: self.client.closing == "flood")
-        self.assertEqual(self.client.open, {})
+        self.assertEqual(self.client.open_exchanges, {})
         self.assertEqual(len(self.engine.taken), MAX_OPEN_REQUESTS)
         flooder = self.client
         self.other.close()
--- a/tests/ends/test_ends_descriptors.py
+++ b/tests/ends/test_ends_descriptors.py
@@ -178,7 +178,7 @@
         """`closing` alone counted as idle: its open request was lost with the connection."""
         client, _ = self.client()
         exchange: Any = mock.Mock(spec=Exchange)
-        client.open[1] = exchange
+        client.open_exchanges[1] = exchange
         client.close_when_done("half")
         self.assertFalse(self.front.make_room())
         self.assertEqual(client.stream.code, "")
