--- a/hitchtiller/front/client.py
+++ b/hitchtiller/front/client.py
@@ -57,7 +57,9 @@
         self.front, self.stream, self.remote_address = front, stream, remote_address
         self.open_exchanges: dict[int, Exchange] = {}
         self.stream_numbers = StreamNumbers()
-        self.waiting: dict[int, tuple[frames.Frame, float]] = {}  # requests that came above HIGH_WATER
+        self.queued_requests: dict[
+            int, tuple[frames.Frame, float]
+        ] = {}  # requests that came above HIGH_WATER
         self.incomplete_bytes = 0  # bytes of a frame that is not whole yet
         self.excess_requests = (
             0  # requests refused since one was last taken, for want of room on the connection
@@ -112,7 +114,7 @@
                 taken=self.accepted,
                 open=len(self.open_exchanges),
             )
-            self.waiting.clear()
+            self.queued_requests.clear()
             exchanges, self.open_exchanges = list(self.open_exchanges.values()), {}
             for exchange in exchanges:
                 self.front.engine.leave(exchange)
@@ -146,9 +148,9 @@
         """End a connection that can't be read on: tell so, and end all that is open on it at once."""
         self.discards_input = True
         self._send_answer(0, Answer(FAILED))
-        for stream in list(self.waiting):
+        for stream in list(self.queued_requests):
             self._send_answer(stream, Answer(FAILED))
-        self.waiting.clear()
+        self.queued_requests.clear()
         for exchange in list(self.open_exchanges.values()):
             self.front.engine.fail(exchange)
         self.close_when_done(code)
@@ -169,7 +171,7 @@
 
     def owes(self) -> bool:
         """Tell whether an answer is owed on it, or has not gone out."""
-        return bool(self.open_exchanges or self.waiting or self.stream.size)
+        return bool(self.open_exchanges or self.queued_requests or self.stream.size)
 
     def answered(self) -> bool:
         """Tell whether it is being closed and nothing is owed on it any more."""
@@ -177,16 +179,16 @@
 
     def _handle_frame(self, frame: frames.Frame, arrived_ms: float) -> None:
         if frame.kind == frames.REQUEST:
-            if self.stream.size <= HIGH_WATER_BYTES and not self.waiting:
+            if self.stream.size <= HIGH_WATER_BYTES and not self.queued_requests:
                 self._handle_request(frame, arrived_ms)
-            elif len(self.waiting) < MAX_OPEN_REQUESTS and frame.stream not in self.waiting:
-                if not self.waiting:
+            elif len(self.queued_requests) < MAX_OPEN_REQUESTS and frame.stream not in self.queued_requests:
+                if not self.queued_requests:
                     self.front.sched.spawn(self._process_queued)
-                self.waiting[frame.stream] = (frame, arrived_ms)
+                self.queued_requests[frame.stream] = (frame, arrived_ms)
             else:
                 self._fail_flood()
         elif frame.kind == frames.GIVE_UP:
-            self.waiting.pop(frame.stream, None)
+            self.queued_requests.pop(frame.stream, None)
             if exchange := self.open_exchanges.pop(frame.stream, None):
                 self.front.engine.leave(exchange)
         elif frame.kind == frames.READY:
@@ -202,7 +204,7 @@
     def _count_buffered(self) -> None:
         """Count the bytes that are held of what could not be taken yet."""
         self.stream.keep(
-            self.incomplete_bytes + sum(len(frame.payload) for frame, _ in self.waiting.values())
+            self.incomplete_bytes + sum(len(frame.payload) for frame, _ in self.queued_requests.values())
         )
 
     def _fail_flood(self) -> None:
@@ -215,11 +217,11 @@
 
         Meanwhile the connection is read on: a client that gives up, or leaves, is seen at once.
         """
-        while self.waiting and not self.stream.code:
+        while self.queued_requests and not self.stream.code:
             if self.stream.size > HIGH_WATER_BYTES:
                 self.front.sched.sleep(QUEUE_CHECK_MS)
                 continue
-            frame, arrived_ms = self.waiting.pop(next(iter(self.waiting)))
+            frame, arrived_ms = self.queued_requests.pop(next(iter(self.queued_requests)))
             self._count_buffered()
             try:
                 self._handle_request(frame, arrived_ms)
@@ -289,7 +291,7 @@
         Guards against a reset for unread bytes, which would take the last answer along. From here on no
         answer can be written, so what is read is no request of ours: its client sends it again elsewhere.
         """
-        if self.closing and not (self.open_exchanges or self.waiting):
+        if self.closing and not (self.open_exchanges or self.queued_requests):
             self.discards_input = True
             self.linger_until_ms = min(self.linger_until_ms, now_ms() + self.linger_ms)
             self.stream.finish()
--- a/tests/ends/test_ends_clients.py
+++ b/tests/ends/test_ends_clients.py
@@ -33,7 +33,7 @@
     def test_what_was_cancelled_while_it_waited_for_a_jam_is_never_begun(self) -> None:
         self.jam()
         self.other.sendall(request(2) + request(3) + cancel(2))
-        self.until(lambda: list(self.client.waiting) == [3])
+        self.until(lambda: list(self.client.queued_requests) == [3])
         self.other.setblocking(False)
 
         def drained() -> bool:
@@ -98,7 +98,7 @@
         for stream in range(2, MAX_OPEN_REQUESTS + 3):
             self.other.sendall(request(stream))
         self.until(lambda: self.client.closing == "flood")
-        self.assertEqual((len(self.engine.taken), self.client.waiting), (1, {}))
+        self.assertEqual((len(self.engine.taken), self.client.queued_requests), (1, {}))
 
 
 class Half(FrontCase):
