--- a/hitchtiller/front/client.py
+++ b/hitchtiller/front/client.py
@@ -64,7 +64,7 @@
         self.excess_requests = (
             0  # requests refused since one was last taken, for want of room on the connection
         )
-        self.closing = ""  # a reason to close once all in hand is answered
+        self.close_code = ""  # a reason to close once all in hand is answered
         self.discards_input = (
             False  # what comes is dropped: no frame can be told apart, or no answer can be written
         )
@@ -103,7 +103,7 @@
                 elif not self.stream.drained:
                     self.front.sched.pause()
         except Closed as error:
-            self.stream.close(self.closing or str(error))
+            self.stream.close(self.close_code or str(error))
         finally:
             self.stream.close("fault")
             self.front.gone(self)
@@ -157,8 +157,8 @@
 
     def overdue(self, now: float) -> str:
         """Tell why a client should wait no longer, if so."""
-        if self.closing:
-            return self.closing if now > self.linger_until_ms else ""
+        if self.close_code:
+            return self.close_code if now > self.linger_until_ms else ""
         if self.frame_progress_ms is None or (
             now - self.frame_progress_ms <= FRAME_TIMEOUT_MS and now - self.frame_started_ms <= MAX_FRAME_MS
         ):
@@ -167,7 +167,7 @@
 
     def idle(self) -> bool:
         """Tell whether nothing is owed on it, and nothing has come that was not read."""
-        return not (self.owes() or self.closing or self.stream.code) and not self.stream.waiting()
+        return not (self.owes() or self.close_code or self.stream.code) and not self.stream.waiting()
 
     def owes(self) -> bool:
         """Tell whether an answer is owed on it, or has not gone out."""
@@ -175,7 +175,7 @@
 
     def answered(self) -> bool:
         """Tell whether it is being closed and nothing is owed on it any more."""
-        return bool(self.closing) and not self.owes()
+        return bool(self.close_code) and not self.owes()
 
     def _handle_frame(self, frame: frames.Frame, arrived_ms: float) -> None:
         if frame.kind == frames.REQUEST:
@@ -251,7 +251,7 @@
         self.excess_requests = self.excess_requests + 1 if full else 0
         if self.excess_requests > MAX_EXCESS_REQUESTS:
             return self._fail_flood()
-        if full or self.closing or not self.front.takes(arrived_ms):
+        if full or self.close_code or not self.front.takes(arrived_ms):
             stats.end(request.class_name, REFUSED)
             self._send_answer(stream, Answer(REFUSED, wait_ms=self.front.settings.max_retry_after_ms))
             return
@@ -282,7 +282,7 @@
 
     def close_when_done(self, code: str, linger_ms: float = DEFAULT_LINGER_MS) -> None:
         """Close after the answers in hand: those requests were taken and must not be lost."""
-        self.closing, self.linger_ms = self.closing or code, linger_ms
+        self.close_code, self.linger_ms = self.close_code or code, linger_ms
         self._close_if_done()
 
     def _close_if_done(self) -> None:
@@ -291,7 +291,7 @@
         Guards against a reset for unread bytes, which would take the last answer along. From here on no
         answer can be written, so what is read is no request of ours: its client sends it again elsewhere.
         """
-        if self.closing and not (self.open_exchanges or self.queued_requests):
+        if self.close_code and not (self.open_exchanges or self.queued_requests):
             self.discards_input = True
             self.linger_until_ms = min(self.linger_until_ms, now_ms() + self.linger_ms)
             self.stream.finish()
--- a/hitchtiller/front/leave.py
+++ b/hitchtiller/front/leave.py
@@ -133,9 +133,9 @@
         """
         now = now_ms()
         for client in list(self.front.clients):
-            if client.closing:
+            if client.close_code:
                 if client.overdue(now):
-                    client.stream.close(client.closing)
+                    client.stream.close(client.close_code)
             elif client.idle() and (last or not client.stream.kept):
                 client.close_when_done("stop", CROSS_MS)
 
--- a/hitchtiller/front/server.py
+++ b/hitchtiller/front/server.py
@@ -96,9 +96,9 @@
             if client.stream.size and now - client.stream.progress_ms > SLOW_MS:
                 client.stream.close("slow")
             elif code := client.overdue(now):
-                if client.owes() and not client.closing:
+                if client.owes() and not client.close_code:
                     client.close_when_done(code)
-                elif client.closing or not client.stream.waiting():  # else what it owed comes just now
+                elif client.close_code or not client.stream.waiting():  # else what it owed comes just now
                     client.stream.close(code)
 
     def make_room(self) -> bool:
--- a/tests/ends/test_ends_clients.py
+++ b/tests/ends/test_ends_clients.py
@@ -82,7 +82,7 @@
         self.until(lambda: len(self.engine.taken) == MAX_OPEN_REQUESTS)
         for stream in range(MAX_OPEN_REQUESTS + 1, MAX_OPEN_REQUESTS + MAX_EXCESS_REQUESTS + 2):
             self.other.sendall(request(stream))
-        self.until(lambda: self.client.closing == "flood")
+        self.until(lambda: self.client.close_code == "flood")
         self.assertEqual(self.client.open_exchanges, {})
         self.assertEqual(len(self.engine.taken), MAX_OPEN_REQUESTS)
         flooder = self.client
@@ -97,7 +97,7 @@
         self.jam()
         for stream in range(2, MAX_OPEN_REQUESTS + 3):
             self.other.sendall(request(stream))
-        self.until(lambda: self.client.closing == "flood")
+        self.until(lambda: self.client.close_code == "flood")
         self.assertEqual((len(self.engine.taken), self.client.queued_requests), (1, {}))
 
 
--- a/tests/ends/test_ends_descriptors.py
+++ b/tests/ends/test_ends_descriptors.py
@@ -186,7 +186,7 @@
     def test_one_whose_answer_has_not_gone_out_is_not_turned_out(self) -> None:
         client, _ = self.client()
         client.stream.write(bytes(8_000_000))
-        client.closing = "half"
+        client.close_code = "half"
         self.assertFalse(self.front.make_room())
 
     def test_an_idle_one_goes_before_one_whose_last_answer_is_under_way(self) -> None:
