--- a/hitchtiller/front/client.py
+++ b/hitchtiller/front/client.py
@@ -69,7 +69,7 @@
             False  # what comes is dropped: no frame can be told apart, or no answer can be written
         )
         self.accepted = 0
-        self.asked = False  # a whole frame has come
+        self.has_sent_frame = False  # a whole frame has come
         self.told = False  # that no new request may come
         self.last_probe_ms = -math.inf  # when it asked last whether the gateway is ready
         self.arrived_ms = self.seen_ms = now_ms()  # when one came last
@@ -123,7 +123,7 @@
         arrived_ms, started_ms = self.arrived_ms, now_ms()
         try:
             for count, frame in enumerate(reader.feed(data), 1):
-                self.asked, self.seen_ms, self.frame_progress_ms = True, started_ms, None
+                self.has_sent_frame, self.seen_ms, self.frame_progress_ms = True, started_ms, None
                 self._handle_frame(frame, arrived_ms)
                 if count % FRAMES_PER_TURN == 0:
                     self.front.sched.pause()
@@ -163,7 +163,7 @@
             now - self.frame_progress_ms <= FRAME_TIMEOUT_MS and now - self.frame_started_ms <= MAX_FRAME_MS
         ):
             return ""
-        return "half" if self.asked else "unasked"
+        return "half" if self.has_sent_frame else "unasked"
 
     def idle(self) -> bool:
         """Tell whether nothing is owed on it, and nothing has come that was not read."""
--- a/tests/ends/test_ends_descriptors.py
+++ b/tests/ends/test_ends_descriptors.py
@@ -170,7 +170,7 @@
         self.addCleanup(other.close)
         client = Client(self.front, Stream(self.sched, self.server.accept()[0]), "peer")
         self.addCleanup(client.stream.close, "end")
-        client.asked = True
+        client.has_sent_frame = True
         self.front.clients.add(client)
         return client, other
 
