--- a/hitchtiller/front/client.py
+++ b/hitchtiller/front/client.py
@@ -70,7 +70,7 @@
         )
         self.accepted = 0
         self.has_sent_frame = False  # a whole frame has come
-        self.told = False  # that no new request may come
+        self.going_sent = False  # that no new request may come
         self.last_probe_ms = -math.inf  # when it asked last whether the gateway is ready
         self.arrived_ms = self.seen_ms = now_ms()  # when one came last
         self.frame_progress_ms: float | None = self.seen_ms  # since when the client owes the rest of a frame
@@ -270,8 +270,8 @@
 
     def going(self) -> None:
         """Tell once that no new request may come on this connection."""
-        if not self.told:
-            self.told = True
+        if not self.going_sent:
+            self.going_sent = True
             self.stream.write(frames.head(frames.GOING, 0, 0))
 
     def settled(self, now: float, last: bool) -> bool:
--- a/hitchtiller/front/leave.py
+++ b/hitchtiller/front/leave.py
@@ -89,7 +89,7 @@
 
     def _forget_told(self) -> None:
         for client in self.front.clients:
-            client.told = False  # a second time it has to be told again
+            client.going_sent = False  # a second time it has to be told again
 
     def stop(self) -> None:
         """Leave: accept for the stated while, say so to all, answer what is in hand, then end the loop."""
