--- a/hitchtiller/front/client.py
+++ b/hitchtiller/front/client.py
@@ -72,10 +72,12 @@
         self.has_sent_frame = False  # a whole frame has come
         self.going_sent = False  # that no new request may come
         self.last_probe_ms = -math.inf  # when it asked last whether the gateway is ready
-        self.arrived_ms = self.seen_ms = now_ms()  # when one came last
-        self.frame_progress_ms: float | None = self.seen_ms  # since when the client owes the rest of a frame
+        self.arrived_ms = self.last_activity_ms = now_ms()  # when one came last
+        self.frame_progress_ms: float | None = (
+            self.last_activity_ms
+        )  # since when the client owes the rest of a frame
         self.frame_started_ms, self.frame_progress_bytes = (
-            self.seen_ms,
+            self.last_activity_ms,
             0,
         )  # when that frame began, and what was here at `owed_ms`
         self.linger_ms, self.linger_until_ms = (
@@ -123,7 +125,7 @@
         arrived_ms, started_ms = self.arrived_ms, now_ms()
         try:
             for count, frame in enumerate(reader.feed(data), 1):
-                self.has_sent_frame, self.seen_ms, self.frame_progress_ms = True, started_ms, None
+                self.has_sent_frame, self.last_activity_ms, self.frame_progress_ms = True, started_ms, None
                 self._handle_frame(frame, arrived_ms)
                 if count % FRAMES_PER_TURN == 0:
                     self.front.sched.pause()
@@ -261,7 +263,7 @@
 
     def _on_answer(self, stream: int, answer: Answer) -> None:
         self.open_exchanges.pop(stream, None)
-        self.seen_ms = now_ms()
+        self.last_activity_ms = now_ms()
         self._send_answer(stream, answer)
         self._close_if_done()
 
@@ -278,7 +280,7 @@
         """Tell whether it may be closed when all leave: nothing open, nothing unread, no word for a while."""
         if not self.idle() or now - self.last_probe_ms <= PROBE_KEEP_MS:
             return False
-        return last or (not self.stream.kept and now - self.seen_ms > MIN_IDLE_MS)
+        return last or (not self.stream.kept and now - self.last_activity_ms > MIN_IDLE_MS)
 
     def close_when_done(self, code: str, linger_ms: float = DEFAULT_LINGER_MS) -> None:
         """Close after the answers in hand: those requests were taken and must not be lost."""
--- a/hitchtiller/front/server.py
+++ b/hitchtiller/front/server.py
@@ -107,7 +107,7 @@
         One that is being closed and has had its last answer goes only where none is idle: what it has sent
         since lies unread, and a close over it may take that answer along.
         """
-        order = sorted(self.clients, key=lambda client: (client.has_sent_frame, client.seen_ms))
+        order = sorted(self.clients, key=lambda client: (client.has_sent_frame, client.last_activity_ms))
         spare = next((c for c in order if c.idle()), None) or next((c for c in order if c.answered()), None)
         if spare:
             spare.stream.close("full")
--- a/tests/ends/sides.py
+++ b/tests/ends/sides.py
@@ -136,8 +136,8 @@
         self.engine.answer(self.ask(1), bytes(16_000_000))
         self.assertGreater(self.client.stream.size, 1_000_000)
         self.other.sendall(frames.head(frames.GIVE_UP, 1, 0))  # of what is over: one more word is read
-        seen = self.client.seen_ms
-        self.until(lambda: self.client.seen_ms > seen)
+        seen = self.client.last_activity_ms
+        self.until(lambda: self.client.last_activity_ms > seen)
         self.sched.turn()
 
     def everything(self) -> bytes:
--- a/tests/ends/test_ends_descriptors.py
+++ b/tests/ends/test_ends_descriptors.py
@@ -191,7 +191,7 @@
 
     def test_an_idle_one_goes_before_one_whose_last_answer_is_under_way(self) -> None:
         lingering, other = self.client()
-        lingering.seen_ms -= 10_000.0
+        lingering.last_activity_ms -= 10_000.0
         lingering.close_when_done("half")
         other.sendall(b"late")
         idle, _ = self.client()
--- a/tests/ends/test_ends_shutdown.py
+++ b/tests/ends/test_ends_shutdown.py
@@ -109,7 +109,7 @@
     def test_a_request_that_crosses_the_close_of_a_drain_takes_no_answer_along(self) -> None:
         """The close was outright: over the unread request it reset the connection."""
         self.engine.answer(self.ask(1), b"last")
-        self.client.seen_ms -= 10_000.0
+        self.client.last_activity_ms -= 10_000.0
         look = Client.idle
 
         def crossed(client: Client) -> bool:
