--- a/hitchtiller/front/client.py
+++ b/hitchtiller/front/client.py
@@ -270,7 +270,7 @@
     def _send_answer(self, stream: int, answer: Answer) -> None:
         self.stream.write(*write_answer(stream, answer))
 
-    def going(self) -> None:
+    def send_going(self) -> None:
         """Tell once that no new request may come on this connection."""
         if not self.going_sent:
             self.going_sent = True
--- a/hitchtiller/front/leave.py
+++ b/hitchtiller/front/leave.py
@@ -60,7 +60,7 @@
         """Tell all clients to go, and close those that hold nothing more."""
         now = now_ms()
         for client in list(self.front.clients):
-            client.going()
+            client.send_going()
             if client.settled(now, last):
                 client.close_when_done(MOVED if self.front.state == HANDING else "drained", CROSS_MS)
 
@@ -104,7 +104,7 @@
             self.sched.sleep(ACCEPT_MS)
         front.close()
         for client in list(front.clients):
-            client.going()
+            client.send_going()
         self.sched.sleep(REQUESTS_MS)
         answer_ms, exit_ms = self._times(begun)
         while front.clients and now_ms() < answer_ms:
