--- a/hitchtiller/front/client.py
+++ b/hitchtiller/front/client.py
@@ -276,7 +276,7 @@
             self.going_sent = True
             self.stream.write(frames.head(frames.GOING, 0, 0))
 
-    def settled(self, now: float, last: bool) -> bool:
+    def may_close(self, now: float, last: bool) -> bool:
         """Tell whether it may be closed when all leave: nothing open, nothing unread, no word for a while."""
         if not self.idle() or now - self.last_probe_ms <= PROBE_KEEP_MS:
             return False
--- a/hitchtiller/front/leave.py
+++ b/hitchtiller/front/leave.py
@@ -61,7 +61,7 @@
         now = now_ms()
         for client in list(self.front.clients):
             client.send_going()
-            if client.settled(now, last):
+            if client.may_close(now, last):
                 client.close_when_done(MOVED if self.front.state == HANDING else "drained", CROSS_MS)
 
     def hand_over(self) -> None:
