--- a/hitchtiller/front/client.py
+++ b/hitchtiller/front/client.py
@@ -167,7 +167,7 @@
             return ""
         return "half" if self.has_sent_frame else "unasked"
 
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         """Tell whether nothing is owed on it, and nothing has come that was not read."""
         return not (self.owes() or self.close_code or self.stream.code) and not self.stream.waiting()
 
@@ -278,7 +278,7 @@
 
     def may_close(self, now: float, last: bool) -> bool:
         """Tell whether it may be closed when all leave: nothing open, nothing unread, no word for a while."""
-        if not self.idle() or now - self.last_probe_ms <= PROBE_KEEP_MS:
+        if not self.is_idle() or now - self.last_probe_ms <= PROBE_KEEP_MS:
             return False
         return last or (not self.stream.kept and now - self.last_activity_ms > MIN_IDLE_MS)
 
--- a/hitchtiller/front/leave.py
+++ b/hitchtiller/front/leave.py
@@ -136,7 +136,7 @@
             if client.close_code:
                 if client.overdue(now):
                     client.stream.close(client.close_code)
-            elif client.idle() and (last or not client.stream.kept):
+            elif client.is_idle() and (last or not client.stream.kept):
                 client.close_when_done("stop", CROSS_MS)
 
     def _end(self, code: str) -> None:
--- a/hitchtiller/front/server.py
+++ b/hitchtiller/front/server.py
@@ -108,7 +108,9 @@
         since lies unread, and a close over it may take that answer along.
         """
         order = sorted(self.clients, key=lambda client: (client.has_sent_frame, client.last_activity_ms))
-        spare = next((c for c in order if c.idle()), None) or next((c for c in order if c.answered()), None)
+        spare = next((c for c in order if c.is_idle()), None) or next(
+            (c for c in order if c.answered()), None
+        )
         if spare:
             spare.stream.close("full")
             self.clients.discard(spare)
--- a/tests/ends/test_ends_shutdown.py
+++ b/tests/ends/test_ends_shutdown.py
@@ -30,7 +30,7 @@
     def test_a_request_that_comes_after_the_last_look_is_dropped_and_the_last_answer_arrives(self) -> None:
         """The close over unread bytes reset the connection and took the answer along."""
         self.engine.answer(self.ask(1), b"last")
-        look = Client.idle
+        look = Client.is_idle
 
         def crossed(client: Client) -> bool:
             found = look(client)
@@ -38,21 +38,21 @@
                 self.other.sendall(request(2))  # after the look that found nothing, before the close
             return found
 
-        with mock.patch.object(Client, "idle", crossed):
+        with mock.patch.object(Client, "is_idle", crossed):
             self.sched.spawn(self.front.leave.stop)
             got = self.frames_until_end()
         self.assertEqual([(f.kind, f.stream) for f in got], [(frames.ANSWER, 1), (frames.GOING, 0)])
         self.assertEqual(len(self.engine.taken), 1, "what is read after the shutdown is never sent on")
 
     def test_a_request_that_has_come_before_the_last_look_is_answered(self) -> None:
-        look = Client.idle
+        look = Client.is_idle
 
         def crossed(client: Client) -> bool:
             if not self.engine.taken and not client.stream.waiting():
                 self.other.sendall(request(1))  # it lies there unread when the look comes
             return look(client)
 
-        with mock.patch.object(Client, "idle", crossed):
+        with mock.patch.object(Client, "is_idle", crossed):
             self.sched.spawn(self.front.leave.stop)
             self.until(lambda: len(self.engine.taken) == 1)
         self.engine.answer(0, b"x")
@@ -110,7 +110,7 @@
         """The close was outright: over the unread request it reset the connection."""
         self.engine.answer(self.ask(1), b"last")
         self.client.last_activity_ms -= 10_000.0
-        look = Client.idle
+        look = Client.is_idle
 
         def crossed(client: Client) -> bool:
             found = look(client)
@@ -118,7 +118,7 @@
                 self.other.sendall(request(2))
             return found
 
-        with mock.patch.object(Client, "idle", crossed):
+        with mock.patch.object(Client, "is_idle", crossed):
             self.front.leave._let_go(last=True)
         got = list(frames.FrameReader().feed(self.everything()))
         self.assertEqual([(f.kind, f.stream) for f in got], [(frames.ANSWER, 1), (frames.GOING, 0)])
