--- a/hitchtiller/front/client.py
+++ b/hitchtiller/front/client.py
@@ -169,15 +169,18 @@
 
     def is_idle(self) -> bool:
         """Tell whether nothing is owed on it, and nothing has come that was not read."""
-        return not (self.owes() or self.close_code or self.stream.code) and not self.stream.waiting()
+        return (
+            not (self.has_pending_answers() or self.close_code or self.stream.code)
+            and not self.stream.waiting()
+        )
 
-    def owes(self) -> bool:
+    def has_pending_answers(self) -> bool:
         """Tell whether an answer is owed on it, or has not gone out."""
         return bool(self.open_exchanges or self.queued_requests or self.stream.size)
 
     def answered(self) -> bool:
         """Tell whether it is being closed and nothing is owed on it any more."""
-        return bool(self.close_code) and not self.owes()
+        return bool(self.close_code) and not self.has_pending_answers()
 
     def _handle_frame(self, frame: frames.Frame, arrived_ms: float) -> None:
         if frame.kind == frames.REQUEST:
--- a/hitchtiller/front/server.py
+++ b/hitchtiller/front/server.py
@@ -96,7 +96,7 @@
             if client.stream.size and now - client.stream.progress_ms > SLOW_MS:
                 client.stream.close("slow")
             elif code := client.overdue(now):
-                if client.owes() and not client.close_code:
+                if client.has_pending_answers() and not client.close_code:
                     client.close_when_done(code)
                 elif client.close_code or not client.stream.waiting():  # else what it owed comes just now
                     client.stream.close(code)
