--- a/hitchtiller/front/client.py
+++ b/hitchtiller/front/client.py
@@ -178,7 +178,7 @@
         """Tell whether an answer is owed on it, or has not gone out."""
         return bool(self.open_exchanges or self.queued_requests or self.stream.size)
 
-    def answered(self) -> bool:
+    def is_lingering(self) -> bool:
         """Tell whether it is being closed and nothing is owed on it any more."""
         return bool(self.close_code) and not self.has_pending_answers()
 
--- a/hitchtiller/front/server.py
+++ b/hitchtiller/front/server.py
@@ -109,7 +109,7 @@
         """
         order = sorted(self.clients, key=lambda client: (client.has_sent_frame, client.last_activity_ms))
         spare = next((c for c in order if c.is_idle()), None) or next(
-            (c for c in order if c.answered()), None
+            (c for c in order if c.is_lingering()), None
         )
         if spare:
             spare.stream.close("full")
