--- a/hitchtiller/front/client.py
+++ b/hitchtiller/front/client.py
@@ -157,7 +157,7 @@
             self.front.engine.fail(exchange)
         self.close_when_done(code)
 
-    def overdue(self, now: float) -> str:
+    def timeout_code(self, now: float) -> str:
         """Tell why a client should wait no longer, if so."""
         if self.close_code:
             return self.close_code if now > self.linger_until_ms else ""
--- a/hitchtiller/front/leave.py
+++ b/hitchtiller/front/leave.py
@@ -134,7 +134,7 @@
         now = now_ms()
         for client in list(self.front.clients):
             if client.close_code:
-                if client.overdue(now):
+                if client.timeout_code(now):
                     client.stream.close(client.close_code)
             elif client.is_idle() and (last or not client.stream.kept):
                 client.close_when_done("stop", CROSS_MS)
--- a/hitchtiller/front/server.py
+++ b/hitchtiller/front/server.py
@@ -95,7 +95,7 @@
         for client in list(self.clients):
             if client.stream.size and now - client.stream.progress_ms > SLOW_MS:
                 client.stream.close("slow")
-            elif code := client.overdue(now):
+            elif code := client.timeout_code(now):
                 if client.has_pending_answers() and not client.close_code:
                     client.close_when_done(code)
                 elif client.close_code or not client.stream.waiting():  # else what it owed comes just now
--- a/tests/ends/test_ends_clients.py
+++ b/tests/ends/test_ends_clients.py
@@ -109,7 +109,7 @@
         self.until(lambda: self.client.stream.kept > 0)
         self.other.sendall(data[20:])  # it lies there unread: the loop has not turned
         late = now_ms() + 10_000.0
-        self.assertEqual(self.client.overdue(late), "unasked")
+        self.assertEqual(self.client.timeout_code(late), "unasked")
         self.front.sweep(late)
         self.until(lambda: len(self.engine.taken) == 1)
         self.engine.answer(0, b"x")
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -38,14 +38,14 @@
     def feed(self, size: int, at: float) -> str:
         """Give the next bytes of a long frame; tells why it would have been closed just before."""
         with patch("hitchtiller.front.client.now_ms", lambda: self.begun + at):
-            why = self.client.overdue(self.begun + at)
+            why = self.client.timeout_code(self.begun + at)
             first = not self.reader.buffer
             self.client._receive(self.reader, (b"\0\0\x80\0" if first else b"") + bytes(size))
         return why
 
     def test_a_frame_that_grows_is_not_cut_at_2_s(self) -> None:
         self.assertEqual([self.feed(100, at) for at in (100.0, 2_000.0, 4_000.0, 5_500.0)], [""] * 4)
-        self.assertEqual(self.client.overdue(self.begun + 6_300.0), "unasked")  # but it ends
+        self.assertEqual(self.client.timeout_code(self.begun + 6_300.0), "unasked")  # but it ends
 
     def test_one_that_trickles_is(self) -> None:
         self.assertEqual([self.feed(1, at) for at in (100.0, 1_200.0, 2_500.0)], ["", "", "unasked"])
