--- a/hitchtiller/front/client.py
+++ b/hitchtiller/front/client.py
@@ -279,11 +279,11 @@
             self.going_sent = True
             self.stream.write(frames.head(frames.GOING, 0, 0))
 
-    def may_close(self, now: float, last: bool) -> bool:
+    def may_close(self, now: float, final: bool) -> bool:
         """Tell whether it may be closed when all leave: nothing open, nothing unread, no word for a while."""
         if not self.is_idle() or now - self.last_probe_ms <= PROBE_KEEP_MS:
             return False
-        return last or (not self.stream.kept and now - self.last_activity_ms > MIN_IDLE_MS)
+        return final or (not self.stream.kept and now - self.last_activity_ms > MIN_IDLE_MS)
 
     def close_when_done(self, code: str, linger_ms: float = DEFAULT_LINGER_MS) -> None:
         """Close after the answers in hand: those requests were taken and must not be lost."""
--- a/hitchtiller/front/leave.py
+++ b/hitchtiller/front/leave.py
@@ -56,12 +56,12 @@
             self._let_go(passed > LAST_CALL_MS)
             self.sched.sleep(LOOK_MS)
 
-    def _let_go(self, last: bool) -> None:
+    def _let_go(self, final: bool) -> None:
         """Tell all clients to go, and close those that hold nothing more."""
         now = now_ms()
         for client in list(self.front.clients):
             client.send_going()
-            if client.may_close(now, last):
+            if client.may_close(now, final):
                 client.close_when_done(MOVED if self.front.state == HANDING else "drained", CROSS_MS)
 
     def hand_over(self) -> None:
@@ -82,7 +82,7 @@
     def _hand_over(self) -> None:
         begun = now_ms()
         while self.front.state == HANDING:
-            self._let_go(last=False)
+            self._let_go(final=False)
             if not self.front.clients and now_ms() - begun > STAY_MS:
                 return self._end(MOVED)
             self.sched.sleep(LOOK_MS)
@@ -115,7 +115,7 @@
             for exchange in list(client.open_exchanges.values()):
                 front.engine.fail(exchange)  # guards against a kill while a request has no answer
         while front.clients and now_ms() < exit_ms:
-            self._close_settled(last=True)
+            self._close_settled(final=True)
             self.sched.sleep(10.0)
         self._end("stop")
 
@@ -125,7 +125,7 @@
         kill = begun + min(longest, MOST_MS) + KILL_MS
         return kill - LAST_MS - SAFE_MS, kill - SAFE_MS
 
-    def _close_settled(self, last: bool = False) -> None:
+    def _close_settled(self, final: bool = False) -> None:
         """Close each connection on which nothing is owed; `last`: also where half a request has come.
 
         What has come unread is read first. Between that look and the shutdown nothing else runs; what comes
@@ -136,7 +136,7 @@
             if client.close_code:
                 if client.timeout_code(now):
                     client.stream.close(client.close_code)
-            elif client.is_idle() and (last or not client.stream.kept):
+            elif client.is_idle() and (final or not client.stream.kept):
                 client.close_when_done("stop", CROSS_MS)
 
     def _end(self, code: str) -> None:
