--- a/hitchtiller/back/link.py
+++ b/hitchtiller/back/link.py
@@ -13,9 +13,12 @@
 
 IDLE_SHARE = 0.7  # of the idle time after which servers close: closing first avoids a race with a send
 KILLED_MS = 6_000.0  # by then nothing of a killed request comes any more
-THEIRS = ("eof", "reset")  # ends that the server made
-DOUBT_MS, STUCK_MS = 200.0, 400.0  # without a byte while an answer is overdue: nothing new, then the end
-WAY_SHARE = 0.05  # of the time to connect: what word to a server is taken to need at the least
+SERVER_CLOSE_CODES = ("eof", "reset")  # ends that the server made
+SUSPECT_AFTER_MS, STUCK_AFTER_MS = (
+    200.0,
+    400.0,
+)  # without a byte while an answer is overdue: nothing new, then the end
+MIN_ROUND_TRIP_SHARE = 0.05  # of the time to connect: what word to a server is taken to need at the least
 CUT_MS, GROWTH = 400.0, 1_024  # in which an answer that has begun has to grow by so many bytes, or be whole
 
 
@@ -123,7 +126,7 @@
             self.stream.connect(self.address, self.connect_ms)
             # guards against a second copy: an opening that took 0.2 ms says little of how long a close, or a
             # KILL, takes to arrive, and the next PULL to a nearer server overtook it
-            self.up, self.way_ms = True, max(now_ms() - begun, WAY_SHARE * self.connect_ms)
+            self.up, self.way_ms = True, max(now_ms() - begun, MIN_ROUND_TRIP_SHARE * self.connect_ms)
             self.sched.spawn(self._write)
             self._read()
         except Closed as error:
@@ -142,10 +145,10 @@
         quiet, unused = now - self.heard_ms, now - max(self.heard_ms, self.used_ms)
         late = any(now > job.due_ms for job in self.open.values())
         # guards against a connection on which answers stopped: all on it waited for their deadlines
-        self.doubtful = late and quiet > DOUBT_MS
+        self.doubtful = late and quiet > SUSPECT_AFTER_MS
         taken = self.writing is None or now - self.writing[1] < 2.0 * self.connect_ms
         cut = self.reader.within and now - self.grown_ms > CUT_MS
-        if cut or (late and quiet > STUCK_MS) or not taken:
+        if cut or (late and quiet > STUCK_AFTER_MS) or not taken:
             self.stream.close("stuck")
         elif not (self.open or self.waiting) and unused > self.idle_ms * IDLE_SHARE:
             self.stream.close("idle")
@@ -233,7 +236,7 @@
         """End what was written and hand back what was not: that can't have run."""
         ended("server", self.server, self.stream.code, self.junk, done=self.done, open=len(self.open))
         jobs, self.open = list(self.open.values()), {}
-        if self.stream.code not in THEIRS:  # else the server has ended them itself
+        if self.stream.code not in SERVER_CLOSE_CODES:  # else the server has ended them itself
             self.given_up = dict.fromkeys((job.name for job in jobs), now_ms())
             for job in jobs:
                 job.hold(now_ms() + self.way_ms)
