--- a/hitchtiller/back/link.py
+++ b/hitchtiller/back/link.py
@@ -12,7 +12,7 @@
 from hitchtiller.sched import Closed, Scheduler, Stream, now_ms
 
 IDLE_SHARE = 0.7  # of the idle time after which servers close: closing first avoids a race with a send
-KILLED_MS = 6_000.0  # by then nothing of a killed request comes any more
+LATE_ANSWER_MS = 6_000.0  # by then nothing of a killed request comes any more
 SERVER_CLOSE_CODES = ("eof", "reset")  # ends that the server made
 SUSPECT_AFTER_MS, STUCK_AFTER_MS = (
     200.0,
@@ -108,7 +108,7 @@
     def _note(self, names: dict[bytes, float], name: bytes) -> None:
         """Note a name whose answer may still be under way; the old ones go, so that they can't grow."""
         names[name] = now = now_ms()
-        while now - names[oldest := next(iter(names))] > KILLED_MS:
+        while now - names[oldest := next(iter(names))] > LATE_ANSWER_MS:
             del names[oldest]
 
     def close(self, code: str) -> None:
--- a/hitchtiller/back/upstreams.py
+++ b/hitchtiller/back/upstreams.py
@@ -6,7 +6,7 @@
 from itertools import count
 
 from hitchtiller.back.jobs import Job, Meter, PullJob
-from hitchtiller.back.link import KILLED_MS, Link
+from hitchtiller.back.link import LATE_ANSWER_MS, Link
 from hitchtiller.exchange import Attempt
 from hitchtiller.log import ended
 from hitchtiller.news import ListedServer, Topology
@@ -36,8 +36,8 @@
         # A server that hangs reads neither before it goes on, so it is not asked again. One that has just
         # spoken junk reads on: a connection that is opened only now comes up after the close has arrived
         name, link, crowded, now = job.name, None, None, now_ms()
-        killing = [each for each in self.links if now - each.killed.get(name, -math.inf) < KILLED_MS]
-        if now - self.given_up.get(name, -math.inf) < KILLED_MS or len(killing) > 1:
+        killing = [each for each in self.links if now - each.killed.get(name, -math.inf) < LATE_ANSWER_MS]
+        if now - self.given_up.get(name, -math.inf) < LATE_ANSWER_MS or len(killing) > 1:
             return job.broken("skipped")
         if killing:
             return killing[0].submit(job) if killing[0].keeps(name) else job.broken("skipped")
@@ -73,7 +73,7 @@
             self.owner.count -= 1
             now, names = now_ms(), link.given_up
             for told in (self.given_up, self.cut):
-                for name in [name for name, at in told.items() if now - at >= KILLED_MS]:
+                for name in [name for name, at in told.items() if now - at >= LATE_ANSWER_MS]:
                     del told[name]
             self.given_up |= link.killed
             (self.cut if link.stream.code == "junk" else self.given_up).update(names)
