--- a/hitchtiller/back/link.py
+++ b/hitchtiller/back/link.py
@@ -19,7 +19,10 @@
     400.0,
 )  # without a byte while an answer is overdue: nothing new, then the end
 MIN_ROUND_TRIP_SHARE = 0.05  # of the time to connect: what word to a server is taken to need at the least
-CUT_MS, GROWTH = 400.0, 1_024  # in which an answer that has begun has to grow by so many bytes, or be whole
+GROWTH_TIMEOUT_MS, GROWTH = (
+    400.0,
+    1_024,
+)  # in which an answer that has begun has to grow by so many bytes, or be whole
 
 
 class Link:
@@ -147,7 +150,7 @@
         # guards against a connection on which answers stopped: all on it waited for their deadlines
         self.doubtful = late and quiet > SUSPECT_AFTER_MS
         taken = self.writing is None or now - self.writing[1] < 2.0 * self.connect_ms
-        cut = self.reader.within and now - self.grown_ms > CUT_MS
+        cut = self.reader.within and now - self.grown_ms > GROWTH_TIMEOUT_MS
         if cut or (late and quiet > STUCK_AFTER_MS) or not taken:
             self.stream.close("stuck")
         elif not (self.open or self.waiting) and unused > self.idle_ms * IDLE_SHARE:
