--- a/hitchtiller/back/link.py
+++ b/hitchtiller/back/link.py
@@ -19,7 +19,7 @@
     400.0,
 )  # without a byte while an answer is overdue: nothing new, then the end
 MIN_ROUND_TRIP_SHARE = 0.05  # of the time to connect: what word to a server is taken to need at the least
-GROWTH_TIMEOUT_MS, GROWTH = (
+GROWTH_TIMEOUT_MS, MIN_GROWTH_BYTES = (
     400.0,
     1_024,
 )  # in which an answer that has begun has to grow by so many bytes, or be whole
@@ -161,7 +161,7 @@
             data = self.stream.read()
             self.heard_ms = now_ms()
             self.grown += len(data)
-            if not self.reader.within or self.grown >= GROWTH:
+            if not self.reader.within or self.grown >= MIN_GROWTH_BYTES:
                 self.grown_ms, self.grown = self.heard_ms, 0
             for items in self.reader.feed(data):
                 self.grown_ms, self.grown = self.heard_ms, 0
