--- a/hitchtiller/back/link.py
+++ b/hitchtiller/back/link.py
@@ -34,11 +34,11 @@
         server: str,
         address: tuple[str, int],
         times: tuple[float, float],
-        streams: int,
+        max_jobs: int,
         on_close: Callable[["Link", list[Job]], None],
     ) -> None:
         """Start to connect; `times` are the time to connect and the servers' idle time."""
-        self.sched, self.server, self.address, self.streams = sched, server, address, streams
+        self.sched, self.server, self.address, self.max_jobs = sched, server, address, max_jobs
         self.connect_ms, self.idle_ms = times
         self.on_close = on_close
         self.stream = Stream(sched, socket.socket())
@@ -47,18 +47,23 @@
         self.open: dict[bytes, Job] = {}
         self.killed: dict[bytes, float] = {}  # since when: their answers may still be under way
         self.given_up: dict[bytes, float] = {}  # what was open when it was closed from here, since when
-        self.answered: dict[bytes, float] = {}  # effects, since when: a second answer may be under way
+        self.answered_effects: dict[
+            bytes, float
+        ] = {}  # effects, since when: a second answer may be under way
         self.reader = resp.RespReader()
-        self.grown_ms, self.grown = now_ms(), 0  # when an answer last grew by its due, and its bytes since
-        self.heard_ms = self.used_ms = now_ms()
+        self.grown_ms, self.growth_bytes = (
+            now_ms(),
+            0,
+        )  # when an answer last grew by its due, and its bytes since
+        self.heard_ms = self.last_send_ms = now_ms()
         self.doubtful = False
-        self.junk = ""  # what could not be read
+        self.parse_error = ""  # what could not be read
         self.writing: tuple[Job | bytes, float] | None = None
-        self.writer: greenlet | None = None  # while parked for want of work
-        self.spoiled = False
+        self.parked_writer: greenlet | None = None  # while parked for want of work
+        self.is_retired = False
         self.up = False
         self.way_ms = self.connect_ms  # there and back: its opening's time, WAY_SHARE of this at the least
-        self.done = 0
+        self.answered_count = 0
         sched.spawn(self._run)
 
     def load(self) -> int:
@@ -67,16 +72,16 @@
 
     def room(self, name: bytes) -> bool:
         """Tell whether it may carry a job of this name now."""
-        return self.keeps(name) and self.load() < self.streams
+        return self.keeps(name) and self.load() < self.max_jobs
 
     def keeps(self, name: bytes) -> bool:
         """Tell whether it may take a job of this name, if only once it has room."""
-        if self.stream.code or self.spoiled or self.doubtful:
+        if self.stream.code or self.is_retired or self.doubtful:
             return False
         if self.writing and now_ms() - self.writing[1] > self.connect_ms:
             return False  # guards against queueing behind a machine that takes nothing
         # else two answers under one name, or the late second one of an effect taken for its next attempt's
-        return not (name in self.open or name in self.waiting or name in self.answered)
+        return not (name in self.open or name in self.waiting or name in self.answered_effects)
 
     def submit(self, job: Job) -> None:
         """Queue a job; it is written in its turn."""
@@ -92,23 +97,23 @@
             self.waiting.discard(name)
         elif self.open.get(name) is job:
             del self.open[name]
-            self._note(self.killed, name)
+            self._remember(self.killed, name)
             job.hold(now_ms() + (self.connect_ms if self.stream.size else self.way_ms))
             if self.writing and self.writing[0] is job:
                 # half a command was written: nothing else can be, so no KILL and no new job
-                self.spoiled = True
+                self.is_retired = True
                 self.stream.discard()
-                self._hand_back()
-            elif not self.spoiled:
+                self._return_unwritten()
+            elif not self.is_retired:
                 self.pending.appendleft(resp.write_command(b"KILL", name))
                 self._wake()
-            if self.spoiled and not self.open:
+            if self.is_retired and not self.open:
                 self.stream.close("spoiled")
         else:
             return False
         return True
 
-    def _note(self, names: dict[bytes, float], name: bytes) -> None:
+    def _remember(self, names: dict[bytes, float], name: bytes) -> None:
         """Note a name whose answer may still be under way; the old ones go, so that they can't grow."""
         names[name] = now = now_ms()
         while now - names[oldest := next(iter(names))] > LATE_ANSWER_MS:
@@ -119,52 +124,52 @@
         self.stream.close(code)
 
     def _wake(self) -> None:
-        if self.writer:
-            task, self.writer = self.writer, None
+        if self.parked_writer:
+            task, self.parked_writer = self.parked_writer, None
             self.sched.wake(task)
 
     def _run(self) -> None:
         try:
-            begun = now_ms()
+            started_ms = now_ms()
             self.stream.connect(self.address, self.connect_ms)
             # guards against a second copy: an opening that took 0.2 ms says little of how long a close, or a
             # KILL, takes to arrive, and the next PULL to a nearer server overtook it
-            self.up, self.way_ms = True, max(now_ms() - begun, MIN_ROUND_TRIP_SHARE * self.connect_ms)
+            self.up, self.way_ms = True, max(now_ms() - started_ms, MIN_ROUND_TRIP_SHARE * self.connect_ms)
             self.sched.spawn(self._write)
             self._read()
         except Closed as error:
             self.stream.close(str(error))
         except resp.BadResp as error:
-            self.junk = str(error)
+            self.parse_error = str(error)
             self.stream.close("junk")
         finally:
             self.stream.close("fault")  # keeps its reason if it has one
-            self._settle()
+            self._finish()
 
     def check(self, now: float) -> None:
         """Look for what shows only with time: an answer cut short, silence on all of it, no use."""
         if self.stream.code or not self.up:
             return
-        quiet, unused = now - self.heard_ms, now - max(self.heard_ms, self.used_ms)
-        late = any(now > job.due_ms for job in self.open.values())
+        silent_ms, unused_ms = now - self.heard_ms, now - max(self.heard_ms, self.last_send_ms)
+        has_overdue = any(now > job.due_ms for job in self.open.values())
         # guards against a connection on which answers stopped: all on it waited for their deadlines
-        self.doubtful = late and quiet > SUSPECT_AFTER_MS
-        taken = self.writing is None or now - self.writing[1] < 2.0 * self.connect_ms
-        cut = self.reader.within and now - self.grown_ms > GROWTH_TIMEOUT_MS
-        if cut or (late and quiet > STUCK_AFTER_MS) or not taken:
+        self.doubtful = has_overdue and silent_ms > SUSPECT_AFTER_MS
+        is_writable = self.writing is None or now - self.writing[1] < 2.0 * self.connect_ms
+        is_cut_short = self.reader.within and now - self.grown_ms > GROWTH_TIMEOUT_MS
+        if is_cut_short or (has_overdue and silent_ms > STUCK_AFTER_MS) or not is_writable:
             self.stream.close("stuck")
-        elif not (self.open or self.waiting) and unused > self.idle_ms * IDLE_SHARE:
+        elif not (self.open or self.waiting) and unused_ms > self.idle_ms * IDLE_SHARE:
             self.stream.close("idle")
 
     def _read(self) -> None:
         while True:
             data = self.stream.read()
             self.heard_ms = now_ms()
-            self.grown += len(data)
-            if not self.reader.within or self.grown >= MIN_GROWTH_BYTES:
-                self.grown_ms, self.grown = self.heard_ms, 0
+            self.growth_bytes += len(data)
+            if not self.reader.within or self.growth_bytes >= MIN_GROWTH_BYTES:
+                self.grown_ms, self.growth_bytes = self.heard_ms, 0
             for items in self.reader.feed(data):
-                self.grown_ms, self.grown = self.heard_ms, 0
+                self.grown_ms, self.growth_bytes = self.heard_ms, 0
                 self._answer(items)
             self.stream.keep(len(self.reader.buffer))
 
@@ -175,69 +180,76 @@
         if job is None:
             self.killed.pop(items[0], None)  # it crossed the KILL, or answers nothing of ours: dropped
             return
-        self.done += 1
+        self.answered_count += 1
         if not job.repeatable:
-            self._note(self.answered, job.name)
+            self._remember(self.answered_effects, job.name)
         if self.pending:
             self._wake()  # it may have waited for room
         try:
             fields = resp.read_fields(items[2]) if len(items) > 2 else {}
-            word = items[1].decode("ascii", "replace")
-            job.answered(word, fields, items[3] if len(items) > 3 else b"")
+            reply = items[1].decode("ascii", "replace")
+            job.answered(reply, fields, items[3] if len(items) > 3 else b"")
         except resp.BadResp as error:
             # its frame was whole: the others' answers can be told apart and may come, but nothing new goes
-            self.junk = str(error)
+            self.parse_error = str(error)
             if not self.open:
                 self.open[items[0]] = job
                 raise
             job.broken("econnreset")
-            if not self.spoiled:
-                self.spoiled = True
-                self._hand_back()
-        if self.spoiled and not self.open:
+            if not self.is_retired:
+                self.is_retired = True
+                self._return_unwritten()
+        if self.is_retired and not self.open:
             raise Closed("spoiled")
 
     def _write(self) -> None:
-        looked = False
-        while not self.stream.code and not self.spoiled:
-            full = len(self.open) >= self.streams
-            if not self.pending or (full and not isinstance(self.pending[0], bytes)):
-                self.writer = getcurrent()
+        has_polled = False
+        while not self.stream.code and not self.is_retired:
+            is_full = len(self.open) >= self.max_jobs
+            if not self.pending or (is_full and not isinstance(self.pending[0], bytes)):
+                self.parked_writer = getcurrent()
                 self.sched.park()
                 continue
-            if not looked and self.sched.is_lagging():
+            if not has_polled and self.sched.is_lagging():
                 self.sched.look()  # guards clients that have gone: in a busy turn that is not known yet
-                looked = True
+                has_polled = True
                 continue
-            looked = False
+            has_polled = False
             job = self.pending.popleft()
-            data = job if isinstance(job, bytes) else self._begin(job)
+            data = job if isinstance(job, bytes) else self._start_job(job)
             if data is not None:
-                self.writing = (job, self.used_ms)
-                whole = self.stream.write_whole(data)
+                self.writing = (job, self.last_send_ms)
+                is_sent = self.stream.write_whole(data)
                 self.writing = None
-                if whole and not self.spoiled and not isinstance(job, bytes):
+                if is_sent and not self.is_retired and not isinstance(job, bytes):
                     job.sent()
 
-    def _begin(self, job: Job) -> bytes | None:
+    def _start_job(self, job: Job) -> bytes | None:
         """Take a job's command; from here on it is owed an answer."""
         self.waiting.discard(job.name)
         data = job.command()
         if data is not None:
             self.open[job.name] = job
             self.killed.pop(job.name, None)
-            self.used_ms = now_ms()
+            self.last_send_ms = now_ms()
         return data
 
-    def _hand_back(self) -> None:
+    def _return_unwritten(self) -> None:
         jobs = [job for job in self.pending if not isinstance(job, bytes)]
         self.pending.clear()
         self.waiting.clear()
         self.on_close(self, jobs)
 
-    def _settle(self) -> None:
+    def _finish(self) -> None:
         """End what was written and hand back what was not: that can't have run."""
-        ended("server", self.server, self.stream.code, self.junk, done=self.done, open=len(self.open))
+        ended(
+            "server",
+            self.server,
+            self.stream.code,
+            self.parse_error,
+            done=self.answered_count,
+            open=len(self.open),
+        )
         jobs, self.open = list(self.open.values()), {}
         if self.stream.code not in SERVER_CLOSE_CODES:  # else the server has ended them itself
             self.given_up = dict.fromkeys((job.name for job in jobs), now_ms())
@@ -245,13 +257,13 @@
                 job.hold(now_ms() + self.way_ms)
         self._wake()
         if self.up:
-            self._hand_back()
+            self._return_unwritten()
         else:
-            waiting = [job for job in self.pending if not isinstance(job, bytes)]
+            unwritten = [job for job in self.pending if not isinstance(job, bytes)]
             self.pending.clear()
             self.waiting.clear()
             self.on_close(self, [])
-            for job in waiting:
+            for job in unwritten:
                 job.broken("silent" if self.stream.code == "silent" else "econnrefused")
         for job in jobs:
             job.broken("etimedout" if self.stream.code == "stuck" else "econnreset")
