--- a/hitchtiller/back/link.py
+++ b/hitchtiller/back/link.py
@@ -42,7 +42,7 @@
         self.connect_ms, self.idle_ms = times
         self.on_close = on_close
         self.stream = Stream(sched, socket.socket())
-        self.pending: deque[Job | bytes] = deque()
+        self.queue: deque[Job | bytes] = deque()
         self.waiting: set[bytes] = set()  # names in `pending`
         self.open: dict[bytes, Job] = {}
         self.killed: dict[bytes, float] = {}  # since when: their answers may still be under way
@@ -85,15 +85,15 @@
 
     def submit(self, job: Job) -> None:
         """Queue a job; it is written in its turn."""
-        self.pending.append(job)
+        self.queue.append(job)
         self.waiting.add(job.name)
         self._wake()
 
     def cancel(self, job: Job) -> bool:
         """Give a job up, if it is here."""
         name = job.name
-        if name in self.waiting and job in self.pending:
-            self.pending.remove(job)
+        if name in self.waiting and job in self.queue:
+            self.queue.remove(job)
             self.waiting.discard(name)
         elif self.open.get(name) is job:
             del self.open[name]
@@ -105,7 +105,7 @@
                 self.stream.discard()
                 self._return_unwritten()
             elif not self.is_retired:
-                self.pending.appendleft(resp.write_command(b"KILL", name))
+                self.queue.appendleft(resp.write_command(b"KILL", name))
                 self._wake()
             if self.is_retired and not self.open:
                 self.stream.close("spoiled")
@@ -183,7 +183,7 @@
         self.answered_count += 1
         if not job.repeatable:
             self._remember(self.answered_effects, job.name)
-        if self.pending:
+        if self.queue:
             self._wake()  # it may have waited for room
         try:
             fields = resp.read_fields(items[2]) if len(items) > 2 else {}
@@ -206,7 +206,7 @@
         has_polled = False
         while not self.stream.code and not self.is_retired:
             is_full = len(self.open) >= self.max_jobs
-            if not self.pending or (is_full and not isinstance(self.pending[0], bytes)):
+            if not self.queue or (is_full and not isinstance(self.queue[0], bytes)):
                 self.parked_writer = getcurrent()
                 self.sched.park()
                 continue
@@ -215,7 +215,7 @@
                 has_polled = True
                 continue
             has_polled = False
-            job = self.pending.popleft()
+            job = self.queue.popleft()
             data = job if isinstance(job, bytes) else self._start_job(job)
             if data is not None:
                 self.writing = (job, self.last_send_ms)
@@ -235,8 +235,8 @@
         return data
 
     def _return_unwritten(self) -> None:
-        jobs = [job for job in self.pending if not isinstance(job, bytes)]
-        self.pending.clear()
+        jobs = [job for job in self.queue if not isinstance(job, bytes)]
+        self.queue.clear()
         self.waiting.clear()
         self.on_close(self, jobs)
 
@@ -259,8 +259,8 @@
         if self.up:
             self._return_unwritten()
         else:
-            unwritten = [job for job in self.pending if not isinstance(job, bytes)]
-            self.pending.clear()
+            unwritten = [job for job in self.queue if not isinstance(job, bytes)]
+            self.queue.clear()
             self.waiting.clear()
             self.on_close(self, [])
             for job in unwritten:
--- a/tests/test_back.py
+++ b/tests/test_back.py
@@ -101,7 +101,7 @@
         link._answer([b"1", b"DONE", b"-", b""])
         self.assertEqual((bad.ends, good.ends), (["econnreset"], []))
         self.assertFalse(link.room(b"4"))
-        self.assertFalse(link.pending, "what was not written is handed on")
+        self.assertFalse(link.queue, "what was not written is handed on")
         with self.assertRaises(Closed):
             link._answer([b"2", b"DONE", b"-", b""])
         self.assertEqual(good.ends, ["DONE"])
