--- a/hitchtiller/back/link.py
+++ b/hitchtiller/back/link.py
@@ -43,7 +43,7 @@
         self.on_close = on_close
         self.stream = Stream(sched, socket.socket())
         self.queue: deque[Job | bytes] = deque()
-        self.waiting: set[bytes] = set()  # names in `pending`
+        self.queued_names: set[bytes] = set()  # names in `pending`
         self.open: dict[bytes, Job] = {}
         self.killed: dict[bytes, float] = {}  # since when: their answers may still be under way
         self.given_up: dict[bytes, float] = {}  # what was open when it was closed from here, since when
@@ -68,7 +68,7 @@
 
     def load(self) -> int:
         """Count the jobs that it carries."""
-        return len(self.open) + len(self.waiting)
+        return len(self.open) + len(self.queued_names)
 
     def room(self, name: bytes) -> bool:
         """Tell whether it may carry a job of this name now."""
@@ -81,20 +81,20 @@
         if self.writing and now_ms() - self.writing[1] > self.connect_ms:
             return False  # guards against queueing behind a machine that takes nothing
         # else two answers under one name, or the late second one of an effect taken for its next attempt's
-        return not (name in self.open or name in self.waiting or name in self.answered_effects)
+        return not (name in self.open or name in self.queued_names or name in self.answered_effects)
 
     def submit(self, job: Job) -> None:
         """Queue a job; it is written in its turn."""
         self.queue.append(job)
-        self.waiting.add(job.name)
+        self.queued_names.add(job.name)
         self._wake()
 
     def cancel(self, job: Job) -> bool:
         """Give a job up, if it is here."""
         name = job.name
-        if name in self.waiting and job in self.queue:
+        if name in self.queued_names and job in self.queue:
             self.queue.remove(job)
-            self.waiting.discard(name)
+            self.queued_names.discard(name)
         elif self.open.get(name) is job:
             del self.open[name]
             self._remember(self.killed, name)
@@ -158,7 +158,7 @@
         is_cut_short = self.reader.within and now - self.grown_ms > GROWTH_TIMEOUT_MS
         if is_cut_short or (has_overdue and silent_ms > STUCK_AFTER_MS) or not is_writable:
             self.stream.close("stuck")
-        elif not (self.open or self.waiting) and unused_ms > self.idle_ms * IDLE_SHARE:
+        elif not (self.open or self.queued_names) and unused_ms > self.idle_ms * IDLE_SHARE:
             self.stream.close("idle")
 
     def _read(self) -> None:
@@ -226,7 +226,7 @@
 
     def _start_job(self, job: Job) -> bytes | None:
         """Take a job's command; from here on it is owed an answer."""
-        self.waiting.discard(job.name)
+        self.queued_names.discard(job.name)
         data = job.command()
         if data is not None:
             self.open[job.name] = job
@@ -237,7 +237,7 @@
     def _return_unwritten(self) -> None:
         jobs = [job for job in self.queue if not isinstance(job, bytes)]
         self.queue.clear()
-        self.waiting.clear()
+        self.queued_names.clear()
         self.on_close(self, jobs)
 
     def _finish(self) -> None:
@@ -261,7 +261,7 @@
         else:
             unwritten = [job for job in self.queue if not isinstance(job, bytes)]
             self.queue.clear()
-            self.waiting.clear()
+            self.queued_names.clear()
             self.on_close(self, [])
             for job in unwritten:
                 job.broken("silent" if self.stream.code == "silent" else "econnrefused")
