--- a/hitchtiller/back/link.py
+++ b/hitchtiller/back/link.py
@@ -44,7 +44,7 @@
         self.stream = Stream(sched, socket.socket())
         self.queue: deque[Job | bytes] = deque()
         self.queued_names: set[bytes] = set()  # names in `pending`
-        self.open: dict[bytes, Job] = {}
+        self.open_jobs: dict[bytes, Job] = {}
         self.killed: dict[bytes, float] = {}  # since when: their answers may still be under way
         self.given_up: dict[bytes, float] = {}  # what was open when it was closed from here, since when
         self.answered_effects: dict[
@@ -68,7 +68,7 @@
 
     def load(self) -> int:
         """Count the jobs that it carries."""
-        return len(self.open) + len(self.queued_names)
+        return len(self.open_jobs) + len(self.queued_names)
 
     def room(self, name: bytes) -> bool:
         """Tell whether it may carry a job of this name now."""
@@ -81,7 +81,7 @@
         if self.writing and now_ms() - self.writing[1] > self.connect_ms:
             return False  # guards against queueing behind a machine that takes nothing
         # else two answers under one name, or the late second one of an effect taken for its next attempt's
-        return not (name in self.open or name in self.queued_names or name in self.answered_effects)
+        return not (name in self.open_jobs or name in self.queued_names or name in self.answered_effects)
 
     def submit(self, job: Job) -> None:
         """Queue a job; it is written in its turn."""
@@ -95,8 +95,8 @@
         if name in self.queued_names and job in self.queue:
             self.queue.remove(job)
             self.queued_names.discard(name)
-        elif self.open.get(name) is job:
-            del self.open[name]
+        elif self.open_jobs.get(name) is job:
+            del self.open_jobs[name]
             self._remember(self.killed, name)
             job.hold(now_ms() + (self.connect_ms if self.stream.size else self.way_ms))
             if self.writing and self.writing[0] is job:
@@ -107,7 +107,7 @@
             elif not self.is_retired:
                 self.queue.appendleft(resp.write_command(b"KILL", name))
                 self._wake()
-            if self.is_retired and not self.open:
+            if self.is_retired and not self.open_jobs:
                 self.stream.close("spoiled")
         else:
             return False
@@ -151,14 +151,14 @@
         if self.stream.code or not self.up:
             return
         silent_ms, unused_ms = now - self.heard_ms, now - max(self.heard_ms, self.last_send_ms)
-        has_overdue = any(now > job.due_ms for job in self.open.values())
+        has_overdue = any(now > job.due_ms for job in self.open_jobs.values())
         # guards against a connection on which answers stopped: all on it waited for their deadlines
         self.doubtful = has_overdue and silent_ms > SUSPECT_AFTER_MS
         is_writable = self.writing is None or now - self.writing[1] < 2.0 * self.connect_ms
         is_cut_short = self.reader.within and now - self.grown_ms > GROWTH_TIMEOUT_MS
         if is_cut_short or (has_overdue and silent_ms > STUCK_AFTER_MS) or not is_writable:
             self.stream.close("stuck")
-        elif not (self.open or self.queued_names) and unused_ms > self.idle_ms * IDLE_SHARE:
+        elif not (self.open_jobs or self.queued_names) and unused_ms > self.idle_ms * IDLE_SHARE:
             self.stream.close("idle")
 
     def _read(self) -> None:
@@ -176,7 +176,7 @@
     def _answer(self, items: list[bytes]) -> None:
         if not 2 <= len(items) <= 4:
             raise resp.BadResp(f"{len(items)} items")
-        job = self.open.pop(items[0], None)
+        job = self.open_jobs.pop(items[0], None)
         if job is None:
             self.killed.pop(items[0], None)  # it crossed the KILL, or answers nothing of ours: dropped
             return
@@ -192,20 +192,20 @@
         except resp.BadResp as error:
             # its frame was whole: the others' answers can be told apart and may come, but nothing new goes
             self.parse_error = str(error)
-            if not self.open:
-                self.open[items[0]] = job
+            if not self.open_jobs:
+                self.open_jobs[items[0]] = job
                 raise
             job.broken("econnreset")
             if not self.is_retired:
                 self.is_retired = True
                 self._return_unwritten()
-        if self.is_retired and not self.open:
+        if self.is_retired and not self.open_jobs:
             raise Closed("spoiled")
 
     def _write(self) -> None:
         has_polled = False
         while not self.stream.code and not self.is_retired:
-            is_full = len(self.open) >= self.max_jobs
+            is_full = len(self.open_jobs) >= self.max_jobs
             if not self.queue or (is_full and not isinstance(self.queue[0], bytes)):
                 self.parked_writer = getcurrent()
                 self.sched.park()
@@ -229,7 +229,7 @@
         self.queued_names.discard(job.name)
         data = job.command()
         if data is not None:
-            self.open[job.name] = job
+            self.open_jobs[job.name] = job
             self.killed.pop(job.name, None)
             self.last_send_ms = now_ms()
         return data
@@ -248,9 +248,9 @@
             self.stream.code,
             self.parse_error,
             done=self.answered_count,
-            open=len(self.open),
+            open=len(self.open_jobs),
         )
-        jobs, self.open = list(self.open.values()), {}
+        jobs, self.open_jobs = list(self.open_jobs.values()), {}
         if self.stream.code not in SERVER_CLOSE_CODES:  # else the server has ended them itself
             self.given_up = dict.fromkeys((job.name for job in jobs), now_ms())
             for job in jobs:
--- a/hitchtiller/back/upstreams.py
+++ b/hitchtiller/back/upstreams.py
@@ -43,7 +43,12 @@
             return killing[0].submit(job) if killing[0].keeps(name) else job.broken("skipped")
         fresh_only = now - self.cut.get(name, -math.inf) < self.owner.times[0]
         for each in () if fresh_only else self.links:
-            if link is None and each.up and len(each.open) + len(each.queued_names) < FEW and each.room(name):
+            if (
+                link is None
+                and each.up
+                and len(each.open_jobs) + len(each.queued_names) < FEW
+                and each.room(name)
+            ):
                 link = each
             elif crowded is None and each.room(name):
                 crowded = each  # answers that come together are read together: it saves a busy core
--- a/tests/ends/test_ends_links.py
+++ b/tests/ends/test_ends_links.py
@@ -40,8 +40,8 @@
         """Submit a job; give the connection that it was written on, and the server's end of it."""
         before = len(self.pool.links)
         self.pool.submit(job)
-        self.until(lambda: any(link.open.get(job.name) is job for link in self.pool.links))
-        (link,) = (link for link in self.pool.links if link.open.get(job.name) is job)
+        self.until(lambda: any(link.open_jobs.get(job.name) is job for link in self.pool.links))
+        (link,) = (link for link in self.pool.links if link.open_jobs.get(job.name) is job)
         self.assertEqual(len(self.pool.links), before + 1)
         server = self.listener.accept()[0]
         server.settimeout(PATIENCE_S)
@@ -67,14 +67,14 @@
         link.killed[b"a"] = now_ms() - link_module.LATE_ANSWER_MS - 1.0  # long ago
         later = Job(b"a")
         self.pool.submit(later)
-        self.until(lambda: spare.open.get(b"a") is later)
+        self.until(lambda: spare.open_jobs.get(b"a") is later)
 
     def test_the_same_id_goes_behind_its_kill_on_the_same_connection(self) -> None:
         first, again = Job(b"a"), Job(b"a")
         link, server = self.written(first)
         link.cancel(first)
         self.pool.submit(again)
-        self.until(lambda: link.open.get(b"a") is again)
+        self.until(lambda: link.open_jobs.get(b"a") is again)
         reader, got = resp.RespReader(), list[list[bytes]]()
         while len(got) < 3:
             got += reader.feed(server.recv(65_536))
@@ -202,7 +202,7 @@
         """The next PULL went out in the same turn, before the KILL was even written: two copies out."""
         first, exchange = self.attempt()
         self.back.send(first)
-        self.until(lambda: any(link.open for link in self.pool.links))
+        self.until(lambda: any(link.open_jobs for link in self.pool.links))
         (link,) = self.pool.links
         link.way_ms = 60.0
         self.back.cancel(first)
@@ -220,7 +220,7 @@
         """Write an attempt on a connection that came up in no time, as on loopback."""
         first, exchange = self.attempt()
         self.back.send(first)
-        self.until(lambda: any(link.open for link in self.pool.links))
+        self.until(lambda: any(link.open_jobs for link in self.pool.links))
         (link,) = self.pool.links
         return first, exchange, link
 
@@ -250,7 +250,7 @@
     def test_a_close_from_here_holds_further_attempts_back_too(self) -> None:
         first, exchange = self.attempt()
         self.back.send(first)
-        self.until(lambda: any(link.open for link in self.pool.links))
+        self.until(lambda: any(link.open_jobs for link in self.pool.links))
         (link,) = self.pool.links
         link.way_ms = 60.0
         link.close("stuck")
--- a/tests/test_back.py
+++ b/tests/test_back.py
@@ -43,7 +43,7 @@
     def link(self, *jobs: Job) -> Link:
         """Open a connection that has written these jobs."""
         link = self.back.open(self.pool)
-        link.up, link.open = True, {job.name: job for job in jobs}
+        link.up, link.open_jobs = True, {job.name: job for job in jobs}
         self.addCleanup(link.stream.close, "end")
         return link
 
