--- a/hitchtiller/back/link.py
+++ b/hitchtiller/back/link.py
@@ -45,7 +45,7 @@
         self.queue: deque[Job | bytes] = deque()
         self.queued_names: set[bytes] = set()  # names in `pending`
         self.open_jobs: dict[bytes, Job] = {}
-        self.killed: dict[bytes, float] = {}  # since when: their answers may still be under way
+        self.killed_jobs: dict[bytes, float] = {}  # since when: their answers may still be under way
         self.given_up: dict[bytes, float] = {}  # what was open when it was closed from here, since when
         self.answered_effects: dict[
             bytes, float
@@ -97,7 +97,7 @@
             self.queued_names.discard(name)
         elif self.open_jobs.get(name) is job:
             del self.open_jobs[name]
-            self._remember(self.killed, name)
+            self._remember(self.killed_jobs, name)
             job.hold(now_ms() + (self.connect_ms if self.stream.size else self.way_ms))
             if self.writing and self.writing[0] is job:
                 # half a command was written: nothing else can be, so no KILL and no new job
@@ -178,7 +178,7 @@
             raise resp.BadResp(f"{len(items)} items")
         job = self.open_jobs.pop(items[0], None)
         if job is None:
-            self.killed.pop(items[0], None)  # it crossed the KILL, or answers nothing of ours: dropped
+            self.killed_jobs.pop(items[0], None)  # it crossed the KILL, or answers nothing of ours: dropped
             return
         self.answered_count += 1
         if not job.repeatable:
@@ -230,7 +230,7 @@
         data = job.command()
         if data is not None:
             self.open_jobs[job.name] = job
-            self.killed.pop(job.name, None)
+            self.killed_jobs.pop(job.name, None)
             self.last_send_ms = now_ms()
         return data
 
--- a/hitchtiller/back/upstreams.py
+++ b/hitchtiller/back/upstreams.py
@@ -36,7 +36,9 @@
         # A server that hangs reads neither before it goes on, so it is not asked again. One that has just
         # spoken junk reads on: a connection that is opened only now comes up after the close has arrived
         name, link, crowded, now = job.name, None, None, now_ms()
-        killing = [each for each in self.links if now - each.killed.get(name, -math.inf) < LATE_ANSWER_MS]
+        killing = [
+            each for each in self.links if now - each.killed_jobs.get(name, -math.inf) < LATE_ANSWER_MS
+        ]
         if now - self.given_up.get(name, -math.inf) < LATE_ANSWER_MS or len(killing) > 1:
             return job.broken("skipped")
         if killing:
@@ -80,7 +82,7 @@
             for told in (self.given_up, self.cut):
                 for name in [name for name, at in told.items() if now - at >= LATE_ANSWER_MS]:
                     del told[name]
-            self.given_up |= link.killed
+            self.given_up |= link.killed_jobs
             (self.cut if link.stream.code == "junk" else self.given_up).update(names)
         for job in unwritten:
             job.moves += 1
--- a/tests/ends/test_ends_links.py
+++ b/tests/ends/test_ends_links.py
@@ -64,7 +64,7 @@
         self.pool.submit(again)
         self.assertEqual(again.ends, ["skipped"], "which proves that it never ran")
         self.assertEqual(len(self.pool.links), 2, "nor on a fresh one: a server that hangs may read it first")
-        link.killed[b"a"] = now_ms() - link_module.LATE_ANSWER_MS - 1.0  # long ago
+        link.killed_jobs[b"a"] = now_ms() - link_module.LATE_ANSWER_MS - 1.0  # long ago
         later = Job(b"a")
         self.pool.submit(later)
         self.until(lambda: spare.open_jobs.get(b"a") is later)
@@ -97,7 +97,7 @@
         self.assertGreater(link.stream.size, 0)
         link.doubtful = True
         link.cancel(first)
-        link.killed[b"a"] = now_ms() - CONNECT_MS - 1.0
+        link.killed_jobs[b"a"] = now_ms() - CONNECT_MS - 1.0
         again = Job(b"a")
         self.pool.submit(again)
         self.assertEqual(again.ends, ["skipped"], "which proves that it never ran")
--- a/tests/test_back.py
+++ b/tests/test_back.py
@@ -81,7 +81,7 @@
         link = self.link(*jobs)
         for n, job in enumerate(jobs):
             self.at(n * 1000.0, lambda job=job: link.cancel(job))
-        self.assertLessEqual(len(link.killed), 8)
+        self.assertLessEqual(len(link.killed_jobs), 8)
 
     def test_a_connection_on_which_answers_stopped_gets_nothing_new_and_ends(self) -> None:
         """All on it waited for their deadlines."""
