--- a/hitchtiller/back/link.py
+++ b/hitchtiller/back/link.py
@@ -46,7 +46,7 @@
         self.queued_names: set[bytes] = set()  # names in `pending`
         self.open_jobs: dict[bytes, Job] = {}
         self.killed_jobs: dict[bytes, float] = {}  # since when: their answers may still be under way
-        self.given_up: dict[bytes, float] = {}  # what was open when it was closed from here, since when
+        self.abandoned_jobs: dict[bytes, float] = {}  # what was open when it was closed from here, since when
         self.answered_effects: dict[
             bytes, float
         ] = {}  # effects, since when: a second answer may be under way
@@ -252,7 +252,7 @@
         )
         jobs, self.open_jobs = list(self.open_jobs.values()), {}
         if self.stream.code not in SERVER_CLOSE_CODES:  # else the server has ended them itself
-            self.given_up = dict.fromkeys((job.name for job in jobs), now_ms())
+            self.abandoned_jobs = dict.fromkeys((job.name for job in jobs), now_ms())
             for job in jobs:
                 job.hold(now_ms() + self.way_ms)
         self._wake()
--- a/hitchtiller/back/upstreams.py
+++ b/hitchtiller/back/upstreams.py
@@ -25,7 +25,7 @@
         self.owner, self.host = owner, host
         self.links: list[Link] = []
         # given up on connections that have ended, since when: of those, on ones that had just spoken junk
-        self.given_up: dict[bytes, float] = {}
+        self.abandoned_jobs: dict[bytes, float] = {}
         self.cut: dict[bytes, float] = {}
         self.closed = False
 
@@ -39,7 +39,7 @@
         killing = [
             each for each in self.links if now - each.killed_jobs.get(name, -math.inf) < LATE_ANSWER_MS
         ]
-        if now - self.given_up.get(name, -math.inf) < LATE_ANSWER_MS or len(killing) > 1:
+        if now - self.abandoned_jobs.get(name, -math.inf) < LATE_ANSWER_MS or len(killing) > 1:
             return job.broken("skipped")
         if killing:
             return killing[0].submit(job) if killing[0].keeps(name) else job.broken("skipped")
@@ -78,12 +78,12 @@
         if link.stream.code and link in self.links:  # a spoiled one may tell twice
             self.links.remove(link)
             self.owner.count -= 1
-            now, names = now_ms(), link.given_up
-            for told in (self.given_up, self.cut):
+            now, names = now_ms(), link.abandoned_jobs
+            for told in (self.abandoned_jobs, self.cut):
                 for name in [name for name, at in told.items() if now - at >= LATE_ANSWER_MS]:
                     del told[name]
-            self.given_up |= link.killed_jobs
-            (self.cut if link.stream.code == "junk" else self.given_up).update(names)
+            self.abandoned_jobs |= link.killed_jobs
+            (self.cut if link.stream.code == "junk" else self.abandoned_jobs).update(names)
         for job in unwritten:
             job.moves += 1
             if job.moves > MOST_MOVES:  # guards against a server that resets whatever is opened
