--- a/hitchtiller/back/link.py
+++ b/hitchtiller/back/link.py
@@ -51,7 +51,7 @@
             bytes, float
         ] = {}  # effects, since when: a second answer may be under way
         self.reader = resp.RespReader()
-        self.grown_ms, self.growth_bytes = (
+        self.last_growth_ms, self.growth_bytes = (
             now_ms(),
             0,
         )  # when an answer last grew by its due, and its bytes since
@@ -155,7 +155,7 @@
         # guards against a connection on which answers stopped: all on it waited for their deadlines
         self.doubtful = has_overdue and silent_ms > SUSPECT_AFTER_MS
         is_writable = self.writing is None or now - self.writing[1] < 2.0 * self.connect_ms
-        is_cut_short = self.reader.within and now - self.grown_ms > GROWTH_TIMEOUT_MS
+        is_cut_short = self.reader.within and now - self.last_growth_ms > GROWTH_TIMEOUT_MS
         if is_cut_short or (has_overdue and silent_ms > STUCK_AFTER_MS) or not is_writable:
             self.stream.close("stuck")
         elif not (self.open_jobs or self.queued_names) and unused_ms > self.idle_ms * IDLE_SHARE:
@@ -167,9 +167,9 @@
             self.heard_ms = now_ms()
             self.growth_bytes += len(data)
             if not self.reader.within or self.growth_bytes >= MIN_GROWTH_BYTES:
-                self.grown_ms, self.growth_bytes = self.heard_ms, 0
+                self.last_growth_ms, self.growth_bytes = self.heard_ms, 0
             for items in self.reader.feed(data):
-                self.grown_ms, self.growth_bytes = self.heard_ms, 0
+                self.last_growth_ms, self.growth_bytes = self.heard_ms, 0
                 self._answer(items)
             self.stream.keep(len(self.reader.buffer))
 
--- a/tests/ends/test_ends_links.py
+++ b/tests/ends/test_ends_links.py
@@ -128,7 +128,7 @@
         link, server = self.written(job)
         server.sendall(b"*4\r\n$1\r\na\r\n$4\r\nDONE\r\n$1\r\n-\r\n$100000\r\n")
         self.until(lambda: link.reader.within)
-        link.grown_ms -= link_module.GROWTH_TIMEOUT_MS  # it has trickled for so long
+        link.last_growth_ms -= link_module.GROWTH_TIMEOUT_MS  # it has trickled for so long
         heard = link.heard_ms
         server.sendall(b"x")
         self.until(lambda: link.heard_ms > heard)
@@ -140,9 +140,9 @@
         link, server = self.written(job)
         server.sendall(b"*4\r\n$1\r\na\r\n$4\r\nDONE\r\n$1\r\n-\r\n$100000\r\n")
         self.until(lambda: link.reader.within)
-        link.grown_ms -= 10_000.0
+        link.last_growth_ms -= 10_000.0
         server.sendall(bytes(link_module.MIN_GROWTH_BYTES))
-        self.until(lambda: link.grown_ms > now_ms() - 1_000.0)
+        self.until(lambda: link.last_growth_ms > now_ms() - 1_000.0)
         link.check(now_ms() + 0.5 * link_module.GROWTH_TIMEOUT_MS)
         self.assertEqual(link.stream.code, "")
 
