--- a/hitchtiller/back/link.py
+++ b/hitchtiller/back/link.py
@@ -55,7 +55,7 @@
             now_ms(),
             0,
         )  # when an answer last grew by its due, and its bytes since
-        self.heard_ms = self.last_send_ms = now_ms()
+        self.last_read_ms = self.last_send_ms = now_ms()
         self.doubtful = False
         self.parse_error = ""  # what could not be read
         self.writing: tuple[Job | bytes, float] | None = None
@@ -150,7 +150,7 @@
         """Look for what shows only with time: an answer cut short, silence on all of it, no use."""
         if self.stream.code or not self.up:
             return
-        silent_ms, unused_ms = now - self.heard_ms, now - max(self.heard_ms, self.last_send_ms)
+        silent_ms, unused_ms = now - self.last_read_ms, now - max(self.last_read_ms, self.last_send_ms)
         has_overdue = any(now > job.due_ms for job in self.open_jobs.values())
         # guards against a connection on which answers stopped: all on it waited for their deadlines
         self.doubtful = has_overdue and silent_ms > SUSPECT_AFTER_MS
@@ -164,12 +164,12 @@
     def _read(self) -> None:
         while True:
             data = self.stream.read()
-            self.heard_ms = now_ms()
+            self.last_read_ms = now_ms()
             self.growth_bytes += len(data)
             if not self.reader.within or self.growth_bytes >= MIN_GROWTH_BYTES:
-                self.last_growth_ms, self.growth_bytes = self.heard_ms, 0
+                self.last_growth_ms, self.growth_bytes = self.last_read_ms, 0
             for items in self.reader.feed(data):
-                self.last_growth_ms, self.growth_bytes = self.heard_ms, 0
+                self.last_growth_ms, self.growth_bytes = self.last_read_ms, 0
                 self._answer(items)
             self.stream.keep(len(self.reader.buffer))
 
--- a/tests/ends/test_ends_links.py
+++ b/tests/ends/test_ends_links.py
@@ -129,10 +129,10 @@
         server.sendall(b"*4\r\n$1\r\na\r\n$4\r\nDONE\r\n$1\r\n-\r\n$100000\r\n")
         self.until(lambda: link.reader.within)
         link.last_growth_ms -= link_module.GROWTH_TIMEOUT_MS  # it has trickled for so long
-        heard = link.heard_ms
+        heard = link.last_read_ms
         server.sendall(b"x")
-        self.until(lambda: link.heard_ms > heard)
-        link.check(link.heard_ms + 1.0)
+        self.until(lambda: link.last_read_ms > heard)
+        link.check(link.last_read_ms + 1.0)
         self.assertEqual(link.stream.code, "stuck")
 
     def test_an_answer_that_grows_is_not_cut(self) -> None:
@@ -155,9 +155,9 @@
         again = Job(b"a", repeatable=False)
         other, _ = self.written(again)
         self.assertIsNot(other, link)
-        done = link.heard_ms
+        done = link.last_read_ms
         server.sendall(wait)
-        self.until(lambda: link.heard_ms > done)
+        self.until(lambda: link.last_read_ms > done)
         self.assertEqual(again.ends, [])
 
 
--- a/tests/test_back.py
+++ b/tests/test_back.py
@@ -86,7 +86,7 @@
     def test_a_connection_on_which_answers_stopped_gets_nothing_new_and_ends(self) -> None:
         """All on it waited for their deadlines."""
         link = self.link(Job(due_ms=link_module.now_ms()))
-        quiet = link.heard_ms
+        quiet = link.last_read_ms
         link.check(quiet + 300.0)
         self.assertEqual((link.room(b"2"), link.stream.code), (False, ""))
         link.check(quiet + 500.0)
@@ -108,11 +108,11 @@
 
     def test_silence_is_no_bad_sign_while_nothing_is_overdue(self) -> None:
         link = self.link(Job())
-        link.check(link.heard_ms + 900.0)
+        link.check(link.last_read_ms + 900.0)
         self.assertTrue(link.room(b"2"))
 
     def test_an_answer_that_is_cut_short_ends_the_connection(self) -> None:
         link = self.link(Job())
         list(link.reader.feed(b"*4\r\n"))
-        link.check(link.heard_ms + 500.0)
+        link.check(link.last_read_ms + 500.0)
         self.assertEqual(link.stream.code, "stuck")
