--- a/hitchtiller/back/link.py
+++ b/hitchtiller/back/link.py
@@ -56,7 +56,7 @@
             0,
         )  # when an answer last grew by its due, and its bytes since
         self.last_read_ms = self.last_send_ms = now_ms()
-        self.doubtful = False
+        self.is_suspect = False
         self.parse_error = ""  # what could not be read
         self.writing: tuple[Job | bytes, float] | None = None
         self.parked_writer: greenlet | None = None  # while parked for want of work
@@ -76,7 +76,7 @@
 
     def keeps(self, name: bytes) -> bool:
         """Tell whether it may take a job of this name, if only once it has room."""
-        if self.stream.code or self.is_retired or self.doubtful:
+        if self.stream.code or self.is_retired or self.is_suspect:
             return False
         if self.writing and now_ms() - self.writing[1] > self.connect_ms:
             return False  # guards against queueing behind a machine that takes nothing
@@ -153,7 +153,7 @@
         silent_ms, unused_ms = now - self.last_read_ms, now - max(self.last_read_ms, self.last_send_ms)
         has_overdue = any(now > job.due_ms for job in self.open_jobs.values())
         # guards against a connection on which answers stopped: all on it waited for their deadlines
-        self.doubtful = has_overdue and silent_ms > SUSPECT_AFTER_MS
+        self.is_suspect = has_overdue and silent_ms > SUSPECT_AFTER_MS
         is_writable = self.writing is None or now - self.writing[1] < 2.0 * self.connect_ms
         is_cut_short = self.reader.within and now - self.last_growth_ms > GROWTH_TIMEOUT_MS
         if is_cut_short or (has_overdue and silent_ms > STUCK_AFTER_MS) or not is_writable:
--- a/tests/ends/test_ends_links.py
+++ b/tests/ends/test_ends_links.py
@@ -57,7 +57,7 @@
         """
         first = Job(b"a")
         link, _ = self.written(first)
-        link.doubtful = True
+        link.is_suspect = True
         spare, _ = self.written(Job(b"b"))
         link.cancel(first)
         again = Job(b"a")
@@ -95,7 +95,7 @@
         link, _ = self.written(first)
         link.stream.write(bytes(8_000_000))  # a server that takes nothing
         self.assertGreater(link.stream.size, 0)
-        link.doubtful = True
+        link.is_suspect = True
         link.cancel(first)
         link.killed_jobs[b"a"] = now_ms() - CONNECT_MS - 1.0
         again = Job(b"a")
@@ -105,7 +105,7 @@
     def test_the_same_id_does_not_overtake_the_close_of_its_connection(self) -> None:
         first = Job(b"a")
         link, _ = self.written(first)
-        link.doubtful = True
+        link.is_suspect = True
         spare, _ = self.written(Job(b"b"))
         link.close("junk")
         self.until(lambda: first.ends == ["econnreset"])
