--- a/hitchtiller/back/link.py
+++ b/hitchtiller/back/link.py
@@ -61,7 +61,7 @@
         self.writing: tuple[Job | bytes, float] | None = None
         self.parked_writer: greenlet | None = None  # while parked for want of work
         self.is_retired = False
-        self.up = False
+        self.is_connected = False
         self.way_ms = self.connect_ms  # there and back: its opening's time, WAY_SHARE of this at the least
         self.answered_count = 0
         sched.spawn(self._run)
@@ -134,7 +134,10 @@
             self.stream.connect(self.address, self.connect_ms)
             # guards against a second copy: an opening that took 0.2 ms says little of how long a close, or a
             # KILL, takes to arrive, and the next PULL to a nearer server overtook it
-            self.up, self.way_ms = True, max(now_ms() - started_ms, MIN_ROUND_TRIP_SHARE * self.connect_ms)
+            self.is_connected, self.way_ms = (
+                True,
+                max(now_ms() - started_ms, MIN_ROUND_TRIP_SHARE * self.connect_ms),
+            )
             self.sched.spawn(self._write)
             self._read()
         except Closed as error:
@@ -148,7 +151,7 @@
 
     def check(self, now: float) -> None:
         """Look for what shows only with time: an answer cut short, silence on all of it, no use."""
-        if self.stream.code or not self.up:
+        if self.stream.code or not self.is_connected:
             return
         silent_ms, unused_ms = now - self.last_read_ms, now - max(self.last_read_ms, self.last_send_ms)
         has_overdue = any(now > job.due_ms for job in self.open_jobs.values())
@@ -256,7 +259,7 @@
             for job in jobs:
                 job.hold(now_ms() + self.way_ms)
         self._wake()
-        if self.up:
+        if self.is_connected:
             self._return_unwritten()
         else:
             unwritten = [job for job in self.queue if not isinstance(job, bytes)]
--- a/hitchtiller/back/upstreams.py
+++ b/hitchtiller/back/upstreams.py
@@ -47,7 +47,7 @@
         for each in () if fresh_only else self.links:
             if (
                 link is None
-                and each.up
+                and each.is_connected
                 and len(each.open_jobs) + len(each.queued_names) < FEW
                 and each.room(name)
             ):
@@ -67,7 +67,7 @@
         if self.closed or self.owner.count >= self.owner.most:
             return False
         free = self.owner.count < self.owner.most / 2 and len(self.links) < MOST_LINKS
-        return needed or (free and all(link.up for link in self.links))
+        return needed or (free and all(link.is_connected for link in self.links))
 
     def cancel(self, job: Job) -> None:
         """Give a job up wherever it is."""
--- a/tests/test_back.py
+++ b/tests/test_back.py
@@ -43,7 +43,7 @@
     def link(self, *jobs: Job) -> Link:
         """Open a connection that has written these jobs."""
         link = self.back.open(self.pool)
-        link.up, link.open_jobs = True, {job.name: job for job in jobs}
+        link.is_connected, link.open_jobs = True, {job.name: job for job in jobs}
         self.addCleanup(link.stream.close, "end")
         return link
 
@@ -65,7 +65,7 @@
         for n in range(12):
             self.pool.submit(Job(b"%d" % n))
             for link in self.pool.links:
-                link.up = True
+                link.is_connected = True
         self.addCleanup(self.pool.close, "end")
         self.assertEqual(sorted(link.load() for link in self.pool.links), [0, 4, 4, 4])
 
