--- a/hitchtiller/back/link.py
+++ b/hitchtiller/back/link.py
@@ -62,7 +62,9 @@
         self.parked_writer: greenlet | None = None  # while parked for want of work
         self.is_retired = False
         self.is_connected = False
-        self.way_ms = self.connect_ms  # there and back: its opening's time, WAY_SHARE of this at the least
+        self.round_trip_ms = (
+            self.connect_ms
+        )  # there and back: its opening's time, WAY_SHARE of this at the least
         self.answered_count = 0
         sched.spawn(self._run)
 
@@ -98,7 +100,7 @@
         elif self.open_jobs.get(name) is job:
             del self.open_jobs[name]
             self._remember(self.killed_jobs, name)
-            job.hold(now_ms() + (self.connect_ms if self.stream.size else self.way_ms))
+            job.hold(now_ms() + (self.connect_ms if self.stream.size else self.round_trip_ms))
             if self.writing and self.writing[0] is job:
                 # half a command was written: nothing else can be, so no KILL and no new job
                 self.is_retired = True
@@ -134,7 +136,7 @@
             self.stream.connect(self.address, self.connect_ms)
             # guards against a second copy: an opening that took 0.2 ms says little of how long a close, or a
             # KILL, takes to arrive, and the next PULL to a nearer server overtook it
-            self.is_connected, self.way_ms = (
+            self.is_connected, self.round_trip_ms = (
                 True,
                 max(now_ms() - started_ms, MIN_ROUND_TRIP_SHARE * self.connect_ms),
             )
@@ -257,7 +259,7 @@
         if self.stream.code not in SERVER_CLOSE_CODES:  # else the server has ended them itself
             self.abandoned_jobs = dict.fromkeys((job.name for job in jobs), now_ms())
             for job in jobs:
-                job.hold(now_ms() + self.way_ms)
+                job.hold(now_ms() + self.round_trip_ms)
         self._wake()
         if self.is_connected:
             self._return_unwritten()
--- a/tests/ends/test_ends_links.py
+++ b/tests/ends/test_ends_links.py
@@ -204,7 +204,7 @@
         self.back.send(first)
         self.until(lambda: any(link.open_jobs for link in self.pool.links))
         (link,) = self.pool.links
-        link.way_ms = 60.0
+        link.round_trip_ms = 60.0
         self.back.cancel(first)
         first.drop("ecanceled")
         self.assertGreater(exchange.blocked_until_ms, now_ms() + 30.0)
@@ -252,7 +252,7 @@
         self.back.send(first)
         self.until(lambda: any(link.open_jobs for link in self.pool.links))
         (link,) = self.pool.links
-        link.way_ms = 60.0
+        link.round_trip_ms = 60.0
         link.close("stuck")
         self.until(lambda: self.ended == ["etimedout"])
         self.assertGreater(exchange.blocked_until_ms, now_ms() + 20.0)
