--- a/hitchtiller/back/link.py
+++ b/hitchtiller/back/link.py
@@ -68,13 +68,13 @@
         self.answered_count = 0
         sched.spawn(self._run)
 
-    def load(self) -> int:
+    def job_count(self) -> int:
         """Count the jobs that it carries."""
         return len(self.open_jobs) + len(self.queued_names)
 
     def room(self, name: bytes) -> bool:
         """Tell whether it may carry a job of this name now."""
-        return self.keeps(name) and self.load() < self.max_jobs
+        return self.keeps(name) and self.job_count() < self.max_jobs
 
     def keeps(self, name: bytes) -> bool:
         """Tell whether it may take a job of this name, if only once it has room."""
--- a/tests/test_back.py
+++ b/tests/test_back.py
@@ -67,7 +67,7 @@
             for link in self.pool.links:
                 link.is_connected = True
         self.addCleanup(self.pool.close, "end")
-        self.assertEqual(sorted(link.load() for link in self.pool.links), [0, 4, 4, 4])
+        self.assertEqual(sorted(link.job_count() for link in self.pool.links), [0, 4, 4, 4])
 
     def test_a_lack_of_our_own_is_not_told_as_the_servers(self) -> None:
         """It was blamed for a connection that was never tried."""
