--- a/hitchtiller/back/link.py
+++ b/hitchtiller/back/link.py
@@ -72,7 +72,7 @@
         """Count the jobs that it carries."""
         return len(self.open_jobs) + len(self.queued_names)
 
-    def room(self, name: bytes) -> bool:
+    def has_room(self, name: bytes) -> bool:
         """Tell whether it may carry a job of this name now."""
         return self.keeps(name) and self.job_count() < self.max_jobs
 
--- a/hitchtiller/back/upstreams.py
+++ b/hitchtiller/back/upstreams.py
@@ -49,10 +49,10 @@
                 link is None
                 and each.is_connected
                 and len(each.open_jobs) + len(each.queued_names) < FEW
-                and each.room(name)
+                and each.has_room(name)
             ):
                 link = each
-            elif crowded is None and each.room(name):
+            elif crowded is None and each.has_room(name):
                 crowded = each  # answers that come together are read together: it saves a busy core
         if link is None:
             # guards against one reset that ends all there is; what is idle closes by itself
--- a/tests/test_back.py
+++ b/tests/test_back.py
@@ -88,7 +88,7 @@
         link = self.link(Job(due_ms=link_module.now_ms()))
         quiet = link.last_read_ms
         link.check(quiet + 300.0)
-        self.assertEqual((link.room(b"2"), link.stream.code), (False, ""))
+        self.assertEqual((link.has_room(b"2"), link.stream.code), (False, ""))
         link.check(quiet + 500.0)
         self.assertEqual(link.stream.code, "stuck")
 
@@ -100,7 +100,7 @@
         link.submit(unwritten)
         link._answer([b"1", b"DONE", b"-", b""])
         self.assertEqual((bad.ends, good.ends), (["econnreset"], []))
-        self.assertFalse(link.room(b"4"))
+        self.assertFalse(link.has_room(b"4"))
         self.assertFalse(link.queue, "what was not written is handed on")
         with self.assertRaises(Closed):
             link._answer([b"2", b"DONE", b"-", b""])
@@ -109,7 +109,7 @@
     def test_silence_is_no_bad_sign_while_nothing_is_overdue(self) -> None:
         link = self.link(Job())
         link.check(link.last_read_ms + 900.0)
-        self.assertTrue(link.room(b"2"))
+        self.assertTrue(link.has_room(b"2"))
 
     def test_an_answer_that_is_cut_short_ends_the_connection(self) -> None:
         link = self.link(Job())
