--- a/hitchtiller/back/link.py
+++ b/hitchtiller/back/link.py
@@ -74,9 +74,9 @@
 
     def has_room(self, name: bytes) -> bool:
         """Tell whether it may carry a job of this name now."""
-        return self.keeps(name) and self.job_count() < self.max_jobs
+        return self.accepts(name) and self.job_count() < self.max_jobs
 
-    def keeps(self, name: bytes) -> bool:
+    def accepts(self, name: bytes) -> bool:
         """Tell whether it may take a job of this name, if only once it has room."""
         if self.stream.code or self.is_retired or self.is_suspect:
             return False
--- a/hitchtiller/back/upstreams.py
+++ b/hitchtiller/back/upstreams.py
@@ -42,7 +42,7 @@
         if now - self.abandoned_jobs.get(name, -math.inf) < LATE_ANSWER_MS or len(killing) > 1:
             return job.broken("skipped")
         if killing:
-            return killing[0].submit(job) if killing[0].keeps(name) else job.broken("skipped")
+            return killing[0].submit(job) if killing[0].accepts(name) else job.broken("skipped")
         fresh_only = now - self.cut.get(name, -math.inf) < self.owner.times[0]
         for each in () if fresh_only else self.links:
             if (
