--- a/hitchtiller/back/link.py
+++ b/hitchtiller/back/link.py
@@ -33,13 +33,13 @@
         sched: Scheduler,
         server: str,
         address: tuple[str, int],
-        times: tuple[float, float],
+        timeouts: tuple[float, float],
         max_jobs: int,
         on_close: Callable[["Link", list[Job]], None],
     ) -> None:
         """Start to connect; `times` are the time to connect and the servers' idle time."""
         self.sched, self.server, self.address, self.max_jobs = sched, server, address, max_jobs
-        self.connect_ms, self.idle_ms = times
+        self.connect_ms, self.idle_ms = timeouts
         self.on_close = on_close
         self.stream = Stream(sched, socket.socket())
         self.queue: deque[Job | bytes] = deque()
--- a/hitchtiller/back/upstreams.py
+++ b/hitchtiller/back/upstreams.py
@@ -43,7 +43,7 @@
             return job.broken("skipped")
         if killing:
             return killing[0].submit(job) if killing[0].accepts(name) else job.broken("skipped")
-        fresh_only = now - self.cut.get(name, -math.inf) < self.owner.times[0]
+        fresh_only = now - self.cut.get(name, -math.inf) < self.owner.timeouts[0]
         for each in () if fresh_only else self.links:
             if (
                 link is None
@@ -101,9 +101,9 @@
 class Upstreams:
     """Follows the list and carries attempts to the servers on it."""
 
-    def __init__(self, sched: Scheduler, times: tuple[float, float], streams: int, most: int) -> None:
+    def __init__(self, sched: Scheduler, timeouts: tuple[float, float], streams: int, most: int) -> None:
         """Hold at most `most` connections of `streams` attempts each."""
-        self.sched, self.times, self.streams, self.most = sched, times, streams, most
+        self.sched, self.timeouts, self.streams, self.most = sched, timeouts, streams, most
         self.pools: dict[str, Pool] = {}
         self.count = self.opened = 0  # connections that there are, and all that ever were
         self.numbers = count(1)
@@ -123,7 +123,7 @@
         """Start a connection; None if the process has no descriptor left for it."""
         host = pool.host
         try:
-            link = Link(self.sched, host.member.server, host.address, self.times, self.streams, pool.ended)
+            link = Link(self.sched, host.member.server, host.address, self.timeouts, self.streams, pool.ended)
         except OSError as error:
             ended("server", host.member.server, "no-descriptor", error.strerror or "")
             return None
