--- a/tests/ends/test_ends_links.py
+++ b/tests/ends/test_ends_links.py
@@ -176,7 +176,7 @@
             self.addCleanup(sock.close)
             sock.setblocking(False)
             sock.connect_ex(full.getsockname())
-        self.back.times = (50.0, 15_000.0)
+        self.back.timeouts = (50.0, 15_000.0)
         address = ("127.0.0.1", int(full.getsockname()[1]))
         self.back.follow(Topology((ListedServer(Member("s", "z", "k", "SERVING"), address),), True))()
         self.back.pools["s"].submit(silent)
