--- a/hitchtiller/back/jobs.py
+++ b/hitchtiller/back/jobs.py
@@ -34,7 +34,7 @@
 
     name: bytes
     due_ms: float  # when an answer should have come, once it is written
-    moves: int  # how often it was handed on unwritten
+    reassignments: int  # how often it was handed on unwritten
     repeatable: bool  # a late second answer under its name may be taken for its next one's
 
     def command(self) -> bytes | None:
@@ -59,7 +59,7 @@
     def __init__(self, attempt: Attempt) -> None:
         """Carry an attempt."""
         self.attempt = attempt
-        self.due_ms, self.moves = math.inf, 0
+        self.due_ms, self.reassignments = math.inf, 0
         self.name = attempt.exchange.request.id.encode()
         self.repeatable = attempt.exchange.request.repeatable
 
@@ -127,7 +127,7 @@
     def __init__(self, number: int, report: Callable[[str, dict[str, float]], None]) -> None:
         """Report to `report` once."""
         self.name = b"m%x" % number
-        self.due_ms, self.moves, self.repeatable = math.inf, 0, True
+        self.due_ms, self.reassignments, self.repeatable = math.inf, 0, True
         self.report = report
 
     def command(self) -> bytes:
--- a/hitchtiller/back/upstreams.py
+++ b/hitchtiller/back/upstreams.py
@@ -85,8 +85,8 @@
             self.abandoned_jobs |= link.killed_jobs
             (self.cut if link.stream.code == "junk" else self.abandoned_jobs).update(names)
         for job in unwritten:
-            job.moves += 1
-            if job.moves > MOST_MOVES:  # guards against a server that resets whatever is opened
+            job.reassignments += 1
+            if job.reassignments > MOST_MOVES:  # guards against a server that resets whatever is opened
                 job.broken("econnrefused")
             else:
                 self.submit(job)
