--- a/tests/ends/sides.py
+++ b/tests/ends/sides.py
@@ -42,7 +42,7 @@
     """A command to a server that tells how it ended."""
 
     def __init__(self, name: bytes = b"1", repeatable: bool = True) -> None:
-        self.name, self.due_ms, self.moves, self.repeatable = name, 1e18, 0, repeatable
+        self.name, self.due_ms, self.reassignments, self.repeatable = name, 1e18, 0, repeatable
         self.ends: list[str] = []
         self.held_ms = 0.0
 
--- a/tests/test_back.py
+++ b/tests/test_back.py
@@ -18,7 +18,7 @@
     """Something to write that tells how it ended."""
 
     def __init__(self, name: bytes = b"1", due_ms: float = 1e18) -> None:
-        self.name, self.due_ms, self.moves, self.repeatable = name, due_ms, 0, True
+        self.name, self.due_ms, self.reassignments, self.repeatable = name, due_ms, 0, True
         self.ends: list[str] = []
 
     def command(self) -> bytes:
