--- a/hitchtiller/back/jobs.py
+++ b/hitchtiller/back/jobs.py
@@ -49,7 +49,7 @@
     def broken(self, status: str) -> None:
         """Take the connection's end instead."""
 
-    def hold(self, until_ms: float) -> None:
+    def block_until(self, until_ms: float) -> None:
         """Hear until when word that it was given up may be under way to its server."""
 
 
@@ -111,7 +111,7 @@
             AttemptResult(status, served, unchanged, fields.get("rev", ""), load, given, note, waited)
         )
 
-    def hold(self, until_ms: float) -> None:
+    def block_until(self, until_ms: float) -> None:
         """Keep further attempts back for so long: the server would have two copies out."""
         self.attempt.exchange.blocked_until_ms = max(self.attempt.exchange.blocked_until_ms, until_ms)
 
@@ -142,7 +142,7 @@
         """Report what came."""
         self.report("done" if word == "FIT" else "err", resp.read_report(fields.get("rep", "")))
 
-    def hold(self, until_ms: float) -> None:
+    def block_until(self, until_ms: float) -> None:
         """Pass over: a probe is no attempt."""
 
     def broken(self, status: str) -> None:
--- a/hitchtiller/back/link.py
+++ b/hitchtiller/back/link.py
@@ -100,7 +100,7 @@
         elif self.open_jobs.get(name) is job:
             del self.open_jobs[name]
             self._remember(self.killed_jobs, name)
-            job.hold(now_ms() + (self.connect_ms if self.stream.size else self.round_trip_ms))
+            job.block_until(now_ms() + (self.connect_ms if self.stream.size else self.round_trip_ms))
             if self.writing and self.writing[0] is job:
                 # half a command was written: nothing else can be, so no KILL and no new job
                 self.is_retired = True
@@ -259,7 +259,7 @@
         if self.stream.code not in SERVER_CLOSE_CODES:  # else the server has ended them itself
             self.abandoned_jobs = dict.fromkeys((job.name for job in jobs), now_ms())
             for job in jobs:
-                job.hold(now_ms() + self.round_trip_ms)
+                job.block_until(now_ms() + self.round_trip_ms)
         self._wake()
         if self.is_connected:
             self._return_unwritten()
--- a/tests/ends/sides.py
+++ b/tests/ends/sides.py
@@ -57,7 +57,7 @@
             raise resp.BadResp(word)
         self.ends.append(word)
 
-    def hold(self, until_ms: float) -> None:
+    def block_until(self, until_ms: float) -> None:
         self.held_ms = until_ms
 
     def broken(self, status: str) -> None:
--- a/tests/test_back.py
+++ b/tests/test_back.py
@@ -30,7 +30,7 @@
     def broken(self, status: str) -> None:
         self.ends.append(status)
 
-    def hold(self, until_ms: float) -> None:
+    def block_until(self, until_ms: float) -> None:
         self.held_ms = until_ms
 
 
