--- a/tests/ends/sides.py
+++ b/tests/ends/sides.py
@@ -44,7 +44,7 @@
     def __init__(self, name: bytes = b"1", repeatable: bool = True) -> None:
         self.name, self.due_ms, self.reassignments, self.repeatable = name, 1e18, 0, repeatable
         self.ends: list[str] = []
-        self.held_ms = 0.0
+        self.blocked_until_ms = 0.0
 
     def command(self) -> bytes:
         return resp.write_command(b"PULL", self.name, b"-", b"")
@@ -58,7 +58,7 @@
         self.ends.append(word)
 
     def block_until(self, until_ms: float) -> None:
-        self.held_ms = until_ms
+        self.blocked_until_ms = until_ms
 
     def broken(self, status: str) -> None:
         self.ends.append(status)
--- a/tests/test_back.py
+++ b/tests/test_back.py
@@ -31,7 +31,7 @@
         self.ends.append(status)
 
     def block_until(self, until_ms: float) -> None:
-        self.held_ms = until_ms
+        self.blocked_until_ms = until_ms
 
 
 class Connections(unittest.TestCase):
