--- a/hitchtiller/back/jobs.py
+++ b/hitchtiller/back/jobs.py
@@ -40,7 +40,7 @@
     def command(self) -> bytes | None:
         """Write it, at its first byte; None if it may not go any more."""
 
-    def sent(self) -> None:
+    def on_sent(self) -> None:
         """Hear that its last byte went out."""
 
     def answered(self, word: str, fields: dict[str, str], body: bytes) -> None:
@@ -89,7 +89,7 @@
             fields += f",inm={have}"
         return resp.write_command(b"PULL", self.name, fields.encode(), ask.body)
 
-    def sent(self) -> None:
+    def on_sent(self) -> None:
         """Tell that it was written whole."""
         self.attempt.on_sent()
 
@@ -135,7 +135,7 @@
         self.due_ms = now_ms() + METER_MS
         return resp.write_command(b"METER", self.name)
 
-    def sent(self) -> None:
+    def on_sent(self) -> None:
         """Count nothing: a probe is no attempt."""
 
     def answered(self, word: str, fields: dict[str, str], body: bytes) -> None:
