--- a/hitchtiller/back/link.py
+++ b/hitchtiller/back/link.py
@@ -227,7 +227,7 @@
                 is_sent = self.stream.write_whole(data)
                 self.writing = None
                 if is_sent and not self.is_retired and not isinstance(job, bytes):
-                    job.sent()
+                    job.on_sent()
 
     def _start_job(self, job: Job) -> bytes | None:
         """Take a job's command; from here on it is owed an answer."""
