--- a/tests/ends/sides.py
+++ b/tests/ends/sides.py
@@ -49,7 +49,7 @@
     def command(self) -> bytes:
         return resp.write_command(b"PULL", self.name, b"-", b"")
 
-    def sent(self) -> None:
+    def on_sent(self) -> None:
         """Count nothing."""
 
     def answered(self, word: str, fields: dict[str, str], body: bytes) -> None:
