--- a/hitchtiller/back/jobs.py
+++ b/hitchtiller/back/jobs.py
@@ -121,7 +121,7 @@
         self.attempt.end(AttemptResult("econnrefused" if silent else status, silent=silent))
 
 
-class Meter:
+class MeterJob:
     """A probe as a METER."""
 
     def __init__(self, number: int, report: Callable[[str, dict[str, float]], None]) -> None:
--- a/hitchtiller/back/upstreams.py
+++ b/hitchtiller/back/upstreams.py
@@ -5,7 +5,7 @@
 from functools import partial
 from itertools import count
 
-from hitchtiller.back.jobs import Job, Meter, PullJob
+from hitchtiller.back.jobs import Job, MeterJob, PullJob
 from hitchtiller.back.link import LATE_ANSWER_MS, Link
 from hitchtiller.exchange import Attempt
 from hitchtiller.log import ended
@@ -157,7 +157,7 @@
     def probe(self, server: str, report: Callable[[str, dict[str, float]], None]) -> None:
         """Check a server."""
         if pool := self.pools.get(server):
-            pool.submit(Meter(next(self.numbers), report))
+            pool.submit(MeterJob(next(self.numbers), report))
         else:
             report("econnrefused", {})
 
