--- a/hitchtiller/back/jobs.py
+++ b/hitchtiller/back/jobs.py
@@ -10,20 +10,29 @@
 from hitchtiller.exchange import Attempt, AttemptResult
 from hitchtiller.sched import now_ms
 
-METER_MS = 1_000.0
-SINCE = re.compile(r"[0-9]{1,16}\Z")
-REV = re.compile(r"[0-9A-Za-z_.:+/-]{1,128}\Z")
-STATUS = {"DONE": "done", "KEEP": "done", "LACK": "enoent", "WAIT": "busy", "BROKE": "err", "PAST": "skipped"}
-NOTES = {letter: number for number, letter in enumerate("hfojsrblnx", 1)}  # `why`, by the simulator's numbers
-FILL = re.compile(r"[0-9]{1,9}(\.[0-9]{1,9})?\Z")
+METER_TIMEOUT_MS = 1_000.0
+ORIGIN_TIME_PATTERN = re.compile(r"[0-9]{1,16}\Z")
+TAG_PATTERN = re.compile(r"[0-9A-Za-z_.:+/-]{1,128}\Z")
+STATUS_BY_REPLY = {
+    "DONE": "done",
+    "KEEP": "done",
+    "LACK": "enoent",
+    "WAIT": "busy",
+    "BROKE": "err",
+    "PAST": "skipped",
+}
+NOTE_NUMBERS = {
+    letter: number for number, letter in enumerate("hfojsrblnx", 1)
+}  # `why`, by the simulator's numbers
+DECIMAL_PATTERN = re.compile(r"[0-9]{1,9}(\.[0-9]{1,9})?\Z")
 
 
-def _ms(text: str) -> float:
+def _read_ms(text: str) -> float:
     """Read how long a source was waited for; what can't be read is untold."""
-    return float(text) if FILL.match(text) else 0.0
+    return float(text) if DECIMAL_PATTERN.match(text) else 0.0
 
 
-HOW = {
+DO_VALUES = {
     flags: "+".join(word for word, flag in zip(("merge", "local", "revalidate"), flags, strict=True) if flag)
     for flags in product((False, True), repeat=3)
 }
@@ -83,7 +92,7 @@
             fields += f",store={get.keep}"
         if clearance.cap_ms:
             fields += f",cap={max(1, int(clearance.cap_ms))}"  # 0 would mean any age that is fresh
-        if how := HOW[get.join, get.held_only, get.renew]:
+        if how := DO_VALUES[get.join, get.held_only, get.renew]:
             fields += f",do={how}"
         if have := ask.client_tag or attempt.exchange.confirm_tag:
             fields += f",inm={have}"
@@ -95,10 +104,12 @@
 
     def answered(self, word: str, fields: dict[str, str], body: bytes) -> None:
         """End the attempt in the decisions' words."""
-        status, ask = STATUS.get(word, ""), self.attempt.exchange.request
+        status, ask = STATUS_BY_REPLY.get(word, ""), self.attempt.exchange.request
         rev, since = fields.get("rev"), fields.get("since")
         copy = status == "done" and not ask.write  # a key tells nothing: effects may run without one
-        if not status or (copy and not (REV.match(rev or "") and SINCE.match(since or ""))):
+        if not status or (
+            copy and not (TAG_PATTERN.match(rev or "") and ORIGIN_TIME_PATTERN.match(since or ""))
+        ):
             raise resp.BadResp(f"answer {word!r:.20} rev={rev!r:.40} since={since!r:.40}")  # as may the rest
         unchanged = word == "KEEP"
         if unchanged and not (ask.client_tag or self.attempt.exchange.confirm_tag):
@@ -106,7 +117,7 @@
         load = resp.read_report(fields["rep"]) if "rep" in fields else {}
         served = body if word == "DONE" else b""
         given = int(since) if copy and since else 0
-        note, waited = NOTES.get(fields.get("why", ""), 0), _ms(fields.get("fill", ""))
+        note, waited = NOTE_NUMBERS.get(fields.get("why", ""), 0), _read_ms(fields.get("fill", ""))
         self.attempt.end(
             AttemptResult(status, served, unchanged, fields.get("rev", ""), load, given, note, waited)
         )
@@ -132,7 +143,7 @@
 
     def command(self) -> bytes:
         """Write METER."""
-        self.due_ms = now_ms() + METER_MS
+        self.due_ms = now_ms() + METER_TIMEOUT_MS
         return resp.write_command(b"METER", self.name)
 
     def on_sent(self) -> None:
