--- a/hitchtiller/back/jobs.py
+++ b/hitchtiller/back/jobs.py
@@ -33,7 +33,9 @@
 
 
 DO_VALUES = {
-    flags: "+".join(word for word, flag in zip(("merge", "local", "revalidate"), flags, strict=True) if flag)
+    flags: "+".join(
+        reply for reply, flag in zip(("merge", "local", "revalidate"), flags, strict=True) if flag
+    )
     for flags in product((False, True), repeat=3)
 }
 
@@ -52,7 +54,7 @@
     def on_sent(self) -> None:
         """Hear that its last byte went out."""
 
-    def answered(self, word: str, fields: dict[str, str], body: bytes) -> None:
+    def answered(self, reply: str, fields: dict[str, str], body: bytes) -> None:
         """Take its answer; resp.BadResp for one that no server of ours gives."""
 
     def broken(self, status: str) -> None:
@@ -75,51 +77,53 @@
     def command(self) -> bytes | None:
         """Write PULL, with what is settled only now: the wait and the oldest copy that will do."""
         attempt = self.attempt
-        clearance = attempt.authorize(attempt)
-        if clearance is None:
+        limits = attempt.authorize(attempt)
+        if limits is None:
             attempt.drop("skipped")
             return None
         attempt.written = True
         self.due_ms = now_ms() + attempt.get.overdue_ms if attempt.get.overdue_ms else math.inf
-        ask, get = attempt.exchange.request, attempt.get
-        ttl = max(1, int(clearance.ttl_ms))
-        fields = f"lane={ask.class_name},name={ask.object},piece={ask.part},ttl={ttl}"
-        if ask.dedupe:
-            fields += f",dedupe={ask.dedupe}"
+        request, get = attempt.exchange.request, attempt.get
+        ttl = max(1, int(limits.ttl_ms))
+        fields = f"lane={request.class_name},name={request.object},piece={request.part},ttl={ttl}"
+        if request.dedupe:
+            fields += f",dedupe={request.dedupe}"
         if get.source != get.server:
             fields += f",up={get.source}"
         if get.keep:
             fields += f",store={get.keep}"
-        if clearance.cap_ms:
-            fields += f",cap={max(1, int(clearance.cap_ms))}"  # 0 would mean any age that is fresh
-        if how := DO_VALUES[get.join, get.held_only, get.renew]:
-            fields += f",do={how}"
-        if have := ask.client_tag or attempt.exchange.confirm_tag:
-            fields += f",inm={have}"
-        return resp.write_command(b"PULL", self.name, fields.encode(), ask.body)
+        if limits.cap_ms:
+            fields += f",cap={max(1, int(limits.cap_ms))}"  # 0 would mean any age that is fresh
+        if do_value := DO_VALUES[get.join, get.held_only, get.renew]:
+            fields += f",do={do_value}"
+        if client_tag := request.client_tag or attempt.exchange.confirm_tag:
+            fields += f",inm={client_tag}"
+        return resp.write_command(b"PULL", self.name, fields.encode(), request.body)
 
     def on_sent(self) -> None:
         """Tell that it was written whole."""
         self.attempt.on_sent()
 
-    def answered(self, word: str, fields: dict[str, str], body: bytes) -> None:
+    def answered(self, reply: str, fields: dict[str, str], body: bytes) -> None:
         """End the attempt in the decisions' words."""
-        status, ask = STATUS_BY_REPLY.get(word, ""), self.attempt.exchange.request
+        status, request = STATUS_BY_REPLY.get(reply, ""), self.attempt.exchange.request
         rev, since = fields.get("rev"), fields.get("since")
-        copy = status == "done" and not ask.write  # a key tells nothing: effects may run without one
+        is_copy = status == "done" and not request.write  # a key tells nothing: effects may run without one
         if not status or (
-            copy and not (TAG_PATTERN.match(rev or "") and ORIGIN_TIME_PATTERN.match(since or ""))
+            is_copy and not (TAG_PATTERN.match(rev or "") and ORIGIN_TIME_PATTERN.match(since or ""))
         ):
-            raise resp.BadResp(f"answer {word!r:.20} rev={rev!r:.40} since={since!r:.40}")  # as may the rest
-        unchanged = word == "KEEP"
-        if unchanged and not (ask.client_tag or self.attempt.exchange.confirm_tag):
+            raise resp.BadResp(f"answer {reply!r:.20} rev={rev!r:.40} since={since!r:.40}")  # as may the rest
+        unchanged = reply == "KEEP"
+        if unchanged and not (request.client_tag or self.attempt.exchange.confirm_tag):
             status = "err"  # a server that keeps a copy the client never named
         load = resp.read_report(fields["rep"]) if "rep" in fields else {}
-        served = body if word == "DONE" else b""
-        given = int(since) if copy and since else 0
-        note, waited = NOTE_NUMBERS.get(fields.get("why", ""), 0), _read_ms(fields.get("fill", ""))
+        served_body = body if reply == "DONE" else b""
+        origin_ms = int(since) if is_copy and since else 0
+        note, waited_ms = NOTE_NUMBERS.get(fields.get("why", ""), 0), _read_ms(fields.get("fill", ""))
         self.attempt.end(
-            AttemptResult(status, served, unchanged, fields.get("rev", ""), load, given, note, waited)
+            AttemptResult(
+                status, served_body, unchanged, fields.get("rev", ""), load, origin_ms, note, waited_ms
+            )
         )
 
     def block_until(self, until_ms: float) -> None:
@@ -135,11 +139,11 @@
 class MeterJob:
     """A probe as a METER."""
 
-    def __init__(self, number: int, report: Callable[[str, dict[str, float]], None]) -> None:
+    def __init__(self, number: int, on_report: Callable[[str, dict[str, float]], None]) -> None:
         """Report to `report` once."""
         self.name = b"m%x" % number
         self.due_ms, self.reassignments, self.repeatable = math.inf, 0, True
-        self.report = report
+        self.on_report = on_report
 
     def command(self) -> bytes:
         """Write METER."""
@@ -149,13 +153,13 @@
     def on_sent(self) -> None:
         """Count nothing: a probe is no attempt."""
 
-    def answered(self, word: str, fields: dict[str, str], body: bytes) -> None:
+    def answered(self, reply: str, fields: dict[str, str], body: bytes) -> None:
         """Report what came."""
-        self.report("done" if word == "FIT" else "err", resp.read_report(fields.get("rep", "")))
+        self.on_report("done" if reply == "FIT" else "err", resp.read_report(fields.get("rep", "")))
 
     def block_until(self, until_ms: float) -> None:
         """Pass over: a probe is no attempt."""
 
     def broken(self, status: str) -> None:
         """Report the connection's end."""
-        self.report("econnrefused" if status == "silent" else status, {})
+        self.on_report("econnrefused" if status == "silent" else status, {})
