--- a/hitchtiller/back/upstreams.py
+++ b/hitchtiller/back/upstreams.py
@@ -12,7 +12,7 @@
 from hitchtiller.news import ListedServer, Topology
 from hitchtiller.sched import Scheduler, now_ms
 
-MOST_MOVES = 2  # connections that an unwritten job may see end
+MAX_REASSIGNMENTS = 2  # connections that an unwritten job may see end
 FEW, MOST_LINKS = 3, 6  # attempts on one connection from which another opens, and how many of them
 SWEEP_MS = 100.0
 
@@ -86,7 +86,9 @@
             (self.cut if link.stream.code == "junk" else self.abandoned_jobs).update(names)
         for job in unwritten:
             job.reassignments += 1
-            if job.reassignments > MOST_MOVES:  # guards against a server that resets whatever is opened
+            if (
+                job.reassignments > MAX_REASSIGNMENTS
+            ):  # guards against a server that resets whatever is opened
                 job.broken("econnrefused")
             else:
                 self.submit(job)
--- a/tests/test_back.py
+++ b/tests/test_back.py
@@ -7,7 +7,7 @@
 
 from hitchtiller.back import link as link_module
 from hitchtiller.back.link import Link
-from hitchtiller.back.upstreams import MOST_MOVES, Upstreams
+from hitchtiller.back.upstreams import MAX_REASSIGNMENTS, Upstreams
 from hitchtiller.codec.resp import BadResp
 from hitchtiller.interface import Member
 from hitchtiller.news import ListedServer, Topology
@@ -54,7 +54,7 @@
     def test_an_unwritten_job_is_not_handed_on_without_end(self) -> None:
         """A server that reset whatever was opened had the loop to itself."""
         job = Job()
-        for _ in range(MOST_MOVES):
+        for _ in range(MAX_REASSIGNMENTS):
             self.pool.ended(self.link(), [job])
             self.assertFalse(job.ends)
         self.pool.ended(self.link(), [job])
