--- a/hitchtiller/back/upstreams.py
+++ b/hitchtiller/back/upstreams.py
@@ -13,8 +13,11 @@
 from hitchtiller.sched import Scheduler, now_ms
 
 MAX_REASSIGNMENTS = 2  # connections that an unwritten job may see end
-FEW, MOST_LINKS = 3, 6  # attempts on one connection from which another opens, and how many of them
-SWEEP_MS = 100.0
+SPREAD_JOBS, MAX_LINKS_PER_SERVER = (
+    3,
+    6,
+)  # attempts on one connection from which another opens, and how many of them
+SWEEP_INTERVAL_MS = 100.0
 
 
 class Pool:
@@ -48,7 +51,7 @@
             if (
                 link is None
                 and each.is_connected
-                and len(each.open_jobs) + len(each.queued_names) < FEW
+                and len(each.open_jobs) + len(each.queued_names) < SPREAD_JOBS
                 and each.has_room(name)
             ):
                 link = each
@@ -66,7 +69,7 @@
     def _opens(self, needed: bool) -> bool:
         if self.closed or self.owner.count >= self.owner.most:
             return False
-        free = self.owner.count < self.owner.most / 2 and len(self.links) < MOST_LINKS
+        free = self.owner.count < self.owner.most / 2 and len(self.links) < MAX_LINKS_PER_SERVER
         return needed or (free and all(link.is_connected for link in self.links))
 
     def cancel(self, job: Job) -> None:
@@ -114,9 +117,9 @@
     def _sweep(self) -> None:
         last = now_ms()
         while True:
-            self.sched.sleep(SWEEP_MS)
+            self.sched.sleep(SWEEP_INTERVAL_MS)
             now = now_ms()
-            if now - last < 2.0 * SWEEP_MS:  # else the lag is ours: answers may lie unread
+            if now - last < 2.0 * SWEEP_INTERVAL_MS:  # else the lag is ours: answers may lie unread
                 for link in [link for pool in self.pools.values() for link in pool.links]:
                     link.check(now)
             last = now
