--- a/hitchtiller/back/upstreams.py
+++ b/hitchtiller/back/upstreams.py
@@ -76,7 +76,7 @@
         """Give a job up wherever it is."""
         any(link.cancel(job) for link in self.links)
 
-    def ended(self, link: Link, unwritten: list[Job]) -> None:
+    def on_link_closed(self, link: Link, unwritten: list[Job]) -> None:
         """Take a connection's end; what was never written goes on another."""
         if link.stream.code and link in self.links:  # a spoiled one may tell twice
             self.links.remove(link)
@@ -128,7 +128,9 @@
         """Start a connection; None if the process has no descriptor left for it."""
         host = pool.host
         try:
-            link = Link(self.sched, host.member.server, host.address, self.timeouts, self.streams, pool.ended)
+            link = Link(
+                self.sched, host.member.server, host.address, self.timeouts, self.streams, pool.on_link_closed
+            )
         except OSError as error:
             ended("server", host.member.server, "no-descriptor", error.strerror or "")
             return None
--- a/tests/test_back.py
+++ b/tests/test_back.py
@@ -55,9 +55,9 @@
         """A server that reset whatever was opened had the loop to itself."""
         job = Job()
         for _ in range(MAX_REASSIGNMENTS):
-            self.pool.ended(self.link(), [job])
+            self.pool.on_link_closed(self.link(), [job])
             self.assertFalse(job.ends)
-        self.pool.ended(self.link(), [job])
+        self.pool.on_link_closed(self.link(), [job])
         self.assertEqual(job.ends, ["econnrefused"])
 
     def test_a_few_attempts_share_a_connection_and_others_open_beside_it(self) -> None:
