--- a/hitchtiller/back/upstreams.py
+++ b/hitchtiller/back/upstreams.py
@@ -23,13 +23,13 @@
 class Pool:
     """The connections to one process at one address."""
 
-    def __init__(self, owner: "Upstreams", host: ListedServer) -> None:
+    def __init__(self, upstreams: "Upstreams", listed: ListedServer) -> None:
         """Start without a connection."""
-        self.owner, self.host = owner, host
+        self.upstreams, self.listed = upstreams, listed
         self.links: list[Link] = []
         # given up on connections that have ended, since when: of those, on ones that had just spoken junk
         self.abandoned_jobs: dict[bytes, float] = {}
-        self.cut: dict[bytes, float] = {}
+        self.abandoned_after_junk: dict[bytes, float] = {}
         self.closed = False
 
     def submit(self, job: Job) -> None:
@@ -38,16 +38,16 @@
         # overtake the KILL, and the server then has one id twice; the same holds for a connection's close.
         # A server that hangs reads neither before it goes on, so it is not asked again. One that has just
         # spoken junk reads on: a connection that is opened only now comes up after the close has arrived
-        name, link, crowded, now = job.name, None, None, now_ms()
-        killing = [
+        name, link, busy_link, now = job.name, None, None, now_ms()
+        kill_links = [
             each for each in self.links if now - each.killed_jobs.get(name, -math.inf) < LATE_ANSWER_MS
         ]
-        if now - self.abandoned_jobs.get(name, -math.inf) < LATE_ANSWER_MS or len(killing) > 1:
+        if now - self.abandoned_jobs.get(name, -math.inf) < LATE_ANSWER_MS or len(kill_links) > 1:
             return job.broken("skipped")
-        if killing:
-            return killing[0].submit(job) if killing[0].accepts(name) else job.broken("skipped")
-        fresh_only = now - self.cut.get(name, -math.inf) < self.owner.timeouts[0]
-        for each in () if fresh_only else self.links:
+        if kill_links:
+            return kill_links[0].submit(job) if kill_links[0].accepts(name) else job.broken("skipped")
+        new_only = now - self.abandoned_after_junk.get(name, -math.inf) < self.upstreams.timeouts[0]
+        for each in () if new_only else self.links:
             if (
                 link is None
                 and each.is_connected
@@ -55,22 +55,22 @@
                 and each.has_room(name)
             ):
                 link = each
-            elif crowded is None and each.has_room(name):
-                crowded = each  # answers that come together are read together: it saves a busy core
+            elif busy_link is None and each.has_room(name):
+                busy_link = each  # answers that come together are read together: it saves a busy core
         if link is None:
             # guards against one reset that ends all there is; what is idle closes by itself
-            fresh = self.owner.open(self) if self._opens(crowded is None) else None
-            link = crowded or fresh
+            new_link = self.upstreams.open(self) if self._may_open(busy_link is None) else None
+            link = busy_link or new_link
         if link is None:
             job.broken("skipped")  # a lack of our own, which no server is to be blamed for
         else:
             link.submit(job)
 
-    def _opens(self, needed: bool) -> bool:
-        if self.closed or self.owner.count >= self.owner.most:
+    def _may_open(self, is_needed: bool) -> bool:
+        if self.closed or self.upstreams.count >= self.upstreams.most:
             return False
-        free = self.owner.count < self.owner.most / 2 and len(self.links) < MAX_LINKS_PER_SERVER
-        return needed or (free and all(link.is_connected for link in self.links))
+        may_spread = self.upstreams.count < self.upstreams.most / 2 and len(self.links) < MAX_LINKS_PER_SERVER
+        return is_needed or (may_spread and all(link.is_connected for link in self.links))
 
     def cancel(self, job: Job) -> None:
         """Give a job up wherever it is."""
@@ -80,13 +80,13 @@
         """Take a connection's end; what was never written goes on another."""
         if link.stream.code and link in self.links:  # a spoiled one may tell twice
             self.links.remove(link)
-            self.owner.count -= 1
+            self.upstreams.count -= 1
             now, names = now_ms(), link.abandoned_jobs
-            for told in (self.abandoned_jobs, self.cut):
-                for name in [name for name, at in told.items() if now - at >= LATE_ANSWER_MS]:
-                    del told[name]
+            for remembered in (self.abandoned_jobs, self.abandoned_after_junk):
+                for name in [name for name, at in remembered.items() if now - at >= LATE_ANSWER_MS]:
+                    del remembered[name]
             self.abandoned_jobs |= link.killed_jobs
-            (self.cut if link.stream.code == "junk" else self.abandoned_jobs).update(names)
+            (self.abandoned_after_junk if link.stream.code == "junk" else self.abandoned_jobs).update(names)
         for job in unwritten:
             job.reassignments += 1
             if (
@@ -106,12 +106,14 @@
 class Upstreams:
     """Follows the list and carries attempts to the servers on it."""
 
-    def __init__(self, sched: Scheduler, timeouts: tuple[float, float], streams: int, most: int) -> None:
+    def __init__(
+        self, sched: Scheduler, timeouts: tuple[float, float], jobs_per_link: int, max_links: int
+    ) -> None:
         """Hold at most `most` connections of `streams` attempts each."""
-        self.sched, self.timeouts, self.streams, self.most = sched, timeouts, streams, most
+        self.sched, self.timeouts, self.jobs_per_link, self.most = sched, timeouts, jobs_per_link, max_links
         self.pools: dict[str, Pool] = {}
         self.count = self.opened = 0  # connections that there are, and all that ever were
-        self.numbers = count(1)
+        self.probe_numbers = count(1)
         sched.spawn(self._sweep)
 
     def _sweep(self) -> None:
@@ -126,13 +128,18 @@
 
     def open(self, pool: Pool) -> Link | None:
         """Start a connection; None if the process has no descriptor left for it."""
-        host = pool.host
+        listed = pool.listed
         try:
             link = Link(
-                self.sched, host.member.server, host.address, self.timeouts, self.streams, pool.on_link_closed
+                self.sched,
+                listed.member.server,
+                listed.address,
+                self.timeouts,
+                self.jobs_per_link,
+                pool.on_link_closed,
             )
         except OSError as error:
-            ended("server", host.member.server, "no-descriptor", error.strerror or "")
+            ended("server", listed.member.server, "no-descriptor", error.strerror or "")
             return None
         pool.links.append(link)
         self.count += 1
@@ -161,34 +168,37 @@
         if attempt.back_end_handle:
             attempt.back_end_handle[0].cancel(attempt.back_end_handle[1])
 
-    def probe(self, server: str, report: Callable[[str, dict[str, float]], None]) -> None:
+    def probe(self, server: str, on_report: Callable[[str, dict[str, float]], None]) -> None:
         """Check a server."""
         if pool := self.pools.get(server):
-            pool.submit(MeterJob(next(self.numbers), report))
+            pool.submit(MeterJob(next(self.probe_numbers), on_report))
         else:
-            report("econnrefused", {})
+            on_report("econnrefused", {})
 
     def follow(self, news: Topology) -> Callable[[], None]:
         """Take the list's news; a process that started anew, or elsewhere, gets a new pool."""
         stale: list[Pool] = []
-        listed = {host.member.server for host in news.hosts}
-        gone = [server for server in self.pools if news.whole and server not in listed]
-        for host in news.hosts:
-            member = host.member
+        listed_names = {listed.member.server for listed in news.hosts}
+        removed = [server for server in self.pools if news.whole and server not in listed_names]
+        for listed in news.hosts:
+            member = listed.member
             if member.state == "DELETED":
-                gone.append(member.server)
+                removed.append(member.server)
                 continue
             pool = self.pools.get(member.server)
-            if pool and (pool.host.address, pool.host.member.started_ms) == (host.address, member.started_ms):
-                pool.host = host
+            if pool and (pool.listed.address, pool.listed.member.started_ms) == (
+                listed.address,
+                member.started_ms,
+            ):
+                pool.listed = listed
                 continue
             if pool:
                 stale.append(pool)
-            self.pools[member.server] = Pool(self, host)
-        stale += [self.pools.pop(server) for server in gone if server in self.pools]
+            self.pools[member.server] = Pool(self, listed)
+        stale += [self.pools.pop(server) for server in removed if server in self.pools]
 
-        def settle() -> None:
+        def close_stale() -> None:
             for pool in stale:
                 pool.close("gone")
 
-        return settle
+        return close_stale
