--- a/hitchtiller/back/upstreams.py
+++ b/hitchtiller/back/upstreams.py
@@ -67,9 +67,11 @@
             link.submit(job)
 
     def _may_open(self, is_needed: bool) -> bool:
-        if self.closed or self.upstreams.count >= self.upstreams.most:
+        if self.closed or self.upstreams.link_count >= self.upstreams.most:
             return False
-        may_spread = self.upstreams.count < self.upstreams.most / 2 and len(self.links) < MAX_LINKS_PER_SERVER
+        may_spread = (
+            self.upstreams.link_count < self.upstreams.most / 2 and len(self.links) < MAX_LINKS_PER_SERVER
+        )
         return is_needed or (may_spread and all(link.is_connected for link in self.links))
 
     def cancel(self, job: Job) -> None:
@@ -80,7 +82,7 @@
         """Take a connection's end; what was never written goes on another."""
         if link.stream.code and link in self.links:  # a spoiled one may tell twice
             self.links.remove(link)
-            self.upstreams.count -= 1
+            self.upstreams.link_count -= 1
             now, names = now_ms(), link.abandoned_jobs
             for remembered in (self.abandoned_jobs, self.abandoned_after_junk):
                 for name in [name for name, at in remembered.items() if now - at >= LATE_ANSWER_MS]:
@@ -112,7 +114,7 @@
         """Hold at most `most` connections of `streams` attempts each."""
         self.sched, self.timeouts, self.jobs_per_link, self.most = sched, timeouts, jobs_per_link, max_links
         self.pools: dict[str, Pool] = {}
-        self.count = self.opened = 0  # connections that there are, and all that ever were
+        self.link_count = self.opened = 0  # connections that there are, and all that ever were
         self.probe_numbers = count(1)
         sched.spawn(self._sweep)
 
@@ -142,7 +144,7 @@
             ended("server", listed.member.server, "no-descriptor", error.strerror or "")
             return None
         pool.links.append(link)
-        self.count += 1
+        self.link_count += 1
         self.opened += 1
         return link
 
--- a/tests/ends/test_ends_descriptors.py
+++ b/tests/ends/test_ends_descriptors.py
@@ -76,7 +76,7 @@
         with no_descriptors():
             back.pools["s"].submit(job)
         self.assertEqual(job.ends, ["skipped"], "which proves that nothing ran")
-        self.assertEqual(back.count, 0)
+        self.assertEqual(back.link_count, 0)
         again = Job()
         back.pools["s"].submit(again)
         self.addCleanup(back.pools["s"].close, "end")
