--- a/hitchtiller/front/client.py
+++ b/hitchtiller/front/client.py
@@ -256,7 +256,7 @@
         self.excess_requests = self.excess_requests + 1 if full else 0
         if self.excess_requests > MAX_EXCESS_REQUESTS:
             return self._fail_flood()
-        if full or self.close_code or not self.front.takes(arrived_ms):
+        if full or self.close_code or not self.front.accepts_request(arrived_ms):
             stats.end(request.class_name, REFUSED)
             self._send_answer(stream, Answer(REFUSED, wait_ms=self.front.settings.max_retry_after_ms))
             return
--- a/hitchtiller/front/server.py
+++ b/hitchtiller/front/server.py
@@ -76,7 +76,7 @@
         self.sched.forget(self.listener.fileno())
         self.listener.close()
 
-    def takes(self, arrived_ms: float) -> bool:
+    def accepts_request(self, arrived_ms: float) -> bool:
         """Tell whether one more request can be held, and served by a loop that keeps up."""
         # guards the others' aims in an overload: a refusal takes a fraction of the time of an attempt
         return not self.refusing and Stream.buffered_bytes < self.room and now_ms() - arrived_ms < LAG_MS
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -61,9 +61,9 @@
 
     def test_what_lay_unread_in_a_loop_that_lags_is_turned_away(self) -> None:
         """At lags of 0.2 to 0.3 s all were taken, and all were late."""
-        self.assertTrue(self.front.takes(now_ms()))
-        self.assertFalse(self.front.takes(now_ms() - 300.0))
+        self.assertTrue(self.front.accepts_request(now_ms()))
+        self.assertFalse(self.front.accepts_request(now_ms() - 300.0))
 
     def test_buffers_have_a_bound_in_all(self) -> None:
         Stream.buffered_bytes = 1001
-        self.assertFalse(self.front.takes(now_ms()))
+        self.assertFalse(self.front.accepts_request(now_ms()))
