--- a/hitchtiller/front/client.py
+++ b/hitchtiller/front/client.py
@@ -108,7 +108,7 @@
             self.stream.close(self.close_code or str(error))
         finally:
             self.stream.close("fault")
-            self.front.gone(self)
+            self.front.remove_client(self)
             ended(
                 "client",
                 self.remote_address,
--- a/hitchtiller/front/server.py
+++ b/hitchtiller/front/server.py
@@ -81,7 +81,7 @@
         # guards the others' aims in an overload: a refusal takes a fraction of the time of an attempt
         return not self.refusing and Stream.buffered_bytes < self.room and now_ms() - arrived_ms < LAG_MS
 
-    def gone(self, client: Client) -> None:
+    def remove_client(self, client: Client) -> None:
         """Forget a client."""
         self.clients.discard(client)
 
