--- a/hitchtiller/front/client.py
+++ b/hitchtiller/front/client.py
@@ -200,7 +200,7 @@
             self.last_probe_ms = now_ms()
             if self.stream.size > HIGH_WATER_BYTES:
                 return self._fail_flood()
-            code = frames.REFUSED if self.front.told() else frames.SERVED
+            code = frames.REFUSED if self.front.client_unready_reason() else frames.SERVED
             payload = bytes([code]) + frames.write_fields({})
             self.stream.write(frames.head(frames.READY_ANSWER, frame.stream, len(payload)) + payload)
         else:
--- a/hitchtiller/front/server.py
+++ b/hitchtiller/front/server.py
@@ -65,7 +65,7 @@
             filter(None, (doubt() for doubt in self.not_ready_reasons)), ""
         )
 
-    def told(self) -> str:
+    def client_unready_reason(self) -> str:
         """Tell clients the same, but for a gateway whose next version is ready: the gateway as a whole is."""
         return "" if self.state == HANDING else self.unready()
 
