--- a/hitchtiller/front/leave.py
+++ b/hitchtiller/front/leave.py
@@ -8,7 +8,7 @@
 if TYPE_CHECKING:
     from hitchtiller.front.server import Front
 
-SERVING, DRAINED, HANDING, STOPPING = "serving", "drained", "handed over to the next version", "stopping"
+SERVING, DRAINED, HANDED_OVER, STOPPING = "serving", "drained", "handed over to the next version", "stopping"
 ACCEPT_MS = 450.0  # after the word to go, connections may come for 0.4 s
 REQUESTS_MS = 350.0  # and on open ones requests for 0.2 s more
 # PROTOCOL, figures: it may be killed so long after SIGTERM, on top of the longest deadline up to MOST_MS
@@ -62,26 +62,26 @@
         for client in list(self.front.clients):
             client.send_going()
             if client.may_close(now, final):
-                client.close_when_done(MOVED if self.front.state == HANDING else "drained", CROSS_MS)
+                client.close_when_done(MOVED if self.front.state == HANDED_OVER else "drained", CROSS_MS)
 
     def hand_over(self) -> None:
         """Leave the clients to the next version, which accepts from now on, and end when all have gone."""
         if self.front.state in (SERVING, DRAINED):
-            self.front.state, self.front.accepting, self.front.refusing = HANDING, False, False
+            self.front.state, self.front.accepting, self.front.refusing = HANDED_OVER, False, False
             self.superseded = True
             logger.info("handed over to the next version, {} clients", len(self.front.clients))
             self.sched.spawn(self._hand_over)
 
     def resume_after_hand_over(self) -> None:
         """Serve on: the next version has ended."""
-        if self.front.state == HANDING:
+        if self.front.state == HANDED_OVER:
             logger.warning("the next version has ended, serving again")
             self.front.state, self.front.accepting, self.superseded = SERVING, True, False
             self._forget_told()
 
     def _hand_over(self) -> None:
         begun = now_ms()
-        while self.front.state == HANDING:
+        while self.front.state == HANDED_OVER:
             self._let_go(final=False)
             if not self.front.clients and now_ms() - begun > STAY_MS:
                 return self._end(MOVED)
@@ -96,7 +96,7 @@
         front = self.front
         if front.state == STOPPING:
             return
-        alone = front.state != HANDING
+        alone = front.state != HANDED_OVER
         begun = now_ms()
         front.state = STOPPING
         logger.info("told to stop")
--- a/hitchtiller/front/server.py
+++ b/hitchtiller/front/server.py
@@ -6,7 +6,7 @@
 from hitchtiller import interface as api
 from hitchtiller.engine import Engine
 from hitchtiller.front.client import Client
-from hitchtiller.front.leave import HANDING, SERVING, DrainControl
+from hitchtiller.front.leave import HANDED_OVER, SERVING, DrainControl
 from hitchtiller.log import ended
 from hitchtiller.sched import READ, Scheduler, Stream, now_ms
 
@@ -67,7 +67,7 @@
 
     def client_unready_reason(self) -> str:
         """Tell clients the same, but for a gateway whose next version is ready: the gateway as a whole is."""
-        return "" if self.state == HANDING else self.unready()
+        return "" if self.state == HANDED_OVER else self.unready()
 
     def close(self) -> None:
         """Listen no more; what the machine accepted until now counts as ours, unless another listens too."""
