--- a/hitchtiller/front/leave.py
+++ b/hitchtiller/front/leave.py
@@ -9,8 +9,8 @@
     from hitchtiller.front.server import Front
 
 SERVING, DRAINED, HANDED_OVER, STOPPING = "serving", "drained", "handed over to the next version", "stopping"
-ACCEPT_MS = 450.0  # after the word to go, connections may come for 0.4 s
-REQUESTS_MS = 350.0  # and on open ones requests for 0.2 s more
+ACCEPT_GRACE_MS = 450.0  # after the word to go, connections may come for 0.4 s
+REQUEST_GRACE_MS = 350.0  # and on open ones requests for 0.2 s more
 # PROTOCOL, figures: it may be killed so long after SIGTERM, on top of the longest deadline up to MOST_MS
 KILL_MS, MOST_MS = 700.0, 3_000.0
 LAST_MS, SAFE_MS = 250.0, 150.0  # for the last answers to go out, and from the exit to the kill
@@ -48,7 +48,7 @@
 
     def _empty(self, drain: int) -> None:
         begun = now_ms()
-        self.sched.sleep(ACCEPT_MS)
+        self.sched.sleep(ACCEPT_GRACE_MS)
         while self.front.state == DRAINED and drain == self.drains:
             passed = now_ms() - begun
             # guards against clients that ask on: from 4 s after the call none may hold a late request
@@ -101,11 +101,11 @@
         front.state = STOPPING
         logger.info("told to stop")
         if alone:
-            self.sched.sleep(ACCEPT_MS)
+            self.sched.sleep(ACCEPT_GRACE_MS)
         front.close()
         for client in list(front.clients):
             client.send_going()
-        self.sched.sleep(REQUESTS_MS)
+        self.sched.sleep(REQUEST_GRACE_MS)
         answer_ms, exit_ms = self._times(begun)
         while front.clients and now_ms() < answer_ms:
             self._close_settled()
--- a/tests/ends/test_ends_shutdown.py
+++ b/tests/ends/test_ends_shutdown.py
@@ -19,7 +19,7 @@
 
     def setUp(self) -> None:
         super().setUp()
-        for name in ("ACCEPT_MS", "REQUESTS_MS"):
+        for name in ("ACCEPT_GRACE_MS", "REQUEST_GRACE_MS"):
             patch = mock.patch.object(leave_module, name, 5.0)
             patch.start()
             self.addCleanup(patch.stop)
