--- a/hitchtiller/front/leave.py
+++ b/hitchtiller/front/leave.py
@@ -53,10 +53,10 @@
             passed = now_ms() - begun
             # guards against clients that ask on: from 4 s after the call none may hold a late request
             self.front.refusing = passed > LATE_MS
-            self._let_go(passed > LAST_CALL_MS)
+            self._release_clients(passed > LAST_CALL_MS)
             self.sched.sleep(LOOK_MS)
 
-    def _let_go(self, final: bool) -> None:
+    def _release_clients(self, final: bool) -> None:
         """Tell all clients to go, and close those that hold nothing more."""
         now = now_ms()
         for client in list(self.front.clients):
@@ -82,7 +82,7 @@
     def _hand_over(self) -> None:
         begun = now_ms()
         while self.front.state == HANDED_OVER:
-            self._let_go(final=False)
+            self._release_clients(final=False)
             if not self.front.clients and now_ms() - begun > STAY_MS:
                 return self._end(MOVED)
             self.sched.sleep(LOOK_MS)
--- a/tests/ends/test_ends_shutdown.py
+++ b/tests/ends/test_ends_shutdown.py
@@ -119,7 +119,7 @@
             return found
 
         with mock.patch.object(Client, "is_idle", crossed):
-            self.front.leave._let_go(final=True)
+            self.front.leave._release_clients(final=True)
         got = list(frames.FrameReader().feed(self.everything()))
         self.assertEqual([(f.kind, f.stream) for f in got], [(frames.ANSWER, 1), (frames.GOING, 0)])
         self.assertEqual(len(self.engine.taken), 1)
