--- a/hitchtiller/front/leave.py
+++ b/hitchtiller/front/leave.py
@@ -12,12 +12,18 @@
 ACCEPT_GRACE_MS = 450.0  # after the word to go, connections may come for 0.4 s
 REQUEST_GRACE_MS = 350.0  # and on open ones requests for 0.2 s more
 # PROTOCOL, figures: it may be killed so long after SIGTERM, on top of the longest deadline up to MOST_MS
-KILL_MS, MOST_MS = 700.0, 3_000.0
-LAST_MS, SAFE_MS = 250.0, 150.0  # for the last answers to go out, and from the exit to the kill
-CROSS_MS = 100.0  # what crosses a close for so long is dropped: its client sends it again elsewhere
-LATE_MS, LAST_CALL_MS = 1_500.0, 2_500.0  # in a drain: requests are refused, and their connections closed
-LOOK_MS = 50.0
-STAY_MS = 1_000.0  # after handing over: the next version may end in its first moments
+KILL_GRACE_MS, MAX_DEADLINE_MS = 700.0, 3_000.0
+LAST_ANSWERS_MS, EXIT_MARGIN_MS = (
+    250.0,
+    150.0,
+)  # for the last answers to go out, and from the exit to the kill
+CLOSE_LINGER_MS = 100.0  # what crosses a close for so long is dropped: its client sends it again elsewhere
+DRAIN_REFUSE_MS, DRAIN_CLOSE_MS = (
+    1_500.0,
+    2_500.0,
+)  # in a drain: requests are refused, and their connections closed
+CHECK_INTERVAL_MS = 50.0
+MIN_STAY_MS = 1_000.0  # after handing over: the next version may end in its first moments
 MOVED = "moved"  # the code of connections whose clients go to the next version
 
 
@@ -52,9 +58,9 @@
         while self.front.state == DRAINED and drain == self.drains:
             passed = now_ms() - begun
             # guards against clients that ask on: from 4 s after the call none may hold a late request
-            self.front.refusing = passed > LATE_MS
-            self._release_clients(passed > LAST_CALL_MS)
-            self.sched.sleep(LOOK_MS)
+            self.front.refusing = passed > DRAIN_REFUSE_MS
+            self._release_clients(passed > DRAIN_CLOSE_MS)
+            self.sched.sleep(CHECK_INTERVAL_MS)
 
     def _release_clients(self, final: bool) -> None:
         """Tell all clients to go, and close those that hold nothing more."""
@@ -62,7 +68,9 @@
         for client in list(self.front.clients):
             client.send_going()
             if client.may_close(now, final):
-                client.close_when_done(MOVED if self.front.state == HANDED_OVER else "drained", CROSS_MS)
+                client.close_when_done(
+                    MOVED if self.front.state == HANDED_OVER else "drained", CLOSE_LINGER_MS
+                )
 
     def hand_over(self) -> None:
         """Leave the clients to the next version, which accepts from now on, and end when all have gone."""
@@ -83,9 +91,9 @@
         begun = now_ms()
         while self.front.state == HANDED_OVER:
             self._release_clients(final=False)
-            if not self.front.clients and now_ms() - begun > STAY_MS:
+            if not self.front.clients and now_ms() - begun > MIN_STAY_MS:
                 return self._end(MOVED)
-            self.sched.sleep(LOOK_MS)
+            self.sched.sleep(CHECK_INTERVAL_MS)
 
     def _forget_told(self) -> None:
         for client in self.front.clients:
@@ -121,9 +129,11 @@
 
     def _times(self, begun: float) -> tuple[float, float]:
         """Give until when answers are waited for, and when the program is gone: before it may be killed."""
-        longest = max((cls.deadline_ms for cls in self.front.settings.classes.values()), default=MOST_MS)
-        kill = begun + min(longest, MOST_MS) + KILL_MS
-        return kill - LAST_MS - SAFE_MS, kill - SAFE_MS
+        longest = max(
+            (cls.deadline_ms for cls in self.front.settings.classes.values()), default=MAX_DEADLINE_MS
+        )
+        kill = begun + min(longest, MAX_DEADLINE_MS) + KILL_GRACE_MS
+        return kill - LAST_ANSWERS_MS - EXIT_MARGIN_MS, kill - EXIT_MARGIN_MS
 
     def _close_settled(self, final: bool = False) -> None:
         """Close each connection on which nothing is owed; `last`: also where half a request has come.
@@ -137,7 +147,7 @@
                 if client.timeout_code(now):
                     client.stream.close(client.close_code)
             elif client.is_idle() and (final or not client.stream.kept):
-                client.close_when_done("stop", CROSS_MS)
+                client.close_when_done("stop", CLOSE_LINGER_MS)
 
     def _end(self, code: str) -> None:
         for client in list(self.front.clients):
