--- a/hitchtiller/front/leave.py
+++ b/hitchtiller/front/leave.py
@@ -33,33 +33,33 @@
     def __init__(self, front: "Front") -> None:
         """Work on a front's state and clients."""
         self.front, self.sched = front, front.sched
-        self.drains = 0  # so that one that was called back ends
+        self.drain_number = 0  # so that one that was called back ends
         self.superseded = False  # a next version serves: what only one process can own is its
 
     def drain(self) -> None:
         """Say no from now on, and empty the gateway while it goes on listening."""
         if self.front.state == SERVING:
             self.front.state = DRAINED
-            self.drains += 1
+            self.drain_number += 1
             logger.info("drained by call, {} clients", len(self.front.clients))
-            self.sched.spawn(self._empty, self.drains)
+            self.sched.spawn(self._run_drain, self.drain_number)
 
     def resume(self) -> bool:
         """Take clients again; False if the gateway is stopping."""
         if self.front.state == DRAINED:
             self.front.state, self.front.refusing = SERVING, False
-            self._forget_told()
+            self._reset_going_sent()
             logger.info("resumed by call")
         return self.front.state == SERVING
 
-    def _empty(self, drain: int) -> None:
-        begun = now_ms()
+    def _run_drain(self, drain: int) -> None:
+        started_ms = now_ms()
         self.sched.sleep(ACCEPT_GRACE_MS)
-        while self.front.state == DRAINED and drain == self.drains:
-            passed = now_ms() - begun
+        while self.front.state == DRAINED and drain == self.drain_number:
+            elapsed_ms = now_ms() - started_ms
             # guards against clients that ask on: from 4 s after the call none may hold a late request
-            self.front.refusing = passed > DRAIN_REFUSE_MS
-            self._release_clients(passed > DRAIN_CLOSE_MS)
+            self.front.refusing = elapsed_ms > DRAIN_REFUSE_MS
+            self._release_clients(elapsed_ms > DRAIN_CLOSE_MS)
             self.sched.sleep(CHECK_INTERVAL_MS)
 
     def _release_clients(self, final: bool) -> None:
@@ -78,24 +78,24 @@
             self.front.state, self.front.accepting, self.front.refusing = HANDED_OVER, False, False
             self.superseded = True
             logger.info("handed over to the next version, {} clients", len(self.front.clients))
-            self.sched.spawn(self._hand_over)
+            self.sched.spawn(self._run_hand_over)
 
     def resume_after_hand_over(self) -> None:
         """Serve on: the next version has ended."""
         if self.front.state == HANDED_OVER:
             logger.warning("the next version has ended, serving again")
             self.front.state, self.front.accepting, self.superseded = SERVING, True, False
-            self._forget_told()
+            self._reset_going_sent()
 
-    def _hand_over(self) -> None:
-        begun = now_ms()
+    def _run_hand_over(self) -> None:
+        started_ms = now_ms()
         while self.front.state == HANDED_OVER:
             self._release_clients(final=False)
-            if not self.front.clients and now_ms() - begun > MIN_STAY_MS:
-                return self._end(MOVED)
+            if not self.front.clients and now_ms() - started_ms > MIN_STAY_MS:
+                return self._end_loop(MOVED)
             self.sched.sleep(CHECK_INTERVAL_MS)
 
-    def _forget_told(self) -> None:
+    def _reset_going_sent(self) -> None:
         for client in self.front.clients:
             client.going_sent = False  # a second time it has to be told again
 
@@ -104,38 +104,38 @@
         front = self.front
         if front.state == STOPPING:
             return
-        alone = front.state != HANDED_OVER
-        begun = now_ms()
+        is_sole_listener = front.state != HANDED_OVER
+        started_ms = now_ms()
         front.state = STOPPING
         logger.info("told to stop")
-        if alone:
+        if is_sole_listener:
             self.sched.sleep(ACCEPT_GRACE_MS)
         front.close()
         for client in list(front.clients):
             client.send_going()
         self.sched.sleep(REQUEST_GRACE_MS)
-        answer_ms, exit_ms = self._times(begun)
+        answer_ms, exit_ms = self._shutdown_times(started_ms)
         while front.clients and now_ms() < answer_ms:
-            self._close_settled()
+            self._close_idle()
             self.sched.sleep(10.0)
         front.refusing = True  # whatever still comes is refused at once
         for client in list(front.clients):
             for exchange in list(client.open_exchanges.values()):
                 front.engine.fail(exchange)  # guards against a kill while a request has no answer
         while front.clients and now_ms() < exit_ms:
-            self._close_settled(final=True)
+            self._close_idle(final=True)
             self.sched.sleep(10.0)
-        self._end("stop")
+        self._end_loop("stop")
 
-    def _times(self, begun: float) -> tuple[float, float]:
+    def _shutdown_times(self, started_ms: float) -> tuple[float, float]:
         """Give until when answers are waited for, and when the program is gone: before it may be killed."""
-        longest = max(
+        deadline_ms = max(
             (cls.deadline_ms for cls in self.front.settings.classes.values()), default=MAX_DEADLINE_MS
         )
-        kill = begun + min(longest, MAX_DEADLINE_MS) + KILL_GRACE_MS
-        return kill - LAST_ANSWERS_MS - EXIT_MARGIN_MS, kill - EXIT_MARGIN_MS
+        kill_ms = started_ms + min(deadline_ms, MAX_DEADLINE_MS) + KILL_GRACE_MS
+        return kill_ms - LAST_ANSWERS_MS - EXIT_MARGIN_MS, kill_ms - EXIT_MARGIN_MS
 
-    def _close_settled(self, final: bool = False) -> None:
+    def _close_idle(self, final: bool = False) -> None:
         """Close each connection on which nothing is owed; `last`: also where half a request has come.
 
         What has come unread is read first. Between that look and the shutdown nothing else runs; what comes
@@ -149,7 +149,7 @@
             elif client.is_idle() and (final or not client.stream.kept):
                 client.close_when_done("stop", CLOSE_LINGER_MS)
 
-    def _end(self, code: str) -> None:
+    def _end_loop(self, code: str) -> None:
         for client in list(self.front.clients):
             client.stream.close(code)
         self.sched.sleep(10.0)
