--- a/hitchtiller/front/asks.py
+++ b/hitchtiller/front/asks.py
@@ -21,7 +21,7 @@
 CODES = {SERVED: frames.SERVED, REFUSED: frames.REFUSED}
 
 
-class BadAsk(Exception):
+class RequestError(Exception):
     """A well-framed request that can't be used; its class is told where it has one."""
 
     class_name = ""
@@ -32,21 +32,21 @@
     if text is None:
         return default
     if not WHOLE.match(text) or int(text) > most:
-        raise BadAsk(f"{name}={text[:20]!r}")
+        raise RequestError(f"{name}={text[:20]!r}")
     return int(text)
 
 
 def _number(fields: Mapping[str, str], name: str, most: float, default: str = "") -> float:
     text = fields.get(name, default)
     if not NUMBER.match(text) or float(text) > most:
-        raise BadAsk(f"{name}={text[:20]!r}")
+        raise RequestError(f"{name}={text[:20]!r}")
     return float(text)
 
 
 def _text(fields: Mapping[str, str], name: str, form: re.Pattern[str], needed: bool = True) -> str:
     text = fields.get(name, "")
     if (needed or text) and not form.match(text):
-        raise BadAsk(f"{name}={text[:20]!r}")
+        raise RequestError(f"{name}={text[:20]!r}")
     return text
 
 
@@ -55,23 +55,23 @@
     try:
         fields, end = frames.read_fields(payload)
     except frames.BadFrame as error:
-        raise BadAsk(str(error)) from None
+        raise RequestError(str(error)) from None
     cls = settings.classes.get(fields.get("c", ""))
     if cls is None:
-        raise BadAsk(f"class {fields.get('c', '')[:20]!r}")
+        raise RequestError(f"class {fields.get('c', '')[:20]!r}")
     try:
         return _read(fields, payload[end:], cls, arrived_ms)
-    except BadAsk as error:
+    except RequestError as error:
         error.class_name = cls.name
         raise
 
 
 def _read(fields: Mapping[str, str], body: bytes, cls: api.ClassSettings, arrived_ms: float) -> ClientRequest:
     if len(body) > MOST_BODY:
-        raise BadAsk("body too long")
+        raise RequestError("body too long")
     wait = min(_number(fields, "d", LONGEST_MS), cls.deadline_ms or LONGEST_MS)  # nobody waits longer
     if wait <= 0.0:
-        raise BadAsk("no time")
+        raise RequestError("no time")
     name = _text(fields, "o", HEX16)
     return ClientRequest(
         id=_text(fields, "i", HEX16),
