--- a/hitchtiller/front/asks.py
+++ b/hitchtiller/front/asks.py
@@ -50,7 +50,7 @@
     return text
 
 
-def read_ask(payload: bytes, settings: api.Settings, arrived_ms: float) -> ClientRequest:
+def read_request(payload: bytes, settings: api.Settings, arrived_ms: float) -> ClientRequest:
     """Read a request; BadAsk for what can't be used."""
     try:
         fields, end = frames.read_fields(payload)
--- a/hitchtiller/front/client.py
+++ b/hitchtiller/front/client.py
@@ -6,7 +6,7 @@
 
 from hitchtiller.codec import frames
 from hitchtiller.exchange import FAILED, REFUSED, Answer, Exchange
-from hitchtiller.front.asks import RequestError, read_ask, write_answer
+from hitchtiller.front.asks import RequestError, read_request, write_answer
 from hitchtiller.log import ended
 from hitchtiller.sched import LAG_LIMIT_MS, Closed, Stream, now_ms
 
@@ -241,7 +241,7 @@
             raise frames.BadFrame(f"stream {stream} is open")
         stats = self.front.engine.stats
         try:
-            request = read_ask(frame.payload, self.front.settings, arrived_ms)
+            request = read_request(frame.payload, self.front.settings, arrived_ms)
         except RequestError as error:
             stats.end(error.class_name, FAILED)
             self._send_answer(stream, Answer(FAILED))  # never sent on
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -8,7 +8,7 @@
 from conftest import BASE
 
 from hitchtiller.codec import frames
-from hitchtiller.front.asks import read_ask
+from hitchtiller.front.asks import read_request
 from hitchtiller.front.client import Client
 from hitchtiller.front.server import Front
 from hitchtiller.sched import Scheduler, Stream, now_ms
@@ -19,7 +19,7 @@
         """A quarter of it, up to 60 ms, was kept: a fifth of impatient clients' requests were given up."""
         fields = {"c": "small", "i": "1" * 16, "o": "2" * 16, "lot": "1", "d": "80"}
         for wait, until in (("80", 1076.0), ("5000", 5940.0)):
-            ask = read_ask(frames.write_fields(fields | {"d": wait}), BASE, 1000.0)
+            ask = read_request(frames.write_fields(fields | {"d": wait}), BASE, 1000.0)
             self.assertEqual(ask.deadline_ms, min(until, 1000.0 + 3000.0 - 60.0))
 
 
