--- a/hitchtiller/front/asks.py
+++ b/hitchtiller/front/asks.py
@@ -8,17 +8,19 @@
 from hitchtiller.codec import frames
 from hitchtiller.exchange import REFUSED, SERVED, Answer, ClientRequest
 
-MOST_BODY = 48_000
-LONGEST_MS = 3_600_000.0
+MAX_BODY_BYTES = 48_000
+MAX_WAIT_MS = 3_600_000.0
 # Of what the client waits this much is left for both ways and for the loop, on a busy day 0.1 s. Of short
 # waits it was a quarter: answers to impatient clients that came in their last 60 ms were given up.
-MARGIN_MS, MARGIN_SHARE = 60.0, 0.05
-HEX16 = re.compile(r"[0-9a-fA-F]{16}\Z")
-TOKEN = re.compile(r"[0-9A-Za-z_.:+/-]{1,128}\Z")  # nothing that FIELDS would read as a sign
-WHOLE = re.compile(r"[0-9]{1,9}\Z")
-NUMBER = re.compile(r"[0-9]{1,9}(\.[0-9]{1,9})?\Z")  # float() takes 1_0, 1e3, nan and other scripts' digits
-LARGEST_KB = 1e6
-CODES = {SERVED: frames.SERVED, REFUSED: frames.REFUSED}
+DEADLINE_MARGIN_MS, DEADLINE_MARGIN_SHARE = 60.0, 0.05
+HEX16_PATTERN = re.compile(r"[0-9a-fA-F]{16}\Z")
+TOKEN_PATTERN = re.compile(r"[0-9A-Za-z_.:+/-]{1,128}\Z")  # nothing that FIELDS would read as a sign
+INTEGER_PATTERN = re.compile(r"[0-9]{1,9}\Z")
+DECIMAL_PATTERN = re.compile(
+    r"[0-9]{1,9}(\.[0-9]{1,9})?\Z"
+)  # float() takes 1_0, 1e3, nan and other scripts' digits
+MAX_SIZE_KB = 1e6
+ANSWER_CODES = {SERVED: frames.SERVED, REFUSED: frames.REFUSED}
 
 
 class RequestError(Exception):
@@ -27,25 +29,25 @@
     class_name = ""
 
 
-def _whole(fields: Mapping[str, str], name: str, default: int, most: int) -> int:
+def _read_integer(fields: Mapping[str, str], name: str, default: int, max_value: int) -> int:
     text = fields.get(name)
     if text is None:
         return default
-    if not WHOLE.match(text) or int(text) > most:
+    if not INTEGER_PATTERN.match(text) or int(text) > max_value:
         raise RequestError(f"{name}={text[:20]!r}")
     return int(text)
 
 
-def _number(fields: Mapping[str, str], name: str, most: float, default: str = "") -> float:
+def _read_decimal(fields: Mapping[str, str], name: str, max_value: float, default: str = "") -> float:
     text = fields.get(name, default)
-    if not NUMBER.match(text) or float(text) > most:
+    if not DECIMAL_PATTERN.match(text) or float(text) > max_value:
         raise RequestError(f"{name}={text[:20]!r}")
     return float(text)
 
 
-def _text(fields: Mapping[str, str], name: str, form: re.Pattern[str], needed: bool = True) -> str:
+def _read_text(fields: Mapping[str, str], name: str, pattern: re.Pattern[str], required: bool = True) -> str:
     text = fields.get(name, "")
-    if (needed or text) and not form.match(text):
+    if (required or text) and not pattern.match(text):
         raise RequestError(f"{name}={text[:20]!r}")
     return text
 
@@ -60,31 +62,35 @@
     if cls is None:
         raise RequestError(f"class {fields.get('c', '')[:20]!r}")
     try:
-        return _read(fields, payload[end:], cls, arrived_ms)
+        return _read_checked(fields, payload[end:], cls, arrived_ms)
     except RequestError as error:
         error.class_name = cls.name
         raise
 
 
-def _read(fields: Mapping[str, str], body: bytes, cls: api.ClassSettings, arrived_ms: float) -> ClientRequest:
-    if len(body) > MOST_BODY:
+def _read_checked(
+    fields: Mapping[str, str], body: bytes, cls: api.ClassSettings, arrived_ms: float
+) -> ClientRequest:
+    if len(body) > MAX_BODY_BYTES:
         raise RequestError("body too long")
-    wait = min(_number(fields, "d", LONGEST_MS), cls.deadline_ms or LONGEST_MS)  # nobody waits longer
-    if wait <= 0.0:
+    wait_ms = min(
+        _read_decimal(fields, "d", MAX_WAIT_MS), cls.deadline_ms or MAX_WAIT_MS
+    )  # nobody waits longer
+    if wait_ms <= 0.0:
         raise RequestError("no time")
-    name = _text(fields, "o", HEX16)
+    name = _read_text(fields, "o", HEX16_PATTERN)
     return ClientRequest(
-        id=_text(fields, "i", HEX16),
+        id=_read_text(fields, "i", HEX16_PATTERN),
         class_name=cls.name,
         object=name,
         key=int(name, 16),
-        deadline_ms=arrived_ms + wait - min(MARGIN_MS, wait * MARGIN_SHARE),
-        part=_whole(fields, "piece", 0, 0xFFFF),
-        group=_whole(fields, "lot", -1, 255),
-        size_kb=_number(fields, "m", LARGEST_KB, "0"),
+        deadline_ms=arrived_ms + wait_ms - min(DEADLINE_MARGIN_MS, wait_ms * DEADLINE_MARGIN_SHARE),
+        part=_read_integer(fields, "piece", 0, 0xFFFF),
+        group=_read_integer(fields, "lot", -1, 255),
+        size_kb=_read_decimal(fields, "m", MAX_SIZE_KB, "0"),
         body=body,
-        dedupe=_text(fields, "k", TOKEN, needed=cls.effect == "by_key"),
-        client_tag=_text(fields, "ver", TOKEN, needed=False),
+        dedupe=_read_text(fields, "k", TOKEN_PATTERN, required=cls.effect == "by_key"),
+        client_tag=_read_text(fields, "ver", TOKEN_PATTERN, required=False),
         repeatable=cls.effect == "repeatable",
         write=cls.write,
     )
@@ -99,5 +105,5 @@
         fields["unchanged"] = "1"
     if answer.kind == SERVED and answer.tag:
         fields["ver"] = answer.tag
-    code = CODES.get(answer.kind, frames.FAILED)
+    code = ANSWER_CODES.get(answer.kind, frames.FAILED)
     return frames.answer_head(stream, code, fields, len(answer.body)), answer.body
