--- a/hitchtiller/codec/bus.py
+++ b/hitchtiller/codec/bus.py
@@ -7,13 +7,13 @@
 from hitchtiller import interface as api
 from hitchtiller.news import Event, ListedServer, PurgeNotice, Topology
 
-MOST = 1_048_576  # bytes of one frame
+MAX_FRAME_BYTES = 1_048_576  # bytes of one frame
 HEAD = struct.Struct(">QB")
 RECORD = struct.Struct(">I4sHBBBHIQ")
 OBJECT, GROUP = struct.Struct(">QQ"), struct.Struct(">HQ")
 STATES = ("SERVING", "DRAINING", "DELETED")
-WORDS = {"Ready": "SERVING", "Terminating": "DRAINING", "Gone": "DELETED"}
-NOTHING, WHOLE, CHANGES, BAN_OBJECT, BAN_GROUP = range(5)
+STATE_BY_HEALTH = {"Ready": "SERVING", "Terminating": "DRAINING", "Gone": "DELETED"}
+NO_EVENT, WHOLE, CHANGES, BAN_OBJECT, BAN_GROUP = range(5)
 
 
 class BadBus(Exception):
@@ -23,7 +23,7 @@
 NumberedEvent = tuple[int, Event | None]  # None: nothing new
 
 
-def host_id(number: int) -> str:
+def server_name(number: int) -> str:
     """Write a server's id as text has it."""
     return f"s-{number:08x}"
 
@@ -32,9 +32,11 @@
     """Read one record of the binary list."""
     number, ip, port, state, zone, kind, cell, weight, started = record
     if state >= len(STATES) or zone >= len(zones) or kind >= len(kinds):
-        raise BadBus(f"record of {host_id(number)}")
+        raise BadBus(f"record of {server_name(number)}")
     units = max(weight / 1000.0, 1e-6)
-    member = api.Member(host_id(number), zones[zone], kinds[kind], STATES[state], float(started), units, cell)
+    member = api.Member(
+        server_name(number), zones[zone], kinds[kind], STATES[state], float(started), units, cell
+    )
     return ListedServer(member, (".".join(map(str, ip)), port))
 
 
@@ -51,20 +53,20 @@
         self.buffer += data
         while len(self.buffer) >= 4:
             length = int.from_bytes(self.buffer[:4], "big")
-            if length > MOST:
+            if length > MAX_FRAME_BYTES:
                 raise BadBus(f"length {length}")
             if len(self.buffer) < 4 + length:
                 return
             frame = bytes(self.buffer[4 : 4 + length])
             del self.buffer[: 4 + length]
-            yield self.event(frame) if frame else (0, None)  # that of each second may be wholly empty
+            yield self.read_event(frame) if frame else (0, None)  # that of each second may be wholly empty
 
-    def event(self, frame: bytes) -> NumberedEvent:
+    def read_event(self, frame: bytes) -> NumberedEvent:
         """Read one frame."""
         try:
             number, kind = HEAD.unpack_from(frame)
             payload = frame[HEAD.size :]
-            if kind == NOTHING:
+            if kind == NO_EVENT:
                 return number, None
             if kind in (WHOLE, CHANGES):
                 hosts = tuple(read_record(r, self.zones, self.kinds) for r in RECORD.iter_unpack(payload))
@@ -94,7 +96,7 @@
         host["host"],
         host.get("site", ""),
         host.get("class", ""),
-        WORDS[host["health"]],
+        STATE_BY_HEALTH[host["health"]],
         float(host.get("born_ms", 0)),
         max(float(host.get("share", 1.0)), 1e-6),
         int(host.get("block", -1)),
