--- a/hitchtiller/codec/frames.py
+++ b/hitchtiller/codec/frames.py
@@ -6,7 +6,7 @@
 
 REQUEST, ANSWER, GIVE_UP, READY, READY_ANSWER, GOING = 7, 8, 9, 1, 2, 3
 SERVED, REFUSED, FAILED = 0, 11, 5
-LEAST, MOST = 5, 262_144  # what a frame's length may be
+MIN_LENGTH, MAX_LENGTH = 5, 262_144  # what a frame's length may be
 HEAD = struct.Struct(">IBI")
 
 
@@ -37,7 +37,7 @@
         try:
             while len(self.buffer) - start >= 4:
                 length = int.from_bytes(self.buffer[start : start + 4], "big")
-                if not LEAST <= length <= MOST:
+                if not MIN_LENGTH <= length <= MAX_LENGTH:
                     raise BadFrame(f"length {length}")
                 end = start + 4 + length
                 if len(self.buffer) < end:
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -17,7 +17,7 @@
         self.assertEqual([(f.kind, f.stream, f.payload) for f in got], [(7, 1, payload)] * 2)
 
     def test_lengths_out_of_bounds_are_told(self) -> None:
-        for length in (0, 4, frames.MOST + 1):
+        for length in (0, 4, frames.MAX_LENGTH + 1):
             with self.assertRaises(frames.BadFrame):
                 list(frames.FrameReader().feed(length.to_bytes(4, "big")))
 
