--- a/hitchtiller/codec/notes.py
+++ b/hitchtiller/codec/notes.py
@@ -12,17 +12,17 @@
 from hitchtiller.interface import LeaseKind, LeaseNote, PeerNote
 
 NOTE_KINDS = ("ask", "holder", "kept", "lacks")
-NOTE = struct.Struct(">BQHH")
-LEASE = struct.Struct(">BQHI")
-MOST_WAIT_MS = 0xFFFFFFFF
+OBJECT_NOTE = struct.Struct(">BQHH")
+LEASE_NOTE = struct.Struct(">BQHI")
+MAX_WAIT_MS = 0xFFFFFFFF
 
 
 def pack(note: PeerNote | LeaseNote) -> bytes:
     """Write a note in few bytes."""
     if isinstance(note, LeaseNote):
-        wait = min(MOST_WAIT_MS, round(note.wait_ms))
-        return LEASE.pack(len(NOTE_KINDS) + note.kind, note.incarnation, note.sequence, wait)
-    head = NOTE.pack(NOTE_KINDS.index(note.kind), note.key, note.part & 0xFFFF, note.number & 0xFFFF)
+        wait = min(MAX_WAIT_MS, round(note.wait_ms))
+        return LEASE_NOTE.pack(len(NOTE_KINDS) + note.kind, note.incarnation, note.sequence, wait)
+    head = OBJECT_NOTE.pack(NOTE_KINDS.index(note.kind), note.key, note.part & 0xFFFF, note.number & 0xFFFF)
     return head + note.server.encode()
 
 
@@ -31,18 +31,18 @@
     kind = data[0] if data else 0
     if kind >= len(NOTE_KINDS):
         return _unpack_lease(data, kind - len(NOTE_KINDS))
-    if len(data) < NOTE.size:
+    if len(data) < OBJECT_NOTE.size:
         return None
-    _, key, part, number = NOTE.unpack(data[: NOTE.size])
+    _, key, part, number = OBJECT_NOTE.unpack(data[: OBJECT_NOTE.size])
     try:
-        server = data[NOTE.size :].decode()
+        server = data[OBJECT_NOTE.size :].decode()
     except UnicodeDecodeError:
         return None
     return PeerNote(NOTE_KINDS[kind], key, part, server, number)
 
 
 def _unpack_lease(data: bytes, kind: int) -> LeaseNote | None:
-    if kind >= len(LeaseKind) or len(data) != LEASE.size:
+    if kind >= len(LeaseKind) or len(data) != LEASE_NOTE.size:
         return None
-    _, incarnation, sequence, wait = LEASE.unpack(data)
+    _, incarnation, sequence, wait = LEASE_NOTE.unpack(data)
     return LeaseNote(LeaseKind(kind), incarnation, sequence, float(wait))
