--- a/hitchtiller/back/link.py
+++ b/hitchtiller/back/link.py
@@ -160,7 +160,7 @@
         # guards against a connection on which answers stopped: all on it waited for their deadlines
         self.is_suspect = has_overdue and silent_ms > SUSPECT_AFTER_MS
         is_writable = self.writing is None or now - self.writing[1] < 2.0 * self.connect_ms
-        is_cut_short = self.reader.within and now - self.last_growth_ms > GROWTH_TIMEOUT_MS
+        is_cut_short = self.reader.in_array and now - self.last_growth_ms > GROWTH_TIMEOUT_MS
         if is_cut_short or (has_overdue and silent_ms > STUCK_AFTER_MS) or not is_writable:
             self.stream.close("stuck")
         elif not (self.open_jobs or self.queued_names) and unused_ms > self.idle_ms * IDLE_SHARE:
@@ -171,7 +171,7 @@
             data = self.stream.read()
             self.last_read_ms = now_ms()
             self.growth_bytes += len(data)
-            if not self.reader.within or self.growth_bytes >= MIN_GROWTH_BYTES:
+            if not self.reader.in_array or self.growth_bytes >= MIN_GROWTH_BYTES:
                 self.last_growth_ms, self.growth_bytes = self.last_read_ms, 0
             for items in self.reader.feed(data):
                 self.last_growth_ms, self.growth_bytes = self.last_read_ms, 0
--- a/hitchtiller/codec/resp.py
+++ b/hitchtiller/codec/resp.py
@@ -25,7 +25,7 @@
         self.bulk = -1  # size of the one under way
 
     @property
-    def within(self) -> bool:
+    def in_array(self) -> bool:
         """Tell whether an array has begun that is not whole."""
         return bool(self.buffer or self.left)
 
--- a/tests/ends/test_ends_links.py
+++ b/tests/ends/test_ends_links.py
@@ -127,7 +127,7 @@
         job = Job(b"a")
         link, server = self.written(job)
         server.sendall(b"*4\r\n$1\r\na\r\n$4\r\nDONE\r\n$1\r\n-\r\n$100000\r\n")
-        self.until(lambda: link.reader.within)
+        self.until(lambda: link.reader.in_array)
         link.last_growth_ms -= link_module.GROWTH_TIMEOUT_MS  # it has trickled for so long
         heard = link.last_read_ms
         server.sendall(b"x")
@@ -139,7 +139,7 @@
         job = Job(b"a")
         link, server = self.written(job)
         server.sendall(b"*4\r\n$1\r\na\r\n$4\r\nDONE\r\n$1\r\n-\r\n$100000\r\n")
-        self.until(lambda: link.reader.within)
+        self.until(lambda: link.reader.in_array)
         link.last_growth_ms -= 10_000.0
         server.sendall(bytes(link_module.MIN_GROWTH_BYTES))
         self.until(lambda: link.last_growth_ms > now_ms() - 1_000.0)
