--- a/tests/test_back.py
+++ b/tests/test_back.py
@@ -24,8 +24,8 @@
     def command(self) -> bytes:
         return b"*1\r\n$1\r\nx\r\n"
 
-    def answered(self, word: str, fields: dict[str, str], body: bytes) -> None:
-        self.ends.append(word)
+    def answered(self, reply: str, fields: dict[str, str], body: bytes) -> None:
+        self.ends.append(reply)
 
     def broken(self, status: str) -> None:
         self.ends.append(status)
@@ -40,27 +40,27 @@
         self.back.follow(Topology((ListedServer(Member("s", "z", "k", "SERVING"), ("127.0.0.1", 1)),), True))
         self.pool = self.back.pools["s"]
 
-    def link(self, *jobs: Job) -> Link:
+    def open_link(self, *jobs: Job) -> Link:
         """Open a connection that has written these jobs."""
         link = self.back.open(self.pool)
         link.is_connected, link.open_jobs = True, {job.name: job for job in jobs}
         self.addCleanup(link.stream.close, "end")
         return link
 
-    def at(self, now: float, call: Callable[[], Any]) -> Any:
+    def call_at(self, now: float, call: Callable[[], Any]) -> Any:
         with mock.patch.object(link_module, "now_ms", lambda: now):
             return call()
 
-    def test_an_unwritten_job_is_not_handed_on_without_end(self) -> None:
+    def test_an_unwritten_job_is_reassigned_a_bounded_number_of_times(self) -> None:
         """A server that reset whatever was opened had the loop to itself."""
         job = Job()
         for _ in range(MAX_REASSIGNMENTS):
-            self.pool.on_link_closed(self.link(), [job])
+            self.pool.on_link_closed(self.open_link(), [job])
             self.assertFalse(job.ends)
-        self.pool.on_link_closed(self.link(), [job])
+        self.pool.on_link_closed(self.open_link(), [job])
         self.assertEqual(job.ends, ["econnrefused"])
 
-    def test_a_few_attempts_share_a_connection_and_others_open_beside_it(self) -> None:
+    def test_attempts_are_spread_over_several_connections(self) -> None:
         """One reset ended up to 14 attempts."""
         for n in range(12):
             self.pool.submit(Job(b"%d" % n))
@@ -69,50 +69,50 @@
         self.addCleanup(self.pool.close, "end")
         self.assertEqual(sorted(link.job_count() for link in self.pool.links), [0, 4, 4, 4])
 
-    def test_a_lack_of_our_own_is_not_told_as_the_servers(self) -> None:
+    def test_the_gateways_own_connection_limit_is_not_blamed_on_the_server(self) -> None:
         """It was blamed for a connection that was never tried."""
         self.back.most = 0
         job = Job()
         self.pool.submit(job)
         self.assertEqual(job.ends, ["skipped"])
 
-    def test_what_was_killed_is_forgotten_with_age(self) -> None:
+    def test_killed_ids_are_forgotten_after_a_while(self) -> None:
         jobs = [Job(b"%d" % n) for n in range(50)]
-        link = self.link(*jobs)
+        link = self.open_link(*jobs)
         for n, job in enumerate(jobs):
-            self.at(n * 1000.0, lambda job=job: link.cancel(job))
+            self.call_at(n * 1000.0, lambda job=job: link.cancel(job))
         self.assertLessEqual(len(link.killed_jobs), 8)
 
-    def test_a_connection_on_which_answers_stopped_gets_nothing_new_and_ends(self) -> None:
+    def test_a_connection_with_overdue_answers_gets_no_new_jobs_and_is_closed(self) -> None:
         """All on it waited for their deadlines."""
-        link = self.link(Job(due_ms=link_module.now_ms()))
-        quiet = link.last_read_ms
-        link.check(quiet + 300.0)
+        link = self.open_link(Job(due_ms=link_module.now_ms()))
+        last_read_ms = link.last_read_ms
+        link.check(last_read_ms + 300.0)
         self.assertEqual((link.has_room(b"2"), link.stream.code), (False, ""))
-        link.check(quiet + 500.0)
+        link.check(last_read_ms + 500.0)
         self.assertEqual(link.stream.code, "stuck")
 
-    def test_an_answer_that_no_cache_gives_ends_itself_and_the_others_still_come(self) -> None:
+    def test_an_invalid_answer_fails_only_its_job_and_other_answers_still_arrive(self) -> None:
         """Each ended all that was open on its connection, 7 at once."""
-        bad, good, unwritten = Job(b"1"), Job(b"2"), Job(b"3")
-        bad.answered = mock.Mock(side_effect=BadResp("answer"))  # type: ignore[method-assign]
-        link = self.link(bad, good)
+        invalid, valid, unwritten = Job(b"1"), Job(b"2"), Job(b"3")
+        invalid.answered = mock.Mock(side_effect=BadResp("answer"))  # type: ignore[method-assign]
+        link = self.open_link(invalid, valid)
         link.submit(unwritten)
         link._answer([b"1", b"DONE", b"-", b""])
-        self.assertEqual((bad.ends, good.ends), (["econnreset"], []))
+        self.assertEqual((invalid.ends, valid.ends), (["econnreset"], []))
         self.assertFalse(link.has_room(b"4"))
         self.assertFalse(link.queue, "what was not written is handed on")
         with self.assertRaises(Closed):
             link._answer([b"2", b"DONE", b"-", b""])
-        self.assertEqual(good.ends, ["DONE"])
+        self.assertEqual(valid.ends, ["DONE"])
 
-    def test_silence_is_no_bad_sign_while_nothing_is_overdue(self) -> None:
-        link = self.link(Job())
+    def test_a_silent_connection_is_not_suspect_while_nothing_is_overdue(self) -> None:
+        link = self.open_link(Job())
         link.check(link.last_read_ms + 900.0)
         self.assertTrue(link.has_room(b"2"))
 
-    def test_an_answer_that_is_cut_short_ends_the_connection(self) -> None:
-        link = self.link(Job())
+    def test_a_truncated_answer_closes_the_connection(self) -> None:
+        link = self.open_link(Job())
         list(link.reader.feed(b"*4\r\n"))
         link.check(link.last_read_ms + 500.0)
         self.assertEqual(link.stream.code, "stuck")
