--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -9,31 +9,31 @@
 
 
 class Frames(unittest.TestCase):
-    def test_frames_come_out_whole_however_they_arrive(self) -> None:
+    def test_frames_are_decoded_from_single_bytes(self) -> None:
         payload = frames.write_fields({"c": "files", "o": "2a"}) + b"body"
         data = (frames.head(7, 1, len(payload)) + payload) * 2
         reader = frames.FrameReader()
         got = [frame for n in range(len(data)) for frame in reader.feed(data[n : n + 1])]
         self.assertEqual([(f.kind, f.stream, f.payload) for f in got], [(7, 1, payload)] * 2)
 
-    def test_lengths_out_of_bounds_are_told(self) -> None:
+    def test_lengths_out_of_bounds_are_rejected(self) -> None:
         for length in (0, 4, frames.MAX_LENGTH + 1):
             with self.assertRaises(frames.BadFrame):
                 list(frames.FrameReader().feed(length.to_bytes(4, "big")))
 
-    def test_fields_cut_anywhere_are_told(self) -> None:
+    def test_truncated_fields_are_rejected(self) -> None:
         whole = frames.write_fields({"c": "files", "o": "2a"})
         self.assertEqual(frames.read_fields(whole), ({"c": "files", "o": "2a"}, len(whole)))
         for n in range(len(whole)):
             with self.assertRaises(frames.BadFrame):
                 frames.read_fields(whole[:n])
 
-    def test_a_field_comes_once(self) -> None:
+    def test_duplicate_fields_are_rejected(self) -> None:
         data = frames.write_fields({"c": "files", "d": "1"}).replace(b"\1d", b"\1c")
         with self.assertRaises(frames.BadFrame):
             frames.read_fields(data)
 
-    def test_stream_numbers_are_new_in_bounded_space(self) -> None:
+    def test_stream_numbers_are_accepted_once_in_bounded_memory(self) -> None:
         numbers = StreamNumbers()
         self.assertEqual(
             [numbers.claim(n) for n in (1, 4, 3, 3, 4, 5)], [True, True, True, False, False, True]
@@ -44,7 +44,7 @@
 
 
 class Resp(unittest.TestCase):
-    def test_answers_are_read_alike_whole_and_in_pieces(self) -> None:
+    def test_answers_are_decoded_whole_and_in_pieces(self) -> None:
         answers = [[b"1", b"DONE", b"rev=a", b"\r\n$3\r\n"], [b"2", b"LACK", b"-", b""], [b"3", b"PAST"]]
         data = b"".join(resp.write_command(*items) for items in answers)
         for step in (1, 7, len(data)):
@@ -52,15 +52,15 @@
             parts = [data[n : n + step] for n in range(0, len(data), step)]
             self.assertEqual([items for part in parts for items in reader.feed(part)], answers)
 
-    def test_junk_is_told(self) -> None:
+    def test_malformed_input_is_rejected(self) -> None:
         huge = b"*4\r\n$1\r\na\r\n$4\r\nDONE\r\n$1\r\n-\r\n$999999\r\n"
-        for junk in (b"HTTP/1.1", b"*99\r\n", b"*1\r\n$-1\r\n", b"*1\r\n$1\r\nabc", b"x" * 20, huge):
+        for malformed in (b"HTTP/1.1", b"*99\r\n", b"*1\r\n$-1\r\n", b"*1\r\n$1\r\nabc", b"x" * 20, huge):
             with self.assertRaises(resp.BadResp):
-                list(resp.RespReader().feed(junk))
+                list(resp.RespReader().feed(malformed))
 
 
 class Bus(unittest.TestCase):
-    def test_records_and_purges_are_read(self) -> None:
+    def test_server_records_and_purges_are_decoded(self) -> None:
         record = bytes([0, 0xC4, 0x1F, 0x7A, 10, 1, 0, 9]) + (8080).to_bytes(2, "big")
         record += bytes([1, 0, 0, 0, 2])
         record += (4000).to_bytes(4, "big") + (7).to_bytes(8, "big")
@@ -79,7 +79,7 @@
         self.assertEqual(events[1:3], [(2, PurgeNotice(42, -1, 1000.0)), (3, PurgeNotice(None, 17, 1000.0))])
         self.assertEqual(events[3:], [(4, None), (0, None)])  # an empty frame is a sign of life too
 
-    def test_junk_is_told(self) -> None:
-        for junk in (b"\xff" * 8, (12).to_bytes(4, "big") + bytes(8) + b"\x02abc"):
+    def test_malformed_input_is_rejected(self) -> None:
+        for malformed in (b"\xff" * 8, (12).to_bytes(4, "big") + bytes(8) + b"\x02abc"):
             with self.assertRaises(BadBus):
-                list(BusReader(("z",), ("k",)).feed(junk))
+                list(BusReader(("z",), ("k",)).feed(malformed))
