--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -42,7 +42,7 @@
         cache.send(answer(name, b"DONE", b"rev=aa,since=1", body))
         self.client.expect_answer(1, frames.SERVED, body)
 
-    def test_answers_come_in_any_order(self) -> None:
+    def test_answers_may_arrive_in_any_order(self) -> None:
         cache, first = self.opened()
         self.client.ask(2)
         second = cache.expect_pull()[0]
@@ -50,7 +50,7 @@
         self.client.expect_answer(2, frames.SERVED, b"b")
         self.client.expect_answer(1, frames.SERVED, b"a")
 
-    def test_a_kept_copy_is_told_as_unchanged(self) -> None:
+    def test_an_unchanged_copy_is_reported_as_unchanged(self) -> None:
         self.client.ask(1, ver="aa")
         cache = self.gateway.server()
         name, fields, _ = cache.expect_pull()
@@ -63,24 +63,24 @@
         name, fields, body = self.gateway.server().expect_pull()
         self.assertEqual((fields["dedupe"], fields["up"], body), ("5c0f", "s-00000002", b"pay"))
 
-    def test_a_reset_is_tried_elsewhere_and_answered_once(self) -> None:
+    def test_an_attempt_is_retried_after_a_reset_and_answered_once(self) -> None:
         cache, _ = self.opened()
         cache.close()
         again = self.gateway.server()
         again.send(answer(again.expect_pull()[0], b"DONE", body=b"x"))
         self.client.expect_answer(1, frames.SERVED, b"x")
 
-    def test_a_silent_cache_gives_a_final_answer_before_the_deadline(self) -> None:
+    def test_a_request_to_a_silent_cache_is_answered_before_its_deadline(self) -> None:
         self.opened(d="300")
         frame = self.client.expect(lambda got: got is not None and got.stream == 1)
         self.assertIn(frame.payload[0], (frames.REFUSED, frames.FAILED))
 
-    def test_a_client_that_gives_up_has_its_attempt_killed(self) -> None:
+    def test_a_give_up_frame_kills_the_attempt(self) -> None:
         cache, name = self.opened()
         self.client.send(frames.head(frames.GIVE_UP, 1, 0))
         cache.expect(lambda got: got == [b"KILL", name])
 
-    def test_an_id_that_was_given_up_comes_again_after_its_kill(self) -> None:
+    def test_an_id_that_was_given_up_is_sent_again_after_its_kill(self) -> None:
         """On another connection it could overtake the KILL: under load whole runs went silent."""
         cache, name = self.opened()
         self.client.send(frames.head(frames.GIVE_UP, 1, 0)).ask(2, i=name.decode())
@@ -89,14 +89,14 @@
         cache.send(answer(name, b"DONE", body=b"x"))
         self.client.expect_answer(2, frames.SERVED, b"x")
 
-    def test_a_client_that_closes_has_its_attempt_killed(self) -> None:
+    def test_closing_the_connection_kills_the_attempt(self) -> None:
         cache, name = self.opened()
         self.client.close()
         cache.expect(lambda got: got == [b"KILL", name])
 
 
-class BadInput(Scenario):
-    def test_requests_that_cannot_be_used_fail_and_are_not_sent_on(self) -> None:
+class InvalidInput(Scenario):
+    def test_invalid_requests_fail_and_are_not_forwarded(self) -> None:
         cases: list[dict[str, str]] = [{"c": "none"}, {"d": "soon"}, {"d": "nan"}, {"o": "zz"}, {"m": "-1"}]
         cases += [{"lot": "256"}, {"ver": "a,b=c"}, {"c": "charge"}]
         cases += [{"d": "1_0"}, {"d": "1e3"}, {"m": "\u0663"}, {"m": "9999999"}, {"piece": "-1"}, {"d": "0"}]
@@ -106,13 +106,13 @@
         cache.send(answer(name, b"DONE", body=b"x"))  # the first that the cache sees is the good one
         self.client.expect_answer(99, frames.SERVED, b"x")
 
-    def test_a_stream_is_used_once(self) -> None:
+    def test_a_stream_number_can_be_used_only_once(self) -> None:
         cache, name = self.opened()
         cache.send(answer(name, b"DONE", body=b"x"))
         self.client.expect_answer(1, frames.SERVED)
         self.client.ask(1).expect_answer(1, frames.FAILED)
 
-    def test_what_is_no_frame_is_told_on_stream_0_and_ends_all_on_the_connection_at_once(self) -> None:
+    def test_a_malformed_frame_fails_stream_0_and_all_open_requests_at_once(self) -> None:
         """Its open requests were still served."""
         cache, name = self.opened()
         self.client.send(b"GET / HTTP/1.1\r\n\r\n").expect_answer(0, frames.FAILED)
@@ -122,13 +122,13 @@
         self.client.close()
         self.gateway.expect_line("code=bad-frame")
 
-    def test_a_number_that_is_open_is_not_answered_twice(self) -> None:
+    def test_reusing_an_open_stream_number_closes_the_connection(self) -> None:
         cache, name = self.opened()
         self.client.ask(1, i="f" * 16).expect_answer(0, frames.FAILED)
         self.client.expect_answer(1, frames.FAILED)
         self.client.expect(lambda got: got is None)
 
-    def test_an_id_that_is_open_elsewhere_is_not_sent_on(self) -> None:
+    def test_an_id_that_is_open_on_another_connection_is_not_forwarded(self) -> None:
         cache, name = self.opened()
         other = self.gateway.client()
         self.addCleanup(other.close)
@@ -136,11 +136,11 @@
         cache.send(answer(name, b"DONE", body=b"x"))
         self.client.expect_answer(1, frames.SERVED, b"x")
 
-    def test_the_reply_to_a_sender_of_megabytes_is_not_lost_to_a_reset(self) -> None:
+    def test_the_error_answer_is_not_lost_to_a_reset_while_megabytes_arrive(self) -> None:
         self.client.send(b"\xff" * 4 + bytes(8_000_000)).expect_answer(0, frames.FAILED)
         self.client.expect(lambda got: got is None)
 
-    def test_clients_that_say_nothing_whole_are_closed_and_those_that_asked_stay(self) -> None:
+    def test_clients_that_send_no_whole_frame_are_closed_and_others_stay(self) -> None:
         cache, name = self.opened()
         cache.send(answer(name, b"DONE", body=b"x"))
         self.client.expect_answer(1, frames.SERVED)
@@ -152,7 +152,7 @@
         self.client.ask(2)
         cache.expect_pull()
 
-    def test_junk_of_a_cache_ends_its_connection_alone(self) -> None:
+    def test_malformed_data_from_a_cache_closes_only_its_connection(self) -> None:
         cache, _ = self.opened()
         cache.send(b"HTTP/1.1 200 OK\r\n\r\n")
         self.gateway.expect_line("code=junk")
@@ -160,12 +160,12 @@
         again.send(answer(again.expect_pull()[0], b"DONE", body=b"x"))
         self.client.expect_answer(1, frames.SERVED, b"x")
 
-    def test_an_answer_that_no_cache_gives_ends_its_connection_and_what_is_on_it(self) -> None:
+    def test_an_invalid_answer_closes_its_connection_and_fails_its_jobs(self) -> None:
         """An unknown word counted as an error, and the connection lived on."""
         cache, name = self.opened()
         cases = ((b"DONE", b"rev=aa,since=noise", "cache"), (b"DOME", b"rev=aa,since=1", "parent"))
-        for word, fields, then in cases:  # a second break on it is the cache's fault
-            cache.send(answer(name, word, fields, b"x"))
+        for reply, fields, then in cases:  # a second break on it is the cache's fault
+            cache.send(answer(name, reply, fields, b"x"))
             self.gateway.expect_line("code=junk")
             cache = self.gateway.server(then)
             self.addCleanup(cache.close)
@@ -173,7 +173,7 @@
         cache.send(answer(name, b"DONE", body=b"x"))
         self.client.expect_answer(1, frames.SERVED, b"x")
 
-    def test_a_good_answer_with_more_than_its_own_stays_good(self) -> None:
+    def test_surplus_answers_are_ignored(self) -> None:
         cache, name = self.opened()
         good = answer(name, b"DONE", body=b"x")
         cache.send(answer(b"f" * 16, b"DONE", body=b"y") + good + good)
@@ -182,16 +182,16 @@
         cache.send(answer(cache.expect_pull()[0], b"DONE", body=b"z"))
         self.client.expect_answer(2, frames.SERVED, b"z")
 
-    def test_junk_of_the_bus_ends_its_connection_alone(self) -> None:
+    def test_malformed_data_from_the_bus_closes_only_its_connection(self) -> None:
         self.gateway.subscription().send(b"\xff" * 64)
         self.gateway.expect_line("code=junk")
         self.assertEqual(self.gateway.subscription().sock.recv(8), (1).to_bytes(8, "big"))
 
 
-class Full(Scenario):
+class FullGateway(Scenario):
     limits: ClassVar[dict[str, int]] = {"sockets": 120}  # 47 for clients
 
-    def test_when_full_the_one_idle_longest_makes_room_those_that_never_asked_first(self) -> None:
+    def test_a_full_gateway_closes_silent_clients_first_then_the_longest_idle(self) -> None:
         """Silent connections held all there is, and usual ones were turned away."""
         cache, name = self.opened()
         cache.send(answer(name, b"DONE", body=b"x"))
@@ -206,12 +206,12 @@
             client.close()
 
 
-class Life(Scenario):
-    def test_ready_is_told(self) -> None:
+class Lifecycle(Scenario):
+    def test_a_ready_frame_is_answered(self) -> None:
         self.client.send(frames.head(frames.READY, 0, 1) + b"\0")
         self.client.expect(lambda got: got.kind == frames.READY_ANSWER and got.payload[0] == frames.SERVED)
 
-    def test_a_draining_cache_gets_nothing_new(self) -> None:
+    def test_a_draining_cache_gets_no_new_requests(self) -> None:
         record = (
             (0).to_bytes(4, "big")
             + bytes([127, 0, 0, 1])
@@ -227,7 +227,7 @@
         self.client.ask(1)
         self.gateway.server("parent").expect_pull()  # straight up: the zone has no other cache
 
-    def test_sigterm_answers_what_is_in_hand_and_ends_well(self) -> None:
+    def test_sigterm_answers_open_requests_and_exits_with_0(self) -> None:
         cache, name = self.opened()
         self.gateway.terminate()
         self.client.expect(lambda got: got.kind == frames.GOING and got.stream == 0)
@@ -235,7 +235,7 @@
         self.client.expect_answer(1, frames.SERVED, b"x")
         self.assertEqual(self.gateway.process.wait(10.0), 0)
 
-    def test_a_connection_that_comes_just_after_sigterm_is_served(self) -> None:
+    def test_a_connection_made_just_after_sigterm_is_served(self) -> None:
         self.gateway.terminate()
         self.gateway.expect_line("told to stop")
         wait(0.1)
@@ -246,7 +246,7 @@
         cache.send(answer(cache.expect_pull()[0], b"DONE", body=b"x"))
         late.expect(lambda got: got is not None)
 
-    def test_sigterm_answers_what_stays_open_before_the_program_may_be_killed(self) -> None:
+    def test_sigterm_fails_open_requests_before_the_process_may_be_killed(self) -> None:
         """It waited 6 s for the last answer, and SIGKILL may come after 3.7 s."""
         self.opened(d="5000", m="100000")  # so large that silence is no bad sign yet
         self.gateway.terminate()
@@ -257,7 +257,7 @@
 
 
 class NewConfiguration(Scenario):
-    def test_sighup_moves_the_bus_at_once_and_touches_no_request(self) -> None:
+    def test_sighup_switches_the_bus_and_leaves_open_requests_alone(self) -> None:
         """SIGHUP ended the program."""
         old = self.gateway.subscription()
         self.assertEqual(old.sock.recv(8), (1).to_bytes(8, "big"))
@@ -276,7 +276,7 @@
         cache.send(answer(name, b"DONE", body=b"x"))
         self.client.expect_answer(1, frames.SERVED, b"x")
 
-    def test_a_bad_file_is_told_and_changes_nothing(self) -> None:
+    def test_an_invalid_file_is_logged_and_changes_nothing(self) -> None:
         self.gateway.configure("{")
         self.gateway.hang_up()
         self.gateway.expect_line("configuration not taken")
@@ -284,7 +284,7 @@
         cache.send(answer(name, b"DONE", body=b"x"))
         self.client.expect_answer(1, frames.SERVED, b"x")
 
-    def test_a_bus_that_stops_in_the_middle_of_an_event_is_left(self) -> None:
+    def test_a_bus_that_stalls_in_the_middle_of_an_event_is_reconnected(self) -> None:
         """Single bytes counted as a sign of life."""
         bus = self.gateway.subscription()
         bus.sock.recv(8)
