--- a/tests/ends/test_ends_settings.py
+++ b/tests/ends/test_ends_settings.py
@@ -68,7 +68,7 @@
         self.addCleanup(gateway.stop)
         bad = gateway.config | {"settings": BAD[0][0], "bus": "127.0.0.1:1"}
         gateway.configure(json.dumps(bad))
-        gateway.hang_up()
+        gateway.send_sighup()
         gateway.expect_line("configuration not taken")
         client = gateway.client()
         self.addCleanup(client.close)
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -148,7 +148,7 @@
         """Replace the configuration file's text."""
         Path(self.file.name).write_text(text)
 
-    def hang_up(self) -> None:
+    def send_sighup(self) -> None:
         self.process.send_signal(signal.SIGHUP)
 
     def expect_line(self, text: str) -> str:
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -266,7 +266,7 @@
         with socket.create_server(("127.0.0.1", 0)) as bus:
             address = "127.0.0.1:%d" % bus.getsockname()[1]
             self.gateway.configure(json.dumps(self.gateway.config | {"bus": address, "seed": "2"}))
-            self.gateway.hang_up()
+            self.gateway.send_sighup()
             self.gateway.expect_line("not changed before the next start: seed")
             bus.settimeout(5.0)
             new = bus.accept()[0]
@@ -278,7 +278,7 @@
 
     def test_an_invalid_file_is_logged_and_changes_nothing(self) -> None:
         self.gateway.configure("{")
-        self.gateway.hang_up()
+        self.gateway.send_sighup()
         self.gateway.expect_line("configuration not taken")
         cache, name = self.opened()
         cache.send(answer(name, b"DONE", body=b"x"))
