--- a/tests/ends/sides.py
+++ b/tests/ends/sides.py
@@ -17,12 +17,12 @@
 from hitchtiller.ops.stats import Stats
 from hitchtiller.sched import Scheduler
 
-PATIENCE_S = 5.0
+TIMEOUT_S = 5.0
 
 
 def run_until(sched: Scheduler, done: Callable[[], bool]) -> bool:
     """Turn the loop until something holds; False if it does not come to hold."""
-    end = time.monotonic() + PATIENCE_S
+    end = time.monotonic() + TIMEOUT_S
     while time.monotonic() < end:
         if done():
             return True
@@ -111,7 +111,7 @@
         before = len(self.front.clients)
         other = socket.create_connection(self.address)
         other.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        other.settimeout(PATIENCE_S)
+        other.settimeout(TIMEOUT_S)
         self.addCleanup(other.close)
         self.assertTrue(run_until(self.sched, lambda: len(self.front.clients) > before))
         return other
--- a/tests/ends/test_ends_descriptors.py
+++ b/tests/ends/test_ends_descriptors.py
@@ -27,7 +27,7 @@
 from hitchtiller.ops.upgrade import Upgrade
 from hitchtiller.sched import Scheduler, Stream
 
-PATIENCE_S = 5.0
+TIMEOUT_S = 5.0
 
 
 @contextmanager
--- a/tests/ends/test_ends_discovery.py
+++ b/tests/ends/test_ends_discovery.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 from conftest import BASE
-from scenario import PATIENCE_S, Gateway, Party, answer
+from scenario import TIMEOUT_S, Gateway, Party, answer
 
 from hitchtiller.bus import CONNECT_MS, SILENT_MS, BusLink
 from hitchtiller.codec import frames
@@ -44,14 +44,14 @@
         self.sched.spawn(self.bus.run)
         self.addCleanup(lambda: self.bus.stream and self.bus.stream.close("end"))
 
-    def until(self, done: Callable[[], bool], within_s: float = PATIENCE_S) -> None:
+    def until(self, done: Callable[[], bool], within_s: float = TIMEOUT_S) -> None:
         end = time.monotonic() + within_s
         while not done():
             self.assertLess(time.monotonic(), end)
             self.sched.later(1.0, lambda: None)
             self.sched.turn()
 
-    def accepted(self, within_s: float = PATIENCE_S) -> socket.socket:
+    def accepted(self, within_s: float = TIMEOUT_S) -> socket.socket:
         """Wait until the bus is asked, and for its number."""
         got: list[socket.socket] = []
 
@@ -127,7 +127,7 @@
         resource.prlimit(pid, resource.RLIMIT_NOFILE, (self.LIMIT, self.LIMIT))
         crowd = []
         for _ in range(3 * self.LIMIT):
-            crowd.append(socket.create_connection(("127.0.0.1", self.gateway.port), timeout=PATIENCE_S))
+            crowd.append(socket.create_connection(("127.0.0.1", self.gateway.port), timeout=TIMEOUT_S))
             self.addCleanup(crowd[-1].close)
         return crowd
 
--- a/tests/ends/test_ends_links.py
+++ b/tests/ends/test_ends_links.py
@@ -5,7 +5,7 @@
 import unittest
 from collections.abc import Callable
 
-from sides import PATIENCE_S, Job, run_until
+from sides import TIMEOUT_S, Job, run_until
 
 from hitchtiller import interface as api
 from hitchtiller.back import link as link_module
@@ -44,7 +44,7 @@
         (link,) = (link for link in self.pool.links if link.open_jobs.get(job.name) is job)
         self.assertEqual(len(self.pool.links), before + 1)
         server = self.listener.accept()[0]
-        server.settimeout(PATIENCE_S)
+        server.settimeout(TIMEOUT_S)
         self.addCleanup(server.close)
         return link, server
 
--- a/tests/ends/test_ends_shutdown.py
+++ b/tests/ends/test_ends_shutdown.py
@@ -6,7 +6,7 @@
 import unittest
 from unittest import mock
 
-from scenario import PATIENCE_S, Gateway
+from scenario import TIMEOUT_S, Gateway
 from sides import FrontCase, request
 
 from hitchtiller.codec import frames
@@ -101,7 +101,7 @@
         client.send(b"\0\0\1\0\7")
         begun = time.monotonic()
         self.gateway.terminate()
-        self.assertEqual(self.gateway.process.wait(PATIENCE_S), 0)
+        self.assertEqual(self.gateway.process.wait(TIMEOUT_S), 0)
         self.assertLess(time.monotonic() - begun, self.KILL_S)
 
 
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -18,7 +18,7 @@
 from hitchtiller.codec import frames, resp
 
 ROOT = Path(__file__).parent.parent
-PATIENCE_S, LIFE_S = 10.0, 40.0
+TIMEOUT_S, LIFE_S = 10.0, 40.0
 SETTINGS: dict[str, Any] = json.loads((ROOT / "examples" / "config.json").read_text())["settings"]
 
 
@@ -27,7 +27,7 @@
 
     def __init__(self, sock: socket.socket, reader: Any) -> None:
         self.sock, self.reader = sock, reader
-        self.sock.settimeout(PATIENCE_S)
+        self.sock.settimeout(TIMEOUT_S)
         self.got: list[Any] = []
 
     def send(self, data: bytes) -> Self:
@@ -177,12 +177,12 @@
 
     def server(self, name: str = "cache") -> Party:
         """Accept the gateway's connection to a cache."""
-        self.caches[name].settimeout(PATIENCE_S)
+        self.caches[name].settimeout(TIMEOUT_S)
         return Party(self.caches[name].accept()[0], resp.RespReader())
 
     def subscription(self) -> Party:
         """Accept the gateway's connection to the bus."""
-        self.bus.settimeout(PATIENCE_S)
+        self.bus.settimeout(TIMEOUT_S)
         return Party(self.bus.accept()[0], None)
 
     def told_all(self) -> None:
