--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -18,7 +18,7 @@
 from hitchtiller.codec import frames, resp
 
 ROOT = Path(__file__).parent.parent
-TIMEOUT_S, LIFE_S = 10.0, 40.0
+TIMEOUT_S, MAX_LIFE_S = 10.0, 40.0
 SETTINGS: dict[str, Any] = json.loads((ROOT / "examples" / "config.json").read_text())["settings"]
 
 
@@ -28,7 +28,7 @@
     def __init__(self, sock: socket.socket, reader: Any) -> None:
         self.sock, self.reader = sock, reader
         self.sock.settimeout(TIMEOUT_S)
-        self.got: list[Any] = []
+        self.received: list[Any] = []
 
     def send(self, data: bytes) -> Self:
         self.sock.sendall(data)
@@ -36,16 +36,16 @@
 
     def expect(self, check: Callable[[Any], bool] = lambda got: True) -> Any:
         """Take what comes next; it must satisfy the check. At the connection's end that is None."""
-        while not self.got:
+        while not self.received:
             try:
                 data = self.sock.recv(65_536)
             except ConnectionResetError:
                 data = b""
             if not data:
-                self.got.append(None)
+                self.received.append(None)
                 break
-            self.got += self.reader.feed(data)
-        first = self.got.pop(0)
+            self.received += self.reader.feed(data)
+        first = self.received.pop(0)
         assert check(first), f"unexpected {first!r}"
         return first
 
@@ -72,14 +72,14 @@
         self.sock.close()
 
 
-class Lines:
+class LineReader:
     """Takes the lines of an answer to a call apart."""
 
     def __init__(self) -> None:
-        self.rest = ""
+        self.incomplete = ""
 
     def feed(self, data: bytes) -> list[str]:
-        *lines, self.rest = (self.rest + data.decode()).split("\n")
+        *lines, self.incomplete = (self.incomplete + data.decode()).split("\n")
         return lines
 
 
@@ -131,9 +131,11 @@
         self.process = subprocess.Popen(
             command, cwd=ROOT, env=env, stderr=subprocess.PIPE, text=True, pass_fds=fds
         )
-        self.watch = threading.Timer(LIFE_S, self.process.kill)  # so that a line that never comes ends a test
-        self.watch.daemon = True
-        self.watch.start()
+        self.kill_timer = threading.Timer(
+            MAX_LIFE_S, self.process.kill
+        )  # so that a line that never comes ends a test
+        self.kill_timer.daemon = True
+        self.kill_timer.start()
         self.lines: list[str] = []
         self.control = int(self.expect_line("control on").rpartition(":")[2])
         self.port = int(self.expect_line("serving on").split("serving on 127.0.0.1:")[1].split(",")[0])
@@ -165,7 +167,7 @@
 
     def operator(self) -> Party:
         """Open a connection for a call."""
-        return Party(socket.create_connection(("127.0.0.1", self.control)), Lines())
+        return Party(socket.create_connection(("127.0.0.1", self.control)), LineReader())
 
     def call(self, line: str) -> list[str]:
         """Make a call; gives the answer's lines once the gateway has closed."""
@@ -201,7 +203,7 @@
         self.process.send_signal(signal.SIGTERM)
 
     def kill(self) -> None:
-        self.watch.cancel()
+        self.kill_timer.cancel()
         self.process.kill()
         self.process.wait()
         if self.process.stderr:
