--- a/tests/ends/sides.py
+++ b/tests/ends/sides.py
@@ -43,7 +43,7 @@
 
     def __init__(self, name: bytes = b"1", repeatable: bool = True) -> None:
         self.name, self.due_ms, self.reassignments, self.repeatable = name, 1e18, 0, repeatable
-        self.ends: list[str] = []
+        self.statuses: list[str] = []
         self.blocked_until_ms = 0.0
 
     def command(self) -> bytes:
@@ -55,13 +55,13 @@
     def answered(self, word: str, fields: dict[str, str], body: bytes) -> None:
         if word not in ("DONE", "WAIT"):
             raise resp.BadResp(word)
-        self.ends.append(word)
+        self.statuses.append(word)
 
     def block_until(self, until_ms: float) -> None:
         self.blocked_until_ms = until_ms
 
     def broken(self, status: str) -> None:
-        self.ends.append(status)
+        self.statuses.append(status)
 
 
 class NotingEngine:
--- a/tests/ends/test_ends_descriptors.py
+++ b/tests/ends/test_ends_descriptors.py
@@ -75,7 +75,7 @@
         job = Job()
         with no_descriptors():
             back.pools["s"].submit(job)
-        self.assertEqual(job.ends, ["skipped"], "which proves that nothing ran")
+        self.assertEqual(job.statuses, ["skipped"], "which proves that nothing ran")
         self.assertEqual(back.link_count, 0)
         again = Job()
         back.pools["s"].submit(again)
--- a/tests/ends/test_ends_links.py
+++ b/tests/ends/test_ends_links.py
@@ -62,7 +62,7 @@
         link.cancel(first)
         again = Job(b"a")
         self.pool.submit(again)
-        self.assertEqual(again.ends, ["skipped"], "which proves that it never ran")
+        self.assertEqual(again.statuses, ["skipped"], "which proves that it never ran")
         self.assertEqual(len(self.pool.links), 2, "nor on a fresh one: a server that hangs may read it first")
         link.killed_jobs[b"a"] = now_ms() - link_module.LATE_ANSWER_MS - 1.0  # long ago
         later = Job(b"a")
@@ -85,10 +85,10 @@
         first = Job(b"a")
         link, _ = self.written(first)
         link.close("stuck")
-        self.until(lambda: bool(first.ends))
+        self.until(lambda: bool(first.statuses))
         again = Job(b"a")
         self.pool.submit(again)
-        self.assertEqual(again.ends, ["skipped"])
+        self.assertEqual(again.statuses, ["skipped"])
 
     def test_a_kill_that_can_not_be_written_does_not_count_as_arrived(self) -> None:
         first = Job(b"a")
@@ -100,7 +100,7 @@
         link.killed_jobs[b"a"] = now_ms() - CONNECT_MS - 1.0
         again = Job(b"a")
         self.pool.submit(again)
-        self.assertEqual(again.ends, ["skipped"], "which proves that it never ran")
+        self.assertEqual(again.statuses, ["skipped"], "which proves that it never ran")
 
     def test_the_same_id_does_not_overtake_the_close_of_its_connection(self) -> None:
         first = Job(b"a")
@@ -108,7 +108,7 @@
         link.is_suspect = True
         spare, _ = self.written(Job(b"b"))
         link.close("junk")
-        self.until(lambda: first.ends == ["econnreset"])
+        self.until(lambda: first.statuses == ["econnreset"])
         fresh, _ = self.written(Job(b"a"))
         self.assertIsNot(fresh, spare)
 
@@ -116,7 +116,7 @@
         first = Job(b"a")
         _, server = self.written(first)
         server.close()
-        self.until(lambda: first.ends == ["econnreset"])
+        self.until(lambda: first.statuses == ["econnreset"])
         again = Job(b"a")
         self.written(again)
 
@@ -151,14 +151,14 @@
         link, server = self.written(first)
         wait = resp.write_command(b"a", b"WAIT", b"-")
         server.sendall(wait)
-        self.until(lambda: first.ends == ["WAIT"])
+        self.until(lambda: first.statuses == ["WAIT"])
         again = Job(b"a", repeatable=False)
         other, _ = self.written(again)
         self.assertIsNot(other, link)
         done = link.last_read_ms
         server.sendall(wait)
         self.until(lambda: link.last_read_ms > done)
-        self.assertEqual(again.ends, [])
+        self.assertEqual(again.statuses, [])
 
 
 class Connects(LinkCase):
@@ -167,8 +167,8 @@
         refused, silent = Job(b"a"), Job(b"b")
         self.listener.close()
         self.pool.submit(refused)
-        self.until(lambda: bool(refused.ends))
-        self.assertEqual(refused.ends, ["econnrefused"])
+        self.until(lambda: bool(refused.statuses))
+        self.assertEqual(refused.statuses, ["econnrefused"])
         full = socket.create_server(("127.0.0.1", 0), backlog=0)  # its queue is filled, so that none comes up
         self.addCleanup(full.close)
         fill = [socket.socket() for _ in range(3)]
@@ -180,8 +180,8 @@
         address = ("127.0.0.1", int(full.getsockname()[1]))
         self.back.follow(Topology((ListedServer(Member("s", "z", "k", "SERVING"), address),), True))()
         self.back.pools["s"].submit(silent)
-        self.until(lambda: bool(silent.ends))
-        self.assertEqual(silent.ends, ["silent"])
+        self.until(lambda: bool(silent.statuses))
+        self.assertEqual(silent.statuses, ["silent"])
 
 
 class Ways(LinkCase):
--- a/tests/test_back.py
+++ b/tests/test_back.py
@@ -19,16 +19,16 @@
 
     def __init__(self, name: bytes = b"1", due_ms: float = 1e18) -> None:
         self.name, self.due_ms, self.reassignments, self.repeatable = name, due_ms, 0, True
-        self.ends: list[str] = []
+        self.statuses: list[str] = []
 
     def command(self) -> bytes:
         return b"*1\r\n$1\r\nx\r\n"
 
     def answered(self, reply: str, fields: dict[str, str], body: bytes) -> None:
-        self.ends.append(reply)
+        self.statuses.append(reply)
 
     def broken(self, status: str) -> None:
-        self.ends.append(status)
+        self.statuses.append(status)
 
     def block_until(self, until_ms: float) -> None:
         self.blocked_until_ms = until_ms
@@ -56,9 +56,9 @@
         job = Job()
         for _ in range(MAX_REASSIGNMENTS):
             self.pool.on_link_closed(self.open_link(), [job])
-            self.assertFalse(job.ends)
+            self.assertFalse(job.statuses)
         self.pool.on_link_closed(self.open_link(), [job])
-        self.assertEqual(job.ends, ["econnrefused"])
+        self.assertEqual(job.statuses, ["econnrefused"])
 
     def test_attempts_are_spread_over_several_connections(self) -> None:
         """One reset ended up to 14 attempts."""
@@ -74,7 +74,7 @@
         self.back.most = 0
         job = Job()
         self.pool.submit(job)
-        self.assertEqual(job.ends, ["skipped"])
+        self.assertEqual(job.statuses, ["skipped"])
 
     def test_killed_ids_are_forgotten_after_a_while(self) -> None:
         jobs = [Job(b"%d" % n) for n in range(50)]
@@ -99,12 +99,12 @@
         link = self.open_link(invalid, valid)
         link.submit(unwritten)
         link._answer([b"1", b"DONE", b"-", b""])
-        self.assertEqual((invalid.ends, valid.ends), (["econnreset"], []))
+        self.assertEqual((invalid.statuses, valid.statuses), (["econnreset"], []))
         self.assertFalse(link.has_room(b"4"))
         self.assertFalse(link.queue, "what was not written is handed on")
         with self.assertRaises(Closed):
             link._answer([b"2", b"DONE", b"-", b""])
-        self.assertEqual(valid.ends, ["DONE"])
+        self.assertEqual(valid.statuses, ["DONE"])
 
     def test_a_silent_connection_is_not_suspect_while_nothing_is_overdue(self) -> None:
         link = self.open_link(Job())
