--- a/tests/ends/sides.py
+++ b/tests/ends/sides.py
@@ -64,7 +64,7 @@
         self.statuses.append(status)
 
 
-class NotingEngine:
+class RecordingEngine:
     """Notes requests taken, and those whose clients have gone; a test answers."""
 
     def __init__(self) -> None:
@@ -98,7 +98,7 @@
     """One front with one client."""
 
     def setUp(self) -> None:
-        self.sched, self.engine = Scheduler(), NotingEngine()
+        self.sched, self.engine = Scheduler(), RecordingEngine()
         stand_in: Any = self.engine
         assert not isinstance(stand_in, Engine)
         self.front = Front(self.sched, stand_in, replace(BASE), 8, 50_000_000)
