--- a/tests/ends/sides.py
+++ b/tests/ends/sides.py
@@ -131,7 +131,7 @@
         self.until(lambda: len(self.engine.taken) > number)
         return number
 
-    def jam(self) -> None:
+    def fill_send_buffer(self) -> None:
         """Let more answers wait on the connection than its client takes."""
         self.engine.answer(self.ask(1), bytes(16_000_000))
         self.assertGreater(self.client.stream.size, 1_000_000)
--- a/tests/ends/test_ends_clients.py
+++ b/tests/ends/test_ends_clients.py
@@ -19,19 +19,19 @@
     def test_a_cancel_is_seen_while_the_connection_is_jammed(self) -> None:
         """While a megabyte waited unsent nothing was read: attempts went on for up to 5 s."""
         waits = self.ask(2)
-        self.jam()
+        self.fill_send_buffer()
         self.other.sendall(cancel(2))
         self.until(lambda: bool(self.engine.left), "the cancel lies unread")
         self.assertEqual(self.engine.left, [self.engine.open[waits].request.id])
 
     def test_an_end_is_seen_while_the_connection_is_jammed(self) -> None:
         self.ask(2)
-        self.jam()
+        self.fill_send_buffer()
         self.other.shutdown(socket.SHUT_WR)
         self.until(lambda: bool(self.engine.left), "the end lies unread")
 
     def test_what_was_cancelled_while_it_waited_for_a_jam_is_never_begun(self) -> None:
-        self.jam()
+        self.fill_send_buffer()
         self.other.sendall(request(2) + request(3) + cancel(2))
         self.until(lambda: list(self.client.queued_requests) == [3])
         self.other.setblocking(False)
@@ -94,7 +94,7 @@
 
     def test_one_that_asks_on_and_takes_nothing_is_ended_at_a_bound(self) -> None:
         """Requests may wait for a jam to end, but no more of them than may be open."""
-        self.jam()
+        self.fill_send_buffer()
         for stream in range(2, MAX_OPEN_REQUESTS + 3):
             self.other.sendall(request(stream))
         self.until(lambda: self.client.close_code == "flood")
