--- a/tests/ends/sides.py
+++ b/tests/ends/sides.py
@@ -140,7 +140,7 @@
         self.until(lambda: self.client.last_activity_ms > seen)
         self.sched.turn()
 
-    def everything(self) -> bytes:
+    def read_until_end(self) -> bytes:
         """Read until the gateway's end of the connection; a reset fails."""
         self.other.setblocking(False)
         got = bytearray()
--- a/tests/ends/test_ends_clients.py
+++ b/tests/ends/test_ends_clients.py
@@ -71,7 +71,7 @@
         self.other.sendall(request(2))
         self.until(lambda: self.engine.stats.total()["refused"] == 1)
         self.engine.answer(number, b"x")
-        answers = [(f.stream, f.payload[0]) for f in frames.FrameReader().feed(self.everything())]
+        answers = [(f.stream, f.payload[0]) for f in frames.FrameReader().feed(self.read_until_end())]
         self.assertEqual(answers, [(2, frames.REFUSED), (1, frames.SERVED)])
 
 
--- a/tests/ends/test_ends_shutdown.py
+++ b/tests/ends/test_ends_shutdown.py
@@ -25,7 +25,7 @@
             self.addCleanup(patch.stop)
 
     def frames_until_end(self) -> list[frames.Frame]:
-        return list(frames.FrameReader().feed(self.everything()))
+        return list(frames.FrameReader().feed(self.read_until_end()))
 
     def test_a_request_that_comes_after_the_last_look_is_dropped_and_the_last_answer_arrives(self) -> None:
         """The close over unread bytes reset the connection and took the answer along."""
@@ -120,6 +120,6 @@
 
         with mock.patch.object(Client, "is_idle", crossed):
             self.front.leave._release_clients(final=True)
-        got = list(frames.FrameReader().feed(self.everything()))
+        got = list(frames.FrameReader().feed(self.read_until_end()))
         self.assertEqual([(f.kind, f.stream) for f in got], [(frames.ANSWER, 1), (frames.GOING, 0)])
         self.assertEqual(len(self.engine.taken), 1)
