--- a/tests/ends/sides.py
+++ b/tests/ends/sides.py
@@ -105,7 +105,7 @@
         self.address = self.front.listen(("127.0.0.1", 0))
         self.addCleanup(self.front.listener.close)
         self.other = self.connect()
-        self.client = self.last_client()
+        self.client = self.newest_client()
 
     def connect(self) -> socket.socket:
         before = len(self.front.clients)
@@ -116,7 +116,7 @@
         self.assertTrue(run_until(self.sched, lambda: len(self.front.clients) > before))
         return other
 
-    def last_client(self) -> Client:
+    def newest_client(self) -> Client:
         client = max(self.front.clients, key=lambda client: client.arrived_ms)
         self.addCleanup(client.stream.close, "end")
         return client
