--- a/tests/ends/sides.py
+++ b/tests/ends/sides.py
@@ -121,14 +121,14 @@
         self.addCleanup(client.stream.close, "end")
         return client
 
-    def until(self, done: Callable[[], bool], why: str = "") -> None:
+    def wait_until(self, done: Callable[[], bool], why: str = "") -> None:
         self.assertTrue(run_until(self.sched, done), why)
 
     def ask(self, stream: int, **fields: str) -> int:
         """Ask, until it is taken; gives its number in the order of taking."""
         number = len(self.engine.taken)
         self.other.sendall(request(stream, **fields))
-        self.until(lambda: len(self.engine.taken) > number)
+        self.wait_until(lambda: len(self.engine.taken) > number)
         return number
 
     def fill_send_buffer(self) -> None:
@@ -137,7 +137,7 @@
         self.assertGreater(self.client.stream.size, 1_000_000)
         self.other.sendall(frames.head(frames.GIVE_UP, 1, 0))  # of what is over: one more word is read
         seen = self.client.last_activity_ms
-        self.until(lambda: self.client.last_activity_ms > seen)
+        self.wait_until(lambda: self.client.last_activity_ms > seen)
         self.sched.turn()
 
     def read_until_end(self) -> bytes:
@@ -153,5 +153,5 @@
                 return False
             return True
 
-        self.until(ended, "the connection does not end")
+        self.wait_until(ended, "the connection does not end")
         return bytes(got)
--- a/tests/ends/test_ends_clients.py
+++ b/tests/ends/test_ends_clients.py
@@ -21,19 +21,19 @@
         waits = self.ask(2)
         self.fill_send_buffer()
         self.other.sendall(cancel(2))
-        self.until(lambda: bool(self.engine.left), "the cancel lies unread")
+        self.wait_until(lambda: bool(self.engine.left), "the cancel lies unread")
         self.assertEqual(self.engine.left, [self.engine.open[waits].request.id])
 
     def test_an_end_is_seen_while_the_connection_is_jammed(self) -> None:
         self.ask(2)
         self.fill_send_buffer()
         self.other.shutdown(socket.SHUT_WR)
-        self.until(lambda: bool(self.engine.left), "the end lies unread")
+        self.wait_until(lambda: bool(self.engine.left), "the end lies unread")
 
     def test_what_was_cancelled_while_it_waited_for_a_jam_is_never_begun(self) -> None:
         self.fill_send_buffer()
         self.other.sendall(request(2) + request(3) + cancel(2))
-        self.until(lambda: list(self.client.queued_requests) == [3])
+        self.wait_until(lambda: list(self.client.queued_requests) == [3])
         self.other.setblocking(False)
 
         def drained() -> bool:
@@ -41,7 +41,7 @@
                 self.other.recv(1_000_000)
             return len(self.engine.taken) == 2
 
-        self.until(drained, "what waited is taken once its client takes its answers")
+        self.wait_until(drained, "what waited is taken once its client takes its answers")
         self.assertEqual(self.client.stream.kept, 0, "and is not counted as held any more")
         self.assertEqual(self.engine.taken[1], f"{3:016x}")
 
@@ -55,7 +55,7 @@
 
         self.sched.turn()
         self.sched.spawn(busy)
-        self.until(lambda: bool(self.client.stream.code))
+        self.wait_until(lambda: bool(self.client.stream.code))
         self.assertEqual((self.engine.taken, self.client.stream.code), ([], "eof"))
 
     def test_one_that_gives_up_while_its_connection_is_to_end_is_heard(self) -> None:
@@ -63,13 +63,13 @@
         self.ask(1)
         self.client.close_when_done("half")
         self.other.sendall(cancel(1))
-        self.until(lambda: bool(self.engine.left))
+        self.wait_until(lambda: bool(self.engine.left))
 
     def test_requests_that_come_while_a_connection_is_to_end_are_refused_not_dropped(self) -> None:
         number = self.ask(1)
         self.client.close_when_done("half")
         self.other.sendall(request(2))
-        self.until(lambda: self.engine.stats.total()["refused"] == 1)
+        self.wait_until(lambda: self.engine.stats.total()["refused"] == 1)
         self.engine.answer(number, b"x")
         answers = [(f.stream, f.payload[0]) for f in frames.FrameReader().feed(self.read_until_end())]
         self.assertEqual(answers, [(2, frames.REFUSED), (1, frames.SERVED)])
@@ -79,15 +79,15 @@
     def test_one_that_asks_far_more_than_it_may_is_ended_and_others_are_not(self) -> None:
         for stream in range(1, MAX_OPEN_REQUESTS + 1):
             self.other.sendall(request(stream))
-        self.until(lambda: len(self.engine.taken) == MAX_OPEN_REQUESTS)
+        self.wait_until(lambda: len(self.engine.taken) == MAX_OPEN_REQUESTS)
         for stream in range(MAX_OPEN_REQUESTS + 1, MAX_OPEN_REQUESTS + MAX_EXCESS_REQUESTS + 2):
             self.other.sendall(request(stream))
-        self.until(lambda: self.client.close_code == "flood")
+        self.wait_until(lambda: self.client.close_code == "flood")
         self.assertEqual(self.client.open_exchanges, {})
         self.assertEqual(len(self.engine.taken), MAX_OPEN_REQUESTS)
         flooder = self.client
         self.other.close()
-        self.until(lambda: bool(flooder.stream.code))
+        self.wait_until(lambda: bool(flooder.stream.code))
         self.assertEqual(flooder.stream.code, "flood")
         self.other = self.connect()
         self.engine.answer(self.ask(1), b"x")
@@ -97,7 +97,7 @@
         self.fill_send_buffer()
         for stream in range(2, MAX_OPEN_REQUESTS + 3):
             self.other.sendall(request(stream))
-        self.until(lambda: self.client.close_code == "flood")
+        self.wait_until(lambda: self.client.close_code == "flood")
         self.assertEqual((len(self.engine.taken), self.client.queued_requests), (1, {}))
 
 
@@ -106,10 +106,10 @@
         """The sweep closed over the unread rest: a whole request was taken along."""
         data = request(1)
         self.other.sendall(data[:20])
-        self.until(lambda: self.client.stream.kept > 0)
+        self.wait_until(lambda: self.client.stream.kept > 0)
         self.other.sendall(data[20:])  # it lies there unread: the loop has not turned
         late = now_ms() + 10_000.0
         self.assertEqual(self.client.timeout_code(late), "unasked")
         self.front.sweep(late)
-        self.until(lambda: len(self.engine.taken) == 1)
+        self.wait_until(lambda: len(self.engine.taken) == 1)
         self.engine.answer(0, b"x")
--- a/tests/ends/test_ends_discovery.py
+++ b/tests/ends/test_ends_discovery.py
@@ -44,7 +44,7 @@
         self.sched.spawn(self.bus.run)
         self.addCleanup(lambda: self.bus.stream and self.bus.stream.close("end"))
 
-    def until(self, done: Callable[[], bool], within_s: float = TIMEOUT_S) -> None:
+    def wait_until(self, done: Callable[[], bool], within_s: float = TIMEOUT_S) -> None:
         end = time.monotonic() + within_s
         while not done():
             self.assertLess(time.monotonic(), end)
@@ -62,7 +62,7 @@
                 return False
             return True
 
-        self.until(look, within_s)
+        self.wait_until(look, within_s)
         self.addCleanup(got[0].close)
         got[0].setblocking(False)
         return got[0]
@@ -81,10 +81,10 @@
                 return False
             return len(number) == 8
 
-        self.until(told)
+        self.wait_until(told)
         self.assertEqual(int.from_bytes(number, "big"), last)
         second.sendall(drain(last + 1, 7))
-        self.until(lambda: self.bus.last == last + 1)
+        self.wait_until(lambda: self.bus.last == last + 1)
 
     def test_right_after_the_connection(self) -> None:
         self.goes_silent_after(b"", 0)
--- a/tests/ends/test_ends_links.py
+++ b/tests/ends/test_ends_links.py
@@ -33,14 +33,14 @@
         self.pool: Pool = self.back.pools["s"]
         self.addCleanup(self.pool.close, "end")
 
-    def until(self, done: Callable[[], bool]) -> None:
+    def wait_until(self, done: Callable[[], bool]) -> None:
         self.assertTrue(run_until(self.sched, done), "it does not come to hold")
 
     def written(self, job: Job) -> tuple[Link, socket.socket]:
         """Submit a job; give the connection that it was written on, and the server's end of it."""
         before = len(self.pool.links)
         self.pool.submit(job)
-        self.until(lambda: any(link.open_jobs.get(job.name) is job for link in self.pool.links))
+        self.wait_until(lambda: any(link.open_jobs.get(job.name) is job for link in self.pool.links))
         (link,) = (link for link in self.pool.links if link.open_jobs.get(job.name) is job)
         self.assertEqual(len(self.pool.links), before + 1)
         server = self.listener.accept()[0]
@@ -67,14 +67,14 @@
         link.killed_jobs[b"a"] = now_ms() - link_module.LATE_ANSWER_MS - 1.0  # long ago
         later = Job(b"a")
         self.pool.submit(later)
-        self.until(lambda: spare.open_jobs.get(b"a") is later)
+        self.wait_until(lambda: spare.open_jobs.get(b"a") is later)
 
     def test_the_same_id_goes_behind_its_kill_on_the_same_connection(self) -> None:
         first, again = Job(b"a"), Job(b"a")
         link, server = self.written(first)
         link.cancel(first)
         self.pool.submit(again)
-        self.until(lambda: link.open_jobs.get(b"a") is again)
+        self.wait_until(lambda: link.open_jobs.get(b"a") is again)
         reader, got = resp.RespReader(), list[list[bytes]]()
         while len(got) < 3:
             got += reader.feed(server.recv(65_536))
@@ -85,7 +85,7 @@
         first = Job(b"a")
         link, _ = self.written(first)
         link.close("stuck")
-        self.until(lambda: bool(first.statuses))
+        self.wait_until(lambda: bool(first.statuses))
         again = Job(b"a")
         self.pool.submit(again)
         self.assertEqual(again.statuses, ["skipped"])
@@ -108,7 +108,7 @@
         link.is_suspect = True
         spare, _ = self.written(Job(b"b"))
         link.close("junk")
-        self.until(lambda: first.statuses == ["econnreset"])
+        self.wait_until(lambda: first.statuses == ["econnreset"])
         fresh, _ = self.written(Job(b"a"))
         self.assertIsNot(fresh, spare)
 
@@ -116,7 +116,7 @@
         first = Job(b"a")
         _, server = self.written(first)
         server.close()
-        self.until(lambda: first.statuses == ["econnreset"])
+        self.wait_until(lambda: first.statuses == ["econnreset"])
         again = Job(b"a")
         self.written(again)
 
@@ -127,11 +127,11 @@
         job = Job(b"a")
         link, server = self.written(job)
         server.sendall(b"*4\r\n$1\r\na\r\n$4\r\nDONE\r\n$1\r\n-\r\n$100000\r\n")
-        self.until(lambda: link.reader.in_array)
+        self.wait_until(lambda: link.reader.in_array)
         link.last_growth_ms -= link_module.GROWTH_TIMEOUT_MS  # it has trickled for so long
         heard = link.last_read_ms
         server.sendall(b"x")
-        self.until(lambda: link.last_read_ms > heard)
+        self.wait_until(lambda: link.last_read_ms > heard)
         link.check(link.last_read_ms + 1.0)
         self.assertEqual(link.stream.code, "stuck")
 
@@ -139,10 +139,10 @@
         job = Job(b"a")
         link, server = self.written(job)
         server.sendall(b"*4\r\n$1\r\na\r\n$4\r\nDONE\r\n$1\r\n-\r\n$100000\r\n")
-        self.until(lambda: link.reader.in_array)
+        self.wait_until(lambda: link.reader.in_array)
         link.last_growth_ms -= 10_000.0
         server.sendall(bytes(link_module.MIN_GROWTH_BYTES))
-        self.until(lambda: link.last_growth_ms > now_ms() - 1_000.0)
+        self.wait_until(lambda: link.last_growth_ms > now_ms() - 1_000.0)
         link.check(now_ms() + 0.5 * link_module.GROWTH_TIMEOUT_MS)
         self.assertEqual(link.stream.code, "")
 
@@ -151,13 +151,13 @@
         link, server = self.written(first)
         wait = resp.write_command(b"a", b"WAIT", b"-")
         server.sendall(wait)
-        self.until(lambda: first.statuses == ["WAIT"])
+        self.wait_until(lambda: first.statuses == ["WAIT"])
         again = Job(b"a", repeatable=False)
         other, _ = self.written(again)
         self.assertIsNot(other, link)
         done = link.last_read_ms
         server.sendall(wait)
-        self.until(lambda: link.last_read_ms > done)
+        self.wait_until(lambda: link.last_read_ms > done)
         self.assertEqual(again.statuses, [])
 
 
@@ -167,7 +167,7 @@
         refused, silent = Job(b"a"), Job(b"b")
         self.listener.close()
         self.pool.submit(refused)
-        self.until(lambda: bool(refused.statuses))
+        self.wait_until(lambda: bool(refused.statuses))
         self.assertEqual(refused.statuses, ["econnrefused"])
         full = socket.create_server(("127.0.0.1", 0), backlog=0)  # its queue is filled, so that none comes up
         self.addCleanup(full.close)
@@ -180,7 +180,7 @@
         address = ("127.0.0.1", int(full.getsockname()[1]))
         self.back.follow(Topology((ListedServer(Member("s", "z", "k", "SERVING"), address),), True))()
         self.back.pools["s"].submit(silent)
-        self.until(lambda: bool(silent.statuses))
+        self.wait_until(lambda: bool(silent.statuses))
         self.assertEqual(silent.statuses, ["silent"])
 
 
@@ -202,7 +202,7 @@
         """The next PULL went out in the same turn, before the KILL was even written: two copies out."""
         first, exchange = self.attempt()
         self.back.send(first)
-        self.until(lambda: any(link.open_jobs for link in self.pool.links))
+        self.wait_until(lambda: any(link.open_jobs for link in self.pool.links))
         (link,) = self.pool.links
         link.round_trip_ms = 60.0
         self.back.cancel(first)
@@ -213,14 +213,14 @@
         written: list[float] = []
         second.authorize = lambda attempt: written.append(now_ms()) or SendLimits(0.0, 1_000.0)  # type: ignore[func-returns-value]
         self.back.send(second)
-        self.until(lambda: bool(written))
+        self.wait_until(lambda: bool(written))
         self.assertGreaterEqual(written[0], exchange.blocked_until_ms)
 
     def opened_at_once(self) -> tuple[Attempt, Exchange, Link]:
         """Write an attempt on a connection that came up in no time, as on loopback."""
         first, exchange = self.attempt()
         self.back.send(first)
-        self.until(lambda: any(link.open_jobs for link in self.pool.links))
+        self.wait_until(lambda: any(link.open_jobs for link in self.pool.links))
         (link,) = self.pool.links
         return first, exchange, link
 
@@ -229,7 +229,7 @@
         _, exchange, link = self.opened_at_once()
         begun = now_ms()
         link.close("stuck")
-        self.until(lambda: bool(self.ended))
+        self.wait_until(lambda: bool(self.ended))
         self.assertGreaterEqual(exchange.blocked_until_ms, begun + CONNECT_MS / 20.0)
 
     def test_a_kill_on_a_connection_that_opened_at_once_is_given_time_to_arrive(self) -> None:
@@ -244,17 +244,17 @@
         self.back.send(first)
         first.drop("ecanceled")
         self.assertEqual(self.ended, ["skipped"], "it never ran")
-        self.until(lambda: now_ms() > exchange.blocked_until_ms + 5.0)
+        self.wait_until(lambda: now_ms() > exchange.blocked_until_ms + 5.0)
         self.assertEqual(self.pool.links, [])
 
     def test_a_close_from_here_holds_further_attempts_back_too(self) -> None:
         first, exchange = self.attempt()
         self.back.send(first)
-        self.until(lambda: any(link.open_jobs for link in self.pool.links))
+        self.wait_until(lambda: any(link.open_jobs for link in self.pool.links))
         (link,) = self.pool.links
         link.round_trip_ms = 60.0
         link.close("stuck")
-        self.until(lambda: self.ended == ["etimedout"])
+        self.wait_until(lambda: self.ended == ["etimedout"])
         self.assertGreater(exchange.blocked_until_ms, now_ms() + 20.0)
 
 
@@ -282,7 +282,7 @@
         self.sched.spawn(client)
         self.sched.turn()
         self.sched.spawn(busy)
-        self.until(lambda: bool(events))
+        self.wait_until(lambda: bool(events))
         end = now_ms() + 50.0
-        self.until(lambda: now_ms() > end)
+        self.wait_until(lambda: now_ms() > end)
         self.assertEqual(events, ["gave up"])
--- a/tests/ends/test_ends_shutdown.py
+++ b/tests/ends/test_ends_shutdown.py
@@ -54,7 +54,7 @@
 
         with mock.patch.object(Client, "is_idle", crossed):
             self.sched.spawn(self.front.leave.stop)
-            self.until(lambda: len(self.engine.taken) == 1)
+            self.wait_until(lambda: len(self.engine.taken) == 1)
         self.engine.answer(0, b"x")
         self.assertIn((frames.ANSWER, 1), [(f.kind, f.stream) for f in self.frames_until_end()])
 
@@ -75,7 +75,7 @@
         self.sched.spawn(self.front.leave.stop)
         self.frames_until_end()
         self.other.close()
-        self.until(lambda: self.sched.stopped)
+        self.wait_until(lambda: self.sched.stopped)
 
 
 class ShortDeadlines(unittest.TestCase):
