--- a/tests/ends/sides.py
+++ b/tests/ends/sides.py
@@ -31,7 +31,7 @@
     return False
 
 
-def request(stream: int, **fields: str) -> bytes:
+def request_frame(stream: int, **fields: str) -> bytes:
     """Write a request."""
     base = {"c": "small", "i": f"{stream:016x}", "d": "2000", "o": f"{42:016x}", "m": "10", "lot": "3"}
     payload = frames.write_fields(base | fields)
@@ -127,7 +127,7 @@
     def ask(self, stream: int, **fields: str) -> int:
         """Ask, until it is taken; gives its number in the order of taking."""
         number = len(self.engine.taken)
-        self.other.sendall(request(stream, **fields))
+        self.other.sendall(request_frame(stream, **fields))
         self.wait_until(lambda: len(self.engine.taken) > number)
         return number
 
--- a/tests/ends/test_ends_clients.py
+++ b/tests/ends/test_ends_clients.py
@@ -4,7 +4,7 @@
 import socket
 import time
 
-from sides import FrontCase, request
+from sides import FrontCase, request_frame
 
 from hitchtiller.codec import frames
 from hitchtiller.front.client import MAX_EXCESS_REQUESTS, MAX_OPEN_REQUESTS
@@ -32,7 +32,7 @@
 
     def test_what_was_cancelled_while_it_waited_for_a_jam_is_never_begun(self) -> None:
         self.fill_send_buffer()
-        self.other.sendall(request(2) + request(3) + cancel(2))
+        self.other.sendall(request_frame(2) + request_frame(3) + cancel(2))
         self.wait_until(lambda: list(self.client.queued_requests) == [3])
         self.other.setblocking(False)
 
@@ -49,7 +49,7 @@
         """The end lay behind the request: it was sent on, and the end seen one lagging turn later."""
 
         def busy() -> None:
-            self.other.sendall(request(1))  # both come while the loop does other work
+            self.other.sendall(request_frame(1))  # both come while the loop does other work
             self.other.close()
             time.sleep(0.05)
 
@@ -68,7 +68,7 @@
     def test_requests_that_come_while_a_connection_is_to_end_are_refused_not_dropped(self) -> None:
         number = self.ask(1)
         self.client.close_when_done("half")
-        self.other.sendall(request(2))
+        self.other.sendall(request_frame(2))
         self.wait_until(lambda: self.engine.stats.total()["refused"] == 1)
         self.engine.answer(number, b"x")
         answers = [(f.stream, f.payload[0]) for f in frames.FrameReader().feed(self.read_until_end())]
@@ -78,10 +78,10 @@
 class Floods(FrontCase):
     def test_one_that_asks_far_more_than_it_may_is_ended_and_others_are_not(self) -> None:
         for stream in range(1, MAX_OPEN_REQUESTS + 1):
-            self.other.sendall(request(stream))
+            self.other.sendall(request_frame(stream))
         self.wait_until(lambda: len(self.engine.taken) == MAX_OPEN_REQUESTS)
         for stream in range(MAX_OPEN_REQUESTS + 1, MAX_OPEN_REQUESTS + MAX_EXCESS_REQUESTS + 2):
-            self.other.sendall(request(stream))
+            self.other.sendall(request_frame(stream))
         self.wait_until(lambda: self.client.close_code == "flood")
         self.assertEqual(self.client.open_exchanges, {})
         self.assertEqual(len(self.engine.taken), MAX_OPEN_REQUESTS)
@@ -96,7 +96,7 @@
         """Requests may wait for a jam to end, but no more of them than may be open."""
         self.fill_send_buffer()
         for stream in range(2, MAX_OPEN_REQUESTS + 3):
-            self.other.sendall(request(stream))
+            self.other.sendall(request_frame(stream))
         self.wait_until(lambda: self.client.close_code == "flood")
         self.assertEqual((len(self.engine.taken), self.client.queued_requests), (1, {}))
 
@@ -104,7 +104,7 @@
 class Half(FrontCase):
     def test_the_rest_of_a_request_that_comes_in_the_instant_of_its_time_out_is_taken(self) -> None:
         """The sweep closed over the unread rest: a whole request was taken along."""
-        data = request(1)
+        data = request_frame(1)
         self.other.sendall(data[:20])
         self.wait_until(lambda: self.client.stream.kept > 0)
         self.other.sendall(data[20:])  # it lies there unread: the loop has not turned
--- a/tests/ends/test_ends_shutdown.py
+++ b/tests/ends/test_ends_shutdown.py
@@ -7,7 +7,7 @@
 from unittest import mock
 
 from scenario import TIMEOUT_S, Gateway
-from sides import FrontCase, request
+from sides import FrontCase, request_frame
 
 from hitchtiller.codec import frames
 from hitchtiller.front import leave as leave_module
@@ -35,7 +35,7 @@
         def crossed(client: Client) -> bool:
             found = look(client)
             if found:
-                self.other.sendall(request(2))  # after the look that found nothing, before the close
+                self.other.sendall(request_frame(2))  # after the look that found nothing, before the close
             return found
 
         with mock.patch.object(Client, "is_idle", crossed):
@@ -49,7 +49,7 @@
 
         def crossed(client: Client) -> bool:
             if not self.engine.taken and not client.stream.waiting():
-                self.other.sendall(request(1))  # it lies there unread when the look comes
+                self.other.sendall(request_frame(1))  # it lies there unread when the look comes
             return look(client)
 
         with mock.patch.object(Client, "is_idle", crossed):
@@ -115,7 +115,7 @@
         def crossed(client: Client) -> bool:
             found = look(client)
             if found:
-                self.other.sendall(request(2))
+                self.other.sendall(request_frame(2))
             return found
 
         with mock.patch.object(Client, "is_idle", crossed):
