--- a/tests/ends/sides.py
+++ b/tests/ends/sides.py
@@ -124,7 +124,7 @@
     def wait_until(self, done: Callable[[], bool], why: str = "") -> None:
         self.assertTrue(run_until(self.sched, done), why)
 
-    def ask(self, stream: int, **fields: str) -> int:
+    def send_request(self, stream: int, **fields: str) -> int:
         """Ask, until it is taken; gives its number in the order of taking."""
         number = len(self.engine.taken)
         self.other.sendall(request_frame(stream, **fields))
@@ -133,7 +133,7 @@
 
     def fill_send_buffer(self) -> None:
         """Let more answers wait on the connection than its client takes."""
-        self.engine.answer(self.ask(1), bytes(16_000_000))
+        self.engine.answer(self.send_request(1), bytes(16_000_000))
         self.assertGreater(self.client.stream.size, 1_000_000)
         self.other.sendall(frames.head(frames.GIVE_UP, 1, 0))  # of what is over: one more word is read
         seen = self.client.last_activity_ms
--- a/tests/ends/test_ends_clients.py
+++ b/tests/ends/test_ends_clients.py
@@ -18,14 +18,14 @@
 class Gone(FrontCase):
     def test_a_cancel_is_seen_while_the_connection_is_jammed(self) -> None:
         """While a megabyte waited unsent nothing was read: attempts went on for up to 5 s."""
-        waits = self.ask(2)
+        waits = self.send_request(2)
         self.fill_send_buffer()
         self.other.sendall(cancel(2))
         self.wait_until(lambda: bool(self.engine.left), "the cancel lies unread")
         self.assertEqual(self.engine.left, [self.engine.open[waits].request.id])
 
     def test_an_end_is_seen_while_the_connection_is_jammed(self) -> None:
-        self.ask(2)
+        self.send_request(2)
         self.fill_send_buffer()
         self.other.shutdown(socket.SHUT_WR)
         self.wait_until(lambda: bool(self.engine.left), "the end lies unread")
@@ -60,13 +60,13 @@
 
     def test_one_that_gives_up_while_its_connection_is_to_end_is_heard(self) -> None:
         """From the word to close on, nothing more was parsed: attempts for it went on to its deadline."""
-        self.ask(1)
+        self.send_request(1)
         self.client.close_when_done("half")
         self.other.sendall(cancel(1))
         self.wait_until(lambda: bool(self.engine.left))
 
     def test_requests_that_come_while_a_connection_is_to_end_are_refused_not_dropped(self) -> None:
-        number = self.ask(1)
+        number = self.send_request(1)
         self.client.close_when_done("half")
         self.other.sendall(request_frame(2))
         self.wait_until(lambda: self.engine.stats.total()["refused"] == 1)
@@ -90,7 +90,7 @@
         self.wait_until(lambda: bool(flooder.stream.code))
         self.assertEqual(flooder.stream.code, "flood")
         self.other = self.connect()
-        self.engine.answer(self.ask(1), b"x")
+        self.engine.answer(self.send_request(1), b"x")
 
     def test_one_that_asks_on_and_takes_nothing_is_ended_at_a_bound(self) -> None:
         """Requests may wait for a jam to end, but no more of them than may be open."""
--- a/tests/ends/test_ends_shutdown.py
+++ b/tests/ends/test_ends_shutdown.py
@@ -29,7 +29,7 @@
 
     def test_a_request_that_comes_after_the_last_look_is_dropped_and_the_last_answer_arrives(self) -> None:
         """The close over unread bytes reset the connection and took the answer along."""
-        self.engine.answer(self.ask(1), b"last")
+        self.engine.answer(self.send_request(1), b"last")
         look = Client.is_idle
 
         def crossed(client: Client) -> bool:
@@ -60,9 +60,9 @@
 
     def test_one_resting_connection_ends_while_another_still_waits(self) -> None:
         """All were held until the last answer was out: some rest until the gateway ends them."""
-        self.engine.answer(self.ask(1), b"x")
+        self.engine.answer(self.send_request(1), b"x")
         rests, self.other = self.other, self.connect()
-        number = self.ask(1)
+        number = self.send_request(1)
         self.sched.spawn(self.front.leave.stop)
         asking, self.other = self.other, rests
         self.frames_until_end()
@@ -108,7 +108,7 @@
 class Drains(FrontCase):
     def test_a_request_that_crosses_the_close_of_a_drain_takes_no_answer_along(self) -> None:
         """The close was outright: over the unread request it reset the connection."""
-        self.engine.answer(self.ask(1), b"last")
+        self.engine.answer(self.send_request(1), b"last")
         self.client.last_activity_ms -= 10_000.0
         look = Client.is_idle
 
