--- a/tests/ends/sides.py
+++ b/tests/ends/sides.py
@@ -104,7 +104,7 @@
         self.front = Front(self.sched, stand_in, replace(BASE), 8, 50_000_000)
         self.address = self.front.listen(("127.0.0.1", 0))
         self.addCleanup(self.front.listener.close)
-        self.other = self.connect()
+        self.client_socket = self.connect()
         self.client = self.newest_client()
 
     def connect(self) -> socket.socket:
@@ -127,7 +127,7 @@
     def send_request(self, stream: int, **fields: str) -> int:
         """Ask, until it is taken; gives its number in the order of taking."""
         number = len(self.engine.taken)
-        self.other.sendall(request_frame(stream, **fields))
+        self.client_socket.sendall(request_frame(stream, **fields))
         self.wait_until(lambda: len(self.engine.taken) > number)
         return number
 
@@ -135,19 +135,21 @@
         """Let more answers wait on the connection than its client takes."""
         self.engine.answer(self.send_request(1), bytes(16_000_000))
         self.assertGreater(self.client.stream.size, 1_000_000)
-        self.other.sendall(frames.head(frames.GIVE_UP, 1, 0))  # of what is over: one more word is read
+        self.client_socket.sendall(
+            frames.head(frames.GIVE_UP, 1, 0)
+        )  # of what is over: one more word is read
         seen = self.client.last_activity_ms
         self.wait_until(lambda: self.client.last_activity_ms > seen)
         self.sched.turn()
 
     def read_until_end(self) -> bytes:
         """Read until the gateway's end of the connection; a reset fails."""
-        self.other.setblocking(False)
+        self.client_socket.setblocking(False)
         got = bytearray()
 
         def ended() -> bool:
             try:
-                while data := self.other.recv(1_000_000):
+                while data := self.client_socket.recv(1_000_000):
                     got.extend(data)
             except BlockingIOError:
                 return False
--- a/tests/ends/test_ends_clients.py
+++ b/tests/ends/test_ends_clients.py
@@ -20,25 +20,25 @@
         """While a megabyte waited unsent nothing was read: attempts went on for up to 5 s."""
         waits = self.send_request(2)
         self.fill_send_buffer()
-        self.other.sendall(cancel(2))
+        self.client_socket.sendall(cancel(2))
         self.wait_until(lambda: bool(self.engine.left), "the cancel lies unread")
         self.assertEqual(self.engine.left, [self.engine.open[waits].request.id])
 
     def test_an_end_is_seen_while_the_connection_is_jammed(self) -> None:
         self.send_request(2)
         self.fill_send_buffer()
-        self.other.shutdown(socket.SHUT_WR)
+        self.client_socket.shutdown(socket.SHUT_WR)
         self.wait_until(lambda: bool(self.engine.left), "the end lies unread")
 
     def test_what_was_cancelled_while_it_waited_for_a_jam_is_never_begun(self) -> None:
         self.fill_send_buffer()
-        self.other.sendall(request_frame(2) + request_frame(3) + cancel(2))
+        self.client_socket.sendall(request_frame(2) + request_frame(3) + cancel(2))
         self.wait_until(lambda: list(self.client.queued_requests) == [3])
-        self.other.setblocking(False)
+        self.client_socket.setblocking(False)
 
         def drained() -> bool:
             with contextlib.suppress(BlockingIOError):
-                self.other.recv(1_000_000)
+                self.client_socket.recv(1_000_000)
             return len(self.engine.taken) == 2
 
         self.wait_until(drained, "what waited is taken once its client takes its answers")
@@ -49,8 +49,8 @@
         """The end lay behind the request: it was sent on, and the end seen one lagging turn later."""
 
         def busy() -> None:
-            self.other.sendall(request_frame(1))  # both come while the loop does other work
-            self.other.close()
+            self.client_socket.sendall(request_frame(1))  # both come while the loop does other work
+            self.client_socket.close()
             time.sleep(0.05)
 
         self.sched.turn()
@@ -62,13 +62,13 @@
         """From the word to close on, nothing more was parsed: attempts for it went on to its deadline."""
         self.send_request(1)
         self.client.close_when_done("half")
-        self.other.sendall(cancel(1))
+        self.client_socket.sendall(cancel(1))
         self.wait_until(lambda: bool(self.engine.left))
 
     def test_requests_that_come_while_a_connection_is_to_end_are_refused_not_dropped(self) -> None:
         number = self.send_request(1)
         self.client.close_when_done("half")
-        self.other.sendall(request_frame(2))
+        self.client_socket.sendall(request_frame(2))
         self.wait_until(lambda: self.engine.stats.total()["refused"] == 1)
         self.engine.answer(number, b"x")
         answers = [(f.stream, f.payload[0]) for f in frames.FrameReader().feed(self.read_until_end())]
@@ -78,25 +78,25 @@
 class Floods(FrontCase):
     def test_one_that_asks_far_more_than_it_may_is_ended_and_others_are_not(self) -> None:
         for stream in range(1, MAX_OPEN_REQUESTS + 1):
-            self.other.sendall(request_frame(stream))
+            self.client_socket.sendall(request_frame(stream))
         self.wait_until(lambda: len(self.engine.taken) == MAX_OPEN_REQUESTS)
         for stream in range(MAX_OPEN_REQUESTS + 1, MAX_OPEN_REQUESTS + MAX_EXCESS_REQUESTS + 2):
-            self.other.sendall(request_frame(stream))
+            self.client_socket.sendall(request_frame(stream))
         self.wait_until(lambda: self.client.close_code == "flood")
         self.assertEqual(self.client.open_exchanges, {})
         self.assertEqual(len(self.engine.taken), MAX_OPEN_REQUESTS)
         flooder = self.client
-        self.other.close()
+        self.client_socket.close()
         self.wait_until(lambda: bool(flooder.stream.code))
         self.assertEqual(flooder.stream.code, "flood")
-        self.other = self.connect()
+        self.client_socket = self.connect()
         self.engine.answer(self.send_request(1), b"x")
 
     def test_one_that_asks_on_and_takes_nothing_is_ended_at_a_bound(self) -> None:
         """Requests may wait for a jam to end, but no more of them than may be open."""
         self.fill_send_buffer()
         for stream in range(2, MAX_OPEN_REQUESTS + 3):
-            self.other.sendall(request_frame(stream))
+            self.client_socket.sendall(request_frame(stream))
         self.wait_until(lambda: self.client.close_code == "flood")
         self.assertEqual((len(self.engine.taken), self.client.queued_requests), (1, {}))
 
@@ -105,9 +105,9 @@
     def test_the_rest_of_a_request_that_comes_in_the_instant_of_its_time_out_is_taken(self) -> None:
         """The sweep closed over the unread rest: a whole request was taken along."""
         data = request_frame(1)
-        self.other.sendall(data[:20])
+        self.client_socket.sendall(data[:20])
         self.wait_until(lambda: self.client.stream.kept > 0)
-        self.other.sendall(data[20:])  # it lies there unread: the loop has not turned
+        self.client_socket.sendall(data[20:])  # it lies there unread: the loop has not turned
         late = now_ms() + 10_000.0
         self.assertEqual(self.client.timeout_code(late), "unasked")
         self.front.sweep(late)
--- a/tests/ends/test_ends_shutdown.py
+++ b/tests/ends/test_ends_shutdown.py
@@ -35,7 +35,9 @@
         def crossed(client: Client) -> bool:
             found = look(client)
             if found:
-                self.other.sendall(request_frame(2))  # after the look that found nothing, before the close
+                self.client_socket.sendall(
+                    request_frame(2)
+                )  # after the look that found nothing, before the close
             return found
 
         with mock.patch.object(Client, "is_idle", crossed):
@@ -49,7 +51,7 @@
 
         def crossed(client: Client) -> bool:
             if not self.engine.taken and not client.stream.waiting():
-                self.other.sendall(request_frame(1))  # it lies there unread when the look comes
+                self.client_socket.sendall(request_frame(1))  # it lies there unread when the look comes
             return look(client)
 
         with mock.patch.object(Client, "is_idle", crossed):
@@ -61,12 +63,12 @@
     def test_one_resting_connection_ends_while_another_still_waits(self) -> None:
         """All were held until the last answer was out: some rest until the gateway ends them."""
         self.engine.answer(self.send_request(1), b"x")
-        rests, self.other = self.other, self.connect()
+        rests, self.client_socket = self.client_socket, self.connect()
         number = self.send_request(1)
         self.sched.spawn(self.front.leave.stop)
-        asking, self.other = self.other, rests
+        asking, self.client_socket = self.client_socket, rests
         self.frames_until_end()
-        self.other = asking
+        self.client_socket = asking
         self.engine.answer(number, b"x")
         answers = [f for f in self.frames_until_end() if f.kind == frames.ANSWER]
         self.assertEqual([(f.stream, f.payload[0]) for f in answers], [(1, frames.SERVED)])
@@ -74,7 +76,7 @@
     def test_the_loop_ends_once_all_have_gone(self) -> None:
         self.sched.spawn(self.front.leave.stop)
         self.frames_until_end()
-        self.other.close()
+        self.client_socket.close()
         self.wait_until(lambda: self.sched.stopped)
 
 
@@ -115,7 +117,7 @@
         def crossed(client: Client) -> bool:
             found = look(client)
             if found:
-                self.other.sendall(request_frame(2))
+                self.client_socket.sendall(request_frame(2))
             return found
 
         with mock.patch.object(Client, "is_idle", crossed):
