--- a/tests/ends/sides.py
+++ b/tests/ends/sides.py
@@ -52,10 +52,10 @@
     def on_sent(self) -> None:
         """Count nothing."""
 
-    def answered(self, word: str, fields: dict[str, str], body: bytes) -> None:
-        if word not in ("DONE", "WAIT"):
-            raise resp.BadResp(word)
-        self.statuses.append(word)
+    def answered(self, reply: str, fields: dict[str, str], body: bytes) -> None:
+        if reply not in ("DONE", "WAIT"):
+            raise resp.BadResp(reply)
+        self.statuses.append(reply)
 
     def block_until(self, until_ms: float) -> None:
         self.blocked_until_ms = until_ms
@@ -76,9 +76,9 @@
     def has(self, id: str) -> bool:
         return False
 
-    def take(self, ask: ClientRequest, deliver: Callable[[Answer], None]) -> Exchange:
-        exchange = Exchange(len(self.taken), ask, deliver)
-        self.taken.append(ask.id)
+    def take(self, request: ClientRequest, deliver: Callable[[Answer], None]) -> Exchange:
+        exchange = Exchange(len(self.taken), request, deliver)
+        self.taken.append(request.id)
         self.open[exchange.number] = exchange
         return exchange
 
@@ -109,20 +109,20 @@
 
     def connect(self) -> socket.socket:
         before = len(self.front.clients)
-        other = socket.create_connection(self.address)
-        other.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        other.settimeout(TIMEOUT_S)
-        self.addCleanup(other.close)
+        sock = socket.create_connection(self.address)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        sock.settimeout(TIMEOUT_S)
+        self.addCleanup(sock.close)
         self.assertTrue(run_until(self.sched, lambda: len(self.front.clients) > before))
-        return other
+        return sock
 
     def newest_client(self) -> Client:
         client = max(self.front.clients, key=lambda client: client.arrived_ms)
         self.addCleanup(client.stream.close, "end")
         return client
 
-    def wait_until(self, done: Callable[[], bool], why: str = "") -> None:
-        self.assertTrue(run_until(self.sched, done), why)
+    def wait_until(self, done: Callable[[], bool], message: str = "") -> None:
+        self.assertTrue(run_until(self.sched, done), message)
 
     def send_request(self, stream: int, **fields: str) -> int:
         """Ask, until it is taken; gives its number in the order of taking."""
@@ -138,22 +138,22 @@
         self.client_socket.sendall(
             frames.head(frames.GIVE_UP, 1, 0)
         )  # of what is over: one more word is read
-        seen = self.client.last_activity_ms
-        self.wait_until(lambda: self.client.last_activity_ms > seen)
+        last_activity_ms = self.client.last_activity_ms
+        self.wait_until(lambda: self.client.last_activity_ms > last_activity_ms)
         self.sched.turn()
 
     def read_until_end(self) -> bytes:
         """Read until the gateway's end of the connection; a reset fails."""
         self.client_socket.setblocking(False)
-        got = bytearray()
+        received = bytearray()
 
         def ended() -> bool:
             try:
                 while data := self.client_socket.recv(1_000_000):
-                    got.extend(data)
+                    received.extend(data)
             except BlockingIOError:
                 return False
             return True
 
         self.wait_until(ended, "the connection does not end")
-        return bytes(got)
+        return bytes(received)
