--- a/tests/ends/test_ends_clients.py
+++ b/tests/ends/test_ends_clients.py
@@ -11,41 +11,41 @@
 from hitchtiller.sched import now_ms
 
 
-def cancel(stream: int) -> bytes:
+def give_up_frame(stream: int) -> bytes:
     return frames.head(frames.GIVE_UP, stream, 0)
 
 
-class Gone(FrontCase):
-    def test_a_cancel_is_seen_while_the_connection_is_jammed(self) -> None:
+class Departures(FrontCase):
+    def test_a_give_up_is_read_while_answers_wait_unsent(self) -> None:
         """While a megabyte waited unsent nothing was read: attempts went on for up to 5 s."""
-        waits = self.send_request(2)
+        number = self.send_request(2)
         self.fill_send_buffer()
-        self.client_socket.sendall(cancel(2))
+        self.client_socket.sendall(give_up_frame(2))
         self.wait_until(lambda: bool(self.engine.left), "the cancel lies unread")
-        self.assertEqual(self.engine.left, [self.engine.open[waits].request.id])
+        self.assertEqual(self.engine.left, [self.engine.open[number].request.id])
 
-    def test_an_end_is_seen_while_the_connection_is_jammed(self) -> None:
+    def test_a_disconnect_is_seen_while_answers_wait_unsent(self) -> None:
         self.send_request(2)
         self.fill_send_buffer()
         self.client_socket.shutdown(socket.SHUT_WR)
         self.wait_until(lambda: bool(self.engine.left), "the end lies unread")
 
-    def test_what_was_cancelled_while_it_waited_for_a_jam_is_never_begun(self) -> None:
+    def test_a_queued_request_that_is_given_up_is_never_taken(self) -> None:
         self.fill_send_buffer()
-        self.client_socket.sendall(request_frame(2) + request_frame(3) + cancel(2))
+        self.client_socket.sendall(request_frame(2) + request_frame(3) + give_up_frame(2))
         self.wait_until(lambda: list(self.client.queued_requests) == [3])
         self.client_socket.setblocking(False)
 
-        def drained() -> bool:
+        def has_read_all() -> bool:
             with contextlib.suppress(BlockingIOError):
                 self.client_socket.recv(1_000_000)
             return len(self.engine.taken) == 2
 
-        self.wait_until(drained, "what waited is taken once its client takes its answers")
+        self.wait_until(has_read_all, "what waited is taken once its client takes its answers")
         self.assertEqual(self.client.stream.kept, 0, "and is not counted as held any more")
         self.assertEqual(self.engine.taken[1], f"{3:016x}")
 
-    def test_a_request_whose_client_left_behind_it_in_a_busy_turn_is_not_taken(self) -> None:
+    def test_a_request_whose_client_left_during_a_busy_turn_is_not_taken(self) -> None:
         """The end lay behind the request: it was sent on, and the end seen one lagging turn later."""
 
         def busy() -> None:
@@ -58,14 +58,14 @@
         self.wait_until(lambda: bool(self.client.stream.code))
         self.assertEqual((self.engine.taken, self.client.stream.code), ([], "eof"))
 
-    def test_one_that_gives_up_while_its_connection_is_to_end_is_heard(self) -> None:
+    def test_a_give_up_is_read_while_the_connection_is_closing(self) -> None:
         """From the word to close on, nothing more was parsed: attempts for it went on to its deadline."""
         self.send_request(1)
         self.client.close_when_done("half")
-        self.client_socket.sendall(cancel(1))
+        self.client_socket.sendall(give_up_frame(1))
         self.wait_until(lambda: bool(self.engine.left))
 
-    def test_requests_that_come_while_a_connection_is_to_end_are_refused_not_dropped(self) -> None:
+    def test_requests_on_a_closing_connection_are_refused_not_dropped(self) -> None:
         number = self.send_request(1)
         self.client.close_when_done("half")
         self.client_socket.sendall(request_frame(2))
@@ -76,7 +76,7 @@
 
 
 class Floods(FrontCase):
-    def test_one_that_asks_far_more_than_it_may_is_ended_and_others_are_not(self) -> None:
+    def test_a_client_that_floods_requests_is_closed_and_others_are_not(self) -> None:
         for stream in range(1, MAX_OPEN_REQUESTS + 1):
             self.client_socket.sendall(request_frame(stream))
         self.wait_until(lambda: len(self.engine.taken) == MAX_OPEN_REQUESTS)
@@ -92,7 +92,7 @@
         self.client_socket = self.connect()
         self.engine.answer(self.send_request(1), b"x")
 
-    def test_one_that_asks_on_and_takes_nothing_is_ended_at_a_bound(self) -> None:
+    def test_a_client_that_reads_no_answers_is_closed_at_the_queue_limit(self) -> None:
         """Requests may wait for a jam to end, but no more of them than may be open."""
         self.fill_send_buffer()
         for stream in range(2, MAX_OPEN_REQUESTS + 3):
@@ -101,15 +101,15 @@
         self.assertEqual((len(self.engine.taken), self.client.queued_requests), (1, {}))
 
 
-class Half(FrontCase):
-    def test_the_rest_of_a_request_that_comes_in_the_instant_of_its_time_out_is_taken(self) -> None:
+class PartialRequests(FrontCase):
+    def test_the_rest_of_a_request_that_arrives_at_its_timeout_is_read(self) -> None:
         """The sweep closed over the unread rest: a whole request was taken along."""
         data = request_frame(1)
         self.client_socket.sendall(data[:20])
         self.wait_until(lambda: self.client.stream.kept > 0)
         self.client_socket.sendall(data[20:])  # it lies there unread: the loop has not turned
-        late = now_ms() + 10_000.0
-        self.assertEqual(self.client.timeout_code(late), "unasked")
-        self.front.sweep(late)
+        late_ms = now_ms() + 10_000.0
+        self.assertEqual(self.client.timeout_code(late_ms), "unasked")
+        self.front.sweep(late_ms)
         self.wait_until(lambda: len(self.engine.taken) == 1)
         self.engine.answer(0, b"x")
