--- a/tests/ends/test_ends_descriptors.py
+++ b/tests/ends/test_ends_descriptors.py
@@ -43,7 +43,7 @@
         resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
 
 
-class NoDescriptor(unittest.TestCase):
+class NoDescriptors(unittest.TestCase):
     def setUp(self) -> None:
         self.sched = Scheduler()
         self.server = socket.create_server(("127.0.0.1", 0))
@@ -51,24 +51,24 @@
         self.addCleanup(self.server.close)
         self.address = ("127.0.0.1", int(self.server.getsockname()[1]))
 
-    def accepted(self) -> bool:
+    def accept_one(self) -> bool:
         try:
             self.addCleanup(self.server.accept()[0].close)
         except BlockingIOError:
             return False
         return True
 
-    def test_the_subscription_comes_back_by_itself(self) -> None:
+    def test_the_bus_subscription_recovers(self) -> None:
         """`socket.socket()` stood outside the try: the greenlet ended, and no drain was heard again."""
         bus = BusLink(self.sched, lambda event: None, self.address, ((), ()))
         with no_descriptors():
             self.sched.spawn(bus.run)
             self.sched.turn()
-        self.assertTrue(run_until(self.sched, self.accepted))
+        self.assertTrue(run_until(self.sched, self.accept_one))
         assert bus.stream
         bus.stream.close("end")
 
-    def test_a_request_for_which_no_connection_opens_was_never_sent(self) -> None:
+    def test_a_request_without_a_connection_counts_as_never_sent(self) -> None:
         """The fault was raised inside the decision's action: the request failed, its attempt never ended."""
         back = Upstreams(self.sched, (400.0, 1000.0), 4, 8)
         back.follow(Topology((ListedServer(Member("s", "z", "k", "SERVING"), self.address),), True))
@@ -80,9 +80,9 @@
         again = Job()
         back.pools["s"].submit(again)
         self.addCleanup(back.pools["s"].close, "end")
-        self.assertTrue(run_until(self.sched, self.accepted), "the pool opens again")
+        self.assertTrue(run_until(self.sched, self.accept_one), "the pool opens again")
 
-    def test_the_listener_outlives_a_client_that_left_while_it_was_taken(self) -> None:
+    def test_the_listener_survives_a_client_that_leaves_while_it_is_accepted(self) -> None:
         engine: Any = None
         front = Front(self.sched, engine, BASE, 4, 1000)
         address = front.listen(("127.0.0.1", 0))
@@ -104,7 +104,7 @@
         self.assertTrue(run_until(self.sched, lambda: len(front.clients) == 1))
 
 
-class NoLook(unittest.TestCase):
+class UnreadableSharedFolder(unittest.TestCase):
     """The folder that two versions share can't be read: what was seen last holds."""
 
     def setUp(self) -> None:
@@ -116,9 +116,11 @@
         self.addCleanup(self.sign.remove)
         self.front: Any = mock.Mock(accepting=True)
         self.front.unready.return_value = "no list yet"
-        self.upgrade = Upgrade(Scheduler(), self.sign, self.front, lambda whole: True, lambda two, mine: None)
+        self.upgrade = Upgrade(
+            Scheduler(), self.sign, self.front, lambda whole: True, lambda two, younger: None
+        )
 
-    def test_the_other_process_is_not_taken_for_gone_and_the_look_goes_on(self) -> None:
+    def test_the_other_process_still_counts_as_alive(self) -> None:
         """The look raised: its greenlet ended, and the gateway was never told to be ready."""
         self.assertEqual(len(self.upgrade.older()), 1)
         with no_descriptors():
@@ -126,35 +128,37 @@
         self.assertEqual(len(self.upgrade.older()), 1)
         self.assertFalse(self.front.accepting, "the older one serves")
 
-    def test_a_stop_leaves_all_the_same(self) -> None:
+    def test_a_stop_still_drains_the_clients(self) -> None:
         """SIGTERM ended in the look's fault: nobody was told to go, and the kill took what was in hand."""
         with no_descriptors():
             self.upgrade.stop()
         self.front.leave.stop.assert_called_once()
 
 
-class NoRead(unittest.TestCase):
-    def test_hold_outs_told_while_no_file_can_be_read_are_taken_later(self) -> None:
+class UnreadableHoldOuts(unittest.TestCase):
+    def test_hold_outs_are_read_once_descriptors_are_free(self) -> None:
         """The fault ended the greenlet, and the file counted as seen."""
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         sched, told = Scheduler(), list[Event]()
-        mine, other = (HoldOuts(Path(folder.name), told.append, "origin") for _ in range(2))
+        local_holdouts, other_holdouts = (
+            HoldOuts(Path(folder.name), told.append, "origin") for _ in range(2)
+        )
         server = ListedServer(Member("s-1", "z", "k", "SERVING"), ("127.0.0.1", 1))
-        for each in (mine, other):
+        for each in (local_holdouts, other_holdouts):
             each.news(Topology((server,), True))
-        sched.spawn(mine.run, sched)
-        other.disable("s-1")
+        sched.spawn(local_holdouts.run, sched)
+        other_holdouts.disable("s-1")
         with no_descriptors():
             end = time.monotonic() + 0.5
             while time.monotonic() < end:
                 sched.later(1.0, lambda: None)
                 sched.turn()
-            self.assertEqual(mine.out, frozenset())
-        self.assertTrue(run_until(sched, lambda: mine.out == {"s-1"}))
+            self.assertEqual(local_holdouts.out, frozenset())
+        self.assertTrue(run_until(sched, lambda: local_holdouts.out == {"s-1"}))
 
 
-class Room(unittest.TestCase):
+class MakingRoom(unittest.TestCase):
     """Who makes room where clients hold all that they may."""
 
     def setUp(self) -> None:
@@ -165,7 +169,7 @@
         self.server = socket.create_server(("127.0.0.1", 0))
         self.addCleanup(self.server.close)
 
-    def client(self) -> tuple[Client, socket.socket]:
+    def add_client(self) -> tuple[Client, socket.socket]:
         other = socket.create_connection(self.server.getsockname())
         self.addCleanup(other.close)
         client = Client(self.front, Stream(self.sched, self.server.accept()[0]), "peer")
@@ -174,27 +178,27 @@
         self.front.clients.add(client)
         return client, other
 
-    def test_one_that_waits_for_its_last_answer_is_not_turned_out(self) -> None:
+    def test_a_client_waiting_for_its_last_answer_is_not_closed(self) -> None:
         """`closing` alone counted as idle: its open request was lost with the connection."""
-        client, _ = self.client()
+        client, _ = self.add_client()
         exchange: Any = mock.Mock(spec=Exchange)
         client.open_exchanges[1] = exchange
         client.close_when_done("half")
         self.assertFalse(self.front.make_room())
         self.assertEqual(client.stream.code, "")
 
-    def test_one_whose_answer_has_not_gone_out_is_not_turned_out(self) -> None:
-        client, _ = self.client()
+    def test_a_client_with_an_unsent_answer_is_not_closed(self) -> None:
+        client, _ = self.add_client()
         client.stream.write(bytes(8_000_000))
         client.close_code = "half"
         self.assertFalse(self.front.make_room())
 
-    def test_an_idle_one_goes_before_one_whose_last_answer_is_under_way(self) -> None:
-        lingering, other = self.client()
+    def test_an_idle_client_is_closed_before_a_lingering_one(self) -> None:
+        lingering, other = self.add_client()
         lingering.last_activity_ms -= 10_000.0
         lingering.close_when_done("half")
         other.sendall(b"late")
-        idle, _ = self.client()
+        idle, _ = self.add_client()
         self.assertTrue(self.front.make_room())
         self.assertEqual((lingering.stream.code, idle.stream.code), ("", "full"))
         self.assertTrue(self.front.make_room(), "but with none idle it makes room all the same")
