--- a/tests/ends/test_ends_discovery.py
+++ b/tests/ends/test_ends_discovery.py
@@ -16,12 +16,12 @@
 from hitchtiller.sched import Scheduler, now_ms
 
 WITHIN_S = 2.0 * (CONNECT_MS + SILENT_MS) / 1000.0
-NOTHING = HEAD.pack(1, 0)
-AT_ONCE_S = 1.5  # before the silent crowd is turned out for its silence, after 2.2 s
+CAUGHT_UP = HEAD.pack(1, 0)
+PROMPT_S = 1.5  # before the silent crowd is turned out for its silence, after 2.2 s
 READY_S = 10.0  # of restarted processes, nine in ten
 
 
-def drain(number: int, id: int) -> bytes:
+def drain_frame(number: int, id: int) -> bytes:
     body = HEAD.pack(number, 2) + RECORD.pack(id, bytes([127, 0, 0, 1]), 9, 1, 1, 0, 0, 8000, 0)
     return len(body).to_bytes(4, "big") + body
 
@@ -30,17 +30,17 @@
     return len(body).to_bytes(4, "big") + body
 
 
-class Silences(unittest.TestCase):
+class SilentBus(unittest.TestCase):
     """One subscription, whose other end says nothing more at a chosen point."""
 
     def setUp(self) -> None:
-        self.sched, self.heard = Scheduler(), list[Event]()
+        self.sched, self.received_events = Scheduler(), list[Event]()
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.listener.setblocking(False)
         self.addCleanup(self.listener.close)
         address = ("127.0.0.1", int(self.listener.getsockname()[1]))
         kinds = ("box", "parent", "origin")
-        self.bus = BusLink(self.sched, self.heard.append, address, (BASE.zones, kinds))
+        self.bus = BusLink(self.sched, self.received_events.append, address, (BASE.zones, kinds))
         self.sched.spawn(self.bus.run)
         self.addCleanup(lambda: self.bus.stream and self.bus.stream.close("end"))
 
@@ -51,68 +51,68 @@
             self.sched.later(1.0, lambda: None)
             self.sched.turn()
 
-    def accepted(self, within_s: float = TIMEOUT_S) -> socket.socket:
+    def accept_subscription(self, within_s: float = TIMEOUT_S) -> socket.socket:
         """Wait until the bus is asked, and for its number."""
-        got: list[socket.socket] = []
+        accepted: list[socket.socket] = []
 
-        def look() -> bool:
+        def has_accepted() -> bool:
             try:
-                got.append(self.listener.accept()[0])
+                accepted.append(self.listener.accept()[0])
             except BlockingIOError:
                 return False
             return True
 
-        self.wait_until(look, within_s)
-        self.addCleanup(got[0].close)
-        got[0].setblocking(False)
-        return got[0]
+        self.wait_until(has_accepted, within_s)
+        self.addCleanup(accepted[0].close)
+        accepted[0].setblocking(False)
+        return accepted[0]
 
-    def goes_silent_after(self, said: bytes, last: int) -> None:
+    def check_silence_after(self, sent: bytes, last: int) -> None:
         """Say something and nothing more; it has to ask again, from the last whole event on, and be told."""
-        first = self.accepted()
-        first.sendall(said)
-        second = self.accepted(WITHIN_S)
+        first = self.accept_subscription()
+        first.sendall(sent)
+        second = self.accept_subscription(WITHIN_S)
         number = bytearray()
 
-        def told() -> bool:
+        def has_number() -> bool:
             try:
                 number.extend(second.recv(8))
             except BlockingIOError:
                 return False
             return len(number) == 8
 
-        self.wait_until(told)
+        self.wait_until(has_number)
         self.assertEqual(int.from_bytes(number, "big"), last)
-        second.sendall(drain(last + 1, 7))
+        second.sendall(drain_frame(last + 1, 7))
         self.wait_until(lambda: self.bus.last == last + 1)
 
-    def test_right_after_the_connection(self) -> None:
-        self.goes_silent_after(b"", 0)
+    def test_silence_right_after_connecting(self) -> None:
+        self.check_silence_after(b"", 0)
 
-    def test_after_the_subscription_has_told_all(self) -> None:
-        self.goes_silent_after(drain(3, 5) + framed(NOTHING), 3)
+    def test_silence_after_the_bus_has_caught_up(self) -> None:
+        self.check_silence_after(drain_frame(3, 5) + framed(CAUGHT_UP), 3)
 
-    def test_in_the_middle_of_an_event(self) -> None:
-        self.goes_silent_after(drain(3, 5) + drain(4, 6)[:20], 3)
+    def test_silence_in_the_middle_of_an_event(self) -> None:
+        self.check_silence_after(drain_frame(3, 5) + drain_frame(4, 6)[:20], 3)
 
-    def test_in_the_middle_of_a_length(self) -> None:
-        self.goes_silent_after(drain(3, 5) + b"\0\0", 3)
+    def test_silence_in_the_middle_of_a_length(self) -> None:
+        self.check_silence_after(drain_frame(3, 5) + b"\0\0", 3)
 
-    def test_a_move_while_the_old_one_does_not_answer(self) -> None:
+    def test_moving_to_another_bus_while_the_old_one_is_silent(self) -> None:
         """SIGHUP comes while a connection to the old address is under way, or waited for."""
-        self.accepted()
+        self.accept_subscription()
         other = socket.create_server(("127.0.0.1", 0))
         self.addCleanup(other.close)
         self.listener.close()
         self.listener = other
         other.setblocking(False)
-        begun = now_ms()
+        started = now_ms()
         self.bus.move(("127.0.0.1", int(other.getsockname()[1])))
-        self.accepted(1.0)
-        self.assertLess(now_ms() - begun, 1_000.0)
+        self.accept_subscription(1.0)
+        self.assertLess(now_ms() - started, 1_000.0)
 
 
-class FullHouse(unittest.TestCase):
+class FullGateway(unittest.TestCase):
     """Idle clients hold all descriptors that they may, and try for more, while discovery is down."""
 
     LIMIT = 120
@@ -121,7 +121,7 @@
         self.gateway = Gateway(sockets=self.LIMIT)
         self.addCleanup(self.gateway.stop)
 
-    def crowd(self) -> list[socket.socket]:
+    def connect_crowd(self) -> list[socket.socket]:
         """Connect as many as the process has descriptors, and twice more."""
         pid = self.gateway.process.pid
         resource.prlimit(pid, resource.RLIMIT_NOFILE, (self.LIMIT, self.LIMIT))
@@ -131,18 +131,18 @@
             self.addCleanup(crowd[-1].close)
         return crowd
 
-    def test_bus_and_links_keep_theirs_and_a_drain_told_after_it_returns_is_kept(self) -> None:
+    def test_bus_and_links_keep_descriptors_and_a_later_drain_is_applied(self) -> None:
         address = self.gateway.bus.getsockname()
         self.gateway.subscription().close()
         self.gateway.bus.close()  # discovery is down
-        self.crowd()
+        self.connect_crowd()
         client = self.gateway.client()
         self.addCleanup(client.close)
-        client.sock.settimeout(AT_ONCE_S)
+        client.sock.settimeout(PROMPT_S)
         client.ask(1)
-        begun = time.monotonic()
+        started = time.monotonic()
         cache = self.gateway.server()
-        self.assertLess(time.monotonic() - begun, AT_ONCE_S)
+        self.assertLess(time.monotonic() - started, PROMPT_S)
         self.addCleanup(cache.close)
         cache.send(answer(cache.expect_pull()[0], b"DONE", body=b"x"))
         client.expect_answer(1, frames.SERVED, b"x")
@@ -157,19 +157,21 @@
         client.ask(2)
         self.gateway.server("parent").expect_pull()  # the drained cache gets nothing new
 
-    def test_a_restarted_process_is_ready_in_time_with_discovery_down_and_a_crowd_at_its_door(self) -> None:
+    def test_a_restarted_process_is_ready_in_time_while_discovery_is_down(self) -> None:
         self.gateway.bus.close()
-        took = []
+        durations_s = []
         for _ in range(5):
             self.gateway.kill()
-            begun = time.monotonic()
+            started = time.monotonic()
             self.gateway.start()
-            self.crowd()
+            self.connect_crowd()
             self.gateway.expect_line("INFO n0 ready")
             probe = self.gateway.client()
             self.addCleanup(probe.close)
             probe.send(frames.head(frames.READY, 0, 1) + b"\0")
-            probe.expect(lambda got: got.kind == frames.READY_ANSWER and got.payload[0] == frames.SERVED)
-            took.append(time.monotonic() - begun)
-        self.assertLess(max(took), READY_S, took)
-        print("ready after s:", [round(each, 2) for each in took])
+            probe.expect(
+                lambda accepted: accepted.kind == frames.READY_ANSWER and accepted.payload[0] == frames.SERVED
+            )
+            durations_s.append(time.monotonic() - started)
+        self.assertLess(max(durations_s), READY_S, durations_s)
+        print("ready after s:", [round(each, 2) for each in durations_s])
