--- a/tests/ends/test_ends_effects.py
+++ b/tests/ends/test_ends_effects.py
@@ -13,20 +13,20 @@
 from hitchtiller.codec import frames
 from hitchtiller.routing.effects import MARGIN_MS, MAX_KEYS, Effects
 
-ZONE = api.ClassSettings(
+ZONE_SCOPED = api.ClassSettings(
     "pay", 800.0, 3000.0, effect="by_key", key_scope="zone", repeat_window_ms=1000.0, write=True
 )
-ALL = replace(ZONE, key_scope="all")
+GLOBALLY_SCOPED = replace(ZONE_SCOPED, key_scope="all")
 HERE, THERE = (next(m for m in FLEET if m.server == name) for name in ("c0", "d0"))
 
 
 class Windows(unittest.TestCase):
-    def effects(self, cls: api.ClassSettings = ALL) -> Effects:
+    def effects(self, cls: api.ClassSettings = GLOBALLY_SCOPED) -> Effects:
         effects = Effects({"pay": cls, "files": BASE.classes["big"]})
         effects.begin("pay", "k1", HERE, 100.0)
         return effects
 
-    def test_the_window_counts_from_the_first_attempt_of_the_key_whoever_asked(self) -> None:
+    def test_the_window_starts_with_the_first_attempt_of_the_key(self) -> None:
         effects = self.effects()
         effects.begin("pay", "k1", HERE, 900.0)
         last = 100.0 + 1000.0 - MARGIN_MS
@@ -34,7 +34,7 @@
         self.assertFalse(effects.may_begin("pay", "k1", HERE, last))
         self.assertTrue(effects.may_begin("pay", "k2", HERE, last), "another key is another effect")
 
-    def test_proof_takes_an_attempt_off_and_only_that_one(self) -> None:
+    def test_proof_that_nothing_ran_removes_one_attempt(self) -> None:
         effects = self.effects()
         effects.begin("pay", "k1", HERE, 200.0)
         effects.never_ran("pay", "k1")
@@ -42,20 +42,20 @@
         effects.never_ran("pay", "k1")
         self.assertTrue(effects.may_begin("pay", "k1", HERE, 2000.0))
 
-    def test_the_scope_holds(self) -> None:
-        self.assertFalse(self.effects(ZONE).may_begin("pay", "k1", THERE, 200.0))
+    def test_the_key_scope_is_respected(self) -> None:
+        self.assertFalse(self.effects(ZONE_SCOPED).may_begin("pay", "k1", THERE, 200.0))
         self.assertTrue(self.effects().may_begin("pay", "k1", THERE, 200.0))
-        cell = self.effects(replace(ZONE, key_scope="cell"))
+        cell = self.effects(replace(ZONE_SCOPED, key_scope="cell"))
         self.assertTrue(cell.may_begin("pay", "k1", HERE, 200.0))
         self.assertFalse(cell.may_begin("pay", "k1", replace(HERE, cell=7), 200.0))
 
-    def test_what_is_told_to_the_client(self) -> None:
+    def test_whether_a_client_may_retry_safely(self) -> None:
         self.assertTrue(self.effects().retry_is_safe("pay", "k1", 200.0))
         self.assertFalse(self.effects().retry_is_safe("pay", "k1", 5000.0))
-        self.assertFalse(self.effects(ZONE).retry_is_safe("pay", "k1", 200.0))
-        self.assertTrue(self.effects(ZONE).retry_is_safe("pay", "new", 200.0))
+        self.assertFalse(self.effects(ZONE_SCOPED).retry_is_safe("pay", "k1", 200.0))
+        self.assertTrue(self.effects(ZONE_SCOPED).retry_is_safe("pay", "new", 200.0))
 
-    def test_keys_are_forgotten_when_no_try_of_them_can_come_any_more_and_at_a_bound(self) -> None:
+    def test_keys_are_forgotten_after_their_last_possible_retry_and_at_a_bound(self) -> None:
         effects = self.effects()
         effects.begin("pay", "k2", HERE, 100.0 + 1000.0 + 4.0 * 3000.0)
         self.assertEqual(list(effects.doubts), [("pay", "k2")])
@@ -65,14 +65,14 @@
 
 
 class FirstByte(unittest.TestCase):
-    def test_a_repeat_that_waited_past_its_window_for_a_connection_does_not_go(self) -> None:
+    def test_a_repeat_that_waited_past_its_window_is_not_sent(self) -> None:
         """The window was looked at when the attempt was decided, not when its first byte went out."""
         bench = Bench()
         (get,) = gets(bench.ask(1, name="keyed"))
         self.assertIsNotNone(bench.router.recheck_send(1, 0, 5.0))
         bench.now = 100.0
-        (again,) = gets(bench.end(get, "err"))
-        self.assertEqual(again.id, 1)
+        (repeat,) = gets(bench.end(get, "err"))
+        self.assertEqual(repeat.id, 1)
         self.assertIsNotNone(bench.router.recheck_send(1, 1, 500.0))
         self.assertIsNone(bench.router.recheck_send(1, 1, 950.0), "the window is 1 s")
 
@@ -99,13 +99,13 @@
         self.client = self.gateway.client()
         self.addCleanup(self.client.close)
 
-    def opened(self, stream: int, name: str, **fields: str) -> tuple[Party, bytes]:
+    def open_request(self, stream: int, name: str, **fields: str) -> tuple[Party, bytes]:
         self.client.ask(stream, b"pay", c=name, **fields)
         cache = self.gateway.server()
         self.addCleanup(cache.close)
         return cache, cache.expect_pull()[0]
 
-    def nothing_more(self, *caches: Party) -> None:
+    def assert_nothing_forwarded(self, *caches: Party) -> None:
         """See that nothing was sent on: the next command of all is of the request that is asked now."""
         self.client.ask(90, b"pay", c="charge", k="another", i="9" * 16)
         socks = [cache.sock for cache in caches]
@@ -116,7 +116,7 @@
 
     def test_a_clients_retry_past_the_window_of_its_first_try_is_not_sent(self) -> None:
         """Each request had its own window: the key ran again after the servers had forgotten it."""
-        cache, name = self.opened(1, "charge", k="5c0f")
+        cache, name = self.open_request(1, "charge", k="5c0f")
         cache.send(answer(name, b"BROKE"))  # it may have run; the retry inside the window follows at once
         other = self.gateway.server()
         self.addCleanup(other.close)
@@ -128,11 +128,11 @@
             self.client.sock.recv(1)  # the window passes
         self.client.sock.settimeout(5.0)
         self.client.ask(2, b"pay", c="charge", k="5c0f").expect_answer(2, frames.FAILED)
-        self.nothing_more(cache, other)
+        self.assert_nothing_forwarded(cache, other)
 
-    def test_a_second_answer_that_comes_late_is_not_taken_for_the_next_attempts(self) -> None:
+    def test_a_late_second_answer_is_not_matched_to_the_next_attempt(self) -> None:
         """WAIT came twice: the second was taken for proof that the repeat had not run either."""
-        cache, name = self.opened(1, "stamp")
+        cache, name = self.open_request(1, "stamp")
         full = answer(name, b"WAIT", b"-")
         cache.send(full)
         other = self.gateway.server()  # the repeat goes on another connection
@@ -143,6 +143,6 @@
         self.client.expect_answer(1, frames.SERVED, b"done")
 
     def test_an_effect_that_may_run_only_once_is_not_sent_again_after_a_reset(self) -> None:
-        cache, _ = self.opened(1, "stamp")
+        cache, _ = self.open_request(1, "stamp")
         cache.close()
         self.client.expect_answer(1, frames.FAILED)
