--- a/tests/ends/test_ends_links.py
+++ b/tests/ends/test_ends_links.py
@@ -36,7 +36,7 @@
     def wait_until(self, done: Callable[[], bool]) -> None:
         self.assertTrue(run_until(self.sched, done), "it does not come to hold")
 
-    def written(self, job: Job) -> tuple[Link, socket.socket]:
+    def write_job(self, job: Job) -> tuple[Link, socket.socket]:
         """Submit a job; give the connection that it was written on, and the server's end of it."""
         before = len(self.pool.links)
         self.pool.submit(job)
@@ -49,83 +49,83 @@
         return link, server
 
 
-class GivenUp(LinkCase):
+class AbandonedRequests(LinkCase):
     def test_the_same_id_does_not_overtake_its_kill_on_another_connection(self) -> None:
         """salas-remotas, herd+mass: KILL on one, and in the same ms the next PULL on another connection.
 
         That connection was in doubt, so it took nothing new; the server had one id twice.
         """
         first = Job(b"a")
-        link, _ = self.written(first)
+        link, _ = self.write_job(first)
         link.is_suspect = True
-        spare, _ = self.written(Job(b"b"))
+        spare, _ = self.write_job(Job(b"b"))
         link.cancel(first)
-        again = Job(b"a")
-        self.pool.submit(again)
-        self.assertEqual(again.statuses, ["skipped"], "which proves that it never ran")
+        repeat = Job(b"a")
+        self.pool.submit(repeat)
+        self.assertEqual(repeat.statuses, ["skipped"], "which proves that it never ran")
         self.assertEqual(len(self.pool.links), 2, "nor on a fresh one: a server that hangs may read it first")
         link.killed_jobs[b"a"] = now_ms() - link_module.LATE_ANSWER_MS - 1.0  # long ago
         later = Job(b"a")
         self.pool.submit(later)
         self.wait_until(lambda: spare.open_jobs.get(b"a") is later)
 
-    def test_the_same_id_goes_behind_its_kill_on_the_same_connection(self) -> None:
-        first, again = Job(b"a"), Job(b"a")
-        link, server = self.written(first)
+    def test_the_same_id_follows_its_kill_on_the_same_connection(self) -> None:
+        first, repeat = Job(b"a"), Job(b"a")
+        link, server = self.write_job(first)
         link.cancel(first)
-        self.pool.submit(again)
-        self.wait_until(lambda: link.open_jobs.get(b"a") is again)
+        self.pool.submit(repeat)
+        self.wait_until(lambda: link.open_jobs.get(b"a") is repeat)
         reader, got = resp.RespReader(), list[list[bytes]]()
         while len(got) < 3:
             got += reader.feed(server.recv(65_536))
         self.assertEqual([items[0] for items in got], [b"PULL", b"KILL", b"PULL"])
 
-    def test_after_a_close_in_silence_the_id_is_not_asked_of_that_server_again(self) -> None:
+    def test_an_id_on_a_connection_closed_as_stuck_is_not_sent_to_that_server_again(self) -> None:
         """salas-remotas, herd+mass: a cache that hung read both when it went on, and had two copies."""
         first = Job(b"a")
-        link, _ = self.written(first)
+        link, _ = self.write_job(first)
         link.close("stuck")
         self.wait_until(lambda: bool(first.statuses))
-        again = Job(b"a")
-        self.pool.submit(again)
-        self.assertEqual(again.statuses, ["skipped"])
+        repeat = Job(b"a")
+        self.pool.submit(repeat)
+        self.assertEqual(repeat.statuses, ["skipped"])
 
-    def test_a_kill_that_can_not_be_written_does_not_count_as_arrived(self) -> None:
+    def test_an_unwritten_kill_does_not_count_as_arrived(self) -> None:
         first = Job(b"a")
-        link, _ = self.written(first)
+        link, _ = self.write_job(first)
         link.stream.write(bytes(8_000_000))  # a server that takes nothing
         self.assertGreater(link.stream.size, 0)
         link.is_suspect = True
         link.cancel(first)
         link.killed_jobs[b"a"] = now_ms() - CONNECT_MS - 1.0
-        again = Job(b"a")
-        self.pool.submit(again)
-        self.assertEqual(again.statuses, ["skipped"], "which proves that it never ran")
+        repeat = Job(b"a")
+        self.pool.submit(repeat)
+        self.assertEqual(repeat.statuses, ["skipped"], "which proves that it never ran")
 
     def test_the_same_id_does_not_overtake_the_close_of_its_connection(self) -> None:
         first = Job(b"a")
-        link, _ = self.written(first)
+        link, _ = self.write_job(first)
         link.is_suspect = True
-        spare, _ = self.written(Job(b"b"))
+        spare, _ = self.write_job(Job(b"b"))
         link.close("junk")
         self.wait_until(lambda: first.statuses == ["econnreset"])
-        fresh, _ = self.written(Job(b"a"))
+        fresh, _ = self.write_job(Job(b"a"))
         self.assertIsNot(fresh, spare)
 
-    def test_what_the_server_itself_has_ended_may_go_again_at_once(self) -> None:
+    def test_an_id_may_be_sent_again_at_once_after_the_server_closed(self) -> None:
         first = Job(b"a")
-        _, server = self.written(first)
+        _, server = self.write_job(first)
         server.close()
         self.wait_until(lambda: first.statuses == ["econnreset"])
-        again = Job(b"a")
-        self.written(again)
+        repeat = Job(b"a")
+        self.write_job(repeat)
 
 
 class Answers(LinkCase):
-    def test_an_answer_that_never_ends_is_cut_though_single_bytes_come(self) -> None:
+    def test_a_trickling_answer_closes_the_connection(self) -> None:
         """Each byte counted as a sign of life: all on the connection waited for their deadlines."""
         job = Job(b"a")
-        link, server = self.written(job)
+        link, server = self.write_job(job)
         server.sendall(b"*4\r\n$1\r\na\r\n$4\r\nDONE\r\n$1\r\n-\r\n$100000\r\n")
         self.wait_until(lambda: link.reader.in_array)
         link.last_growth_ms -= link_module.GROWTH_TIMEOUT_MS  # it has trickled for so long
@@ -135,9 +135,9 @@
         link.check(link.last_read_ms + 1.0)
         self.assertEqual(link.stream.code, "stuck")
 
-    def test_an_answer_that_grows_is_not_cut(self) -> None:
+    def test_a_growing_answer_does_not_close_the_connection(self) -> None:
         job = Job(b"a")
-        link, server = self.written(job)
+        link, server = self.write_job(job)
         server.sendall(b"*4\r\n$1\r\na\r\n$4\r\nDONE\r\n$1\r\n-\r\n$100000\r\n")
         self.wait_until(lambda: link.reader.in_array)
         link.last_growth_ms -= 10_000.0
@@ -146,23 +146,23 @@
         link.check(now_ms() + 0.5 * link_module.GROWTH_TIMEOUT_MS)
         self.assertEqual(link.stream.code, "")
 
-    def test_a_second_answer_to_an_effect_meets_nobody(self) -> None:
+    def test_a_second_answer_to_an_effect_matches_no_job(self) -> None:
         first = Job(b"a", repeatable=False)
-        link, server = self.written(first)
+        link, server = self.write_job(first)
         wait = resp.write_command(b"a", b"WAIT", b"-")
         server.sendall(wait)
         self.wait_until(lambda: first.statuses == ["WAIT"])
-        again = Job(b"a", repeatable=False)
-        other, _ = self.written(again)
+        repeat = Job(b"a", repeatable=False)
+        other, _ = self.write_job(repeat)
         self.assertIsNot(other, link)
         done = link.last_read_ms
         server.sendall(wait)
         self.wait_until(lambda: link.last_read_ms > done)
-        self.assertEqual(again.statuses, [])
+        self.assertEqual(repeat.statuses, [])
 
 
-class Connects(LinkCase):
-    def test_silence_is_told_apart_from_a_refusal(self) -> None:
+class ConnectFailures(LinkCase):
+    def test_a_connect_timeout_is_distinguished_from_a_refusal(self) -> None:
         """A connection that came up late was taken for a process that had gone, and its cache for cold."""
         refused, silent = Job(b"a"), Job(b"b")
         self.listener.close()
@@ -184,12 +184,12 @@
         self.assertEqual(silent.statuses, ["silent"])
 
 
-class Ways(LinkCase):
+class RoundTrips(LinkCase):
     """The way to a server and back is as long as a connection to it took to open."""
 
-    def attempt(self) -> tuple[Attempt, Exchange]:
-        ask = ClientRequest("0" * 16, "small", "0" * 16, 42, now_ms() + 5_000.0)
-        exchange = Exchange(1, ask, lambda answer: None)
+    def make_attempt(self) -> tuple[Attempt, Exchange]:
+        request = ClientRequest("0" * 16, "small", "0" * 16, 42, now_ms() + 5_000.0)
+        exchange = Exchange(1, request, lambda answer: None)
         get = api.Get(1, "s", "s", 0.0)
         self.ended: list[str] = []
         attempt = Attempt(
@@ -198,9 +198,9 @@
         )  # fmt: skip
         return attempt, exchange
 
-    def test_no_attempt_follows_one_that_was_given_up_before_the_word_of_it_has_arrived(self) -> None:
+    def test_no_attempt_follows_an_abandoned_one_before_its_kill_has_arrived(self) -> None:
         """The next PULL went out in the same turn, before the KILL was even written: two copies out."""
-        first, exchange = self.attempt()
+        first, exchange = self.make_attempt()
         self.back.send(first)
         self.wait_until(lambda: any(link.open_jobs for link in self.pool.links))
         (link,) = self.pool.links
@@ -208,7 +208,7 @@
         self.back.cancel(first)
         first.drop("ecanceled")
         self.assertGreater(exchange.blocked_until_ms, now_ms() + 30.0)
-        second, _ = self.attempt()
+        second, _ = self.make_attempt()
         second.exchange = exchange
         written: list[float] = []
         second.authorize = lambda attempt: written.append(now_ms()) or SendLimits(0.0, 1_000.0)  # type: ignore[func-returns-value]
@@ -216,30 +216,30 @@
         self.wait_until(lambda: bool(written))
         self.assertGreaterEqual(written[0], exchange.blocked_until_ms)
 
-    def opened_at_once(self) -> tuple[Attempt, Exchange, Link]:
+    def write_first_attempt(self) -> tuple[Attempt, Exchange, Link]:
         """Write an attempt on a connection that came up in no time, as on loopback."""
-        first, exchange = self.attempt()
+        first, exchange = self.make_attempt()
         self.back.send(first)
         self.wait_until(lambda: any(link.open_jobs for link in self.pool.links))
         (link,) = self.pool.links
         return first, exchange, link
 
-    def test_a_close_of_a_connection_that_opened_at_once_is_given_time_to_arrive(self) -> None:
+    def test_a_close_of_a_quickly_opened_connection_gets_time_to_arrive(self) -> None:
         """A close went out 0.2 ms before the next PULL, to a nearer server: two copies out (herd+mass)."""
-        _, exchange, link = self.opened_at_once()
-        begun = now_ms()
+        _, exchange, link = self.write_first_attempt()
+        started_ms = now_ms()
         link.close("stuck")
         self.wait_until(lambda: bool(self.ended))
-        self.assertGreaterEqual(exchange.blocked_until_ms, begun + CONNECT_MS / 20.0)
+        self.assertGreaterEqual(exchange.blocked_until_ms, started_ms + CONNECT_MS / 20.0)
 
-    def test_a_kill_on_a_connection_that_opened_at_once_is_given_time_to_arrive(self) -> None:
-        first, exchange, _ = self.opened_at_once()
-        begun = now_ms()
+    def test_a_kill_on_a_quickly_opened_connection_gets_time_to_arrive(self) -> None:
+        first, exchange, _ = self.write_first_attempt()
+        started_ms = now_ms()
         self.back.cancel(first)
-        self.assertGreaterEqual(exchange.blocked_until_ms, begun + CONNECT_MS / 20.0)
+        self.assertGreaterEqual(exchange.blocked_until_ms, started_ms + CONNECT_MS / 20.0)
 
-    def test_one_that_ends_while_it_is_held_back_is_never_written(self) -> None:
-        first, exchange = self.attempt()
+    def test_an_attempt_that_ends_while_it_is_blocked_is_never_written(self) -> None:
+        first, exchange = self.make_attempt()
         exchange.blocked_until_ms = now_ms() + 20.0
         self.back.send(first)
         first.drop("ecanceled")
@@ -247,8 +247,8 @@
         self.wait_until(lambda: now_ms() > exchange.blocked_until_ms + 5.0)
         self.assertEqual(self.pool.links, [])
 
-    def test_a_close_from_here_holds_further_attempts_back_too(self) -> None:
-        first, exchange = self.attempt()
+    def test_closing_a_connection_blocks_further_attempts(self) -> None:
+        first, exchange = self.make_attempt()
         self.back.send(first)
         self.wait_until(lambda: any(link.open_jobs for link in self.pool.links))
         (link,) = self.pool.links
@@ -259,23 +259,23 @@
 
 
 class BusyTurns(LinkCase):
-    def test_what_its_client_gave_up_while_the_loop_was_busy_is_not_begun(self) -> None:
+    def test_a_job_given_up_while_the_loop_was_busy_is_not_written(self) -> None:
         """The command went out at the turn's end, before what had come during the turn was looked at."""
-        self.written(Job(b"first"))
-        ours, theirs = socket.socketpair()
-        for sock in (ours, theirs):
+        self.write_job(Job(b"first"))
+        gateway_socket, client_socket = socket.socketpair()
+        for sock in (gateway_socket, client_socket):
             self.addCleanup(sock.close)
         job, events = Job(b"late"), list[str]()
         command = job.command
         job.command = lambda: events.append("begun") or command()  # type: ignore[func-returns-value,method-assign]
 
         def client() -> None:
-            self.sched.wait(ours.fileno(), READ)
+            self.sched.wait(gateway_socket.fileno(), READ)
             events.append("gave up")
             self.back.pools["s"].cancel(job)
 
         def busy() -> None:
-            theirs.send(b"x")  # the client gives up while the loop does other work
+            client_socket.send(b"x")  # the client gives up while the loop does other work
             time.sleep(0.05)
             self.pool.submit(job)
 
