--- a/tests/ends/test_ends_settings.py
+++ b/tests/ends/test_ends_settings.py
@@ -18,43 +18,46 @@
 ROOT = Path(__file__).parent.parent.parent
 
 
-def changed(*path: Any, value: Any) -> dict[str, Any]:
+def with_entry(*path: Any, value: Any) -> dict[str, Any]:
     """Give the settings with one entry replaced; None takes it out."""
     setup = copy.deepcopy(SETTINGS)
-    at: Any = setup
+    entry: Any = setup
     for step in path[:-1]:
-        at = at[step]
+        entry = entry[step]
     if value is None:
-        del at[path[-1]]
+        del entry[path[-1]]
     else:
-        at[path[-1]] = value
+        entry[path[-1]] = value
     return setup
 
 
-BAD: list[tuple[dict[str, Any], str]] = [
-    (changed("limits", "try_limit", value="6"), "max_attempts '6'"),
-    (changed("limits", "try_limit", value=-1), "max_attempts -1"),
-    (changed("classes", 0, "deadline_ms", value="soon"), "deadline_ms 'soon'"),
-    (changed("classes", 0, "aim_ms", value=float("nan")), "aim_ms nan"),
-    (changed("classes", 0, "effect", value="twice"), "effect 'twice'"),
-    (changed("classes", value=[]), "no classes"),
-    (changed("my_number", value=1_000_000), "my_number 1000000 of"),
-    (changed("family_info", "instances_by_zone", value=[1]), "instances_by_zone [1]"),
-    (changed("family_info", "hub_of", value=[9] * len(SETTINGS["localities"])), "hub_of"),
-    (changed("family_info", "feed_kb_per_s", value=["fast"] * len(SETTINGS["localities"])), "feed_kb_per_s"),
+INVALID: list[tuple[dict[str, Any], str]] = [
+    (with_entry("limits", "try_limit", value="6"), "max_attempts '6'"),
+    (with_entry("limits", "try_limit", value=-1), "max_attempts -1"),
+    (with_entry("classes", 0, "deadline_ms", value="soon"), "deadline_ms 'soon'"),
+    (with_entry("classes", 0, "aim_ms", value=float("nan")), "aim_ms nan"),
+    (with_entry("classes", 0, "effect", value="twice"), "effect 'twice'"),
+    (with_entry("classes", value=[]), "no classes"),
+    (with_entry("my_number", value=1_000_000), "my_number 1000000 of"),
+    (with_entry("family_info", "instances_by_zone", value=[1]), "instances_by_zone [1]"),
+    (with_entry("family_info", "hub_of", value=[9] * len(SETTINGS["localities"])), "hub_of"),
+    (
+        with_entry("family_info", "feed_kb_per_s", value=["fast"] * len(SETTINGS["localities"])),
+        "feed_kb_per_s",
+    ),
 ]
 
 
-class Bad(unittest.TestCase):
-    def test_each_is_told_by_name(self) -> None:
+class InvalidSettings(unittest.TestCase):
+    def test_each_invalid_setting_is_named(self) -> None:
         """A text for a number was found out by the first request that needed it, each time again."""
-        for setup, said in BAD:
-            with self.assertRaisesRegex(ValueError, said.replace("[", r"\[").replace("]", r"\]")):
+        for setup, message in INVALID:
+            with self.assertRaisesRegex(ValueError, message.replace("[", r"\[").replace("]", r"\]")):
                 read_settings(setup)
 
-    def test_the_start_ends_with_one_line_and_2(self) -> None:
+    def test_the_program_exits_with_one_line_and_status_2(self) -> None:
         """Too short a list by zone was a traceback."""
-        config = json.loads((ROOT / "examples" / "config.json").read_text()) | {"settings": BAD[-3][0]}
+        config = json.loads((ROOT / "examples" / "config.json").read_text()) | {"settings": INVALID[-3][0]}
         with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
             file.write(json.dumps(config))
             file.flush()
@@ -63,10 +66,10 @@
             ended = subprocess.run(command, cwd=ROOT, env=env, capture_output=True, text=True, check=False)
         self.assertEqual((ended.returncode, ended.stderr.count("\n")), (2, 1), ended.stderr)
 
-    def test_at_sighup_it_changes_nothing(self) -> None:
+    def test_invalid_settings_at_sighup_change_nothing(self) -> None:
         gateway = Gateway()
         self.addCleanup(gateway.stop)
-        bad = gateway.config | {"settings": BAD[0][0], "bus": "127.0.0.1:1"}
+        bad = gateway.config | {"settings": INVALID[0][0], "bus": "127.0.0.1:1"}
         gateway.configure(json.dumps(bad))
         gateway.send_sighup()
         gateway.expect_line("configuration not taken")
@@ -79,15 +82,15 @@
         client.expect_answer(1, frames.SERVED, b"x")
 
 
-class Absent(unittest.TestCase):
-    def test_optional_parts_may_be_absent_and_unknown_keys_are_passed_over(self) -> None:
+class OptionalParts(unittest.TestCase):
+    def test_optional_parts_may_be_absent_and_unknown_keys_are_ignored(self) -> None:
         for part in ("family_info", "contract", "limits", "report"):
             setup = copy.deepcopy(SETTINGS) | {"a key of later": {"x": 1}}
             setup.pop(part, None)
             self.assertEqual(read_settings(setup).my_zone, SETTINGS["my_zone"])
 
 
-class OwnFigures(unittest.TestCase):
+class IndependentState(unittest.TestCase):
     def test_two_configurations_in_one_process_share_nothing(self) -> None:
         """Tables at module or class level would carry one customer's figures over to the next."""
         from hitchtiller.decide import Router
