--- a/tests/ends/test_ends_shutdown.py
+++ b/tests/ends/test_ends_shutdown.py
@@ -27,53 +27,53 @@
     def frames_until_end(self) -> list[frames.Frame]:
         return list(frames.FrameReader().feed(self.read_until_end()))
 
-    def test_a_request_that_comes_after_the_last_look_is_dropped_and_the_last_answer_arrives(self) -> None:
+    def test_a_request_after_the_last_check_is_dropped_and_the_last_answer_arrives(self) -> None:
         """The close over unread bytes reset the connection and took the answer along."""
         self.engine.answer(self.send_request(1), b"last")
-        look = Client.is_idle
+        is_idle = Client.is_idle
 
-        def crossed(client: Client) -> bool:
-            found = look(client)
+        def send_and_check(client: Client) -> bool:
+            found = is_idle(client)
             if found:
                 self.client_socket.sendall(
                     request_frame(2)
                 )  # after the look that found nothing, before the close
             return found
 
-        with mock.patch.object(Client, "is_idle", crossed):
+        with mock.patch.object(Client, "is_idle", send_and_check):
             self.sched.spawn(self.front.leave.stop)
             got = self.frames_until_end()
         self.assertEqual([(f.kind, f.stream) for f in got], [(frames.ANSWER, 1), (frames.GOING, 0)])
         self.assertEqual(len(self.engine.taken), 1, "what is read after the shutdown is never sent on")
 
-    def test_a_request_that_has_come_before_the_last_look_is_answered(self) -> None:
-        look = Client.is_idle
+    def test_a_request_before_the_last_check_is_answered(self) -> None:
+        is_idle = Client.is_idle
 
-        def crossed(client: Client) -> bool:
+        def send_and_check(client: Client) -> bool:
             if not self.engine.taken and not client.stream.waiting():
                 self.client_socket.sendall(request_frame(1))  # it lies there unread when the look comes
-            return look(client)
+            return is_idle(client)
 
-        with mock.patch.object(Client, "is_idle", crossed):
+        with mock.patch.object(Client, "is_idle", send_and_check):
             self.sched.spawn(self.front.leave.stop)
             self.wait_until(lambda: len(self.engine.taken) == 1)
         self.engine.answer(0, b"x")
         self.assertIn((frames.ANSWER, 1), [(f.kind, f.stream) for f in self.frames_until_end()])
 
-    def test_one_resting_connection_ends_while_another_still_waits(self) -> None:
+    def test_an_idle_connection_is_closed_while_another_still_waits(self) -> None:
         """All were held until the last answer was out: some rest until the gateway ends them."""
         self.engine.answer(self.send_request(1), b"x")
-        rests, self.client_socket = self.client_socket, self.connect()
+        idle, self.client_socket = self.client_socket, self.connect()
         number = self.send_request(1)
         self.sched.spawn(self.front.leave.stop)
-        asking, self.client_socket = self.client_socket, rests
+        waiting, self.client_socket = self.client_socket, idle
         self.frames_until_end()
-        self.client_socket = asking
+        self.client_socket = waiting
         self.engine.answer(number, b"x")
         answers = [f for f in self.frames_until_end() if f.kind == frames.ANSWER]
         self.assertEqual([(f.stream, f.payload[0]) for f in answers], [(1, frames.SERVED)])
 
-    def test_the_loop_ends_once_all_have_gone(self) -> None:
+    def test_the_loop_stops_once_all_clients_have_left(self) -> None:
         self.sched.spawn(self.front.leave.stop)
         self.frames_until_end()
         self.client_socket.close()
@@ -96,31 +96,31 @@
         self.gateway.start()
         self.gateway.expect_line("INFO n0 ready")
 
-    def test_half_a_request_does_not_hold_the_program_past_the_time_when_it_may_be_killed(self) -> None:
+    def test_a_partial_request_does_not_delay_the_exit_past_the_kill(self) -> None:
         """It waited 3.3 s whatever the deadlines: what came whole in between was lost with the process."""
         client = self.gateway.client()
         self.addCleanup(client.close)
         client.send(b"\0\0\1\0\7")
-        begun = time.monotonic()
+        started = time.monotonic()
         self.gateway.terminate()
         self.assertEqual(self.gateway.process.wait(TIMEOUT_S), 0)
-        self.assertLess(time.monotonic() - begun, self.KILL_S)
+        self.assertLess(time.monotonic() - started, self.KILL_S)
 
 
 class Drains(FrontCase):
-    def test_a_request_that_crosses_the_close_of_a_drain_takes_no_answer_along(self) -> None:
+    def test_a_request_that_crosses_the_close_of_a_drain_loses_no_answer(self) -> None:
         """The close was outright: over the unread request it reset the connection."""
         self.engine.answer(self.send_request(1), b"last")
         self.client.last_activity_ms -= 10_000.0
-        look = Client.is_idle
+        is_idle = Client.is_idle
 
-        def crossed(client: Client) -> bool:
-            found = look(client)
+        def send_and_check(client: Client) -> bool:
+            found = is_idle(client)
             if found:
                 self.client_socket.sendall(request_frame(2))
             return found
 
-        with mock.patch.object(Client, "is_idle", crossed):
+        with mock.patch.object(Client, "is_idle", send_and_check):
             self.front.leave._release_clients(final=True)
         got = list(frames.FrameReader().feed(self.read_until_end()))
         self.assertEqual([(f.kind, f.stream) for f in got], [(frames.ANSWER, 1), (frames.GOING, 0)])
