--- a/hitchtiller/back/jobs.py
+++ b/hitchtiller/back/jobs.py
@@ -1,4 +1,8 @@
-"""What is written on a connection to a server, and what its answer means."""
+"""Jobs: the commands that are written to servers, and the interpretation of their answers.
+
+A PULL carries an attempt, a METER a probe. A command is composed only when its first byte is about to be
+sent, because the remaining time and the accepted age of a copy are known only then.
+"""
 
 import math
 import re
@@ -21,61 +25,61 @@
     "BROKE": "err",
     "PAST": "skipped",
 }
-NOTE_NUMBERS = {
-    letter: number for number, letter in enumerate("hfojsrblnx", 1)
-}  # `why`, by the simulator's numbers
+# The letters of the `why` field, numbered as api.Outcome numbers its notes.
+NOTE_NUMBERS = {letter: number for number, letter in enumerate("hfojsrblnx", 1)}
 DECIMAL_PATTERN = re.compile(r"[0-9]{1,9}(\.[0-9]{1,9})?\Z")
 
 
 def _read_ms(text: str) -> float:
-    """Read how long a source was waited for; what can't be read is untold."""
+    """Return the time spent waiting for a source, or 0 if the field is missing or malformed."""
     return float(text) if DECIMAL_PATTERN.match(text) else 0.0
 
 
+# Values of the `do` field by the flags (join, held_only, renew).
 DO_VALUES = {
     flags: "+".join(
-        reply for reply, flag in zip(("merge", "local", "revalidate"), flags, strict=True) if flag
+        option for option, flag in zip(("merge", "local", "revalidate"), flags, strict=True) if flag
     )
     for flags in product((False, True), repeat=3)
 }
 
 
 class Job(Protocol):
-    """A command that is owed an answer under its name."""
+    """A command to a server, which answers it under the same name."""
 
     name: bytes
-    due_ms: float  # when an answer should have come, once it is written
-    reassignments: int  # how often it was handed on unwritten
-    repeatable: bool  # a late second answer under its name may be taken for its next one's
+    due_ms: float  # when its answer becomes overdue; infinite until it is written
+    reassignments: int  # how often it was moved to another connection before it was written
+    repeatable: bool  # a late second answer may safely be matched to the next job of this name
 
     def command(self) -> bytes | None:
-        """Write it, at its first byte; None if it may not go any more."""
+        """Return the bytes, just before the first one is sent; None if it may not be sent any more."""
 
     def on_sent(self) -> None:
-        """Hear that its last byte went out."""
+        """Handle that the last byte was sent."""
 
     def answered(self, reply: str, fields: dict[str, str], body: bytes) -> None:
-        """Take its answer; resp.BadResp for one that no server of ours gives."""
+        """Handle the answer; raise resp.BadResp for one that no valid server sends."""
 
     def broken(self, status: str) -> None:
-        """Take the connection's end instead."""
+        """Handle that the connection ended without an answer."""
 
     def block_until(self, until_ms: float) -> None:
-        """Hear until when word that it was given up may be under way to its server."""
+        """Handle that a KILL or a close may still be on its way to the server until this time."""
 
 
 class PullJob:
-    """An attempt as a PULL."""
+    """An attempt, sent as a PULL command."""
 
     def __init__(self, attempt: Attempt) -> None:
-        """Carry an attempt."""
+        """Send an attempt."""
         self.attempt = attempt
         self.due_ms, self.reassignments = math.inf, 0
         self.name = attempt.exchange.request.id.encode()
         self.repeatable = attempt.exchange.request.repeatable
 
     def command(self) -> bytes | None:
-        """Write PULL, with what is settled only now: the wait and the oldest copy that will do."""
+        """Return the PULL with the values known only now: the remaining time and the oldest accepted copy."""
         attempt = self.attempt
         limits = attempt.authorize(attempt)
         if limits is None:
@@ -93,7 +97,7 @@
         if get.keep:
             fields += f",store={get.keep}"
         if limits.cap_ms:
-            fields += f",cap={max(1, int(limits.cap_ms))}"  # 0 would mean any age that is fresh
+            fields += f",cap={max(1, int(limits.cap_ms))}"  # 0 would accept any fresh copy
         if do_value := DO_VALUES[get.join, get.held_only, get.renew]:
             fields += f",do={do_value}"
         if client_tag := request.client_tag or attempt.exchange.confirm_tag:
@@ -101,21 +105,23 @@
         return resp.write_command(b"PULL", self.name, fields.encode(), request.body)
 
     def on_sent(self) -> None:
-        """Tell that it was written whole."""
+        """Report that the command was sent completely."""
         self.attempt.on_sent()
 
     def answered(self, reply: str, fields: dict[str, str], body: bytes) -> None:
-        """End the attempt in the decisions' words."""
+        """End the attempt with the status that the routing decisions use."""
         status, request = STATUS_BY_REPLY.get(reply, ""), self.attempt.exchange.request
         rev, since = fields.get("rev"), fields.get("since")
-        is_copy = status == "done" and not request.write  # a key tells nothing: effects may run without one
+        # A deduplication key does not identify a write: effects may run without one.
+        is_copy = status == "done" and not request.write
         if not status or (
             is_copy and not (TAG_PATTERN.match(rev or "") and ORIGIN_TIME_PATTERN.match(since or ""))
         ):
-            raise resp.BadResp(f"answer {reply!r:.20} rev={rev!r:.40} since={since!r:.40}")  # as may the rest
+            # The rest of what the server sends may be invalid as well.
+            raise resp.BadResp(f"answer {reply!r:.20} rev={rev!r:.40} since={since!r:.40}")
         unchanged = reply == "KEEP"
         if unchanged and not (request.client_tag or self.attempt.exchange.confirm_tag):
-            status = "err"  # a server that keeps a copy the client never named
+            status = "err"  # "unchanged", although the request named no copy to compare with
         load = resp.read_report(fields["rep"]) if "rep" in fields else {}
         served_body = body if reply == "DONE" else b""
         origin_ms = int(since) if is_copy and since else 0
@@ -127,39 +133,42 @@
         )
 
     def block_until(self, until_ms: float) -> None:
-        """Keep further attempts back for so long: the server would have two copies out."""
+        """Delay further attempts of the request: otherwise two copies would be in transfer at once."""
         self.attempt.exchange.blocked_until_ms = max(self.attempt.exchange.blocked_until_ms, until_ms)
 
     def broken(self, status: str) -> None:
-        """End it with the connection: refused, or reset once written (unwritten jobs go elsewhere)."""
+        """End the attempt with a status.
+
+        An unwritten job whose connection closed was reassigned before, and gets here only once that failed.
+        """
         silent = status == "silent"
         self.attempt.end(AttemptResult("econnrefused" if silent else status, silent=silent))
 
 
 class MeterJob:
-    """A probe as a METER."""
+    """A probe, sent as a METER command."""
 
     def __init__(self, number: int, on_report: Callable[[str, dict[str, float]], None]) -> None:
-        """Report to `report` once."""
+        """Call `on_report` once with a status and the server's load report."""
         self.name = b"m%x" % number
         self.due_ms, self.reassignments, self.repeatable = math.inf, 0, True
         self.on_report = on_report
 
     def command(self) -> bytes:
-        """Write METER."""
+        """Return the METER command."""
         self.due_ms = now_ms() + METER_TIMEOUT_MS
         return resp.write_command(b"METER", self.name)
 
     def on_sent(self) -> None:
-        """Count nothing: a probe is no attempt."""
+        """Ignore it: only attempts are counted."""
 
     def answered(self, reply: str, fields: dict[str, str], body: bytes) -> None:
-        """Report what came."""
+        """Report the server's load."""
         self.on_report("done" if reply == "FIT" else "err", resp.read_report(fields.get("rep", "")))
 
     def block_until(self, until_ms: float) -> None:
-        """Pass over: a probe is no attempt."""
+        """Ignore it: a probe transfers no object."""
 
     def broken(self, status: str) -> None:
-        """Report the connection's end."""
+        """Report that the connection ended without an answer."""
         self.on_report("econnrefused" if status == "silent" else status, {})
