--- a/hitchtiller/back/link.py
+++ b/hitchtiller/back/link.py
@@ -1,4 +1,8 @@
-"""One connection to a server: jobs in order of writing, answers in any order."""
+"""One connection to a server: commands are written in order, answers may arrive in any order.
+
+A link notices overdue answers, truncated answers and blocked writes, and closes itself. Jobs that were not
+written yet are returned to the pool; jobs that were written end with the connection.
+"""
 
 import socket
 from collections import deque
@@ -11,22 +15,18 @@
 from hitchtiller.log import ended
 from hitchtiller.sched import Closed, Scheduler, Stream, now_ms
 
-IDLE_SHARE = 0.7  # of the idle time after which servers close: closing first avoids a race with a send
-LATE_ANSWER_MS = 6_000.0  # by then nothing of a killed request comes any more
-SERVER_CLOSE_CODES = ("eof", "reset")  # ends that the server made
-SUSPECT_AFTER_MS, STUCK_AFTER_MS = (
-    200.0,
-    400.0,
-)  # without a byte while an answer is overdue: nothing new, then the end
-MIN_ROUND_TRIP_SHARE = 0.05  # of the time to connect: what word to a server is taken to need at the least
-GROWTH_TIMEOUT_MS, MIN_GROWTH_BYTES = (
-    400.0,
-    1_024,
-)  # in which an answer that has begun has to grow by so many bytes, or be whole
+IDLE_SHARE = 0.7  # of the servers' idle timeout; closing before the server avoids a race with a send
+LATE_ANSWER_MS = 6_000.0  # after this time no answer to a killed request arrives any more
+SERVER_CLOSE_CODES = ("eof", "reset")  # closes that the server initiated
+# Time without a byte while an answer is overdue: first the link gets no new jobs, then it is closed.
+SUSPECT_AFTER_MS, STUCK_AFTER_MS = 200.0, 400.0
+MIN_ROUND_TRIP_SHARE = 0.05  # of the connect timeout: least time that a KILL or a close gets to arrive
+# Within this time a partial answer has to grow by this many bytes, or be complete.
+GROWTH_TIMEOUT_MS, MIN_GROWTH_BYTES = 400.0, 1_024
 
 
 class Link:
-    """Writes jobs once each before it is theirs, and ends all of them when it ends."""
+    """A connection that writes each job's command once, and ends all its jobs when it closes."""
 
     def __init__(
         self,
@@ -37,62 +37,59 @@
         max_jobs: int,
         on_close: Callable[["Link", list[Job]], None],
     ) -> None:
-        """Start to connect; `times` are the time to connect and the servers' idle time."""
+        """Start to connect; `timeouts` are the connect timeout and the servers' idle timeout in ms."""
         self.sched, self.server, self.address, self.max_jobs = sched, server, address, max_jobs
         self.connect_ms, self.idle_ms = timeouts
         self.on_close = on_close
         self.stream = Stream(sched, socket.socket())
         self.queue: deque[Job | bytes] = deque()
-        self.queued_names: set[bytes] = set()  # names in `pending`
+        self.queued_names: set[bytes] = set()  # names of the jobs in `queue`
         self.open_jobs: dict[bytes, Job] = {}
-        self.killed_jobs: dict[bytes, float] = {}  # since when: their answers may still be under way
-        self.abandoned_jobs: dict[bytes, float] = {}  # what was open when it was closed from here, since when
-        self.answered_effects: dict[
-            bytes, float
-        ] = {}  # effects, since when: a second answer may be under way
+        # Times by name. An answer to a killed job, or a second answer to an effect, may still be on its way.
+        self.killed_jobs: dict[bytes, float] = {}
+        self.abandoned_jobs: dict[bytes, float] = {}  # open when this gateway closed the connection
+        self.answered_effects: dict[bytes, float] = {}
         self.reader = resp.RespReader()
-        self.last_growth_ms, self.growth_bytes = (
-            now_ms(),
-            0,
-        )  # when an answer last grew by its due, and its bytes since
+        # When a partial answer last grew by MIN_GROWTH_BYTES, and its growth since then.
+        self.last_growth_ms, self.growth_bytes = now_ms(), 0
         self.last_read_ms = self.last_send_ms = now_ms()
-        self.is_suspect = False
-        self.parse_error = ""  # what could not be read
-        self.writing: tuple[Job | bytes, float] | None = None
-        self.parked_writer: greenlet | None = None  # while parked for want of work
-        self.is_retired = False
+        self.is_suspect = False  # an answer is overdue and nothing arrives: gets no new jobs
+        self.parse_error = ""
+        self.writing: tuple[Job | bytes, float] | None = None  # command being sent, and since when
+        self.parked_writer: greenlet | None = None  # the writer while it has nothing to write
+        self.is_retired = False  # nothing more is written; closes once the open jobs are answered
         self.is_connected = False
-        self.round_trip_ms = (
-            self.connect_ms
-        )  # there and back: its opening's time, WAY_SHARE of this at the least
+        # Once connected: the time that connecting took, at least MIN_ROUND_TRIP_SHARE of the timeout.
+        self.round_trip_ms = self.connect_ms
         self.answered_count = 0
         sched.spawn(self._run)
 
     def job_count(self) -> int:
-        """Count the jobs that it carries."""
+        """Return the number of queued and open jobs."""
         return len(self.open_jobs) + len(self.queued_names)
 
     def has_room(self, name: bytes) -> bool:
-        """Tell whether it may carry a job of this name now."""
+        """Return whether a job of this name may be written now."""
         return self.accepts(name) and self.job_count() < self.max_jobs
 
     def accepts(self, name: bytes) -> bool:
-        """Tell whether it may take a job of this name, if only once it has room."""
+        """Return whether a job of this name may be queued here, even if it has to wait for room."""
         if self.stream.code or self.is_retired or self.is_suspect:
             return False
         if self.writing and now_ms() - self.writing[1] > self.connect_ms:
-            return False  # guards against queueing behind a machine that takes nothing
-        # else two answers under one name, or the late second one of an effect taken for its next attempt's
+            return False  # the server has stopped reading: a queued job would be stuck
+        # Two answers under one name could not be told apart, and a late second answer to an effect would be
+        # matched to its next attempt.
         return not (name in self.open_jobs or name in self.queued_names or name in self.answered_effects)
 
     def submit(self, job: Job) -> None:
-        """Queue a job; it is written in its turn."""
+        """Queue a job to be written after those before it."""
         self.queue.append(job)
         self.queued_names.add(job.name)
         self._wake()
 
     def cancel(self, job: Job) -> bool:
-        """Give a job up, if it is here."""
+        """Cancel a job, with a KILL if it was written; return whether it was on this link."""
         name = job.name
         if name in self.queued_names and job in self.queue:
             self.queue.remove(job)
@@ -102,7 +99,7 @@
             self._remember(self.killed_jobs, name)
             job.block_until(now_ms() + (self.connect_ms if self.stream.size else self.round_trip_ms))
             if self.writing and self.writing[0] is job:
-                # half a command was written: nothing else can be, so no KILL and no new job
+                # Half of its command was sent, so neither a KILL nor another command can follow.
                 self.is_retired = True
                 self.stream.discard()
                 self._return_unwritten()
@@ -116,13 +113,13 @@
         return True
 
     def _remember(self, names: dict[bytes, float], name: bytes) -> None:
-        """Note a name whose answer may still be under way; the old ones go, so that they can't grow."""
+        """Record a name whose answer may still be on its way, and drop expired names to bound the memory."""
         names[name] = now = now_ms()
         while now - names[oldest := next(iter(names))] > LATE_ANSWER_MS:
             del names[oldest]
 
     def close(self, code: str) -> None:
-        """End it."""
+        """Close the connection with a reason code."""
         self.stream.close(code)
 
     def _wake(self) -> None:
@@ -134,8 +131,9 @@
         try:
             started_ms = now_ms()
             self.stream.connect(self.address, self.connect_ms)
-            # guards against a second copy: an opening that took 0.2 ms says little of how long a close, or a
-            # KILL, takes to arrive, and the next PULL to a nearer server overtook it
+            # The lower bound prevents a second transfer of the same object: a connect that took 0.2 ms says
+            # little about how long a close or a KILL takes to arrive, and the next PULL to a nearer server
+            # overtook it.
             self.is_connected, self.round_trip_ms = (
                 True,
                 max(now_ms() - started_ms, MIN_ROUND_TRIP_SHARE * self.connect_ms),
@@ -148,16 +146,16 @@
             self.parse_error = str(error)
             self.stream.close("junk")
         finally:
-            self.stream.close("fault")  # keeps its reason if it has one
+            self.stream.close("fault")  # no effect if it was closed with another code before
             self._finish()
 
     def check(self, now: float) -> None:
-        """Look for what shows only with time: an answer cut short, silence on all of it, no use."""
+        """Close the link if an answer is truncated or overdue, a write is blocked, or it has been idle."""
         if self.stream.code or not self.is_connected:
             return
         silent_ms, unused_ms = now - self.last_read_ms, now - max(self.last_read_ms, self.last_send_ms)
         has_overdue = any(now > job.due_ms for job in self.open_jobs.values())
-        # guards against a connection on which answers stopped: all on it waited for their deadlines
+        # Without this check, all jobs of a connection on which answers stopped waited for their deadlines.
         self.is_suspect = has_overdue and silent_ms > SUSPECT_AFTER_MS
         is_writable = self.writing is None or now - self.writing[1] < 2.0 * self.connect_ms
         is_cut_short = self.reader.in_array and now - self.last_growth_ms > GROWTH_TIMEOUT_MS
@@ -183,19 +181,19 @@
             raise resp.BadResp(f"{len(items)} items")
         job = self.open_jobs.pop(items[0], None)
         if job is None:
-            self.killed_jobs.pop(items[0], None)  # it crossed the KILL, or answers nothing of ours: dropped
+            self.killed_jobs.pop(items[0], None)  # the answer crossed the KILL, or belongs to no job
             return
         self.answered_count += 1
         if not job.repeatable:
             self._remember(self.answered_effects, job.name)
         if self.queue:
-            self._wake()  # it may have waited for room
+            self._wake()  # the writer may be waiting for room
         try:
             fields = resp.read_fields(items[2]) if len(items) > 2 else {}
             reply = items[1].decode("ascii", "replace")
             job.answered(reply, fields, items[3] if len(items) > 3 else b"")
         except resp.BadResp as error:
-            # its frame was whole: the others' answers can be told apart and may come, but nothing new goes
+            # The frame itself was valid, so the answers to the other open jobs can still be read.
             self.parse_error = str(error)
             if not self.open_jobs:
                 self.open_jobs[items[0]] = job
@@ -215,8 +213,10 @@
                 self.parked_writer = getcurrent()
                 self.sched.park()
                 continue
+            # In a long turn the gateway may not have read yet that a client has left: poll once before
+            # sending its request.
             if not has_polled and self.sched.is_lagging():
-                self.sched.look()  # guards clients that have gone: in a busy turn that is not known yet
+                self.sched.look()
                 has_polled = True
                 continue
             has_polled = False
@@ -230,7 +230,7 @@
                     job.on_sent()
 
     def _start_job(self, job: Job) -> bytes | None:
-        """Take a job's command; from here on it is owed an answer."""
+        """Return a job's command and expect its answer from now on; None if the job withdrew."""
         self.queued_names.discard(job.name)
         data = job.command()
         if data is not None:
@@ -246,7 +246,7 @@
         self.on_close(self, jobs)
 
     def _finish(self) -> None:
-        """End what was written and hand back what was not: that can't have run."""
+        """Fail the written jobs and return the unwritten ones, which can't have run."""
         ended(
             "server",
             self.server,
@@ -256,7 +256,7 @@
             open=len(self.open_jobs),
         )
         jobs, self.open_jobs = list(self.open_jobs.values()), {}
-        if self.stream.code not in SERVER_CLOSE_CODES:  # else the server has ended them itself
+        if self.stream.code not in SERVER_CLOSE_CODES:  # otherwise the server itself has ended them
             self.abandoned_jobs = dict.fromkeys((job.name for job in jobs), now_ms())
             for job in jobs:
                 job.block_until(now_ms() + self.round_trip_ms)
