--- a/hitchtiller/back/upstreams.py
+++ b/hitchtiller/back/upstreams.py
@@ -1,4 +1,9 @@
-"""The pools of connections to all listed servers."""
+"""The pools of connections to all listed servers.
+
+A pool spreads its jobs over a few connections, reassigns jobs that were not written when one closes, and
+prevents a request id that was given up from overtaking its KILL on the way to the same server. The number of
+connections is bounded per server and in total.
+"""
 
 import math
 from collections.abc import Callable
@@ -12,32 +17,32 @@
 from hitchtiller.news import ListedServer, Topology
 from hitchtiller.sched import Scheduler, now_ms
 
-MAX_REASSIGNMENTS = 2  # connections that an unwritten job may see end
-SPREAD_JOBS, MAX_LINKS_PER_SERVER = (
-    3,
-    6,
-)  # attempts on one connection from which another opens, and how many of them
+MAX_REASSIGNMENTS = 2  # closed connections after which an unwritten job fails
+# Jobs on one connection from which another one is opened, and how many connections that may lead to.
+SPREAD_JOBS, MAX_LINKS_PER_SERVER = 3, 6
 SWEEP_INTERVAL_MS = 100.0
 
 
 class Pool:
-    """The connections to one process at one address."""
+    """The connections to one server process at one address."""
 
     def __init__(self, upstreams: "Upstreams", listed: ListedServer) -> None:
-        """Start without a connection."""
+        """Start without connections."""
         self.upstreams, self.listed = upstreams, listed
         self.links: list[Link] = []
-        # given up on connections that have ended, since when: of those, on ones that had just spoken junk
+        # Times by name of the jobs that were given up on connections that have closed since. Those on
+        # connections closed for malformed data are kept apart.
         self.abandoned_jobs: dict[bytes, float] = {}
         self.abandoned_after_junk: dict[bytes, float] = {}
         self.closed = False
 
     def submit(self, job: Job) -> None:
-        """Put a job where few are, else open a connection beside them; in a crowd fill the first."""
-        # an id that was given up goes where its KILL went: on another connection the new PULL may
-        # overtake the KILL, and the server then has one id twice; the same holds for a connection's close.
-        # A server that hangs reads neither before it goes on, so it is not asked again. One that has just
-        # spoken junk reads on: a connection that is opened only now comes up after the close has arrived
+        """Queue a job on a lightly loaded connection, else on a new one, else on the first with room."""
+        # An id that was given up is sent only on the connection that carries its KILL: on another one the new
+        # PULL may overtake the KILL, and the server would hold the id twice. The same applies to the close of
+        # a connection. A server that hangs reads neither until it resumes, so the id is not sent to it again.
+        # A server that sent malformed data still reads: a connection opened now is established only after
+        # the close has arrived.
         name, link, busy_link, now = job.name, None, None, now_ms()
         kill_links = [
             each for each in self.links if now - each.killed_jobs.get(name, -math.inf) < LATE_ANSWER_MS
@@ -56,13 +61,13 @@
             ):
                 link = each
             elif busy_link is None and each.has_room(name):
-                busy_link = each  # answers that come together are read together: it saves a busy core
+                busy_link = each  # answers on one connection are read together, which saves CPU under load
         if link is None:
-            # guards against one reset that ends all there is; what is idle closes by itself
+            # Several connections keep one reset from ending all attempts; idle ones close by themselves.
             new_link = self.upstreams.open(self) if self._may_open(busy_link is None) else None
             link = busy_link or new_link
         if link is None:
-            job.broken("skipped")  # a lack of our own, which no server is to be blamed for
+            job.broken("skipped")  # a limit of this gateway, for which the server is not to be blamed
         else:
             link.submit(job)
 
@@ -75,12 +80,13 @@
         return is_needed or (may_spread and all(link.is_connected for link in self.links))
 
     def cancel(self, job: Job) -> None:
-        """Give a job up wherever it is."""
+        """Cancel a job on whichever connection it is."""
         any(link.cancel(job) for link in self.links)
 
     def on_link_closed(self, link: Link, unwritten: list[Job]) -> None:
-        """Take a connection's end; what was never written goes on another."""
-        if link.stream.code and link in self.links:  # a spoiled one may tell twice
+        """Remove a closed connection and reassign the jobs that were not written on it."""
+        # A retired link reports twice: when it returns its unwritten jobs, and when it closes.
+        if link.stream.code and link in self.links:
             self.links.remove(link)
             self.upstreams.link_count -= 1
             now, names = now_ms(), link.abandoned_jobs
@@ -91,30 +97,32 @@
             (self.abandoned_after_junk if link.stream.code == "junk" else self.abandoned_jobs).update(names)
         for job in unwritten:
             job.reassignments += 1
-            if (
-                job.reassignments > MAX_REASSIGNMENTS
-            ):  # guards against a server that resets whatever is opened
+            # Without a bound, a server that resets every connection would keep the loop busy.
+            if job.reassignments > MAX_REASSIGNMENTS:
                 job.broken("econnrefused")
             else:
                 self.submit(job)
 
     def close(self, code: str) -> None:
-        """End all connections, and with them what is out on them."""
+        """Close all connections and thereby end the attempts on them."""
         self.closed = True
         for link in list(self.links):
             link.close(code)
 
 
 class Upstreams:
-    """Follows the list and carries attempts to the servers on it."""
+    """The server side of the gateway: sends attempts to the listed servers and follows the list."""
 
     def __init__(
         self, sched: Scheduler, timeouts: tuple[float, float], jobs_per_link: int, max_links: int
     ) -> None:
-        """Hold at most `most` connections of `streams` attempts each."""
+        """Keep at most `max_links` connections with `jobs_per_link` attempts each.
+
+        `timeouts` are the connect timeout and the servers' idle timeout in ms.
+        """
         self.sched, self.timeouts, self.jobs_per_link, self.most = sched, timeouts, jobs_per_link, max_links
         self.pools: dict[str, Pool] = {}
-        self.link_count = self.opened = 0  # connections that there are, and all that ever were
+        self.link_count = self.opened = 0  # connections open now, and opened since the start
         self.probe_numbers = count(1)
         sched.spawn(self._sweep)
 
@@ -123,13 +131,14 @@
         while True:
             self.sched.sleep(SWEEP_INTERVAL_MS)
             now = now_ms()
-            if now - last < 2.0 * SWEEP_INTERVAL_MS:  # else the lag is ours: answers may lie unread
+            # After a longer pause this process itself lagged, and answers may be unread in the sockets.
+            if now - last < 2.0 * SWEEP_INTERVAL_MS:
                 for link in [link for pool in self.pools.values() for link in pool.links]:
                     link.check(now)
             last = now
 
     def open(self, pool: Pool) -> Link | None:
-        """Start a connection; None if the process has no descriptor left for it."""
+        """Open a connection; return None if the process has no file descriptor left."""
         listed = pool.listed
         try:
             link = Link(
@@ -149,7 +158,7 @@
         return link
 
     def send(self, attempt: Attempt) -> None:
-        """Carry an attempt to its server, once none before it can be out any more."""
+        """Send an attempt to its server, delayed until no earlier attempt of its request can be running."""
         if (wait_ms := attempt.exchange.blocked_until_ms - now_ms()) > 0.0:
             self.sched.later(wait_ms, partial(self._send, attempt))
         else:
@@ -166,19 +175,22 @@
         pool.submit(attempt.back_end_handle[1])
 
     def cancel(self, attempt: Attempt) -> None:
-        """Give an attempt up."""
+        """Cancel an attempt."""
         if attempt.back_end_handle:
             attempt.back_end_handle[0].cancel(attempt.back_end_handle[1])
 
     def probe(self, server: str, on_report: Callable[[str, dict[str, float]], None]) -> None:
-        """Check a server."""
+        """Probe a server and report its status and load."""
         if pool := self.pools.get(server):
             pool.submit(MeterJob(next(self.probe_numbers), on_report))
         else:
             on_report("econnrefused", {})
 
     def follow(self, news: Topology) -> Callable[[], None]:
-        """Take the list's news; a process that started anew, or elsewhere, gets a new pool."""
+        """Apply a change of the list; return a function that closes the pools no longer in use.
+
+        A server process that was restarted, or has another address, gets a new pool.
+        """
         stale: list[Pool] = []
         listed_names = {listed.member.server for listed in news.hosts}
         removed = [server for server in self.pools if news.whole and server not in listed_names]
