--- a/hitchtiller/codec/__init__.py
+++ b/hitchtiller/codec/__init__.py
@@ -1,1 +1,1 @@
-"""Incremental codecs: bytes in, values out; no sockets, every size bounded."""
+"""Incremental encoders and decoders for the wire formats; no sockets, and every size is bounded."""
