--- a/hitchtiller/codec/bus.py
+++ b/hitchtiller/codec/bus.py
@@ -1,4 +1,4 @@
-"""The event bus: numbered frames with changes of the list and purges, and the same events in JSON."""
+"""Decoders for event bus frames, which carry list changes and purges, and for the same events in JSON."""
 
 import struct
 from collections.abc import Iterator, Sequence
@@ -7,7 +7,7 @@
 from hitchtiller import interface as api
 from hitchtiller.news import Event, ListedServer, PurgeNotice, Topology
 
-MAX_FRAME_BYTES = 1_048_576  # bytes of one frame
+MAX_FRAME_BYTES = 1_048_576
 HEAD = struct.Struct(">QB")
 RECORD = struct.Struct(">I4sHBBBHIQ")
 OBJECT, GROUP = struct.Struct(">QQ"), struct.Struct(">HQ")
@@ -17,22 +17,22 @@
 
 
 class BadBus(Exception):
-    """The bytes or values are no event."""
+    """The bytes or values are not a valid event."""
 
 
-NumberedEvent = tuple[int, Event | None]  # None: nothing new
+NumberedEvent = tuple[int, Event | None]  # the event is None if there is nothing new
 
 
 def server_name(number: int) -> str:
-    """Write a server's id as text has it."""
+    """Return a server's id in its text form."""
     return f"s-{number:08x}"
 
 
 def read_record(record: Sequence[Any], zones: Sequence[str], kinds: Sequence[str]) -> ListedServer:
-    """Read one record of the binary list."""
+    """Decode one record of the binary list."""
     number, ip, port, state, zone, kind, cell, weight, started = record
     if state >= len(STATES) or zone >= len(zones) or kind >= len(kinds):
-        raise BadBus(f"record of {server_name(number)}")
+        raise BadBus(f"record of {server_name(number)} has an unknown state, zone or kind")
     units = max(weight / 1000.0, 1e-6)
     member = api.Member(
         server_name(number), zones[zone], kinds[kind], STATES[state], float(started), units, cell
@@ -41,15 +41,15 @@
 
 
 class BusReader:
-    """Feed it bytes, take numbered events."""
+    """An incremental decoder: feed it bytes and iterate over the numbered events."""
 
     def __init__(self, zones: Sequence[str], kinds: Sequence[str]) -> None:
-        """Zones and kinds are numbered by their places in the settings."""
+        """Decode records whose zones and kinds are indexes into these lists of the settings."""
         self.zones, self.kinds = zones, kinds
         self.buffer = bytearray()
 
     def feed(self, data: bytes) -> Iterator[NumberedEvent]:
-        """Give the events that are whole now; raise BadBus on what can't be one."""
+        """Yield the events that are complete; raise BadBus for invalid bytes."""
         self.buffer += data
         while len(self.buffer) >= 4:
             length = int.from_bytes(self.buffer[:4], "big")
@@ -59,10 +59,10 @@
                 return
             frame = bytes(self.buffer[4 : 4 + length])
             del self.buffer[: 4 + length]
-            yield self.read_event(frame) if frame else (0, None)  # that of each second may be wholly empty
+            yield self.read_event(frame) if frame else (0, None)  # the heartbeat of each second may be empty
 
     def read_event(self, frame: bytes) -> NumberedEvent:
-        """Read one frame."""
+        """Decode one frame."""
         try:
             number, kind = HEAD.unpack_from(frame)
             payload = frame[HEAD.size :]
@@ -79,11 +79,11 @@
                 return number, PurgeNotice(None, group, float(at))
         except struct.error as error:
             raise BadBus(str(error)) from None
-        raise BadBus(f"kind {kind}")
+        raise BadBus(f"unknown kind {kind}")
 
 
 def read_dial(text: str) -> tuple[str, int]:
-    """Read an address and port."""
+    """Parse an address of the form HOST:PORT."""
     ip, _, port = text.rpartition(":")
     if not ip or not port.isdecimal() or int(port) > 0xFFFF:
         raise BadBus(f"address {text!r}")
@@ -91,7 +91,7 @@
 
 
 def read_host(host: dict[str, Any]) -> ListedServer:
-    """Read one host of the JSON list."""
+    """Convert one host of the JSON list."""
     member = api.Member(
         host["host"],
         host.get("site", ""),
@@ -105,7 +105,7 @@
 
 
 def read_known(known: dict[str, Any]) -> list[NumberedEvent]:
-    """Read the events that the configuration holds; raise BadBus on what is none."""
+    """Convert the events that the configuration contains; raise BadBus for an invalid one."""
     events: list[NumberedEvent] = []
     try:
         for entry in known.get("batch", []):
