--- a/hitchtiller/codec/frames.py
+++ b/hitchtiller/codec/frames.py
@@ -1,4 +1,4 @@
-"""The platform's client frames: length, type, stream, payload; and the lists of fields in them."""
+"""The platform's client frames: length, type, stream and payload, and the field lists within payloads."""
 
 import struct
 from collections.abc import Iterator, Mapping
@@ -6,17 +6,17 @@
 
 REQUEST, ANSWER, GIVE_UP, READY, READY_ANSWER, GOING = 7, 8, 9, 1, 2, 3
 SERVED, REFUSED, FAILED = 0, 11, 5
-MIN_LENGTH, MAX_LENGTH = 5, 262_144  # what a frame's length may be
+MIN_LENGTH, MAX_LENGTH = 5, 262_144  # bounds of a frame's length field, in bytes
 HEAD = struct.Struct(">IBI")
 
 
 class BadFrame(Exception):
-    """The bytes are not a frame; nothing after them can be read either."""
+    """The bytes are not a valid frame; nothing after them can be decoded either."""
 
 
 @dataclass(slots=True)
 class Frame:
-    """One whole frame."""
+    """One complete frame."""
 
     kind: int
     stream: int
@@ -24,21 +24,24 @@
 
 
 class FrameReader:
-    """Feed it bytes, take frames; it holds one frame's bytes at most beyond what was fed."""
+    """An incremental decoder: feed it bytes and iterate over the frames.
+
+    Between calls it buffers less than one frame.
+    """
 
     def __init__(self) -> None:
-        """Start with nothing."""
+        """Start with an empty buffer."""
         self.buffer = bytearray()
 
     def feed(self, data: bytes) -> Iterator[Frame]:
-        """Give the frames that are whole now; raise BadFrame on what can't be one."""
+        """Yield the frames that are complete; raise BadFrame for invalid bytes."""
         self.buffer += data
         start = 0
         try:
             while len(self.buffer) - start >= 4:
                 length = int.from_bytes(self.buffer[start : start + 4], "big")
                 if not MIN_LENGTH <= length <= MAX_LENGTH:
-                    raise BadFrame(f"length {length}")
+                    raise BadFrame(f"length {length} is out of bounds")
                 end = start + 4 + length
                 if len(self.buffer) < end:
                     break
@@ -51,12 +54,12 @@
 
 
 def head(kind: int, stream: int, size: int) -> bytes:
-    """Write the head of a frame whose payload has this size."""
+    """Return the head of a frame whose payload has `size` bytes."""
     return HEAD.pack(size + 5, kind, stream)
 
 
 def write_fields(fields: Mapping[str, str]) -> bytes:
-    """Write a list of fields."""
+    """Encode a list of fields."""
     out = bytearray([len(fields)])
     for name, value in fields.items():
         raw, text = name.encode(), value.encode()
@@ -65,7 +68,7 @@
 
 
 def read_fields(payload: bytes, start: int = 0) -> tuple[dict[str, str], int]:
-    """Read a list of fields; gives it with the place where it ends; BadFrame if it is none."""
+    """Decode a list of fields; return it with the offset of its end, or raise BadFrame."""
     fields: dict[str, str] = {}
     try:
         at = start + 1
@@ -75,17 +78,17 @@
             after = value + (payload[end] << 8 | payload[end + 1])
             name = payload[at + 1 : end].decode()
             if name in fields:
-                raise BadFrame(f"field {name[:20]!r} twice")
+                raise BadFrame(f"field {name[:20]!r} is given twice")
             fields[name] = payload[value:after].decode()
             at = after
         if at > len(payload):
-            raise BadFrame("fields cut short")
+            raise BadFrame("fields are truncated")
     except (IndexError, UnicodeDecodeError) as error:
         raise BadFrame(f"fields: {error}") from None
     return fields, at
 
 
 def answer_head(stream: int, code: int, fields: Mapping[str, str], body_size: int) -> bytes:
-    """Write all of an answer's frame but its body, which need not be copied."""
+    """Return an answer's frame without its body, so that the body need not be copied."""
     payload = bytes([code]) + write_fields(fields)
     return head(ANSWER, stream, len(payload) + body_size) + payload
