--- a/hitchtiller/codec/notes.py
+++ b/hitchtiller/codec/notes.py
@@ -1,10 +1,10 @@
-"""Notes between gateways as datagrams of few bytes.
+"""Encoding of notes between gateways as small datagrams.
 
     object note = kind:1 key:8 part:2 number:2 server      kind 0 to 3: ask, holder, kept, lacks
     lease note  = kind:1 incarnation:8 sequence:2 wait:4   kind 4 to 7: request, grant, denial, return
 
-All numbers are unsigned and big-endian, `wait` in milliseconds. A reader that does not know a kind drops the
-note, so gateways of an older version drop lease notes and are not harmed.
+All numbers are unsigned and big-endian, `wait` is in milliseconds. A receiver drops notes of an unknown kind,
+so that gateways of an older version ignore lease notes.
 """
 
 import struct
@@ -18,7 +18,7 @@
 
 
 def pack(note: PeerNote | LeaseNote) -> bytes:
-    """Write a note in few bytes."""
+    """Encode a note."""
     if isinstance(note, LeaseNote):
         wait = min(MAX_WAIT_MS, round(note.wait_ms))
         return LEASE_NOTE.pack(len(NOTE_KINDS) + note.kind, note.incarnation, note.sequence, wait)
@@ -27,7 +27,7 @@
 
 
 def unpack(data: bytes) -> PeerNote | LeaseNote | None:
-    """Read a note; None for what is malformed or foreign."""
+    """Decode a note; return None for a malformed or unknown one."""
     kind = data[0] if data else 0
     if kind >= len(NOTE_KINDS):
         return _unpack_lease(data, kind - len(NOTE_KINDS))
