--- a/hitchtiller/codec/resp.py
+++ b/hitchtiller/codec/resp.py
@@ -1,4 +1,4 @@
-"""RESP arrays of bulk strings, as station caches speak them, and the FIELDS text in them."""
+"""RESP arrays of bulk strings, the protocol of station caches, and the FIELDS text within them."""
 
 import re
 from collections.abc import Iterator, Sequence
@@ -6,31 +6,34 @@
 MAX_ITEMS = 8
 MAX_BULK_BYTES = 262_144
 MAX_LINE_BYTES = 16
-# an answer, up to its body
+# A whole answer up to its body: an array of four bulk strings.
 ANSWER_HEAD = re.compile(rb"\*4\r\n" + rb"\$(\d{1,5})\r\n([^\r]*)\r\n" * 3 + rb"\$(\d{1,6})\r\n")
 
 
 class BadResp(Exception):
-    """The bytes are not what a station cache may send."""
+    """The bytes are not a valid answer of a station cache."""
 
 
 class RespReader:
-    """Feed it bytes, take arrays; unread bytes stay under one array's bound."""
+    """An incremental decoder: feed it bytes and iterate over the arrays.
+
+    Between calls it buffers less than one array.
+    """
 
     def __init__(self) -> None:
-        """Start between arrays."""
+        """Start with an empty buffer."""
         self.buffer = bytearray()
         self.items: list[bytes] = []
-        self.remaining_items = 0  # bulk strings still to come in this array
-        self.bulk_size = -1  # size of the one under way
+        self.remaining_items = 0  # bulk strings missing from the current array
+        self.bulk_size = -1  # size of the current bulk string; -1 while it is unknown
 
     @property
     def in_array(self) -> bool:
-        """Tell whether an array has begun that is not whole."""
+        """Return whether an array has begun and is not complete."""
         return bool(self.buffer or self.remaining_items)
 
     def feed(self, data: bytes) -> Iterator[list[bytes]]:
-        """Give the arrays that are whole now; raise BadResp on what can't be one."""
+        """Yield the arrays that are complete; raise BadResp for invalid bytes."""
         self.buffer += data
         start = 0
         try:
@@ -40,7 +43,7 @@
                     if len(self.buffer) < end + 2:
                         return
                     if self.buffer[end : end + 2] != b"\r\n":
-                        raise BadResp("bulk string without its end")
+                        raise BadResp("bulk string does not end in CRLF")
                     self.items.append(bytes(memoryview(self.buffer)[start:end]))
                     start, self.bulk_size, self.remaining_items = end + 2, -1, self.remaining_items - 1
                     if not self.remaining_items:
@@ -58,14 +61,14 @@
                 end = self.buffer.find(b"\r\n", start, start + MAX_LINE_BYTES)
                 if end < 0:
                     if len(self.buffer) - start >= MAX_LINE_BYTES:
-                        raise BadResp("line too long")
+                        raise BadResp("length line is too long")
                     return
                 digits = bytes(self.buffer[start + 1 : end])
                 if not digits.isdigit():
                     raise BadResp(f"unexpected {bytes(self.buffer[start:end])!r}")
                 size, start = int(digits), end + 2
                 if size > (MAX_BULK_BYTES if self.remaining_items else MAX_ITEMS):
-                    raise BadResp(f"size {size}")
+                    raise BadResp(f"size {size} is out of bounds")
                 if self.remaining_items:
                     self.bulk_size = size
                 else:
@@ -74,7 +77,7 @@
             del self.buffer[:start]
 
     def _take_whole_answer(self, start: int) -> tuple[int, list[bytes]] | None:
-        """Take an answer that is there as a whole in one step: nearly all are; else None."""
+        """Decode an answer that is buffered completely in one step, the usual case; return None otherwise."""
         match = ANSWER_HEAD.match(self.buffer, start)
         if not match:
             return None
@@ -90,7 +93,7 @@
 
 
 def write_command(*parts: bytes) -> bytes:
-    """Write one array."""
+    """Encode one array."""
     out = [b"*%d\r\n" % len(parts)]
     for part in parts:
         out += (b"$%d\r\n" % len(part), part, b"\r\n")
@@ -98,7 +101,7 @@
 
 
 def read_fields(data: bytes) -> dict[str, str]:
-    """Read FIELDS; raise BadResp on what is none."""
+    """Parse a FIELDS text; raise BadResp for an invalid one."""
     if data in (b"-", b""):
         return {}
     try:
@@ -106,12 +109,12 @@
     except UnicodeDecodeError:
         raise BadResp("fields are not text") from None
     if not all(sign for _, sign, _ in pairs):
-        raise BadResp("field without a value")
+        raise BadResp("field has no value")
     return {name: value for name, _, value in pairs}
 
 
 def read_report(text: str, names: Sequence[str] = ()) -> dict[str, float]:
-    """Read a load report, `inflight:7;util:0.61`; what is no number is passed over."""
+    """Parse a load report such as `inflight:7;util:0.61`; entries without a number are ignored."""
     report = {}
     for pair in text.split(";"):
         name, _, value = pair.partition(":")
