--- a/hitchtiller/front/asks.py
+++ b/hitchtiller/front/asks.py
@@ -1,4 +1,4 @@
-"""A request frame's fields, checked, as a ClientRequest; an Answer as fields."""
+"""Converts the fields of a request frame to a validated ClientRequest, and an Answer to an answer frame."""
 
 import math
 import re
@@ -10,21 +10,21 @@
 
 MAX_BODY_BYTES = 48_000
 MAX_WAIT_MS = 3_600_000.0
-# Of what the client waits this much is left for both ways and for the loop, on a busy day 0.1 s. Of short
-# waits it was a quarter: answers to impatient clients that came in their last 60 ms were given up.
+# Part of the client's waiting time that is reserved for the network and for the event loop, which takes 0.1 s
+# on a busy day. A quarter of a short wait was too much: answers that came in the last 60 ms of impatient
+# clients were given up.
 DEADLINE_MARGIN_MS, DEADLINE_MARGIN_SHARE = 60.0, 0.05
 HEX16_PATTERN = re.compile(r"[0-9a-fA-F]{16}\Z")
-TOKEN_PATTERN = re.compile(r"[0-9A-Za-z_.:+/-]{1,128}\Z")  # nothing that FIELDS would read as a sign
+TOKEN_PATTERN = re.compile(r"[0-9A-Za-z_.:+/-]{1,128}\Z")  # no separator of the FIELDS text of codec/resp.py
 INTEGER_PATTERN = re.compile(r"[0-9]{1,9}\Z")
-DECIMAL_PATTERN = re.compile(
-    r"[0-9]{1,9}(\.[0-9]{1,9})?\Z"
-)  # float() takes 1_0, 1e3, nan and other scripts' digits
+# float() alone would accept 1_0, 1e3, nan and the digits of other scripts.
+DECIMAL_PATTERN = re.compile(r"[0-9]{1,9}(\.[0-9]{1,9})?\Z")
 MAX_SIZE_KB = 1e6
 ANSWER_CODES = {SERVED: frames.SERVED, REFUSED: frames.REFUSED}
 
 
 class RequestError(Exception):
-    """A well-framed request that can't be used; its class is told where it has one."""
+    """A request in a valid frame is invalid; `class_name` is its class where that is known."""
 
     class_name = ""
 
@@ -53,7 +53,7 @@
 
 
 def read_request(payload: bytes, settings: api.Settings, arrived_ms: float) -> ClientRequest:
-    """Read a request; BadAsk for what can't be used."""
+    """Parse and validate a request; raise RequestError for an invalid one."""
     try:
         fields, end = frames.read_fields(payload)
     except frames.BadFrame as error:
@@ -72,12 +72,11 @@
     fields: Mapping[str, str], body: bytes, cls: api.ClassSettings, arrived_ms: float
 ) -> ClientRequest:
     if len(body) > MAX_BODY_BYTES:
-        raise RequestError("body too long")
-    wait_ms = min(
-        _read_decimal(fields, "d", MAX_WAIT_MS), cls.deadline_ms or MAX_WAIT_MS
-    )  # nobody waits longer
+        raise RequestError("body is too long")
+    # No client waits longer than the deadline of the class.
+    wait_ms = min(_read_decimal(fields, "d", MAX_WAIT_MS), cls.deadline_ms or MAX_WAIT_MS)
     if wait_ms <= 0.0:
-        raise RequestError("no time")
+        raise RequestError("field d leaves no time to wait")
     name = _read_text(fields, "o", HEX16_PATTERN)
     return ClientRequest(
         id=_read_text(fields, "i", HEX16_PATTERN),
@@ -97,7 +96,7 @@
 
 
 def write_answer(stream: int, answer: Answer) -> tuple[bytes, bytes]:
-    """Write an answer's frame in two parts, so that its body is not copied."""
+    """Return an answer frame in two parts, the head and the body, so that the body is not copied."""
     fields = {}
     if answer.kind == REFUSED and answer.wait_ms > 0.0:
         fields["w"] = str(math.ceil(answer.wait_ms))
