--- a/hitchtiller/front/client.py
+++ b/hitchtiller/front/client.py
@@ -1,4 +1,8 @@
-"""One client's connection: frames in, requests to the engine, answers out."""
+"""One client's connection: reads frames, passes requests to the engine and writes the answers.
+
+All limits are per connection: the number of open and of queued requests, the unsent bytes above which new
+requests wait, and the time that a partial frame may take. A client that exceeds them is disconnected.
+"""
 
 import math
 from functools import partial
@@ -13,31 +17,29 @@
 if TYPE_CHECKING:
     from hitchtiller.front.server import Front
 
-MAX_OPEN_REQUESTS = 32  # requests on one connection
-MAX_SKIPPED_STREAMS = 64  # stream numbers passed over that may still come
-HIGH_WATER_BYTES = 1_000_000  # bytes that a client has not taken, from which its requests wait: backpressure
-MAX_EXCESS_REQUESTS = 32  # requests past MOST_OPEN that are refused before their sender is taken for a flood
-FRAMES_PER_TURN = 16  # frames of one connection in a turn: hundreds at once must not hold up the others
-FRAME_TIMEOUT_MS = 2_200.0  # for a first whole frame, or the rest of one
-MIN_GROWTH_BYTES, MAX_FRAME_MS = (
-    32,
-    6_000.0,
-)  # bytes with which that begins anew; until when all of a frame has to be here
-MIN_IDLE_MS = 200.0  # without a word, from which a connection is let go: requests may cross frame 3
-PROBE_KEEP_MS = 1_000.0  # the front's probes come ten times a second, and may keep theirs
+MAX_OPEN_REQUESTS = 32
+MAX_SKIPPED_STREAMS = 64  # skipped stream numbers that may still be used
+HIGH_WATER_BYTES = 1_000_000  # unsent bytes above which new requests of the client wait (backpressure)
+MAX_EXCESS_REQUESTS = 32  # consecutive requests above MAX_OPEN_REQUESTS that are refused before a disconnect
+FRAMES_PER_TURN = 16  # a burst of hundreds of frames must not delay the other connections
+FRAME_TIMEOUT_MS = 2_200.0  # for the first whole frame, and for the rest of a partial one
+# A partial frame that grows by this much starts its timeout again, but has to be complete after MAX_FRAME_MS.
+MIN_GROWTH_BYTES, MAX_FRAME_MS = 32, 6_000.0
+MIN_IDLE_MS = 200.0  # before a drain closes a connection: a request may cross the GOING frame (type 3)
+PROBE_KEEP_MS = 1_000.0  # connections with readiness probes, which come 10 times per second, are kept
 QUEUE_CHECK_MS = 20.0
-DEFAULT_LINGER_MS = 1_500.0  # what is unread at a close is read and dropped for so long
+DEFAULT_LINGER_MS = 1_500.0  # how long a closing connection reads and drops input
 
 
 class StreamNumbers:
-    """The stream numbers used so far, in bounded space."""
+    """The stream numbers that a connection has used, in bounded memory."""
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Start without any used number."""
         self.highest, self.skipped = 0, set[int]()
 
     def claim(self, number: int) -> bool:
-        """Use a number; False if it was used before, or never may be."""
+        """Mark a number as used; return False if it was used before or is too old to be accepted."""
         if number <= self.highest:
             known = number in self.skipped
             self.skipped.discard(number)
@@ -50,58 +52,50 @@
 
 
 class Client:
-    """Reads one connection until it ends; what is open on it then has no one to wait for it."""
+    """One client connection; requests that are open when it ends are abandoned."""
 
     def __init__(self, front: "Front", stream: Stream, remote_address: str) -> None:
-        """Take an accepted connection."""
+        """Take over an accepted connection."""
         self.front, self.stream, self.remote_address = front, stream, remote_address
         self.open_exchanges: dict[int, Exchange] = {}
         self.stream_numbers = StreamNumbers()
-        self.queued_requests: dict[
-            int, tuple[frames.Frame, float]
-        ] = {}  # requests that came above HIGH_WATER
-        self.incomplete_bytes = 0  # bytes of a frame that is not whole yet
-        self.excess_requests = (
-            0  # requests refused since one was last taken, for want of room on the connection
-        )
-        self.close_code = ""  # a reason to close once all in hand is answered
-        self.discards_input = (
-            False  # what comes is dropped: no frame can be told apart, or no answer can be written
-        )
+        # Requests that arrived while more than HIGH_WATER_BYTES were unsent, with their arrival times.
+        self.queued_requests: dict[int, tuple[frames.Frame, float]] = {}
+        self.incomplete_bytes = 0  # size of a frame that has only partly arrived
+        self.excess_requests = 0  # consecutive requests refused because too many were open
+        self.close_code = ""  # reason code; set once the connection closes after its last answer
+        self.discards_input = False  # input is dropped: it can't be parsed, or can't be answered any more
         self.accepted = 0
-        self.has_sent_frame = False  # a whole frame has come
-        self.going_sent = False  # that no new request may come
-        self.last_probe_ms = -math.inf  # when it asked last whether the gateway is ready
-        self.arrived_ms = self.last_activity_ms = now_ms()  # when one came last
-        self.frame_progress_ms: float | None = (
-            self.last_activity_ms
-        )  # since when the client owes the rest of a frame
-        self.frame_started_ms, self.frame_progress_bytes = (
-            self.last_activity_ms,
-            0,
-        )  # when that frame began, and what was here at `owed_ms`
-        self.linger_ms, self.linger_until_ms = (
-            DEFAULT_LINGER_MS,
-            math.inf,
-        )  # how long a close lingers, and until when
+        self.has_sent_frame = False  # a whole frame has arrived
+        self.going_sent = False  # the client was told to send no new requests here
+        self.last_probe_ms = -math.inf  # last READY frame
+        self.arrived_ms = self.last_activity_ms = now_ms()  # last activity: a whole frame or an answer
+        # When the pending frame last grew by MIN_GROWTH_BYTES; None while no frame is due. The first frame is
+        # due from the start.
+        self.frame_progress_ms: float | None = self.last_activity_ms
+        # When that frame began, and how much of it had arrived at frame_progress_ms.
+        self.frame_started_ms, self.frame_progress_bytes = self.last_activity_ms, 0
+        self.linger_ms, self.linger_until_ms = DEFAULT_LINGER_MS, math.inf
 
     def run(self) -> None:
-        """Serve until the connection ends."""
+        """Serve the connection until it ends."""
         reader = frames.FrameReader()
         try:
             while True:
-                fresh = self.stream.drained
+                was_drained = self.stream.drained
                 data = self.stream.read()
-                if fresh:  # else it lay there before the last look: deadlines count from the one before
+                # Left-over data was there at an earlier poll already: its deadlines count from that one.
+                if was_drained:
                     self.arrived_ms = self.front.sched.arrival_ms
-                # guards clients that have gone: the end may lie behind what they asked for in a busy turn
+                # After a long turn the end of the stream may already follow the requests in the socket
+                # buffer: requests of a client that has disconnected are not started.
                 if now_ms() - self.arrived_ms > LAG_LIMIT_MS and self.stream.drained and self.stream.at_end():
                     raise Closed("eof")
                 if not self.discards_input:
                     self._receive(reader, data)
                 if self.discards_input:
                     self.stream.keep(0)
-                    self.front.sched.sleep(2.0)  # guards the loop against senders of 60 MB at full speed
+                    self.front.sched.sleep(2.0)  # keeps a fast sender of 60 MB from occupying the loop
                 elif not self.stream.drained:
                     self.front.sched.pause()
         except Closed as error:
@@ -140,14 +134,15 @@
         self._count_buffered()
         if buffered and self.frame_progress_ms is None:
             self.frame_started_ms = started_ms
-        # guards requests in pieces: those that took longer than the 2.2 s were cut, though they grew
+        # Progress restarts the timeout: requests that arrived in pieces over more than 2.2 s were cut off
+        # although they kept growing.
         if buffered and (
             self.frame_progress_ms is None or buffered >= self.frame_progress_bytes + MIN_GROWTH_BYTES
         ):
             self.frame_progress_ms, self.frame_progress_bytes = started_ms, buffered
 
     def fail_all(self, code: str) -> None:
-        """End a connection that can't be read on: tell so, and end all that is open on it at once."""
+        """Fail stream 0 and all open and queued requests at once, then close; further input is dropped."""
         self.discards_input = True
         self._send_answer(0, Answer(FAILED))
         for stream in list(self.queued_requests):
@@ -158,7 +153,7 @@
         self.close_when_done(code)
 
     def timeout_code(self, now: float) -> str:
-        """Tell why a client should wait no longer, if so."""
+        """Return the reason code with which the connection has timed out, or an empty string."""
         if self.close_code:
             return self.close_code if now > self.linger_until_ms else ""
         if self.frame_progress_ms is None or (
@@ -168,18 +163,18 @@
         return "half" if self.has_sent_frame else "unasked"
 
     def is_idle(self) -> bool:
-        """Tell whether nothing is owed on it, and nothing has come that was not read."""
+        """Return whether no answer is pending, no close is under way and no input is unread."""
         return (
             not (self.has_pending_answers() or self.close_code or self.stream.code)
             and not self.stream.waiting()
         )
 
     def has_pending_answers(self) -> bool:
-        """Tell whether an answer is owed on it, or has not gone out."""
+        """Return whether a request is open or queued, or answer bytes are still unsent."""
         return bool(self.open_exchanges or self.queued_requests or self.stream.size)
 
     def is_lingering(self) -> bool:
-        """Tell whether it is being closed and nothing is owed on it any more."""
+        """Return whether the connection is closing and its last answer has been sent."""
         return bool(self.close_code) and not self.has_pending_answers()
 
     def _handle_frame(self, frame: frames.Frame, arrived_ms: float) -> None:
@@ -207,20 +202,20 @@
             raise frames.BadFrame(f"type {frame.kind}")
 
     def _count_buffered(self) -> None:
-        """Count the bytes that are held of what could not be taken yet."""
+        """Report the bytes held in partial frames and queued requests to the stream's accounting."""
         self.stream.keep(
             self.incomplete_bytes + sum(len(frame.payload) for frame, _ in self.queued_requests.values())
         )
 
     def _fail_flood(self) -> None:
-        """End a client that asks on and on for what it does not take, or for more than it may."""
+        """Disconnect a client that sends too many requests, or keeps sending while it reads no answers."""
         if not self.discards_input:
             self.fail_all("flood")
 
     def _process_queued(self) -> None:
-        """Take the requests that wait once the client has taken its answers.
+        """Handle the queued requests once the client has read enough of its answers.
 
-        Meanwhile the connection is read on: a client that gives up, or leaves, is seen at once.
+        Reading goes on meanwhile, so that a GIVE_UP frame or a disconnect is noticed at once.
         """
         while self.queued_requests and not self.stream.code:
             if self.stream.size > HIGH_WATER_BYTES:
@@ -237,26 +232,27 @@
 
     def _handle_request(self, frame: frames.Frame, arrived_ms: float) -> None:
         stream = frame.stream
-        if stream in self.open_exchanges:  # guards against two answers under one number
+        if stream in self.open_exchanges:  # two answers under one number could not be told apart
             raise frames.BadFrame(f"stream {stream} is open")
         stats = self.front.engine.stats
         try:
             request = read_request(frame.payload, self.front.settings, arrived_ms)
         except RequestError as error:
             stats.end(error.class_name, FAILED)
-            self._send_answer(stream, Answer(FAILED))  # never sent on
+            self._send_answer(stream, Answer(FAILED))  # an invalid request is never forwarded
             return
-        fresh = stream != 0 and self.stream_numbers.claim(stream)
-        if not fresh or self.front.engine.has(request.id):  # guards against one id twice at a cache
+        is_new = stream != 0 and self.stream_numbers.claim(stream)
+        # A cache must not get the same request id twice at the same time.
+        if not is_new or self.front.engine.has(request.id):
             stats.end(request.class_name, FAILED)
             self._send_answer(stream, Answer(FAILED))
             return
         self.accepted += 1
-        full = len(self.open_exchanges) >= MAX_OPEN_REQUESTS
-        self.excess_requests = self.excess_requests + 1 if full else 0
+        is_full = len(self.open_exchanges) >= MAX_OPEN_REQUESTS
+        self.excess_requests = self.excess_requests + 1 if is_full else 0
         if self.excess_requests > MAX_EXCESS_REQUESTS:
             return self._fail_flood()
-        if full or self.close_code or not self.front.accepts_request(arrived_ms):
+        if is_full or self.close_code or not self.front.accepts_request(arrived_ms):
             stats.end(request.class_name, REFUSED)
             self._send_answer(stream, Answer(REFUSED, wait_ms=self.front.settings.max_retry_after_ms))
             return
@@ -274,27 +270,31 @@
         self.stream.write(*write_answer(stream, answer))
 
     def send_going(self) -> None:
-        """Tell once that no new request may come on this connection."""
+        """Send a GOING frame once: no new request may be sent on this connection."""
         if not self.going_sent:
             self.going_sent = True
             self.stream.write(frames.head(frames.GOING, 0, 0))
 
     def may_close(self, now: float, final: bool) -> bool:
-        """Tell whether it may be closed when all leave: nothing open, nothing unread, no word for a while."""
+        """Return whether a drain may close the connection: it is idle and has no recent probe.
+
+        Unless `final`, a partial frame or activity within MIN_IDLE_MS also keeps it open.
+        """
         if not self.is_idle() or now - self.last_probe_ms <= PROBE_KEEP_MS:
             return False
         return final or (not self.stream.kept and now - self.last_activity_ms > MIN_IDLE_MS)
 
     def close_when_done(self, code: str, linger_ms: float = DEFAULT_LINGER_MS) -> None:
-        """Close after the answers in hand: those requests were taken and must not be lost."""
+        """Close once all open requests are answered: they were accepted and must not be lost."""
         self.close_code, self.linger_ms = self.close_code or code, linger_ms
         self._close_if_done()
 
     def _close_if_done(self) -> None:
-        """Shut writing down and read on for a while, dropping what comes.
+        """If no request is open, shut down the write side and drop input until the linger time is over.
 
-        Guards against a reset for unread bytes, which would take the last answer along. From here on no
-        answer can be written, so what is read is no request of ours: its client sends it again elsewhere.
+        Closing a socket with unread bytes makes the kernel send a reset, which can discard the last answer.
+        After the shutdown no answer can be written, so input is no longer treated as requests: the client
+        sends them again on another connection.
         """
         if self.close_code and not (self.open_exchanges or self.queued_requests):
             self.discards_input = True
