--- a/hitchtiller/front/leave.py
+++ b/hitchtiller/front/leave.py
@@ -1,4 +1,8 @@
-"""How clients leave a gateway in order: for a drain, for a new version, or for good."""
+"""Orderly removal of the clients: for a drain, for a hand-over to a new version, or at a stop.
+
+Clients are told with a GOING frame to send new requests elsewhere, open requests are answered, and
+connections are closed once nothing is pending on them.
+"""
 
 from typing import TYPE_CHECKING
 
@@ -9,47 +13,44 @@
     from hitchtiller.front.server import Front
 
 SERVING, DRAINED, HANDED_OVER, STOPPING = "serving", "drained", "handed over to the next version", "stopping"
-ACCEPT_GRACE_MS = 450.0  # after the word to go, connections may come for 0.4 s
-REQUEST_GRACE_MS = 350.0  # and on open ones requests for 0.2 s more
-# PROTOCOL, figures: it may be killed so long after SIGTERM, on top of the longest deadline up to MOST_MS
+ACCEPT_GRACE_MS = 450.0  # after a stop or drain begins, new connections may still arrive for 0.4 s
+REQUEST_GRACE_MS = 350.0  # and requests on open connections for another 0.2 s
+# The platform may kill the process this long after SIGTERM, plus the longest deadline up to MAX_DEADLINE_MS
+# (PROTOCOL, figures).
 KILL_GRACE_MS, MAX_DEADLINE_MS = 700.0, 3_000.0
-LAST_ANSWERS_MS, EXIT_MARGIN_MS = (
-    250.0,
-    150.0,
-)  # for the last answers to go out, and from the exit to the kill
-CLOSE_LINGER_MS = 100.0  # what crosses a close for so long is dropped: its client sends it again elsewhere
-DRAIN_REFUSE_MS, DRAIN_CLOSE_MS = (
-    1_500.0,
-    2_500.0,
-)  # in a drain: requests are refused, and their connections closed
+# Time to send the last answers, and from the exit until the platform may kill the process.
+LAST_ANSWERS_MS, EXIT_MARGIN_MS = 250.0, 150.0
+CLOSE_LINGER_MS = 100.0  # input that crosses a close is dropped for this long; clients resend it elsewhere
+# After the beginning of a drain: new requests are refused, and the connections on which they come are closed.
+DRAIN_REFUSE_MS, DRAIN_CLOSE_MS = 1_500.0, 2_500.0
 CHECK_INTERVAL_MS = 50.0
-MIN_STAY_MS = 1_000.0  # after handing over: the next version may end in its first moments
-MOVED = "moved"  # the code of connections whose clients go to the next version
+MIN_STAY_MS = 1_000.0  # after a hand-over the old process stays this long, as the new one may fail early
+MOVED = "moved"  # reason code of connections whose clients go to the next version
 
 
 class DrainControl:
-    """Empties a front of its clients."""
+    """Drains, hands over or stops a front."""
 
     def __init__(self, front: "Front") -> None:
-        """Work on a front's state and clients."""
+        """Control the state and the clients of a front."""
         self.front, self.sched = front, front.sched
-        self.drain_number = 0  # so that one that was called back ends
-        self.superseded = False  # a next version serves: what only one process can own is its
+        self.drain_number = 0  # ends a drain that was cancelled by a resume
+        self.superseded = False  # the next version serves and owns what only one process can own
 
     def drain(self) -> None:
-        """Say no from now on, and empty the gateway while it goes on listening."""
+        """Report not ready and remove the clients while the gateway goes on listening."""
         if self.front.state == SERVING:
             self.front.state = DRAINED
             self.drain_number += 1
-            logger.info("drained by call, {} clients", len(self.front.clients))
+            logger.info("draining on an operator's call, {} clients", len(self.front.clients))
             self.sched.spawn(self._run_drain, self.drain_number)
 
     def resume(self) -> bool:
-        """Take clients again; False if the gateway is stopping."""
+        """End a drain and serve again; return False if the gateway is not serving afterwards."""
         if self.front.state == DRAINED:
             self.front.state, self.front.refusing = SERVING, False
             self._reset_going_sent()
-            logger.info("resumed by call")
+            logger.info("serving again on an operator's call")
         return self.front.state == SERVING
 
     def _run_drain(self, drain: int) -> None:
@@ -57,13 +58,13 @@
         self.sched.sleep(ACCEPT_GRACE_MS)
         while self.front.state == DRAINED and drain == self.drain_number:
             elapsed_ms = now_ms() - started_ms
-            # guards against clients that ask on: from 4 s after the call none may hold a late request
+            # Clients may keep sending requests: 4 s after the call none may have an open one any more.
             self.front.refusing = elapsed_ms > DRAIN_REFUSE_MS
             self._release_clients(elapsed_ms > DRAIN_CLOSE_MS)
             self.sched.sleep(CHECK_INTERVAL_MS)
 
     def _release_clients(self, final: bool) -> None:
-        """Tell all clients to go, and close those that hold nothing more."""
+        """Send GOING to all clients and close the connections on which nothing is pending."""
         now = now_ms()
         for client in list(self.front.clients):
             client.send_going()
@@ -73,7 +74,7 @@
                 )
 
     def hand_over(self) -> None:
-        """Leave the clients to the next version, which accepts from now on, and end when all have gone."""
+        """Stop accepting, as the next version does from now on, and exit once all clients have left."""
         if self.front.state in (SERVING, DRAINED):
             self.front.state, self.front.accepting, self.front.refusing = HANDED_OVER, False, False
             self.superseded = True
@@ -81,7 +82,7 @@
             self.sched.spawn(self._run_hand_over)
 
     def resume_after_hand_over(self) -> None:
-        """Serve on: the next version has ended."""
+        """Serve again after the next version has ended."""
         if self.front.state == HANDED_OVER:
             logger.warning("the next version has ended, serving again")
             self.front.state, self.front.accepting, self.superseded = SERVING, True, False
@@ -97,10 +98,10 @@
 
     def _reset_going_sent(self) -> None:
         for client in self.front.clients:
-            client.going_sent = False  # a second time it has to be told again
+            client.going_sent = False  # a later drain has to send it again
 
     def stop(self) -> None:
-        """Leave: accept for the stated while, say so to all, answer what is in hand, then end the loop."""
+        """Stop: accept for the grace time, send GOING, answer the open requests, then stop the event loop."""
         front = self.front
         if front.state == STOPPING:
             return
@@ -118,17 +119,17 @@
         while front.clients and now_ms() < answer_ms:
             self._close_idle()
             self.sched.sleep(10.0)
-        front.refusing = True  # whatever still comes is refused at once
+        front.refusing = True  # requests that still arrive are refused at once
         for client in list(front.clients):
             for exchange in list(client.open_exchanges.values()):
-                front.engine.fail(exchange)  # guards against a kill while a request has no answer
+                front.engine.fail(exchange)  # every request gets an answer before the kill
         while front.clients and now_ms() < exit_ms:
             self._close_idle(final=True)
             self.sched.sleep(10.0)
         self._end_loop("stop")
 
     def _shutdown_times(self, started_ms: float) -> tuple[float, float]:
-        """Give until when answers are waited for, and when the program is gone: before it may be killed."""
+        """Return until when answers are awaited, and when the process exits: before it may be killed."""
         deadline_ms = max(
             (cls.deadline_ms for cls in self.front.settings.classes.values()), default=MAX_DEADLINE_MS
         )
@@ -136,10 +137,10 @@
         return kill_ms - LAST_ANSWERS_MS - EXIT_MARGIN_MS, kill_ms - EXIT_MARGIN_MS
 
     def _close_idle(self, final: bool = False) -> None:
-        """Close each connection on which nothing is owed; `last`: also where half a request has come.
+        """Close each connection without a pending answer; if `final`, also those with a partial request.
 
-        What has come unread is read first. Between that look and the shutdown nothing else runs; what comes
-        after it is dropped, and the close waits a little for it.
+        A connection with unread input is left open until that was read. Nothing else runs between this check
+        and the shutdown. Input that arrives later is dropped, for which the close lingers a little.
         """
         now = now_ms()
         for client in list(self.front.clients):
