--- a/hitchtiller/front/server.py
+++ b/hitchtiller/front/server.py
@@ -1,4 +1,8 @@
-"""Accepts clients and keeps them within the limits."""
+"""The listener for clients: accepts connections and enforces the limits over all of them.
+
+The number of connections, the total of buffered bytes and the age of an unread request are bounded. A client
+that neither reads its answers nor completes its requests is disconnected.
+"""
 
 import socket
 from collections.abc import Callable
@@ -11,9 +15,9 @@
 from hitchtiller.sched import READ, Scheduler, Stream, now_ms
 
 BACKLOG = 512
-MAX_SEND_STALL_MS = 5_000.0  # without progress, from which a client is given up
+MAX_SEND_STALL_MS = 5_000.0  # a client that reads nothing of its answers for longer is disconnected
 SWEEP_INTERVAL_MS = 200.0
-MAX_REQUEST_AGE_MS = 150.0  # that a request has lain unread, from which on it is turned away
+MAX_REQUEST_AGE_MS = 150.0  # older unread requests are refused
 
 
 class Front:
@@ -27,29 +31,29 @@
         max_clients: int,
         max_buffered_bytes: int,
     ) -> None:
-        """Serve at most `most` clients at once; buffers may hold `room` bytes in all."""
+        """Serve at most `max_clients` at once, with at most `max_buffered_bytes` in all buffers together."""
         self.sched, self.engine, self.settings, self.most = sched, engine, settings, max_clients
         self.room = max_buffered_bytes
         self.clients: set[Client] = set()
         self.state = SERVING
-        self.refusing = False  # no more requests are taken
+        self.refusing = False  # new requests are refused
         self.leave = DrainControl(self)
         self.accepting = True
-        self.not_ready_reason: Callable[[], str] = str  # a further reason not to be ready
-        # and more of them, from what is joined to the gateway
-        self.not_ready_reasons: list[Callable[[], str]] = []
+        self.not_ready_reason: Callable[[], str] = str  # returns "" when ready
+        self.not_ready_reasons: list[Callable[[], str]] = []  # the same, of optional components
         self.listener = socket.socket()
 
     def listen(self, address: tuple[str, int], inherited_fd: int | None = None) -> tuple[str, int]:
-        """Start to accept; gives the address, with the port that the system chose for 0.
+        """Start to accept connections; return the address, with the port that the system chose for 0.
 
-        `held` is a listening socket of the platform's: others accept from it too, so it is never shut down.
+        `inherited_fd` is a listening socket of the platform. Other processes accept from it too, so it is
+        never shut down.
         """
         if inherited_fd is not None:
             self.listener = socket.socket(fileno=inherited_fd)
             if not self.listener.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
                 raise OSError(f"descriptor {inherited_fd} does not listen")
-            self.listener.setblocking(False)  # for all who hold it: two may wake for one connection
+            self.listener.setblocking(False)  # shared flag: one connection may wake several processes
         else:
             self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             self.listener.setblocking(False)
@@ -61,7 +65,7 @@
         return str(host), int(port)
 
     def unready(self) -> str:
-        """Tell why requests should not come here; nothing if they may."""
+        """Return why this gateway should get no requests, or an empty string if it is ready."""
         if self.state != SERVING:
             return self.state
         if not self.engine.router.nodes:
@@ -71,19 +75,20 @@
         )
 
     def client_unready_reason(self) -> str:
-        """Tell clients the same, but for a gateway whose next version is ready: the gateway as a whole is."""
+        """Return the reason that clients are told: after a hand-over the next version serves, so none."""
         return "" if self.state == HANDED_OVER else self.unready()
 
     def close(self) -> None:
-        """Listen no more; what the machine accepted until now counts as ours, unless another listens too."""
+        """Stop listening; accept what is in the kernel's queue first, unless another process does."""
         if self.accepting:
             self._accept_pending()
         self.sched.forget(self.listener.fileno())
         self.listener.close()
 
     def accepts_request(self, arrived_ms: float) -> bool:
-        """Tell whether one more request can be held, and served by a loop that keeps up."""
-        # guards the others' aims in an overload: a refusal takes a fraction of the time of an attempt
+        """Return whether a new request fits into the buffers and the event loop keeps up."""
+        # A refusal costs a fraction of the time of an attempt, so that under overload the other requests
+        # still meet their aims.
         return (
             not self.refusing
             and Stream.buffered_bytes < self.room
@@ -91,7 +96,7 @@
         )
 
     def remove_client(self, client: Client) -> None:
-        """Forget a client."""
+        """Remove a client whose connection has ended."""
         self.clients.discard(client)
 
     def _sweep(self) -> None:
@@ -100,21 +105,23 @@
             self.sweep(now_ms())
 
     def sweep(self, now: float) -> None:
-        """Close clients that take nothing of what waits for them, or say nothing: they hold all there is."""
+        """Disconnect clients that read no answers or complete no requests: they use up the limits."""
         for client in list(self.clients):
             if client.stream.size and now - client.stream.progress_ms > MAX_SEND_STALL_MS:
                 client.stream.close("slow")
             elif code := client.timeout_code(now):
                 if client.has_pending_answers() and not client.close_code:
                     client.close_when_done(code)
-                elif client.close_code or not client.stream.waiting():  # else what it owed comes just now
+                # Unread input may be the rest of the frame that it is waiting for.
+                elif client.close_code or not client.stream.waiting():
                     client.stream.close(code)
 
     def make_room(self) -> bool:
-        """Close the client idle longest, those that never asked first; False if none can be spared.
+        """Disconnect the client that has been idle longest; return False if there is none.
 
-        One that is being closed and has had its last answer goes only where none is idle: what it has sent
-        since lies unread, and a close over it may take that answer along.
+        Clients that have sent no whole frame go first. A client that is closing and has had its last answer
+        is chosen only if no other is idle: closing over its unread input may reset the connection and
+        discard that answer.
         """
         by_priority = sorted(
             self.clients, key=lambda client: (client.has_sent_frame, client.last_activity_ms)
@@ -132,7 +139,7 @@
             if self.accepting:
                 self.sched.wait(self.listener.fileno(), READ)
                 self._accept_pending()
-            else:  # not in poll: what waits there is the other process's and would wake us again and again
+            else:  # not polled: the pending connections are for the other process and would wake this one
                 self.sched.sleep(20.0)
 
     def _accept_pending(self) -> None:
@@ -142,17 +149,17 @@
             except BlockingIOError:
                 return
             except OSError:
-                self.sched.sleep(10.0)  # out of descriptors, or the client left: neither may end the loop
+                self.sched.sleep(10.0)  # out of descriptors, or the client has left: try again
                 return
             peer = f"{address[0]}:{address[1]}"
-            # guards against silent connections that hold the whole third: usual ones were turned away
+            # Silent connections must not use up the whole limit: regular clients were rejected for them.
             if len(self.clients) >= self.most and not self.make_room():
                 sock.close()
                 ended("client", peer, "full")
                 continue
             try:
                 client = Client(self, Stream(self.sched, sock), peer)
-            except OSError:  # it left meanwhile: that must not end the listener for good
+            except OSError:  # the client has left in the meantime
                 sock.close()
                 continue
             self.clients.add(client)
