--- a/tests/ends/sides.py
+++ b/tests/ends/sides.py
@@ -1,4 +1,4 @@
-"""A front on real sockets in a loop that a test steps, with an engine that only notes what it is given."""
+"""A front on real sockets in an event loop that the test steps, with an engine that records its calls."""
 
 import socket
 import time
@@ -21,7 +21,7 @@
 
 
 def run_until(sched: Scheduler, done: Callable[[], bool]) -> bool:
-    """Turn the loop until something holds; False if it does not come to hold."""
+    """Run turns of the loop until a condition holds; return False if it does not within TIMEOUT_S."""
     end = time.monotonic() + TIMEOUT_S
     while time.monotonic() < end:
         if done():
@@ -32,14 +32,14 @@
 
 
 def request_frame(stream: int, **fields: str) -> bytes:
-    """Write a request."""
+    """Return an encoded request frame."""
     base = {"c": "small", "i": f"{stream:016x}", "d": "2000", "o": f"{42:016x}", "m": "10", "lot": "3"}
     payload = frames.write_fields(base | fields)
     return frames.head(frames.REQUEST, stream, len(payload)) + payload
 
 
 class Job:
-    """A command to a server that tells how it ended."""
+    """A job that records the statuses with which it ended."""
 
     def __init__(self, name: bytes = b"1", repeatable: bool = True) -> None:
         self.name, self.due_ms, self.reassignments, self.repeatable = name, 1e18, 0, repeatable
@@ -50,7 +50,7 @@
         return resp.write_command(b"PULL", self.name, b"-", b"")
 
     def on_sent(self) -> None:
-        """Count nothing."""
+        """Ignore it."""
 
     def answered(self, reply: str, fields: dict[str, str], body: bytes) -> None:
         if reply not in ("DONE", "WAIT"):
@@ -65,7 +65,7 @@
 
 
 class RecordingEngine:
-    """Notes requests taken, and those whose clients have gone; a test answers."""
+    """Records the accepted requests and those whose clients have left; the test answers them."""
 
     def __init__(self) -> None:
         self.stats = Stats(dict(BASE.classes))
@@ -90,12 +90,12 @@
         exchange.finish(Answer("failed"))
 
     def answer(self, number: int, body: bytes = b"") -> None:
-        """Serve a request, by the order in which they were taken."""
+        """Answer a request, given by its number in the order of acceptance."""
         self.open[number].finish(Answer(SERVED, body))
 
 
 class FrontCase(unittest.TestCase):
-    """One front with one client."""
+    """A test with one front and one client."""
 
     def setUp(self) -> None:
         self.sched, self.engine = Scheduler(), RecordingEngine()
@@ -125,25 +125,24 @@
         self.assertTrue(run_until(self.sched, done), message)
 
     def send_request(self, stream: int, **fields: str) -> int:
-        """Ask, until it is taken; gives its number in the order of taking."""
+        """Send a request and wait until it is accepted; return its number in the order of acceptance."""
         number = len(self.engine.taken)
         self.client_socket.sendall(request_frame(stream, **fields))
         self.wait_until(lambda: len(self.engine.taken) > number)
         return number
 
     def fill_send_buffer(self) -> None:
-        """Let more answers wait on the connection than its client takes."""
+        """Leave more answer bytes unsent on the connection than its high-water mark."""
         self.engine.answer(self.send_request(1), bytes(16_000_000))
         self.assertGreater(self.client.stream.size, 1_000_000)
-        self.client_socket.sendall(
-            frames.head(frames.GIVE_UP, 1, 0)
-        )  # of what is over: one more word is read
+        # A GIVE_UP of the answered request, as one more frame to read.
+        self.client_socket.sendall(frames.head(frames.GIVE_UP, 1, 0))
         last_activity_ms = self.client.last_activity_ms
         self.wait_until(lambda: self.client.last_activity_ms > last_activity_ms)
         self.sched.turn()
 
     def read_until_end(self) -> bytes:
-        """Read until the gateway's end of the connection; a reset fails."""
+        """Read until the gateway closes the connection; a reset fails the test."""
         self.client_socket.setblocking(False)
         received = bytearray()
 
