--- a/tests/ends/test_ends_clients.py
+++ b/tests/ends/test_ends_clients.py
@@ -1,4 +1,4 @@
-"""Clients that leave, cancel, flood or say half a word, each at the worst instant."""
+"""Clients that leave, give up, flood or send partial frames at the worst moments."""
 
 import contextlib
 import socket
@@ -17,18 +17,18 @@
 
 class Departures(FrontCase):
     def test_a_give_up_is_read_while_answers_wait_unsent(self) -> None:
-        """While a megabyte waited unsent nothing was read: attempts went on for up to 5 s."""
+        """While a megabyte was unsent nothing was read: attempts went on for up to 5 s."""
         number = self.send_request(2)
         self.fill_send_buffer()
         self.client_socket.sendall(give_up_frame(2))
-        self.wait_until(lambda: bool(self.engine.left), "the cancel lies unread")
+        self.wait_until(lambda: bool(self.engine.left), "the GIVE_UP frame is not read")
         self.assertEqual(self.engine.left, [self.engine.open[number].request.id])
 
     def test_a_disconnect_is_seen_while_answers_wait_unsent(self) -> None:
         self.send_request(2)
         self.fill_send_buffer()
         self.client_socket.shutdown(socket.SHUT_WR)
-        self.wait_until(lambda: bool(self.engine.left), "the end lies unread")
+        self.wait_until(lambda: bool(self.engine.left), "the disconnect is not read")
 
     def test_a_queued_request_that_is_given_up_is_never_taken(self) -> None:
         self.fill_send_buffer()
@@ -41,15 +41,15 @@
                 self.client_socket.recv(1_000_000)
             return len(self.engine.taken) == 2
 
-        self.wait_until(has_read_all, "what waited is taken once its client takes its answers")
-        self.assertEqual(self.client.stream.kept, 0, "and is not counted as held any more")
+        self.wait_until(has_read_all, "a queued request is taken once the client reads its answers")
+        self.assertEqual(self.client.stream.kept, 0, "and its bytes are not counted as buffered any more")
         self.assertEqual(self.engine.taken[1], f"{3:016x}")
 
     def test_a_request_whose_client_left_during_a_busy_turn_is_not_taken(self) -> None:
-        """The end lay behind the request: it was sent on, and the end seen one lagging turn later."""
+        """The disconnect was read a long turn after the request, which was forwarded in between."""
 
         def busy() -> None:
-            self.client_socket.sendall(request_frame(1))  # both come while the loop does other work
+            self.client_socket.sendall(request_frame(1))  # both arrive while the loop is busy
             self.client_socket.close()
             time.sleep(0.05)
 
@@ -59,7 +59,7 @@
         self.assertEqual((self.engine.taken, self.client.stream.code), ([], "eof"))
 
     def test_a_give_up_is_read_while_the_connection_is_closing(self) -> None:
-        """From the word to close on, nothing more was parsed: attempts for it went on to its deadline."""
+        """Once a close had begun nothing was parsed: attempts went on until the deadline."""
         self.send_request(1)
         self.client.close_when_done("half")
         self.client_socket.sendall(give_up_frame(1))
@@ -93,7 +93,7 @@
         self.engine.answer(self.send_request(1), b"x")
 
     def test_a_client_that_reads_no_answers_is_closed_at_the_queue_limit(self) -> None:
-        """Requests may wait for a jam to end, but no more of them than may be open."""
+        """Requests may be queued while answers are unsent, but no more of them than may be open."""
         self.fill_send_buffer()
         for stream in range(2, MAX_OPEN_REQUESTS + 3):
             self.client_socket.sendall(request_frame(stream))
@@ -103,11 +103,11 @@
 
 class PartialRequests(FrontCase):
     def test_the_rest_of_a_request_that_arrives_at_its_timeout_is_read(self) -> None:
-        """The sweep closed over the unread rest: a whole request was taken along."""
+        """The sweep closed the connection although the rest was unread: a whole request was lost."""
         data = request_frame(1)
         self.client_socket.sendall(data[:20])
         self.wait_until(lambda: self.client.stream.kept > 0)
-        self.client_socket.sendall(data[20:])  # it lies there unread: the loop has not turned
+        self.client_socket.sendall(data[20:])  # unread, as the loop has not run
         late_ms = now_ms() + 10_000.0
         self.assertEqual(self.client.timeout_code(late_ms), "unasked")
         self.front.sweep(late_ms)
