--- a/tests/ends/test_ends_descriptors.py
+++ b/tests/ends/test_ends_descriptors.py
@@ -1,4 +1,4 @@
-"""No descriptor left: the bus, the links and the listener come back by themselves, and nobody is cut off."""
+"""Without free file descriptors the bus, the links and the listener recover, and no client is lost."""
 
 import os
 import resource
@@ -32,7 +32,7 @@
 
 @contextmanager
 def no_descriptors() -> Iterator[None]:
-    """Let the process open nothing more: its limit is the lowest free number."""
+    """Set the descriptor limit to the lowest free number, so that nothing can be opened."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     free = os.dup(0)
     os.close(free)
@@ -59,7 +59,7 @@
         return True
 
     def test_the_bus_subscription_recovers(self) -> None:
-        """`socket.socket()` stood outside the try: the greenlet ended, and no drain was heard again."""
+        """socket.socket() was outside the try block: the greenlet ended, and later drains were lost."""
         bus = BusLink(self.sched, lambda event: None, self.address, ((), ()))
         with no_descriptors():
             self.sched.spawn(bus.run)
@@ -69,13 +69,13 @@
         bus.stream.close("end")
 
     def test_a_request_without_a_connection_counts_as_never_sent(self) -> None:
-        """The fault was raised inside the decision's action: the request failed, its attempt never ended."""
+        """The error was raised within an action: the request failed, and its attempt never ended."""
         back = Upstreams(self.sched, (400.0, 1000.0), 4, 8)
         back.follow(Topology((ListedServer(Member("s", "z", "k", "SERVING"), self.address),), True))
         job = Job()
         with no_descriptors():
             back.pools["s"].submit(job)
-        self.assertEqual(job.statuses, ["skipped"], "which proves that nothing ran")
+        self.assertEqual(job.statuses, ["skipped"], "which means that nothing ran")
         self.assertEqual(back.link_count, 0)
         again = Job()
         back.pools["s"].submit(again)
@@ -105,7 +105,7 @@
 
 
 class UnreadableSharedFolder(unittest.TestCase):
-    """The folder that two versions share can't be read: what was seen last holds."""
+    """The folder that two versions share can't be read: the last known state stays valid."""
 
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
@@ -121,15 +121,15 @@
         )
 
     def test_the_other_process_still_counts_as_alive(self) -> None:
-        """The look raised: its greenlet ended, and the gateway was never told to be ready."""
+        """The check raised an error: its greenlet ended, and the gateway never became ready."""
         self.assertEqual(len(self.upgrade.older()), 1)
         with no_descriptors():
             self.upgrade.look()
         self.assertEqual(len(self.upgrade.older()), 1)
-        self.assertFalse(self.front.accepting, "the older one serves")
+        self.assertFalse(self.front.accepting, "the older process serves")
 
     def test_a_stop_still_drains_the_clients(self) -> None:
-        """SIGTERM ended in the look's fault: nobody was told to go, and the kill took what was in hand."""
+        """SIGTERM failed with the check: no client got GOING, and the kill ended the open requests."""
         with no_descriptors():
             self.upgrade.stop()
         self.front.leave.stop.assert_called_once()
@@ -137,7 +137,7 @@
 
 class UnreadableHoldOuts(unittest.TestCase):
     def test_hold_outs_are_read_once_descriptors_are_free(self) -> None:
-        """The fault ended the greenlet, and the file counted as seen."""
+        """The error ended the greenlet, and the file counted as read."""
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         sched, told = Scheduler(), list[Event]()
@@ -159,7 +159,7 @@
 
 
 class MakingRoom(unittest.TestCase):
-    """Who makes room where clients hold all that they may."""
+    """Which client is closed when the number of clients is at its limit."""
 
     def setUp(self) -> None:
         engine: Any = None
@@ -179,7 +179,7 @@
         return client, other
 
     def test_a_client_waiting_for_its_last_answer_is_not_closed(self) -> None:
-        """`closing` alone counted as idle: its open request was lost with the connection."""
+        """A closing client counted as idle: its open request was lost with the connection."""
         client, _ = self.add_client()
         exchange: Any = mock.Mock(spec=Exchange)
         client.open_exchanges[1] = exchange
@@ -201,5 +201,5 @@
         idle, _ = self.add_client()
         self.assertTrue(self.front.make_room())
         self.assertEqual((lingering.stream.code, idle.stream.code), ("", "full"))
-        self.assertTrue(self.front.make_room(), "but with none idle it makes room all the same")
+        self.assertTrue(self.front.make_room(), "without an idle client the lingering one is closed")
         self.assertEqual(lingering.stream.code, "full")
