--- a/tests/ends/test_ends_discovery.py
+++ b/tests/ends/test_ends_discovery.py
@@ -1,4 +1,4 @@
-"""Discovery that goes silent or away at each instant, also while idle clients hold all that they may."""
+"""Discovery that goes silent or down at any moment, also while idle clients use up their limit."""
 
 import resource
 import socket
@@ -17,8 +17,8 @@
 
 WITHIN_S = 2.0 * (CONNECT_MS + SILENT_MS) / 1000.0
 CAUGHT_UP = HEAD.pack(1, 0)
-PROMPT_S = 1.5  # before the silent crowd is turned out for its silence, after 2.2 s
-READY_S = 10.0  # of restarted processes, nine in ten
+PROMPT_S = 1.5  # before silent clients time out, after 2.2 s
+READY_S = 10.0  # within which nine in ten restarted processes have to be ready
 
 
 def drain_frame(number: int, id: int) -> bytes:
@@ -31,7 +31,7 @@
 
 
 class SilentBus(unittest.TestCase):
-    """One subscription, whose other end says nothing more at a chosen point."""
+    """A subscription whose bus goes silent at a chosen point."""
 
     def setUp(self) -> None:
         self.sched, self.received_events = Scheduler(), list[Event]()
@@ -52,7 +52,7 @@
             self.sched.turn()
 
     def accept_subscription(self, within_s: float = TIMEOUT_S) -> socket.socket:
-        """Wait until the bus is asked, and for its number."""
+        """Accept the next connection of the gateway."""
         accepted: list[socket.socket] = []
 
         def has_accepted() -> bool:
@@ -68,7 +68,7 @@
         return accepted[0]
 
     def check_silence_after(self, sent: bytes, last: int) -> None:
-        """Say something and nothing more; it has to ask again, from the last whole event on, and be told."""
+        """Send bytes and go silent; the gateway has to subscribe again after the last whole event."""
         first = self.accept_subscription()
         first.sendall(sent)
         second = self.accept_subscription(WITHIN_S)
@@ -99,7 +99,7 @@
         self.check_silence_after(drain_frame(3, 5) + b"\0\0", 3)
 
     def test_moving_to_another_bus_while_the_old_one_is_silent(self) -> None:
-        """SIGHUP comes while a connection to the old address is under way, or waited for."""
+        """SIGHUP arrives while the gateway connects to the old address, or waits to do so."""
         self.accept_subscription()
         other = socket.create_server(("127.0.0.1", 0))
         self.addCleanup(other.close)
@@ -113,7 +113,7 @@
 
 
 class FullGateway(unittest.TestCase):
-    """Idle clients hold all descriptors that they may, and try for more, while discovery is down."""
+    """Idle clients hold all descriptors that they may and try to get more, while discovery is down."""
 
     LIMIT = 120
 
@@ -122,7 +122,7 @@
         self.addCleanup(self.gateway.stop)
 
     def connect_crowd(self) -> list[socket.socket]:
-        """Connect as many as the process has descriptors, and twice more."""
+        """Open three times as many connections as the process has descriptors."""
         pid = self.gateway.process.pid
         resource.prlimit(pid, resource.RLIMIT_NOFILE, (self.LIMIT, self.LIMIT))
         crowd = []
@@ -153,9 +153,9 @@
             0, bytes([127, 0, 0, 1]), self.gateway.caches["cache"].getsockname()[1], 1, 1, 0, 0, 8000, 0
         )
         bus.send(framed(HEAD.pack(2, 2) + record) + b"\xff" * 64)
-        self.gateway.expect_line("code=junk last=2")  # the junk after it tells that it was applied
+        self.gateway.expect_line("code=junk last=2")  # the malformed bytes after it show that it was applied
         client.ask(2)
-        self.gateway.server("parent").expect_pull()  # the drained cache gets nothing new
+        self.gateway.server("parent").expect_pull()  # the draining cache gets no new request
 
     def test_a_restarted_process_is_ready_in_time_while_discovery_is_down(self) -> None:
         self.gateway.bus.close()
