--- a/tests/ends/test_ends_effects.py
+++ b/tests/ends/test_ends_effects.py
@@ -1,4 +1,4 @@
-"""Effects: a repeat only with proof that nothing ran, or inside the window, by key and scope."""
+"""Effects are repeated only if nothing ran, or within the repeat window of their key and scope."""
 
 import copy
 import json
@@ -38,7 +38,7 @@
         effects = self.effects()
         effects.begin("pay", "k1", HERE, 200.0)
         effects.never_ran("pay", "k1")
-        self.assertFalse(effects.may_begin("pay", "k1", HERE, 2000.0), "the other may have run")
+        self.assertFalse(effects.may_begin("pay", "k1", HERE, 2000.0), "the other attempt may have run")
         effects.never_ran("pay", "k1")
         self.assertTrue(effects.may_begin("pay", "k1", HERE, 2000.0))
 
@@ -66,7 +66,7 @@
 
 class FirstByte(unittest.TestCase):
     def test_a_repeat_that_waited_past_its_window_is_not_sent(self) -> None:
-        """The window was looked at when the attempt was decided, not when its first byte went out."""
+        """The window was checked when the attempt was decided, not when its first byte was sent."""
         bench = Bench()
         (get,) = gets(bench.ask(1, name="keyed"))
         self.assertIsNotNone(bench.router.recheck_send(1, 0, 5.0))
@@ -106,7 +106,7 @@
         return cache, cache.expect_pull()[0]
 
     def assert_nothing_forwarded(self, *caches: Party) -> None:
-        """See that nothing was sent on: the next command of all is of the request that is asked now."""
+        """Check that nothing was forwarded: the next command is that of a request sent now."""
         self.client.ask(90, b"pay", c="charge", k="another", i="9" * 16)
         socks = [cache.sock for cache in caches]
         ready = select.select(socks, [], [], 5.0)[0]
@@ -115,9 +115,9 @@
         self.assertEqual(cache.expect_pull()[0], b"9" * 16)
 
     def test_a_clients_retry_past_the_window_of_its_first_try_is_not_sent(self) -> None:
-        """Each request had its own window: the key ran again after the servers had forgotten it."""
+        """Each request had its own window: the effect ran again after the servers had forgotten its key."""
         cache, name = self.open_request(1, "charge", k="5c0f")
-        cache.send(answer(name, b"BROKE"))  # it may have run; the retry inside the window follows at once
+        cache.send(answer(name, b"BROKE"))  # it may have run; within the window it is retried at once
         other = self.gateway.server()
         self.addCleanup(other.close)
         self.assertEqual(other.expect_pull()[0], name)
@@ -131,14 +131,14 @@
         self.assert_nothing_forwarded(cache, other)
 
     def test_a_late_second_answer_is_not_matched_to_the_next_attempt(self) -> None:
-        """WAIT came twice: the second was taken for proof that the repeat had not run either."""
+        """WAIT arrived twice: the second one was taken as proof that the repeat had not run either."""
         cache, name = self.open_request(1, "stamp")
         full = answer(name, b"WAIT", b"-")
         cache.send(full)
         other = self.gateway.server()  # the repeat goes on another connection
         self.addCleanup(other.close)
         self.assertEqual(other.expect_pull()[0], name)
-        cache.send(full)  # the late second one, while the repeat runs
+        cache.send(full)  # the late second answer, while the repeat runs
         other.send(answer(name, b"DONE", b"-", b"done"))
         self.client.expect_answer(1, frames.SERVED, b"done")
 
