--- a/tests/ends/test_ends_links.py
+++ b/tests/ends/test_ends_links.py
@@ -1,4 +1,4 @@
-"""Connections to servers: what is given up, breaks off or never ends, and what must not cross it."""
+"""Connections to servers: cancelled, broken and endless answers, and messages that must not overtake them."""
 
 import socket
 import time
@@ -21,7 +21,7 @@
 
 
 class LinkCase(unittest.TestCase):
-    """One server on a real socket, and the pool of connections to it."""
+    """A test with one server on a real socket and the pool of connections to it."""
 
     def setUp(self) -> None:
         self.sched = Scheduler()
@@ -34,10 +34,10 @@
         self.addCleanup(self.pool.close, "end")
 
     def wait_until(self, done: Callable[[], bool]) -> None:
-        self.assertTrue(run_until(self.sched, done), "it does not come to hold")
+        self.assertTrue(run_until(self.sched, done), "the condition does not come true")
 
     def write_job(self, job: Job) -> tuple[Link, socket.socket]:
-        """Submit a job; give the connection that it was written on, and the server's end of it."""
+        """Submit a job; return the connection on which it was written, and the server's end of it."""
         before = len(self.pool.links)
         self.pool.submit(job)
         self.wait_until(lambda: any(link.open_jobs.get(job.name) is job for link in self.pool.links))
@@ -51,9 +51,10 @@
 
 class AbandonedRequests(LinkCase):
     def test_the_same_id_does_not_overtake_its_kill_on_another_connection(self) -> None:
-        """salas-remotas, herd+mass: KILL on one, and in the same ms the next PULL on another connection.
+        """The KILL and the next PULL were sent in the same millisecond on two connections.
 
-        That connection was in doubt, so it took nothing new; the server had one id twice.
+        The first connection was suspect and got no new jobs, so the server held one id twice (deployment
+        salas-remotas, herd+mass).
         """
         first = Job(b"a")
         link, _ = self.write_job(first)
@@ -62,9 +63,9 @@
         link.cancel(first)
         repeat = Job(b"a")
         self.pool.submit(repeat)
-        self.assertEqual(repeat.statuses, ["skipped"], "which proves that it never ran")
-        self.assertEqual(len(self.pool.links), 2, "nor on a fresh one: a server that hangs may read it first")
-        link.killed_jobs[b"a"] = now_ms() - link_module.LATE_ANSWER_MS - 1.0  # long ago
+        self.assertEqual(repeat.statuses, ["skipped"], "which means that it never ran")
+        self.assertEqual(len(self.pool.links), 2, "no new connection: a hanging server may read it first")
+        link.killed_jobs[b"a"] = now_ms() - link_module.LATE_ANSWER_MS - 1.0  # expired
         later = Job(b"a")
         self.pool.submit(later)
         self.wait_until(lambda: spare.open_jobs.get(b"a") is later)
@@ -81,7 +82,7 @@
         self.assertEqual([items[0] for items in got], [b"PULL", b"KILL", b"PULL"])
 
     def test_an_id_on_a_connection_closed_as_stuck_is_not_sent_to_that_server_again(self) -> None:
-        """salas-remotas, herd+mass: a cache that hung read both when it went on, and had two copies."""
+        """A hanging cache read both when it resumed, and had two copies (salas-remotas, herd+mass)."""
         first = Job(b"a")
         link, _ = self.write_job(first)
         link.close("stuck")
@@ -93,14 +94,14 @@
     def test_an_unwritten_kill_does_not_count_as_arrived(self) -> None:
         first = Job(b"a")
         link, _ = self.write_job(first)
-        link.stream.write(bytes(8_000_000))  # a server that takes nothing
+        link.stream.write(bytes(8_000_000))  # a server that does not read
         self.assertGreater(link.stream.size, 0)
         link.is_suspect = True
         link.cancel(first)
         link.killed_jobs[b"a"] = now_ms() - CONNECT_MS - 1.0
         repeat = Job(b"a")
         self.pool.submit(repeat)
-        self.assertEqual(repeat.statuses, ["skipped"], "which proves that it never ran")
+        self.assertEqual(repeat.statuses, ["skipped"], "which means that it never ran")
 
     def test_the_same_id_does_not_overtake_the_close_of_its_connection(self) -> None:
         first = Job(b"a")
@@ -123,12 +124,12 @@
 
 class Answers(LinkCase):
     def test_a_trickling_answer_closes_the_connection(self) -> None:
-        """Each byte counted as a sign of life: all on the connection waited for their deadlines."""
+        """Each byte counted as progress: all jobs of the connection waited for their deadlines."""
         job = Job(b"a")
         link, server = self.write_job(job)
         server.sendall(b"*4\r\n$1\r\na\r\n$4\r\nDONE\r\n$1\r\n-\r\n$100000\r\n")
         self.wait_until(lambda: link.reader.in_array)
-        link.last_growth_ms -= link_module.GROWTH_TIMEOUT_MS  # it has trickled for so long
+        link.last_growth_ms -= link_module.GROWTH_TIMEOUT_MS  # as if it had trickled for so long
         heard = link.last_read_ms
         server.sendall(b"x")
         self.wait_until(lambda: link.last_read_ms > heard)
@@ -163,13 +164,13 @@
 
 class ConnectFailures(LinkCase):
     def test_a_connect_timeout_is_distinguished_from_a_refusal(self) -> None:
-        """A connection that came up late was taken for a process that had gone, and its cache for cold."""
+        """A slow connect was taken for a process that had ended, and its cache for a cold one."""
         refused, silent = Job(b"a"), Job(b"b")
         self.listener.close()
         self.pool.submit(refused)
         self.wait_until(lambda: bool(refused.statuses))
         self.assertEqual(refused.statuses, ["econnrefused"])
-        full = socket.create_server(("127.0.0.1", 0), backlog=0)  # its queue is filled, so that none comes up
+        full = socket.create_server(("127.0.0.1", 0), backlog=0)  # a full queue: no connect succeeds
         self.addCleanup(full.close)
         fill = [socket.socket() for _ in range(3)]
         for sock in fill:
@@ -185,7 +186,7 @@
 
 
 class RoundTrips(LinkCase):
-    """The way to a server and back is as long as a connection to it took to open."""
+    """The round trip to a server is estimated as the time that connecting to it took."""
 
     def make_attempt(self) -> tuple[Attempt, Exchange]:
         request = ClientRequest("0" * 16, "small", "0" * 16, 42, now_ms() + 5_000.0)
@@ -199,7 +200,7 @@
         return attempt, exchange
 
     def test_no_attempt_follows_an_abandoned_one_before_its_kill_has_arrived(self) -> None:
-        """The next PULL went out in the same turn, before the KILL was even written: two copies out."""
+        """The next PULL was sent in the same turn, before the KILL was written: two copies in transfer."""
         first, exchange = self.make_attempt()
         self.back.send(first)
         self.wait_until(lambda: any(link.open_jobs for link in self.pool.links))
@@ -217,7 +218,7 @@
         self.assertGreaterEqual(written[0], exchange.blocked_until_ms)
 
     def write_first_attempt(self) -> tuple[Attempt, Exchange, Link]:
-        """Write an attempt on a connection that came up in no time, as on loopback."""
+        """Write an attempt on a connection that opened at once, as on loopback."""
         first, exchange = self.make_attempt()
         self.back.send(first)
         self.wait_until(lambda: any(link.open_jobs for link in self.pool.links))
@@ -225,7 +226,7 @@
         return first, exchange, link
 
     def test_a_close_of_a_quickly_opened_connection_gets_time_to_arrive(self) -> None:
-        """A close went out 0.2 ms before the next PULL, to a nearer server: two copies out (herd+mass)."""
+        """The next PULL, to a nearer server, followed the close by 0.2 ms: two copies (herd+mass)."""
         _, exchange, link = self.write_first_attempt()
         started_ms = now_ms()
         link.close("stuck")
@@ -260,7 +261,7 @@
 
 class BusyTurns(LinkCase):
     def test_a_job_given_up_while_the_loop_was_busy_is_not_written(self) -> None:
-        """The command went out at the turn's end, before what had come during the turn was looked at."""
+        """The command was sent at the end of the turn, before input that had arrived meanwhile was read."""
         self.write_job(Job(b"first"))
         gateway_socket, client_socket = socket.socketpair()
         for sock in (gateway_socket, client_socket):
@@ -275,7 +276,7 @@
             self.back.pools["s"].cancel(job)
 
         def busy() -> None:
-            client_socket.send(b"x")  # the client gives up while the loop does other work
+            client_socket.send(b"x")  # the client gives up while the loop is busy
             time.sleep(0.05)
             self.pool.submit(job)
 
