--- a/tests/ends/test_ends_settings.py
+++ b/tests/ends/test_ends_settings.py
@@ -1,4 +1,4 @@
-"""Settings that can't be used end the start in one line, and change nothing at SIGHUP; none is shared."""
+"""Invalid settings stop the start with one line and change nothing at SIGHUP; settings share no state."""
 
 import copy
 import json
@@ -19,7 +19,7 @@
 
 
 def with_entry(*path: Any, value: Any) -> dict[str, Any]:
-    """Give the settings with one entry replaced; None takes it out."""
+    """Return the settings with one entry replaced, or removed if the value is None."""
     setup = copy.deepcopy(SETTINGS)
     entry: Any = setup
     for step in path[:-1]:
@@ -50,13 +50,13 @@
 
 class InvalidSettings(unittest.TestCase):
     def test_each_invalid_setting_is_named(self) -> None:
-        """A text for a number was found out by the first request that needed it, each time again."""
+        """A string in place of a number failed only at each request that needed it."""
         for setup, message in INVALID:
             with self.assertRaisesRegex(ValueError, message.replace("[", r"\[").replace("]", r"\]")):
                 read_settings(setup)
 
     def test_the_program_exits_with_one_line_and_status_2(self) -> None:
-        """Too short a list by zone was a traceback."""
+        """Too short a list of values by zone ended in a traceback."""
         config = json.loads((ROOT / "examples" / "config.json").read_text()) | {"settings": INVALID[-3][0]}
         with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
             file.write(json.dumps(config))
@@ -92,7 +92,7 @@
 
 class IndependentState(unittest.TestCase):
     def test_two_configurations_in_one_process_share_nothing(self) -> None:
-        """Tables at module or class level would carry one customer's figures over to the next."""
+        """Tables at module or class level would share one customer's figures with another."""
         from hitchtiller.decide import Router
 
         first, second = Router(read_settings(SETTINGS), 1), Router(read_settings(SETTINGS), 1)
