--- a/tests/ends/test_ends_shutdown.py
+++ b/tests/ends/test_ends_shutdown.py
@@ -1,4 +1,4 @@
-"""Leaving a gateway: what is owed at each instant until its process has gone."""
+"""Stopping and draining: which answers clients still get at each moment until the process has ended."""
 
 import copy
 import json
@@ -15,7 +15,7 @@
 
 
 class Crossings(FrontCase):
-    """Stopping, with what crosses it forced to come between two steps."""
+    """A stop, with client messages that arrive exactly between two of its steps."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -28,30 +28,28 @@
         return list(frames.FrameReader().feed(self.read_until_end()))
 
     def test_a_request_after_the_last_check_is_dropped_and_the_last_answer_arrives(self) -> None:
-        """The close over unread bytes reset the connection and took the answer along."""
+        """Closing with unread bytes reset the connection and discarded the answer."""
         self.engine.answer(self.send_request(1), b"last")
         is_idle = Client.is_idle
 
         def send_and_check(client: Client) -> bool:
             found = is_idle(client)
             if found:
-                self.client_socket.sendall(
-                    request_frame(2)
-                )  # after the look that found nothing, before the close
+                self.client_socket.sendall(request_frame(2))  # after the check, before the close
             return found
 
         with mock.patch.object(Client, "is_idle", send_and_check):
             self.sched.spawn(self.front.leave.stop)
             got = self.frames_until_end()
         self.assertEqual([(f.kind, f.stream) for f in got], [(frames.ANSWER, 1), (frames.GOING, 0)])
-        self.assertEqual(len(self.engine.taken), 1, "what is read after the shutdown is never sent on")
+        self.assertEqual(len(self.engine.taken), 1, "a request read after the shutdown is never forwarded")
 
     def test_a_request_before_the_last_check_is_answered(self) -> None:
         is_idle = Client.is_idle
 
         def send_and_check(client: Client) -> bool:
             if not self.engine.taken and not client.stream.waiting():
-                self.client_socket.sendall(request_frame(1))  # it lies there unread when the look comes
+                self.client_socket.sendall(request_frame(1))  # unread at the time of the check
             return is_idle(client)
 
         with mock.patch.object(Client, "is_idle", send_and_check):
@@ -61,7 +59,7 @@
         self.assertIn((frames.ANSWER, 1), [(f.kind, f.stream) for f in self.frames_until_end()])
 
     def test_an_idle_connection_is_closed_while_another_still_waits(self) -> None:
-        """All were held until the last answer was out: some rest until the gateway ends them."""
+        """All were kept until the last answer: some clients keep idle ones until the gateway closes."""
         self.engine.answer(self.send_request(1), b"x")
         idle, self.client_socket = self.client_socket, self.connect()
         number = self.send_request(1)
@@ -97,7 +95,7 @@
         self.gateway.expect_line("INFO n0 ready")
 
     def test_a_partial_request_does_not_delay_the_exit_past_the_kill(self) -> None:
-        """It waited 3.3 s whatever the deadlines: what came whole in between was lost with the process."""
+        """It waited 3.3 s whatever the deadlines: requests completed in between were lost at the kill."""
         client = self.gateway.client()
         self.addCleanup(client.close)
         client.send(b"\0\0\1\0\7")
@@ -109,7 +107,7 @@
 
 class Drains(FrontCase):
     def test_a_request_that_crosses_the_close_of_a_drain_loses_no_answer(self) -> None:
-        """The close was outright: over the unread request it reset the connection."""
+        """The connection was closed at once: with the unread request this reset it."""
         self.engine.answer(self.send_request(1), b"last")
         self.client.last_activity_ms -= 10_000.0
         is_idle = Client.is_idle
