--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -1,4 +1,4 @@
-"""The scenario language: send, expect, close and wait, on real sockets against one gateway."""
+"""Helpers for scenario tests: send, expect, close and wait on real sockets of one gateway process."""
 
 import contextlib
 import copy
@@ -23,7 +23,7 @@
 
 
 class Party:
-    """One end of a connection that a scenario speaks for."""
+    """The test's end of one connection."""
 
     def __init__(self, sock: socket.socket, reader: Any) -> None:
         self.sock, self.reader = sock, reader
@@ -35,7 +35,7 @@
         return self
 
     def expect(self, check: Callable[[Any], bool] = lambda got: True) -> Any:
-        """Take what comes next; it must satisfy the check. At the connection's end that is None."""
+        """Return the next received item, which must satisfy the check; None at the end of the connection."""
         while not self.received:
             try:
                 data = self.sock.recv(65_536)
@@ -50,13 +50,13 @@
         return first
 
     def ask(self, stream: int, more: bytes = b"", **fields: str) -> Self:
-        """Send a request."""
+        """Send a request frame."""
         base = {"c": "files", "i": f"{stream:016x}", "d": "2000", "o": f"{42:016x}", "m": "10", "lot": "3"}
         payload = frames.write_fields(base | fields) + more
         return self.send(frames.head(frames.REQUEST, stream, len(payload)) + payload)
 
     def expect_answer(self, stream: int, code: int, body: bytes | None = None) -> dict[str, str]:
-        """Take an answer; gives its fields."""
+        """Receive an answer and return its fields."""
         frame = self.expect(lambda got: got is not None and (got.kind, got.stream) == (frames.ANSWER, stream))
         assert frame.payload[0] == code, frame
         fields, end = frames.read_fields(frame.payload, 1)
@@ -64,7 +64,7 @@
         return fields
 
     def expect_pull(self) -> tuple[bytes, dict[str, str], bytes]:
-        """Take a PULL: its id, fields and body."""
+        """Receive a PULL; return its id, fields and body."""
         word, name, fields, body = self.expect(lambda got: got is not None and got[0] == b"PULL")
         return name, resp.read_fields(fields), body
 
@@ -73,7 +73,7 @@
 
 
 class LineReader:
-    """Takes the lines of an answer to a call apart."""
+    """Splits the answer to an operator's call into lines."""
 
     def __init__(self) -> None:
         self.incomplete = ""
@@ -84,10 +84,10 @@
 
 
 class Gateway:
-    """A gateway process, with the caches and the bus round it as listeners of the scenario's own."""
+    """A gateway process; the test itself listens as its caches, parent, origin and bus."""
 
     def __init__(self, held: bool = False, **limits: Any) -> None:
-        """Start one; with `held` its listening socket is the platform's, here the scenario's."""
+        """Start a gateway; with `held` the test provides its listening socket, as the platform does."""
         self.folder = tempfile.TemporaryDirectory()
         self.held = socket.create_server(("127.0.0.1", 0)) if held else None
         self.caches = {name: socket.create_server(("127.0.0.1", 0)) for name in ("cache", "parent", "origin")}
@@ -122,7 +122,7 @@
         self.expect_line("INFO n0 ready")
 
     def start(self) -> None:
-        """Start the program; its addresses are in its log."""
+        """Start the process and read its addresses from its log."""
         env = {"BALANCER_CONFIG": self.file.name, "PATH": os.environ["PATH"], "TMPDIR": self.folder.name}
         fds = [self.held.fileno()] if self.held else []
         if fds:
@@ -133,7 +133,7 @@
         )
         self.kill_timer = threading.Timer(
             MAX_LIFE_S, self.process.kill
-        )  # so that a line that never comes ends a test
+        )  # ends a test that waits for a missing line
         self.kill_timer.daemon = True
         self.kill_timer.start()
         self.lines: list[str] = []
@@ -141,20 +141,20 @@
         self.port = int(self.expect_line("serving on").split("serving on 127.0.0.1:")[1].split(",")[0])
 
     def successor(self) -> "Gateway":
-        """Start the program once more beside this one."""
+        """Start a second process of the same gateway beside this one."""
         other = copy.copy(self)
         other.start()
         return other
 
     def configure(self, text: str) -> None:
-        """Replace the configuration file's text."""
+        """Replace the text of the configuration file."""
         Path(self.file.name).write_text(text)
 
     def send_sighup(self) -> None:
         self.process.send_signal(signal.SIGHUP)
 
     def expect_line(self, text: str) -> str:
-        """Read the log until a line holds the text."""
+        """Read the log up to a line that contains the text, and return that line."""
         assert self.process.stderr
         for line in self.process.stderr:
             self.lines.append(line)
@@ -166,11 +166,11 @@
         return Party(socket.create_connection(("127.0.0.1", self.port)), frames.FrameReader())
 
     def operator(self) -> Party:
-        """Open a connection for a call."""
+        """Connect to the control port."""
         return Party(socket.create_connection(("127.0.0.1", self.control)), LineReader())
 
     def call(self, line: str) -> list[str]:
-        """Make a call; gives the answer's lines once the gateway has closed."""
+        """Make an operator's call; return the lines of the answer once the gateway has closed."""
         party, lines = self.operator().send(line.encode() + b"\n"), list[str]()
         while (got := party.expect()) is not None:
             lines.append(got)
@@ -178,17 +178,17 @@
         return lines
 
     def server(self, name: str = "cache") -> Party:
-        """Accept the gateway's connection to a cache."""
+        """Accept a connection of the gateway to a server."""
         self.caches[name].settimeout(TIMEOUT_S)
         return Party(self.caches[name].accept()[0], resp.RespReader())
 
     def subscription(self) -> Party:
-        """Accept the gateway's connection to the bus."""
+        """Accept a connection of the gateway to the bus."""
         self.bus.settimeout(TIMEOUT_S)
         return Party(self.bus.accept()[0], None)
 
     def told_all(self) -> None:
-        """As the bus, tell whoever asks that there is nothing more, until this gateway is ready."""
+        """Answer subscriptions as a bus without further events until this gateway is ready."""
         self.bus.settimeout(0.1)
         frame = (9).to_bytes(4, "big") + (1).to_bytes(8, "big") + b"\0"
         parties = list[socket.socket]()
@@ -220,10 +220,10 @@
 
 
 def wait(seconds: float) -> None:
-    """Let time pass, where time itself is what a scenario is about."""
+    """Sleep; only for tests in which the passing of time itself is tested."""
     time.sleep(seconds)
 
 
 def answer(name: bytes, word: bytes, fields: bytes = b"rev=aa,since=1", body: bytes = b"") -> bytes:
-    """Write a cache's answer."""
+    """Return an encoded answer of a cache."""
     return resp.write_command(name, word, fields, body)
