--- a/tests/test_back.py
+++ b/tests/test_back.py
@@ -1,4 +1,4 @@
-"""The pools and connections of the server side, without a network."""
+"""Pools and connections of the server side, without a network."""
 
 import unittest
 from collections.abc import Callable
@@ -15,7 +15,7 @@
 
 
 class Job:
-    """Something to write that tells how it ended."""
+    """A job that records the statuses with which it ended."""
 
     def __init__(self, name: bytes = b"1", due_ms: float = 1e18) -> None:
         self.name, self.due_ms, self.reassignments, self.repeatable = name, due_ms, 0, True
@@ -41,7 +41,7 @@
         self.pool = self.back.pools["s"]
 
     def open_link(self, *jobs: Job) -> Link:
-        """Open a connection that has written these jobs."""
+        """Open a connection on which these jobs count as written."""
         link = self.back.open(self.pool)
         link.is_connected, link.open_jobs = True, {job.name: job for job in jobs}
         self.addCleanup(link.stream.close, "end")
@@ -52,7 +52,7 @@
             return call()
 
     def test_an_unwritten_job_is_reassigned_a_bounded_number_of_times(self) -> None:
-        """A server that reset whatever was opened had the loop to itself."""
+        """A server that reset every connection kept the loop busy with reassignments."""
         job = Job()
         for _ in range(MAX_REASSIGNMENTS):
             self.pool.on_link_closed(self.open_link(), [job])
@@ -61,7 +61,7 @@
         self.assertEqual(job.statuses, ["econnrefused"])
 
     def test_attempts_are_spread_over_several_connections(self) -> None:
-        """One reset ended up to 14 attempts."""
+        """A single reset ended up to 14 attempts at once."""
         for n in range(12):
             self.pool.submit(Job(b"%d" % n))
             for link in self.pool.links:
@@ -70,7 +70,7 @@
         self.assertEqual(sorted(link.job_count() for link in self.pool.links), [0, 4, 4, 4])
 
     def test_the_gateways_own_connection_limit_is_not_blamed_on_the_server(self) -> None:
-        """It was blamed for a connection that was never tried."""
+        """The server was blamed although no connection to it was tried."""
         self.back.most = 0
         job = Job()
         self.pool.submit(job)
@@ -84,7 +84,7 @@
         self.assertLessEqual(len(link.killed_jobs), 8)
 
     def test_a_connection_with_overdue_answers_gets_no_new_jobs_and_is_closed(self) -> None:
-        """All on it waited for their deadlines."""
+        """All its jobs waited for their deadlines."""
         link = self.open_link(Job(due_ms=link_module.now_ms()))
         last_read_ms = link.last_read_ms
         link.check(last_read_ms + 300.0)
@@ -93,7 +93,7 @@
         self.assertEqual(link.stream.code, "stuck")
 
     def test_an_invalid_answer_fails_only_its_job_and_other_answers_still_arrive(self) -> None:
-        """Each ended all that was open on its connection, 7 at once."""
+        """One such answer failed all jobs of its connection, 7 at once."""
         invalid, valid, unwritten = Job(b"1"), Job(b"2"), Job(b"3")
         invalid.answered = mock.Mock(side_effect=BadResp("answer"))  # type: ignore[method-assign]
         link = self.open_link(invalid, valid)
@@ -101,7 +101,7 @@
         link._answer([b"1", b"DONE", b"-", b""])
         self.assertEqual((invalid.statuses, valid.statuses), (["econnreset"], []))
         self.assertFalse(link.has_room(b"4"))
-        self.assertFalse(link.queue, "what was not written is handed on")
+        self.assertFalse(link.queue, "unwritten jobs are returned to the pool")
         with self.assertRaises(Closed):
             link._answer([b"2", b"DONE", b"-", b""])
         self.assertEqual(valid.statuses, ["DONE"])
