--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -1,4 +1,4 @@
-"""The codecs, byte by byte and with junk."""
+"""The codecs, fed byte by byte and with malformed input."""
 
 import unittest
 
@@ -77,7 +77,7 @@
         self.assertEqual((host.member.server, host.address), ("s-00c41f7a", ("10.1.0.9", 8080)))
         self.assertEqual((host.member.state, host.member.weight, host.member.cell), ("DRAINING", 4.0, 2))
         self.assertEqual(events[1:3], [(2, PurgeNotice(42, -1, 1000.0)), (3, PurgeNotice(None, 17, 1000.0))])
-        self.assertEqual(events[3:], [(4, None), (0, None)])  # an empty frame is a sign of life too
+        self.assertEqual(events[3:], [(4, None), (0, None)])  # an empty frame is a heartbeat too
 
     def test_malformed_input_is_rejected(self) -> None:
         for malformed in (b"\xff" * 8, (12).to_bytes(4, "big") + bytes(8) + b"\x02abc"):
