--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -1,4 +1,4 @@
-"""The client side's limits, without a network."""
+"""Limits of the client side: request deadlines, partial frames, overload."""
 
 import socket
 import unittest
@@ -16,7 +16,7 @@
 
 class Deadlines(unittest.TestCase):
     def test_the_deadline_keeps_only_a_small_margin(self) -> None:
-        """A quarter of it, up to 60 ms, was kept: a fifth of impatient clients' requests were given up."""
+        """With a quarter reserved, up to 60 ms, a fifth of impatient clients' requests were given up."""
         fields = {"c": "small", "i": "1" * 16, "o": "2" * 16, "lot": "1", "d": "80"}
         for wait_ms, deadline_ms in (("80", 1076.0), ("5000", 5940.0)):
             request = read_request(frames.write_fields(fields | {"d": wait_ms}), BASE, 1000.0)
@@ -40,7 +40,7 @@
         )
 
     def feed(self, size: int, elapsed_ms: float) -> str:
-        """Give the next bytes of a long frame; tells why it would have been closed just before."""
+        """Feed more bytes of a long frame; return the timeout code just before."""
         with patch("hitchtiller.front.client.now_ms", lambda: self.started_ms + elapsed_ms):
             code = self.client.timeout_code(self.started_ms + elapsed_ms)
             first = not self.reader.buffer
@@ -51,7 +51,7 @@
         self.assertEqual(
             [self.feed(100, elapsed_ms) for elapsed_ms in (100.0, 2_000.0, 4_000.0, 5_500.0)], [""] * 4
         )
-        self.assertEqual(self.client.timeout_code(self.started_ms + 6_300.0), "unasked")  # but it ends
+        self.assertEqual(self.client.timeout_code(self.started_ms + 6_300.0), "unasked")  # but it times out
 
     def test_a_trickling_frame_times_out(self) -> None:
         self.assertEqual(
@@ -68,7 +68,7 @@
         Stream.buffered_bytes = 0
 
     def test_a_request_that_waited_unread_too_long_is_refused(self) -> None:
-        """At lags of 0.2 to 0.3 s all were taken, and all were late."""
+        """With the loop 0.2 to 0.3 s behind, all requests were accepted and all were answered too late."""
         self.assertTrue(self.front.accepts_request(now_ms()))
         self.assertFalse(self.front.accepts_request(now_ms() - 300.0))
 
