--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -1,4 +1,4 @@
-"""Scenarios: one gateway process, spoken to over sockets."""
+"""Scenarios on sockets with one gateway process."""
 
 import contextlib
 import json
@@ -12,7 +12,7 @@
 
 
 class Scenario(unittest.TestCase):
-    """A running gateway and a client of it."""
+    """A test with a running gateway and a client."""
 
     limits: ClassVar[dict[str, int]] = {}
     held = False
@@ -24,7 +24,7 @@
         self.addCleanup(self.client.close)
 
     def opened(self, stream: int = 1, server: str = "cache", **fields: str) -> tuple[Party, bytes]:
-        """Ask, and take the PULL that follows: the cache's connection and the request's id."""
+        """Send a request and receive its PULL; return the connection to the server and the request id."""
         self.client.ask(stream, **fields)
         cache = self.gateway.server(server)
         self.addCleanup(cache.close)
@@ -81,7 +81,7 @@
         cache.expect(lambda got: got == [b"KILL", name])
 
     def test_an_id_that_was_given_up_is_sent_again_after_its_kill(self) -> None:
-        """On another connection it could overtake the KILL: under load whole runs went silent."""
+        """On another connection the new PULL could overtake the KILL: under load no answers came any more."""
         cache, name = self.opened()
         self.client.send(frames.head(frames.GIVE_UP, 1, 0)).ask(2, i=name.decode())
         cache.expect(lambda got: got == [b"KILL", name])
@@ -103,7 +103,7 @@
         for stream, fields in enumerate(cases, 1):
             self.client.ask(stream, **fields).expect_answer(stream, frames.FAILED)
         cache, name = self.opened(99)
-        cache.send(answer(name, b"DONE", body=b"x"))  # the first that the cache sees is the good one
+        cache.send(answer(name, b"DONE", body=b"x"))  # the valid request is the first that the cache gets
         self.client.expect_answer(99, frames.SERVED, b"x")
 
     def test_a_stream_number_can_be_used_only_once(self) -> None:
@@ -113,7 +113,7 @@
         self.client.ask(1).expect_answer(1, frames.FAILED)
 
     def test_a_malformed_frame_fails_stream_0_and_all_open_requests_at_once(self) -> None:
-        """Its open requests were still served."""
+        """The open requests of the connection were still served."""
         cache, name = self.opened()
         self.client.send(b"GET / HTTP/1.1\r\n\r\n").expect_answer(0, frames.FAILED)
         self.client.expect_answer(1, frames.FAILED)
@@ -161,10 +161,10 @@
         self.client.expect_answer(1, frames.SERVED, b"x")
 
     def test_an_invalid_answer_closes_its_connection_and_fails_its_jobs(self) -> None:
-        """An unknown word counted as an error, and the connection lived on."""
+        """An unknown reply counted as an error of the server, and the connection stayed open."""
         cache, name = self.opened()
         cases = ((b"DONE", b"rev=aa,since=noise", "cache"), (b"DOME", b"rev=aa,since=1", "parent"))
-        for reply, fields, then in cases:  # a second break on it is the cache's fault
+        for reply, fields, then in cases:  # after a second failure the cache is avoided
             cache.send(answer(name, reply, fields, b"x"))
             self.gateway.expect_line("code=junk")
             cache = self.gateway.server(then)
@@ -192,7 +192,7 @@
     limits: ClassVar[dict[str, int]] = {"sockets": 120}  # 47 for clients
 
     def test_a_full_gateway_closes_silent_clients_first_then_the_longest_idle(self) -> None:
-        """Silent connections held all there is, and usual ones were turned away."""
+        """Silent connections used up the limit, and regular clients were rejected."""
         cache, name = self.opened()
         cache.send(answer(name, b"DONE", body=b"x"))
         self.client.expect_answer(1, frames.SERVED)
@@ -223,9 +223,9 @@
         frame = (2).to_bytes(8, "big") + b"\x02" + record
         bus = self.gateway.subscription()
         bus.send(len(frame).to_bytes(4, "big") + frame + b"\xff" * 64)
-        self.gateway.expect_line("code=junk last=2")  # the junk after it tells that it was applied
+        self.gateway.expect_line("code=junk last=2")  # the malformed bytes after it show that it was applied
         self.client.ask(1)
-        self.gateway.server("parent").expect_pull()  # straight up: the zone has no other cache
+        self.gateway.server("parent").expect_pull()  # the parent directly: the zone has no other cache
 
     def test_sigterm_answers_open_requests_and_exits_with_0(self) -> None:
         cache, name = self.opened()
@@ -247,8 +247,8 @@
         late.expect(lambda got: got is not None)
 
     def test_sigterm_fails_open_requests_before_the_process_may_be_killed(self) -> None:
-        """It waited 6 s for the last answer, and SIGKILL may come after 3.7 s."""
-        self.opened(d="5000", m="100000")  # so large that silence is no bad sign yet
+        """The gateway waited 6 s for the last answer, but SIGKILL may come after 3.7 s."""
+        self.opened(d="5000", m="100000")  # large enough that a silent server is not suspect yet
         self.gateway.terminate()
         self.client.expect(lambda got: got.kind == frames.GOING)
         self.client.sock.settimeout(4.5)
@@ -258,10 +258,12 @@
 
 class NewConfiguration(Scenario):
     def test_sighup_switches_the_bus_and_leaves_open_requests_alone(self) -> None:
-        """SIGHUP ended the program."""
+        """SIGHUP used to end the process."""
         old = self.gateway.subscription()
         self.assertEqual(old.sock.recv(8), (1).to_bytes(8, "big"))
-        old.send((9).to_bytes(4, "big") + (7).to_bytes(8, "big") + b"\0" + b"\0\0")  # cut in the next event
+        old.send(
+            (9).to_bytes(4, "big") + (7).to_bytes(8, "big") + b"\0" + b"\0\0"
+        )  # ends within the next event
         cache, name = self.opened()
         with socket.create_server(("127.0.0.1", 0)) as bus:
             address = "127.0.0.1:%d" % bus.getsockname()[1]
@@ -285,7 +287,7 @@
         self.client.expect_answer(1, frames.SERVED, b"x")
 
     def test_a_bus_that_stalls_in_the_middle_of_an_event_is_reconnected(self) -> None:
-        """Single bytes counted as a sign of life."""
+        """Every single byte used to count as a heartbeat."""
         bus = self.gateway.subscription()
         bus.sock.recv(8)
         bus.send((99).to_bytes(4, "big"))
@@ -294,4 +296,4 @@
             bus.send(b"\0")
             with contextlib.suppress(TimeoutError):
                 return self.gateway.bus.accept()[0].close()
-        self.fail("the bus was not asked again")
+        self.fail("the gateway did not connect to the bus again")
