--- a/hitchtiller/back/link.py
+++ b/hitchtiller/back/link.py
@@ -112,11 +112,11 @@
             return False
         return True
 
-    def _remember(self, names: dict[bytes, float], name: bytes) -> None:
+    def _remember(self, times: dict[bytes, float], name: bytes) -> None:
         """Record a name whose answer may still be on its way, and drop expired names to bound the memory."""
-        names[name] = now = now_ms()
-        while now - names[oldest := next(iter(names))] > LATE_ANSWER_MS:
-            del names[oldest]
+        times[name] = now = now_ms()
+        while now - times[oldest := next(iter(times))] > LATE_ANSWER_MS:
+            del times[oldest]
 
     def close(self, code: str) -> None:
         """Close the connection with a reason code."""
--- a/hitchtiller/back/upstreams.py
+++ b/hitchtiller/back/upstreams.py
@@ -89,12 +89,14 @@
         if link.stream.code and link in self.links:
             self.links.remove(link)
             self.upstreams.link_count -= 1
-            now, names = now_ms(), link.abandoned_jobs
+            now, abandoned = now_ms(), link.abandoned_jobs
             for remembered in (self.abandoned_jobs, self.abandoned_after_junk):
                 for name in [name for name, at in remembered.items() if now - at >= LATE_ANSWER_MS]:
                     del remembered[name]
             self.abandoned_jobs |= link.killed_jobs
-            (self.abandoned_after_junk if link.stream.code == "junk" else self.abandoned_jobs).update(names)
+            (self.abandoned_after_junk if link.stream.code == "junk" else self.abandoned_jobs).update(
+                abandoned
+            )
         for job in unwritten:
             job.reassignments += 1
             # Without a bound, a server that resets every connection would keep the loop busy.
--- a/hitchtiller/codec/bus.py
+++ b/hitchtiller/codec/bus.py
@@ -30,12 +30,12 @@
 
 def read_record(record: Sequence[Any], zones: Sequence[str], kinds: Sequence[str]) -> ListedServer:
     """Decode one record of the binary list."""
-    number, ip, port, state, zone, kind, cell, weight, started = record
+    number, ip, port, state, zone, kind, cell, weight, started_ms = record
     if state >= len(STATES) or zone >= len(zones) or kind >= len(kinds):
         raise BadBus(f"record of {server_name(number)} has an unknown state, zone or kind")
     units = max(weight / 1000.0, 1e-6)
     member = api.Member(
-        server_name(number), zones[zone], kinds[kind], STATES[state], float(started), units, cell
+        server_name(number), zones[zone], kinds[kind], STATES[state], float(started_ms), units, cell
     )
     return ListedServer(member, (".".join(map(str, ip)), port))
 
@@ -72,11 +72,11 @@
                 hosts = tuple(read_record(r, self.zones, self.kinds) for r in RECORD.iter_unpack(payload))
                 return number, Topology(hosts, kind == WHOLE)
             if kind == BAN_OBJECT:
-                key, at = OBJECT.unpack(payload)
-                return number, PurgeNotice(key, -1, float(at))
+                key, at_ms = OBJECT.unpack(payload)
+                return number, PurgeNotice(key, -1, float(at_ms))
             if kind == BAN_GROUP:
-                group, at = GROUP.unpack(payload)
-                return number, PurgeNotice(None, group, float(at))
+                group, at_ms = GROUP.unpack(payload)
+                return number, PurgeNotice(None, group, float(at_ms))
         except struct.error as error:
             raise BadBus(str(error)) from None
         raise BadBus(f"unknown kind {kind}")
--- a/hitchtiller/codec/frames.py
+++ b/hitchtiller/codec/frames.py
@@ -60,32 +60,32 @@
 
 def write_fields(fields: Mapping[str, str]) -> bytes:
     """Encode a list of fields."""
-    out = bytearray([len(fields)])
+    encoded = bytearray([len(fields)])
     for name, value in fields.items():
-        raw, text = name.encode(), value.encode()
-        out += len(raw).to_bytes(1, "big") + raw + len(text).to_bytes(2, "big") + text
-    return bytes(out)
+        raw_name, raw_value = name.encode(), value.encode()
+        encoded += len(raw_name).to_bytes(1, "big") + raw_name + len(raw_value).to_bytes(2, "big") + raw_value
+    return bytes(encoded)
 
 
 def read_fields(payload: bytes, start: int = 0) -> tuple[dict[str, str], int]:
     """Decode a list of fields; return it with the offset of its end, or raise BadFrame."""
     fields: dict[str, str] = {}
     try:
-        at = start + 1
+        offset = start + 1
         for _ in range(payload[start]):
-            end = at + 1 + payload[at]
-            value = end + 2
-            after = value + (payload[end] << 8 | payload[end + 1])
-            name = payload[at + 1 : end].decode()
+            end = offset + 1 + payload[offset]
+            value_start = end + 2
+            value_end = value_start + (payload[end] << 8 | payload[end + 1])
+            name = payload[offset + 1 : end].decode()
             if name in fields:
                 raise BadFrame(f"field {name[:20]!r} is given twice")
-            fields[name] = payload[value:after].decode()
-            at = after
-        if at > len(payload):
+            fields[name] = payload[value_start:value_end].decode()
+            offset = value_end
+        if offset > len(payload):
             raise BadFrame("fields are truncated")
     except (IndexError, UnicodeDecodeError) as error:
         raise BadFrame(f"fields: {error}") from None
-    return fields, at
+    return fields, offset
 
 
 def answer_head(stream: int, code: int, fields: Mapping[str, str], body_size: int) -> bytes:
