--- a/hitchtiller/front/client.py
+++ b/hitchtiller/front/client.py
@@ -65,7 +65,7 @@
         self.excess_requests = 0  # consecutive requests refused because too many were open
         self.close_code = ""  # reason code; set once the connection closes after its last answer
         self.discards_input = False  # input is dropped: it can't be parsed, or can't be answered any more
-        self.accepted = 0
+        self.accepted_count = 0
         self.has_sent_frame = False  # a whole frame has arrived
         self.going_sent = False  # the client was told to send no new requests here
         self.last_probe_ms = -math.inf  # last READY frame
@@ -107,7 +107,7 @@
                 "client",
                 self.remote_address,
                 self.stream.code,
-                taken=self.accepted,
+                taken=self.accepted_count,
                 open=len(self.open_exchanges),
             )
             self.queued_requests.clear()
@@ -247,7 +247,7 @@
             stats.end(request.class_name, FAILED)
             self._send_answer(stream, Answer(FAILED))
             return
-        self.accepted += 1
+        self.accepted_count += 1
         is_full = len(self.open_exchanges) >= MAX_OPEN_REQUESTS
         self.excess_requests = self.excess_requests + 1 if is_full else 0
         if self.excess_requests > MAX_EXCESS_REQUESTS:
