--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -66,8 +66,8 @@
     def test_an_attempt_is_retried_after_a_reset_and_answered_once(self) -> None:
         cache, _ = self.opened()
         cache.close()
-        again = self.gateway.server()
-        again.send(answer(again.expect_pull()[0], b"DONE", body=b"x"))
+        second = self.gateway.server()
+        second.send(answer(second.expect_pull()[0], b"DONE", body=b"x"))
         self.client.expect_answer(1, frames.SERVED, b"x")
 
     def test_a_request_to_a_silent_cache_is_answered_before_its_deadline(self) -> None:
@@ -156,18 +156,18 @@
         cache, _ = self.opened()
         cache.send(b"HTTP/1.1 200 OK\r\n\r\n")
         self.gateway.expect_line("code=junk")
-        again = self.gateway.server()
-        again.send(answer(again.expect_pull()[0], b"DONE", body=b"x"))
+        second = self.gateway.server()
+        second.send(answer(second.expect_pull()[0], b"DONE", body=b"x"))
         self.client.expect_answer(1, frames.SERVED, b"x")
 
     def test_an_invalid_answer_closes_its_connection_and_fails_its_jobs(self) -> None:
         """An unknown reply counted as an error of the server, and the connection stayed open."""
         cache, name = self.opened()
         cases = ((b"DONE", b"rev=aa,since=noise", "cache"), (b"DOME", b"rev=aa,since=1", "parent"))
-        for reply, fields, then in cases:  # after a second failure the cache is avoided
+        for reply, fields, next_server in cases:  # after a second failure the cache is avoided
             cache.send(answer(name, reply, fields, b"x"))
             self.gateway.expect_line("code=junk")
-            cache = self.gateway.server(then)
+            cache = self.gateway.server(next_server)
             self.addCleanup(cache.close)
             cache.expect_pull()
         cache.send(answer(name, b"DONE", body=b"x"))
@@ -175,8 +175,8 @@
 
     def test_surplus_answers_are_ignored(self) -> None:
         cache, name = self.opened()
-        good = answer(name, b"DONE", body=b"x")
-        cache.send(answer(b"f" * 16, b"DONE", body=b"y") + good + good)
+        valid = answer(name, b"DONE", body=b"x")
+        cache.send(answer(b"f" * 16, b"DONE", body=b"y") + valid + valid)
         self.client.expect_answer(1, frames.SERVED, b"x")
         self.client.ask(2)
         cache.send(answer(cache.expect_pull()[0], b"DONE", body=b"z"))
