--- a/hitchtiller/back/jobs.py
+++ b/hitchtiller/back/jobs.py
@@ -72,7 +72,7 @@
     """An attempt, sent as a PULL command."""
 
     def __init__(self, attempt: Attempt) -> None:
-        """Send an attempt."""
+        """Wrap an attempt."""
         self.attempt = attempt
         self.due_ms, self.reassignments = math.inf, 0
         self.name = attempt.exchange.request.id.encode()
