--- a/hitchtiller/back/link.py
+++ b/hitchtiller/back/link.py
@@ -178,7 +178,7 @@
 
     def _answer(self, items: list[bytes]) -> None:
         if not 2 <= len(items) <= 4:
-            raise resp.BadResp(f"{len(items)} items")
+            raise resp.BadResp(f"answer has {len(items)} items")
         job = self.open_jobs.pop(items[0], None)
         if job is None:
             self.killed_jobs.pop(items[0], None)  # the answer crossed the KILL, or belongs to no job
