--- a/hitchtiller/codec/bus.py
+++ b/hitchtiller/codec/bus.py
@@ -8,8 +8,10 @@
 from hitchtiller.news import Event, ListedServer, PurgeNotice, Topology
 
 MAX_FRAME_BYTES = 1_048_576
-HEAD = struct.Struct(">QB")
+HEAD = struct.Struct(">QB")  # event number, kind
+# server number, IPv4 address, port, state, zone, kind, cell, weight in thousandths, start time in ms
 RECORD = struct.Struct(">I4sHBBBHIQ")
+# The purges: object key or group number, and the time in ms.
 OBJECT, GROUP = struct.Struct(">QQ"), struct.Struct(">HQ")
 STATES = ("SERVING", "DRAINING", "DELETED")
 STATE_BY_HEALTH = {"Ready": "SERVING", "Terminating": "DRAINING", "Gone": "DELETED"}
@@ -54,7 +56,7 @@
         while len(self.buffer) >= 4:
             length = int.from_bytes(self.buffer[:4], "big")
             if length > MAX_FRAME_BYTES:
-                raise BadBus(f"length {length}")
+                raise BadBus(f"length {length} is out of bounds")
             if len(self.buffer) < 4 + length:
                 return
             frame = bytes(self.buffer[4 : 4 + length])
@@ -86,7 +88,7 @@
     """Parse an address of the form HOST:PORT."""
     ip, _, port = text.rpartition(":")
     if not ip or not port.isdecimal() or int(port) > 0xFFFF:
-        raise BadBus(f"address {text!r}")
+        raise BadBus(f"address {text!r} is not of the form HOST:PORT")
     return ip, int(port)
 
 
