--- a/hitchtiller/codec/frames.py
+++ b/hitchtiller/codec/frames.py
@@ -7,7 +7,7 @@
 REQUEST, ANSWER, GIVE_UP, READY, READY_ANSWER, GOING = 7, 8, 9, 1, 2, 3
 SERVED, REFUSED, FAILED = 0, 11, 5
 MIN_LENGTH, MAX_LENGTH = 5, 262_144  # bounds of a frame's length field, in bytes
-HEAD = struct.Struct(">IBI")
+HEAD = struct.Struct(">IBI")  # length, type, stream
 
 
 class BadFrame(Exception):
