--- a/hitchtiller/front/asks.py
+++ b/hitchtiller/front/asks.py
@@ -34,21 +34,21 @@
     if text is None:
         return default
     if not INTEGER_PATTERN.match(text) or int(text) > max_value:
-        raise RequestError(f"{name}={text[:20]!r}")
+        raise RequestError(f"field {name}={text[:20]!r} is not a valid integer")
     return int(text)
 
 
 def _read_decimal(fields: Mapping[str, str], name: str, max_value: float, default: str = "") -> float:
     text = fields.get(name, default)
     if not DECIMAL_PATTERN.match(text) or float(text) > max_value:
-        raise RequestError(f"{name}={text[:20]!r}")
+        raise RequestError(f"field {name}={text[:20]!r} is not a valid number")
     return float(text)
 
 
 def _read_text(fields: Mapping[str, str], name: str, pattern: re.Pattern[str], required: bool = True) -> str:
     text = fields.get(name, "")
     if (required or text) and not pattern.match(text):
-        raise RequestError(f"{name}={text[:20]!r}")
+        raise RequestError(f"field {name}={text[:20]!r} is not valid")
     return text
 
 
@@ -60,7 +60,7 @@
         raise RequestError(str(error)) from None
     cls = settings.classes.get(fields.get("c", ""))
     if cls is None:
-        raise RequestError(f"class {fields.get('c', '')[:20]!r}")
+        raise RequestError(f"unknown class {fields.get('c', '')[:20]!r}")
     try:
         return _read_checked(fields, payload[end:], cls, arrived_ms)
     except RequestError as error:
