--- a/hitchtiller/front/client.py
+++ b/hitchtiller/front/client.py
@@ -142,7 +142,7 @@
             self.frame_progress_ms, self.frame_progress_bytes = started_ms, buffered
 
     def fail_all(self, code: str) -> None:
-        """Fail stream 0 and all open and queued requests at once, then close; further input is dropped."""
+        """Answer FAILED on stream 0 and to all open and queued requests, drop further input and close."""
         self.discards_input = True
         self._send_answer(0, Answer(FAILED))
         for stream in list(self.queued_requests):
@@ -199,7 +199,7 @@
             payload = bytes([code]) + frames.write_fields({})
             self.stream.write(frames.head(frames.READY_ANSWER, frame.stream, len(payload)) + payload)
         else:
-            raise frames.BadFrame(f"type {frame.kind}")
+            raise frames.BadFrame(f"unknown frame type {frame.kind}")
 
     def _count_buffered(self) -> None:
         """Report the bytes held in partial frames and queued requests to the stream's accounting."""
@@ -233,7 +233,7 @@
     def _handle_request(self, frame: frames.Frame, arrived_ms: float) -> None:
         stream = frame.stream
         if stream in self.open_exchanges:  # two answers under one number could not be told apart
-            raise frames.BadFrame(f"stream {stream} is open")
+            raise frames.BadFrame(f"stream number {stream} is still open")
         stats = self.front.engine.stats
         try:
             request = read_request(frame.payload, self.front.settings, arrived_ms)
