--- a/hitchtiller/front/leave.py
+++ b/hitchtiller/front/leave.py
@@ -50,7 +50,7 @@
         if self.front.state == DRAINED:
             self.front.state, self.front.refusing = SERVING, False
             self._reset_going_sent()
-            logger.info("serving again on an operator's call")
+            logger.info("resumed on an operator's call")
         return self.front.state == SERVING
 
     def _run_drain(self, drain: int) -> None:
