--- a/hitchtiller/front/server.py
+++ b/hitchtiller/front/server.py
@@ -149,7 +149,7 @@
             except BlockingIOError:
                 return
             except OSError:
-                self.sched.sleep(10.0)  # out of descriptors, or the client has left: try again
+                self.sched.sleep(10.0)  # out of descriptors, or the client has left: the loop goes on
                 return
             peer = f"{address[0]}:{address[1]}"
             # Silent connections must not use up the whole limit: regular clients were rejected for them.
@@ -159,7 +159,7 @@
                 continue
             try:
                 client = Client(self, Stream(self.sched, sock), peer)
-            except OSError:  # the client has left in the meantime
+            except OSError:  # the client has left in the meantime, which must not end the listener
                 sock.close()
                 continue
             self.clients.add(client)
