--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -261,9 +261,8 @@
         """SIGHUP used to end the process."""
         old = self.gateway.subscription()
         self.assertEqual(old.sock.recv(8), (1).to_bytes(8, "big"))
-        old.send(
-            (9).to_bytes(4, "big") + (7).to_bytes(8, "big") + b"\0" + b"\0\0"
-        )  # ends within the next event
+        # Ends within the next event.
+        old.send((9).to_bytes(4, "big") + (7).to_bytes(8, "big") + b"\0" + b"\0\0")
         cache, name = self.opened()
         with socket.create_server(("127.0.0.1", 0)) as bus:
             address = "127.0.0.1:%d" % bus.getsockname()[1]
