--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -65,7 +65,7 @@
 
     def expect_pull(self) -> tuple[bytes, dict[str, str], bytes]:
         """Receive a PULL; return its id, fields and body."""
-        word, name, fields, body = self.expect(lambda got: got is not None and got[0] == b"PULL")
+        command, name, fields, body = self.expect(lambda got: got is not None and got[0] == b"PULL")
         return name, resp.read_fields(fields), body
 
     def close(self) -> None:
@@ -224,6 +224,6 @@
     time.sleep(seconds)
 
 
-def answer(name: bytes, word: bytes, fields: bytes = b"rev=aa,since=1", body: bytes = b"") -> bytes:
+def answer(name: bytes, command: bytes, fields: bytes = b"rev=aa,since=1", body: bytes = b"") -> bytes:
     """Return an encoded answer of a cache."""
-    return resp.write_command(name, word, fields, body)
+    return resp.write_command(name, command, fields, body)
