--- a/hitchtiller/back/link.py
+++ b/hitchtiller/back/link.py
@@ -173,10 +173,10 @@
                 self.last_growth_ms, self.growth_bytes = self.last_read_ms, 0
             for items in self.reader.feed(data):
                 self.last_growth_ms, self.growth_bytes = self.last_read_ms, 0
-                self._answer(items)
+                self._handle_answer(items)
             self.stream.keep(len(self.reader.buffer))
 
-    def _answer(self, items: list[bytes]) -> None:
+    def _handle_answer(self, items: list[bytes]) -> None:
         if not 2 <= len(items) <= 4:
             raise resp.BadResp(f"answer has {len(items)} items")
         job = self.open_jobs.pop(items[0], None)
--- a/tests/test_back.py
+++ b/tests/test_back.py
@@ -98,12 +98,12 @@
         invalid.answered = mock.Mock(side_effect=BadResp("answer"))  # type: ignore[method-assign]
         link = self.open_link(invalid, valid)
         link.submit(unwritten)
-        link._answer([b"1", b"DONE", b"-", b""])
+        link._handle_answer([b"1", b"DONE", b"-", b""])
         self.assertEqual((invalid.statuses, valid.statuses), (["econnreset"], []))
         self.assertFalse(link.has_room(b"4"))
         self.assertFalse(link.queue, "unwritten jobs are returned to the pool")
         with self.assertRaises(Closed):
-            link._answer([b"2", b"DONE", b"-", b""])
+            link._handle_answer([b"2", b"DONE", b"-", b""])
         self.assertEqual(valid.statuses, ["DONE"])
 
     def test_a_silent_connection_is_not_suspect_while_nothing_is_overdue(self) -> None:
