--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -224,6 +224,6 @@
     time.sleep(seconds)
 
 
-def answer(name: bytes, command: bytes, fields: bytes = b"rev=aa,since=1", body: bytes = b"") -> bytes:
+def answer(name: bytes, reply: bytes, fields: bytes = b"rev=aa,since=1", body: bytes = b"") -> bytes:
     """Return an encoded answer of a cache."""
-    return resp.write_command(name, command, fields, body)
+    return resp.write_command(name, reply, fields, body)
