--- a/hitchtiller/back/jobs.py
+++ b/hitchtiller/back/jobs.py
@@ -1,4 +1,8 @@
-"""What is written on a connection to a server, and what its answer means."""
+"""Jobs: the commands that are written to servers, and the interpretation of their answers.
+
+A PULL carries an attempt, a METER a probe. A command is composed only when its first byte is about to be
+sent, because the remaining time and the accepted age of a copy are known only then.
+"""
 
 import math
 import re
@@ -10,141 +14,161 @@
 from hitchtiller.exchange import Attempt, AttemptResult
 from hitchtiller.sched import now_ms
 
-METER_MS = 1_000.0
-SINCE = re.compile(r"[0-9]{1,16}\Z")
-REV = re.compile(r"[0-9A-Za-z_.:+/-]{1,128}\Z")
-STATUS = {"DONE": "done", "KEEP": "done", "LACK": "enoent", "WAIT": "busy", "BROKE": "err", "PAST": "skipped"}
-NOTES = {letter: number for number, letter in enumerate("hfojsrblnx", 1)}  # `why`, by the simulator's numbers
-FILL = re.compile(r"[0-9]{1,9}(\.[0-9]{1,9})?\Z")
+METER_TIMEOUT_MS = 1_000.0
+ORIGIN_TIME_PATTERN = re.compile(r"[0-9]{1,16}\Z")
+TAG_PATTERN = re.compile(r"[0-9A-Za-z_.:+/-]{1,128}\Z")
+STATUS_BY_REPLY = {
+    "DONE": "done",
+    "KEEP": "done",
+    "LACK": "enoent",
+    "WAIT": "busy",
+    "BROKE": "err",
+    "PAST": "skipped",
+}
+# The letters of the `why` field, numbered as api.Outcome numbers its notes.
+NOTE_NUMBERS = {letter: number for number, letter in enumerate("hfojsrblnx", 1)}
+DECIMAL_PATTERN = re.compile(r"[0-9]{1,9}(\.[0-9]{1,9})?\Z")
 
 
-def _ms(text: str) -> float:
-    """Read how long a source was waited for; what can't be read is untold."""
-    return float(text) if FILL.match(text) else 0.0
+def _read_ms(text: str) -> float:
+    """Return the time spent waiting for a source, or 0 if the field is missing or malformed."""
+    return float(text) if DECIMAL_PATTERN.match(text) else 0.0
 
 
-HOW = {
-    flags: "+".join(word for word, flag in zip(("merge", "local", "revalidate"), flags, strict=True) if flag)
+# Values of the `do` field by the flags (join, held_only, renew).
+DO_VALUES = {
+    flags: "+".join(
+        option for option, flag in zip(("merge", "local", "revalidate"), flags, strict=True) if flag
+    )
     for flags in product((False, True), repeat=3)
 }
 
 
 class Job(Protocol):
-    """A command that is owed an answer under its name."""
+    """A command to a server, which answers it under the same name."""
 
     name: bytes
-    due_ms: float  # when an answer should have come, once it is written
-    moves: int  # how often it was handed on unwritten
-    repeatable: bool  # a late second answer under its name may be taken for its next one's
+    due_ms: float  # when its answer becomes overdue; infinite until it is written
+    reassignments: int  # how often it was moved to another connection before it was written
+    repeatable: bool  # a late second answer may safely be matched to the next job of this name
 
     def command(self) -> bytes | None:
-        """Write it, at its first byte; None if it may not go any more."""
+        """Return the bytes, just before the first one is sent; None if it may not be sent any more."""
 
-    def sent(self) -> None:
-        """Hear that its last byte went out."""
+    def on_sent(self) -> None:
+        """Handle that the last byte was sent."""
 
-    def answered(self, word: str, fields: dict[str, str], body: bytes) -> None:
-        """Take its answer; resp.BadResp for one that no server of ours gives."""
+    def answered(self, reply: str, fields: dict[str, str], body: bytes) -> None:
+        """Handle the answer; raise resp.BadResp for one that no valid server sends."""
 
     def broken(self, status: str) -> None:
-        """Take the connection's end instead."""
+        """Handle that the connection ended without an answer."""
 
-    def hold(self, until_ms: float) -> None:
-        """Hear until when word that it was given up may be under way to its server."""
+    def block_until(self, until_ms: float) -> None:
+        """Handle that a KILL or a close may still be on its way to the server until this time."""
 
 
 class PullJob:
-    """An attempt as a PULL."""
+    """An attempt, sent as a PULL command."""
 
     def __init__(self, attempt: Attempt) -> None:
-        """Carry an attempt."""
+        """Wrap an attempt."""
         self.attempt = attempt
-        self.due_ms, self.moves = math.inf, 0
+        self.due_ms, self.reassignments = math.inf, 0
         self.name = attempt.exchange.request.id.encode()
         self.repeatable = attempt.exchange.request.repeatable
 
     def command(self) -> bytes | None:
-        """Write PULL, with what is settled only now: the wait and the oldest copy that will do."""
+        """Return the PULL with the values known only now: the remaining time and the oldest accepted copy."""
         attempt = self.attempt
-        clearance = attempt.authorize(attempt)
-        if clearance is None:
+        limits = attempt.authorize(attempt)
+        if limits is None:
             attempt.drop("skipped")
             return None
         attempt.written = True
         self.due_ms = now_ms() + attempt.get.overdue_ms if attempt.get.overdue_ms else math.inf
-        ask, get = attempt.exchange.request, attempt.get
-        ttl = max(1, int(clearance.ttl_ms))
-        fields = f"lane={ask.class_name},name={ask.object},piece={ask.part},ttl={ttl}"
-        if ask.dedupe:
-            fields += f",dedupe={ask.dedupe}"
+        request, get = attempt.exchange.request, attempt.get
+        ttl = max(1, int(limits.ttl_ms))
+        fields = f"lane={request.class_name},name={request.object},piece={request.part},ttl={ttl}"
+        if request.dedupe:
+            fields += f",dedupe={request.dedupe}"
         if get.source != get.server:
             fields += f",up={get.source}"
         if get.keep:
             fields += f",store={get.keep}"
-        if clearance.cap_ms:
-            fields += f",cap={max(1, int(clearance.cap_ms))}"  # 0 would mean any age that is fresh
-        if how := HOW[get.join, get.held_only, get.renew]:
-            fields += f",do={how}"
-        if have := ask.client_tag or attempt.exchange.confirm_tag:
-            fields += f",inm={have}"
-        return resp.write_command(b"PULL", self.name, fields.encode(), ask.body)
-
-    def sent(self) -> None:
-        """Tell that it was written whole."""
+        if limits.cap_ms:
+            fields += f",cap={max(1, int(limits.cap_ms))}"  # 0 would accept any fresh copy
+        if do_value := DO_VALUES[get.join, get.held_only, get.renew]:
+            fields += f",do={do_value}"
+        if client_tag := request.client_tag or attempt.exchange.confirm_tag:
+            fields += f",inm={client_tag}"
+        return resp.write_command(b"PULL", self.name, fields.encode(), request.body)
+
+    def on_sent(self) -> None:
+        """Report that the command was sent completely."""
         self.attempt.on_sent()
 
-    def answered(self, word: str, fields: dict[str, str], body: bytes) -> None:
-        """End the attempt in the decisions' words."""
-        status, ask = STATUS.get(word, ""), self.attempt.exchange.request
+    def answered(self, reply: str, fields: dict[str, str], body: bytes) -> None:
+        """End the attempt with the status that the routing decisions use."""
+        status, request = STATUS_BY_REPLY.get(reply, ""), self.attempt.exchange.request
         rev, since = fields.get("rev"), fields.get("since")
-        copy = status == "done" and not ask.write  # a key tells nothing: effects may run without one
-        if not status or (copy and not (REV.match(rev or "") and SINCE.match(since or ""))):
-            raise resp.BadResp(f"answer {word!r:.20} rev={rev!r:.40} since={since!r:.40}")  # as may the rest
-        unchanged = word == "KEEP"
-        if unchanged and not (ask.client_tag or self.attempt.exchange.confirm_tag):
-            status = "err"  # a server that keeps a copy the client never named
+        # A deduplication key does not identify a write: effects may run without one.
+        is_copy = status == "done" and not request.write
+        if not status or (
+            is_copy and not (TAG_PATTERN.match(rev or "") and ORIGIN_TIME_PATTERN.match(since or ""))
+        ):
+            # The rest of what the server sends may be invalid as well.
+            raise resp.BadResp(f"answer {reply!r:.20} rev={rev!r:.40} since={since!r:.40}")
+        unchanged = reply == "KEEP"
+        if unchanged and not (request.client_tag or self.attempt.exchange.confirm_tag):
+            status = "err"  # "unchanged", although the request named no copy to compare with
         load = resp.read_report(fields["rep"]) if "rep" in fields else {}
-        served = body if word == "DONE" else b""
-        given = int(since) if copy and since else 0
-        note, waited = NOTES.get(fields.get("why", ""), 0), _ms(fields.get("fill", ""))
+        served_body = body if reply == "DONE" else b""
+        origin_ms = int(since) if is_copy and since else 0
+        note, waited_ms = NOTE_NUMBERS.get(fields.get("why", ""), 0), _read_ms(fields.get("fill", ""))
         self.attempt.end(
-            AttemptResult(status, served, unchanged, fields.get("rev", ""), load, given, note, waited)
+            AttemptResult(
+                status, served_body, unchanged, fields.get("rev", ""), load, origin_ms, note, waited_ms
+            )
         )
 
-    def hold(self, until_ms: float) -> None:
-        """Keep further attempts back for so long: the server would have two copies out."""
+    def block_until(self, until_ms: float) -> None:
+        """Delay further attempts of the request: otherwise two copies would be in transfer at once."""
         self.attempt.exchange.blocked_until_ms = max(self.attempt.exchange.blocked_until_ms, until_ms)
 
     def broken(self, status: str) -> None:
-        """End it with the connection: refused, or reset once written (unwritten jobs go elsewhere)."""
+        """End the attempt with a status.
+
+        An unwritten job whose connection closed was reassigned before, and gets here only once that failed.
+        """
         silent = status == "silent"
         self.attempt.end(AttemptResult("econnrefused" if silent else status, silent=silent))
 
 
-class Meter:
-    """A probe as a METER."""
+class MeterJob:
+    """A probe, sent as a METER command."""
 
-    def __init__(self, number: int, report: Callable[[str, dict[str, float]], None]) -> None:
-        """Report to `report` once."""
+    def __init__(self, number: int, on_report: Callable[[str, dict[str, float]], None]) -> None:
+        """Call `on_report` once with a status and the server's load report."""
         self.name = b"m%x" % number
-        self.due_ms, self.moves, self.repeatable = math.inf, 0, True
-        self.report = report
+        self.due_ms, self.reassignments, self.repeatable = math.inf, 0, True
+        self.on_report = on_report
 
     def command(self) -> bytes:
-        """Write METER."""
-        self.due_ms = now_ms() + METER_MS
+        """Return the METER command."""
+        self.due_ms = now_ms() + METER_TIMEOUT_MS
         return resp.write_command(b"METER", self.name)
 
-    def sent(self) -> None:
-        """Count nothing: a probe is no attempt."""
+    def on_sent(self) -> None:
+        """Ignore it: only attempts are counted."""
 
-    def answered(self, word: str, fields: dict[str, str], body: bytes) -> None:
-        """Report what came."""
-        self.report("done" if word == "FIT" else "err", resp.read_report(fields.get("rep", "")))
+    def answered(self, reply: str, fields: dict[str, str], body: bytes) -> None:
+        """Report the server's load."""
+        self.on_report("done" if reply == "FIT" else "err", resp.read_report(fields.get("rep", "")))
 
-    def hold(self, until_ms: float) -> None:
-        """Pass over: a probe is no attempt."""
+    def block_until(self, until_ms: float) -> None:
+        """Ignore it: a probe transfers no object."""
 
     def broken(self, status: str) -> None:
-        """Report the connection's end."""
-        self.report("econnrefused" if status == "silent" else status, {})
+        """Report that the connection ended without an answer."""
+        self.on_report("econnrefused" if status == "silent" else status, {})
--- a/tests/ends/sides.py
+++ b/tests/ends/sides.py
@@ -1,4 +1,4 @@
-"""A front on real sockets in a loop that a test steps, with an engine that only notes what it is given."""
+"""A front on real sockets in an event loop that the test steps, with an engine that records its calls."""
 
 import socket
 import time
@@ -17,12 +17,12 @@
 from hitchtiller.ops.stats import Stats
 from hitchtiller.sched import Scheduler
 
-PATIENCE_S = 5.0
+TIMEOUT_S = 5.0
 
 
 def run_until(sched: Scheduler, done: Callable[[], bool]) -> bool:
-    """Turn the loop until something holds; False if it does not come to hold."""
-    end = time.monotonic() + PATIENCE_S
+    """Run turns of the loop until a condition holds; return False if it does not within TIMEOUT_S."""
+    end = time.monotonic() + TIMEOUT_S
     while time.monotonic() < end:
         if done():
             return True
@@ -31,41 +31,41 @@
     return False
 
 
-def request(stream: int, **fields: str) -> bytes:
-    """Write a request."""
+def request_frame(stream: int, **fields: str) -> bytes:
+    """Return an encoded request frame."""
     base = {"c": "small", "i": f"{stream:016x}", "d": "2000", "o": f"{42:016x}", "m": "10", "lot": "3"}
     payload = frames.write_fields(base | fields)
     return frames.head(frames.REQUEST, stream, len(payload)) + payload
 
 
 class Job:
-    """A command to a server that tells how it ended."""
+    """A job that records the statuses with which it ended."""
 
     def __init__(self, name: bytes = b"1", repeatable: bool = True) -> None:
-        self.name, self.due_ms, self.moves, self.repeatable = name, 1e18, 0, repeatable
-        self.ends: list[str] = []
-        self.held_ms = 0.0
+        self.name, self.due_ms, self.reassignments, self.repeatable = name, 1e18, 0, repeatable
+        self.statuses: list[str] = []
+        self.blocked_until_ms = 0.0
 
     def command(self) -> bytes:
         return resp.write_command(b"PULL", self.name, b"-", b"")
 
-    def sent(self) -> None:
-        """Count nothing."""
+    def on_sent(self) -> None:
+        """Ignore it."""
 
-    def answered(self, word: str, fields: dict[str, str], body: bytes) -> None:
-        if word not in ("DONE", "WAIT"):
-            raise resp.BadResp(word)
-        self.ends.append(word)
+    def answered(self, reply: str, fields: dict[str, str], body: bytes) -> None:
+        if reply not in ("DONE", "WAIT"):
+            raise resp.BadResp(reply)
+        self.statuses.append(reply)
 
-    def hold(self, until_ms: float) -> None:
-        self.held_ms = until_ms
+    def block_until(self, until_ms: float) -> None:
+        self.blocked_until_ms = until_ms
 
     def broken(self, status: str) -> None:
-        self.ends.append(status)
+        self.statuses.append(status)
 
 
-class NotingEngine:
-    """Notes requests taken, and those whose clients have gone; a test answers."""
+class RecordingEngine:
+    """Records the accepted requests and those whose clients have left; the test answers them."""
 
     def __init__(self) -> None:
         self.stats = Stats(dict(BASE.classes))
@@ -76,9 +76,9 @@
     def has(self, id: str) -> bool:
         return False
 
-    def take(self, ask: ClientRequest, deliver: Callable[[Answer], None]) -> Exchange:
-        exchange = Exchange(len(self.taken), ask, deliver)
-        self.taken.append(ask.id)
+    def take(self, request: ClientRequest, deliver: Callable[[Answer], None]) -> Exchange:
+        exchange = Exchange(len(self.taken), request, deliver)
+        self.taken.append(request.id)
         self.open[exchange.number] = exchange
         return exchange
 
@@ -90,68 +90,69 @@
         exchange.finish(Answer("failed"))
 
     def answer(self, number: int, body: bytes = b"") -> None:
-        """Serve a request, by the order in which they were taken."""
+        """Answer a request, given by its number in the order of acceptance."""
         self.open[number].finish(Answer(SERVED, body))
 
 
 class FrontCase(unittest.TestCase):
-    """One front with one client."""
+    """A test with one front and one client."""
 
     def setUp(self) -> None:
-        self.sched, self.engine = Scheduler(), NotingEngine()
+        self.sched, self.engine = Scheduler(), RecordingEngine()
         stand_in: Any = self.engine
         assert not isinstance(stand_in, Engine)
         self.front = Front(self.sched, stand_in, replace(BASE), 8, 50_000_000)
         self.address = self.front.listen(("127.0.0.1", 0))
         self.addCleanup(self.front.listener.close)
-        self.other = self.connect()
-        self.client = self.last_client()
+        self.client_socket = self.connect()
+        self.client = self.newest_client()
 
     def connect(self) -> socket.socket:
         before = len(self.front.clients)
-        other = socket.create_connection(self.address)
-        other.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        other.settimeout(PATIENCE_S)
-        self.addCleanup(other.close)
+        sock = socket.create_connection(self.address)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        sock.settimeout(TIMEOUT_S)
+        self.addCleanup(sock.close)
         self.assertTrue(run_until(self.sched, lambda: len(self.front.clients) > before))
-        return other
+        return sock
 
-    def last_client(self) -> Client:
+    def newest_client(self) -> Client:
         client = max(self.front.clients, key=lambda client: client.arrived_ms)
         self.addCleanup(client.stream.close, "end")
         return client
 
-    def until(self, done: Callable[[], bool], why: str = "") -> None:
-        self.assertTrue(run_until(self.sched, done), why)
+    def wait_until(self, done: Callable[[], bool], message: str = "") -> None:
+        self.assertTrue(run_until(self.sched, done), message)
 
-    def ask(self, stream: int, **fields: str) -> int:
-        """Ask, until it is taken; gives its number in the order of taking."""
+    def send_request(self, stream: int, **fields: str) -> int:
+        """Send a request and wait until it is accepted; return its number in the order of acceptance."""
         number = len(self.engine.taken)
-        self.other.sendall(request(stream, **fields))
-        self.until(lambda: len(self.engine.taken) > number)
+        self.client_socket.sendall(request_frame(stream, **fields))
+        self.wait_until(lambda: len(self.engine.taken) > number)
         return number
 
-    def jam(self) -> None:
-        """Let more answers wait on the connection than its client takes."""
-        self.engine.answer(self.ask(1), bytes(16_000_000))
+    def fill_send_buffer(self) -> None:
+        """Leave more answer bytes unsent on the connection than its high-water mark."""
+        self.engine.answer(self.send_request(1), bytes(16_000_000))
         self.assertGreater(self.client.stream.size, 1_000_000)
-        self.other.sendall(frames.head(frames.GIVE_UP, 1, 0))  # of what is over: one more word is read
-        seen = self.client.seen_ms
-        self.until(lambda: self.client.seen_ms > seen)
+        # A GIVE_UP of the answered request, as one more frame to read.
+        self.client_socket.sendall(frames.head(frames.GIVE_UP, 1, 0))
+        last_activity_ms = self.client.last_activity_ms
+        self.wait_until(lambda: self.client.last_activity_ms > last_activity_ms)
         self.sched.turn()
 
-    def everything(self) -> bytes:
-        """Read until the gateway's end of the connection; a reset fails."""
-        self.other.setblocking(False)
-        got = bytearray()
+    def read_until_end(self) -> bytes:
+        """Read until the gateway closes the connection; a reset fails the test."""
+        self.client_socket.setblocking(False)
+        received = bytearray()
 
         def ended() -> bool:
             try:
-                while data := self.other.recv(1_000_000):
-                    got.extend(data)
+                while data := self.client_socket.recv(1_000_000):
+                    received.extend(data)
             except BlockingIOError:
                 return False
             return True
 
-        self.until(ended, "the connection does not end")
-        return bytes(got)
+        self.wait_until(ended, "the connection does not end")
+        return bytes(received)
--- a/tests/ends/test_ends_links.py
+++ b/tests/ends/test_ends_links.py
@@ -1,11 +1,11 @@
-"""Connections to servers: what is given up, breaks off or never ends, and what must not cross it."""
+"""Connections to servers: cancelled, broken and endless answers, and messages that must not overtake them."""
 
 import socket
 import time
 import unittest
 from collections.abc import Callable
 
-from sides import PATIENCE_S, Job, run_until
+from sides import TIMEOUT_S, Job, run_until
 
 from hitchtiller import interface as api
 from hitchtiller.back import link as link_module
@@ -21,7 +21,7 @@
 
 
 class LinkCase(unittest.TestCase):
-    """One server on a real socket, and the pool of connections to it."""
+    """A test with one server on a real socket and the pool of connections to it."""
 
     def setUp(self) -> None:
         self.sched = Scheduler()
@@ -33,163 +33,164 @@
         self.pool: Pool = self.back.pools["s"]
         self.addCleanup(self.pool.close, "end")
 
-    def until(self, done: Callable[[], bool]) -> None:
-        self.assertTrue(run_until(self.sched, done), "it does not come to hold")
+    def wait_until(self, done: Callable[[], bool]) -> None:
+        self.assertTrue(run_until(self.sched, done), "the condition does not come true")
 
-    def written(self, job: Job) -> tuple[Link, socket.socket]:
-        """Submit a job; give the connection that it was written on, and the server's end of it."""
+    def write_job(self, job: Job) -> tuple[Link, socket.socket]:
+        """Submit a job; return the connection on which it was written, and the server's end of it."""
         before = len(self.pool.links)
         self.pool.submit(job)
-        self.until(lambda: any(link.open.get(job.name) is job for link in self.pool.links))
-        (link,) = (link for link in self.pool.links if link.open.get(job.name) is job)
+        self.wait_until(lambda: any(link.open_jobs.get(job.name) is job for link in self.pool.links))
+        (link,) = (link for link in self.pool.links if link.open_jobs.get(job.name) is job)
         self.assertEqual(len(self.pool.links), before + 1)
         server = self.listener.accept()[0]
-        server.settimeout(PATIENCE_S)
+        server.settimeout(TIMEOUT_S)
         self.addCleanup(server.close)
         return link, server
 
 
-class GivenUp(LinkCase):
+class AbandonedRequests(LinkCase):
     def test_the_same_id_does_not_overtake_its_kill_on_another_connection(self) -> None:
-        """salas-remotas, herd+mass: KILL on one, and in the same ms the next PULL on another connection.
+        """The KILL and the next PULL were sent in the same millisecond on two connections.
 
-        That connection was in doubt, so it took nothing new; the server had one id twice.
+        The first connection was suspect and got no new jobs, so the server held one id twice (deployment
+        salas-remotas, herd+mass).
         """
         first = Job(b"a")
-        link, _ = self.written(first)
-        link.doubtful = True
-        spare, _ = self.written(Job(b"b"))
+        link, _ = self.write_job(first)
+        link.is_suspect = True
+        spare, _ = self.write_job(Job(b"b"))
         link.cancel(first)
-        again = Job(b"a")
-        self.pool.submit(again)
-        self.assertEqual(again.ends, ["skipped"], "which proves that it never ran")
-        self.assertEqual(len(self.pool.links), 2, "nor on a fresh one: a server that hangs may read it first")
-        link.killed[b"a"] = now_ms() - link_module.KILLED_MS - 1.0  # long ago
+        repeat = Job(b"a")
+        self.pool.submit(repeat)
+        self.assertEqual(repeat.statuses, ["skipped"], "which means that it never ran")
+        self.assertEqual(len(self.pool.links), 2, "no new connection: a hanging server may read it first")
+        link.killed_jobs[b"a"] = now_ms() - link_module.LATE_ANSWER_MS - 1.0  # expired
         later = Job(b"a")
         self.pool.submit(later)
-        self.until(lambda: spare.open.get(b"a") is later)
+        self.wait_until(lambda: spare.open_jobs.get(b"a") is later)
 
-    def test_the_same_id_goes_behind_its_kill_on_the_same_connection(self) -> None:
-        first, again = Job(b"a"), Job(b"a")
-        link, server = self.written(first)
+    def test_the_same_id_follows_its_kill_on_the_same_connection(self) -> None:
+        first, repeat = Job(b"a"), Job(b"a")
+        link, server = self.write_job(first)
         link.cancel(first)
-        self.pool.submit(again)
-        self.until(lambda: link.open.get(b"a") is again)
+        self.pool.submit(repeat)
+        self.wait_until(lambda: link.open_jobs.get(b"a") is repeat)
         reader, got = resp.RespReader(), list[list[bytes]]()
         while len(got) < 3:
             got += reader.feed(server.recv(65_536))
         self.assertEqual([items[0] for items in got], [b"PULL", b"KILL", b"PULL"])
 
-    def test_after_a_close_in_silence_the_id_is_not_asked_of_that_server_again(self) -> None:
-        """salas-remotas, herd+mass: a cache that hung read both when it went on, and had two copies."""
+    def test_an_id_on_a_connection_closed_as_stuck_is_not_sent_to_that_server_again(self) -> None:
+        """A hanging cache read both when it resumed, and had two copies (salas-remotas, herd+mass)."""
         first = Job(b"a")
-        link, _ = self.written(first)
+        link, _ = self.write_job(first)
         link.close("stuck")
-        self.until(lambda: bool(first.ends))
-        again = Job(b"a")
-        self.pool.submit(again)
-        self.assertEqual(again.ends, ["skipped"])
+        self.wait_until(lambda: bool(first.statuses))
+        repeat = Job(b"a")
+        self.pool.submit(repeat)
+        self.assertEqual(repeat.statuses, ["skipped"])
 
-    def test_a_kill_that_can_not_be_written_does_not_count_as_arrived(self) -> None:
+    def test_an_unwritten_kill_does_not_count_as_arrived(self) -> None:
         first = Job(b"a")
-        link, _ = self.written(first)
-        link.stream.write(bytes(8_000_000))  # a server that takes nothing
+        link, _ = self.write_job(first)
+        link.stream.write(bytes(8_000_000))  # a server that does not read
         self.assertGreater(link.stream.size, 0)
-        link.doubtful = True
+        link.is_suspect = True
         link.cancel(first)
-        link.killed[b"a"] = now_ms() - CONNECT_MS - 1.0
-        again = Job(b"a")
-        self.pool.submit(again)
-        self.assertEqual(again.ends, ["skipped"], "which proves that it never ran")
+        link.killed_jobs[b"a"] = now_ms() - CONNECT_MS - 1.0
+        repeat = Job(b"a")
+        self.pool.submit(repeat)
+        self.assertEqual(repeat.statuses, ["skipped"], "which means that it never ran")
 
     def test_the_same_id_does_not_overtake_the_close_of_its_connection(self) -> None:
         first = Job(b"a")
-        link, _ = self.written(first)
-        link.doubtful = True
-        spare, _ = self.written(Job(b"b"))
+        link, _ = self.write_job(first)
+        link.is_suspect = True
+        spare, _ = self.write_job(Job(b"b"))
         link.close("junk")
-        self.until(lambda: first.ends == ["econnreset"])
-        fresh, _ = self.written(Job(b"a"))
+        self.wait_until(lambda: first.statuses == ["econnreset"])
+        fresh, _ = self.write_job(Job(b"a"))
         self.assertIsNot(fresh, spare)
 
-    def test_what_the_server_itself_has_ended_may_go_again_at_once(self) -> None:
+    def test_an_id_may_be_sent_again_at_once_after_the_server_closed(self) -> None:
         first = Job(b"a")
-        _, server = self.written(first)
+        _, server = self.write_job(first)
         server.close()
-        self.until(lambda: first.ends == ["econnreset"])
-        again = Job(b"a")
-        self.written(again)
+        self.wait_until(lambda: first.statuses == ["econnreset"])
+        repeat = Job(b"a")
+        self.write_job(repeat)
 
 
 class Answers(LinkCase):
-    def test_an_answer_that_never_ends_is_cut_though_single_bytes_come(self) -> None:
-        """Each byte counted as a sign of life: all on the connection waited for their deadlines."""
+    def test_a_trickling_answer_closes_the_connection(self) -> None:
+        """Each byte counted as progress: all jobs of the connection waited for their deadlines."""
         job = Job(b"a")
-        link, server = self.written(job)
+        link, server = self.write_job(job)
         server.sendall(b"*4\r\n$1\r\na\r\n$4\r\nDONE\r\n$1\r\n-\r\n$100000\r\n")
-        self.until(lambda: link.reader.within)
-        link.grown_ms -= link_module.CUT_MS  # it has trickled for so long
-        heard = link.heard_ms
+        self.wait_until(lambda: link.reader.in_array)
+        link.last_growth_ms -= link_module.GROWTH_TIMEOUT_MS  # as if it had trickled for so long
+        heard = link.last_read_ms
         server.sendall(b"x")
-        self.until(lambda: link.heard_ms > heard)
-        link.check(link.heard_ms + 1.0)
+        self.wait_until(lambda: link.last_read_ms > heard)
+        link.check(link.last_read_ms + 1.0)
         self.assertEqual(link.stream.code, "stuck")
 
-    def test_an_answer_that_grows_is_not_cut(self) -> None:
+    def test_a_growing_answer_does_not_close_the_connection(self) -> None:
         job = Job(b"a")
-        link, server = self.written(job)
+        link, server = self.write_job(job)
         server.sendall(b"*4\r\n$1\r\na\r\n$4\r\nDONE\r\n$1\r\n-\r\n$100000\r\n")
-        self.until(lambda: link.reader.within)
-        link.grown_ms -= 10_000.0
-        server.sendall(bytes(link_module.GROWTH))
-        self.until(lambda: link.grown_ms > now_ms() - 1_000.0)
-        link.check(now_ms() + 0.5 * link_module.CUT_MS)
+        self.wait_until(lambda: link.reader.in_array)
+        link.last_growth_ms -= 10_000.0
+        server.sendall(bytes(link_module.MIN_GROWTH_BYTES))
+        self.wait_until(lambda: link.last_growth_ms > now_ms() - 1_000.0)
+        link.check(now_ms() + 0.5 * link_module.GROWTH_TIMEOUT_MS)
         self.assertEqual(link.stream.code, "")
 
-    def test_a_second_answer_to_an_effect_meets_nobody(self) -> None:
+    def test_a_second_answer_to_an_effect_matches_no_job(self) -> None:
         first = Job(b"a", repeatable=False)
-        link, server = self.written(first)
+        link, server = self.write_job(first)
         wait = resp.write_command(b"a", b"WAIT", b"-")
         server.sendall(wait)
-        self.until(lambda: first.ends == ["WAIT"])
-        again = Job(b"a", repeatable=False)
-        other, _ = self.written(again)
+        self.wait_until(lambda: first.statuses == ["WAIT"])
+        repeat = Job(b"a", repeatable=False)
+        other, _ = self.write_job(repeat)
         self.assertIsNot(other, link)
-        done = link.heard_ms
+        done = link.last_read_ms
         server.sendall(wait)
-        self.until(lambda: link.heard_ms > done)
-        self.assertEqual(again.ends, [])
+        self.wait_until(lambda: link.last_read_ms > done)
+        self.assertEqual(repeat.statuses, [])
 
 
-class Connects(LinkCase):
-    def test_silence_is_told_apart_from_a_refusal(self) -> None:
-        """A connection that came up late was taken for a process that had gone, and its cache for cold."""
+class ConnectFailures(LinkCase):
+    def test_a_connect_timeout_is_distinguished_from_a_refusal(self) -> None:
+        """A slow connect was taken for a process that had ended, and its cache for a cold one."""
         refused, silent = Job(b"a"), Job(b"b")
         self.listener.close()
         self.pool.submit(refused)
-        self.until(lambda: bool(refused.ends))
-        self.assertEqual(refused.ends, ["econnrefused"])
-        full = socket.create_server(("127.0.0.1", 0), backlog=0)  # its queue is filled, so that none comes up
+        self.wait_until(lambda: bool(refused.statuses))
+        self.assertEqual(refused.statuses, ["econnrefused"])
+        full = socket.create_server(("127.0.0.1", 0), backlog=0)  # a full queue: no connect succeeds
         self.addCleanup(full.close)
         fill = [socket.socket() for _ in range(3)]
         for sock in fill:
             self.addCleanup(sock.close)
             sock.setblocking(False)
             sock.connect_ex(full.getsockname())
-        self.back.times = (50.0, 15_000.0)
+        self.back.timeouts = (50.0, 15_000.0)
         address = ("127.0.0.1", int(full.getsockname()[1]))
         self.back.follow(Topology((ListedServer(Member("s", "z", "k", "SERVING"), address),), True))()
         self.back.pools["s"].submit(silent)
-        self.until(lambda: bool(silent.ends))
-        self.assertEqual(silent.ends, ["silent"])
+        self.wait_until(lambda: bool(silent.statuses))
+        self.assertEqual(silent.statuses, ["silent"])
 
 
-class Ways(LinkCase):
-    """The way to a server and back is as long as a connection to it took to open."""
+class RoundTrips(LinkCase):
+    """The round trip to a server is estimated as the time that connecting to it took."""
 
-    def attempt(self) -> tuple[Attempt, Exchange]:
-        ask = ClientRequest("0" * 16, "small", "0" * 16, 42, now_ms() + 5_000.0)
-        exchange = Exchange(1, ask, lambda answer: None)
+    def make_attempt(self) -> tuple[Attempt, Exchange]:
+        request = ClientRequest("0" * 16, "small", "0" * 16, 42, now_ms() + 5_000.0)
+        exchange = Exchange(1, request, lambda answer: None)
         get = api.Get(1, "s", "s", 0.0)
         self.ended: list[str] = []
         attempt = Attempt(
@@ -198,91 +199,91 @@
         )  # fmt: skip
         return attempt, exchange
 
-    def test_no_attempt_follows_one_that_was_given_up_before_the_word_of_it_has_arrived(self) -> None:
-        """The next PULL went out in the same turn, before the KILL was even written: two copies out."""
-        first, exchange = self.attempt()
+    def test_no_attempt_follows_an_abandoned_one_before_its_kill_has_arrived(self) -> None:
+        """The next PULL was sent in the same turn, before the KILL was written: two copies in transfer."""
+        first, exchange = self.make_attempt()
         self.back.send(first)
-        self.until(lambda: any(link.open for link in self.pool.links))
+        self.wait_until(lambda: any(link.open_jobs for link in self.pool.links))
         (link,) = self.pool.links
-        link.way_ms = 60.0
+        link.round_trip_ms = 60.0
         self.back.cancel(first)
         first.drop("ecanceled")
         self.assertGreater(exchange.blocked_until_ms, now_ms() + 30.0)
-        second, _ = self.attempt()
+        second, _ = self.make_attempt()
         second.exchange = exchange
         written: list[float] = []
         second.authorize = lambda attempt: written.append(now_ms()) or SendLimits(0.0, 1_000.0)  # type: ignore[func-returns-value]
         self.back.send(second)
-        self.until(lambda: bool(written))
+        self.wait_until(lambda: bool(written))
         self.assertGreaterEqual(written[0], exchange.blocked_until_ms)
 
-    def opened_at_once(self) -> tuple[Attempt, Exchange, Link]:
-        """Write an attempt on a connection that came up in no time, as on loopback."""
-        first, exchange = self.attempt()
+    def write_first_attempt(self) -> tuple[Attempt, Exchange, Link]:
+        """Write an attempt on a connection that opened at once, as on loopback."""
+        first, exchange = self.make_attempt()
         self.back.send(first)
-        self.until(lambda: any(link.open for link in self.pool.links))
+        self.wait_until(lambda: any(link.open_jobs for link in self.pool.links))
         (link,) = self.pool.links
         return first, exchange, link
 
-    def test_a_close_of_a_connection_that_opened_at_once_is_given_time_to_arrive(self) -> None:
-        """A close went out 0.2 ms before the next PULL, to a nearer server: two copies out (herd+mass)."""
-        _, exchange, link = self.opened_at_once()
-        begun = now_ms()
+    def test_a_close_of_a_quickly_opened_connection_gets_time_to_arrive(self) -> None:
+        """The next PULL, to a nearer server, followed the close by 0.2 ms: two copies (herd+mass)."""
+        _, exchange, link = self.write_first_attempt()
+        started_ms = now_ms()
         link.close("stuck")
-        self.until(lambda: bool(self.ended))
-        self.assertGreaterEqual(exchange.blocked_until_ms, begun + CONNECT_MS / 20.0)
+        self.wait_until(lambda: bool(self.ended))
+        self.assertGreaterEqual(exchange.blocked_until_ms, started_ms + CONNECT_MS / 20.0)
 
-    def test_a_kill_on_a_connection_that_opened_at_once_is_given_time_to_arrive(self) -> None:
-        first, exchange, _ = self.opened_at_once()
-        begun = now_ms()
+    def test_a_kill_on_a_quickly_opened_connection_gets_time_to_arrive(self) -> None:
+        first, exchange, _ = self.write_first_attempt()
+        started_ms = now_ms()
         self.back.cancel(first)
-        self.assertGreaterEqual(exchange.blocked_until_ms, begun + CONNECT_MS / 20.0)
+        self.assertGreaterEqual(exchange.blocked_until_ms, started_ms + CONNECT_MS / 20.0)
 
-    def test_one_that_ends_while_it_is_held_back_is_never_written(self) -> None:
-        first, exchange = self.attempt()
+    def test_an_attempt_that_ends_while_it_is_blocked_is_never_written(self) -> None:
+        first, exchange = self.make_attempt()
         exchange.blocked_until_ms = now_ms() + 20.0
         self.back.send(first)
         first.drop("ecanceled")
         self.assertEqual(self.ended, ["skipped"], "it never ran")
-        self.until(lambda: now_ms() > exchange.blocked_until_ms + 5.0)
+        self.wait_until(lambda: now_ms() > exchange.blocked_until_ms + 5.0)
         self.assertEqual(self.pool.links, [])
 
-    def test_a_close_from_here_holds_further_attempts_back_too(self) -> None:
-        first, exchange = self.attempt()
+    def test_closing_a_connection_blocks_further_attempts(self) -> None:
+        first, exchange = self.make_attempt()
         self.back.send(first)
-        self.until(lambda: any(link.open for link in self.pool.links))
+        self.wait_until(lambda: any(link.open_jobs for link in self.pool.links))
         (link,) = self.pool.links
-        link.way_ms = 60.0
+        link.round_trip_ms = 60.0
         link.close("stuck")
-        self.until(lambda: self.ended == ["etimedout"])
+        self.wait_until(lambda: self.ended == ["etimedout"])
         self.assertGreater(exchange.blocked_until_ms, now_ms() + 20.0)
 
 
 class BusyTurns(LinkCase):
-    def test_what_its_client_gave_up_while_the_loop_was_busy_is_not_begun(self) -> None:
-        """The command went out at the turn's end, before what had come during the turn was looked at."""
-        self.written(Job(b"first"))
-        ours, theirs = socket.socketpair()
-        for sock in (ours, theirs):
+    def test_a_job_given_up_while_the_loop_was_busy_is_not_written(self) -> None:
+        """The command was sent at the end of the turn, before input that had arrived meanwhile was read."""
+        self.write_job(Job(b"first"))
+        gateway_socket, client_socket = socket.socketpair()
+        for sock in (gateway_socket, client_socket):
             self.addCleanup(sock.close)
         job, events = Job(b"late"), list[str]()
         command = job.command
         job.command = lambda: events.append("begun") or command()  # type: ignore[func-returns-value,method-assign]
 
         def client() -> None:
-            self.sched.wait(ours.fileno(), READ)
+            self.sched.wait(gateway_socket.fileno(), READ)
             events.append("gave up")
             self.back.pools["s"].cancel(job)
 
         def busy() -> None:
-            theirs.send(b"x")  # the client gives up while the loop does other work
+            client_socket.send(b"x")  # the client gives up while the loop is busy
             time.sleep(0.05)
             self.pool.submit(job)
 
         self.sched.spawn(client)
         self.sched.turn()
         self.sched.spawn(busy)
-        self.until(lambda: bool(events))
+        self.wait_until(lambda: bool(events))
         end = now_ms() + 50.0
-        self.until(lambda: now_ms() > end)
+        self.wait_until(lambda: now_ms() > end)
         self.assertEqual(events, ["gave up"])
