--- a/hitchtiller/routing/leases.py
+++ b/hitchtiller/routing/leases.py
@@ -1,30 +1,35 @@
 """Leases on the origin: a bound on simultaneous fills that is smaller than the number of gateways.
 
-All gateways together may have `capacity` fills at the origin at once. Up to that many gateways each have a
-fixed part of it. A larger fleet borrows: the gateways numbered 0 to `capacity` - 1 own one permit each and
-lend it, to one gateway at a time, as a lease that runs out by itself. A gateway that has a miss and no lease
-asks one owner, at random; the miss waits for the answer, once, and the lease serves those that follow.
-Under one lease one fill is out at a time, and only one whose deadline lies before the lease's end.
-
-Why the sum holds, whatever is lost, late, cut or believed:
-
-- An owner lends its permit anew only once the last lease was returned or has run out by its own clock. The
-  holder counts from when it *asked*, which is earlier, so its end comes first however long the notes took.
-- Who owns a permit follows from the numbers alone; no view of the fleet takes part, so none can differ.
-- An owner that has just started does not know what it lent before: it lends nothing for a whole term.
-- A holder that has just started knows nothing of fills that its earlier life left at the origin: its notes
-  bear a new incarnation, so the lease of the earlier one is not returned by it, and is waited out.
-- A process that was stopped reads the clock when it wakes; what it had decided to send is looked at again at
-  its first byte (`covers`).
-
-What is not covered: clocks that are set by more than MARGIN_MS while a lease runs (a clock seen to go back
-ends the lease), and a cache that goes on with a fill after its deadline. A change of the configured size
-across `capacity` lets both ways of sharing be in use until all gateways have it.
-
-Bounds. State: one lease lent, one held. Messages: without misses that need the origin none; a gateway with
-such misses sends one request in RETRY_MS at the most (longer after a denial, by as long as the owner told)
-and one return a lease; an owner answers each. Nothing grows with the number of gateways but the requests
-that reach an owner: where all want a lease and none is free, gateways / `capacity` in BUSY_MS on average.
+All gateways together may have `capacity` fills at the origin at once. In a fleet of up to that many gateways,
+each has a fixed number of them. In a larger fleet, the gateways numbered 0 to `capacity` - 1 own one permit
+each and grant it, to one gateway at a time, as a lease that expires by itself. A gateway that has a miss and
+no lease sends a request to one owner, selected at random. The miss waits for the answer, once, and the lease
+also serves the misses that follow. Under one lease one fill is in flight at a time, and only a fill whose
+deadline lies before the lease's end.
+
+The bound holds when notes are lost or late, when the network is partitioned, and whatever each gateway
+believes about the others, for these reasons:
+
+- An owner grants its permit again only once the last lease was returned or has expired by the owner's clock.
+  The holder counts from when it *sent the request*, which is earlier, so the lease ends first at the holder,
+  however long the notes took.
+- Who owns a permit follows from the gateways' numbers alone. No view of the fleet is involved, so no two
+  views can disagree about it.
+- An owner that has just started does not know what it granted before, so it grants nothing for a whole term.
+- A holder that has just started does not know which fills its previous process left at the origin. Its notes
+  carry a new incarnation, so it does not return the lease of the previous one, which has to expire.
+- A process that was suspended reads the clock when it resumes. A fill that it had decided to send is checked
+  again at its first byte (`covers`).
+
+Not covered: clocks that are set by more than CLOCK_MARGIN_MS while a lease runs (a clock that is seen to go
+back ends the lease), and a cache that continues a fill after its deadline. When the configured fleet size
+changes across `capacity`, both ways of sharing are in use until all gateways have the new size.
+
+Bounds. State: one granted lease and one held lease. Messages: none without misses that need the origin. A
+gateway with such misses sends at most one request in RETRY_MS (later after a denial, by the wait that the
+owner stated) and one return per lease; an owner answers each request. Only the requests that reach an owner
+grow with the number of gateways: where all need a lease and no permit is free, gateways / `capacity` in
+MAX_BUSY_WAIT_MS on average.
 """
 
 from dataclasses import dataclass
@@ -32,19 +37,19 @@
 
 from hitchtiller.interface import LeaseKind, LeaseNote, Settings
 
-MARGIN_MS = 100.0  # between the holder's end of a lease and the owner's: clocks that run apart
-RETRY_MS = 200.0  # until an owner that does not answer is given up; spread by half
-IDLE_MS = 400.0  # without a fill, until a lease is returned
-BUSY_MS = 2_000.0  # to wait at the most where a permit is lent: it may be returned early
-DEADLINES = 2.0  # of the longest request in a term: half of a term may begin fills
+MARGIN_MS = 100.0  # from the holder's end of a lease to the owner's: their clocks may run at different rates
+RETRY_MS = 200.0  # until an owner that does not answer is given up, randomized by half
+IDLE_MS = 400.0  # without a fill, after which a lease is returned
+BUSY_MS = 2_000.0  # longest wait stated while a permit is granted: it may be returned early
+DEADLINES = 2.0  # of the longest request in a term, so that fills may begin during half of a term
 
 
-Messages = list[tuple[int, LeaseNote]]  # by the number of the gateway to send it to
+Messages = list[tuple[int, LeaseNote]]  # each with the number of the gateway to send it to
 
 
 @dataclass(slots=True)
 class Lent:
-    """A lease as its owner knows it."""
+    """A lease as its owner records it."""
 
     holder: int
     incarnation: int
@@ -54,7 +59,7 @@
 
 @dataclass(slots=True)
 class Held:
-    """A lease as its holder knows it."""
+    """A lease as its holder records it."""
 
     owner: int
     sequence: int
@@ -64,7 +69,7 @@
 
 @dataclass(slots=True)
 class Asked:
-    """A request for a lease that has no answer yet."""
+    """A request for a lease that has not been answered yet."""
 
     owner: int
     sequence: int
@@ -72,31 +77,31 @@
 
 
 class OriginLeases:
-    """One gateway's part of the fills at the origin; calls give the notes to send."""
+    """One gateway's part of the fills at the origin; methods return the notes to send."""
 
     def __init__(self, settings: Settings, capacity: int) -> None:
-        """Start with the settings; `capacity` is the fills at once of all gateways together."""
+        """Create the state of one gateway; `capacity` is the bound on fills of all gateways together."""
         self.number, self.capacity, self.notes = settings.my_number, capacity, settings.peers
-        self.fixed_fills = capacity // max(1, settings.group_size)  # fills without a lease
+        self.fixed_fills = capacity // max(1, settings.group_size)  # fills allowed without a lease
         longest = max((c.deadline_ms for c in settings.classes.values() if not c.write), default=0.0)
         self.term_ms = DEADLINES * longest + MARGIN_MS
         self.rng = Random(f"leases {self.number}")
         self.incarnation, self.sequence = 0, 0
-        self.lends_from_ms = 0.0  # an owner's first term is waited out
+        self.lends_from_ms = 0.0  # an owner grants nothing during its first term
         self.lent: Lent | None = None
         self.held: Held | None = None
         self.pending_request: Asked | None = None
-        self.next_ms = self.seen_ms = 0.0  # when to ask again at the earliest; the latest time seen
+        self.next_ms = self.seen_ms = 0.0  # earliest time of the next request; latest clock reading
         self.fills_in_flight = 0  # fills at the origin
         self.granted = self.denied = 0
 
     @property
     def owns(self) -> bool:
-        """Tell whether this gateway owns a permit."""
+        """Return whether this gateway owns a permit."""
         return not self.fixed_fills and self.number < self.capacity
 
     def start(self, now_ms: float) -> None:
-        """Hear when the process began; to be called before anything else."""
+        """Record when the process started; must be called before any other method."""
         self.incarnation = int(now_ms)
         self.lends_from_ms = now_ms + self.term_ms
         self.seen_ms = now_ms
@@ -104,28 +109,28 @@
     # Fills
 
     def may_begin(self, deadline_ms: float, now_ms: float) -> bool:
-        """Tell whether a fill that ends by its deadline may be sent to the origin now."""
+        """Return whether a fill that ends by its deadline may be sent to the origin now."""
         if self.fixed_fills:
             return self.fills_in_flight < self.fixed_fills
         return self.fills_in_flight == 0 and self.covers(deadline_ms, now_ms)
 
     def covers(self, deadline_ms: float, now_ms: float) -> bool:
-        """Tell whether a fill that was decided on may still go: its whole time lies within the lease."""
+        """Return whether a fill that was decided on may still be sent: its deadline lies within the lease."""
         if self.fixed_fills:
             return True
-        if now_ms < self.seen_ms:  # the clock was set back: the lease would last too long
+        if now_ms < self.seen_ms:  # the clock was set back, so the lease would last too long
             self.held = None
         self.seen_ms = now_ms
         return self.held is not None and deadline_ms <= self.held.until_ms
 
     def begin(self, now_ms: float) -> None:
-        """Hear that a fill was sent."""
+        """Record that a fill was sent."""
         self.fills_in_flight += 1
         if self.held:
             self.held.used_ms = now_ms
 
     def end(self, now_ms: float) -> None:
-        """Hear that a fill has ended."""
+        """Record that a fill has ended."""
         self.fills_in_flight -= 1
         if self.held:
             self.held.used_ms = now_ms
@@ -133,7 +138,7 @@
     # Notes
 
     def request_lease(self, now_ms: float) -> Messages:
-        """Ask for a lease after a fill was not allowed; nothing while one is held or asked for."""
+        """Request a lease after a fill was not allowed; do nothing while one is held or requested."""
         if self.fixed_fills or self.held or self.pending_request or now_ms < self.next_ms:
             return []
         self.sequence = (self.sequence + 1) & 0xFFFF
@@ -144,13 +149,13 @@
         if not self.notes:
             return []
         owner = self.rng.randrange(self.capacity)
-        if owner == self.number:  # its own permit is lent
+        if owner == self.number:  # its own permit is granted
             owner = (owner + 1) % self.capacity
         self.pending_request = Asked(owner, self.sequence, now_ms)
         return [(owner, LeaseNote(LeaseKind.REQUEST, self.incarnation, self.sequence))]
 
     def tick(self, now_ms: float) -> Messages:
-        """Give a lease back that is over or not used, and an owner up that does not answer."""
+        """Return a lease that has expired or is not used, and give up an owner that does not answer."""
         if self.pending_request and now_ms - self.pending_request.at_ms > RETRY_MS:
             self._wait(RETRY_MS, now_ms)
         lease = self.held
@@ -161,7 +166,7 @@
         return self._give_back(lease)
 
     def receive(self, sender: int, note: LeaseNote, now_ms: float) -> Messages:
-        """Take a note of another gateway."""
+        """Handle a note from another gateway."""
         match note.kind:
             case LeaseKind.REQUEST:
                 return [(sender, self._decide(sender, note, now_ms))]
@@ -189,7 +194,7 @@
             return LeaseNote(LeaseKind.GRANT, note.incarnation, note.sequence)
         lent = self.lent
         if lent and (lent.holder, lent.incarnation, lent.sequence) == name and now_ms < lent.until_ms:
-            return LeaseNote(LeaseKind.GRANT, note.incarnation, note.sequence)  # the request came twice
+            return LeaseNote(LeaseKind.GRANT, note.incarnation, note.sequence)  # a duplicate request
         busy = min(BUSY_MS, lent.until_ms - now_ms) if lent else 0.0
         starting = self.lends_from_ms - now_ms
         wait = max(RETRY_MS, busy, starting if self.owns else 0.0)
@@ -221,7 +226,7 @@
         lease = self.held
         current = lease is not None and (lease.owner, lease.sequence) == (sender, note.sequence)
         if note.incarnation != self.incarnation or current:
-            return []  # an earlier life's, whose fills may still run; or the same grant twice
+            return []  # of an earlier process, whose fills may still run; or a duplicate
         return [(sender, LeaseNote(LeaseKind.RETURN, note.incarnation, note.sequence))]  # it came too late
 
     def _give_back(self, lease: Held) -> Messages:
@@ -232,7 +237,7 @@
         return [(lease.owner, LeaseNote(LeaseKind.RETURN, self.incarnation, lease.sequence))]
 
     def _wait(self, wait_ms: float, now_ms: float) -> None:
-        """Ask nobody for a while, spread so that those that were denied together do not come together."""
+        """Send no request for a random time, so that gateways denied together do not retry together."""
         self.pending_request = None
         bounded = min(max(wait_ms, 0.0), self.term_ms)
         self.next_ms = now_ms + bounded * (0.5 + self.rng.random())
