--- a/hitchtiller/routing/leases.py
+++ b/hitchtiller/routing/leases.py
@@ -48,7 +48,7 @@
 
 
 @dataclass(slots=True)
-class Lent:
+class GrantedLease:
     """A lease as its owner records it."""
 
     holder: int
@@ -88,7 +88,7 @@
         self.rng = Random(f"leases {self.number}")
         self.incarnation, self.sequence = 0, 0
         self.lends_from_ms = 0.0  # an owner grants nothing during its first term
-        self.lent: Lent | None = None
+        self.lent: GrantedLease | None = None
         self.held: Held | None = None
         self.pending_request: Asked | None = None
         self.next_ms = self.seen_ms = 0.0  # earliest time of the next request; latest clock reading
@@ -143,7 +143,7 @@
             return []
         self.sequence = (self.sequence + 1) & 0xFFFF
         if self.owns and self._free(now_ms):
-            self.lent = Lent(self.number, self.incarnation, self.sequence, now_ms + self.term_ms)
+            self.lent = GrantedLease(self.number, self.incarnation, self.sequence, now_ms + self.term_ms)
             self.held = self._hold(self.number, now_ms)
             return []
         if not self.notes:
@@ -190,7 +190,7 @@
     def _decide(self, sender: int, note: LeaseNote, now_ms: float) -> LeaseNote:
         name = (sender, note.incarnation, note.sequence)
         if self.owns and self._free(now_ms):
-            self.lent = Lent(*name, now_ms + self.term_ms)
+            self.lent = GrantedLease(*name, now_ms + self.term_ms)
             return LeaseNote(LeaseKind.GRANT, note.incarnation, note.sequence)
         lent = self.lent
         if lent and (lent.holder, lent.incarnation, lent.sequence) == name and now_ms < lent.until_ms:
