--- a/hitchtiller/routing/leases.py
+++ b/hitchtiller/routing/leases.py
@@ -88,7 +88,7 @@
         self.rng = Random(f"leases {self.number}")
         self.incarnation, self.sequence = 0, 0
         self.lends_from_ms = 0.0  # an owner grants nothing during its first term
-        self.lent: GrantedLease | None = None
+        self.granted_lease: GrantedLease | None = None
         self.held: Held | None = None
         self.pending_request: Asked | None = None
         self.next_ms = self.seen_ms = 0.0  # earliest time of the next request; latest clock reading
@@ -143,7 +143,9 @@
             return []
         self.sequence = (self.sequence + 1) & 0xFFFF
         if self.owns and self._free(now_ms):
-            self.lent = GrantedLease(self.number, self.incarnation, self.sequence, now_ms + self.term_ms)
+            self.granted_lease = GrantedLease(
+                self.number, self.incarnation, self.sequence, now_ms + self.term_ms
+            )
             self.held = self._hold(self.number, now_ms)
             return []
         if not self.notes:
@@ -185,26 +187,33 @@
     def _free(self, now_ms: float) -> bool:
         if now_ms < self.lends_from_ms:
             return False
-        return self.lent is None or now_ms >= self.lent.until_ms
+        return self.granted_lease is None or now_ms >= self.granted_lease.until_ms
 
     def _decide(self, sender: int, note: LeaseNote, now_ms: float) -> LeaseNote:
         name = (sender, note.incarnation, note.sequence)
         if self.owns and self._free(now_ms):
-            self.lent = GrantedLease(*name, now_ms + self.term_ms)
+            self.granted_lease = GrantedLease(*name, now_ms + self.term_ms)
             return LeaseNote(LeaseKind.GRANT, note.incarnation, note.sequence)
-        lent = self.lent
-        if lent and (lent.holder, lent.incarnation, lent.sequence) == name and now_ms < lent.until_ms:
+        granted_lease = self.granted_lease
+        if (
+            granted_lease
+            and (granted_lease.holder, granted_lease.incarnation, granted_lease.sequence) == name
+            and now_ms < granted_lease.until_ms
+        ):
             return LeaseNote(LeaseKind.GRANT, note.incarnation, note.sequence)  # a duplicate request
-        busy = min(BUSY_MS, lent.until_ms - now_ms) if lent else 0.0
+        busy = min(BUSY_MS, granted_lease.until_ms - now_ms) if granted_lease else 0.0
         starting = self.lends_from_ms - now_ms
         wait = max(RETRY_MS, busy, starting if self.owns else 0.0)
         return LeaseNote(LeaseKind.DENIAL, note.incarnation, note.sequence, wait)
 
     def _take_back(self, sender: int, note: LeaseNote) -> None:
-        lent = self.lent
+        granted_lease = self.granted_lease
         returned = (sender, note.incarnation, note.sequence)
-        if lent and (lent.holder, lent.incarnation, lent.sequence) == returned:
-            self.lent = None
+        if (
+            granted_lease
+            and (granted_lease.holder, granted_lease.incarnation, granted_lease.sequence) == returned
+        ):
+            self.granted_lease = None
 
     # As a holder
 
@@ -232,7 +241,7 @@
     def _give_back(self, lease: Held) -> Messages:
         self.held = None
         if lease.owner == self.number:
-            self.lent = None
+            self.granted_lease = None
             return []
         return [(lease.owner, LeaseNote(LeaseKind.RETURN, self.incarnation, lease.sequence))]
 
--- a/tests/routing/test_routing_leases.py
+++ b/tests/routing/test_routing_leases.py
@@ -88,8 +88,8 @@
     owner = leases(number)
     ((_, answer),) = owner.receive(100, note, START_MS + 90.0)
     holder.receive(number, answer, START_MS + 180.0)
-    assert holder.held and owner.lent
-    assert holder.held.until_ms <= owner.lent.until_ms - MARGIN_MS
+    assert holder.held and owner.granted_lease
+    assert holder.held.until_ms <= owner.granted_lease.until_ms - MARGIN_MS
 
 
 def test_an_owner_that_has_just_started_lends_nothing_for_a_term_also_to_itself() -> None:
@@ -149,10 +149,10 @@
     number, note = request_of(holder, START_MS)
     owner = leases(number)
     ((_, first),) = owner.receive(100, note, START_MS)
-    assert owner.lent
-    until = owner.lent.until_ms
+    assert owner.granted_lease
+    until = owner.granted_lease.until_ms
     ((_, second),) = owner.receive(100, note, START_MS + 50.0)
-    assert (first, owner.lent.until_ms) == (second, until)
+    assert (first, owner.granted_lease.until_ms) == (second, until)
     assert holder.receive(number, first, START_MS + 60.0) == []
     assert holder.receive(number, second, START_MS + 70.0) == []
     assert holder.held and denied(owner, 101, START_MS + 80.0)
