--- a/hitchtiller/routing/leases.py
+++ b/hitchtiller/routing/leases.py
@@ -58,7 +58,7 @@
 
 
 @dataclass(slots=True)
-class Held:
+class HeldLease:
     """A lease as its holder records it."""
 
     owner: int
@@ -89,7 +89,7 @@
         self.incarnation, self.sequence = 0, 0
         self.lends_from_ms = 0.0  # an owner grants nothing during its first term
         self.granted_lease: GrantedLease | None = None
-        self.held: Held | None = None
+        self.held: HeldLease | None = None
         self.pending_request: Asked | None = None
         self.next_ms = self.seen_ms = 0.0  # earliest time of the next request; latest clock reading
         self.fills_in_flight = 0  # fills at the origin
@@ -217,9 +217,9 @@
 
     # As a holder
 
-    def _hold(self, owner: int, asked_ms: float) -> Held:
+    def _hold(self, owner: int, asked_ms: float) -> HeldLease:
         self.granted += 1
-        return Held(owner, self.sequence, asked_ms + self.term_ms - MARGIN_MS, asked_ms)
+        return HeldLease(owner, self.sequence, asked_ms + self.term_ms - MARGIN_MS, asked_ms)
 
     def _answers(self, sender: int, note: LeaseNote) -> bool:
         asked = self.pending_request
@@ -238,7 +238,7 @@
             return []  # of an earlier process, whose fills may still run; or a duplicate
         return [(sender, LeaseNote(LeaseKind.RETURN, note.incarnation, note.sequence))]  # it came too late
 
-    def _give_back(self, lease: Held) -> Messages:
+    def _give_back(self, lease: HeldLease) -> Messages:
         self.held = None
         if lease.owner == self.number:
             self.granted_lease = None
