--- a/hitchtiller/routing/leases.py
+++ b/hitchtiller/routing/leases.py
@@ -89,7 +89,7 @@
         self.incarnation, self.sequence = 0, 0
         self.lends_from_ms = 0.0  # an owner grants nothing during its first term
         self.granted_lease: GrantedLease | None = None
-        self.held: HeldLease | None = None
+        self.held_lease: HeldLease | None = None
         self.pending_request: Asked | None = None
         self.next_ms = self.seen_ms = 0.0  # earliest time of the next request; latest clock reading
         self.fills_in_flight = 0  # fills at the origin
@@ -119,34 +119,34 @@
         if self.fixed_fills:
             return True
         if now_ms < self.seen_ms:  # the clock was set back, so the lease would last too long
-            self.held = None
+            self.held_lease = None
         self.seen_ms = now_ms
-        return self.held is not None and deadline_ms <= self.held.until_ms
+        return self.held_lease is not None and deadline_ms <= self.held_lease.until_ms
 
     def begin(self, now_ms: float) -> None:
         """Record that a fill was sent."""
         self.fills_in_flight += 1
-        if self.held:
-            self.held.used_ms = now_ms
+        if self.held_lease:
+            self.held_lease.used_ms = now_ms
 
     def end(self, now_ms: float) -> None:
         """Record that a fill has ended."""
         self.fills_in_flight -= 1
-        if self.held:
-            self.held.used_ms = now_ms
+        if self.held_lease:
+            self.held_lease.used_ms = now_ms
 
     # Notes
 
     def request_lease(self, now_ms: float) -> Messages:
         """Request a lease after a fill was not allowed; do nothing while one is held or requested."""
-        if self.fixed_fills or self.held or self.pending_request or now_ms < self.next_ms:
+        if self.fixed_fills or self.held_lease or self.pending_request or now_ms < self.next_ms:
             return []
         self.sequence = (self.sequence + 1) & 0xFFFF
         if self.owns and self._free(now_ms):
             self.granted_lease = GrantedLease(
                 self.number, self.incarnation, self.sequence, now_ms + self.term_ms
             )
-            self.held = self._hold(self.number, now_ms)
+            self.held_lease = self._hold(self.number, now_ms)
             return []
         if not self.notes:
             return []
@@ -160,7 +160,7 @@
         """Return a lease that has expired or is not used, and give up an owner that does not answer."""
         if self.pending_request and now_ms - self.pending_request.at_ms > RETRY_MS:
             self._wait(RETRY_MS, now_ms)
-        lease = self.held
+        lease = self.held_lease
         if lease is None or self.fills_in_flight:
             return []
         if now_ms < lease.until_ms and now_ms - lease.used_ms < IDLE_MS:
@@ -228,18 +228,18 @@
 
     def _granted(self, sender: int, note: LeaseNote, now_ms: float) -> Messages:
         if self._answers(sender, note) and self.pending_request:
-            self.held = self._hold(sender, self.pending_request.at_ms)
-            self.held.used_ms = now_ms
+            self.held_lease = self._hold(sender, self.pending_request.at_ms)
+            self.held_lease.used_ms = now_ms
             self.pending_request = None
             return []
-        lease = self.held
+        lease = self.held_lease
         current = lease is not None and (lease.owner, lease.sequence) == (sender, note.sequence)
         if note.incarnation != self.incarnation or current:
             return []  # of an earlier process, whose fills may still run; or a duplicate
         return [(sender, LeaseNote(LeaseKind.RETURN, note.incarnation, note.sequence))]  # it came too late
 
     def _give_back(self, lease: HeldLease) -> Messages:
-        self.held = None
+        self.held_lease = None
         if lease.owner == self.number:
             self.granted_lease = None
             return []
--- a/tests/routing/test_routing_leases.py
+++ b/tests/routing/test_routing_leases.py
@@ -88,8 +88,8 @@
     owner = leases(number)
     ((_, answer),) = owner.receive(100, note, START_MS + 90.0)
     holder.receive(number, answer, START_MS + 180.0)
-    assert holder.held and owner.granted_lease
-    assert holder.held.until_ms <= owner.granted_lease.until_ms - MARGIN_MS
+    assert holder.held_lease and owner.granted_lease
+    assert holder.held_lease.until_ms <= owner.granted_lease.until_ms - MARGIN_MS
 
 
 def test_an_owner_that_has_just_started_lends_nothing_for_a_term_also_to_itself() -> None:
@@ -97,7 +97,7 @@
     owner = leases(3, settled=False)
     assert denied(owner, 100, START_MS + owner.term_ms - 1.0)
     messages = owner.request_lease(START_MS + 1.0)
-    assert owner.held is None and [to for to, _ in messages] != [3]
+    assert owner.held_lease is None and [to for to, _ in messages] != [3]
     assert not denied(owner, 100, START_MS + owner.term_ms)
 
 
@@ -109,7 +109,7 @@
     assert denied(owner, 100, START_MS + 600.0, again.incarnation)
     late = LeaseNote(LeaseKind.GRANT, holder.incarnation, holder.sequence)
     assert again.receive(owner.number, late, START_MS + 700.0) == []
-    assert again.held is None
+    assert again.held_lease is None
     returned = LeaseNote(LeaseKind.RETURN, again.incarnation, holder.sequence)
     owner.receive(100, returned, START_MS + 800.0)
     assert denied(owner, 101, START_MS + 900.0)
@@ -122,7 +122,7 @@
     ((_, answer),) = owner.receive(100, note, START_MS + 10.0)
     holder.tick(START_MS + RETRY_MS + 1.0)
     ((to, back),) = holder.receive(number, answer, START_MS + RETRY_MS + 2.0)
-    assert to == number and back.kind is LeaseKind.RETURN and holder.held is None
+    assert to == number and back.kind is LeaseKind.RETURN and holder.held_lease is None
     owner.receive(100, back, START_MS + RETRY_MS + 3.0)
     assert not denied(owner, 101, START_MS + RETRY_MS + 4.0)
 
@@ -140,8 +140,8 @@
     stranger = (second_owner + 1) % ORIGIN_FILLS
     grant = replace(second, kind=LeaseKind.GRANT)
     ((to, _),) = holder.receive(stranger, grant, again_ms + 2.0)
-    assert to == stranger and holder.held is None
-    assert holder.receive(second_owner, grant, again_ms + 3.0) == [] and holder.held is not None
+    assert to == stranger and holder.held_lease is None
+    assert holder.receive(second_owner, grant, again_ms + 3.0) == [] and holder.held_lease is not None
 
 
 def test_a_request_or_a_grant_that_comes_twice_lends_and_returns_nothing_more() -> None:
@@ -155,7 +155,7 @@
     assert (first, owner.granted_lease.until_ms) == (second, until)
     assert holder.receive(number, first, START_MS + 60.0) == []
     assert holder.receive(number, second, START_MS + 70.0) == []
-    assert holder.held and denied(owner, 101, START_MS + 80.0)
+    assert holder.held_lease and denied(owner, 101, START_MS + 80.0)
 
 
 def test_a_clock_that_is_set_back_ends_the_lease() -> None:
@@ -285,5 +285,5 @@
     assert isinstance(told.note, LeaseNote)
     grant = replace(told.note, kind=LeaseKind.GRANT)
     assert gets(bench.give(api.PeerMessage(told.peer, grant), START_MS + 20.0))
-    bench.router.leases.held = None  # as where it ran out while the process was stopped
+    bench.router.leases.held_lease = None  # as where it ran out while the process was stopped
     assert bench.router.recheck_send(1, 1, START_MS + 30.0) is None
