--- a/hitchtiller/routing/leases.py
+++ b/hitchtiller/routing/leases.py
@@ -68,7 +68,7 @@
 
 
 @dataclass(slots=True)
-class Asked:
+class LeaseRequest:
     """A request for a lease that has not been answered yet."""
 
     owner: int
@@ -90,7 +90,7 @@
         self.lends_from_ms = 0.0  # an owner grants nothing during its first term
         self.granted_lease: GrantedLease | None = None
         self.held_lease: HeldLease | None = None
-        self.pending_request: Asked | None = None
+        self.pending_request: LeaseRequest | None = None
         self.next_ms = self.seen_ms = 0.0  # earliest time of the next request; latest clock reading
         self.fills_in_flight = 0  # fills at the origin
         self.granted = self.denied = 0
@@ -153,7 +153,7 @@
         owner = self.rng.randrange(self.capacity)
         if owner == self.number:  # its own permit is granted
             owner = (owner + 1) % self.capacity
-        self.pending_request = Asked(owner, self.sequence, now_ms)
+        self.pending_request = LeaseRequest(owner, self.sequence, now_ms)
         return [(owner, LeaseNote(LeaseKind.REQUEST, self.incarnation, self.sequence))]
 
     def tick(self, now_ms: float) -> Messages:
