--- a/hitchtiller/routing/leases.py
+++ b/hitchtiller/routing/leases.py
@@ -73,7 +73,7 @@
 
     owner: int
     sequence: int
-    at_ms: float
+    sent_ms: float
 
 
 class OriginLeases:
@@ -158,7 +158,7 @@
 
     def tick(self, now_ms: float) -> Messages:
         """Return a lease that has expired or is not used, and give up an owner that does not answer."""
-        if self.pending_request and now_ms - self.pending_request.at_ms > RETRY_MS:
+        if self.pending_request and now_ms - self.pending_request.sent_ms > RETRY_MS:
             self._wait(RETRY_MS, now_ms)
         lease = self.held_lease
         if lease is None or self.fills_in_flight:
@@ -228,7 +228,7 @@
 
     def _granted(self, sender: int, note: LeaseNote, now_ms: float) -> Messages:
         if self._answers(sender, note) and self.pending_request:
-            self.held_lease = self._hold(sender, self.pending_request.at_ms)
+            self.held_lease = self._hold(sender, self.pending_request.sent_ms)
             self.held_lease.used_ms = now_ms
             self.pending_request = None
             return []
