--- a/hitchtiller/routing/leases.py
+++ b/hitchtiller/routing/leases.py
@@ -54,7 +54,7 @@
     holder: int
     incarnation: int
     sequence: int
-    until_ms: float
+    expires_ms: float
 
 
 @dataclass(slots=True)
@@ -63,7 +63,7 @@
 
     owner: int
     sequence: int
-    until_ms: float
+    expires_ms: float
     used_ms: float
 
 
@@ -121,7 +121,7 @@
         if now_ms < self.seen_ms:  # the clock was set back, so the lease would last too long
             self.held_lease = None
         self.seen_ms = now_ms
-        return self.held_lease is not None and deadline_ms <= self.held_lease.until_ms
+        return self.held_lease is not None and deadline_ms <= self.held_lease.expires_ms
 
     def begin(self, now_ms: float) -> None:
         """Record that a fill was sent."""
@@ -163,7 +163,7 @@
         lease = self.held_lease
         if lease is None or self.fills_in_flight:
             return []
-        if now_ms < lease.until_ms and now_ms - lease.used_ms < IDLE_MS:
+        if now_ms < lease.expires_ms and now_ms - lease.used_ms < IDLE_MS:
             return []
         return self._give_back(lease)
 
@@ -187,7 +187,7 @@
     def _free(self, now_ms: float) -> bool:
         if now_ms < self.lends_from_ms:
             return False
-        return self.granted_lease is None or now_ms >= self.granted_lease.until_ms
+        return self.granted_lease is None or now_ms >= self.granted_lease.expires_ms
 
     def _decide(self, sender: int, note: LeaseNote, now_ms: float) -> LeaseNote:
         name = (sender, note.incarnation, note.sequence)
@@ -198,10 +198,10 @@
         if (
             granted_lease
             and (granted_lease.holder, granted_lease.incarnation, granted_lease.sequence) == name
-            and now_ms < granted_lease.until_ms
+            and now_ms < granted_lease.expires_ms
         ):
             return LeaseNote(LeaseKind.GRANT, note.incarnation, note.sequence)  # a duplicate request
-        busy = min(BUSY_MS, granted_lease.until_ms - now_ms) if granted_lease else 0.0
+        busy = min(BUSY_MS, granted_lease.expires_ms - now_ms) if granted_lease else 0.0
         starting = self.lends_from_ms - now_ms
         wait = max(RETRY_MS, busy, starting if self.owns else 0.0)
         return LeaseNote(LeaseKind.DENIAL, note.incarnation, note.sequence, wait)
--- a/tests/routing/test_routing_leases.py
+++ b/tests/routing/test_routing_leases.py
@@ -89,7 +89,7 @@
     ((_, answer),) = owner.receive(100, note, START_MS + 90.0)
     holder.receive(number, answer, START_MS + 180.0)
     assert holder.held_lease and owner.granted_lease
-    assert holder.held_lease.until_ms <= owner.granted_lease.until_ms - MARGIN_MS
+    assert holder.held_lease.expires_ms <= owner.granted_lease.expires_ms - MARGIN_MS
 
 
 def test_an_owner_that_has_just_started_lends_nothing_for_a_term_also_to_itself() -> None:
@@ -150,9 +150,9 @@
     owner = leases(number)
     ((_, first),) = owner.receive(100, note, START_MS)
     assert owner.granted_lease
-    until = owner.granted_lease.until_ms
+    until = owner.granted_lease.expires_ms
     ((_, second),) = owner.receive(100, note, START_MS + 50.0)
-    assert (first, owner.granted_lease.until_ms) == (second, until)
+    assert (first, owner.granted_lease.expires_ms) == (second, until)
     assert holder.receive(number, first, START_MS + 60.0) == []
     assert holder.receive(number, second, START_MS + 70.0) == []
     assert holder.held_lease and denied(owner, 101, START_MS + 80.0)
