--- a/hitchtiller/routing/leases.py
+++ b/hitchtiller/routing/leases.py
@@ -64,7 +64,7 @@
     owner: int
     sequence: int
     expires_ms: float
-    used_ms: float
+    last_used_ms: float
 
 
 @dataclass(slots=True)
@@ -127,13 +127,13 @@
         """Record that a fill was sent."""
         self.fills_in_flight += 1
         if self.held_lease:
-            self.held_lease.used_ms = now_ms
+            self.held_lease.last_used_ms = now_ms
 
     def end(self, now_ms: float) -> None:
         """Record that a fill has ended."""
         self.fills_in_flight -= 1
         if self.held_lease:
-            self.held_lease.used_ms = now_ms
+            self.held_lease.last_used_ms = now_ms
 
     # Notes
 
@@ -163,7 +163,7 @@
         lease = self.held_lease
         if lease is None or self.fills_in_flight:
             return []
-        if now_ms < lease.expires_ms and now_ms - lease.used_ms < IDLE_MS:
+        if now_ms < lease.expires_ms and now_ms - lease.last_used_ms < IDLE_MS:
             return []
         return self._give_back(lease)
 
@@ -229,7 +229,7 @@
     def _granted(self, sender: int, note: LeaseNote, now_ms: float) -> Messages:
         if self._answers(sender, note) and self.pending_request:
             self.held_lease = self._hold(sender, self.pending_request.sent_ms)
-            self.held_lease.used_ms = now_ms
+            self.held_lease.last_used_ms = now_ms
             self.pending_request = None
             return []
         lease = self.held_lease
