--- a/hitchtiller/routing/leases.py
+++ b/hitchtiller/routing/leases.py
@@ -87,7 +87,7 @@
         self.term_ms = DEADLINES * longest + MARGIN_MS
         self.rng = Random(f"leases {self.number}")
         self.incarnation, self.sequence = 0, 0
-        self.lends_from_ms = 0.0  # an owner grants nothing during its first term
+        self.grants_from_ms = 0.0  # an owner grants nothing during its first term
         self.granted_lease: GrantedLease | None = None
         self.held_lease: HeldLease | None = None
         self.pending_request: LeaseRequest | None = None
@@ -103,7 +103,7 @@
     def start(self, now_ms: float) -> None:
         """Record when the process started; must be called before any other method."""
         self.incarnation = int(now_ms)
-        self.lends_from_ms = now_ms + self.term_ms
+        self.grants_from_ms = now_ms + self.term_ms
         self.seen_ms = now_ms
 
     # Fills
@@ -185,7 +185,7 @@
     # As an owner
 
     def _free(self, now_ms: float) -> bool:
-        if now_ms < self.lends_from_ms:
+        if now_ms < self.grants_from_ms:
             return False
         return self.granted_lease is None or now_ms >= self.granted_lease.expires_ms
 
@@ -202,7 +202,7 @@
         ):
             return LeaseNote(LeaseKind.GRANT, note.incarnation, note.sequence)  # a duplicate request
         busy = min(BUSY_MS, granted_lease.expires_ms - now_ms) if granted_lease else 0.0
-        starting = self.lends_from_ms - now_ms
+        starting = self.grants_from_ms - now_ms
         wait = max(RETRY_MS, busy, starting if self.owns else 0.0)
         return LeaseNote(LeaseKind.DENIAL, note.incarnation, note.sequence, wait)
 
--- a/tests/routing/test_routing_leases.py
+++ b/tests/routing/test_routing_leases.py
@@ -20,7 +20,7 @@
     made = OriginLeases(replace(BASE, my_number=number, group_size=MANY), ORIGIN_FILLS)
     made.start(start_ms)
     if settled:
-        made.lends_from_ms = start_ms
+        made.grants_from_ms = start_ms
     return made
 
 
