--- a/hitchtiller/routing/leases.py
+++ b/hitchtiller/routing/leases.py
@@ -81,7 +81,7 @@
 
     def __init__(self, settings: Settings, capacity: int) -> None:
         """Create the state of one gateway; `capacity` is the bound on fills of all gateways together."""
-        self.number, self.capacity, self.notes = settings.my_number, capacity, settings.peers
+        self.number, self.capacity, self.can_send_notes = settings.my_number, capacity, settings.peers
         self.fixed_fills = capacity // max(1, settings.group_size)  # fills allowed without a lease
         longest = max((c.deadline_ms for c in settings.classes.values() if not c.write), default=0.0)
         self.term_ms = DEADLINES * longest + MARGIN_MS
@@ -91,7 +91,8 @@
         self.granted_lease: GrantedLease | None = None
         self.held_lease: HeldLease | None = None
         self.pending_request: LeaseRequest | None = None
-        self.next_ms = self.seen_ms = 0.0  # earliest time of the next request; latest clock reading
+        # earliest time of the next request; latest clock reading
+        self.next_request_ms = self.latest_clock_ms = 0.0
         self.fills_in_flight = 0  # fills at the origin
         self.granted = self.denied = 0
 
@@ -104,7 +105,7 @@
         """Record when the process started; must be called before any other method."""
         self.incarnation = int(now_ms)
         self.grants_from_ms = now_ms + self.term_ms
-        self.seen_ms = now_ms
+        self.latest_clock_ms = now_ms
 
     # Fills
 
@@ -118,9 +119,9 @@
         """Return whether a fill that was decided on may still be sent: its deadline lies within the lease."""
         if self.fixed_fills:
             return True
-        if now_ms < self.seen_ms:  # the clock was set back, so the lease would last too long
+        if now_ms < self.latest_clock_ms:  # the clock was set back, so the lease would last too long
             self.held_lease = None
-        self.seen_ms = now_ms
+        self.latest_clock_ms = now_ms
         return self.held_lease is not None and deadline_ms <= self.held_lease.expires_ms
 
     def begin(self, now_ms: float) -> None:
@@ -139,7 +140,7 @@
 
     def request_lease(self, now_ms: float) -> Messages:
         """Request a lease after a fill was not allowed; do nothing while one is held or requested."""
-        if self.fixed_fills or self.held_lease or self.pending_request or now_ms < self.next_ms:
+        if self.fixed_fills or self.held_lease or self.pending_request or now_ms < self.next_request_ms:
             return []
         self.sequence = (self.sequence + 1) & 0xFFFF
         if self.owns and self._free(now_ms):
@@ -148,7 +149,7 @@
             )
             self.held_lease = self._hold(self.number, now_ms)
             return []
-        if not self.notes:
+        if not self.can_send_notes:
             return []
         owner = self.rng.randrange(self.capacity)
         if owner == self.number:  # its own permit is granted
@@ -249,4 +250,4 @@
         """Send no request for a random time, so that gateways denied together do not retry together."""
         self.pending_request = None
         bounded = min(max(wait_ms, 0.0), self.term_ms)
-        self.next_ms = now_ms + bounded * (0.5 + self.rng.random())
+        self.next_request_ms = now_ms + bounded * (0.5 + self.rng.random())
