--- a/hitchtiller/routing/leases.py
+++ b/hitchtiller/routing/leases.py
@@ -97,7 +97,7 @@
         self.granted = self.denied = 0
 
     @property
-    def owns(self) -> bool:
+    def owns_permit(self) -> bool:
         """Return whether this gateway owns a permit."""
         return not self.fixed_fills and self.number < self.capacity
 
@@ -143,11 +143,11 @@
         if self.fixed_fills or self.held_lease or self.pending_request or now_ms < self.next_request_ms:
             return []
         self.sequence = (self.sequence + 1) & 0xFFFF
-        if self.owns and self._free(now_ms):
+        if self.owns_permit and self._can_grant(now_ms):
             self.granted_lease = GrantedLease(
                 self.number, self.incarnation, self.sequence, now_ms + self.term_ms
             )
-            self.held_lease = self._hold(self.number, now_ms)
+            self.held_lease = self._new_lease(self.number, now_ms)
             return []
         if not self.can_send_notes:
             return []
@@ -160,39 +160,39 @@
     def tick(self, now_ms: float) -> Messages:
         """Return a lease that has expired or is not used, and give up an owner that does not answer."""
         if self.pending_request and now_ms - self.pending_request.sent_ms > RETRY_MS:
-            self._wait(RETRY_MS, now_ms)
+            self._back_off(RETRY_MS, now_ms)
         lease = self.held_lease
         if lease is None or self.fills_in_flight:
             return []
         if now_ms < lease.expires_ms and now_ms - lease.last_used_ms < IDLE_MS:
             return []
-        return self._give_back(lease)
+        return self._return_lease(lease)
 
     def receive(self, sender: int, note: LeaseNote, now_ms: float) -> Messages:
         """Handle a note from another gateway."""
         match note.kind:
             case LeaseKind.REQUEST:
-                return [(sender, self._decide(sender, note, now_ms))]
+                return [(sender, self._answer_request(sender, note, now_ms))]
             case LeaseKind.RETURN:
-                self._take_back(sender, note)
+                self._accept_return(sender, note)
             case LeaseKind.GRANT:
-                return self._granted(sender, note, now_ms)
+                return self._accept_grant(sender, note, now_ms)
             case LeaseKind.DENIAL:
-                if self._answers(sender, note):
+                if self._answers_pending(sender, note):
                     self.denied += 1
-                    self._wait(note.wait_ms, now_ms)
+                    self._back_off(note.wait_ms, now_ms)
         return []
 
     # As an owner
 
-    def _free(self, now_ms: float) -> bool:
+    def _can_grant(self, now_ms: float) -> bool:
         if now_ms < self.grants_from_ms:
             return False
         return self.granted_lease is None or now_ms >= self.granted_lease.expires_ms
 
-    def _decide(self, sender: int, note: LeaseNote, now_ms: float) -> LeaseNote:
+    def _answer_request(self, sender: int, note: LeaseNote, now_ms: float) -> LeaseNote:
         name = (sender, note.incarnation, note.sequence)
-        if self.owns and self._free(now_ms):
+        if self.owns_permit and self._can_grant(now_ms):
             self.granted_lease = GrantedLease(*name, now_ms + self.term_ms)
             return LeaseNote(LeaseKind.GRANT, note.incarnation, note.sequence)
         granted_lease = self.granted_lease
@@ -204,10 +204,10 @@
             return LeaseNote(LeaseKind.GRANT, note.incarnation, note.sequence)  # a duplicate request
         busy = min(BUSY_MS, granted_lease.expires_ms - now_ms) if granted_lease else 0.0
         starting = self.grants_from_ms - now_ms
-        wait = max(RETRY_MS, busy, starting if self.owns else 0.0)
+        wait = max(RETRY_MS, busy, starting if self.owns_permit else 0.0)
         return LeaseNote(LeaseKind.DENIAL, note.incarnation, note.sequence, wait)
 
-    def _take_back(self, sender: int, note: LeaseNote) -> None:
+    def _accept_return(self, sender: int, note: LeaseNote) -> None:
         granted_lease = self.granted_lease
         returned = (sender, note.incarnation, note.sequence)
         if (
@@ -218,18 +218,18 @@
 
     # As a holder
 
-    def _hold(self, owner: int, asked_ms: float) -> HeldLease:
+    def _new_lease(self, owner: int, asked_ms: float) -> HeldLease:
         self.granted += 1
         return HeldLease(owner, self.sequence, asked_ms + self.term_ms - MARGIN_MS, asked_ms)
 
-    def _answers(self, sender: int, note: LeaseNote) -> bool:
+    def _answers_pending(self, sender: int, note: LeaseNote) -> bool:
         asked = self.pending_request
         named = (sender, note.incarnation, note.sequence)
         return asked is not None and named == (asked.owner, self.incarnation, asked.sequence)
 
-    def _granted(self, sender: int, note: LeaseNote, now_ms: float) -> Messages:
-        if self._answers(sender, note) and self.pending_request:
-            self.held_lease = self._hold(sender, self.pending_request.sent_ms)
+    def _accept_grant(self, sender: int, note: LeaseNote, now_ms: float) -> Messages:
+        if self._answers_pending(sender, note) and self.pending_request:
+            self.held_lease = self._new_lease(sender, self.pending_request.sent_ms)
             self.held_lease.last_used_ms = now_ms
             self.pending_request = None
             return []
@@ -239,14 +239,14 @@
             return []  # of an earlier process, whose fills may still run; or a duplicate
         return [(sender, LeaseNote(LeaseKind.RETURN, note.incarnation, note.sequence))]  # it came too late
 
-    def _give_back(self, lease: HeldLease) -> Messages:
+    def _return_lease(self, lease: HeldLease) -> Messages:
         self.held_lease = None
         if lease.owner == self.number:
             self.granted_lease = None
             return []
         return [(lease.owner, LeaseNote(LeaseKind.RETURN, self.incarnation, lease.sequence))]
 
-    def _wait(self, wait_ms: float, now_ms: float) -> None:
+    def _back_off(self, wait_ms: float, now_ms: float) -> None:
         """Send no request for a random time, so that gateways denied together do not retry together."""
         self.pending_request = None
         bounded = min(max(wait_ms, 0.0), self.term_ms)
