--- a/hitchtiller/routing/leases.py
+++ b/hitchtiller/routing/leases.py
@@ -83,8 +83,10 @@
         """Create the state of one gateway; `capacity` is the bound on fills of all gateways together."""
         self.number, self.capacity, self.can_send_notes = settings.my_number, capacity, settings.peers
         self.fixed_fills = capacity // max(1, settings.group_size)  # fills allowed without a lease
-        longest = max((c.deadline_ms for c in settings.classes.values() if not c.write), default=0.0)
-        self.term_ms = DEADLINES * longest + MARGIN_MS
+        longest_deadline_ms = max(
+            (c.deadline_ms for c in settings.classes.values() if not c.write), default=0.0
+        )
+        self.term_ms = DEADLINES * longest_deadline_ms + MARGIN_MS
         self.rng = Random(f"leases {self.number}")
         self.incarnation, self.sequence = 0, 0
         self.grants_from_ms = 0.0  # an owner grants nothing during its first term
@@ -191,41 +193,41 @@
         return self.granted_lease is None or now_ms >= self.granted_lease.expires_ms
 
     def _answer_request(self, sender: int, note: LeaseNote, now_ms: float) -> LeaseNote:
-        name = (sender, note.incarnation, note.sequence)
+        request_id = (sender, note.incarnation, note.sequence)
         if self.owns_permit and self._can_grant(now_ms):
-            self.granted_lease = GrantedLease(*name, now_ms + self.term_ms)
+            self.granted_lease = GrantedLease(*request_id, now_ms + self.term_ms)
             return LeaseNote(LeaseKind.GRANT, note.incarnation, note.sequence)
         granted_lease = self.granted_lease
         if (
             granted_lease
-            and (granted_lease.holder, granted_lease.incarnation, granted_lease.sequence) == name
+            and (granted_lease.holder, granted_lease.incarnation, granted_lease.sequence) == request_id
             and now_ms < granted_lease.expires_ms
         ):
             return LeaseNote(LeaseKind.GRANT, note.incarnation, note.sequence)  # a duplicate request
-        busy = min(BUSY_MS, granted_lease.expires_ms - now_ms) if granted_lease else 0.0
-        starting = self.grants_from_ms - now_ms
-        wait = max(RETRY_MS, busy, starting if self.owns_permit else 0.0)
-        return LeaseNote(LeaseKind.DENIAL, note.incarnation, note.sequence, wait)
+        busy_wait_ms = min(BUSY_MS, granted_lease.expires_ms - now_ms) if granted_lease else 0.0
+        start_wait_ms = self.grants_from_ms - now_ms
+        wait_ms = max(RETRY_MS, busy_wait_ms, start_wait_ms if self.owns_permit else 0.0)
+        return LeaseNote(LeaseKind.DENIAL, note.incarnation, note.sequence, wait_ms)
 
     def _accept_return(self, sender: int, note: LeaseNote) -> None:
         granted_lease = self.granted_lease
-        returned = (sender, note.incarnation, note.sequence)
+        request_id = (sender, note.incarnation, note.sequence)
         if (
             granted_lease
-            and (granted_lease.holder, granted_lease.incarnation, granted_lease.sequence) == returned
+            and (granted_lease.holder, granted_lease.incarnation, granted_lease.sequence) == request_id
         ):
             self.granted_lease = None
 
     # As a holder
 
-    def _new_lease(self, owner: int, asked_ms: float) -> HeldLease:
+    def _new_lease(self, owner: int, requested_ms: float) -> HeldLease:
         self.granted += 1
-        return HeldLease(owner, self.sequence, asked_ms + self.term_ms - MARGIN_MS, asked_ms)
+        return HeldLease(owner, self.sequence, requested_ms + self.term_ms - MARGIN_MS, requested_ms)
 
     def _answers_pending(self, sender: int, note: LeaseNote) -> bool:
-        asked = self.pending_request
-        named = (sender, note.incarnation, note.sequence)
-        return asked is not None and named == (asked.owner, self.incarnation, asked.sequence)
+        pending = self.pending_request
+        request_id = (sender, note.incarnation, note.sequence)
+        return pending is not None and request_id == (pending.owner, self.incarnation, pending.sequence)
 
     def _accept_grant(self, sender: int, note: LeaseNote, now_ms: float) -> Messages:
         if self._answers_pending(sender, note) and self.pending_request:
@@ -249,5 +251,5 @@
     def _back_off(self, wait_ms: float, now_ms: float) -> None:
         """Send no request for a random time, so that gateways denied together do not retry together."""
         self.pending_request = None
-        bounded = min(max(wait_ms, 0.0), self.term_ms)
-        self.next_request_ms = now_ms + bounded * (0.5 + self.rng.random())
+        bounded_wait_ms = min(max(wait_ms, 0.0), self.term_ms)
+        self.next_request_ms = now_ms + bounded_wait_ms * (0.5 + self.rng.random())
