--- a/hitchtiller/routing/leases.py
+++ b/hitchtiller/routing/leases.py
@@ -37,11 +37,11 @@
 
 from hitchtiller.interface import LeaseKind, LeaseNote, Settings
 
-MARGIN_MS = 100.0  # from the holder's end of a lease to the owner's: their clocks may run at different rates
+CLOCK_MARGIN_MS = 100.0  # from the holder's end of a lease to the owner's, as their clocks may drift apart
 RETRY_MS = 200.0  # until an owner that does not answer is given up, randomized by half
 IDLE_MS = 400.0  # without a fill, after which a lease is returned
-BUSY_MS = 2_000.0  # longest wait stated while a permit is granted: it may be returned early
-DEADLINES = 2.0  # of the longest request in a term, so that fills may begin during half of a term
+MAX_BUSY_WAIT_MS = 2_000.0  # longest wait stated while a permit is granted: it may be returned early
+TERM_DEADLINES = 2.0  # of the longest request in a term, so that fills may begin during half of a term
 
 
 Messages = list[tuple[int, LeaseNote]]  # each with the number of the gateway to send it to
@@ -86,7 +86,7 @@
         longest_deadline_ms = max(
             (c.deadline_ms for c in settings.classes.values() if not c.write), default=0.0
         )
-        self.term_ms = DEADLINES * longest_deadline_ms + MARGIN_MS
+        self.term_ms = TERM_DEADLINES * longest_deadline_ms + CLOCK_MARGIN_MS
         self.rng = Random(f"leases {self.number}")
         self.incarnation, self.sequence = 0, 0
         self.grants_from_ms = 0.0  # an owner grants nothing during its first term
@@ -204,7 +204,7 @@
             and now_ms < granted_lease.expires_ms
         ):
             return LeaseNote(LeaseKind.GRANT, note.incarnation, note.sequence)  # a duplicate request
-        busy_wait_ms = min(BUSY_MS, granted_lease.expires_ms - now_ms) if granted_lease else 0.0
+        busy_wait_ms = min(MAX_BUSY_WAIT_MS, granted_lease.expires_ms - now_ms) if granted_lease else 0.0
         start_wait_ms = self.grants_from_ms - now_ms
         wait_ms = max(RETRY_MS, busy_wait_ms, start_wait_ms if self.owns_permit else 0.0)
         return LeaseNote(LeaseKind.DENIAL, note.incarnation, note.sequence, wait_ms)
@@ -222,7 +222,7 @@
 
     def _new_lease(self, owner: int, requested_ms: float) -> HeldLease:
         self.granted += 1
-        return HeldLease(owner, self.sequence, requested_ms + self.term_ms - MARGIN_MS, requested_ms)
+        return HeldLease(owner, self.sequence, requested_ms + self.term_ms - CLOCK_MARGIN_MS, requested_ms)
 
     def _answers_pending(self, sender: int, note: LeaseNote) -> bool:
         pending = self.pending_request
--- a/tests/routing/test_routing_leases.py
+++ b/tests/routing/test_routing_leases.py
@@ -10,7 +10,7 @@
 from hitchtiller.codec.notes import pack, unpack
 from hitchtiller.decide import ORIGIN_FILLS
 from hitchtiller.interface import LeaseKind, LeaseNote
-from hitchtiller.routing.leases import IDLE_MS, MARGIN_MS, RETRY_MS, OriginLeases
+from hitchtiller.routing.leases import CLOCK_MARGIN_MS, IDLE_MS, RETRY_MS, OriginLeases
 
 START_MS, MANY = 1_000_000.0, 200
 
@@ -61,7 +61,7 @@
     holder = leases(100)
     assert not holder.may_begin(START_MS + 5_000.0, START_MS)
     granted(holder)
-    end = START_MS + holder.term_ms - MARGIN_MS
+    end = START_MS + holder.term_ms - CLOCK_MARGIN_MS
     assert holder.may_begin(end, START_MS + 1.0)
     assert not holder.may_begin(end + 1.0, START_MS + 1.0)
     holder.begin(START_MS + 1.0)
@@ -89,7 +89,7 @@
     ((_, answer),) = owner.receive(100, note, START_MS + 90.0)
     holder.receive(number, answer, START_MS + 180.0)
     assert holder.held_lease and owner.granted_lease
-    assert holder.held_lease.expires_ms <= owner.granted_lease.expires_ms - MARGIN_MS
+    assert holder.held_lease.expires_ms <= owner.granted_lease.expires_ms - CLOCK_MARGIN_MS
 
 
 def test_an_owner_that_has_just_started_lends_nothing_for_a_term_also_to_itself() -> None:
