--- a/hitchtiller/routing/leases.py
+++ b/hitchtiller/routing/leases.py
@@ -154,7 +154,7 @@
         if not self.can_send_notes:
             return []
         owner = self.rng.randrange(self.capacity)
-        if owner == self.number:  # its own permit is granted
+        if owner == self.number:  # its own permit is granted already
             owner = (owner + 1) % self.capacity
         self.pending_request = LeaseRequest(owner, self.sequence, now_ms)
         return [(owner, LeaseNote(LeaseKind.REQUEST, self.incarnation, self.sequence))]
@@ -197,25 +197,22 @@
         if self.owns_permit and self._can_grant(now_ms):
             self.granted_lease = GrantedLease(*request_id, now_ms + self.term_ms)
             return LeaseNote(LeaseKind.GRANT, note.incarnation, note.sequence)
-        granted_lease = self.granted_lease
+        lease = self.granted_lease
         if (
-            granted_lease
-            and (granted_lease.holder, granted_lease.incarnation, granted_lease.sequence) == request_id
-            and now_ms < granted_lease.expires_ms
+            lease
+            and (lease.holder, lease.incarnation, lease.sequence) == request_id
+            and now_ms < lease.expires_ms
         ):
             return LeaseNote(LeaseKind.GRANT, note.incarnation, note.sequence)  # a duplicate request
-        busy_wait_ms = min(MAX_BUSY_WAIT_MS, granted_lease.expires_ms - now_ms) if granted_lease else 0.0
+        busy_wait_ms = min(MAX_BUSY_WAIT_MS, lease.expires_ms - now_ms) if lease else 0.0
         start_wait_ms = self.grants_from_ms - now_ms
         wait_ms = max(RETRY_MS, busy_wait_ms, start_wait_ms if self.owns_permit else 0.0)
         return LeaseNote(LeaseKind.DENIAL, note.incarnation, note.sequence, wait_ms)
 
     def _accept_return(self, sender: int, note: LeaseNote) -> None:
-        granted_lease = self.granted_lease
+        lease = self.granted_lease
         request_id = (sender, note.incarnation, note.sequence)
-        if (
-            granted_lease
-            and (granted_lease.holder, granted_lease.incarnation, granted_lease.sequence) == request_id
-        ):
+        if lease and (lease.holder, lease.incarnation, lease.sequence) == request_id:
             self.granted_lease = None
 
     # As a holder
@@ -236,8 +233,8 @@
             self.pending_request = None
             return []
         lease = self.held_lease
-        current = lease is not None and (lease.owner, lease.sequence) == (sender, note.sequence)
-        if note.incarnation != self.incarnation or current:
+        is_current = lease is not None and (lease.owner, lease.sequence) == (sender, note.sequence)
+        if note.incarnation != self.incarnation or is_current:
             return []  # of an earlier process, whose fills may still run; or a duplicate
         return [(sender, LeaseNote(LeaseKind.RETURN, note.incarnation, note.sequence))]  # it came too late
 
