--- a/hitchtiller/routing/cold.py
+++ b/hitchtiller/routing/cold.py
@@ -1,20 +1,20 @@
-"""How much one gateway may send to a server that started lately, so that all together don't push it over.
-
-A cold server falls when all gateways send it more, in the time that the settings name, than N calls of mean
-work: its fall multiple times what it can do then. No gateway counts the others' calls, so each keeps to a
-part that adds up: SAFETY of N, the one call included that each may have in advance of its rate. Where the
-gateways are more than half of that, so that not each can have a call and its like again, only some use the
-server, picked by hash:
-
-- Numbers that run over just those gateways (parents, and a deployment of one zone) are dealt one to one:
-  exactly as many use it as there is room for.
-- Which of the fleet's numbers stand in one zone is told nowhere, and a zone's gateways may be numbered in any
-  way. Each then draws by a hash of its own number. How many do is left to chance, so fewer are expected: so
-  many that three deviations more stay within N + 2 root(N) + 2 calls, which is what the acceptance puts down
-  to chance.
-
-Bounds. Nothing is kept but the settings' figures. A process that has started anew has one call in advance
-again; that all users start anew within one window adds a half of what they may send, and stays under N.
+"""Limits what one gateway sends to a recently started server, so that all gateways do not overload it.
+
+A cold server becomes overloaded and fails when all gateways together send it more than N calls of mean work
+within the time that the settings state, where N is the fall multiple times what the server can do then. No
+gateway can count the calls of the others, so each keeps to its own part. The parts add up to SAFETY_FACTOR
+of N, including the one call that each gateway may send in advance of its rate. If the gateways outnumber half
+of that, so that there are not two calls for each of them, only some use the server, selected by hash:
+
+- If the gateways that may use the server are the whole fleet (for parents, and in a deployment of one zone),
+  a permutation of their numbers selects exactly as many as there is room for.
+- Otherwise, no setting states which of the fleet's numbers are in one zone, and a zone's gateways may have
+  any numbers. Each gateway then decides by a hash of its own number. The number of users is random, so a
+  lower number is expected: three standard deviations above it still fit within N + 2 sqrt(N) + 2 calls,
+  the excess that the acceptance test attributes to chance.
+
+Bounds. The only state is what the settings give. A restarted process has one call in advance again; if all
+users restart within one window, this adds half of what they may send, and the total stays under N.
 """
 
 import math
@@ -22,29 +22,32 @@
 from hitchtiller.interface import Settings
 from hitchtiller.records import Node, combine_hashes, hash64
 
-SAFETY = 0.55  # of N, for weights that are rough, links that are slow, and processes that start anew
-LOAD = 0.8  # of what it can do: beyond that it falls behind, and what it holds is late
-TURN = 7919  # a prime: deals numbers out one to one
-DEVIATIONS = 3.0  # of a chance number of users, that still fit
+SAFETY = 0.55  # of N, for rough weights, slow links and restarted processes
+LOAD = 0.8  # of what a server can do: above it the server falls behind and its answers are late
+TURN = 7919  # a prime, by which multiplication modulo the fleet's size permutes gateway numbers
+DEVIATIONS = 3.0  # by which the random number of users may exceed the expected one and still fit
 WHOLE = float(1 << 64)
 
 
 class ColdGuard:
-    """The part of one gateway, for caches of its zone and for parents."""
+    """Limits the work that one gateway sends to cold caches of its zone and to cold parents."""
 
     def __init__(self, settings: Settings) -> None:
-        """Start from the settings alone; where zones' gateways are not told, all count as of this one."""
+        """Read the limits from the settings; if gateways by zone are not stated, all count as in this zone."""
         s = settings
         told = s.gateways_in_zone[s.zones.index(s.my_zone)] if s.gateways_in_zone else s.group_size
         self.parent_kind, self.origin_kind = s.parent_kind, s.origin_kind
         self.fall_ms, self.group, self.mine, self.in_zone = s.fall_ms, s.group_size, s.my_number, max(1, told)
-        self.figures = {  # share at the start, time of the climb, fall multiple, gateways that may use it
+        self.figures = {  # share at the start, ramp, fall multiple, gateways that may use it
             False: (s.cold_share, s.cold_ms, s.fall_multiple, self.in_zone),
             True: (s.parent_cold_share, s.parent_cold_ms, s.parent_fall_multiple, s.group_size),
         }
 
     def rate_of(self, node: Node, now_ms: float, mean_ms: float, present: float) -> float:
-        """Give `rate` for a listed server by its start, or by a refusal: its process was gone."""
+        """Return `rate` for a listed server, since its start or since it refused a connection.
+
+        A refused connection shows that the server's process was gone.
+        """
         start = max(node.m.started_ms, node.refused_ms)
         if node.m.kind == self.origin_kind or not start:
             return math.inf
@@ -52,7 +55,7 @@
         return self.rate(parent, now_ms - start, node.safe_capacity, node.salt, mean_ms, present)
 
     def admits(self, node: Node, now_ms: float, mean_ms: float, present: float) -> bool:
-        """Tell whether what was sent to a cold server is paid off, so that it may get one more call."""
+        """Return whether a cold server may get one more call: the work sent to it before is paid off."""
         if not node.m.started_ms and not node.refused_ms:
             return True
         rate, passed = self.rate_of(node, now_ms, mean_ms, present), now_ms - node.debt_at_ms
@@ -63,10 +66,10 @@
     def rate(
         self, parent: bool, age_ms: float, safe_capacity: float, salt: int, mean_ms: float, present: float
     ) -> float:
-        """Give the work a ms that this gateway may add to what it has sent; infinite once the server is warm.
+        """Return the work per ms that this gateway may send beyond the first call; infinite for a warm server.
 
         `safe_capacity` is the server's link in transfers, `mean_ms` the work of a call of the costliest
-        class, `present` the share of the gateways in service.
+        class, `serving_share` the share of the gateways in service.
         """
         share, ramp, multiple, pool = self.figures[parent]
         if age_ms >= ramp:
@@ -89,7 +92,7 @@
 
 
 def expected(budget: float) -> float:
-    """Give how many users to expect by chance, where each may have two calls of a budget of so many."""
+    """Return how many randomly selected users to expect, for a budget in calls of which each may have two."""
     most = (budget + 2.0 * math.sqrt(budget) + 2.0) / 2.0
     root = (math.sqrt(DEVIATIONS**2 + 4.0 * most) - DEVIATIONS) / 2.0
     return root * root
