--- a/hitchtiller/routing/cold.py
+++ b/hitchtiller/routing/cold.py
@@ -22,11 +22,11 @@
 from hitchtiller.interface import Settings
 from hitchtiller.records import Node, combine_hashes, hash64
 
-SAFETY = 0.55  # of N, for rough weights, slow links and restarted processes
-LOAD = 0.8  # of what a server can do: above it the server falls behind and its answers are late
-TURN = 7919  # a prime, by which multiplication modulo the fleet's size permutes gateway numbers
-DEVIATIONS = 3.0  # by which the random number of users may exceed the expected one and still fit
-WHOLE = float(1 << 64)
+SAFETY_FACTOR = 0.55  # of N, for rough weights, slow links and restarted processes
+MAX_LOAD_SHARE = 0.8  # of what a server can do: above it the server falls behind and its answers are late
+NUMBER_MULTIPLIER = 7919  # a prime, by which multiplication modulo the fleet's size permutes gateway numbers
+STANDARD_DEVIATIONS = 3.0  # by which the random number of users may exceed the expected one and still fit
+HASH_RANGE = float(1 << 64)
 
 
 class ColdGuard:
@@ -76,23 +76,23 @@
             return math.inf
         able = safe_capacity * (share + (1.0 - share) * max(0.0, age_ms) / ramp)
         budget = multiple * able * self.fall_ms / mean_ms  # N
-        users = max(1.0, math.floor(SAFETY * budget / 2.0))
+        users = max(1.0, math.floor(SAFETY_FACTOR * budget / 2.0))
         if pool <= users:
             users, wanted = pool, max(1.0, pool * present)
         elif pool == self.group:
-            if (self.mine * TURN + salt) % pool >= users:
+            if (self.mine * NUMBER_MULTIPLIER + salt) % pool >= users:
                 return 0.0
             wanted = users
         else:
-            if combine_hashes(hash64(self.mine), salt) / WHOLE >= min(users, expected(budget)) / pool:
+            if combine_hashes(hash64(self.mine), salt) / HASH_RANGE >= min(users, expected(budget)) / pool:
                 return 0.0
             wanted = users
-        part = SAFETY * multiple * able / users
-        return min(LOAD * able / wanted, max(part - mean_ms / self.fall_ms, part / 2.0))
+        part = SAFETY_FACTOR * multiple * able / users
+        return min(MAX_LOAD_SHARE * able / wanted, max(part - mean_ms / self.fall_ms, part / 2.0))
 
 
 def expected(budget: float) -> float:
     """Return how many randomly selected users to expect, for a budget in calls of which each may have two."""
     most = (budget + 2.0 * math.sqrt(budget) + 2.0) / 2.0
-    root = (math.sqrt(DEVIATIONS**2 + 4.0 * most) - DEVIATIONS) / 2.0
+    root = (math.sqrt(STANDARD_DEVIATIONS**2 + 4.0 * most) - STANDARD_DEVIATIONS) / 2.0
     return root * root
