--- a/hitchtiller/routing/cold.py
+++ b/hitchtiller/routing/cold.py
@@ -84,15 +84,18 @@
                 return 0.0
             wanted = users
         else:
-            if combine_hashes(hash64(self.mine), salt) / HASH_RANGE >= min(users, expected(budget)) / pool:
+            if (
+                combine_hashes(hash64(self.mine), salt) / HASH_RANGE
+                >= min(users, expected_users(budget)) / pool
+            ):
                 return 0.0
             wanted = users
         part = SAFETY_FACTOR * multiple * able / users
         return min(MAX_LOAD_SHARE * able / wanted, max(part - mean_ms / self.fall_ms, part / 2.0))
 
 
-def expected(budget: float) -> float:
+def expected_users(budget: float) -> float:
     """Return how many randomly selected users to expect, for a budget in calls of which each may have two."""
-    most = (budget + 2.0 * math.sqrt(budget) + 2.0) / 2.0
-    root = (math.sqrt(STANDARD_DEVIATIONS**2 + 4.0 * most) - STANDARD_DEVIATIONS) / 2.0
+    max_users = (budget + 2.0 * math.sqrt(budget) + 2.0) / 2.0
+    root = (math.sqrt(STANDARD_DEVIATIONS**2 + 4.0 * max_users) - STANDARD_DEVIATIONS) / 2.0
     return root * root
