--- a/hitchtiller/routing/cold.py
+++ b/hitchtiller/routing/cold.py
@@ -37,8 +37,13 @@
         s = settings
         told = s.gateways_in_zone[s.zones.index(s.my_zone)] if s.gateways_in_zone else s.group_size
         self.parent_kind, self.origin_kind = s.parent_kind, s.origin_kind
-        self.fall_ms, self.group, self.mine, self.in_zone = s.fall_ms, s.group_size, s.my_number, max(1, told)
-        self.figures = {  # share at the start, ramp, fall multiple, gateways that may use it
+        self.fall_ms, self.fleet_size, self.own_number, self.in_zone = (
+            s.fall_ms,
+            s.group_size,
+            s.my_number,
+            max(1, told),
+        )
+        self.limits = {  # share at the start, ramp, fall multiple, gateways that may use it
             False: (s.cold_share, s.cold_ms, s.fall_multiple, self.in_zone),
             True: (s.parent_cold_share, s.parent_cold_ms, s.parent_fall_multiple, s.group_size),
         }
@@ -71,7 +76,7 @@
         `safe_capacity` is the server's link in transfers, `mean_ms` the work of a call of the costliest
         class, `serving_share` the share of the gateways in service.
         """
-        share, ramp, multiple, pool = self.figures[parent]
+        share, ramp, multiple, pool = self.limits[parent]
         if age_ms >= ramp:
             return math.inf
         able = safe_capacity * (share + (1.0 - share) * max(0.0, age_ms) / ramp)
@@ -79,13 +84,13 @@
         users = max(1.0, math.floor(SAFETY_FACTOR * budget / 2.0))
         if pool <= users:
             users, wanted = pool, max(1.0, pool * present)
-        elif pool == self.group:
-            if (self.mine * NUMBER_MULTIPLIER + salt) % pool >= users:
+        elif pool == self.fleet_size:
+            if (self.own_number * NUMBER_MULTIPLIER + salt) % pool >= users:
                 return 0.0
             wanted = users
         else:
             if (
-                combine_hashes(hash64(self.mine), salt) / HASH_RANGE
+                combine_hashes(hash64(self.own_number), salt) / HASH_RANGE
                 >= min(users, expected_users(budget)) / pool
             ):
                 return 0.0
