--- a/hitchtiller/routing/capacity.py
+++ b/hitchtiller/routing/capacity.py
@@ -1,43 +1,46 @@
-"""What a server's link can carry at once, where the list's weights do not say it.
-
-Rooms, crowds, cold budgets and districts' limits are counted in transfers at full pace. Where weights tell
-them (`rough`, `nominal`, `live`) they are taken as told. Where `weights` is `none` each server says 1, a
-fifth or less of what it can do, and a gateway that believes it refuses half of a calm day. What is told
-everywhere is the pace of one transfer and each zone's link in, and a link in is built for what the zone's
-caches miss together. Fewer caches keep less, so in zones of under FEW caches the link in hardly shrinks with
-their number: one cache's link is then SHARE of it; beyond FEW it shrinks as 1 / number.
-A parent's link is built for the zones that one parent serves.
-
-Bounds. A cache's estimate stays in LEAST to MOST transfers. `safe_capacity` is the end that guards use, so
-that cold servers are pushed to no more than their multiple also where the middle is too high;
-docs/deployments.md has the error over drawn days of two deployments. Each gateway derives it from the
-settings and the list alone: all 200 get the same, also one that has just started and knows nothing else.
+"""How many transfers each server's link can carry at once: stated by the list's weights, or estimated.
+
+Link capacities, load, cold-start budgets and the limits of zones are counted in transfers at full pace.
+Where the list's weights state a server's transfers (`weights` is `rough`, `nominal` or `live`), they are used
+as stated. Where `weights` is `none`, each server is listed with weight 1, a fifth or less of what it can do;
+a gateway that relied on this weight would refuse half of the requests on a day of normal load. Estimates use
+what every deployment states: the pace of one transfer and the bandwidth of each zone's inbound link. An
+inbound link is sized for what the zone's caches miss together. Fewer caches hold fewer objects, so in zones
+of fewer than SMALL_ZONE_CACHES caches the inbound link hardly shrinks with their number, and one cache's link
+is estimated as CACHE_LINK_SHARE of it. In larger zones the estimate shrinks as 1 / number of caches.
+A parent's link is sized for the zones that one parent serves.
+
+Bounds. A cache's estimate stays within MIN_TRANSFERS to MAX_TRANSFERS. The guards use the lower end of each
+estimate (SAFE_SHARE of it), so that cold servers get no more than their fall multiple even where the estimate
+is too high; docs/deployments.md has the error over drawn days of two deployments. Each gateway derives the
+estimates from the settings and the list alone: all 200 gateways get the same ones, including a gateway that
+has just started and knows nothing else.
 """
 
 from collections.abc import Iterable
 
 from hitchtiller.interface import Member, Settings
 
-SHARE, FEW = 0.5, 8.0  # a cache's link over the link in of its zone, up to so many caches there
-PARENT = 3.0  # a parent's link over a zone's link in
-USUAL = 6.0  # transfers of a cache, where not even links are told
+SHARE, FEW = 0.5, 8.0  # a cache's link over its zone's inbound link, in zones of up to so many caches
+PARENT = 3.0  # a parent's link over a zone's inbound link
+USUAL = 6.0  # of a cache in a zone whose inbound link is not stated
 LEAST, MOST, SURE = 2.0, 24.0, 0.65
 
 
 class Capacity:
-    """Transfers at full pace that each listed server carries, told or derived."""
+    """The transfers at full pace that each listed server can carry, stated or estimated."""
 
     def __init__(self, settings: Settings) -> None:
-        """Start from what the settings tell."""
+        """Read the links, and what the weights mean, from the settings."""
         flow = settings.flow_kb_per_s
         links = zip(settings.zones, settings.link_kb_per_s, strict=False)
         self.feeds = {zone: link / flow for zone, link in links if flow and link > 0.0}
         self.told, self.live = settings.weights != "none", settings.weights == "live"
-        self.most: dict[str, float] = {}  # live weights shrink with load: the largest is the size
+        self.most: dict[str, float] = {}  # live weights shrink under load: the largest is the size
         self.kinds = (settings.parent_kind, settings.origin_kind)
 
     def estimate(self, members: Iterable[Member]) -> dict[str, tuple[float, float]]:
-        """Give each server's transfers at once: the middle of what is likely, and the end that is safe."""
+        """Return the transfers that each server can carry at once: the likely number and the safe one."""
         members = list(members)
         if self.live:
             self.most = {m.server: max(m.weight, self.most.get(m.server, 0.0)) for m in members}
