--- a/hitchtiller/routing/capacity.py
+++ b/hitchtiller/routing/capacity.py
@@ -21,10 +21,13 @@
 
 from hitchtiller.interface import Member, Settings
 
-SHARE, FEW = 0.5, 8.0  # a cache's link over its zone's inbound link, in zones of up to so many caches
-PARENT = 3.0  # a parent's link over a zone's inbound link
-USUAL = 6.0  # of a cache in a zone whose inbound link is not stated
-LEAST, MOST, SURE = 2.0, 24.0, 0.65
+CACHE_LINK_SHARE, SMALL_ZONE_CACHES = (
+    0.5,
+    8.0,
+)  # a cache's link over its zone's inbound link, in zones of up to so many caches
+PARENT_LINK_RATIO = 3.0  # a parent's link over a zone's inbound link
+DEFAULT_TRANSFERS = 6.0  # of a cache in a zone whose inbound link is not stated
+MIN_TRANSFERS, MAX_TRANSFERS, SAFE_SHARE = 2.0, 24.0, 0.65
 
 
 class Capacity:
@@ -50,12 +53,18 @@
         caches: dict[str, int] = {}
         for m in members:
             caches[m.zone] = caches.get(m.zone, 0) + (m.kind not in self.kinds and m.state == "SERVING")
-        return {m.server: (link := self._link(m, caches[m.zone]), SURE * link) for m in members}
+        return {m.server: (link := self._link(m, caches[m.zone]), SAFE_SHARE * link) for m in members}
 
     def _link(self, member: Member, caches: int) -> float:
         if member.kind in self.kinds:
-            mean = sum(self.feeds.values()) / len(self.feeds) if self.feeds else 2.0 * USUAL
-            return max(LEAST, PARENT * mean)
+            mean = sum(self.feeds.values()) / len(self.feeds) if self.feeds else 2.0 * DEFAULT_TRANSFERS
+            return max(MIN_TRANSFERS, PARENT_LINK_RATIO * mean)
         if member.zone not in self.feeds:
-            return USUAL
-        return min(MOST, max(LEAST, SHARE * self.feeds[member.zone] / max(1.0, caches / FEW)))
+            return DEFAULT_TRANSFERS
+        return min(
+            MAX_TRANSFERS,
+            max(
+                MIN_TRANSFERS,
+                CACHE_LINK_SHARE * self.feeds[member.zone] / max(1.0, caches / SMALL_ZONE_CACHES),
+            ),
+        )
--- a/tests/routing/test_routing_capacity.py
+++ b/tests/routing/test_routing_capacity.py
@@ -7,7 +7,7 @@
 from conftest import BASE, FLEET, Bench
 
 from hitchtiller import interface as api
-from hitchtiller.routing.capacity import LEAST, MOST, SURE, USUAL, Capacity
+from hitchtiller.routing.capacity import DEFAULT_TRANSFERS, MAX_TRANSFERS, MIN_TRANSFERS, SAFE_SHARE, Capacity
 
 # transfers of a zone's caches, the share missed by the pooled caches, the room of the link in
 ZONES = [
@@ -34,7 +34,7 @@
     settings, members = zone(caches, link)
     middle, sure = Capacity(settings).estimate(members)["c0"]
     assert 0.6 * each < middle < 1.5 * each
-    assert sure == SURE * middle < each
+    assert sure == SAFE_SHARE * middle < each
 
 
 def test_told_weights_are_taken_as_told() -> None:
@@ -55,9 +55,9 @@
 def test_it_is_bounded_whatever_is_told(link: float) -> None:
     settings, members = zone(4, link)
     found = Capacity(settings).estimate(members)
-    assert LEAST <= found["c0"][0] <= MOST and found["p"][0] >= LEAST
+    assert MIN_TRANSFERS <= found["c0"][0] <= MAX_TRANSFERS and found["p"][0] >= MIN_TRANSFERS
     if not link:
-        assert found["c0"][0] == USUAL
+        assert found["c0"][0] == DEFAULT_TRANSFERS
 
 
 def test_caches_that_drain_leave_their_part_to_the_others() -> None:
