--- a/hitchtiller/routing/capacity.py
+++ b/hitchtiller/routing/capacity.py
@@ -37,34 +37,38 @@
         """Read the links, and what the weights mean, from the settings."""
         flow = settings.flow_kb_per_s
         links = zip(settings.zones, settings.link_kb_per_s, strict=False)
-        self.feeds = {zone: link / flow for zone, link in links if flow and link > 0.0}
-        self.told, self.live = settings.weights != "none", settings.weights == "live"
-        self.most: dict[str, float] = {}  # live weights shrink under load: the largest is the size
-        self.kinds = (settings.parent_kind, settings.origin_kind)
+        self.zone_transfers = {zone: link / flow for zone, link in links if flow and link > 0.0}
+        self.has_weights, self.has_live_weights = settings.weights != "none", settings.weights == "live"
+        self.max_weights: dict[str, float] = {}  # live weights shrink under load: the largest is the size
+        self.upper_kinds = (settings.parent_kind, settings.origin_kind)
 
     def estimate(self, members: Iterable[Member]) -> dict[str, tuple[float, float]]:
         """Return the transfers that each server can carry at once: the likely number and the safe one."""
         members = list(members)
-        if self.live:
-            self.most = {m.server: max(m.weight, self.most.get(m.server, 0.0)) for m in members}
-            return {name: (weight, weight) for name, weight in self.most.items()}
-        if self.told:
+        if self.has_live_weights:
+            self.max_weights = {m.server: max(m.weight, self.max_weights.get(m.server, 0.0)) for m in members}
+            return {name: (weight, weight) for name, weight in self.max_weights.items()}
+        if self.has_weights:
             return {m.server: (m.weight, m.weight) for m in members}
         caches: dict[str, int] = {}
         for m in members:
-            caches[m.zone] = caches.get(m.zone, 0) + (m.kind not in self.kinds and m.state == "SERVING")
+            caches[m.zone] = caches.get(m.zone, 0) + (m.kind not in self.upper_kinds and m.state == "SERVING")
         return {m.server: (link := self._link(m, caches[m.zone]), SAFE_SHARE * link) for m in members}
 
     def _link(self, member: Member, caches: int) -> float:
-        if member.kind in self.kinds:
-            mean = sum(self.feeds.values()) / len(self.feeds) if self.feeds else 2.0 * DEFAULT_TRANSFERS
+        if member.kind in self.upper_kinds:
+            mean = (
+                sum(self.zone_transfers.values()) / len(self.zone_transfers)
+                if self.zone_transfers
+                else 2.0 * DEFAULT_TRANSFERS
+            )
             return max(MIN_TRANSFERS, PARENT_LINK_RATIO * mean)
-        if member.zone not in self.feeds:
+        if member.zone not in self.zone_transfers:
             return DEFAULT_TRANSFERS
         return min(
             MAX_TRANSFERS,
             max(
                 MIN_TRANSFERS,
-                CACHE_LINK_SHARE * self.feeds[member.zone] / max(1.0, caches / SMALL_ZONE_CACHES),
+                CACHE_LINK_SHARE * self.zone_transfers[member.zone] / max(1.0, caches / SMALL_ZONE_CACHES),
             ),
         )
