--- a/hitchtiller/routing/cold.py
+++ b/hitchtiller/routing/cold.py
@@ -33,15 +33,15 @@
     """Limits the work that one gateway sends to cold caches of its zone and to cold parents."""
 
     def __init__(self, settings: Settings) -> None:
-        """Read the limits from the settings; if gateways by zone are not stated, all count as in this zone."""
+        """Read the limits; unless the settings state the gateways by zone, all count as in this zone."""
         s = settings
-        told = s.gateways_in_zone[s.zones.index(s.my_zone)] if s.gateways_in_zone else s.group_size
+        zone_gateways = s.gateways_in_zone[s.zones.index(s.my_zone)] if s.gateways_in_zone else s.group_size
         self.parent_kind, self.origin_kind = s.parent_kind, s.origin_kind
         self.fall_ms, self.fleet_size, self.own_number, self.in_zone = (
             s.fall_ms,
             s.group_size,
             s.my_number,
-            max(1, told),
+            max(1, zone_gateways),
         )
         self.limits = {  # share at the start, ramp, fall multiple, gateways that may use it
             False: (s.cold_share, s.cold_ms, s.fall_multiple, self.in_zone),
@@ -53,50 +53,52 @@
 
         A refused connection shows that the server's process was gone.
         """
-        start = max(node.m.started_ms, node.refused_ms)
-        if node.m.kind == self.origin_kind or not start:
+        cold_since_ms = max(node.m.started_ms, node.refused_ms)
+        if node.m.kind == self.origin_kind or not cold_since_ms:
             return math.inf
-        parent = node.m.kind == self.parent_kind
-        return self.rate(parent, now_ms - start, node.safe_capacity, node.salt, mean_ms, present)
+        is_parent = node.m.kind == self.parent_kind
+        return self.rate(is_parent, now_ms - cold_since_ms, node.safe_capacity, node.salt, mean_ms, present)
 
     def admits(self, node: Node, now_ms: float, mean_ms: float, present: float) -> bool:
         """Return whether a cold server may get one more call: the work sent to it before is paid off."""
         if not node.m.started_ms and not node.refused_ms:
             return True
-        rate, passed = self.rate_of(node, now_ms, mean_ms, present), now_ms - node.debt_at_ms
+        rate, elapsed_ms = self.rate_of(node, now_ms, mean_ms, present), now_ms - node.debt_at_ms
         node.debt_at_ms = now_ms
-        node.debt_ms = 0.0 if rate == math.inf else max(0.0, node.debt_ms - rate * passed)
+        node.debt_ms = 0.0 if rate == math.inf else max(0.0, node.debt_ms - rate * elapsed_ms)
         return rate > 0.0 and node.debt_ms <= 0.0
 
     def rate(
-        self, parent: bool, age_ms: float, safe_capacity: float, salt: int, mean_ms: float, present: float
+        self, is_parent: bool, age_ms: float, safe_capacity: float, salt: int, mean_ms: float, present: float
     ) -> float:
-        """Return the work per ms that this gateway may send beyond the first call; infinite for a warm server.
+        """Return the work per ms that this gateway may send after the first call; infinite for a warm server.
 
         `safe_capacity` is the server's link in transfers, `mean_ms` the work of a call of the costliest
         class, `serving_share` the share of the gateways in service.
         """
-        share, ramp, multiple, pool = self.limits[parent]
-        if age_ms >= ramp:
+        start_share, ramp_ms, multiple, gateways = self.limits[is_parent]
+        if age_ms >= ramp_ms:
             return math.inf
-        able = safe_capacity * (share + (1.0 - share) * max(0.0, age_ms) / ramp)
-        budget = multiple * able * self.fall_ms / mean_ms  # N
+        capacity = safe_capacity * (start_share + (1.0 - start_share) * max(0.0, age_ms) / ramp_ms)
+        budget = multiple * capacity * self.fall_ms / mean_ms  # N
         users = max(1.0, math.floor(SAFETY_FACTOR * budget / 2.0))
-        if pool <= users:
-            users, wanted = pool, max(1.0, pool * present)
-        elif pool == self.fleet_size:
-            if (self.own_number * NUMBER_MULTIPLIER + salt) % pool >= users:
+        if gateways <= users:
+            users, senders = gateways, max(1.0, gateways * present)
+        elif gateways == self.fleet_size:
+            if (self.own_number * NUMBER_MULTIPLIER + salt) % gateways >= users:
                 return 0.0
-            wanted = users
+            senders = users
         else:
             if (
                 combine_hashes(hash64(self.own_number), salt) / HASH_RANGE
-                >= min(users, expected_users(budget)) / pool
+                >= min(users, expected_users(budget)) / gateways
             ):
                 return 0.0
-            wanted = users
-        part = SAFETY_FACTOR * multiple * able / users
-        return min(MAX_LOAD_SHARE * able / wanted, max(part - mean_ms / self.fall_ms, part / 2.0))
+            senders = users
+        own_rate = SAFETY_FACTOR * multiple * capacity / users
+        return min(
+            MAX_LOAD_SHARE * capacity / senders, max(own_rate - mean_ms / self.fall_ms, own_rate / 2.0)
+        )
 
 
 def expected_users(budget: float) -> float:
