--- a/hitchtiller/routing/capacity.py
+++ b/hitchtiller/routing/capacity.py
@@ -21,13 +21,11 @@
 
 from hitchtiller.interface import Member, Settings
 
-CACHE_LINK_SHARE, SMALL_ZONE_CACHES = (
-    0.5,
-    8.0,
-)  # a cache's link over its zone's inbound link, in zones of up to so many caches
+# a cache's link over its zone's inbound link, and the number of caches up to which this applies
+CACHE_LINK_SHARE, SMALL_ZONE_CACHES = 0.5, 8.0
 PARENT_LINK_RATIO = 3.0  # a parent's link over a zone's inbound link
 DEFAULT_TRANSFERS = 6.0  # of a cache in a zone whose inbound link is not stated
-MIN_TRANSFERS, MAX_TRANSFERS, SAFE_SHARE = 2.0, 24.0, 0.65
+MIN_TRANSFERS, MAX_TRANSFERS, SAFE_SHARE = 2.0, 24.0, 0.65  # bounds, and the safe share, of estimates
 
 
 class Capacity:
@@ -35,9 +33,11 @@
 
     def __init__(self, settings: Settings) -> None:
         """Read the links, and what the weights mean, from the settings."""
-        flow = settings.flow_kb_per_s
+        transfer_kb_per_s = settings.flow_kb_per_s
         links = zip(settings.zones, settings.link_kb_per_s, strict=False)
-        self.zone_transfers = {zone: link / flow for zone, link in links if flow and link > 0.0}
+        self.zone_transfers = {
+            zone: link / transfer_kb_per_s for zone, link in links if transfer_kb_per_s and link > 0.0
+        }
         self.has_weights, self.has_live_weights = settings.weights != "none", settings.weights == "live"
         self.max_weights: dict[str, float] = {}  # live weights shrink under load: the largest is the size
         self.upper_kinds = (settings.parent_kind, settings.origin_kind)
@@ -53,16 +53,18 @@
         caches: dict[str, int] = {}
         for m in members:
             caches[m.zone] = caches.get(m.zone, 0) + (m.kind not in self.upper_kinds and m.state == "SERVING")
-        return {m.server: (link := self._link(m, caches[m.zone]), SAFE_SHARE * link) for m in members}
+        return {
+            m.server: (link := self._estimate_link(m, caches[m.zone]), SAFE_SHARE * link) for m in members
+        }
 
-    def _link(self, member: Member, caches: int) -> float:
+    def _estimate_link(self, member: Member, caches: int) -> float:
         if member.kind in self.upper_kinds:
-            mean = (
+            mean_transfers = (
                 sum(self.zone_transfers.values()) / len(self.zone_transfers)
                 if self.zone_transfers
                 else 2.0 * DEFAULT_TRANSFERS
             )
-            return max(MIN_TRANSFERS, PARENT_LINK_RATIO * mean)
+            return max(MIN_TRANSFERS, PARENT_LINK_RATIO * mean_transfers)
         if member.zone not in self.zone_transfers:
             return DEFAULT_TRANSFERS
         return min(
