--- a/hitchtiller/routing/effects.py
+++ b/hitchtiller/routing/effects.py
@@ -1,13 +1,13 @@
-"""Which keyed effects may have run, by class and key: a repeat goes only inside the window and its scope.
+"""Which keyed effects may have run, by class and key: a repeat is sent only within its window and scope.
 
-A client's retry is a request of its own, with its own id; only its key tells that it is the same effect.
-The servers drop a repeat for the stated time from the first attempt that may have run. So the window counts
-from that one, whichever request it was made for, and holds at the first byte of each further one. Proof that
-an attempt never ran takes it off again; with none left, the key is new.
+A client's retry is a request of its own, with its own id; only its key shows that it is the same effect.
+The servers discard a repeat for the stated time after the first attempt that may have run. The repeat window
+therefore counts from that attempt, whichever request it was made for, and is checked at the first byte of
+each further attempt. Proof that an attempt never ran removes that attempt; with none left, the key is new.
 
-Bounds. MAX_KEYS keys, the oldest go first; a key is forgotten once its window has passed and all tries that
-its client can make within TRIES deadlines have ended. One process knows only its own attempts: one that has
-just started knows none.
+Bounds. MAX_KEYS keys, of which the oldest are removed first. A key is forgotten once its window has passed
+and all retries that its client can make within RETRY_DEADLINES deadlines have ended. A process knows only its
+own attempts: one that has just started knows none.
 """
 
 from collections.abc import Mapping
@@ -17,53 +17,53 @@
 from hitchtiller.interface import ClassSettings, Member
 
 MAX_KEYS = 4096
-TRIES = 4.0  # deadlines for which a client may come again with its key
-MARGIN_MS = 100.0  # kept from the window's end: clocks, and the way to the server
+TRIES = 4.0  # deadlines during which a client may retry with its key
+MARGIN_MS = 100.0  # subtracted from the window for clock differences and the transit time to the server
 
 
 @dataclass(slots=True)
 class Doubt:
     """Attempts under one key that may have run."""
 
-    since_ms: float  # when the first of them began
+    since_ms: float  # when the first of them was sent
     zone: str
     cell: int
     attempts: int = 0
 
 
 class Placed(Protocol):
-    """Where an attempt went."""
+    """Location of the server that an attempt was sent to."""
 
     @property
     def zone(self) -> str:
-        """Give the server's zone."""
+        """Return the server's zone."""
 
     @property
     def cell(self) -> int:
-        """Give the server's cell."""
+        """Return the server's cell."""
 
 
 def same_scope(cls: ClassSettings, first: Placed, other: Placed) -> bool:
-    """Tell whether a key that one server knows is known to another as well."""
+    """Return whether a key that one server knows is known to another as well."""
     same = {"zone": first.zone == other.zone, "cell": first.cell == other.cell}
     return same.get(cls.key_scope, True)
 
 
 def repeats_anywhere(cls: ClassSettings) -> bool:
-    """Tell whether a request of a class may be tried again at any server without harm, inside its window."""
+    """Return whether a request of a class may be retried safely at any server within its repeat window."""
     return cls.effect == "repeatable" or (cls.effect == "by_key" and cls.key_scope == "all")
 
 
 class Effects:
-    """What one process has sent of keyed classes, and has no proof that it did not run."""
+    """The requests of keyed classes that one process has sent and that are not proven not to have run."""
 
     def __init__(self, classes: Mapping[str, ClassSettings]) -> None:
-        """Start with nothing sent."""
+        """Create a record in which no keyed request has been sent."""
         self.classes = {name: cls for name, cls in classes.items() if cls.effect == "by_key"}
         self.doubts: dict[tuple[str, str], Doubt] = {}
 
     def may_begin(self, class_name: str, key: str, member: Member, now_ms: float) -> bool:
-        """Tell whether an attempt may go to a server now."""
+        """Return whether an attempt may be sent to a server now."""
         doubt = self.doubts.get((class_name, key))
         if doubt is None:
             return True
@@ -72,7 +72,7 @@
         )
 
     def begin(self, class_name: str, key: str, member: Member, now_ms: float) -> None:
-        """Hear that an attempt's first byte goes out."""
+        """Record that an attempt's first byte is being sent."""
         if class_name not in self.classes or not key:
             return
         doubt = self.doubts.get((class_name, key))
@@ -82,27 +82,27 @@
         doubt.attempts += 1
 
     def never_ran(self, class_name: str, key: str) -> None:
-        """Hear that one of the attempts that began is proven not to have run."""
+        """Record proof that one of the attempts that were sent did not run."""
         if doubt := self.doubts.get((class_name, key)):
             doubt.attempts -= 1
             if not doubt.attempts:
                 del self.doubts[class_name, key]
 
     def window_passed(self, class_name: str, key: str, now_ms: float) -> bool:
-        """Tell whether the window of what may have run has passed: nothing may be sent any more."""
+        """Return whether the window of what may have run has passed, so that nothing more may be sent."""
         doubt = self.doubts.get((class_name, key))
         return doubt is not None and (
             now_ms >= doubt.since_ms + self.classes[class_name].repeat_window_ms - MARGIN_MS
         )
 
     def retry_is_safe(self, class_name: str, key: str, now_ms: float) -> bool:
-        """Tell whether a client may be told that trying again does no harm."""
+        """Return whether a client may be told that it can retry safely."""
         if (class_name, key) not in self.doubts:
             return True
         return self.classes[class_name].key_scope == "all" and not self.window_passed(class_name, key, now_ms)
 
     def _forget(self, now_ms: float) -> None:
-        """Make room: keys come in the order of their windows."""
+        """Remove expired keys, and the oldest if the table is full; keys are ordered by their windows."""
         while self.doubts:
             name, doubt = next(iter(self.doubts.items()))
             cls = self.classes[name[0]]
