--- a/hitchtiller/routing/effects.py
+++ b/hitchtiller/routing/effects.py
@@ -17,7 +17,7 @@
 from hitchtiller.interface import ClassSettings, Member
 
 MAX_KEYS = 4096
-TRIES = 4.0  # deadlines during which a client may retry with its key
+RETRY_DEADLINES = 4.0  # deadlines during which a client may retry with its key
 MARGIN_MS = 100.0  # subtracted from the window for clock differences and the transit time to the server
 
 
@@ -106,7 +106,7 @@
         while self.doubts:
             name, doubt = next(iter(self.doubts.items()))
             cls = self.classes[name[0]]
-            until = doubt.since_ms + cls.repeat_window_ms + TRIES * cls.deadline_ms
+            until = doubt.since_ms + cls.repeat_window_ms + RETRY_DEADLINES * cls.deadline_ms
             if len(self.doubts) < MAX_KEYS and now_ms < until:
                 return
             del self.doubts[name]
