--- a/hitchtiller/routing/effects.py
+++ b/hitchtiller/routing/effects.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(slots=True)
-class Doubt:
+class UnconfirmedEffect:
     """Attempts under one key that may have run."""
 
     since_ms: float  # when the first of them was sent
@@ -31,7 +31,7 @@
     attempts: int = 0
 
 
-class Placed(Protocol):
+class Location(Protocol):
     """Location of the server that an attempt was sent to."""
 
     @property
@@ -43,7 +43,7 @@
         """Return the server's cell."""
 
 
-def same_scope(cls: ClassSettings, first: Placed, other: Placed) -> bool:
+def same_scope(cls: ClassSettings, first: Location, other: Location) -> bool:
     """Return whether a key that one server knows is known to another as well."""
     same = {"zone": first.zone == other.zone, "cell": first.cell == other.cell}
     return same.get(cls.key_scope, True)
@@ -60,14 +60,14 @@
     def __init__(self, classes: Mapping[str, ClassSettings]) -> None:
         """Create a record in which no keyed request has been sent."""
         self.classes = {name: cls for name, cls in classes.items() if cls.effect == "by_key"}
-        self.doubts: dict[tuple[str, str], Doubt] = {}
+        self.doubts: dict[tuple[str, str], UnconfirmedEffect] = {}
 
     def may_begin(self, class_name: str, key: str, member: Member, now_ms: float) -> bool:
         """Return whether an attempt may be sent to a server now."""
-        doubt = self.doubts.get((class_name, key))
-        if doubt is None:
+        unconfirmed = self.doubts.get((class_name, key))
+        if unconfirmed is None:
             return True
-        return same_scope(self.classes[class_name], doubt, member) and not self.window_passed(
+        return same_scope(self.classes[class_name], unconfirmed, member) and not self.window_passed(
             class_name, key, now_ms
         )
 
@@ -75,24 +75,24 @@
         """Record that an attempt's first byte is being sent."""
         if class_name not in self.classes or not key:
             return
-        doubt = self.doubts.get((class_name, key))
-        if doubt is None:
+        unconfirmed = self.doubts.get((class_name, key))
+        if unconfirmed is None:
             self._forget(now_ms)
-            doubt = self.doubts[class_name, key] = Doubt(now_ms, member.zone, member.cell)
-        doubt.attempts += 1
+            unconfirmed = self.doubts[class_name, key] = UnconfirmedEffect(now_ms, member.zone, member.cell)
+        unconfirmed.attempts += 1
 
     def never_ran(self, class_name: str, key: str) -> None:
         """Record proof that one of the attempts that were sent did not run."""
-        if doubt := self.doubts.get((class_name, key)):
-            doubt.attempts -= 1
-            if not doubt.attempts:
+        if unconfirmed := self.doubts.get((class_name, key)):
+            unconfirmed.attempts -= 1
+            if not unconfirmed.attempts:
                 del self.doubts[class_name, key]
 
     def window_passed(self, class_name: str, key: str, now_ms: float) -> bool:
         """Return whether the window of what may have run has passed, so that nothing more may be sent."""
-        doubt = self.doubts.get((class_name, key))
-        return doubt is not None and (
-            now_ms >= doubt.since_ms + self.classes[class_name].repeat_window_ms - MARGIN_MS
+        unconfirmed = self.doubts.get((class_name, key))
+        return unconfirmed is not None and (
+            now_ms >= unconfirmed.since_ms + self.classes[class_name].repeat_window_ms - MARGIN_MS
         )
 
     def retry_is_safe(self, class_name: str, key: str, now_ms: float) -> bool:
@@ -104,9 +104,9 @@
     def _forget(self, now_ms: float) -> None:
         """Remove expired keys, and the oldest if the table is full; keys are ordered by their windows."""
         while self.doubts:
-            name, doubt = next(iter(self.doubts.items()))
+            name, unconfirmed = next(iter(self.doubts.items()))
             cls = self.classes[name[0]]
-            until = doubt.since_ms + cls.repeat_window_ms + RETRY_DEADLINES * cls.deadline_ms
+            until = unconfirmed.since_ms + cls.repeat_window_ms + RETRY_DEADLINES * cls.deadline_ms
             if len(self.doubts) < MAX_KEYS and now_ms < until:
                 return
             del self.doubts[name]
