--- a/hitchtiller/routing/fills.py
+++ b/hitchtiller/routing/fills.py
@@ -22,7 +22,7 @@
 
 MAX_SHARE = 1.5  # of the mean: no limit. At 3.0 the first reductions held almost no fills back
 MIN_SHARE = 0.2  # of the mean; small fills show the end of congestion. At 0.02 that took 26 s
-SHRINK, GROW = 0.8, 1.05  # for each fill that missed its aim, and for each prompt one
+SHRINK_FACTOR, GROWTH_FACTOR = 0.8, 1.05  # for each fill that missed its aim, and for each prompt one
 
 
 class FillLimit:
@@ -45,8 +45,8 @@
 
     def shrink(self) -> None:
         """Reduce the limit after a fill that missed its aim or was refused."""
-        self.share = max(MIN_SHARE, self.share * SHRINK)
+        self.share = max(MIN_SHARE, self.share * SHRINK_FACTOR)
 
     def grow(self) -> None:
         """Raise the limit after a fill that was served within its aim."""
-        self.share = min(MAX_SHARE, self.share * GROW)
+        self.share = min(MAX_SHARE, self.share * GROWTH_FACTOR)
