--- a/hitchtiller/routing/directory.py
+++ b/hitchtiller/routing/directory.py
@@ -49,14 +49,14 @@
         entry = self.entries.get(item)
         return entry.group if entry else 0
 
-    def holders(self, item: Item, since_ms: float, now_ms: float) -> Iterator[tuple[str, float]]:
+    def holders(self, item: Item, purged_ms: float, now_ms: float) -> Iterator[tuple[str, float]]:
         """Yield the listed caches with the times of their reports, the least recently returned first.
 
         Caches whose report has expired, or is older than the object's last purge at `purged_ms`, are removed.
         """
         entry = self.entries.get(item)
         for server, listed_ms in list(entry.holders.items()) if entry else ():
-            if listed_ms <= max(since_ms, now_ms - ENTRY_MS):
+            if listed_ms <= max(purged_ms, now_ms - ENTRY_MS):
                 self.drop(item, server)
             else:
                 yield server, listed_ms
