--- a/hitchtiller/routing/blame.py
+++ b/hitchtiller/routing/blame.py
@@ -1,8 +1,8 @@
-"""What failed attempts say against a server, and how long one that has too much against it is left out.
+"""Failure scores of servers, and how long a server is ejected once its score is too high.
 
-Blame is a number from 0 to 1 for each server. Each failure takes a share of what is missing to 1, each answer
-leaves SUCCESS_FACTOR of it. From EJECT_AT on the server is left out for a time that doubles with each
-repetition, and comes back on trial, with one attempt at a time.
+Each server has a failure score from 0 to 1. Each failure adds a share of what is missing to 1, and each
+answer multiplies the score by SUCCESS_FACTOR. A server whose score reaches EJECT_AT is ejected, for a time
+that doubles with each consecutive ejection. It then returns on trial and gets one attempt at a time.
 """
 
 BLAME = {
@@ -10,16 +10,16 @@
     "econnreset": 0.25,
     "econnrefused": 0.4,
     "busy": 0.2,
-    "silence": 0.3,  # an overdue attempt to a server that has answered nothing since
-    "slow": 0.15,  # an overdue attempt to one that answers others
-    "doubt": 0.1,  # an error that may be the request's own fault
+    "silence": 0.3,  # an overdue attempt at a server that has answered nothing since the send
+    "slow": 0.15,  # an overdue attempt at a server that answers others
+    "doubt": 0.1,  # an error answer, which the request itself may have caused
 }
 SUCCESS_FACTOR = 0.8
-ASSUMED_FILL_SHARE = 0.3  # share of fills among answers that do not tell whether they were one
+ASSUMED_FILL_SHARE = 0.3  # of answers that do not state whether they were fills
 EJECT_AT = 0.55
-EJECT_MS, EJECT_MOST_MS = 1_500.0, 12_000.0  # first and longest time
+EJECT_MS, EJECT_MOST_MS = 1_500.0, 12_000.0
 
 
 def ejection_ms(times: int) -> float:
-    """Give how long a server is left out for the n-th time in a row, n from 1."""
+    """Return how long a server is ejected for the n-th consecutive time, n from 1."""
     return min(EJECT_MOST_MS, EJECT_MS * 2.0 ** (times - 1))
