--- a/hitchtiller/routing/blame.py
+++ b/hitchtiller/routing/blame.py
@@ -17,9 +17,9 @@
 SUCCESS_FACTOR = 0.8
 ASSUMED_FILL_SHARE = 0.3  # of answers that do not state whether they were fills
 EJECT_AT = 0.55
-EJECT_MS, EJECT_MOST_MS = 1_500.0, 12_000.0
+MIN_EJECTION_MS, MAX_EJECTION_MS = 1_500.0, 12_000.0
 
 
-def ejection_ms(times: int) -> float:
+def ejection_ms(ejections: int) -> float:
     """Return how long a server is ejected for the n-th consecutive time, n from 1."""
-    return min(EJECT_MOST_MS, EJECT_MS * 2.0 ** (times - 1))
+    return min(MAX_EJECTION_MS, MIN_EJECTION_MS * 2.0 ** (ejections - 1))
