--- a/hitchtiller/routing/effects.py
+++ b/hitchtiller/routing/effects.py
@@ -25,7 +25,7 @@
 class UnconfirmedEffect:
     """Attempts under one key that may have run."""
 
-    since_ms: float  # when the first of them was sent
+    first_sent_ms: float
     zone: str
     cell: int
     attempts: int = 0
@@ -45,8 +45,8 @@
 
 def same_scope(cls: ClassSettings, first: Location, other: Location) -> bool:
     """Return whether a key that one server knows is known to another as well."""
-    same = {"zone": first.zone == other.zone, "cell": first.cell == other.cell}
-    return same.get(cls.key_scope, True)
+    matches_scope = {"zone": first.zone == other.zone, "cell": first.cell == other.cell}
+    return matches_scope.get(cls.key_scope, True)
 
 
 def repeats_anywhere(cls: ClassSettings) -> bool:
@@ -92,7 +92,7 @@
         """Return whether the window of what may have run has passed, so that nothing more may be sent."""
         unconfirmed = self.doubts.get((class_name, key))
         return unconfirmed is not None and (
-            now_ms >= unconfirmed.since_ms + self.classes[class_name].repeat_window_ms - MARGIN_MS
+            now_ms >= unconfirmed.first_sent_ms + self.classes[class_name].repeat_window_ms - MARGIN_MS
         )
 
     def retry_is_safe(self, class_name: str, key: str, now_ms: float) -> bool:
@@ -104,9 +104,9 @@
     def _forget(self, now_ms: float) -> None:
         """Remove expired keys, and the oldest if the table is full; keys are ordered by their windows."""
         while self.doubts:
-            name, unconfirmed = next(iter(self.doubts.items()))
-            cls = self.classes[name[0]]
-            until = unconfirmed.since_ms + cls.repeat_window_ms + RETRY_DEADLINES * cls.deadline_ms
-            if len(self.doubts) < MAX_KEYS and now_ms < until:
+            oldest, unconfirmed = next(iter(self.doubts.items()))
+            cls = self.classes[oldest[0]]
+            expires_ms = unconfirmed.first_sent_ms + cls.repeat_window_ms + RETRY_DEADLINES * cls.deadline_ms
+            if len(self.doubts) < MAX_KEYS and now_ms < expires_ms:
                 return
-            del self.doubts[name]
+            del self.doubts[oldest]
