--- a/hitchtiller/routing/blame.py
+++ b/hitchtiller/routing/blame.py
@@ -21,5 +21,5 @@
 
 
 def ejection_ms(ejections: int) -> float:
-    """Return how long a server is ejected for the n-th consecutive time, n from 1."""
+    """Return how long a server is ejected; `ejections` counts consecutive ones, including this one."""
     return min(MAX_EJECTION_MS, MIN_EJECTION_MS * 2.0 ** (ejections - 1))
