--- a/hitchtiller/routing/pace.py
+++ b/hitchtiller/routing/pace.py
@@ -14,8 +14,9 @@
 
 import math
 
-WEIGHT, FORGET_MS = 0.25, 8_000.0
-MOST, WORTH = 32.0, 1.5  # sizes are known within 10 to 20 percent: a lower stretch does not indicate load
+SAMPLE_WEIGHT, DECAY_MS = 0.25, 8_000.0
+# sizes are known within 10 to 20 percent: a stretch below the significant one does not indicate load
+MAX_STRETCH, SIGNIFICANT_STRETCH = 32.0, 1.5
 
 
 class Pace:
@@ -29,15 +30,15 @@
 
     def now(self, now_ms: float) -> float:
         """Return the stretch to expect."""
-        return 1.0 + self.over * math.exp((self.at_ms - now_ms) / FORGET_MS) if self.over else 1.0
+        return 1.0 + self.over * math.exp((self.at_ms - now_ms) / DECAY_MS) if self.over else 1.0
 
     def crowd(self, now_ms: float) -> float:
         """Return the stretch if it is significant, else 0, as there may be no load at all."""
         stretch = self.now(now_ms)
-        return stretch if stretch > WORTH else 0.0
+        return stretch if stretch > SIGNIFICANT_STRETCH else 0.0
 
     def record(self, now_ms: float, stretch: float) -> None:
         """Record an answer's stretch: its time over its sending time at full pace."""
         old = self.now(now_ms) - 1.0
-        self.over = old + WEIGHT * (min(MOST, max(1.0, stretch)) - 1.0 - old)
+        self.over = old + SAMPLE_WEIGHT * (min(MAX_STRETCH, max(1.0, stretch)) - 1.0 - old)
         self.at_ms = now_ms
--- a/tests/routing/test_routing_pace.py
+++ b/tests/routing/test_routing_pace.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from hitchtiller import interface as api
-from hitchtiller.routing.pace import FORGET_MS, MOST, Pace
+from hitchtiller.routing.pace import DECAY_MS, MAX_STRETCH, Pace
 from hitchtiller.routing.sizes import Sizes
 
 
@@ -17,7 +17,7 @@
     for n in range(12):
         pace.record(float(n), 9.0)
     assert 8.0 < pace.now(12.0) <= 9.0
-    assert pace.now(12.0 + 5 * FORGET_MS) < 1.1
+    assert pace.now(12.0 + 5 * DECAY_MS) < 1.1
 
 
 @given(st.lists(st.tuples(st.floats(0.0, 1e7), st.floats(-9.0, 1e6)), max_size=50))
@@ -26,7 +26,7 @@
     for after, stretch in heard:
         now += after
         pace.record(now, stretch)
-    assert 1.0 <= pace.now(now) <= MOST
+    assert 1.0 <= pace.now(now) <= MAX_STRETCH
 
 
 def hits(bench: Bench, server: str, took: float, note: int = 1) -> None:
@@ -58,7 +58,7 @@
     hits(bench, "c0", 1500.0)
     assert before > 5
     assert served_by(bench, "c0") == 0
-    bench.now += 5 * FORGET_MS
+    bench.now += 5 * DECAY_MS
     assert served_by(bench, "c0") > 5
 
 
