--- a/hitchtiller/routing/pace.py
+++ b/hitchtiller/routing/pace.py
@@ -22,15 +22,15 @@
 class Pace:
     """The stretch of one server's answers; 1 at full pace."""
 
-    __slots__ = ("at_ms", "over")
+    __slots__ = ("updated_ms", "excess")
 
     def __init__(self) -> None:
         """Create a record of a server at full pace."""
-        self.over, self.at_ms = 0.0, 0.0  # the stretch above 1, as last recorded
+        self.excess, self.updated_ms = 0.0, 0.0  # the stretch above 1, as last recorded
 
     def now(self, now_ms: float) -> float:
         """Return the stretch to expect."""
-        return 1.0 + self.over * math.exp((self.at_ms - now_ms) / DECAY_MS) if self.over else 1.0
+        return 1.0 + self.excess * math.exp((self.updated_ms - now_ms) / DECAY_MS) if self.excess else 1.0
 
     def crowd(self, now_ms: float) -> float:
         """Return the stretch if it is significant, else 0, as there may be no load at all."""
@@ -39,6 +39,6 @@
 
     def record(self, now_ms: float, stretch: float) -> None:
         """Record an answer's stretch: its time over its sending time at full pace."""
-        old = self.now(now_ms) - 1.0
-        self.over = old + SAMPLE_WEIGHT * (min(MAX_STRETCH, max(1.0, stretch)) - 1.0 - old)
-        self.at_ms = now_ms
+        old_excess = self.now(now_ms) - 1.0
+        self.excess = old_excess + SAMPLE_WEIGHT * (min(MAX_STRETCH, max(1.0, stretch)) - 1.0 - old_excess)
+        self.updated_ms = now_ms
