--- a/hitchtiller/routing/popularity.py
+++ b/hitchtiller/routing/popularity.py
@@ -12,9 +12,12 @@
 
 MAX_OBJECTS = 4096  # more cost memory; fewer lose rarely requested objects
 DECAY_MS = 10_000.0  # of the counts: longer is steadier, shorter spreads objects sooner
-KEEP_AT = (1.3, 4.0)  # for rank two and three, so that objects requested once displace no others
-WIDEN_AT = (0.05, 0.15)  # of a cache's link, for two and three caches: low balances, high saves copies
-WIDEN_HEAT = 3.0  # requests, up to which a share is not meaningful
+# counts from which a copy is kept at rank two and three, so that objects requested once displace no others
+KEEP_RANK_COUNTS = (1.3, 4.0)
+# shares of a cache's link above which two and three caches serve an object: lower ones balance the load
+# better, higher ones need fewer copies
+SPREAD_SHARES = (0.05, 0.15)
+MIN_SPREAD_COUNT = 3.0  # up to this count a share is not meaningful
 Item = tuple[int, int]  # object key and part number
 
 
@@ -35,9 +38,9 @@
 
 def keep_rank(heat: float) -> int:
     """Return the rank, from 1 to 3, at which a cache should keep an object with this count of requests."""
-    return 1 + sum(heat >= bound for bound in KEEP_AT)
+    return 1 + sum(heat >= bound for bound in KEEP_RANK_COUNTS)
 
 
 def caches_for(heat: float, share: float) -> int:
     """Return how many caches, from 1 to 3, should serve an object that needs this share of one's link."""
-    return 1 + sum(heat > WIDEN_HEAT and share > bound for bound in WIDEN_AT)
+    return 1 + sum(heat > MIN_SPREAD_COUNT and share > bound for bound in SPREAD_SHARES)
