--- a/hitchtiller/routing/popularity.py
+++ b/hitchtiller/routing/popularity.py
@@ -30,17 +30,17 @@
 
     def count(self, item: Item, now_ms: float) -> float:
         """Count a request for an object and return the object's count, in requests within DECAY_MS."""
-        old, at_ms = self.counts.get(item, (0.0, now_ms))
-        heat = old * math.exp((at_ms - now_ms) / DECAY_MS) + 1.0
-        lru_put(self.counts, item, (heat, now_ms), MAX_OBJECTS)
-        return heat
+        old_count, updated_ms = self.counts.get(item, (0.0, now_ms))
+        request_count = old_count * math.exp((updated_ms - now_ms) / DECAY_MS) + 1.0
+        lru_put(self.counts, item, (request_count, now_ms), MAX_OBJECTS)
+        return request_count
 
 
-def keep_rank(heat: float) -> int:
+def keep_rank(request_count: float) -> int:
     """Return the rank, from 1 to 3, at which a cache should keep an object with this count of requests."""
-    return 1 + sum(heat >= bound for bound in KEEP_RANK_COUNTS)
+    return 1 + sum(request_count >= bound for bound in KEEP_RANK_COUNTS)
 
 
-def caches_for(heat: float, share: float) -> int:
+def caches_for(request_count: float, share: float) -> int:
     """Return how many caches, from 1 to 3, should serve an object that needs this share of one's link."""
-    return 1 + sum(heat > MIN_SPREAD_COUNT and share > bound for bound in SPREAD_SHARES)
+    return 1 + sum(request_count > MIN_SPREAD_COUNT and share > bound for bound in SPREAD_SHARES)
