--- a/hitchtiller/routing/pace.py
+++ b/hitchtiller/routing/pace.py
@@ -33,7 +33,7 @@
         return 1.0 + self.excess * math.exp((self.updated_ms - now_ms) / DECAY_MS) if self.excess else 1.0
 
     def crowd(self, now_ms: float) -> float:
-        """Return the stretch if it is significant, else 0, as there may be no load at all."""
+        """Return the stretch if it is significant, else 0: at full pace there may be no load."""
         stretch = self.now(now_ms)
         return stretch if stretch > SIGNIFICANT_STRETCH else 0.0
 
