--- a/hitchtiller/routing/purges.py
+++ b/hitchtiller/routing/purges.py
@@ -11,7 +11,7 @@
 import heapq
 import math
 
-PurgeName = tuple[str, int]  # "key" or "group", and its number
+PurgeKey = tuple[str, int]  # "key" or "group", and its number
 
 
 class PurgeLog:
@@ -19,27 +19,27 @@
 
     def __init__(self) -> None:
         """Create a log without any purge."""
-        self.purged_ms: dict[PurgeName, float] = {}
-        self.by_age: list[tuple[float, PurgeName]] = []
+        self.purged_ms: dict[PurgeKey, float] = {}
+        self.by_age: list[tuple[float, PurgeKey]] = []
 
     def record(self, key: int | None, group: int, purged_ms: float) -> None:
         """Record a purge of an object, or without a key of a whole group; an older one changes nothing."""
-        name = ("group", group) if key is None else ("key", key)
-        if purged_ms > self.purged_ms.get(name, -math.inf):
-            self.purged_ms[name] = purged_ms
-            heapq.heappush(self.by_age, (purged_ms, name))
+        purge_key = ("group", group) if key is None else ("key", key)
+        if purged_ms > self.purged_ms.get(purge_key, -math.inf):
+            self.purged_ms[purge_key] = purged_ms
+            heapq.heappush(self.by_age, (purged_ms, purge_key))
 
     def latest(self, key: int, group: int) -> float:
         """Return the time of the latest purge that affects an object; minus infinity if there is none."""
-        of_object = self.purged_ms.get(("key", key), -math.inf)
-        return max(of_object, self.purged_ms.get(("group", group), -math.inf))
+        object_ms = self.purged_ms.get(("key", key), -math.inf)
+        return max(object_ms, self.purged_ms.get(("group", group), -math.inf))
 
     def forget_until(self, purged_ms: float) -> None:
         """Forget the purges made up to this time."""
         while self.by_age and self.by_age[0][0] <= purged_ms:
-            at_ms, name = heapq.heappop(self.by_age)
-            if self.purged_ms.get(name) == at_ms:
-                del self.purged_ms[name]
+            oldest_ms, purge_key = heapq.heappop(self.by_age)
+            if self.purged_ms.get(purge_key) == oldest_ms:
+                del self.purged_ms[purge_key]
 
     def __len__(self) -> int:
         """Return the number of objects and groups with a purge that is not forgotten."""
