--- a/hitchtiller/routing/__init__.py
+++ b/hitchtiller/routing/__init__.py
@@ -1,1 +1,1 @@
-"""What is decided beside the router, without I/O: limits, budgets, suspicion, recovery."""
+"""Decisions beside the router's own, without I/O: limits, budgets, suspicion of servers, recovery."""
