--- a/hitchtiller/routing/sizes.py
+++ b/hitchtiller/routing/sizes.py
@@ -18,16 +18,16 @@
 
 from hitchtiller.interface import Outcome, Request, Settings
 
-TABLE = 4096  # more cost memory; fewer forget rarely requested objects
-LEARN = 0.02  # weight of one answer in its class's mean
-DOWN, UP = 0.6, 0.1  # weight of an answer that took less, or more, than the object's time
+MAX_OBJECTS = 4096  # more cost memory; fewer forget rarely requested objects
+MEAN_WEIGHT = 0.02  # weight of one answer in its class's mean
+FASTER_WEIGHT, SLOWER_WEIGHT = 0.6, 0.1  # weight of an answer that took less, or more, than the object's time
 # notes of answers that show a sending time: not those of a joined fill, and those of a fill only where
 # the wait for its source is stated
-TIMED = {"all": (1, 2, 3), "hit": (1,), "none": (0,)}
+TIMED_NOTES = {"all": (1, 2, 3), "hit": (1,), "none": (0,)}
 # first mean of a class that runs at the origin, over its aim; at 1.0 all its requests were refused under
 # load, so that none was ever served to learn from
-EFFECT = 0.1
-LEAST_MS = 1.0
+EFFECT_AIM_SHARE = 0.1
+MIN_WORK_MS = 1.0
 
 
 class Sizes:
@@ -37,8 +37,10 @@
         """Create a table with means that are safe until learned."""
         self.flow = settings.flow_kb_per_s or math.inf
         self.most = {name: cls.deadline_ms for name, cls in settings.classes.items()}
-        self.mean = {n: cls.aim_ms * (EFFECT if cls.write else 1.0) for n, cls in settings.classes.items()}
-        self.timed = TIMED.get(settings.notes, TIMED["none"])
+        self.mean = {
+            n: cls.aim_ms * (EFFECT_AIM_SHARE if cls.write else 1.0) for n, cls in settings.classes.items()
+        }
+        self.timed = TIMED_NOTES.get(settings.notes, TIMED_NOTES["none"])
         self.seen: dict[tuple[str, int], float] = {}
 
     def estimate(self, ask: Request) -> tuple[float, bool]:
@@ -53,14 +55,14 @@
         """Learn from a served answer's time; `cacheable` if objects of its class are requested again."""
         if ask.size_kb > 0.0 or not end.whole or end.note not in self.timed:
             return
-        work = max(LEAST_MS, (end.latency_ms - end.waited_ms) / stretch)
+        work = max(MIN_WORK_MS, (end.latency_ms - end.waited_ms) / stretch)
         self._mean(ask.class_name, work)
         if kept:
             name = (ask.class_name, ask.key)
             old = self.seen.pop(name, work)
-            self.seen[name] = old + (DOWN if work < old else UP) * (work - old)
-            if len(self.seen) > TABLE:
+            self.seen[name] = old + (FASTER_WEIGHT if work < old else SLOWER_WEIGHT) * (work - old)
+            if len(self.seen) > MAX_OBJECTS:
                 del self.seen[next(iter(self.seen))]
 
     def _mean(self, name: str, work: float) -> None:
-        self.mean[name] += LEARN * (min(work, self.most[name]) - self.mean[name])
+        self.mean[name] += MEAN_WEIGHT * (min(work, self.most[name]) - self.mean[name])
--- a/tests/routing/test_routing_sizes.py
+++ b/tests/routing/test_routing_sizes.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from hitchtiller import interface as api
-from hitchtiller.routing.sizes import TABLE, Sizes
+from hitchtiller.routing.sizes import MAX_OBJECTS, Sizes
 
 ALL = replace(BASE, notes="all")
 
@@ -73,9 +73,13 @@
 
 def test_the_table_is_bounded() -> None:
     sizes = Sizes(ALL)
-    for n in range(TABLE + 9):
+    for n in range(MAX_OBJECTS + 9):
         sizes.learn(ask(n), end(10.0), True)
-    assert len(sizes.seen) == TABLE and not sizes.estimate(ask(0))[1] and sizes.estimate(ask(TABLE))[1]
+    assert (
+        len(sizes.seen) == MAX_OBJECTS
+        and not sizes.estimate(ask(0))[1]
+        and sizes.estimate(ask(MAX_OBJECTS))[1]
+    )
 
 
 def test_an_effect_is_served_in_a_crowd_that_ends_others() -> None:
