--- a/tests/routing/test_routing_sizes.py
+++ b/tests/routing/test_routing_sizes.py
@@ -24,7 +24,7 @@
     sizes = Sizes(ALL)
     assert sizes.estimate(ask(size_kb=300.0)) == (300.0, True)
     sizes.learn(ask(size_kb=300.0), end(9.0), True)
-    assert not sizes.seen
+    assert not sizes.work_by_object
 
 
 def test_the_next_part_of_a_huge_object_is_known_to_be_huge() -> None:
@@ -76,7 +76,7 @@
     for n in range(MAX_OBJECTS + 9):
         sizes.learn(ask(n), end(10.0), True)
     assert (
-        len(sizes.seen) == MAX_OBJECTS
+        len(sizes.work_by_object) == MAX_OBJECTS
         and not sizes.estimate(ask(0))[1]
         and sizes.estimate(ask(MAX_OBJECTS))[1]
     )
