--- a/hitchtiller/routing/sizes.py
+++ b/hitchtiller/routing/sizes.py
@@ -35,34 +35,39 @@
 
     def __init__(self, settings: Settings) -> None:
         """Create a table with means that are safe until learned."""
-        self.flow = settings.flow_kb_per_s or math.inf
+        self.flow_kb_per_s = settings.flow_kb_per_s or math.inf
         self.max_work_ms = {name: cls.deadline_ms for name, cls in settings.classes.items()}
         self.mean = {
-            n: cls.aim_ms * (EFFECT_AIM_SHARE if cls.write else 1.0) for n, cls in settings.classes.items()
+            name: cls.aim_ms * (EFFECT_AIM_SHARE if cls.write else 1.0)
+            for name, cls in settings.classes.items()
         }
         self.timed_notes = TIMED_NOTES.get(settings.notes, TIMED_NOTES["none"])
         self.work_by_object: dict[tuple[str, int], float] = {}
 
-    def estimate(self, ask: Request) -> tuple[float, bool]:
+    def estimate(self, request: Request) -> tuple[float, bool]:
         """Return a request's sending time, and whether it is known of its object, not only of its class."""
-        if ask.size_kb > 0.0 and (work := 1000.0 * ask.size_kb / self.flow):
-            self._update_mean(ask.class_name, work)
-            return work, True
-        work = self.work_by_object.get((ask.class_name, ask.key), 0.0)
-        return work or self.mean[ask.class_name], work > 0.0
+        if request.size_kb > 0.0 and (work_ms := 1000.0 * request.size_kb / self.flow_kb_per_s):
+            self._update_mean(request.class_name, work_ms)
+            return work_ms, True
+        work_ms = self.work_by_object.get((request.class_name, request.key), 0.0)
+        return work_ms or self.mean[request.class_name], work_ms > 0.0
 
-    def learn(self, ask: Request, end: Outcome, kept: bool, stretch: float = 1.0) -> None:
+    def learn(self, request: Request, outcome: Outcome, cacheable: bool, stretch: float = 1.0) -> None:
         """Learn from a served answer's time; `cacheable` if objects of its class are requested again."""
-        if ask.size_kb > 0.0 or not end.whole or end.note not in self.timed_notes:
+        if request.size_kb > 0.0 or not outcome.whole or outcome.note not in self.timed_notes:
             return
-        work = max(MIN_WORK_MS, (end.latency_ms - end.waited_ms) / stretch)
-        self._update_mean(ask.class_name, work)
-        if kept:
-            name = (ask.class_name, ask.key)
-            old = self.work_by_object.pop(name, work)
-            self.work_by_object[name] = old + (FASTER_WEIGHT if work < old else SLOWER_WEIGHT) * (work - old)
+        work_ms = max(MIN_WORK_MS, (outcome.latency_ms - outcome.waited_ms) / stretch)
+        self._update_mean(request.class_name, work_ms)
+        if cacheable:
+            object_key = (request.class_name, request.key)
+            old_ms = self.work_by_object.pop(object_key, work_ms)
+            self.work_by_object[object_key] = old_ms + (
+                FASTER_WEIGHT if work_ms < old_ms else SLOWER_WEIGHT
+            ) * (work_ms - old_ms)
             if len(self.work_by_object) > MAX_OBJECTS:
                 del self.work_by_object[next(iter(self.work_by_object))]
 
-    def _update_mean(self, name: str, work: float) -> None:
-        self.mean[name] += MEAN_WEIGHT * (min(work, self.max_work_ms[name]) - self.mean[name])
+    def _update_mean(self, class_name: str, work_ms: float) -> None:
+        self.mean[class_name] += MEAN_WEIGHT * (
+            min(work_ms, self.max_work_ms[class_name]) - self.mean[class_name]
+        )
