--- a/tests/routing/test_routing_leases.py
+++ b/tests/routing/test_routing_leases.py
@@ -1,4 +1,4 @@
-"""Leases on the origin, one note at a time: each order of events that could lend one permit twice."""
+"""Leases on the origin, one note at a time: each order of events that could grant one permit twice."""
 
 from dataclasses import replace
 from random import Random
@@ -16,7 +16,7 @@
 
 
 def leases(number: int, start_ms: float = START_MS, settled: bool = True) -> OriginLeases:
-    """Make one gateway's part in a fleet of MANY; a settled one has waited its first term out."""
+    """Create one gateway's leases in a fleet of FLEET_SIZE; a settled gateway is past its first term."""
     made = OriginLeases(replace(BASE, my_number=number, group_size=MANY), ORIGIN_FILLS)
     made.start(start_ms)
     if settled:
@@ -25,13 +25,13 @@
 
 
 def request_of(holder: OriginLeases, now_ms: float) -> tuple[int, LeaseNote]:
-    """Have a gateway ask for a lease."""
+    """Have a gateway request a lease; return the owner's number and the note."""
     ((owner, note),) = holder.request_lease(now_ms)
     return owner, note
 
 
 def granted(holder: OriginLeases, now_ms: float = START_MS) -> OriginLeases:
-    """Lend a gateway the permit of the owner that it asks; gives that owner."""
+    """Grant a gateway the permit of the owner that it asks, and return that owner."""
     number, note = request_of(holder, now_ms)
     owner = leases(number)
     ((_, answer),) = owner.receive(holder.number, note, now_ms)
@@ -41,7 +41,7 @@
 
 
 def denied(owner: OriginLeases, sender: int, now_ms: float, incarnation: int = 7) -> bool:
-    """Ask an owner for another gateway."""
+    """Send an owner the request of another gateway, and return whether it was denied."""
     ((_, answer),) = owner.receive(sender, LeaseNote(LeaseKind.REQUEST, incarnation, 1), now_ms)
     return answer.kind is LeaseKind.DENIAL
 
@@ -93,7 +93,7 @@
 
 
 def test_an_owner_that_has_just_started_lends_nothing_for_a_term_also_to_itself() -> None:
-    """What its earlier life lent is still out."""
+    """A lease that its previous process granted may still be held."""
     owner = leases(3, settled=False)
     assert denied(owner, 100, START_MS + owner.term_ms - 1.0)
     messages = owner.request_lease(START_MS + 1.0)
@@ -102,7 +102,7 @@
 
 
 def test_a_holder_that_has_started_again_neither_uses_nor_returns_its_earlier_lease() -> None:
-    """Its earlier life's fills may still run at the origin."""
+    """Fills of its previous process may still run at the origin."""
     holder = leases(100)
     owner = granted(holder)
     again = leases(100, START_MS + 500.0)
@@ -128,7 +128,7 @@
 
 
 def test_a_grant_of_an_earlier_request_is_not_taken_for_the_one_that_is_waited_for() -> None:
-    """Its owner counts from a grant that this gateway has given up: the lease would end after the owner's."""
+    """The owner counts from the earlier request, so the holder's lease would end after the owner's."""
     holder = leases(100)
     first_owner, first = request_of(holder, START_MS)
     holder.tick(START_MS + RETRY_MS + 1.0)
@@ -208,7 +208,7 @@
 
 
 def lone_origin(number: int = 100) -> Bench:
-    """Make a gateway of a large fleet whose misses only the origin can fill."""
+    """Create a gateway of a large fleet whose misses only the origin can fill."""
     bench = Bench(my_number=number, group_size=MANY, gateways_in_zone=(0, MANY, 0), siblings="none")
     bench.give(api.Members(tuple(m for m in FLEET if m.kind != "parent"), whole=True), START_MS)
     return bench
@@ -219,7 +219,7 @@
 
 
 def waiting(bench: Bench) -> tuple[api.SendNote, api.Get]:
-    """Have a miss wait for a lease; gives the request for it, and the look that missed."""
+    """Have a miss wait for a lease; return the note that requests it, and the look-up that missed."""
     actions = bench.ask(1, key=1, size_kb=1.0)
     (told,), (look,) = lease_notes(actions), gets(actions)
     assert look.source == look.server
@@ -238,7 +238,7 @@
 
 
 def test_a_miss_whose_lease_came_before_its_look_had_ended_is_filled_under_it() -> None:
-    """The owner was quicker than the cache: the miss was refused with the lease in hand."""
+    """When the owner answered before the cache did, the miss was refused although the lease was held."""
     bench = lone_origin()
     actions = bench.ask(1, key=1, size_kb=1.0)
     (told,), (look,) = lease_notes(actions), gets(actions)
@@ -285,5 +285,5 @@
     assert isinstance(told.note, LeaseNote)
     grant = replace(told.note, kind=LeaseKind.GRANT)
     assert gets(bench.give(api.PeerMessage(told.peer, grant), START_MS + 20.0))
-    bench.router.leases.held_lease = None  # as where it ran out while the process was stopped
+    bench.router.leases.held_lease = None  # as if it had expired while the process was suspended
     assert bench.router.recheck_send(1, 1, START_MS + 30.0) is None
