--- a/tests/routing/test_routing_capacity.py
+++ b/tests/routing/test_routing_capacity.py
@@ -1,4 +1,4 @@
-"""What servers carry, told or derived: the estimate, its bounds, and the decisions that stand on it."""
+"""Server capacities, stated or estimated: the estimate, its bounds, and the decisions that depend on it."""
 
 from collections.abc import Iterator
 from dataclasses import replace
@@ -9,7 +9,7 @@
 from hitchtiller import interface as api
 from hitchtiller.routing.capacity import DEFAULT_TRANSFERS, MAX_TRANSFERS, MIN_TRANSFERS, SAFE_SHARE, Capacity
 
-# transfers of a zone's caches, the share missed by the pooled caches, the room of the link in
+# caches of a zone, transfers of each, share of requests that they miss together, headroom of the inbound link
 ZONES = [
     (caches, each, missed, room)
     for caches in (2, 3, 5, 7, 12, 20)
@@ -28,7 +28,7 @@
 
 @pytest.mark.parametrize(("caches", "each", "missed", "room"), ZONES)
 def test_a_links_estimate_is_near_the_truth(caches: int, each: float, missed: float, room: float) -> None:
-    """With units of 1 a gateway refused half of a calm day."""
+    """With weights of 1, a gateway refused half of the requests on a day of normal load."""
     few = max(1.0, 8.0 / caches) ** 0.5  # a small pool misses more, and a small zone's link is wider
     link = caches * each * missed * few * room * few
     settings, members = zone(caches, link)
@@ -43,7 +43,7 @@
 
 
 def test_live_weights_that_shrink_with_the_load_are_no_smaller_caches() -> None:
-    """They are size over 1 + load: believed, a busy cache was half of itself, and its load counted twice."""
+    """A live weight is size / (1 + load): used as it is, it halves a busy cache and counts its load twice."""
     capacity = Capacity(replace(BASE, weights="live"))
     capacity.estimate(FLEET)
     busy = [replace(m, weight=m.weight / 3.0) for m in FLEET]
@@ -68,7 +68,7 @@
 
 
 def calm(weights: str, weight: float) -> Iterator[list[api.Action]]:
-    """Half the load of three caches of eight transfers, told as `weight` each."""
+    """Yield the actions for half the load of three caches of eight transfers, each listed with `weight`."""
     bench = Bench(
         weights=weights, link_kb_per_s=(0.0, 14500.0, 14500.0), classes={"small": BASE.classes["small"]}
     )
@@ -83,13 +83,13 @@
 
 
 def test_the_crowd_still_ends_somewhere() -> None:
-    """Units of 1 that are believed refuse it: what the estimate guards against."""
+    """Weights of 1 that are taken as stated cause refusals, which the estimate prevents."""
     assert [act for acts in calm("rough", 1.0) for act in acts if isinstance(act, api.Refuse)]
 
 
 def test_a_link_that_is_not_full_stretches_nothing() -> None:
-    """With a stretch of 1 in its aim a large object was refused at four fifths of a link."""
+    """With an aim stretch of 1, a large object was refused at four fifths of a link's capacity."""
     bench = Bench(classes={"small": replace(BASE.classes["small"], aim_ms=450.0, aim_stretch=1.0)})
-    for n in range(20):  # three caches of eight transfers: 21 keep each below its link
+    for n in range(20):  # three caches of eight transfers: 21 keep each below its capacity
         acts = bench.ask(n, key=n, size_kb=2000.0)
         assert [act for act in acts if isinstance(act, api.Get)], n
