--- a/tests/routing/test_routing_cold.py
+++ b/tests/routing/test_routing_cold.py
@@ -1,7 +1,8 @@
-"""What all gateways together send to a server that started lately, whatever their number and numbering.
+"""What all gateways together send to a recently started server, whatever their number and numbering.
 
-The rule: in any stretch of the stated time at most N calls of mean work, N being the fall multiple times
-what the server can do then; 2 root(N) + 2 calls more are put down to chance. And N is there to be used.
+The rule: in any window of the stated time at most N calls of mean work are sent, where N is the fall multiple
+times what the server can do then; 2 sqrt(N) + 2 further calls are attributed to chance. The budget N must
+also be used.
 """
 
 import math
@@ -19,7 +20,7 @@
 
 @dataclass
 class Zone:
-    """The gateways of one zone, and when the cold server was called."""
+    """The gateways of one zone, and the times at which they sent calls to the cold server."""
 
     settings: api.Settings
     numbers: list[int]
@@ -30,7 +31,7 @@
     calls: list[float] = field(default_factory=list)
 
     def start(self, number: int) -> None:
-        """Start a process; it knows nothing of what an earlier one has sent."""
+        """Start a gateway process; it does not know what an earlier one has sent."""
         router = Router(replace(self.settings, my_number=number), number)
         router.mean.update(dict.fromkeys(router.mean, WORK_MS))
         fleet = tuple(replace(m, started_ms=1.0) if m.server == self.cold else m for m in FLEET)
@@ -38,7 +39,7 @@
         self.routers[number] = router
 
     def play(self, restart_ms: float = 0.0) -> None:
-        """Let each gateway send whatever it may; some are told late, and most start anew at a time."""
+        """Let each gateway send all that it may; some hear of the server late, and 70 % restart at a time."""
         for number in self.numbers:
             self.start(number)
             self.told_ms[number] = 1.0 + self.rng.choice((0.0, 0.0, 300.0, 2_000.0))
@@ -59,7 +60,7 @@
 
 
 def budget(settings: api.Settings, cold: str, at_ms: float) -> float:
-    """Give N at a time after the start."""
+    """Return N at a time after the server's start."""
     weight, parent = next((m.weight, m.kind == "parent") for m in FLEET if m.server == cold)
     share, ramp, multiple = settings.cold_share, settings.cold_ms, settings.fall_multiple
     if parent:
@@ -71,7 +72,7 @@
 
 
 def worst(zone: Zone) -> float:
-    """Give the most calls past N, in units of what is put down to chance."""
+    """Return the largest number of calls beyond N, in units of the excess that is attributed to chance."""
     over = 0.0
     for start in zone.calls:
         calls = sum(start <= at < start + zone.settings.fall_ms for at in zone.calls)
@@ -81,14 +82,14 @@
 
 
 def used(zone: Zone) -> float:
-    """Give the work sent over what the server can do; the multiple is a bound, not a wish."""
+    """Return the work sent over what the server can do; the multiple is a bound, not a target."""
     multiple = zone.settings.parent_fall_multiple if zone.cold == "p0" else zone.settings.fall_multiple
     could = [budget(zone.settings, zone.cold, at) / multiple for at in range(500, int(LIFE_MS), 1000)]
     return len(zone.calls) * zone.settings.fall_ms / 1000.0 / sum(could)
 
 
 def play(many: int, group: int, cold: str, seed: int, restart_ms: float = 0.0, **changes: float) -> Zone:
-    """Play a zone of so many gateways, numbered at random within a fleet of `group`."""
+    """Simulate a zone of `zone_size` gateways, numbered at random within a fleet of `fleet_size`."""
     rng = Random(seed)
     here = (0, many, group - many)
     settings = replace(BASE, group_size=group, gateways_in_zone=here, **changes)  # type: ignore[arg-type]
@@ -104,14 +105,14 @@
 @pytest.mark.parametrize(("many", "group"), MANY)
 @pytest.mark.parametrize("restart_ms", [0.0, 1_500.0])
 def test_all_together_stay_within_the_budget_and_its_chance(many: int, group: int, restart_ms: float) -> None:
-    """Users were picked by a numbering zone by zone: elsewhere too few, or by accident too many."""
+    """Selection that assumed numbers assigned zone by zone gave too few users elsewhere, or too many."""
     zones = [play(many, group, "c0", seed, restart_ms) for seed in range(8 if many < 200 else 3)]
     assert [round(worst(zone), 2) for zone in zones if worst(zone) > 1.0] == []
 
 
 @pytest.mark.parametrize(("many", "group"), MANY)
 def test_the_budget_is_used_wherever_a_zones_numbers_lie(many: int, group: int) -> None:
-    """Where the fleet is not numbered zone by zone, large zones sent a cold cache nothing at all."""
+    """In a fleet that is not numbered zone by zone, large zones sent nothing at all to a cold cache."""
     shares = [used(play(many, group, "c0", seed)) for seed in range(8 if many < 200 else 3)]
     assert sum(shares) / len(shares) >= 0.3, shares
     assert min(shares) > 0.0, shares
@@ -127,14 +128,14 @@
 
 @pytest.mark.parametrize("many", [20, 200])
 def test_a_budget_of_a_call_or_two_is_neither_passed_nor_left(many: int) -> None:
-    """Large objects and a small multiple: N under 2, where one call in advance was already too many."""
+    """With large objects and a small multiple N is under 2, so even one call in advance exceeded it."""
     zones = [play(many, 3 * many, "c0", seed, cold_share=0.05, fall_multiple=1.5) for seed in range(6)]
     assert [round(worst(zone), 2) for zone in zones if worst(zone) > 1.0] == []
     assert sum(used(zone) for zone in zones) / len(zones) > 0.15
 
 
 def test_where_zones_gateways_are_not_told_all_count() -> None:
-    """Each took itself for the only one: 20 gateways sent 20 times their part."""
+    """When each gateway assumed that it was the only one, 20 gateways sent 20 times their part."""
     numbers = list(range(20))
     zone = Zone(replace(BASE, group_size=20, gateways_in_zone=()), numbers, Random(1), "c0")
     zone.play()
