--- a/tests/routing/test_routing_pace.py
+++ b/tests/routing/test_routing_pace.py
@@ -1,4 +1,4 @@
-"""A server's stretch, and what the decisions make of it."""
+"""A server's stretch, and the decisions that use it."""
 
 from dataclasses import replace
 
@@ -30,9 +30,9 @@
 
 
 def hits(bench: Bench, server: str, took: float, note: int = 1) -> None:
-    """Have ten requests of 100 ms served there, as hits or as something else."""
+    """Have ten requests of 100 ms served by `server` in `took` ms, as hits or with another note."""
     for n in range(10):
-        for id in range(100 * n + 100, 100 * n + 200):  # until one goes there
+        for id in range(100 * n + 100, 100 * n + 200):  # until one is sent to the server
             (get,) = gets(bench.ask(id, key=id, size_kb=100.0, life_ms=3000.0))
             ended = get.server == server
             bench.now += took if ended else 0.0
@@ -42,7 +42,7 @@
 
 
 def served_by(bench: Bench, server: str) -> int:
-    """Count how many of 60 requests go there."""
+    """Return how many of 60 requests are sent to `server`."""
     found = 0
     for id in range(5000, 5060):
         for get in gets(bench.ask(id, key=id, size_kb=100.0, life_ms=3000.0)):
@@ -52,7 +52,7 @@
 
 
 def test_a_cache_that_became_slow_is_passed_by() -> None:
-    """Two caches at 9 to 19 times their usual time went on with 11 to 18 requests at once, for 25 s."""
+    """Two caches at 9 to 19 times their usual time kept 11 to 18 requests in flight for 25 s."""
     bench = Bench(notes="all")
     before = served_by(bench, "c0")
     hits(bench, "c0", 1500.0)
@@ -69,7 +69,7 @@
 
 
 def test_a_slow_cache_does_not_make_objects_large() -> None:
-    """Learned at a slow cache, an object was refused at the quick ones too."""
+    """An object whose time was learned at a slow cache was refused at the fast caches too."""
     sizes, ask = Sizes(replace(BASE, notes="all")), api.Request(1, "big", 1, 5000.0)
     sizes.learn(ask, api.Outcome(1, 0, "c0", "done", 2700.0, True, note=1), True, stretch=9.0)
     assert sizes.estimate(ask) == (300.0, True)
