--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -1,8 +1,9 @@
-"""What a fleet pays together: one cold station cache under 3, 40 and 200 gateways of one zone.
+"""The work of a whole fleet: one cold station cache under 3, 40 and 200 gateways of one zone.
 
-Each gateway's decisions run alone; the fleet's total is only the sum of what each sent. The rule (no cold
-cache pushed over by all gateways together) bounds that sum over any second by the fall multiple times what
-the cache can do; the worth wants the cache used while it warms, not starved until it is warm.
+Each gateway decides on its own; the fleet's total is the sum of what each sent. The rule that no cold cache
+is overloaded by all gateways together bounds that sum over any second by the fall multiple times what the
+cache can do. The worth of answers also requires that the cache is used while it warms, not only once it is
+warm.
 """
 
 from dataclasses import dataclass, replace
@@ -18,7 +19,7 @@
 
 
 def able(at_ms: float) -> float:
-    """Work a ms that the cold cache can do at this time."""
+    """Return the work per ms that the cold cache can do at this time."""
     return WEIGHT * (SHARE + (1.0 - SHARE) * min(1.0, at_ms / RAMP_MS))
 
 
@@ -26,9 +27,9 @@
     gateways: int, seconds: int = 8, rate_per_s: int = 400, work_ms: float = WORK_MS, running: int = 0,
     present: float = 1.0,
 ) -> list[float]:  # fmt: skip
-    """Run a zone of gateways that share the fleet's requests; give each send to the cold cache's time.
+    """Run a zone of gateways that share the fleet's requests; return the time of each send to the cold cache.
 
-    Of them `running` run (0: all), and each believes that the share `present` does.
+    `running` of them run (0: all), and each believes that the share `present` of them does.
     """
     cold = tuple(replace(m, started_ms=1.0) if m.server == "c0" else m for m in FLEET)
     benches = []
@@ -41,7 +42,7 @@
         bench.give(api.Members(cold, whole=True), 1.0)
         benches.append(bench)
     sent = []
-    for id in range(seconds * rate_per_s):  # the fleet's requests, dealt round the gateways
+    for id in range(seconds * rate_per_s):  # the fleet's requests, one gateway after the other
         bench = benches[id % len(benches)]
         bench.now = 1.0 + 1000.0 * id / rate_per_s
         for get in gets(bench.ask(id, key=id, name="big", size_kb=work_ms)):
@@ -63,7 +64,7 @@
 def test_a_cold_cache_stays_under_its_multiple_where_all_gateways_think_that_they_are_alone(
     gateways: int,
 ) -> None:
-    """On both sides of a cut, or on ten: the part that follows the view is capped by the configured one."""
+    """In a partition into two or ten sides, a gateway's part by its view is capped by its configured part."""
     sent = fleet_sends(gateways, 4, rate_per_s=2400, work_ms=60.0, present=1.0 / gateways)
     for start in sent[::10]:
         window = sum(start <= at < start + 1000.0 for at in sent)
@@ -75,12 +76,12 @@
         len(fleet_sends(8, 4, 2400, 60.0, *case)) for case in ((8, 1.0), (4, 1.0), (4, 0.5))
     )
     assert unknown < 0.6 * whole
-    assert known > 0.8 * whole  # the configured part caps it
+    assert known > 0.8 * whole  # capped by the configured part
 
 
 @pytest.mark.parametrize("gateways", [3, 40, 200])
 def test_a_cold_cache_is_used_while_it_warms_whatever_the_fleet(gateways: int) -> None:
-    """Before its use was agreed by hash, 40 or 200 gateways each sent it nothing for its whole ramp."""
+    """Without a selection by hash, 40 or 200 gateways each sent it nothing during its whole ramp."""
     sent = fleet_sends(gateways)
     for second in range(1, 8):
         work = WORK_MS * sum(second * 1000.0 <= at < (second + 1) * 1000.0 for at in sent)
@@ -103,7 +104,7 @@
 
 @dataclass
 class Fill:
-    """A fill under way at a source that all gateways share."""
+    """A fill in flight at a source that all gateways share."""
 
     limit: FillLimit
     sent: float
@@ -113,12 +114,12 @@
 
 
 def prompt_share(gateways: int, limited: bool, seconds: int = 20) -> float:
-    """Let gateways ask a source for twice what it gives; give the share of it that ends in prompt fills.
+    """Ask a source for twice what it can deliver; return the share of its capacity that ends in prompt fills.
 
-    The link carries 16 transfers for up to 40 gateways and grows with them from there on. A fill keeps
-    its part of the link until its client gives up (2 s); it is prompt within 270 ms and twice its own
-    time. Time goes in steps of 20 ms; sizes are drawn, the seed is fixed. The first five seconds, in
-    which limits are learned, are left out.
+    The link carries 16 transfers for up to 40 gateways and grows with their number above that. A fill
+    keeps its part of the link until its client gives up (2 s); it is prompt within 270 ms plus twice its
+    own time. Time advances in steps of 20 ms; sizes are random, with a fixed seed. The first five
+    seconds, in which the limits are learned, are left out.
     """
     rng, step, mean = Random(5), 20.0, 270.0
     link = 16.0 * max(1.0, gateways / 40)
@@ -145,20 +146,20 @@
 
 @pytest.mark.parametrize("gateways", [3, 40, 200])
 def test_a_source_asked_for_twice_what_it_gives_still_ends_fills_in_time(gateways: int) -> None:
-    """Without a limit hundreds of fills share the link and a hundredth of it ends within its aim."""
+    """Without a limit, hundreds of fills share the link and a hundredth of it ends within its aim."""
     assert prompt_share(gateways, limited=False) < 0.05
     assert prompt_share(gateways, limited=True) > 0.2
 
 
 def test_a_jam_is_felt_after_three_misses_and_its_end_after_42_prompt_fills() -> None:
-    """From 3.0 of the mean down to 0.02 a gateway with two fills a second took 26 s to see the end."""
+    """From 3.0 of the mean down to 0.02, a gateway with two fills per second took 26 s to notice the end."""
     limit = FillLimit()
     for _ in range(3):
         limit.shrink()
     assert not limit.admits(2.0 * 270.0, 270.0, 0.5)
     for _ in range(100):
         limit.shrink()
-    assert limit.admits(36.0, 270.0, 0.99)  # an answer of the shorter class always goes, and tells
+    assert limit.admits(36.0, 270.0, 0.99)  # a fill of the shorter class is always sent, and shows the end
     for _ in range(42):
         limit.grow()
     assert limit.share == MAX_SHARE
