--- a/tests/deployments/test_generated.py
+++ b/tests/deployments/test_generated.py
@@ -1,7 +1,8 @@
-"""Deployments that nobody runs yet: what the decisions owe to each of them, on over 300 drawn ones.
+"""Generated deployments: the rules that the decisions must keep in each of over 300 random deployments.
 
-The second deployment met a program that refused half of a calm day, since what the first one told it had been
-taken for granted. Each drawn one tells and allows something else; see `standins/world.py`.
+The second real deployment met a program that refused half of the requests on a day of normal load, because it
+relied on settings that only the first one stated. Each generated deployment states and allows something else;
+see `standins/world.py`.
 """
 
 from random import Random
@@ -13,19 +14,19 @@
 from standins import rules
 from standins.world import OBJECTS, World, draw
 
-ONCE = [Phase.explicit, Phase.generate]  # a seed can't be made smaller
+ONCE = [Phase.explicit, Phase.generate]  # a smaller seed is no simpler example, so nothing is shrunk
 SEEDS = st.integers(0, 2**20)
 
 
 def length(world: World, requests: float) -> float:
-    """Give the time in which about so many requests come at full load, whatever the size."""
+    """Return the time in which about this many requests come at full load, whatever the deployment's size."""
     mean = sum(world.made.work_ms[n] * w for n, w in world.made.share.items())
     links = sum(s.link for s in world.servers.values() if s.member.kind in ("small", "large"))
     return max(1000.0, requests * mean / links)
 
 
 def shares(world: World) -> dict[str, float]:
-    """Give each class's share of answers."""
+    """Return the share of requests that were answered, by class."""
     found = {}
     for name in world.made.share:
         all_ = sum(n for (cls, _), n in world.ends.items() if cls == name)
@@ -37,7 +38,7 @@
 @settings(max_examples=320, phases=ONCE)
 @given(SEEDS)
 def test_a_calm_time_at_half_the_load_refuses_next_to_nothing(seed: int) -> None:
-    """Bursts may cost a few of the largest: one in a hundred at most, and never an effect."""
+    """Bursts may cause refusals of the largest objects: at most one request in a hundred, never an effect."""
     world = World(draw(seed), seed)
     world.play(0.5, length(world, 400.0))
     bad = sum(n for (_, how), n in world.ends.items() if how not in ("served", "late"))
@@ -63,18 +64,18 @@
 @settings(max_examples=60, phases=ONCE)
 @given(SEEDS)
 def test_an_overload_ends_the_least_worthy_first(seed: int) -> None:
-    """Worth for each ms of a link: effects first of all, then a class that is worth far more than another."""
+    """Requests are ranked by worth per ms of a link: effects first, then classes of much higher worth."""
     world = World(draw(seed), seed)
     world.play(1.6, length(world, 1500.0))
     share, work = shares(world), world.made.work_ms
     assert share["effect"] + 0.05 >= share["large"], (seed, share)
     if 2.0 / work["large"] < 1.0 / work["small"] / 3.5:
-        blind = world.s.notes == "none" and not world.made.sizes_told  # then small fills look like large hits
+        blind = world.s.notes == "none" and not world.made.sizes_told  # small fills then look like large hits
         assert share["small"] + (0.15 if blind else 0.05) >= share["large"], (seed, share)
     assert not world.broken, (seed, world.broken[:3])
 
 
-# Each judge sees a history that breaks its rule
+# Each rule's checker is given a history that breaks the rule
 
 
 def test_answers_are_judged() -> None:
@@ -135,7 +136,7 @@
 def test_cold_starts_are_judged_over_all_gateways(told: bool, breaks: bool) -> None:
     judge = rules.ColdStarts(multiple=2.0, window_ms=1000.0, share=0.2, ramp_ms=10_000.0)
     judge.start("c", 5.0, 0.0)
-    for n in range(25):  # 1 transfer at first: 2,000 ms of work in a second are the bound
+    for n in range(25):  # 1 transfer at first, so 2,000 ms of work in a second are the bound
         judge.reach("c", 100.0, 10.0 * n, told)
     assert bool(judge.broken) == breaks
 
