--- a/tests/routing/test_routing_leases.py
+++ b/tests/routing/test_routing_leases.py
@@ -12,35 +12,35 @@
 from hitchtiller.interface import LeaseKind, LeaseNote
 from hitchtiller.routing.leases import CLOCK_MARGIN_MS, IDLE_MS, RETRY_MS, OriginLeases
 
-START_MS, MANY = 1_000_000.0, 200
+START_MS, FLEET_SIZE = 1_000_000.0, 200
 
 
-def leases(number: int, start_ms: float = START_MS, settled: bool = True) -> OriginLeases:
+def make_leases(number: int, start_ms: float = START_MS, settled: bool = True) -> OriginLeases:
     """Create one gateway's leases in a fleet of FLEET_SIZE; a settled gateway is past its first term."""
-    made = OriginLeases(replace(BASE, my_number=number, group_size=MANY), ORIGIN_FILLS)
+    made = OriginLeases(replace(BASE, my_number=number, group_size=FLEET_SIZE), ORIGIN_FILLS)
     made.start(start_ms)
     if settled:
         made.grants_from_ms = start_ms
     return made
 
 
-def request_of(holder: OriginLeases, now_ms: float) -> tuple[int, LeaseNote]:
+def send_request(holder: OriginLeases, now_ms: float) -> tuple[int, LeaseNote]:
     """Have a gateway request a lease; return the owner's number and the note."""
     ((owner, note),) = holder.request_lease(now_ms)
     return owner, note
 
 
-def granted(holder: OriginLeases, now_ms: float = START_MS) -> OriginLeases:
+def grant_lease(holder: OriginLeases, now_ms: float = START_MS) -> OriginLeases:
     """Grant a gateway the permit of the owner that it asks, and return that owner."""
-    number, note = request_of(holder, now_ms)
-    owner = leases(number)
+    number, note = send_request(holder, now_ms)
+    owner = make_leases(number)
     ((_, answer),) = owner.receive(holder.number, note, now_ms)
     assert answer.kind is LeaseKind.GRANT
     assert holder.receive(number, answer, now_ms) == []
     return owner
 
 
-def denied(owner: OriginLeases, sender: int, now_ms: float, incarnation: int = 7) -> bool:
+def is_denied(owner: OriginLeases, sender: int, now_ms: float, incarnation: int = 7) -> bool:
     """Send an owner the request of another gateway, and return whether it was denied."""
     ((_, answer),) = owner.receive(sender, LeaseNote(LeaseKind.REQUEST, incarnation, 1), now_ms)
     return answer.kind is LeaseKind.DENIAL
@@ -58,9 +58,9 @@
 
 
 def test_one_fill_at_a_time_under_a_lease_and_none_that_could_outlast_it() -> None:
-    holder = leases(100)
+    holder = make_leases(100)
     assert not holder.may_begin(START_MS + 5_000.0, START_MS)
-    granted(holder)
+    grant_lease(holder)
     end = START_MS + holder.term_ms - CLOCK_MARGIN_MS
     assert holder.may_begin(end, START_MS + 1.0)
     assert not holder.may_begin(end + 1.0, START_MS + 1.0)
@@ -71,21 +71,21 @@
 
 
 def test_a_permit_is_lent_to_one_until_it_is_returned_or_has_run_out() -> None:
-    holder = leases(100)
-    owner = granted(holder)
-    assert denied(owner, 101, START_MS + holder.term_ms - 1.0)
+    holder = make_leases(100)
+    owner = grant_lease(holder)
+    assert is_denied(owner, 101, START_MS + holder.term_ms - 1.0)
     ((to, back),) = holder.tick(START_MS + IDLE_MS)
     assert to == owner.number and back.kind is LeaseKind.RETURN
     owner.receive(100, back, START_MS + IDLE_MS)
-    assert not denied(owner, 101, START_MS + IDLE_MS)
-    assert denied(owner, 102, START_MS + IDLE_MS + owner.term_ms - 1.0)
-    assert not denied(owner, 102, START_MS + IDLE_MS + owner.term_ms)
+    assert not is_denied(owner, 101, START_MS + IDLE_MS)
+    assert is_denied(owner, 102, START_MS + IDLE_MS + owner.term_ms - 1.0)
+    assert not is_denied(owner, 102, START_MS + IDLE_MS + owner.term_ms)
 
 
 def test_a_holder_counts_from_when_it_asked_and_ends_before_its_owner_does() -> None:
-    holder = leases(100)
-    number, note = request_of(holder, START_MS)
-    owner = leases(number)
+    holder = make_leases(100)
+    number, note = send_request(holder, START_MS)
+    owner = make_leases(number)
     ((_, answer),) = owner.receive(100, note, START_MS + 90.0)
     holder.receive(number, answer, START_MS + 180.0)
     assert holder.held_lease and owner.granted_lease
@@ -94,46 +94,46 @@
 
 def test_an_owner_that_has_just_started_lends_nothing_for_a_term_also_to_itself() -> None:
     """A lease that its previous process granted may still be held."""
-    owner = leases(3, settled=False)
-    assert denied(owner, 100, START_MS + owner.term_ms - 1.0)
+    owner = make_leases(3, settled=False)
+    assert is_denied(owner, 100, START_MS + owner.term_ms - 1.0)
     messages = owner.request_lease(START_MS + 1.0)
     assert owner.held_lease is None and [to for to, _ in messages] != [3]
-    assert not denied(owner, 100, START_MS + owner.term_ms)
+    assert not is_denied(owner, 100, START_MS + owner.term_ms)
 
 
 def test_a_holder_that_has_started_again_neither_uses_nor_returns_its_earlier_lease() -> None:
     """Fills of its previous process may still run at the origin."""
-    holder = leases(100)
-    owner = granted(holder)
-    again = leases(100, START_MS + 500.0)
-    assert denied(owner, 100, START_MS + 600.0, again.incarnation)
+    holder = make_leases(100)
+    owner = grant_lease(holder)
+    again = make_leases(100, START_MS + 500.0)
+    assert is_denied(owner, 100, START_MS + 600.0, again.incarnation)
     late = LeaseNote(LeaseKind.GRANT, holder.incarnation, holder.sequence)
     assert again.receive(owner.number, late, START_MS + 700.0) == []
     assert again.held_lease is None
     returned = LeaseNote(LeaseKind.RETURN, again.incarnation, holder.sequence)
     owner.receive(100, returned, START_MS + 800.0)
-    assert denied(owner, 101, START_MS + 900.0)
+    assert is_denied(owner, 101, START_MS + 900.0)
 
 
 def test_a_grant_that_comes_after_its_request_was_given_up_is_returned_and_not_used() -> None:
-    holder = leases(100)
-    number, note = request_of(holder, START_MS)
-    owner = leases(number)
+    holder = make_leases(100)
+    number, note = send_request(holder, START_MS)
+    owner = make_leases(number)
     ((_, answer),) = owner.receive(100, note, START_MS + 10.0)
     holder.tick(START_MS + RETRY_MS + 1.0)
     ((to, back),) = holder.receive(number, answer, START_MS + RETRY_MS + 2.0)
     assert to == number and back.kind is LeaseKind.RETURN and holder.held_lease is None
     owner.receive(100, back, START_MS + RETRY_MS + 3.0)
-    assert not denied(owner, 101, START_MS + RETRY_MS + 4.0)
+    assert not is_denied(owner, 101, START_MS + RETRY_MS + 4.0)
 
 
 def test_a_grant_of_an_earlier_request_is_not_taken_for_the_one_that_is_waited_for() -> None:
     """The owner counts from the earlier request, so the holder's lease would end after the owner's."""
-    holder = leases(100)
-    first_owner, first = request_of(holder, START_MS)
+    holder = make_leases(100)
+    first_owner, first = send_request(holder, START_MS)
     holder.tick(START_MS + RETRY_MS + 1.0)
     again_ms = START_MS + 1_000.0
-    second_owner, second = request_of(holder, again_ms)
+    second_owner, second = send_request(holder, again_ms)
     late = replace(first, kind=LeaseKind.GRANT)
     ((to, back),) = holder.receive(first_owner, late, again_ms + 1.0)
     assert to == first_owner and back == replace(first, kind=LeaseKind.RETURN)
@@ -145,9 +145,9 @@
 
 
 def test_a_request_or_a_grant_that_comes_twice_lends_and_returns_nothing_more() -> None:
-    holder = leases(100)
-    number, note = request_of(holder, START_MS)
-    owner = leases(number)
+    holder = make_leases(100)
+    number, note = send_request(holder, START_MS)
+    owner = make_leases(number)
     ((_, first),) = owner.receive(100, note, START_MS)
     assert owner.granted_lease
     until = owner.granted_lease.expires_ms
@@ -155,23 +155,23 @@
     assert (first, owner.granted_lease.expires_ms) == (second, until)
     assert holder.receive(number, first, START_MS + 60.0) == []
     assert holder.receive(number, second, START_MS + 70.0) == []
-    assert holder.held_lease and denied(owner, 101, START_MS + 80.0)
+    assert holder.held_lease and is_denied(owner, 101, START_MS + 80.0)
 
 
 def test_a_clock_that_is_set_back_ends_the_lease() -> None:
-    holder = leases(100)
-    granted(holder)
+    holder = make_leases(100)
+    grant_lease(holder)
     assert holder.may_begin(START_MS + 5_000.0, START_MS + 100.0)
     assert not holder.may_begin(START_MS + 1_000.0, START_MS - 3_000.0)
 
 
 def test_one_that_owns_nothing_lends_nothing() -> None:
-    assert denied(leases(ORIGIN_FILLS), 100, START_MS + 60_000.0)
+    assert is_denied(make_leases(ORIGIN_FILLS), 100, START_MS + 60_000.0)
 
 
 def test_a_lease_with_a_fill_out_is_not_returned() -> None:
-    holder = leases(100)
-    granted(holder)
+    holder = make_leases(100)
+    grant_lease(holder)
     holder.begin(START_MS + 1.0)
     assert holder.tick(START_MS + 3.0 * IDLE_MS) == []
     holder.end(START_MS + 4.0 * IDLE_MS)
@@ -179,7 +179,7 @@
 
 
 def test_without_notes_between_gateways_owners_use_their_own_and_others_nothing() -> None:
-    settings = replace(BASE, group_size=MANY, peers=False)
+    settings = replace(BASE, group_size=FLEET_SIZE, peers=False)
     owner = OriginLeases(replace(settings, my_number=3), ORIGIN_FILLS)
     other = OriginLeases(replace(settings, my_number=100), ORIGIN_FILLS)
     for made in (owner, other):
@@ -207,9 +207,11 @@
 # Through the router
 
 
-def lone_origin(number: int = 100) -> Bench:
+def gateway_without_parents(number: int = 100) -> Bench:
     """Create a gateway of a large fleet whose misses only the origin can fill."""
-    bench = Bench(my_number=number, group_size=MANY, gateways_in_zone=(0, MANY, 0), siblings="none")
+    bench = Bench(
+        my_number=number, group_size=FLEET_SIZE, gateways_in_zone=(0, FLEET_SIZE, 0), siblings="none"
+    )
     bench.give(api.Members(tuple(m for m in FLEET if m.kind != "parent"), whole=True), START_MS)
     return bench
 
@@ -218,7 +220,7 @@
     return [a for a in actions if isinstance(a, api.SendNote) and isinstance(a.note, LeaseNote)]
 
 
-def waiting(bench: Bench) -> tuple[api.SendNote, api.Get]:
+def wait_for_lease(bench: Bench) -> tuple[api.SendNote, api.Get]:
     """Have a miss wait for a lease; return the note that requests it, and the look-up that missed."""
     actions = bench.ask(1, key=1, size_kb=1.0)
     (told,), (look,) = lease_notes(actions), gets(actions)
@@ -228,8 +230,8 @@
 
 
 def test_a_miss_waits_for_its_lease_and_is_filled_under_it() -> None:
-    bench = lone_origin()
-    told, _ = waiting(bench)
+    bench = gateway_without_parents()
+    told, _ = wait_for_lease(bench)
     assert isinstance(told.note, LeaseNote)
     grant = replace(told.note, kind=LeaseKind.GRANT)
     (fill,) = gets(bench.give(api.PeerMessage(told.peer, grant), START_MS + 20.0))
@@ -239,7 +241,7 @@
 
 def test_a_miss_whose_lease_came_before_its_look_had_ended_is_filled_under_it() -> None:
     """When the owner answered before the cache did, the miss was refused although the lease was held."""
-    bench = lone_origin()
+    bench = gateway_without_parents()
     actions = bench.ask(1, key=1, size_kb=1.0)
     (told,), (look,) = lease_notes(actions), gets(actions)
     assert isinstance(told.note, LeaseNote)
@@ -249,8 +251,8 @@
 
 
 def test_a_miss_whose_lease_is_denied_is_given_up_at_once() -> None:
-    bench = lone_origin()
-    told, _ = waiting(bench)
+    bench = gateway_without_parents()
+    told, _ = wait_for_lease(bench)
     assert isinstance(told.note, LeaseNote)
     denial = replace(told.note, kind=LeaseKind.DENIAL, wait_ms=500.0)
     (refused,) = bench.give(api.PeerMessage(told.peer, denial), START_MS + 20.0)
@@ -258,16 +260,16 @@
 
 
 def test_a_miss_whose_owner_does_not_answer_is_given_up_after_a_while() -> None:
-    bench = lone_origin()
-    waiting(bench)
+    bench = gateway_without_parents()
+    wait_for_lease(bench)
     assert not any(isinstance(a, api.Refuse) for a in bench.give(api.TimerDue("sweep"), START_MS + RETRY_MS))
     actions = bench.give(api.TimerDue("sweep"), START_MS + RETRY_MS + 1.0)
     assert [a.id for a in actions if isinstance(a, api.Refuse)] == [1]
 
 
 def test_of_misses_that_wait_together_one_is_filled_and_a_client_that_left_is_forgotten() -> None:
-    bench = lone_origin()
-    told, _ = waiting(bench)
+    bench = gateway_without_parents()
+    told, _ = wait_for_lease(bench)
     assert isinstance(told.note, LeaseNote)
     for id in (2, 3):
         (look,) = gets(bench.ask(id, key=id, size_kb=1.0))
@@ -280,8 +282,8 @@
 
 
 def test_a_fill_decided_before_a_stop_does_not_go_once_its_lease_has_run_out() -> None:
-    bench = lone_origin()
-    told, _ = waiting(bench)
+    bench = gateway_without_parents()
+    told, _ = wait_for_lease(bench)
     assert isinstance(told.note, LeaseNote)
     grant = replace(told.note, kind=LeaseKind.GRANT)
     assert gets(bench.give(api.PeerMessage(told.peer, grant), START_MS + 20.0))
