--- a/tests/routing/test_routing_leases.py
+++ b/tests/routing/test_routing_leases.py
@@ -46,7 +46,7 @@
     return answer.kind is LeaseKind.DENIAL
 
 
-def test_small_fleets_have_fixed_parts_and_send_nothing() -> None:
+def test_small_fleets_have_a_fixed_number_of_fills_and_send_no_notes() -> None:
     for size in (1, 3, 9, ORIGIN_FILLS):
         made = OriginLeases(replace(BASE, group_size=size), ORIGIN_FILLS)
         begun = 0
@@ -70,7 +70,7 @@
     assert holder.may_begin(START_MS + 5_000.0, START_MS + 4.0)
 
 
-def test_a_permit_is_lent_to_one_until_it_is_returned_or_has_run_out() -> None:
+def test_a_permit_is_granted_to_one_holder_until_it_is_returned_or_expires() -> None:
     holder = make_leases(100)
     owner = grant_lease(holder)
     assert is_denied(owner, 101, START_MS + holder.term_ms - 1.0)
@@ -82,7 +82,7 @@
     assert not is_denied(owner, 102, START_MS + IDLE_MS + owner.term_ms)
 
 
-def test_a_holder_counts_from_when_it_asked_and_ends_before_its_owner_does() -> None:
+def test_a_lease_counts_from_its_request_and_ends_at_the_holder_before_the_owner() -> None:
     holder = make_leases(100)
     number, note = send_request(holder, START_MS)
     owner = make_leases(number)
@@ -92,7 +92,7 @@
     assert holder.held_lease.expires_ms <= owner.granted_lease.expires_ms - CLOCK_MARGIN_MS
 
 
-def test_an_owner_that_has_just_started_lends_nothing_for_a_term_also_to_itself() -> None:
+def test_an_owner_that_has_just_started_grants_nothing_for_a_term_not_even_to_itself() -> None:
     """A lease that its previous process granted may still be held."""
     owner = make_leases(3, settled=False)
     assert is_denied(owner, 100, START_MS + owner.term_ms - 1.0)
@@ -101,7 +101,7 @@
     assert not is_denied(owner, 100, START_MS + owner.term_ms)
 
 
-def test_a_holder_that_has_started_again_neither_uses_nor_returns_its_earlier_lease() -> None:
+def test_a_restarted_holder_neither_uses_nor_returns_its_previous_lease() -> None:
     """Fills of its previous process may still run at the origin."""
     holder = make_leases(100)
     owner = grant_lease(holder)
@@ -127,7 +127,7 @@
     assert not is_denied(owner, 101, START_MS + RETRY_MS + 4.0)
 
 
-def test_a_grant_of_an_earlier_request_is_not_taken_for_the_one_that_is_waited_for() -> None:
+def test_a_grant_of_an_earlier_request_does_not_answer_the_pending_one() -> None:
     """The owner counts from the earlier request, so the holder's lease would end after the owner's."""
     holder = make_leases(100)
     first_owner, first = send_request(holder, START_MS)
@@ -144,7 +144,7 @@
     assert holder.receive(second_owner, grant, again_ms + 3.0) == [] and holder.held_lease is not None
 
 
-def test_a_request_or_a_grant_that_comes_twice_lends_and_returns_nothing_more() -> None:
+def test_a_duplicate_request_or_grant_grants_and_returns_nothing_more() -> None:
     holder = make_leases(100)
     number, note = send_request(holder, START_MS)
     owner = make_leases(number)
@@ -165,11 +165,11 @@
     assert not holder.may_begin(START_MS + 1_000.0, START_MS - 3_000.0)
 
 
-def test_one_that_owns_nothing_lends_nothing() -> None:
+def test_a_gateway_without_a_permit_grants_nothing() -> None:
     assert is_denied(make_leases(ORIGIN_FILLS), 100, START_MS + 60_000.0)
 
 
-def test_a_lease_with_a_fill_out_is_not_returned() -> None:
+def test_a_lease_with_a_fill_in_flight_is_not_returned() -> None:
     holder = make_leases(100)
     grant_lease(holder)
     holder.begin(START_MS + 1.0)
@@ -178,7 +178,7 @@
     assert len(holder.tick(START_MS + 5.0 * IDLE_MS)) == 1
 
 
-def test_without_notes_between_gateways_owners_use_their_own_and_others_nothing() -> None:
+def test_without_notes_between_gateways_owners_use_their_own_permits_and_others_none() -> None:
     settings = replace(BASE, group_size=FLEET_SIZE, peers=False)
     owner = OriginLeases(replace(settings, my_number=3), ORIGIN_FILLS)
     other = OriginLeases(replace(settings, my_number=100), ORIGIN_FILLS)
@@ -190,7 +190,7 @@
 
 
 @pytest.mark.parametrize("kind", list(LeaseKind))
-def test_lease_notes_survive_the_wire(kind: LeaseKind) -> None:
+def test_lease_notes_are_unpacked_as_they_were_packed(kind: LeaseKind) -> None:
     note = LeaseNote(kind, 1_764_576_000_123, 0xFFFF, 1_999.0)
     data = pack(note)
     assert unpack(data) == note
@@ -239,7 +239,7 @@
     assert bench.router.recheck_send(1, 1, START_MS + 25.0) is not None
 
 
-def test_a_miss_whose_lease_came_before_its_look_had_ended_is_filled_under_it() -> None:
+def test_a_miss_whose_lease_came_before_its_look_up_ended_is_filled_under_it() -> None:
     """When the owner answered before the cache did, the miss was refused although the lease was held."""
     bench = gateway_without_parents()
     actions = bench.ask(1, key=1, size_kb=1.0)
@@ -250,7 +250,7 @@
     assert fill.source == "o"
 
 
-def test_a_miss_whose_lease_is_denied_is_given_up_at_once() -> None:
+def test_a_miss_whose_lease_is_denied_is_refused_at_once() -> None:
     bench = gateway_without_parents()
     told, _ = wait_for_lease(bench)
     assert isinstance(told.note, LeaseNote)
@@ -259,7 +259,7 @@
     assert isinstance(refused, api.Refuse) and bench.router.held == {}
 
 
-def test_a_miss_whose_owner_does_not_answer_is_given_up_after_a_while() -> None:
+def test_a_miss_whose_owner_does_not_answer_is_refused_after_a_timeout() -> None:
     bench = gateway_without_parents()
     wait_for_lease(bench)
     assert not any(isinstance(a, api.Refuse) for a in bench.give(api.TimerDue("sweep"), START_MS + RETRY_MS))
@@ -267,7 +267,7 @@
     assert [a.id for a in actions if isinstance(a, api.Refuse)] == [1]
 
 
-def test_of_misses_that_wait_together_one_is_filled_and_a_client_that_left_is_forgotten() -> None:
+def test_one_of_the_waiting_misses_is_filled_and_a_client_that_left_is_forgotten() -> None:
     bench = gateway_without_parents()
     told, _ = wait_for_lease(bench)
     assert isinstance(told.note, LeaseNote)
@@ -281,7 +281,7 @@
     assert [a.id for a in actions if isinstance(a, api.Refuse)] == [3]
 
 
-def test_a_fill_decided_before_a_stop_does_not_go_once_its_lease_has_run_out() -> None:
+def test_a_fill_decided_before_a_suspension_is_not_sent_once_its_lease_has_expired() -> None:
     bench = gateway_without_parents()
     told, _ = wait_for_lease(bench)
     assert isinstance(told.note, LeaseNote)
