--- a/tests/routing/test_routing_cold.py
+++ b/tests/routing/test_routing_cold.py
@@ -15,7 +15,7 @@
 from hitchtiller import interface as api
 from hitchtiller.decide import Router
 
-WORK_MS, TICK_MS, LIFE_MS = 400.0, 20.0, 6_000.0
+WORK_MS, TICK_MS, RUN_MS = 400.0, 20.0, 6_000.0
 
 
 @dataclass
@@ -25,118 +25,133 @@
     settings: api.Settings
     numbers: list[int]
     rng: Random
-    cold: str
+    cold_server: str
     routers: dict[int, Router] = field(default_factory=dict)
-    told_ms: dict[int, float] = field(default_factory=dict)
+    known_from_ms: dict[int, float] = field(default_factory=dict)
     calls: list[float] = field(default_factory=list)
 
     def start(self, number: int) -> None:
         """Start a gateway process; it does not know what an earlier one has sent."""
         router = Router(replace(self.settings, my_number=number), number)
         router.mean.update(dict.fromkeys(router.mean, WORK_MS))
-        fleet = tuple(replace(m, started_ms=1.0) if m.server == self.cold else m for m in FLEET)
+        fleet = tuple(replace(m, started_ms=1.0) if m.server == self.cold_server else m for m in FLEET)
         router.handle(api.Members(fleet, whole=True), 1.0)
         self.routers[number] = router
 
-    def play(self, restart_ms: float = 0.0) -> None:
+    def simulate(self, restart_ms: float = 0.0) -> None:
         """Let each gateway send all that it may; some hear of the server late, and 70 % restart at a time."""
         for number in self.numbers:
             self.start(number)
-            self.told_ms[number] = 1.0 + self.rng.choice((0.0, 0.0, 300.0, 2_000.0))
+            self.known_from_ms[number] = 1.0 + self.rng.choice((0.0, 0.0, 300.0, 2_000.0))
         share = {number: self.rng.choice((0.02, 0.3, 1.0)) for number in self.numbers}  # unequal traffic
-        for tick in range(int(LIFE_MS / TICK_MS)):
+        for tick in range(int(RUN_MS / TICK_MS)):
             now = 1.0 + tick * TICK_MS
             if restart_ms and restart_ms <= now < restart_ms + TICK_MS:
                 for number in self.numbers[: len(self.numbers) * 7 // 10]:
                     self.start(number)
             for number in self.numbers:
-                if now < self.told_ms[number] or self.rng.random() > share[number]:
+                if now < self.known_from_ms[number] or self.rng.random() > share[number]:
                     continue
                 router = self.routers[number]
-                router.now, node = now, router.nodes[self.cold]
+                router.now, node = now, router.nodes[self.cold_server]
                 if router.admits(node):
                     node.debt_ms += WORK_MS
                     self.calls.append(now)
 
 
-def budget(settings: api.Settings, cold: str, at_ms: float) -> float:
+def budget(settings: api.Settings, cold_server: str, at_ms: float) -> float:
     """Return N at a time after the server's start."""
-    weight, parent = next((m.weight, m.kind == "parent") for m in FLEET if m.server == cold)
+    weight, is_parent = next((m.weight, m.kind == "parent") for m in FLEET if m.server == cold_server)
     share, ramp, multiple = settings.cold_share, settings.cold_ms, settings.fall_multiple
-    if parent:
+    if is_parent:
         share, ramp, multiple = (
             settings.parent_cold_share, settings.parent_cold_ms, settings.parent_fall_multiple,
         )  # fmt: skip
-    able = weight * (share + (1.0 - share) * min(1.0, at_ms / ramp))
-    return multiple * able * settings.fall_ms / WORK_MS
+    capacity = weight * (share + (1.0 - share) * min(1.0, at_ms / ramp))
+    return multiple * capacity * settings.fall_ms / WORK_MS
 
 
-def worst(zone: Zone) -> float:
+def worst_excess(zone: Zone) -> float:
     """Return the largest number of calls beyond N, in units of the excess that is attributed to chance."""
-    over = 0.0
+    excess = 0.0
     for start in zone.calls:
-        calls = sum(start <= at < start + zone.settings.fall_ms for at in zone.calls)
-        n = budget(zone.settings, zone.cold, start)
-        over = max(over, (calls - n) / (2.0 * math.sqrt(n) + 2.0))
-    return over
+        calls = sum(start <= sent_ms < start + zone.settings.fall_ms for sent_ms in zone.calls)
+        limit = budget(zone.settings, zone.cold_server, start)
+        excess = max(excess, (calls - limit) / (2.0 * math.sqrt(limit) + 2.0))
+    return excess
 
 
-def used(zone: Zone) -> float:
+def used_share(zone: Zone) -> float:
     """Return the work sent over what the server can do; the multiple is a bound, not a target."""
-    multiple = zone.settings.parent_fall_multiple if zone.cold == "p0" else zone.settings.fall_multiple
-    could = [budget(zone.settings, zone.cold, at) / multiple for at in range(500, int(LIFE_MS), 1000)]
-    return len(zone.calls) * zone.settings.fall_ms / 1000.0 / sum(could)
+    multiple = zone.settings.parent_fall_multiple if zone.cold_server == "p0" else zone.settings.fall_multiple
+    capacities = [
+        budget(zone.settings, zone.cold_server, at_ms) / multiple for at_ms in range(500, int(RUN_MS), 1000)
+    ]
+    return len(zone.calls) * zone.settings.fall_ms / 1000.0 / sum(capacities)
 
 
-def play(many: int, group: int, cold: str, seed: int, restart_ms: float = 0.0, **changes: float) -> Zone:
+def simulate(
+    zone_size: int, fleet_size: int, cold_server: str, seed: int, restart_ms: float = 0.0, **changes: float
+) -> Zone:
     """Simulate a zone of `zone_size` gateways, numbered at random within a fleet of `fleet_size`."""
     rng = Random(seed)
-    here = (0, many, group - many)
-    settings = replace(BASE, group_size=group, gateways_in_zone=here, **changes)  # type: ignore[arg-type]
-    numbers = list(range(group)) if cold == "p0" else sorted(rng.sample(range(group), many))
-    zone = Zone(settings, numbers, rng, cold)
-    zone.play(restart_ms)
+    zone_sizes = (0, zone_size, fleet_size - zone_size)
+    settings = replace(BASE, group_size=fleet_size, gateways_in_zone=zone_sizes, **changes)  # type: ignore[arg-type]
+    numbers = (
+        list(range(fleet_size)) if cold_server == "p0" else sorted(rng.sample(range(fleet_size), zone_size))
+    )
+    zone = Zone(settings, numbers, rng, cold_server)
+    zone.simulate(restart_ms)
     return zone
 
 
-MANY = [(3, 9), (20, 60), (30, 31), (200, 600)]
+ZONE_AND_FLEET_SIZES = [(3, 9), (20, 60), (30, 31), (200, 600)]
 
 
-@pytest.mark.parametrize(("many", "group"), MANY)
+@pytest.mark.parametrize(("zone_size", "fleet_size"), ZONE_AND_FLEET_SIZES)
 @pytest.mark.parametrize("restart_ms", [0.0, 1_500.0])
-def test_all_together_stay_within_the_budget_and_its_chance(many: int, group: int, restart_ms: float) -> None:
+def test_all_together_stay_within_the_budget_and_its_chance(
+    zone_size: int, fleet_size: int, restart_ms: float
+) -> None:
     """Selection that assumed numbers assigned zone by zone gave too few users elsewhere, or too many."""
-    zones = [play(many, group, "c0", seed, restart_ms) for seed in range(8 if many < 200 else 3)]
-    assert [round(worst(zone), 2) for zone in zones if worst(zone) > 1.0] == []
+    zones = [
+        simulate(zone_size, fleet_size, "c0", seed, restart_ms) for seed in range(8 if zone_size < 200 else 3)
+    ]
+    assert [round(worst_excess(zone), 2) for zone in zones if worst_excess(zone) > 1.0] == []
 
 
-@pytest.mark.parametrize(("many", "group"), MANY)
-def test_the_budget_is_used_wherever_a_zones_numbers_lie(many: int, group: int) -> None:
+@pytest.mark.parametrize(("zone_size", "fleet_size"), ZONE_AND_FLEET_SIZES)
+def test_the_budget_is_used_wherever_a_zones_numbers_lie(zone_size: int, fleet_size: int) -> None:
     """In a fleet that is not numbered zone by zone, large zones sent nothing at all to a cold cache."""
-    shares = [used(play(many, group, "c0", seed)) for seed in range(8 if many < 200 else 3)]
+    shares = [
+        used_share(simulate(zone_size, fleet_size, "c0", seed)) for seed in range(8 if zone_size < 200 else 3)
+    ]
     assert sum(shares) / len(shares) >= 0.3, shares
     assert min(shares) > 0.0, shares
 
 
-@pytest.mark.parametrize("many", [3, 20, 30, 200])
+@pytest.mark.parametrize("zone_size", [3, 20, 30, 200])
 @pytest.mark.parametrize("restart_ms", [0.0, 1_500.0])
-def test_parents_keep_to_it_too_and_are_used(many: int, restart_ms: float) -> None:
-    zone = play(many, many, "p0", 1, restart_ms)
-    assert worst(zone) <= 1.0
-    assert used(zone) >= 0.35
+def test_parents_keep_to_it_too_and_are_used(zone_size: int, restart_ms: float) -> None:
+    zone = simulate(zone_size, zone_size, "p0", 1, restart_ms)
+    assert worst_excess(zone) <= 1.0
+    assert used_share(zone) >= 0.35
 
 
-@pytest.mark.parametrize("many", [20, 200])
-def test_a_budget_of_a_call_or_two_is_neither_passed_nor_left(many: int) -> None:
+@pytest.mark.parametrize("zone_size", [20, 200])
+def test_a_budget_of_a_call_or_two_is_neither_passed_nor_left(zone_size: int) -> None:
     """With large objects and a small multiple N is under 2, so even one call in advance exceeded it."""
-    zones = [play(many, 3 * many, "c0", seed, cold_share=0.05, fall_multiple=1.5) for seed in range(6)]
-    assert [round(worst(zone), 2) for zone in zones if worst(zone) > 1.0] == []
-    assert sum(used(zone) for zone in zones) / len(zones) > 0.15
+    zones = [
+        simulate(zone_size, 3 * zone_size, "c0", seed, cold_share=0.05, fall_multiple=1.5)
+        for seed in range(6)
+    ]
+    assert [round(worst_excess(zone), 2) for zone in zones if worst_excess(zone) > 1.0] == []
+    assert sum(used_share(zone) for zone in zones) / len(zones) > 0.15
 
 
 def test_where_zones_gateways_are_not_told_all_count() -> None:
     """When each gateway assumed that it was the only one, 20 gateways sent 20 times their part."""
     numbers = list(range(20))
     zone = Zone(replace(BASE, group_size=20, gateways_in_zone=()), numbers, Random(1), "c0")
-    zone.play()
-    assert worst(zone) <= 1.0 and used(zone) >= 0.25
+    zone.simulate()
+    assert worst_excess(zone) <= 1.0 and used_share(zone) >= 0.25
