--- a/tests/routing/test_routing_cold.py
+++ b/tests/routing/test_routing_cold.py
@@ -110,7 +110,7 @@
 
 @pytest.mark.parametrize(("zone_size", "fleet_size"), ZONE_AND_FLEET_SIZES)
 @pytest.mark.parametrize("restart_ms", [0.0, 1_500.0])
-def test_all_together_stay_within_the_budget_and_its_chance(
+def test_all_gateways_together_stay_within_the_budget_and_its_tolerance(
     zone_size: int, fleet_size: int, restart_ms: float
 ) -> None:
     """Selection that assumed numbers assigned zone by zone gave too few users elsewhere, or too many."""
@@ -121,7 +121,7 @@
 
 
 @pytest.mark.parametrize(("zone_size", "fleet_size"), ZONE_AND_FLEET_SIZES)
-def test_the_budget_is_used_wherever_a_zones_numbers_lie(zone_size: int, fleet_size: int) -> None:
+def test_the_budget_is_used_however_a_zones_gateways_are_numbered(zone_size: int, fleet_size: int) -> None:
     """In a fleet that is not numbered zone by zone, large zones sent nothing at all to a cold cache."""
     shares = [
         used_share(simulate(zone_size, fleet_size, "c0", seed)) for seed in range(8 if zone_size < 200 else 3)
@@ -132,14 +132,14 @@
 
 @pytest.mark.parametrize("zone_size", [3, 20, 30, 200])
 @pytest.mark.parametrize("restart_ms", [0.0, 1_500.0])
-def test_parents_keep_to_it_too_and_are_used(zone_size: int, restart_ms: float) -> None:
+def test_parents_stay_within_their_budget_and_use_it(zone_size: int, restart_ms: float) -> None:
     zone = simulate(zone_size, zone_size, "p0", 1, restart_ms)
     assert worst_excess(zone) <= 1.0
     assert used_share(zone) >= 0.35
 
 
 @pytest.mark.parametrize("zone_size", [20, 200])
-def test_a_budget_of_a_call_or_two_is_neither_passed_nor_left(zone_size: int) -> None:
+def test_a_budget_of_one_or_two_calls_is_neither_exceeded_nor_unused(zone_size: int) -> None:
     """With large objects and a small multiple N is under 2, so even one call in advance exceeded it."""
     zones = [
         simulate(zone_size, 3 * zone_size, "c0", seed, cold_share=0.05, fall_multiple=1.5)
@@ -149,7 +149,7 @@
     assert sum(used_share(zone) for zone in zones) / len(zones) > 0.15
 
 
-def test_where_zones_gateways_are_not_told_all_count() -> None:
+def test_all_gateways_count_where_their_number_by_zone_is_not_stated() -> None:
     """When each gateway assumed that it was the only one, 20 gateways sent 20 times their part."""
     numbers = list(range(20))
     zone = Zone(replace(BASE, group_size=20, gateways_in_zone=()), numbers, Random(1), "c0")
