--- a/tests/routing/test_routing_capacity.py
+++ b/tests/routing/test_routing_capacity.py
@@ -11,14 +11,14 @@
 
 # caches of a zone, transfers of each, share of requests that they miss together, headroom of the inbound link
 ZONES = [
-    (caches, each, missed, room)
+    (caches, transfers, miss_share, headroom)
     for caches in (2, 3, 5, 7, 12, 20)
-    for each in (4.0, 6.5, 9.0)
-    for missed, room in ((0.18, 1.1), (0.22, 1.15), (0.3, 1.2))
+    for transfers in (4.0, 6.5, 9.0)
+    for miss_share, headroom in ((0.18, 1.1), (0.22, 1.15), (0.3, 1.2))
 ]
 
 
-def zone(caches: int, link: float) -> tuple[api.Settings, list[api.Member]]:
+def make_zone(caches: int, link: float) -> tuple[api.Settings, list[api.Member]]:
     settings = replace(
         BASE, weights="none", link_kb_per_s=(0.0, link * BASE.flow_kb_per_s, link * BASE.flow_kb_per_s)
     )
@@ -26,20 +26,23 @@
     return settings, [*members, api.Member("p", "hub", "parent", "SERVING")]
 
 
-@pytest.mark.parametrize(("caches", "each", "missed", "room"), ZONES)
-def test_a_links_estimate_is_near_the_truth(caches: int, each: float, missed: float, room: float) -> None:
+@pytest.mark.parametrize(("caches", "transfers", "miss_share", "headroom"), ZONES)
+def test_a_links_estimate_is_near_the_truth(
+    caches: int, transfers: float, miss_share: float, headroom: float
+) -> None:
     """With weights of 1, a gateway refused half of the requests on a day of normal load."""
-    few = max(1.0, 8.0 / caches) ** 0.5  # a small pool misses more, and a small zone's link is wider
-    link = caches * each * missed * few * room * few
-    settings, members = zone(caches, link)
-    middle, sure = Capacity(settings).estimate(members)["c0"]
-    assert 0.6 * each < middle < 1.5 * each
-    assert sure == SAFE_SHARE * middle < each
+    # a small group of caches misses more, and a small zone's link is wider
+    small_zone_factor = max(1.0, 8.0 / caches) ** 0.5
+    link = caches * transfers * miss_share * small_zone_factor * headroom * small_zone_factor
+    settings, members = make_zone(caches, link)
+    likely, safe = Capacity(settings).estimate(members)["c0"]
+    assert 0.6 * transfers < likely < 1.5 * transfers
+    assert safe == SAFE_SHARE * likely < transfers
 
 
 def test_told_weights_are_taken_as_told() -> None:
-    told = Capacity(BASE).estimate(FLEET)
-    assert told["c0"] == (8.0, 8.0) and told["p0"] == (30.0, 30.0)
+    estimates = Capacity(BASE).estimate(FLEET)
+    assert estimates["c0"] == (8.0, 8.0) and estimates["p0"] == (30.0, 30.0)
 
 
 def test_live_weights_that_shrink_with_the_load_are_no_smaller_caches() -> None:
@@ -53,21 +56,21 @@
 
 @pytest.mark.parametrize("link", [0.0, 1e-3, 1e9])
 def test_it_is_bounded_whatever_is_told(link: float) -> None:
-    settings, members = zone(4, link)
-    found = Capacity(settings).estimate(members)
-    assert MIN_TRANSFERS <= found["c0"][0] <= MAX_TRANSFERS and found["p"][0] >= MIN_TRANSFERS
+    settings, members = make_zone(4, link)
+    estimates = Capacity(settings).estimate(members)
+    assert MIN_TRANSFERS <= estimates["c0"][0] <= MAX_TRANSFERS and estimates["p"][0] >= MIN_TRANSFERS
     if not link:
-        assert found["c0"][0] == DEFAULT_TRANSFERS
+        assert estimates["c0"][0] == DEFAULT_TRANSFERS
 
 
 def test_caches_that_drain_leave_their_part_to_the_others() -> None:
-    settings, members = zone(16, 30.0)
-    whole = Capacity(settings).estimate(members)["c0"][0]
-    fewer = [replace(m, state="DRAINING") if n < 4 else m for n, m in enumerate(members)]
-    assert Capacity(settings).estimate(fewer)["c0"][0] > whole
+    settings, members = make_zone(16, 30.0)
+    before = Capacity(settings).estimate(members)["c0"][0]
+    drained = [replace(m, state="DRAINING") if n < 4 else m for n, m in enumerate(members)]
+    assert Capacity(settings).estimate(drained)["c0"][0] > before
 
 
-def calm(weights: str, weight: float) -> Iterator[list[api.Action]]:
+def actions_under_normal_load(weights: str, weight: float) -> Iterator[list[api.Action]]:
     """Yield the actions for half the load of three caches of eight transfers, each listed with `weight`."""
     bench = Bench(
         weights=weights, link_kb_per_s=(0.0, 14500.0, 14500.0), classes={"small": BASE.classes["small"]}
@@ -79,12 +82,19 @@
 
 @pytest.mark.parametrize(("weights", "weight"), [("none", 1.0), ("rough", 8.0)])
 def test_a_calm_crowd_is_not_refused(weights: str, weight: float) -> None:
-    assert not [act for acts in calm(weights, weight) for act in acts if isinstance(act, api.Refuse)]
+    assert not [
+        act
+        for acts in actions_under_normal_load(weights, weight)
+        for act in acts
+        if isinstance(act, api.Refuse)
+    ]
 
 
 def test_the_crowd_still_ends_somewhere() -> None:
     """Weights of 1 that are taken as stated cause refusals, which the estimate prevents."""
-    assert [act for acts in calm("rough", 1.0) for act in acts if isinstance(act, api.Refuse)]
+    assert [
+        act for acts in actions_under_normal_load("rough", 1.0) for act in acts if isinstance(act, api.Refuse)
+    ]
 
 
 def test_a_link_that_is_not_full_stretches_nothing() -> None:
