--- a/tests/routing/test_routing_capacity.py
+++ b/tests/routing/test_routing_capacity.py
@@ -27,7 +27,7 @@
 
 
 @pytest.mark.parametrize(("caches", "transfers", "miss_share", "headroom"), ZONES)
-def test_a_links_estimate_is_near_the_truth(
+def test_the_estimate_of_a_link_is_close_to_its_capacity(
     caches: int, transfers: float, miss_share: float, headroom: float
 ) -> None:
     """With weights of 1, a gateway refused half of the requests on a day of normal load."""
@@ -40,12 +40,12 @@
     assert safe == SAFE_SHARE * likely < transfers
 
 
-def test_told_weights_are_taken_as_told() -> None:
+def test_stated_weights_are_used_unchanged() -> None:
     estimates = Capacity(BASE).estimate(FLEET)
     assert estimates["c0"] == (8.0, 8.0) and estimates["p0"] == (30.0, 30.0)
 
 
-def test_live_weights_that_shrink_with_the_load_are_no_smaller_caches() -> None:
+def test_live_weights_that_shrink_under_load_leave_the_capacity_unchanged() -> None:
     """A live weight is size / (1 + load): used as it is, it halves a busy cache and counts its load twice."""
     capacity = Capacity(replace(BASE, weights="live"))
     capacity.estimate(FLEET)
@@ -55,7 +55,7 @@
 
 
 @pytest.mark.parametrize("link", [0.0, 1e-3, 1e9])
-def test_it_is_bounded_whatever_is_told(link: float) -> None:
+def test_the_estimate_is_bounded_for_any_stated_link(link: float) -> None:
     settings, members = make_zone(4, link)
     estimates = Capacity(settings).estimate(members)
     assert MIN_TRANSFERS <= estimates["c0"][0] <= MAX_TRANSFERS and estimates["p"][0] >= MIN_TRANSFERS
@@ -63,7 +63,7 @@
         assert estimates["c0"][0] == DEFAULT_TRANSFERS
 
 
-def test_caches_that_drain_leave_their_part_to_the_others() -> None:
+def test_draining_caches_leave_their_part_of_the_link_to_the_others() -> None:
     settings, members = make_zone(16, 30.0)
     before = Capacity(settings).estimate(members)["c0"][0]
     drained = [replace(m, state="DRAINING") if n < 4 else m for n, m in enumerate(members)]
@@ -81,7 +81,7 @@
 
 
 @pytest.mark.parametrize(("weights", "weight"), [("none", 1.0), ("rough", 8.0)])
-def test_a_calm_crowd_is_not_refused(weights: str, weight: float) -> None:
+def test_normal_load_is_not_refused(weights: str, weight: float) -> None:
     assert not [
         act
         for acts in actions_under_normal_load(weights, weight)
@@ -90,14 +90,14 @@
     ]
 
 
-def test_the_crowd_still_ends_somewhere() -> None:
+def test_load_above_the_stated_weights_is_refused() -> None:
     """Weights of 1 that are taken as stated cause refusals, which the estimate prevents."""
     assert [
         act for acts in actions_under_normal_load("rough", 1.0) for act in acts if isinstance(act, api.Refuse)
     ]
 
 
-def test_a_link_that_is_not_full_stretches_nothing() -> None:
+def test_a_link_below_its_capacity_does_not_stretch_transfers() -> None:
     """With an aim stretch of 1, a large object was refused at four fifths of a link's capacity."""
     bench = Bench(classes={"small": replace(BASE.classes["small"], aim_ms=450.0, aim_stretch=1.0)})
     for n in range(20):  # three caches of eight transfers: 21 keep each below its capacity
