--- a/tests/routing/test_routing_pace.py
+++ b/tests/routing/test_routing_pace.py
@@ -11,7 +11,7 @@
 from hitchtiller.routing.sizes import Sizes
 
 
-def test_it_follows_what_is_heard_and_forgets() -> None:
+def test_the_stretch_follows_the_answers_and_decays() -> None:
     pace = Pace()
     assert pace.now(0.0) == 1.0
     for n in range(12):
@@ -21,7 +21,7 @@
 
 
 @given(st.lists(st.tuples(st.floats(0.0, 1e7), st.floats(-9.0, 1e6)), max_size=50))
-def test_it_is_bounded(heard: list[tuple[float, float]]) -> None:
+def test_the_stretch_is_bounded(heard: list[tuple[float, float]]) -> None:
     pace, now = Pace(), 0.0
     for after, stretch in heard:
         now += after
@@ -51,7 +51,7 @@
     return found
 
 
-def test_a_cache_that_became_slow_is_passed_by() -> None:
+def test_a_cache_that_became_slow_is_avoided() -> None:
     """Two caches at 9 to 19 times their usual time kept 11 to 18 requests in flight for 25 s."""
     bench = Bench(notes="all")
     before = served_by(bench, "c0")
@@ -62,13 +62,13 @@
     assert served_by(bench, "c0") > 5
 
 
-def test_a_slow_fill_says_nothing_of_the_cache() -> None:
+def test_a_slow_fill_does_not_change_the_stretch_of_its_cache() -> None:
     bench = Bench(notes="all")
     hits(bench, "c0", 1500.0, note=2)
     assert bench.router.nodes["c0"].pace.now(bench.now) == 1.0
 
 
-def test_a_slow_cache_does_not_make_objects_large() -> None:
+def test_answers_of_a_slow_cache_do_not_lengthen_sending_times() -> None:
     """An object whose time was learned at a slow cache was refused at the fast caches too."""
     sizes, ask = Sizes(replace(BASE, notes="all")), api.Request(1, "big", 1, 5000.0)
     sizes.learn(ask, api.Outcome(1, 0, "c0", "done", 2700.0, True, note=1), True, stretch=9.0)
