--- a/tests/routing/test_routing_pace.py
+++ b/tests/routing/test_routing_pace.py
@@ -21,55 +21,57 @@
 
 
 @given(st.lists(st.tuples(st.floats(0.0, 1e7), st.floats(-9.0, 1e6)), max_size=50))
-def test_the_stretch_is_bounded(heard: list[tuple[float, float]]) -> None:
+def test_the_stretch_is_bounded(answers: list[tuple[float, float]]) -> None:
     pace, now = Pace(), 0.0
-    for after, stretch in heard:
-        now += after
+    for delay_ms, stretch in answers:
+        now += delay_ms
         pace.record(now, stretch)
     assert 1.0 <= pace.now(now) <= MAX_STRETCH
 
 
-def hits(bench: Bench, server: str, took: float, note: int = 1) -> None:
-    """Have ten requests of 100 ms served by `server` in `took` ms, as hits or with another note."""
+def serve_requests(bench: Bench, server: str, took_ms: float, note: int = 1) -> None:
+    """Have ten requests of 100 ms served by `server` in `took_ms` each, as hits or with another note."""
     for n in range(10):
         for id in range(100 * n + 100, 100 * n + 200):  # until one is sent to the server
             (get,) = gets(bench.ask(id, key=id, size_kb=100.0, life_ms=3000.0))
-            ended = get.server == server
-            bench.now += took if ended else 0.0
-            bench.give(api.Outcome(id, 0, get.server, "done", took if ended else 100.0, True, note=note))
-            if ended:
+            is_target = get.server == server
+            bench.now += took_ms if is_target else 0.0
+            bench.give(
+                api.Outcome(id, 0, get.server, "done", took_ms if is_target else 100.0, True, note=note)
+            )
+            if is_target:
                 break
 
 
-def served_by(bench: Bench, server: str) -> int:
+def count_served_by(bench: Bench, server: str) -> int:
     """Return how many of 60 requests are sent to `server`."""
-    found = 0
+    count = 0
     for id in range(5000, 5060):
         for get in gets(bench.ask(id, key=id, size_kb=100.0, life_ms=3000.0)):
-            found += get.server == server
+            count += get.server == server
             bench.give(api.Outcome(id, 0, get.server, "done", 100.0, True, note=0))
-    return found
+    return count
 
 
 def test_a_cache_that_became_slow_is_avoided() -> None:
     """Two caches at 9 to 19 times their usual time kept 11 to 18 requests in flight for 25 s."""
     bench = Bench(notes="all")
-    before = served_by(bench, "c0")
-    hits(bench, "c0", 1500.0)
+    before = count_served_by(bench, "c0")
+    serve_requests(bench, "c0", 1500.0)
     assert before > 5
-    assert served_by(bench, "c0") == 0
+    assert count_served_by(bench, "c0") == 0
     bench.now += 5 * DECAY_MS
-    assert served_by(bench, "c0") > 5
+    assert count_served_by(bench, "c0") > 5
 
 
 def test_a_slow_fill_does_not_change_the_stretch_of_its_cache() -> None:
     bench = Bench(notes="all")
-    hits(bench, "c0", 1500.0, note=2)
+    serve_requests(bench, "c0", 1500.0, note=2)
     assert bench.router.nodes["c0"].pace.now(bench.now) == 1.0
 
 
 def test_answers_of_a_slow_cache_do_not_lengthen_sending_times() -> None:
     """An object whose time was learned at a slow cache was refused at the fast caches too."""
-    sizes, ask = Sizes(replace(BASE, notes="all")), api.Request(1, "big", 1, 5000.0)
-    sizes.learn(ask, api.Outcome(1, 0, "c0", "done", 2700.0, True, note=1), True, stretch=9.0)
-    assert sizes.estimate(ask) == (300.0, True)
+    sizes, request = Sizes(replace(BASE, notes="all")), api.Request(1, "big", 1, 5000.0)
+    sizes.learn(request, api.Outcome(1, 0, "c0", "done", 2700.0, True, note=1), True, stretch=9.0)
+    assert sizes.estimate(request) == (300.0, True)
