--- a/tests/routing/test_routing_sizes.py
+++ b/tests/routing/test_routing_sizes.py
@@ -9,76 +9,76 @@
 from hitchtiller import interface as api
 from hitchtiller.routing.sizes import MAX_OBJECTS, Sizes
 
-ALL = replace(BASE, notes="all")
+SETTINGS = replace(BASE, notes="all")
 
 
-def ask(key: int = 1, name: str = "big", size_kb: float = 0.0, part: int = 0) -> api.Request:
+def make_request(key: int = 1, name: str = "big", size_kb: float = 0.0, part: int = 0) -> api.Request:
     return api.Request(1, name, key, 5000.0, size_kb, part=part)
 
 
-def end(took: float, note: int = 1, waited: float = 0.0, whole: bool = True) -> api.Outcome:
-    return api.Outcome(1, 0, "c0", "done", took, True, note, waited, whole=whole)
+def make_outcome(took_ms: float, note: int = 1, waited_ms: float = 0.0, whole: bool = True) -> api.Outcome:
+    return api.Outcome(1, 0, "c0", "done", took_ms, True, note, waited_ms, whole=whole)
 
 
 def test_told_sizes_are_taken_as_told() -> None:
-    sizes = Sizes(ALL)
-    assert sizes.estimate(ask(size_kb=300.0)) == (300.0, True)
-    sizes.learn(ask(size_kb=300.0), end(9.0), True)
+    sizes = Sizes(SETTINGS)
+    assert sizes.estimate(make_request(size_kb=300.0)) == (300.0, True)
+    sizes.learn(make_request(size_kb=300.0), make_outcome(9.0), True)
     assert not sizes.work_by_object
 
 
 def test_the_next_part_of_a_huge_object_is_known_to_be_huge() -> None:
-    sizes = Sizes(ALL)
-    assert sizes.estimate(ask()) == (500.0, False)
-    sizes.learn(ask(part=0), end(4200.0, note=3, waited=200.0), True)
-    assert sizes.estimate(ask(part=1)) == (4000.0, True)
+    sizes = Sizes(SETTINGS)
+    assert sizes.estimate(make_request()) == (500.0, False)
+    sizes.learn(make_request(part=0), make_outcome(4200.0, note=3, waited_ms=200.0), True)
+    assert sizes.estimate(make_request(part=1)) == (4000.0, True)
 
 
 def test_a_wait_for_the_source_is_no_sending_time() -> None:
-    sizes = Sizes(ALL)
-    sizes.learn(ask(), end(900.0, note=2, waited=600.0), True)
-    assert sizes.estimate(ask())[0] == 300.0
+    sizes = Sizes(SETTINGS)
+    sizes.learn(make_request(), make_outcome(900.0, note=2, waited_ms=600.0), True)
+    assert sizes.estimate(make_request())[0] == 300.0
 
 
 def test_a_joined_fill_and_a_confirmed_copy_teach_nothing() -> None:
     """Their bytes were already on their way, or were not sent."""
-    sizes = Sizes(ALL)
-    sizes.learn(ask(), end(5.0, note=4, waited=100.0), True)
-    sizes.learn(ask(), end(5.0, whole=False), True)
-    assert sizes.estimate(ask()) == (500.0, False)
+    sizes = Sizes(SETTINGS)
+    sizes.learn(make_request(), make_outcome(5.0, note=4, waited_ms=100.0), True)
+    sizes.learn(make_request(), make_outcome(5.0, whole=False), True)
+    assert sizes.estimate(make_request()) == (500.0, False)
 
 
 def test_a_wait_that_is_not_told_is_not_taken_for_sending() -> None:
     sizes = Sizes(replace(BASE, notes="hit"))
-    sizes.learn(ask(), end(900.0, note=2), True)
-    assert sizes.estimate(ask()) == (500.0, False)
-    sizes.learn(ask(), end(300.0, note=1), True)
-    assert sizes.estimate(ask()) == (300.0, True)
+    sizes.learn(make_request(), make_outcome(900.0, note=2), True)
+    assert sizes.estimate(make_request()) == (500.0, False)
+    sizes.learn(make_request(), make_outcome(300.0, note=1), True)
+    assert sizes.estimate(make_request()) == (300.0, True)
 
 
 def test_a_crowds_stretch_is_forgotten_soon() -> None:
-    sizes = Sizes(ALL)
-    for took in (2000.0, 300.0, 300.0, 300.0):
-        sizes.learn(ask(), end(took), True)
-    assert sizes.estimate(ask())[0] < 450.0
+    sizes = Sizes(SETTINGS)
+    for took_ms in (2000.0, 300.0, 300.0, 300.0):
+        sizes.learn(make_request(), make_outcome(took_ms), True)
+    assert sizes.estimate(make_request())[0] < 450.0
 
 
 @given(st.lists(st.floats(0.0, 1e6), max_size=60))
-def test_means_stay_within_what_a_client_waits(times: list[float]) -> None:
-    sizes = Sizes(ALL)
-    for n, took in enumerate(times):
-        sizes.learn(ask(n), end(took), True)
+def test_means_stay_within_what_a_client_waits(times_ms: list[float]) -> None:
+    sizes = Sizes(SETTINGS)
+    for n, took_ms in enumerate(times_ms):
+        sizes.learn(make_request(n), make_outcome(took_ms), True)
     assert 0.0 < sizes.mean["big"] <= CLASSES["big"].deadline_ms
 
 
 def test_the_table_is_bounded() -> None:
-    sizes = Sizes(ALL)
+    sizes = Sizes(SETTINGS)
     for n in range(MAX_OBJECTS + 9):
-        sizes.learn(ask(n), end(10.0), True)
+        sizes.learn(make_request(n), make_outcome(10.0), True)
     assert (
         len(sizes.work_by_object) == MAX_OBJECTS
-        and not sizes.estimate(ask(0))[1]
-        and sizes.estimate(ask(MAX_OBJECTS))[1]
+        and not sizes.estimate(make_request(0))[1]
+        and sizes.estimate(make_request(MAX_OBJECTS))[1]
     )
 
 
