--- a/tests/routing/test_routing_sizes.py
+++ b/tests/routing/test_routing_sizes.py
@@ -20,7 +20,7 @@
     return api.Outcome(1, 0, "c0", "done", took_ms, True, note, waited_ms, whole=whole)
 
 
-def test_told_sizes_are_taken_as_told() -> None:
+def test_stated_sizes_are_used_unchanged() -> None:
     sizes = Sizes(SETTINGS)
     assert sizes.estimate(make_request(size_kb=300.0)) == (300.0, True)
     sizes.learn(make_request(size_kb=300.0), make_outcome(9.0), True)
@@ -34,13 +34,13 @@
     assert sizes.estimate(make_request(part=1)) == (4000.0, True)
 
 
-def test_a_wait_for_the_source_is_no_sending_time() -> None:
+def test_a_wait_for_the_source_is_not_sending_time() -> None:
     sizes = Sizes(SETTINGS)
     sizes.learn(make_request(), make_outcome(900.0, note=2, waited_ms=600.0), True)
     assert sizes.estimate(make_request())[0] == 300.0
 
 
-def test_a_joined_fill_and_a_confirmed_copy_teach_nothing() -> None:
+def test_a_joined_fill_and_a_confirmed_copy_are_not_learned_from() -> None:
     """Their bytes were already on their way, or were not sent."""
     sizes = Sizes(SETTINGS)
     sizes.learn(make_request(), make_outcome(5.0, note=4, waited_ms=100.0), True)
@@ -48,7 +48,7 @@
     assert sizes.estimate(make_request()) == (500.0, False)
 
 
-def test_a_wait_that_is_not_told_is_not_taken_for_sending() -> None:
+def test_a_fill_whose_wait_is_not_stated_is_not_learned_from() -> None:
     sizes = Sizes(replace(BASE, notes="hit"))
     sizes.learn(make_request(), make_outcome(900.0, note=2), True)
     assert sizes.estimate(make_request()) == (500.0, False)
@@ -56,7 +56,7 @@
     assert sizes.estimate(make_request()) == (300.0, True)
 
 
-def test_a_crowds_stretch_is_forgotten_soon() -> None:
+def test_a_time_stretched_by_load_is_soon_forgotten() -> None:
     sizes = Sizes(SETTINGS)
     for took_ms in (2000.0, 300.0, 300.0, 300.0):
         sizes.learn(make_request(), make_outcome(took_ms), True)
@@ -64,7 +64,7 @@
 
 
 @given(st.lists(st.floats(0.0, 1e6), max_size=60))
-def test_means_stay_within_what_a_client_waits(times_ms: list[float]) -> None:
+def test_means_stay_within_the_deadline_of_the_class(times_ms: list[float]) -> None:
     sizes = Sizes(SETTINGS)
     for n, took_ms in enumerate(times_ms):
         sizes.learn(make_request(n), make_outcome(took_ms), True)
@@ -82,7 +82,7 @@
     )
 
 
-def test_an_effect_is_served_in_a_crowd_that_ends_others() -> None:
+def test_an_effect_is_served_under_load_at_which_others_are_refused() -> None:
     """Without a learned time, 1,170 of 1,264 sign-offs were refused at once on an overloaded day."""
     bench = Bench(notes="all", classes={n: replace(c, aim_stretch=0.0) for n, c in CLASSES.items()})
     for n in range(40):
