--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -61,7 +61,7 @@
 
 
 @pytest.mark.parametrize("gateways", [3, 8, 40, 200])
-def test_a_cold_cache_stays_under_its_multiple_where_all_gateways_think_that_they_are_alone(
+def test_a_cold_cache_stays_under_its_multiple_when_all_gateways_believe_that_they_are_alone(
     gateways: int,
 ) -> None:
     """In a partition into two or more sides, a gateway's part by its view is capped by its configured part."""
@@ -71,7 +71,7 @@
         assert 60.0 * calls_in_window <= FALL_MULTIPLE * work_per_ms(start_ms + 1000.0) * 1000.0
 
 
-def test_where_half_are_dead_and_known_to_be_the_rest_use_what_all_would() -> None:
+def test_when_half_are_known_to_be_dead_the_rest_use_nearly_as_much_as_all_would() -> None:
     all_running, believed_alive, known_dead = (
         len(simulate_sends(8, 4, 2400, 60.0, *case)) for case in ((8, 1.0), (4, 1.0), (4, 0.5))
     )
@@ -80,7 +80,7 @@
 
 
 @pytest.mark.parametrize("gateways", [3, 40, 200])
-def test_a_cold_cache_is_used_while_it_warms_whatever_the_fleet(gateways: int) -> None:
+def test_a_cold_cache_is_used_while_it_warms_whatever_the_fleet_size(gateways: int) -> None:
     """Without a selection by hash, 40 or 200 gateways each sent it nothing during its whole ramp."""
     sent_ms = simulate_sends(gateways)
     for second in range(1, 8):
@@ -147,13 +147,13 @@
 
 
 @pytest.mark.parametrize("gateways", [3, 40, 200])
-def test_a_source_asked_for_twice_what_it_gives_still_ends_fills_in_time(gateways: int) -> None:
+def test_a_source_asked_for_twice_its_capacity_still_ends_fills_in_time(gateways: int) -> None:
     """Without a limit, hundreds of fills share the link and a hundredth of it ends within its aim."""
     assert prompt_share(gateways, limited=False) < 0.05
     assert prompt_share(gateways, limited=True) > 0.2
 
 
-def test_a_jam_is_felt_after_three_misses_and_its_end_after_42_prompt_fills() -> None:
+def test_congestion_is_noticed_after_3_misses_and_its_end_after_42_prompt_fills() -> None:
     """From 3.0 of the mean down to 0.02, a gateway with two fills per second took 26 s to notice the end."""
     limit = FillLimit()
     for _ in range(3):
