--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -64,7 +64,7 @@
 def test_a_cold_cache_stays_under_its_multiple_when_all_gateways_believe_that_they_are_alone(
     gateways: int,
 ) -> None:
-    """In a partition into two or more sides, a gateway's part by its view is capped by its configured part."""
+    """In a partition into two or ten sides, a gateway's part by its view is capped by its configured part."""
     sent_ms = simulate_sends(gateways, 4, rate_per_s=2400, work_ms=60.0, present=1.0 / gateways)
     for start_ms in sent_ms[::10]:
         calls_in_window = sum(start_ms <= at_ms < start_ms + 1000.0 for at_ms in sent_ms)
