--- a/tests/deployments/test_generated.py
+++ b/tests/deployments/test_generated.py
@@ -39,7 +39,7 @@
 
 @settings(max_examples=320, phases=PHASES)
 @given(SEEDS)
-def test_a_calm_time_at_half_the_load_refuses_next_to_nothing(seed: int) -> None:
+def test_at_half_the_load_almost_nothing_is_refused(seed: int) -> None:
     """Bursts may cause refusals of the largest objects: at most one request in a hundred, never an effect."""
     world = World(draw(seed), seed)
     world.play(0.5, duration_ms(world, 400.0))
@@ -65,7 +65,7 @@
 
 @settings(max_examples=60, phases=PHASES)
 @given(SEEDS)
-def test_an_overload_ends_the_least_worthy_first(seed: int) -> None:
+def test_an_overload_refuses_the_requests_of_least_worth_first(seed: int) -> None:
     """Requests are ranked by worth per ms of a link: effects first, then classes of much higher worth."""
     world = World(draw(seed), seed)
     world.play(1.6, duration_ms(world, 1500.0))
@@ -81,7 +81,7 @@
 # Each rule's checker is given a history that breaks the rule
 
 
-def test_answers_are_judged() -> None:
+def test_the_checker_of_answers_finds_violations() -> None:
     checker = rules.Answers()
     for request, deadline in (("once", 100.0), ("twice", 100.0), ("late", 100.0), ("never", 100.0)):
         checker.taken(request, deadline)
@@ -105,7 +105,9 @@
         ("by_key", "cell", "a", 10.0, 1),
     ],
 )
-def test_effects_are_judged(effect: str, scope: str, zone: str, at: float, breaks: int) -> None:
+def test_the_checker_of_effects_finds_violations(
+    effect: str, scope: str, zone: str, at: float, breaks: int
+) -> None:
     checker = rules.Effects()
     checker.sent(1, 0.0, effect, scope, 50.0, "a", 1)
     checker.ended(1, 0.0, False, "a", 1)
@@ -113,7 +115,7 @@
     assert len(checker.broken) == breaks
 
 
-def test_a_refusal_after_an_effect_and_two_at_once_are_judged() -> None:
+def test_the_checker_of_effects_finds_a_refusal_after_an_effect_and_two_at_once() -> None:
     checker = rules.Effects()
     checker.sent(1, 0.0, "once", "all", 0.0, "a", 1)
     checker.sent(1, 1.0, "once", "all", 0.0, "a", 1)
@@ -123,7 +125,7 @@
     assert len(checker.broken) == 2
 
 
-def test_drains_are_judged() -> None:
+def test_the_checker_of_drains_finds_violations() -> None:
     checker = rules.Drains(500.0)
     checker.heard(0, "c", False, 100.0)
     checker.sent(0, "c", 400.0)
@@ -136,7 +138,7 @@
 
 
 @pytest.mark.parametrize(("told", "breaks"), [(True, True), (False, False)])
-def test_cold_starts_are_judged_over_all_gateways(told: bool, breaks: bool) -> None:
+def test_the_checker_of_cold_starts_counts_all_gateways(told: bool, breaks: bool) -> None:
     checker = rules.ColdStarts(multiple=2.0, window_ms=1000.0, share=0.2, ramp_ms=10_000.0)
     checker.start("c", 5.0, 0.0)
     for n in range(25):  # 1 transfer at first, so 2,000 ms of work in a second are the bound
@@ -144,7 +146,7 @@
     assert bool(checker.broken) == breaks
 
 
-def test_purges_are_judged() -> None:
+def test_the_checker_of_purges_finds_violations() -> None:
     checker = rules.Purges(300.0)
     checker.heard(0, 7, made_ms=1000.0, now_ms=1100.0)
     checker.served(0, 7, sent_ms=1400.0, copy_ms=900.0)
