--- a/tests/deployments/test_generated.py
+++ b/tests/deployments/test_generated.py
@@ -1,6 +1,6 @@
 """Generated deployments: the rules that the decisions must keep in each of over 300 random deployments.
 
-The second real deployment met a program that refused half of the requests on a day of normal load, because it
+The second deployment met a program that refused half of the requests on a day of normal load, because it
 relied on settings that only the first one stated. Each generated deployment states and allows something else;
 see `standins/world.py`.
 """
@@ -26,7 +26,7 @@
 
 
 def served_shares(world: World) -> dict[str, float]:
-    """Return the share of requests that were answered, by class."""
+    """Return the share of requests that were served, in time or late, by class."""
     by_class = {}
     for name in world.made.share:
         answers = sum(n for (cls, _), n in world.ends.items() if cls == name)
