--- a/hitchtiller/routing/cold.py
+++ b/hitchtiller/routing/cold.py
@@ -1,4 +1,4 @@
-"""Limits what one gateway sends to a recently started server, so that all gateways do not overload it.
+"""Limits what each gateway sends to a recently started server, so that together they do not overload it.
 
 A cold server becomes overloaded and fails when all gateways together send it more than N calls of mean work
 within the time that the settings state, where N is the fall multiple times what the server can do then. No
