--- a/hitchtiller/routing/capacity.py
+++ b/hitchtiller/routing/capacity.py
@@ -4,7 +4,7 @@
 Where the list's weights state a server's transfers (`weights` is `rough`, `nominal` or `live`), they are used
 as stated. Where `weights` is `none`, each server is listed with weight 1, a fifth or less of what it can do;
 a gateway that relied on this weight would refuse half of the requests on a day of normal load. Estimates use
-what every deployment states: the pace of one transfer and the bandwidth of each zone's inbound link. An
+what deployments do state: the pace of one transfer and the bandwidth of each zone's inbound link. An
 inbound link is sized for what the zone's caches miss together. Fewer caches hold fewer objects, so in zones
 of fewer than SMALL_ZONE_CACHES caches the inbound link hardly shrinks with their number, and one cache's link
 is estimated as CACHE_LINK_SHARE of it. In larger zones the estimate shrinks as 1 / number of caches.
@@ -12,7 +12,7 @@
 
 Bounds. A cache's estimate stays within MIN_TRANSFERS to MAX_TRANSFERS. The guards use the lower end of each
 estimate (SAFE_SHARE of it), so that cold servers get no more than their fall multiple even where the estimate
-is too high; docs/deployments.md has the error over drawn days of two deployments. Each gateway derives the
+is too high; docs/deployments.md has the error over generated days of two deployments. Each gateway derives the
 estimates from the settings and the list alone: all 200 gateways get the same ones, including a gateway that
 has just started and knows nothing else.
 """
