--- a/hitchtiller/routing/sizes.py
+++ b/hitchtiller/routing/sizes.py
@@ -3,7 +3,7 @@
 Where sizes are stated, the sending time is size over pace. Elsewhere it is learned: an answer's time less the
 wait for its source is the sending time, stretched by the load at that time. A shorter one therefore replaces
 most of the learned time at once, and a longer one changes it little by little. Parts of one object are of
-about the same size (a tenth apart on drawn days, where objects of a class are 1.3 to 2.6 times apart), so
+about the same size (a tenth apart on generated days, where objects of a class are 1.3 to 2.6 times apart), so
 times are kept by object, not by part: after the first part of a huge object its next parts are known to be
 huge. An object that was never seen counts as its class's mean and as not known. Means start at the class's
 aim, which is safe for the cold guard, and are learned for every class, including effects, of which no copy is
