--- a/hitchtiller/routing/fills.py
+++ b/hitchtiller/routing/fills.py
@@ -21,7 +21,7 @@
 """
 
 MAX_SHARE = 1.5  # of the mean: no limit. At 3.0 the first reductions held almost no fills back
-MIN_SHARE = 0.2  # of the mean; small fills show the end of congestion. At 0.02 that took 26 s
+MIN_SHARE = 0.2  # of the mean; small fills show the end of congestion, which took 26 s at 0.02
 SHRINK_FACTOR, GROWTH_FACTOR = 0.8, 1.05  # for each fill that missed its aim, and for each prompt one
 
 
