--- a/hitchtiller/routing/capacity.py
+++ b/hitchtiller/routing/capacity.py
@@ -12,9 +12,9 @@
 
 Bounds. A cache's estimate stays within MIN_TRANSFERS to MAX_TRANSFERS. The guards use the lower end of each
 estimate (SAFE_SHARE of it), so that cold servers get no more than their fall multiple even where the estimate
-is too high; docs/deployments.md has the error over generated days of two deployments. Each gateway derives the
-estimates from the settings and the list alone: all 200 gateways get the same ones, including a gateway that
-has just started and knows nothing else.
+is too high; docs/deployments.md has the error over generated days of two deployments. Each gateway derives
+the estimates from the settings and the list alone: all 200 gateways get the same ones, including a gateway
+that has just started and knows nothing else.
 """
 
 from collections.abc import Iterable
