--- a/tests/routing/test_routing_cold.py
+++ b/tests/routing/test_routing_cold.py
@@ -28,7 +28,7 @@
     cold_server: str
     routers: dict[int, Router] = field(default_factory=dict)
     known_from_ms: dict[int, float] = field(default_factory=dict)
-    calls: list[float] = field(default_factory=list)
+    call_times_ms: list[float] = field(default_factory=list)
 
     def start(self, number: int) -> None:
         """Start a gateway process; it does not know what an earlier one has sent."""
@@ -45,37 +45,37 @@
             self.known_from_ms[number] = 1.0 + self.rng.choice((0.0, 0.0, 300.0, 2_000.0))
         share = {number: self.rng.choice((0.02, 0.3, 1.0)) for number in self.numbers}  # unequal traffic
         for tick in range(int(RUN_MS / TICK_MS)):
-            now = 1.0 + tick * TICK_MS
-            if restart_ms and restart_ms <= now < restart_ms + TICK_MS:
+            now_ms = 1.0 + tick * TICK_MS
+            if restart_ms and restart_ms <= now_ms < restart_ms + TICK_MS:
                 for number in self.numbers[: len(self.numbers) * 7 // 10]:
                     self.start(number)
             for number in self.numbers:
-                if now < self.known_from_ms[number] or self.rng.random() > share[number]:
+                if now_ms < self.known_from_ms[number] or self.rng.random() > share[number]:
                     continue
                 router = self.routers[number]
-                router.now, node = now, router.nodes[self.cold_server]
+                router.now, node = now_ms, router.nodes[self.cold_server]
                 if router.admits(node):
                     node.debt_ms += WORK_MS
-                    self.calls.append(now)
+                    self.call_times_ms.append(now_ms)
 
 
 def budget(settings: api.Settings, cold_server: str, at_ms: float) -> float:
     """Return N at a time after the server's start."""
     weight, is_parent = next((m.weight, m.kind == "parent") for m in FLEET if m.server == cold_server)
-    share, ramp, multiple = settings.cold_share, settings.cold_ms, settings.fall_multiple
+    share, ramp_ms, multiple = settings.cold_share, settings.cold_ms, settings.fall_multiple
     if is_parent:
-        share, ramp, multiple = (
+        share, ramp_ms, multiple = (
             settings.parent_cold_share, settings.parent_cold_ms, settings.parent_fall_multiple,
         )  # fmt: skip
-    capacity = weight * (share + (1.0 - share) * min(1.0, at_ms / ramp))
+    capacity = weight * (share + (1.0 - share) * min(1.0, at_ms / ramp_ms))
     return multiple * capacity * settings.fall_ms / WORK_MS
 
 
 def worst_excess(zone: Zone) -> float:
     """Return the largest number of calls beyond N, in units of the excess that is attributed to chance."""
     excess = 0.0
-    for start in zone.calls:
-        calls = sum(start <= sent_ms < start + zone.settings.fall_ms for sent_ms in zone.calls)
+    for start in zone.call_times_ms:
+        calls = sum(start <= sent_ms < start + zone.settings.fall_ms for sent_ms in zone.call_times_ms)
         limit = budget(zone.settings, zone.cold_server, start)
         excess = max(excess, (calls - limit) / (2.0 * math.sqrt(limit) + 2.0))
     return excess
@@ -87,7 +87,7 @@
     capacities = [
         budget(zone.settings, zone.cold_server, at_ms) / multiple for at_ms in range(500, int(RUN_MS), 1000)
     ]
-    return len(zone.calls) * zone.settings.fall_ms / 1000.0 / sum(capacities)
+    return len(zone.call_times_ms) * zone.settings.fall_ms / 1000.0 / sum(capacities)
 
 
 def simulate(
