--- a/tests/routing/test_routing_cold.py
+++ b/tests/routing/test_routing_cold.py
@@ -39,7 +39,7 @@
         self.routers[number] = router
 
     def simulate(self, restart_ms: float = 0.0) -> None:
-        """Let each gateway send all it may; some hear of the server late, and 70 % restart at `restart_ms`."""
+        """Let each gateway send all it may; some hear of the server late, 70 % restart at `restart_ms`."""
         for number in self.numbers:
             self.start(number)
             self.known_from_ms[number] = 1.0 + self.rng.choice((0.0, 0.0, 300.0, 2_000.0))
