--- a/hitchtiller/membership/detector.py
+++ b/hitchtiller/membership/detector.py
@@ -60,12 +60,19 @@
     """One gateway's part in membership; calls give the datagrams to send."""
 
     def __init__(
-        self, me: int, size: int, incarnation: int, fleet: int, period_ms: float, rng: Random, now_ms: float
+        self,
+        own_number: int,
+        size: int,
+        incarnation: int,
+        fleet: int,
+        period_ms: float,
+        rng: Random,
+        now_ms: float,
     ) -> None:
         """Start; `incarnation` is the start's Unix milliseconds."""
-        self.me, self.fleet, self.period_ms, self.rng = me, fleet, period_ms, rng
-        self.view = View(me, size, incarnation)
-        self.gossip, self.evidence = Gossip(size), Evidence(me)
+        self.own_number, self.fleet, self.period_ms, self.rng = own_number, fleet, period_ms, rng
+        self.view = View(own_number, size, incarnation)
+        self.gossip, self.evidence = Gossip(size), Evidence(own_number)
         self.view.listeners.append(self._changed)
         self.heard: dict[int, float] = {}
         self.probes: dict[int, Probe] = {}
@@ -74,7 +81,7 @@
         self.numbers, self.periods, self.doubt, self.pages = 0, 0, 0, START_PAGES
         self.next_ms = self.ticked_ms = now_ms
         self.sent = self.dropped = 0
-        self.gossip.add(me)
+        self.gossip.add(own_number)
 
     # What the caller feeds
 
@@ -108,14 +115,14 @@
                 self._follow(number, by, now_ms)
             elif claim.state is State.SUSPECT and claim == self.view.claims.get(number):
                 self._witness(number, by)
-            elif number == self.me and claim < self.view.claims[number] and not self.view.superseded:
+            elif number == self.own_number and claim < self.view.claims[number] and not self.view.superseded:
                 self.gossip.add(number)  # its sender has not heard my newer claim: all those words were lost
         match word.kind:
             case Kind.PING:
                 return self._send(sender, Kind.ACK, word.number)
             case Kind.ACK:
                 return self._acked(word, sender)
-            case Kind.ASK if word.target in self.view.claims and word.target != self.me:
+            case Kind.ASK if word.target in self.view.claims and word.target != self.own_number:
                 return self._ping(word.target, now_ms, sender, word.number)
             case Kind.PAGE:
                 return self._page(sender, word.target)
@@ -142,7 +149,7 @@
         out: Datagrams = []
         for peer in self._some(FANOUT, ()):
             if reports := self.evidence.tell(now_ms, REPORTS):
-                out += self._pack(peer, MembershipMessage(Kind.REPORT, self.me, 0, reports=reports))
+                out += self._pack(peer, MembershipMessage(Kind.REPORT, self.own_number, 0, reports=reports))
         return out
 
     # Periods
@@ -156,7 +163,7 @@
                 out += self._send(peer, Kind.PAGE, 0, self.rng.randrange(len(self.view.claims)))
         target = self._next(now_ms)
         for number, suspicion in self.suspicions.items():  # so that it may refute
-            if self.me in suspicion.witnesses:
+            if self.own_number in suspicion.witnesses:
                 out += self._send(number, Kind.PING, 0)
         if self.gossip.told:
             for peer in self._some(NEWS, ()):
@@ -167,7 +174,7 @@
         for _ in range(2 * len(self.view.claims)):
             if not self.round:
                 # the dead are tried too, seldom: a cut that heals is noticed by nobody else
-                self.round = [n for n in self.view.in_service() if n != self.me]
+                self.round = [n for n in self.view.in_service() if n != self.own_number]
                 gone = self.view.states(State.DEAD)
                 self.round += self.rng.sample(gone, min(len(gone), 1 + len(self.round) // 8))
                 self.rng.shuffle(self.round)
@@ -217,10 +224,10 @@
         if claim is None or claim.state > State.SUSPECT:
             return
         if claim.state is State.SUSPECT:
-            return self._witness(target, self.me)
+            return self._witness(target, self.own_number)
         self._doubt(1)
-        if self.view.merge(target, Claim(claim.incarnation, State.SUSPECT), self.me, now_ms):
-            self._follow(target, self.me, now_ms)
+        if self.view.merge(target, Claim(claim.incarnation, State.SUSPECT), self.own_number, now_ms):
+            self._follow(target, self.own_number, now_ms)
 
     def _expire(self, now_ms: float) -> None:
         for number, suspicion in list(self.suspicions.items()):
@@ -231,7 +238,7 @@
                 suspicion.begun_ms = self.heard[number]  # it spoke to me since: its refutation is on its way
             elif now_ms - suspicion.begun_ms >= self.suspect_ms(len(suspicion.witnesses)):
                 del self.suspicions[number]
-                self.view.merge(number, Claim(claim.incarnation, State.DEAD), self.me, now_ms)
+                self.view.merge(number, Claim(claim.incarnation, State.DEAD), self.own_number, now_ms)
 
     def suspect_ms(self, witnesses: int) -> float:
         """Give how long a suspect has to refute, with so many that suspect it."""
@@ -243,7 +250,7 @@
     # Word
 
     def _follow(self, number: int, source: int, now_ms: float) -> None:
-        if number == self.me:
+        if number == self.own_number:
             self._doubt(1)  # I was taken for gone: maybe it is I who is late
         elif self.view.claims[number].state is State.SUSPECT:
             self.suspicions[number] = Suspicion(now_ms, {source})
@@ -264,21 +271,21 @@
         self.doubt = min(DOUBT_MOST, self.doubt + steps)
 
     def _some(self, count: int, but: tuple[int, ...]) -> list[int]:
-        others = [n for n in self.view.states(State.ALIVE) if n != self.me and n not in but]
+        others = [n for n in self.view.states(State.ALIVE) if n != self.own_number and n not in but]
         return self.rng.sample(others, min(count, len(others)))
 
     def _page(self, peer: int, start: int) -> Datagrams:
         size = len(self.view.claims)
         numbers = sorted(self.view.claims, key=lambda n: (n - start) % size)
         items = self.view.items(numbers)[:ITEMS]
-        return self._pack(peer, MembershipMessage(Kind.TELL, self.me, 0, 0, items))
+        return self._pack(peer, MembershipMessage(Kind.TELL, self.own_number, 0, 0, items))
 
     def _send(self, peer: int, kind: Kind, number: int, target: int = 0) -> Datagrams:
         # a peer that I hold for gone is told so first: it refutes, or knows that it is superseded
         claim = self.view.claims.get(peer, UNHEARD)
         first = peer if claim.state is not State.ALIVE else None
         items = self.view.items(self.gossip.take(ITEMS, first))
-        return self._pack(peer, MembershipMessage(kind, self.me, number, target, items))
+        return self._pack(peer, MembershipMessage(kind, self.own_number, number, target, items))
 
     def _pack(self, peer: int, word: MembershipMessage) -> Datagrams:
         self.sent += 1
--- a/hitchtiller/membership/evidence.py
+++ b/hitchtiller/membership/evidence.py
@@ -61,9 +61,9 @@
 class Evidence:
     """One gateway's knowledge of what others saw of servers."""
 
-    def __init__(self, me: int) -> None:
+    def __init__(self, own_number: int) -> None:
         """Know nothing."""
-        self.me = me
+        self.own_number = own_number
         self.reports: dict[int, dict[int, Kept]] = {}  # server, witness
         self.answered: dict[int, float] = {}  # when a server last answered me
         self.judged: dict[int, float] = {}  # when a verdict was last given
@@ -72,22 +72,22 @@
     def saw(self, server: int, sign: Symptom, now_ms: float) -> None:
         """Take what I saw myself; it is told, and is no witness for me."""
         self.counts[server] = self.counts.get(server, 0) + 1
-        self.reports.setdefault(server, {})[self.me] = Kept(sign, now_ms, self.counts[server])
+        self.reports.setdefault(server, {})[self.own_number] = Kept(sign, now_ms, self.counts[server])
 
     def hears(self, server: int, now_ms: float) -> None:
         """Take an answer of a server's: what was said of it before is void for me."""
         self.answered[server] = max(now_ms, self.answered.get(server, now_ms))
-        self.reports.get(server, {}).pop(self.me, None)
+        self.reports.get(server, {}).pop(self.own_number, None)
 
     def take(self, reports: Iterable[Report], now_ms: float) -> None:
         """Take others' word; older word of the same witness, and what is too old, changes nothing."""
         for report in reports:
             at = now_ms - report.age_ms
-            if report.by == self.me or report.age_ms >= KEEP_MS:
+            if report.by == self.own_number or report.age_ms >= KEEP_MS:
                 continue
             witnesses = self.reports.setdefault(report.server, {})
             old = witnesses.get(report.by)
-            if old is None and sum(by != self.me for by in witnesses) >= WITNESSES:
+            if old is None and sum(by != self.own_number for by in witnesses) >= WITNESSES:
                 continue  # more add nothing
             if old is None or report.count > old.count:
                 witnesses[report.by] = Kept(report.sign, at, report.count)
@@ -96,7 +96,7 @@
         """Give who else saw a server sick lately, and since it last answered me."""
         since = max(now_ms - KEEP_MS, self.answered.get(server, 0.0), self.judged.get(server, 0.0))
         kept = self.reports.get(server, {})
-        return {by for by, report in kept.items() if by != self.me and report.at_ms > since}
+        return {by for by, report in kept.items() if by != self.own_number and report.at_ms > since}
 
     def verdicts(self, now_ms: float) -> list[int]:
         """Give the servers that enough others saw sick, each once; forgets what is too old."""
--- a/hitchtiller/membership/shares.py
+++ b/hitchtiller/membership/shares.py
@@ -23,11 +23,11 @@
     return bound / max(1, size)
 
 
-def weighed_share(bound: float, weights: Sequence[float], me: int) -> float:
+def weighed_share(bound: float, weights: Sequence[float], own_number: int) -> float:
     """Give my part of a rule's bound by configured weights; the sum over all is at most the bound."""
     total = sum(weights)
     return (
-        bound * floor(SHARES * weights[me] / total) / SHARES
+        bound * floor(SHARES * weights[own_number] / total) / SHARES
         if total > 0.0
         else rule_share(bound, len(weights))
     )
@@ -44,6 +44,6 @@
     return min(wanted / max(1, min(serving, size)), rule_share(bound, size))
 
 
-def preferred_share(serving: Collection[int], me: int) -> float:
+def preferred_share(serving: Collection[int], own_number: int) -> float:
     """Give my part of what is mere preference: over those in service now, myself among them."""
-    return 1.0 / max(1, len(set(serving) | {me}))
+    return 1.0 / max(1, len(set(serving) | {own_number}))
--- a/hitchtiller/membership/view.py
+++ b/hitchtiller/membership/view.py
@@ -50,11 +50,11 @@
 class View:
     """The claims of one gateway on all configured numbers."""
 
-    def __init__(self, me: int, size: int, incarnation: int) -> None:
+    def __init__(self, own_number: int, size: int, incarnation: int) -> None:
         """Start with all configured numbers unheard of, and myself alive."""
-        self.me = me
+        self.own_number = own_number
         self.claims = {number: UNHEARD for number in range(size)}
-        self.claims[me] = Claim(incarnation, State.ALIVE)
+        self.claims[own_number] = Claim(incarnation, State.ALIVE)
         self.superseded = False
         self.since: dict[int, float] = {}
         self.said: dict[int, int] = {}  # who said what is held now
@@ -65,7 +65,7 @@
         old = self.claims.get(number)
         if old is None or claim <= old:
             return False
-        if number == self.me:
+        if number == self.own_number:
             if claim.state is State.ALIVE:
                 self.superseded = True  # never made by me: a later process has my number
             elif not self.superseded:
@@ -78,24 +78,24 @@
 
     def refute(self, claim: Claim, now_ms: float) -> bool:
         """Answer a claim that I am not alive with a newer incarnation of mine."""
-        old, new = self.claims[self.me], Claim(claim.incarnation + 1, State.ALIVE)
-        self.claims[self.me] = new
-        self.since[self.me], self.said[self.me] = now_ms, self.me
+        old, new = self.claims[self.own_number], Claim(claim.incarnation + 1, State.ALIVE)
+        self.claims[self.own_number] = new
+        self.since[self.own_number], self.said[self.own_number] = now_ms, self.own_number
         for ear in self.listeners:
-            ear(Change(self.me, old, new, self.me))
+            ear(Change(self.own_number, old, new, self.own_number))
         return True
 
     def leave(self, now_ms: float) -> None:
         """Claim that I leave by plan."""
-        old = self.claims[self.me]
-        new = self.claims[self.me] = Claim(old.incarnation, State.LEFT)
-        self.since[self.me], self.said[self.me] = now_ms, self.me
+        old = self.claims[self.own_number]
+        new = self.claims[self.own_number] = Claim(old.incarnation, State.LEFT)
+        self.since[self.own_number], self.said[self.own_number] = now_ms, self.own_number
         for ear in self.listeners:
-            ear(Change(self.me, old, new, self.me))
+            ear(Change(self.own_number, old, new, self.own_number))
 
     def forget(self, number: int) -> bool:
         """Forget what is claimed of another number, as if it had never been heard of."""
-        if number == self.me or number not in self.claims:
+        if number == self.own_number or number not in self.claims:
             return False
         self.claims[number] = UNHEARD
         self.since.pop(number, None)
@@ -104,7 +104,7 @@
 
     def resize(self, size: int) -> None:
         """Take over a configuration with more or fewer numbers; mine stays."""
-        for number in [n for n in self.claims if n >= size and n != self.me]:
+        for number in [n for n in self.claims if n >= size and n != self.own_number]:
             del self.claims[number]
             self.since.pop(number, None)
             self.said.pop(number, None)
@@ -122,4 +122,4 @@
     def items(self, numbers: Iterable[int]) -> list[tuple[int, Claim, int]]:
         """Give the claims on these numbers that tell something, and who first said so."""
         known = (n for n in numbers if self.claims.get(n, UNHEARD) != UNHEARD)
-        return [(n, self.claims[n], self.said.get(n, self.me)) for n in known]
+        return [(n, self.claims[n], self.said.get(n, self.own_number)) for n in known]
--- a/hitchtiller/ops/members.py
+++ b/hitchtiller/ops/members.py
@@ -40,9 +40,11 @@
         self.sched, self.engine, self.peers, self.period_ms = sched, engine, peers, period_ms
         self.bus, self.answers, self.answered_ms = bus, 0, now_ms()
         settings, begun = engine.router.settings, now_ms()
-        self.me, size = settings.my_number, settings.group_size
+        self.own_number, size = settings.my_number, settings.group_size
         mark = zlib.crc32(f"{fleet} {size} {' '.join(settings.zones)}".encode())
-        self.detector = Detector(self.me, size, int(begun), mark, period_ms, Random(int(begun)), begun)
+        self.detector = Detector(
+            self.own_number, size, int(begun), mark, period_ms, Random(int(begun)), begun
+        )
         self.view = self.detector.view
         self.view.listeners.append(self.changed)
         self.homes, self.partition = Homes(size), Partition()
@@ -87,7 +89,7 @@
         """Name my standing; a change is a line of the log."""
         now, old = now_ms(), self.partition.standing
         others = len(self.view.claims) - 1
-        missing = set(self.view.states(State.DEAD)) - {self.me}
+        missing = set(self.view.states(State.DEAD)) - {self.own_number}
         heard = any(now - at < HEARD_PERIODS * self.period_ms for at in self.detector.heard.values())
         tries = self.engine.stats.tries
         answers = sum(tries.get(word, 0) for word in ANSWERS)
@@ -146,7 +148,7 @@
         for item, home in self.homes.moved(router.directory.entries, before, after, to):
             entry = router.directory.entries[item]
             name, told = next(reversed(entry.holders.items()), ("", 0.0))
-            if told > router.purges.latest(item[0], entry.group) and home != self.me:
+            if told > router.purges.latest(item[0], entry.group) and home != self.own_number:
                 handed += 1
                 self.peers.send_note(home, PeerNote("kept", *item, name, max(0, entry.group)))
         if handed:
@@ -158,12 +160,12 @@
         before, self.serving = self.serving, set(self.view.in_service())
         for number in self.serving - before:
             self.hand_over(before, self.serving, number)
-        self.present = 1.0 / preferred_share(self.serving, self.me) / len(self.view.claims)
+        self.present = 1.0 / preferred_share(self.serving, self.own_number) / len(self.view.claims)
 
     def leave(self) -> None:
         """Hand my directory entries over, and tell a few that I leave by plan."""
         if not self.view.superseded:
-            self.hand_over(self.serving, self.serving - {self.me})
+            self.hand_over(self.serving, self.serving - {self.own_number})
             self.post(self.detector.leave(now_ms()))
 
     # Calls
--- a/tests/membership/test_membership_search.py
+++ b/tests/membership/test_membership_search.py
@@ -28,7 +28,7 @@
 
 def test_a_refutation_that_is_no_newer_leaves_a_member_gone(monkeypatch: pytest.MonkeyPatch) -> None:
     def bows(self: View, claim: Claim, now_ms: float) -> bool:
-        self.claims[self.me] = claim
+        self.claims[self.own_number] = claim
         return True
 
     monkeypatch.setattr(View, "refute", bows)
@@ -41,7 +41,7 @@
 
     def invents(self: View, number: int, claim: Claim, source: int, now_ms: float) -> bool:
         changed = plain(self, number, claim, source, now_ms)
-        if number == self.me and changed:
+        if number == self.own_number and changed:
             old = self.claims[number]
             self.claims[number] = Claim(old.incarnation + 950, old.state)
         return changed
