--- a/hitchtiller/membership/view.py
+++ b/hitchtiller/membership/view.py
@@ -56,7 +56,7 @@
         self.claims = {number: UNHEARD for number in range(size)}
         self.claims[own_number] = Claim(incarnation, State.ALIVE)
         self.superseded = False
-        self.since: dict[int, float] = {}
+        self.changed_ms: dict[int, float] = {}
         self.said: dict[int, int] = {}  # who said what is held now
         self.listeners: list[Callable[[Change], object]] = []
 
@@ -71,7 +71,7 @@
             elif not self.superseded:
                 return self.refute(claim, now_ms)
         self.claims[number] = claim
-        self.since[number], self.said[number] = now_ms, source
+        self.changed_ms[number], self.said[number] = now_ms, source
         for ear in self.listeners:
             ear(Change(number, old, claim, source))
         return True
@@ -80,7 +80,7 @@
         """Answer a claim that I am not alive with a newer incarnation of mine."""
         old, new = self.claims[self.own_number], Claim(claim.incarnation + 1, State.ALIVE)
         self.claims[self.own_number] = new
-        self.since[self.own_number], self.said[self.own_number] = now_ms, self.own_number
+        self.changed_ms[self.own_number], self.said[self.own_number] = now_ms, self.own_number
         for ear in self.listeners:
             ear(Change(self.own_number, old, new, self.own_number))
         return True
@@ -89,7 +89,7 @@
         """Claim that I leave by plan."""
         old = self.claims[self.own_number]
         new = self.claims[self.own_number] = Claim(old.incarnation, State.LEFT)
-        self.since[self.own_number], self.said[self.own_number] = now_ms, self.own_number
+        self.changed_ms[self.own_number], self.said[self.own_number] = now_ms, self.own_number
         for ear in self.listeners:
             ear(Change(self.own_number, old, new, self.own_number))
 
@@ -98,7 +98,7 @@
         if number == self.own_number or number not in self.claims:
             return False
         self.claims[number] = UNHEARD
-        self.since.pop(number, None)
+        self.changed_ms.pop(number, None)
         self.said.pop(number, None)
         return True
 
@@ -106,7 +106,7 @@
         """Take over a configuration with more or fewer numbers; mine stays."""
         for number in [n for n in self.claims if n >= size and n != self.own_number]:
             del self.claims[number]
-            self.since.pop(number, None)
+            self.changed_ms.pop(number, None)
             self.said.pop(number, None)
         for number in range(size):
             self.claims.setdefault(number, UNHEARD)
--- a/hitchtiller/ops/members.py
+++ b/hitchtiller/ops/members.py
@@ -174,7 +174,7 @@
         """Give a line a member, then one on my standing."""
         now, lines = now_ms(), ["members"]
         for number, claim in sorted(self.view.claims.items()):
-            since = self.view.since.get(number)
+            since = self.view.changed_ms.get(number)
             age = f"{(now - since) / 1000.0:.1f}" if since else "-"
             said = self.view.said.get(number, "-")
             name = claim.state.name if claim.incarnation else "UNHEARD"
