--- a/hitchtiller/membership/detector.py
+++ b/hitchtiller/membership/detector.py
@@ -261,7 +261,7 @@
         if suspicion and by not in suspicion.witnesses:
             suspicion.witnesses.add(by)
             if len(suspicion.witnesses) <= WITNESSES:
-                self.view.said[number] = by
+                self.view.reporters[number] = by
                 self.gossip.add(number)
 
     def _changed(self, change: Change) -> None:
--- a/hitchtiller/membership/view.py
+++ b/hitchtiller/membership/view.py
@@ -57,7 +57,7 @@
         self.claims[own_number] = Claim(incarnation, State.ALIVE)
         self.superseded = False
         self.changed_ms: dict[int, float] = {}
-        self.said: dict[int, int] = {}  # who said what is held now
+        self.reporters: dict[int, int] = {}  # who said what is held now
         self.listeners: list[Callable[[Change], object]] = []
 
     def merge(self, number: int, claim: Claim, source: int, now_ms: float) -> bool:
@@ -71,7 +71,7 @@
             elif not self.superseded:
                 return self.refute(claim, now_ms)
         self.claims[number] = claim
-        self.changed_ms[number], self.said[number] = now_ms, source
+        self.changed_ms[number], self.reporters[number] = now_ms, source
         for ear in self.listeners:
             ear(Change(number, old, claim, source))
         return True
@@ -80,7 +80,7 @@
         """Answer a claim that I am not alive with a newer incarnation of mine."""
         old, new = self.claims[self.own_number], Claim(claim.incarnation + 1, State.ALIVE)
         self.claims[self.own_number] = new
-        self.changed_ms[self.own_number], self.said[self.own_number] = now_ms, self.own_number
+        self.changed_ms[self.own_number], self.reporters[self.own_number] = now_ms, self.own_number
         for ear in self.listeners:
             ear(Change(self.own_number, old, new, self.own_number))
         return True
@@ -89,7 +89,7 @@
         """Claim that I leave by plan."""
         old = self.claims[self.own_number]
         new = self.claims[self.own_number] = Claim(old.incarnation, State.LEFT)
-        self.changed_ms[self.own_number], self.said[self.own_number] = now_ms, self.own_number
+        self.changed_ms[self.own_number], self.reporters[self.own_number] = now_ms, self.own_number
         for ear in self.listeners:
             ear(Change(self.own_number, old, new, self.own_number))
 
@@ -99,7 +99,7 @@
             return False
         self.claims[number] = UNHEARD
         self.changed_ms.pop(number, None)
-        self.said.pop(number, None)
+        self.reporters.pop(number, None)
         return True
 
     def resize(self, size: int) -> None:
@@ -107,7 +107,7 @@
         for number in [n for n in self.claims if n >= size and n != self.own_number]:
             del self.claims[number]
             self.changed_ms.pop(number, None)
-            self.said.pop(number, None)
+            self.reporters.pop(number, None)
         for number in range(size):
             self.claims.setdefault(number, UNHEARD)
 
@@ -122,4 +122,4 @@
     def items(self, numbers: Iterable[int]) -> list[tuple[int, Claim, int]]:
         """Give the claims on these numbers that tell something, and who first said so."""
         known = (n for n in numbers if self.claims.get(n, UNHEARD) != UNHEARD)
-        return [(n, self.claims[n], self.said.get(n, self.own_number)) for n in known]
+        return [(n, self.claims[n], self.reporters.get(n, self.own_number)) for n in known]
--- a/hitchtiller/ops/members.py
+++ b/hitchtiller/ops/members.py
@@ -176,7 +176,7 @@
         for number, claim in sorted(self.view.claims.items()):
             since = self.view.changed_ms.get(number)
             age = f"{(now - since) / 1000.0:.1f}" if since else "-"
-            said = self.view.said.get(number, "-")
+            said = self.view.reporters.get(number, "-")
             name = claim.state.name if claim.incarnation else "UNHEARD"
             lines.append(f"{number}|{name}|{claim.incarnation}|{age}|{said}")
         return "\n".join([*lines, f"standing|{Standing(self.partition.standing).name}", "."])
