--- a/hitchtiller/membership/detector.py
+++ b/hitchtiller/membership/detector.py
@@ -249,11 +249,11 @@
 
     # Word
 
-    def _follow(self, number: int, source: int, now_ms: float) -> None:
+    def _follow(self, number: int, reporter: int, now_ms: float) -> None:
         if number == self.own_number:
             self._doubt(1)  # I was taken for gone: maybe it is I who is late
         elif self.view.claims[number].state is State.SUSPECT:
-            self.suspicions[number] = Suspicion(now_ms, {source})
+            self.suspicions[number] = Suspicion(now_ms, {reporter})
 
     def _witness(self, number: int, by: int) -> None:
         """Count one who suspects too, and pass on the first few of them."""
--- a/hitchtiller/membership/view.py
+++ b/hitchtiller/membership/view.py
@@ -44,7 +44,7 @@
     number: int
     old: Claim
     new: Claim
-    source: int  # who said so: my own number for what I saw myself
+    reporter: int  # who said so: my own number for what I saw myself
 
 
 class View:
@@ -60,7 +60,7 @@
         self.reporters: dict[int, int] = {}  # who said what is held now
         self.listeners: list[Callable[[Change], object]] = []
 
-    def merge(self, number: int, claim: Claim, source: int, now_ms: float) -> bool:
+    def merge(self, number: int, claim: Claim, reporter: int, now_ms: float) -> bool:
         """Take a claim in; True if it changed the view. One about myself may be refuted by `refute`."""
         old = self.claims.get(number)
         if old is None or claim <= old:
@@ -71,9 +71,9 @@
             elif not self.superseded:
                 return self.refute(claim, now_ms)
         self.claims[number] = claim
-        self.changed_ms[number], self.reporters[number] = now_ms, source
+        self.changed_ms[number], self.reporters[number] = now_ms, reporter
         for ear in self.listeners:
-            ear(Change(number, old, claim, source))
+            ear(Change(number, old, claim, reporter))
         return True
 
     def refute(self, claim: Claim, now_ms: float) -> bool:
--- a/hitchtiller/ops/members.py
+++ b/hitchtiller/ops/members.py
@@ -130,7 +130,7 @@
         new, old = change.new, change.old
         logger.info(
             "member {} {} incarnation={} was {} said by {}",
-            change.number, new.state.name, new.incarnation, old.state.name, change.source,
+            change.number, new.state.name, new.incarnation, old.state.name, change.reporter,
         )  # fmt: skip
 
     def isolation_reason(self) -> str:
