--- a/hitchtiller/membership/detector.py
+++ b/hitchtiller/membership/detector.py
@@ -175,7 +175,7 @@
             if not self.round:
                 # the dead are tried too, seldom: a cut that heals is noticed by nobody else
                 self.round = [n for n in self.view.in_service() if n != self.own_number]
-                gone = self.view.states(State.DEAD)
+                gone = self.view.numbers_in(State.DEAD)
                 self.round += self.rng.sample(gone, min(len(gone), 1 + len(self.round) // 8))
                 self.rng.shuffle(self.round)
                 if not self.round:
@@ -271,7 +271,7 @@
         self.doubt = min(DOUBT_MOST, self.doubt + steps)
 
     def _some(self, count: int, but: tuple[int, ...]) -> list[int]:
-        others = [n for n in self.view.states(State.ALIVE) if n != self.own_number and n not in but]
+        others = [n for n in self.view.numbers_in(State.ALIVE) if n != self.own_number and n not in but]
         return self.rng.sample(others, min(count, len(others)))
 
     def _page(self, peer: int, start: int) -> Datagrams:
--- a/hitchtiller/membership/view.py
+++ b/hitchtiller/membership/view.py
@@ -111,13 +111,13 @@
         for number in range(size):
             self.claims.setdefault(number, UNHEARD)
 
-    def states(self, *wanted: State) -> list[int]:
+    def numbers_in(self, *wanted: State) -> list[int]:
         """Give the numbers in these states, in order."""
         return sorted(n for n, claim in self.claims.items() if claim.state in wanted)
 
     def in_service(self) -> list[int]:
         """Give those that may be asked: alive, or suspect, which is no more than a doubt."""
-        return self.states(State.ALIVE, State.SUSPECT)
+        return self.numbers_in(State.ALIVE, State.SUSPECT)
 
     def items(self, numbers: Iterable[int]) -> list[tuple[int, Claim, int]]:
         """Give the claims on these numbers that tell something, and who first said so."""
--- a/hitchtiller/ops/members.py
+++ b/hitchtiller/ops/members.py
@@ -57,7 +57,7 @@
         engine.router.home_of = lambda hashed: self.homes.home(hashed, self.serving)
         levels = {"members_alive": State.ALIVE, "members_suspect": State.SUSPECT, "members_dead": State.DEAD}
         for name, state in levels.items():
-            engine.stats.levels[name] = lambda state=state: len(self.view.states(state))  # type: ignore[misc]
+            engine.stats.levels[name] = lambda state=state: len(self.view.numbers_in(state))  # type: ignore[misc]
         engine.stats.levels["members_standing"] = lambda: int(self.partition.standing)
         engine.stats.counts["members_entries_handed"] = lambda: self.handed
         engine.stats.counts["members_words_sent"] = lambda: self.detector.sent
@@ -89,7 +89,7 @@
         """Name my standing; a change is a line of the log."""
         now, old = now_ms(), self.partition.standing
         others = len(self.view.claims) - 1
-        missing = set(self.view.states(State.DEAD)) - {self.own_number}
+        missing = set(self.view.numbers_in(State.DEAD)) - {self.own_number}
         heard = any(now - at < HEARD_PERIODS * self.period_ms for at in self.detector.heard.values())
         tries = self.engine.stats.tries
         answers = sum(tries.get(word, 0) for word in ANSWERS)
--- a/tests/membership/test_membership_fleet.py
+++ b/tests/membership/test_membership_fleet.py
@@ -51,10 +51,10 @@
     net.run(SETTLE_MS)
     net.cut = lambda a, b: (a < 4) != (b < 4)
     net.run(net.now + 25_000.0)
-    assert net.nodes[0].view.states(State.DEAD) == list(range(4, 10))
+    assert net.nodes[0].view.numbers_in(State.DEAD) == list(range(4, 10))
     net.cut = lambda a, b: False
     net.run(net.now + 40_000.0)
-    assert net.agree() and all(not n.view.states(State.DEAD) for n in net.nodes.values())
+    assert net.agree() and all(not n.view.numbers_in(State.DEAD) for n in net.nodes.values())
 
 
 def test_a_one_way_cut_is_survived_by_helpers() -> None:
@@ -88,7 +88,7 @@
         net.start(number)
         net.run(net.now + 1_500.0)
     net.run(net.now + 20_000.0)
-    assert net.agree() and len(net.nodes[0].view.states(State.ALIVE)) == 10
+    assert net.agree() and len(net.nodes[0].view.numbers_in(State.ALIVE)) == 10
 
 
 def test_repeats_and_disorder_change_nothing() -> None:
