--- a/hitchtiller/membership/detector.py
+++ b/hitchtiller/membership/detector.py
@@ -127,7 +127,7 @@
             case Kind.PAGE:
                 return self._page(sender, word.target)
             case Kind.REPORT:
-                self.evidence.take((r for r in word.reports if r.by in self.view.claims), now_ms)
+                self.evidence.take((r for r in word.reports if r.witness in self.view.claims), now_ms)
         return []
 
     def hear(self, number: int, now_ms: float) -> None:
--- a/hitchtiller/membership/evidence.py
+++ b/hitchtiller/membership/evidence.py
@@ -43,7 +43,7 @@
 
     server: int  # mark of its name
     sign: Symptom
-    by: int
+    witness: int
     age_ms: float
     count: int = 1  # how often that witness saw it
 
@@ -83,20 +83,22 @@
         """Take others' word; older word of the same witness, and what is too old, changes nothing."""
         for report in reports:
             at = now_ms - report.age_ms
-            if report.by == self.own_number or report.age_ms >= KEEP_MS:
+            if report.witness == self.own_number or report.age_ms >= KEEP_MS:
                 continue
             witnesses = self.reports.setdefault(report.server, {})
-            old = witnesses.get(report.by)
-            if old is None and sum(by != self.own_number for by in witnesses) >= WITNESSES:
+            old = witnesses.get(report.witness)
+            if old is None and sum(witness != self.own_number for witness in witnesses) >= WITNESSES:
                 continue  # more add nothing
             if old is None or report.count > old.count:
-                witnesses[report.by] = Kept(report.sign, at, report.count)
+                witnesses[report.witness] = Kept(report.sign, at, report.count)
 
     def witnesses(self, server: int, now_ms: float) -> set[int]:
         """Give who else saw a server sick lately, and since it last answered me."""
         since = max(now_ms - KEEP_MS, self.answered.get(server, 0.0), self.judged.get(server, 0.0))
         kept = self.reports.get(server, {})
-        return {by for by, report in kept.items() if by != self.own_number and report.at_ms > since}
+        return {
+            witness for witness, report in kept.items() if witness != self.own_number and report.at_ms > since
+        }
 
     def verdicts(self, now_ms: float) -> list[int]:
         """Give the servers that enough others saw sick, each once; forgets what is too old."""
@@ -105,7 +107,7 @@
             if len(self.witnesses(server, now_ms)) >= NEEDED:
                 self.judged[server] = now_ms
                 found.append(server)
-            kept = {by: k for by, k in self.reports[server].items() if now_ms - k.at_ms < KEEP_MS}
+            kept = {witness: k for witness, k in self.reports[server].items() if now_ms - k.at_ms < KEEP_MS}
             if kept:
                 self.reports[server] = kept
             else:
@@ -120,12 +122,14 @@
     def tell(self, now_ms: float, most: int) -> list[Report]:
         """Give what goes with the next datagram: the least told first; counts it as told once."""
         known = [
-            (kept.told, server, by, kept)
+            (kept.told, server, witness, kept)
             for server, witnesses in self.reports.items()
-            for by, kept in witnesses.items()
+            for witness, kept in witnesses.items()
             if kept.told < TIMES and now_ms - kept.at_ms < KEEP_MS
         ]
         chosen = sorted(known, key=lambda row: row[:3])[:most]
         for _, _, _, kept in chosen:
             kept.told += 1
-        return [Report(server, k.sign, by, now_ms - k.at_ms, k.count) for _, server, by, k in chosen]
+        return [
+            Report(server, k.sign, witness, now_ms - k.at_ms, k.count) for _, server, witness, k in chosen
+        ]
--- a/tests/membership/test_membership_evidence.py
+++ b/tests/membership/test_membership_evidence.py
@@ -39,7 +39,7 @@
     mine.saw(SICK, Symptom.REFUSED, 1_000.0)
     mine.take([said(1)], 1_000.0)
     assert mine.witnesses(SICK, 1_000.0) == {1}
-    told = next(r for r in mine.tell(1_200.0, 9) if r.by == 0)
+    told = next(r for r in mine.tell(1_200.0, 9) if r.witness == 0)
     assert told.sign is Symptom.REFUSED and told.age_ms == 200.0
     echo = Evidence(1)
     echo.take([told], 9_000.0)  # another clock
@@ -78,7 +78,7 @@
     rng.shuffle(again)
     other.take(again, 1_000.0)
     assert one.witnesses(SICK, 1_001.0) == other.witnesses(SICK, 1_001.0)
-    assert one.verdicts(1_001.0) == ([SICK] if len({r.by for r in few}) >= NEEDED else [])
+    assert one.verdicts(1_001.0) == ([SICK] if len({r.witness for r in few}) >= NEEDED else [])
 
 
 @given(
