--- a/hitchtiller/membership/evidence.py
+++ b/hitchtiller/membership/evidence.py
@@ -42,7 +42,7 @@
     """What one witness says of one server."""
 
     server: int  # mark of its name
-    sign: Symptom
+    symptom: Symptom
     witness: int
     age_ms: float
     count: int = 1  # how often that witness saw it
@@ -52,7 +52,7 @@
 class Kept:
     """A report as it is kept here: when it was seen by this gateway's clock, how often it was told."""
 
-    sign: Symptom
+    symptom: Symptom
     at_ms: float
     count: int
     told: int = 0
@@ -69,10 +69,10 @@
         self.judged: dict[int, float] = {}  # when a verdict was last given
         self.counts: dict[int, int] = {}  # how often I saw a server sick: tells my reports apart
 
-    def saw(self, server: int, sign: Symptom, now_ms: float) -> None:
+    def saw(self, server: int, symptom: Symptom, now_ms: float) -> None:
         """Take what I saw myself; it is told, and is no witness for me."""
         self.counts[server] = self.counts.get(server, 0) + 1
-        self.reports.setdefault(server, {})[self.own_number] = Kept(sign, now_ms, self.counts[server])
+        self.reports.setdefault(server, {})[self.own_number] = Kept(symptom, now_ms, self.counts[server])
 
     def hears(self, server: int, now_ms: float) -> None:
         """Take an answer of a server's: what was said of it before is void for me."""
@@ -90,7 +90,7 @@
             if old is None and sum(witness != self.own_number for witness in witnesses) >= WITNESSES:
                 continue  # more add nothing
             if old is None or report.count > old.count:
-                witnesses[report.witness] = Kept(report.sign, at, report.count)
+                witnesses[report.witness] = Kept(report.symptom, at, report.count)
 
     def witnesses(self, server: int, now_ms: float) -> set[int]:
         """Give who else saw a server sick lately, and since it last answered me."""
@@ -131,5 +131,5 @@
         for _, _, _, kept in chosen:
             kept.told += 1
         return [
-            Report(server, k.sign, witness, now_ms - k.at_ms, k.count) for _, server, witness, k in chosen
+            Report(server, k.symptom, witness, now_ms - k.at_ms, k.count) for _, server, witness, k in chosen
         ]
--- a/hitchtiller/membership/words.py
+++ b/hitchtiller/membership/words.py
@@ -64,7 +64,7 @@
     if word.kind is Kind.REPORT:
         items = []
         tail = b"".join(
-            REPORT.pack(r.server, r.witness, r.sign, min(255, round(r.age_ms / AGE_MS)), min(255, r.count))
+            REPORT.pack(r.server, r.witness, r.symptom, min(255, round(r.age_ms / AGE_MS)), min(255, r.count))
             for r in word.reports[:REPORTS]
         )
     count = min(len(word.reports), REPORTS) if word.kind is Kind.REPORT else len(items)
--- a/tests/membership/test_membership_evidence.py
+++ b/tests/membership/test_membership_evidence.py
@@ -40,7 +40,7 @@
     mine.take([said(1)], 1_000.0)
     assert mine.witnesses(SICK, 1_000.0) == {1}
     told = next(r for r in mine.tell(1_200.0, 9) if r.witness == 0)
-    assert told.sign is Symptom.REFUSED and told.age_ms == 200.0
+    assert told.symptom is Symptom.REFUSED and told.age_ms == 200.0
     echo = Evidence(1)
     echo.take([told], 9_000.0)  # another clock
     assert echo.witnesses(SICK, 9_000.0) == {0}
