--- a/hitchtiller/membership/evidence.py
+++ b/hitchtiller/membership/evidence.py
@@ -49,7 +49,7 @@
 
 
 @dataclass(slots=True)
-class Kept:
+class StoredReport:
     """A report as it is kept here: when it was seen by this gateway's clock, how often it was told."""
 
     symptom: Symptom
@@ -64,7 +64,7 @@
     def __init__(self, own_number: int) -> None:
         """Know nothing."""
         self.own_number = own_number
-        self.reports: dict[int, dict[int, Kept]] = {}  # server, witness
+        self.reports: dict[int, dict[int, StoredReport]] = {}  # server, witness
         self.answered: dict[int, float] = {}  # when a server last answered me
         self.judged: dict[int, float] = {}  # when a verdict was last given
         self.counts: dict[int, int] = {}  # how often I saw a server sick: tells my reports apart
@@ -72,7 +72,9 @@
     def saw(self, server: int, symptom: Symptom, now_ms: float) -> None:
         """Take what I saw myself; it is told, and is no witness for me."""
         self.counts[server] = self.counts.get(server, 0) + 1
-        self.reports.setdefault(server, {})[self.own_number] = Kept(symptom, now_ms, self.counts[server])
+        self.reports.setdefault(server, {})[self.own_number] = StoredReport(
+            symptom, now_ms, self.counts[server]
+        )
 
     def hears(self, server: int, now_ms: float) -> None:
         """Take an answer of a server's: what was said of it before is void for me."""
@@ -90,7 +92,7 @@
             if old is None and sum(witness != self.own_number for witness in witnesses) >= WITNESSES:
                 continue  # more add nothing
             if old is None or report.count > old.count:
-                witnesses[report.witness] = Kept(report.symptom, at, report.count)
+                witnesses[report.witness] = StoredReport(report.symptom, at, report.count)
 
     def witnesses(self, server: int, now_ms: float) -> set[int]:
         """Give who else saw a server sick lately, and since it last answered me."""
