--- a/hitchtiller/membership/detector.py
+++ b/hitchtiller/membership/detector.py
@@ -22,7 +22,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from hitchtiller.membership.evidence import FANOUT, Evidence
+from hitchtiller.membership.evidence import REPORT_FANOUT, Evidence
 from hitchtiller.membership.gossip import Gossip
 from hitchtiller.membership.view import UNHEARD, Change, Claim, State, View
 from hitchtiller.membership.words import ITEMS, REPORTS, Kind, MembershipMessage, pack, unpack
@@ -147,7 +147,7 @@
     def report(self, now_ms: float) -> Datagrams:
         """Give what is to be said of servers, to a few; nothing while there is no news."""
         out: Datagrams = []
-        for peer in self._some(FANOUT, ()):
+        for peer in self._some(REPORT_FANOUT, ()):
             if reports := self.evidence.tell(now_ms, REPORTS):
                 out += self._pack(peer, MembershipMessage(Kind.REPORT, self.own_number, 0, reports=reports))
         return out
--- a/hitchtiller/membership/evidence.py
+++ b/hitchtiller/membership/evidence.py
@@ -25,8 +25,8 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-KEEP_MS, NEEDED, WITNESSES = 6_000.0, 2, 4
-TIMES, FANOUT = 6, 3
+REPORT_LIFETIME_MS, MIN_WITNESSES, MAX_WITNESSES = 6_000.0, 2, 4
+MAX_SENDS, REPORT_FANOUT = 6, 3
 
 
 class Symptom(IntEnum):
@@ -85,18 +85,18 @@
         """Take others' word; older word of the same witness, and what is too old, changes nothing."""
         for report in reports:
             at = now_ms - report.age_ms
-            if report.witness == self.own_number or report.age_ms >= KEEP_MS:
+            if report.witness == self.own_number or report.age_ms >= REPORT_LIFETIME_MS:
                 continue
             witnesses = self.reports.setdefault(report.server, {})
             old = witnesses.get(report.witness)
-            if old is None and sum(witness != self.own_number for witness in witnesses) >= WITNESSES:
+            if old is None and sum(witness != self.own_number for witness in witnesses) >= MAX_WITNESSES:
                 continue  # more add nothing
             if old is None or report.count > old.count:
                 witnesses[report.witness] = StoredReport(report.symptom, at, report.count)
 
     def witnesses(self, server: int, now_ms: float) -> set[int]:
         """Give who else saw a server sick lately, and since it last answered me."""
-        since = max(now_ms - KEEP_MS, self.answered.get(server, 0.0), self.judged.get(server, 0.0))
+        since = max(now_ms - REPORT_LIFETIME_MS, self.answered.get(server, 0.0), self.judged.get(server, 0.0))
         kept = self.reports.get(server, {})
         return {
             witness for witness, report in kept.items() if witness != self.own_number and report.at_ms > since
@@ -106,16 +106,20 @@
         """Give the servers that enough others saw sick, each once; forgets what is too old."""
         found = []
         for server in list(self.reports):
-            if len(self.witnesses(server, now_ms)) >= NEEDED:
+            if len(self.witnesses(server, now_ms)) >= MIN_WITNESSES:
                 self.judged[server] = now_ms
                 found.append(server)
-            kept = {witness: k for witness, k in self.reports[server].items() if now_ms - k.at_ms < KEEP_MS}
+            kept = {
+                witness: k
+                for witness, k in self.reports[server].items()
+                if now_ms - k.at_ms < REPORT_LIFETIME_MS
+            }
             if kept:
                 self.reports[server] = kept
             else:
                 del self.reports[server]
         for table in (self.answered, self.judged):
-            for server in [s for s, at in table.items() if now_ms - at >= KEEP_MS]:
+            for server in [s for s, at in table.items() if now_ms - at >= REPORT_LIFETIME_MS]:
                 del table[server]
         known = {**self.reports, **self.answered}  # others have forgotten my reports on the rest by now too
         self.counts = {server: count for server, count in self.counts.items() if server in known}
@@ -127,7 +131,7 @@
             (kept.told, server, witness, kept)
             for server, witnesses in self.reports.items()
             for witness, kept in witnesses.items()
-            if kept.told < TIMES and now_ms - kept.at_ms < KEEP_MS
+            if kept.told < MAX_SENDS and now_ms - kept.at_ms < REPORT_LIFETIME_MS
         ]
         chosen = sorted(known, key=lambda row: row[:3])[:most]
         for _, _, _, kept in chosen:
--- a/tests/membership/test_membership_evidence.py
+++ b/tests/membership/test_membership_evidence.py
@@ -5,7 +5,15 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hitchtiller.membership.evidence import KEEP_MS, NEEDED, TIMES, WITNESSES, Evidence, Report, Symptom
+from hitchtiller.membership.evidence import (
+    REPORT_LIFETIME_MS,
+    MIN_WITNESSES,
+    MAX_SENDS,
+    MAX_WITNESSES,
+    Evidence,
+    Report,
+    Symptom,
+)
 from hitchtiller.membership.words import MOST, REPORTS, Kind, MembershipMessage, pack, unpack
 
 SICK = 77
@@ -50,21 +58,21 @@
 
 def test_old_word_changes_nothing_and_is_forgotten() -> None:
     mine = Evidence(0)
-    mine.take([said(1, age_ms=KEEP_MS)], 1_000.0)
+    mine.take([said(1, age_ms=REPORT_LIFETIME_MS)], 1_000.0)
     assert mine.reports == {}
     mine.take([said(1), said(2)], 1_000.0)
-    assert mine.verdicts(1_000.0 + KEEP_MS) == [] and mine.reports == {}
+    assert mine.verdicts(1_000.0 + REPORT_LIFETIME_MS) == [] and mine.reports == {}
 
 
 def test_tables_and_tellings_are_bounded() -> None:
     mine = Evidence(0)
     for by in range(1, 200):
         mine.take([said(by)], 1_000.0)
-    assert len(mine.reports[SICK]) == WITNESSES
+    assert len(mine.reports[SICK]) == MAX_WITNESSES
     told = 0
     while some := mine.tell(1_000.0, REPORTS):
         told += len(some)
-    assert told == WITNESSES * TIMES
+    assert told == MAX_WITNESSES * MAX_SENDS
 
 
 @given(st.lists(st.tuples(st.integers(1, 5), st.integers(1, 4)), max_size=12), st.randoms())
@@ -72,13 +80,13 @@
     words: list[tuple[int, int]], rng: Random
 ) -> None:
     one, other = Evidence(0), Evidence(0)
-    few = [said(by, count=count) for by, count in words if by <= WITNESSES]
+    few = [said(by, count=count) for by, count in words if by <= MAX_WITNESSES]
     one.take(few, 1_000.0)
     again = few * 2
     rng.shuffle(again)
     other.take(again, 1_000.0)
     assert one.witnesses(SICK, 1_001.0) == other.witnesses(SICK, 1_001.0)
-    assert one.verdicts(1_001.0) == ([SICK] if len({r.witness for r in few}) >= NEEDED else [])
+    assert one.verdicts(1_001.0) == ([SICK] if len({r.witness for r in few}) >= MIN_WITNESSES else [])
 
 
 @given(
@@ -103,6 +111,6 @@
     mine = Evidence(0)
     for server in range(500):  # caches that were replaced, each seen sick once
         mine.saw(server, Symptom.SILENT, 1_000.0)
-    mine.saw(SICK, Symptom.SILENT, 1_000.0 + KEEP_MS)
-    mine.verdicts(1_000.0 + KEEP_MS)
+    mine.saw(SICK, Symptom.SILENT, 1_000.0 + REPORT_LIFETIME_MS)
+    mine.verdicts(1_000.0 + REPORT_LIFETIME_MS)
     assert set(mine.counts) == {SICK} and mine.counts[SICK] == 2
