--- a/hitchtiller/membership/evidence.py
+++ b/hitchtiller/membership/evidence.py
@@ -53,9 +53,9 @@
     """A report as it is kept here: when it was seen by this gateway's clock, how often it was told."""
 
     symptom: Symptom
-    at_ms: float
+    seen_ms: float
     count: int
-    told: int = 0
+    send_count: int = 0
 
 
 class Evidence:
@@ -65,20 +65,20 @@
         """Know nothing."""
         self.own_number = own_number
         self.reports: dict[int, dict[int, StoredReport]] = {}  # server, witness
-        self.answered: dict[int, float] = {}  # when a server last answered me
-        self.judged: dict[int, float] = {}  # when a verdict was last given
-        self.counts: dict[int, int] = {}  # how often I saw a server sick: tells my reports apart
+        self.last_answer_ms: dict[int, float] = {}  # when a server last answered me
+        self.last_verdict_ms: dict[int, float] = {}  # when a verdict was last given
+        self.failure_counts: dict[int, int] = {}  # how often I saw a server sick: tells my reports apart
 
     def saw(self, server: int, symptom: Symptom, now_ms: float) -> None:
         """Take what I saw myself; it is told, and is no witness for me."""
-        self.counts[server] = self.counts.get(server, 0) + 1
+        self.failure_counts[server] = self.failure_counts.get(server, 0) + 1
         self.reports.setdefault(server, {})[self.own_number] = StoredReport(
-            symptom, now_ms, self.counts[server]
+            symptom, now_ms, self.failure_counts[server]
         )
 
     def hears(self, server: int, now_ms: float) -> None:
         """Take an answer of a server's: what was said of it before is void for me."""
-        self.answered[server] = max(now_ms, self.answered.get(server, now_ms))
+        self.last_answer_ms[server] = max(now_ms, self.last_answer_ms.get(server, now_ms))
         self.reports.get(server, {}).pop(self.own_number, None)
 
     def take(self, reports: Iterable[Report], now_ms: float) -> None:
@@ -96,10 +96,16 @@
 
     def witnesses(self, server: int, now_ms: float) -> set[int]:
         """Give who else saw a server sick lately, and since it last answered me."""
-        since = max(now_ms - REPORT_LIFETIME_MS, self.answered.get(server, 0.0), self.judged.get(server, 0.0))
+        since = max(
+            now_ms - REPORT_LIFETIME_MS,
+            self.last_answer_ms.get(server, 0.0),
+            self.last_verdict_ms.get(server, 0.0),
+        )
         kept = self.reports.get(server, {})
         return {
-            witness for witness, report in kept.items() if witness != self.own_number and report.at_ms > since
+            witness
+            for witness, report in kept.items()
+            if witness != self.own_number and report.seen_ms > since
         }
 
     def verdicts(self, now_ms: float) -> list[int]:
@@ -107,35 +113,41 @@
         found = []
         for server in list(self.reports):
             if len(self.witnesses(server, now_ms)) >= MIN_WITNESSES:
-                self.judged[server] = now_ms
+                self.last_verdict_ms[server] = now_ms
                 found.append(server)
             kept = {
                 witness: k
                 for witness, k in self.reports[server].items()
-                if now_ms - k.at_ms < REPORT_LIFETIME_MS
+                if now_ms - k.seen_ms < REPORT_LIFETIME_MS
             }
             if kept:
                 self.reports[server] = kept
             else:
                 del self.reports[server]
-        for table in (self.answered, self.judged):
+        for table in (self.last_answer_ms, self.last_verdict_ms):
             for server in [s for s, at in table.items() if now_ms - at >= REPORT_LIFETIME_MS]:
                 del table[server]
-        known = {**self.reports, **self.answered}  # others have forgotten my reports on the rest by now too
-        self.counts = {server: count for server, count in self.counts.items() if server in known}
+        known = {
+            **self.reports,
+            **self.last_answer_ms,
+        }  # others have forgotten my reports on the rest by now too
+        self.failure_counts = {
+            server: count for server, count in self.failure_counts.items() if server in known
+        }
         return found
 
     def tell(self, now_ms: float, most: int) -> list[Report]:
         """Give what goes with the next datagram: the least told first; counts it as told once."""
         known = [
-            (kept.told, server, witness, kept)
+            (kept.send_count, server, witness, kept)
             for server, witnesses in self.reports.items()
             for witness, kept in witnesses.items()
-            if kept.told < MAX_SENDS and now_ms - kept.at_ms < REPORT_LIFETIME_MS
+            if kept.send_count < MAX_SENDS and now_ms - kept.seen_ms < REPORT_LIFETIME_MS
         ]
         chosen = sorted(known, key=lambda row: row[:3])[:most]
         for _, _, _, kept in chosen:
-            kept.told += 1
+            kept.send_count += 1
         return [
-            Report(server, k.symptom, witness, now_ms - k.at_ms, k.count) for _, server, witness, k in chosen
+            Report(server, k.symptom, witness, now_ms - k.seen_ms, k.count)
+            for _, server, witness, k in chosen
         ]
--- a/tests/membership/test_membership_evidence.py
+++ b/tests/membership/test_membership_evidence.py
@@ -113,4 +113,4 @@
         mine.saw(server, Symptom.SILENT, 1_000.0)
     mine.saw(SICK, Symptom.SILENT, 1_000.0 + REPORT_LIFETIME_MS)
     mine.verdicts(1_000.0 + REPORT_LIFETIME_MS)
-    assert set(mine.counts) == {SICK} and mine.counts[SICK] == 2
+    assert set(mine.failure_counts) == {SICK} and mine.failure_counts[SICK] == 2
