--- a/hitchtiller/membership/detector.py
+++ b/hitchtiller/membership/detector.py
@@ -127,7 +127,7 @@
             case Kind.PAGE:
                 return self._page(sender, word.target)
             case Kind.REPORT:
-                self.evidence.take((r for r in word.reports if r.witness in self.view.claims), now_ms)
+                self.evidence.add_reports((r for r in word.reports if r.witness in self.view.claims), now_ms)
         return []
 
     def hear(self, number: int, now_ms: float) -> None:
@@ -148,7 +148,7 @@
         """Give what is to be said of servers, to a few; nothing while there is no news."""
         out: Datagrams = []
         for peer in self._some(REPORT_FANOUT, ()):
-            if reports := self.evidence.tell(now_ms, REPORTS):
+            if reports := self.evidence.next_reports(now_ms, REPORTS):
                 out += self._pack(peer, MembershipMessage(Kind.REPORT, self.own_number, 0, reports=reports))
         return out
 
--- a/hitchtiller/membership/evidence.py
+++ b/hitchtiller/membership/evidence.py
@@ -69,19 +69,19 @@
         self.last_verdict_ms: dict[int, float] = {}  # when a verdict was last given
         self.failure_counts: dict[int, int] = {}  # how often I saw a server sick: tells my reports apart
 
-    def saw(self, server: int, symptom: Symptom, now_ms: float) -> None:
+    def record_failure(self, server: int, symptom: Symptom, now_ms: float) -> None:
         """Take what I saw myself; it is told, and is no witness for me."""
         self.failure_counts[server] = self.failure_counts.get(server, 0) + 1
         self.reports.setdefault(server, {})[self.own_number] = StoredReport(
             symptom, now_ms, self.failure_counts[server]
         )
 
-    def hears(self, server: int, now_ms: float) -> None:
+    def record_answer(self, server: int, now_ms: float) -> None:
         """Take an answer of a server's: what was said of it before is void for me."""
         self.last_answer_ms[server] = max(now_ms, self.last_answer_ms.get(server, now_ms))
         self.reports.get(server, {}).pop(self.own_number, None)
 
-    def take(self, reports: Iterable[Report], now_ms: float) -> None:
+    def add_reports(self, reports: Iterable[Report], now_ms: float) -> None:
         """Take others' word; older word of the same witness, and what is too old, changes nothing."""
         for report in reports:
             at = now_ms - report.age_ms
@@ -108,7 +108,7 @@
             if witness != self.own_number and report.seen_ms > since
         }
 
-    def verdicts(self, now_ms: float) -> list[int]:
+    def take_verdicts(self, now_ms: float) -> list[int]:
         """Give the servers that enough others saw sick, each once; forgets what is too old."""
         found = []
         for server in list(self.reports):
@@ -136,7 +136,7 @@
         }
         return found
 
-    def tell(self, now_ms: float, most: int) -> list[Report]:
+    def next_reports(self, now_ms: float, most: int) -> list[Report]:
         """Give what goes with the next datagram: the least told first; counts it as told once."""
         known = [
             (kept.send_count, server, witness, kept)
--- a/hitchtiller/ops/members.py
+++ b/hitchtiller/ops/members.py
@@ -110,10 +110,10 @@
             if now < node.out_until:
                 if self.outs.get(mark) != node.out_until:  # once for each time that it is left out
                     sign = Symptom.REFUSED if node.refused_ms > now - OUT_MOST else Symptom.SILENT
-                    evidence.saw(mark, sign, now)
+                    evidence.record_failure(mark, sign, now)
             elif node.blame < SOUND and now - node.answered_ms < self.period_ms:
-                evidence.hears(mark, node.answered_ms)
-        for node in (marks[mark] for mark in evidence.verdicts(now) if mark in marks):
+                evidence.record_answer(mark, node.answered_ms)
+        for node in (marks[mark] for mark in evidence.take_verdicts(now) if mark in marks):
             if now >= node.out_until and not self.engine.busy:
                 router.now, router.actions = now, []
                 router.add_failure(node, TRUST)
--- a/tests/membership/test_membership_evidence.py
+++ b/tests/membership/test_membership_evidence.py
@@ -26,51 +26,51 @@
 def test_one_witness_repeated_by_forty_is_one() -> None:
     mine = Evidence(0)
     for n in range(40):
-        mine.take([said(1, age_ms=10.0 * n)], 1_000.0 + n)
-    assert mine.witnesses(SICK, 1_100.0) == {1} and mine.verdicts(1_100.0) == []
-    mine.take([said(2)], 1_100.0)
-    assert mine.verdicts(1_100.0) == [SICK]
-    assert mine.verdicts(1_100.0) == [], "a verdict is given once"
+        mine.add_reports([said(1, age_ms=10.0 * n)], 1_000.0 + n)
+    assert mine.witnesses(SICK, 1_100.0) == {1} and mine.take_verdicts(1_100.0) == []
+    mine.add_reports([said(2)], 1_100.0)
+    assert mine.take_verdicts(1_100.0) == [SICK]
+    assert mine.take_verdicts(1_100.0) == [], "a verdict is given once"
 
 
 def test_my_own_answer_outweighs_what_was_said_before_it() -> None:
     mine = Evidence(0)
-    mine.take([said(1), said(2)], 1_000.0)
-    mine.hears(SICK, 1_001.0)
-    assert mine.verdicts(1_002.0) == []
-    mine.take([said(1, count=2), said(2, count=2)], 1_500.0)
-    assert mine.verdicts(1_500.0) == [SICK], "what was seen after it counts"
+    mine.add_reports([said(1), said(2)], 1_000.0)
+    mine.record_answer(SICK, 1_001.0)
+    assert mine.take_verdicts(1_002.0) == []
+    mine.add_reports([said(1, count=2), said(2, count=2)], 1_500.0)
+    assert mine.take_verdicts(1_500.0) == [SICK], "what was seen after it counts"
 
 
 def test_what_i_saw_myself_is_told_and_is_no_witness_for_me() -> None:
     mine = Evidence(0)
-    mine.saw(SICK, Symptom.REFUSED, 1_000.0)
-    mine.take([said(1)], 1_000.0)
+    mine.record_failure(SICK, Symptom.REFUSED, 1_000.0)
+    mine.add_reports([said(1)], 1_000.0)
     assert mine.witnesses(SICK, 1_000.0) == {1}
-    told = next(r for r in mine.tell(1_200.0, 9) if r.witness == 0)
+    told = next(r for r in mine.next_reports(1_200.0, 9) if r.witness == 0)
     assert told.symptom is Symptom.REFUSED and told.age_ms == 200.0
     echo = Evidence(1)
-    echo.take([told], 9_000.0)  # another clock
+    echo.add_reports([told], 9_000.0)  # another clock
     assert echo.witnesses(SICK, 9_000.0) == {0}
-    mine.take([told], 1_300.0)  # my own word comes back
+    mine.add_reports([told], 1_300.0)  # my own word comes back
     assert mine.witnesses(SICK, 1_300.0) == {1}
 
 
 def test_old_word_changes_nothing_and_is_forgotten() -> None:
     mine = Evidence(0)
-    mine.take([said(1, age_ms=REPORT_LIFETIME_MS)], 1_000.0)
+    mine.add_reports([said(1, age_ms=REPORT_LIFETIME_MS)], 1_000.0)
     assert mine.reports == {}
-    mine.take([said(1), said(2)], 1_000.0)
-    assert mine.verdicts(1_000.0 + REPORT_LIFETIME_MS) == [] and mine.reports == {}
+    mine.add_reports([said(1), said(2)], 1_000.0)
+    assert mine.take_verdicts(1_000.0 + REPORT_LIFETIME_MS) == [] and mine.reports == {}
 
 
 def test_tables_and_tellings_are_bounded() -> None:
     mine = Evidence(0)
     for by in range(1, 200):
-        mine.take([said(by)], 1_000.0)
+        mine.add_reports([said(by)], 1_000.0)
     assert len(mine.reports[SICK]) == MAX_WITNESSES
     told = 0
-    while some := mine.tell(1_000.0, REPORTS):
+    while some := mine.next_reports(1_000.0, REPORTS):
         told += len(some)
     assert told == MAX_WITNESSES * MAX_SENDS
 
@@ -81,12 +81,12 @@
 ) -> None:
     one, other = Evidence(0), Evidence(0)
     few = [said(by, count=count) for by, count in words if by <= MAX_WITNESSES]
-    one.take(few, 1_000.0)
+    one.add_reports(few, 1_000.0)
     again = few * 2
     rng.shuffle(again)
-    other.take(again, 1_000.0)
+    other.add_reports(again, 1_000.0)
     assert one.witnesses(SICK, 1_001.0) == other.witnesses(SICK, 1_001.0)
-    assert one.verdicts(1_001.0) == ([SICK] if len({r.witness for r in few}) >= MIN_WITNESSES else [])
+    assert one.take_verdicts(1_001.0) == ([SICK] if len({r.witness for r in few}) >= MIN_WITNESSES else [])
 
 
 @given(
@@ -110,7 +110,7 @@
 def test_counts_of_servers_that_are_gone_do_not_pile_up() -> None:
     mine = Evidence(0)
     for server in range(500):  # caches that were replaced, each seen sick once
-        mine.saw(server, Symptom.SILENT, 1_000.0)
-    mine.saw(SICK, Symptom.SILENT, 1_000.0 + REPORT_LIFETIME_MS)
-    mine.verdicts(1_000.0 + REPORT_LIFETIME_MS)
+        mine.record_failure(server, Symptom.SILENT, 1_000.0)
+    mine.record_failure(SICK, Symptom.SILENT, 1_000.0 + REPORT_LIFETIME_MS)
+    mine.take_verdicts(1_000.0 + REPORT_LIFETIME_MS)
     assert set(mine.failure_counts) == {SICK} and mine.failure_counts[SICK] == 2
