--- a/tests/membership/test_membership_evidence.py
+++ b/tests/membership/test_membership_evidence.py
@@ -6,10 +6,10 @@
 from hypothesis import strategies as st
 
 from hitchtiller.membership.evidence import (
-    REPORT_LIFETIME_MS,
-    MIN_WITNESSES,
     MAX_SENDS,
     MAX_WITNESSES,
+    MIN_WITNESSES,
+    REPORT_LIFETIME_MS,
     Evidence,
     Report,
     Symptom,
