--- a/hitchtiller/membership/detector.py
+++ b/hitchtiller/membership/detector.py
@@ -25,7 +25,7 @@
 from hitchtiller.membership.evidence import REPORT_FANOUT, Evidence
 from hitchtiller.membership.gossip import Gossip
 from hitchtiller.membership.view import UNHEARD, Change, Claim, State, View
-from hitchtiller.membership.words import ITEMS, REPORTS, Kind, MembershipMessage, pack, unpack
+from hitchtiller.membership.words import MAX_CLAIMS, MAX_REPORTS, Kind, MembershipMessage, pack, unpack
 
 HELPERS, PAGE_EVERY, START_PAGES = 3, 10, 3
 DIRECT, ROUNDS = 0.3, 2  # of a period, for an answer; rounds of asking again, itself and by helpers
@@ -148,7 +148,7 @@
         """Give what is to be said of servers, to a few; nothing while there is no news."""
         out: Datagrams = []
         for peer in self._some(REPORT_FANOUT, ()):
-            if reports := self.evidence.next_reports(now_ms, REPORTS):
+            if reports := self.evidence.next_reports(now_ms, MAX_REPORTS):
                 out += self._pack(peer, MembershipMessage(Kind.REPORT, self.own_number, 0, reports=reports))
         return out
 
@@ -277,14 +277,14 @@
     def _page(self, peer: int, start: int) -> Datagrams:
         size = len(self.view.claims)
         numbers = sorted(self.view.claims, key=lambda n: (n - start) % size)
-        items = self.view.items(numbers)[:ITEMS]
+        items = self.view.items(numbers)[:MAX_CLAIMS]
         return self._pack(peer, MembershipMessage(Kind.TELL, self.own_number, 0, 0, items))
 
     def _send(self, peer: int, kind: Kind, number: int, target: int = 0) -> Datagrams:
         # a peer that I hold for gone is told so first: it refutes, or knows that it is superseded
         claim = self.view.claims.get(peer, UNHEARD)
         first = peer if claim.state is not State.ALIVE else None
-        items = self.view.items(self.gossip.take(ITEMS, first))
+        items = self.view.items(self.gossip.take(MAX_CLAIMS, first))
         return self._pack(peer, MembershipMessage(kind, self.own_number, number, target, items))
 
     def _pack(self, peer: int, word: MembershipMessage) -> Datagrams:
--- a/hitchtiller/membership/words.py
+++ b/hitchtiller/membership/words.py
@@ -22,13 +22,16 @@
 from hitchtiller.membership.evidence import Report, Symptom
 from hitchtiller.membership.view import Claim, State
 
-MARK, VERSION, MOST = 0xA7, 1, 256
-HEAD = struct.Struct(">BBIIBIHHB")
-ITEM = struct.Struct(">HBHIH")  # the incarnation's 48 bits as 16 and 32
-REPORT = struct.Struct(">IHBBB")
-ITEMS, REPORTS = (MOST - HEAD.size) // ITEM.size, (MOST - HEAD.size) // REPORT.size
-AGE_MS = 25.0  # a step of a report's age
-Item = tuple[int, Claim, int]  # number, what is claimed, who first said so
+MAGIC, VERSION, MAX_DATAGRAM_BYTES = 0xA7, 1, 256
+HEADER = struct.Struct(">BBIIBIHHB")
+CLAIM_FORMAT = struct.Struct(">HBHIH")  # the incarnation's 48 bits as 16 and 32
+REPORT_FORMAT = struct.Struct(">IHBBB")
+MAX_CLAIMS, MAX_REPORTS = (
+    (MAX_DATAGRAM_BYTES - HEADER.size) // CLAIM_FORMAT.size,
+    (MAX_DATAGRAM_BYTES - HEADER.size) // REPORT_FORMAT.size,
+)
+AGE_STEP_MS = 25.0  # a step of a report's age
+ClaimItem = tuple[int, Claim, int]  # number, what is claimed, who first said so
 
 
 class Kind(IntEnum):
@@ -50,49 +53,51 @@
     sender: int
     number: int  # of the probe that this belongs to
     target: int = 0
-    items: list[Item] = field(default_factory=list)
+    items: list[ClaimItem] = field(default_factory=list)
     reports: list[Report] = field(default_factory=list)  # of kind REPORT only
 
 
 def pack(word: MembershipMessage, fleet: int) -> bytes:
     """Write a word; at most ITEMS claims go with it."""
-    items = word.items[:ITEMS]
+    items = word.items[:MAX_CLAIMS]
     tail = b"".join(
-        ITEM.pack(number, claim.state, claim.incarnation >> 32, claim.incarnation & 0xFFFFFFFF, by)
+        CLAIM_FORMAT.pack(number, claim.state, claim.incarnation >> 32, claim.incarnation & 0xFFFFFFFF, by)
         for number, claim, by in items
     )
     if word.kind is Kind.REPORT:
         items = []
         tail = b"".join(
-            REPORT.pack(r.server, r.witness, r.symptom, min(255, round(r.age_ms / AGE_MS)), min(255, r.count))
-            for r in word.reports[:REPORTS]
+            REPORT_FORMAT.pack(
+                r.server, r.witness, r.symptom, min(255, round(r.age_ms / AGE_STEP_MS)), min(255, r.count)
+            )
+            for r in word.reports[:MAX_REPORTS]
         )
-    count = min(len(word.reports), REPORTS) if word.kind is Kind.REPORT else len(items)
+    count = min(len(word.reports), MAX_REPORTS) if word.kind is Kind.REPORT else len(items)
     fields = (word.kind, word.number & 0xFFFFFFFF, word.target, word.sender, count)
-    bare = HEAD.pack(MARK, VERSION, fleet & 0xFFFFFFFF, 0, *fields) + tail
-    return HEAD.pack(MARK, VERSION, fleet & 0xFFFFFFFF, zlib.crc32(bare), *fields) + tail
+    bare = HEADER.pack(MAGIC, VERSION, fleet & 0xFFFFFFFF, 0, *fields) + tail
+    return HEADER.pack(MAGIC, VERSION, fleet & 0xFFFFFFFF, zlib.crc32(bare), *fields) + tail
 
 
 def unpack(data: bytes, fleet: int) -> MembershipMessage | None:
     """Read a word; None for what is cut, altered, of another fleet, version or kind."""
-    if not HEAD.size <= len(data) <= MOST:
+    if not HEADER.size <= len(data) <= MAX_DATAGRAM_BYTES:
         return None
-    mark, version, its, check, kind, number, target, sender, count = HEAD.unpack_from(data)
-    if (mark, version, its) != (MARK, VERSION, fleet & 0xFFFFFFFF):
+    magic, version, its, check, kind, number, target, sender, count = HEADER.unpack_from(data)
+    if (magic, version, its) != (MAGIC, VERSION, fleet & 0xFFFFFFFF):
         return None
-    size = REPORT.size if kind == Kind.REPORT else ITEM.size
-    if kind >= len(Kind) or len(data) != HEAD.size + count * size:
+    size = REPORT_FORMAT.size if kind == Kind.REPORT else CLAIM_FORMAT.size
+    if kind >= len(Kind) or len(data) != HEADER.size + count * size:
         return None
     if zlib.crc32(data[:6] + bytes(4) + data[10:]) != check:
         return None
     if kind == Kind.REPORT:
-        rows = list(REPORT.iter_unpack(data[HEAD.size :]))
+        rows = list(REPORT_FORMAT.iter_unpack(data[HEADER.size :]))
         if any(sign >= len(Symptom) for _, _, sign, _, _ in rows):
             return None
-        reports = [Report(s, Symptom(sign), by, AGE_MS * age, n) for s, by, sign, age, n in rows]
+        reports = [Report(s, Symptom(sign), by, AGE_STEP_MS * age, n) for s, by, sign, age, n in rows]
         return MembershipMessage(Kind.REPORT, sender, number, target, [], reports)
     items = []
-    for about, state, high, low, by in ITEM.iter_unpack(data[HEAD.size :]):
+    for about, state, high, low, by in CLAIM_FORMAT.iter_unpack(data[HEADER.size :]):
         if state >= len(State):
             return None
         items.append((about, Claim(high << 32 | low, State(state)), by))
@@ -101,4 +106,4 @@
 
 def is_membership_message(data: bytes) -> bool:
     """Tell whether a datagram is meant as a word, and not as a note on objects."""
-    return data[:1] == bytes((MARK,))
+    return data[:1] == bytes((MAGIC,))
--- a/tests/membership/test_membership_evidence.py
+++ b/tests/membership/test_membership_evidence.py
@@ -14,7 +14,14 @@
     Report,
     Symptom,
 )
-from hitchtiller.membership.words import MOST, REPORTS, Kind, MembershipMessage, pack, unpack
+from hitchtiller.membership.words import (
+    MAX_DATAGRAM_BYTES,
+    MAX_REPORTS,
+    Kind,
+    MembershipMessage,
+    pack,
+    unpack,
+)
 
 SICK = 77
 
@@ -70,7 +77,7 @@
         mine.add_reports([said(by)], 1_000.0)
     assert len(mine.reports[SICK]) == MAX_WITNESSES
     told = 0
-    while some := mine.next_reports(1_000.0, REPORTS):
+    while some := mine.next_reports(1_000.0, MAX_REPORTS):
         told += len(some)
     assert told == MAX_WITNESSES * MAX_SENDS
 
@@ -100,9 +107,9 @@
 )  # fmt: skip
 def test_reports_read_back_and_fit_a_datagram(reports: list[Report]) -> None:
     data = pack(MembershipMessage(Kind.REPORT, 3, 9, reports=reports), 7)
-    assert len(data) <= MOST
+    assert len(data) <= MAX_DATAGRAM_BYTES
     read = unpack(data, 7)
-    assert read and read.reports == reports[:REPORTS] and read.items == []
+    assert read and read.reports == reports[:MAX_REPORTS] and read.items == []
     assert unpack(data[:-1], 7) is None
     assert unpack(data, 8) is None
 
--- a/tests/membership/test_membership_parts.py
+++ b/tests/membership/test_membership_parts.py
@@ -13,8 +13,8 @@
 from hitchtiller.membership.shares import preferred_share, rule_share, weighed_share
 from hitchtiller.membership.view import UNHEARD, Claim, State, View
 from hitchtiller.membership.words import (
-    ITEMS,
-    MOST,
+    MAX_CLAIMS,
+    MAX_DATAGRAM_BYTES,
     Kind,
     MembershipMessage,
     is_membership_message,
@@ -80,9 +80,9 @@
 
 def test_words_fit_a_datagram_and_come_back() -> None:
     full = MembershipMessage(Kind.TELL, 1, 2, 3, [(n, Claim(n, State.DEAD), n) for n in range(99)])
-    assert len(pack(full, 7)) <= MOST
+    assert len(pack(full, 7)) <= MAX_DATAGRAM_BYTES
     read = unpack(pack(full, 7), 7)
-    assert read and read.items == full.items[:ITEMS]
+    assert read and read.items == full.items[:MAX_CLAIMS]
     assert unpack(pack(WORD, 7), 7) == WORD
 
 
@@ -111,7 +111,7 @@
     for number in range(size):
         gossip.add(number)
     told = 0
-    while taken := gossip.take(ITEMS):
+    while taken := gossip.take(MAX_CLAIMS):
         told += len(taken)
     assert told == size * Gossip.limit(size) and Gossip.limit(1000) == 30
 
@@ -119,7 +119,7 @@
 def test_what_was_told_least_often_goes_first() -> None:
     gossip = Gossip(5)
     gossip.add(1)
-    gossip.take(ITEMS)
+    gossip.take(MAX_CLAIMS)
     gossip.add(2)
     assert gossip.take(1) == [2]
 
