--- a/hitchtiller/membership/detector.py
+++ b/hitchtiller/membership/detector.py
@@ -64,13 +64,13 @@
         own_number: int,
         size: int,
         incarnation: int,
-        fleet: int,
+        fleet_id: int,
         period_ms: float,
         rng: Random,
         now_ms: float,
     ) -> None:
         """Start; `incarnation` is the start's Unix milliseconds."""
-        self.own_number, self.fleet, self.period_ms, self.rng = own_number, fleet, period_ms, rng
+        self.own_number, self.fleet_id, self.period_ms, self.rng = own_number, fleet_id, period_ms, rng
         self.view = View(own_number, size, incarnation)
         self.gossip, self.evidence = Gossip(size), Evidence(own_number)
         self.view.listeners.append(self._changed)
@@ -105,29 +105,31 @@
 
     def receive(self, sender: int, data: bytes, now_ms: float) -> Datagrams:
         """Take a datagram from a listed peer; what can't be read is dropped and counted."""
-        word = unpack(data, self.fleet)
-        if word is None or word.sender != sender or sender not in self.view.claims:
+        message = unpack(data, self.fleet_id)
+        if message is None or message.sender != sender or sender not in self.view.claims:
             self.dropped += 1
             return []
         self.hear(sender, now_ms)
-        for number, claim, by in word.items:
+        for number, claim, by in message.items:
             if self.view.merge(number, claim, by, now_ms):
                 self._follow(number, by, now_ms)
             elif claim.state is State.SUSPECT and claim == self.view.claims.get(number):
                 self._witness(number, by)
             elif number == self.own_number and claim < self.view.claims[number] and not self.view.superseded:
                 self.gossip.add(number)  # its sender has not heard my newer claim: all those words were lost
-        match word.kind:
+        match message.kind:
             case Kind.PING:
-                return self._send(sender, Kind.ACK, word.number)
+                return self._send(sender, Kind.ACK, message.number)
             case Kind.ACK:
-                return self._acked(word, sender)
-            case Kind.ASK if word.target in self.view.claims and word.target != self.own_number:
-                return self._ping(word.target, now_ms, sender, word.number)
+                return self._acked(message, sender)
+            case Kind.ASK if message.target in self.view.claims and message.target != self.own_number:
+                return self._ping(message.target, now_ms, sender, message.number)
             case Kind.PAGE:
-                return self._page(sender, word.target)
+                return self._page(sender, message.target)
             case Kind.REPORT:
-                self.evidence.add_reports((r for r in word.reports if r.witness in self.view.claims), now_ms)
+                self.evidence.add_reports(
+                    (r for r in message.reports if r.witness in self.view.claims), now_ms
+                )
         return []
 
     def hear(self, number: int, now_ms: float) -> None:
@@ -192,11 +194,11 @@
         )
         return self._send(target, Kind.PING, self.numbers)
 
-    def _acked(self, word: MembershipMessage, sender: int) -> Datagrams:
-        probe = self.probes.get(word.number)
+    def _acked(self, message: MembershipMessage, sender: int) -> Datagrams:
+        probe = self.probes.get(message.number)
         if probe is None or (probe.target != sender and probe.origin >= 0):
             return []
-        del self.probes[word.number]
+        del self.probes[message.number]
         if probe.origin >= 0:
             return self._send(probe.origin, Kind.ACK, probe.origin_number)
         self.doubt = max(0, self.doubt - 1)
@@ -287,6 +289,6 @@
         items = self.view.items(self.gossip.take(MAX_CLAIMS, first))
         return self._pack(peer, MembershipMessage(kind, self.own_number, number, target, items))
 
-    def _pack(self, peer: int, word: MembershipMessage) -> Datagrams:
+    def _pack(self, peer: int, message: MembershipMessage) -> Datagrams:
         self.sent += 1
-        return [(peer, pack(word, self.fleet))]
+        return [(peer, pack(message, self.fleet_id))]
--- a/hitchtiller/membership/words.py
+++ b/hitchtiller/membership/words.py
@@ -57,33 +57,35 @@
     reports: list[Report] = field(default_factory=list)  # of kind REPORT only
 
 
-def pack(word: MembershipMessage, fleet: int) -> bytes:
+def pack(message: MembershipMessage, fleet_id: int) -> bytes:
     """Write a word; at most ITEMS claims go with it."""
-    items = word.items[:MAX_CLAIMS]
+    items = message.items[:MAX_CLAIMS]
     tail = b"".join(
-        CLAIM_FORMAT.pack(number, claim.state, claim.incarnation >> 32, claim.incarnation & 0xFFFFFFFF, by)
-        for number, claim, by in items
+        CLAIM_FORMAT.pack(
+            number, claim.state, claim.incarnation >> 32, claim.incarnation & 0xFFFFFFFF, reporter
+        )
+        for number, claim, reporter in items
     )
-    if word.kind is Kind.REPORT:
+    if message.kind is Kind.REPORT:
         items = []
         tail = b"".join(
             REPORT_FORMAT.pack(
                 r.server, r.witness, r.symptom, min(255, round(r.age_ms / AGE_STEP_MS)), min(255, r.count)
             )
-            for r in word.reports[:MAX_REPORTS]
+            for r in message.reports[:MAX_REPORTS]
         )
-    count = min(len(word.reports), MAX_REPORTS) if word.kind is Kind.REPORT else len(items)
-    fields = (word.kind, word.number & 0xFFFFFFFF, word.target, word.sender, count)
-    bare = HEADER.pack(MAGIC, VERSION, fleet & 0xFFFFFFFF, 0, *fields) + tail
-    return HEADER.pack(MAGIC, VERSION, fleet & 0xFFFFFFFF, zlib.crc32(bare), *fields) + tail
+    count = min(len(message.reports), MAX_REPORTS) if message.kind is Kind.REPORT else len(items)
+    fields = (message.kind, message.number & 0xFFFFFFFF, message.target, message.sender, count)
+    bare = HEADER.pack(MAGIC, VERSION, fleet_id & 0xFFFFFFFF, 0, *fields) + tail
+    return HEADER.pack(MAGIC, VERSION, fleet_id & 0xFFFFFFFF, zlib.crc32(bare), *fields) + tail
 
 
-def unpack(data: bytes, fleet: int) -> MembershipMessage | None:
+def unpack(data: bytes, fleet_id: int) -> MembershipMessage | None:
     """Read a word; None for what is cut, altered, of another fleet, version or kind."""
     if not HEADER.size <= len(data) <= MAX_DATAGRAM_BYTES:
         return None
-    magic, version, its, check, kind, number, target, sender, count = HEADER.unpack_from(data)
-    if (magic, version, its) != (MAGIC, VERSION, fleet & 0xFFFFFFFF):
+    magic, version, message_fleet_id, check, kind, number, target, sender, count = HEADER.unpack_from(data)
+    if (magic, version, message_fleet_id) != (MAGIC, VERSION, fleet_id & 0xFFFFFFFF):
         return None
     size = REPORT_FORMAT.size if kind == Kind.REPORT else CLAIM_FORMAT.size
     if kind >= len(Kind) or len(data) != HEADER.size + count * size:
@@ -94,13 +96,15 @@
         rows = list(REPORT_FORMAT.iter_unpack(data[HEADER.size :]))
         if any(sign >= len(Symptom) for _, _, sign, _, _ in rows):
             return None
-        reports = [Report(s, Symptom(sign), by, AGE_STEP_MS * age, n) for s, by, sign, age, n in rows]
+        reports = [
+            Report(s, Symptom(sign), reporter, AGE_STEP_MS * age, n) for s, reporter, sign, age, n in rows
+        ]
         return MembershipMessage(Kind.REPORT, sender, number, target, [], reports)
     items = []
-    for about, state, high, low, by in CLAIM_FORMAT.iter_unpack(data[HEADER.size :]):
+    for subject, state, high, low, reporter in CLAIM_FORMAT.iter_unpack(data[HEADER.size :]):
         if state >= len(State):
             return None
-        items.append((about, Claim(high << 32 | low, State(state)), by))
+        items.append((subject, Claim(high << 32 | low, State(state)), reporter))
     return MembershipMessage(Kind(kind), sender, number, target, items)
 
 
