--- a/hitchtiller/membership/detector.py
+++ b/hitchtiller/membership/detector.py
@@ -27,11 +27,20 @@
 from hitchtiller.membership.view import UNHEARD, Change, Claim, State, View
 from hitchtiller.membership.words import MAX_CLAIMS, MAX_REPORTS, Kind, MembershipMessage, pack, unpack
 
-HELPERS, PAGE_EVERY, START_PAGES = 3, 10, 3
-DIRECT, ROUNDS = 0.3, 2  # of a period, for an answer; rounds of asking again, itself and by helpers
-SUSPECT, SUSPECT_LEAST = 4.0, 2.0  # periods, times log10 of the size (1 at least); with all witnesses
-WITNESSES, NEWS = 3, 2  # from which on a suspicion lasts no longer than the least
-DOUBT_MOST, LATE = 8, 1.5  # steps of doubt; periods between ticks from which on I was late myself
+HELPER_COUNT, SYNC_INTERVAL_PERIODS, INITIAL_SYNCS = 3, 10, 3
+ROUND_SHARE, MAX_RETRY_ROUNDS = (
+    0.3,
+    2,
+)  # of a period, for an answer; rounds of asking again, itself and by helpers
+MAX_SUSPECT_PERIODS, MIN_SUSPECT_PERIODS = (
+    4.0,
+    2.0,
+)  # periods, times log10 of the size (1 at least); with all witnesses
+FULL_WITNESS_COUNT, GOSSIP_FANOUT = 3, 2  # from which on a suspicion lasts no longer than the least
+MAX_SLOWDOWN_STEPS, LATE_TICK_PERIODS = (
+    8,
+    1.5,
+)  # steps of doubt; periods between ticks from which on I was late myself
 
 Datagrams = list[tuple[int, bytes]]
 
@@ -78,7 +87,7 @@
         self.probes: dict[int, Probe] = {}
         self.suspicions: dict[int, Suspicion] = {}
         self.round: list[int] = []
-        self.numbers, self.periods, self.doubt, self.pages = 0, 0, 0, START_PAGES
+        self.numbers, self.periods, self.doubt, self.pages = 0, 0, 0, INITIAL_SYNCS
         self.next_ms = self.ticked_ms = now_ms
         self.sent = self.dropped = 0
         self.gossip.add(own_number)
@@ -87,14 +96,14 @@
 
     def tick(self, now_ms: float) -> Datagrams:
         """Look at what is due; to be called several times a period."""
-        late = now_ms - self.ticked_ms > LATE * self.period_ms
+        late = now_ms - self.ticked_ms > LATE_TICK_PERIODS * self.period_ms
         self.ticked_ms = now_ms
         if late:  # guards against accusing others for a time in which I did not run myself
             self.probes.clear()
             for suspicion in self.suspicions.values():
                 suspicion.begun_ms = now_ms
             self._doubt(2)
-            self.pages = START_PAGES
+            self.pages = INITIAL_SYNCS
             self.next_ms = now_ms
         out = self._watch(now_ms)
         self._expire(now_ms)
@@ -139,7 +148,7 @@
     def leave(self, now_ms: float) -> Datagrams:
         """Tell a few that I leave by plan."""
         self.view.leave(now_ms)
-        return [d for peer in self._some(HELPERS, ()) for d in self._send(peer, Kind.TELL, 0)]
+        return [d for peer in self._some(HELPER_COUNT, ()) for d in self._send(peer, Kind.TELL, 0)]
 
     def forget(self, number: int) -> bool:
         """Forget what is claimed of a number; it is probed again like one never heard of."""
@@ -159,7 +168,7 @@
     def _period(self, now_ms: float) -> Datagrams:
         self.periods += 1
         out: Datagrams = []
-        if self.pages or self.periods % PAGE_EVERY == 0:
+        if self.pages or self.periods % SYNC_INTERVAL_PERIODS == 0:
             self.pages = max(0, self.pages - 1)
             for peer in self._some(1, ()):
                 out += self._send(peer, Kind.PAGE, 0, self.rng.randrange(len(self.view.claims)))
@@ -168,7 +177,7 @@
             if self.own_number in suspicion.witnesses:
                 out += self._send(number, Kind.PING, 0)
         if self.gossip.told:
-            for peer in self._some(NEWS, ()):
+            for peer in self._some(GOSSIP_FANOUT, ()):
                 out += self._send(peer, Kind.TELL, 0)
         return out + self._ping(target, now_ms) if target is not None else out
 
@@ -190,7 +199,7 @@
     def _ping(self, target: int, now_ms: float, origin: int = -1, origin_number: int = 0) -> Datagrams:
         self.numbers += 1
         self.probes[self.numbers] = Probe(
-            target, self.numbers, now_ms, ROUNDS if origin >= 0 else 0, origin, origin_number
+            target, self.numbers, now_ms, MAX_RETRY_ROUNDS if origin >= 0 else 0, origin, origin_number
         )
         return self._send(target, Kind.PING, self.numbers)
 
@@ -210,10 +219,10 @@
             age, wait = now_ms - probe.begun_ms, self.period_ms * (1.0 + 0.25 * self.doubt)
             if self.heard.get(probe.target, -math.inf) >= probe.begun_ms and probe.origin < 0:
                 del self.probes[probe.number]
-            elif probe.asked < ROUNDS and age > DIRECT * wait * (probe.asked + 1):
+            elif probe.asked < MAX_RETRY_ROUNDS and age > ROUND_SHARE * wait * (probe.asked + 1):
                 probe.asked += 1
                 out += self._send(probe.target, Kind.PING, probe.number)
-                for helper in self._some(HELPERS, (probe.target,)):
+                for helper in self._some(HELPER_COUNT, (probe.target,)):
                     out += self._send(helper, Kind.ASK, probe.number, probe.target)
             elif age > wait:
                 del self.probes[probe.number]
@@ -245,8 +254,12 @@
     def suspect_ms(self, witnesses: int) -> float:
         """Give how long a suspect has to refute, with so many that suspect it."""
         grown = max(1.0, math.log10(len(self.view.claims)))
-        most, least = SUSPECT * grown, SUSPECT_LEAST * grown
-        share = math.log(min(witnesses, WITNESSES)) / math.log(WITNESSES) if witnesses > 1 else 0.0
+        most, least = MAX_SUSPECT_PERIODS * grown, MIN_SUSPECT_PERIODS * grown
+        share = (
+            math.log(min(witnesses, FULL_WITNESS_COUNT)) / math.log(FULL_WITNESS_COUNT)
+            if witnesses > 1
+            else 0.0
+        )
         return self.period_ms * (most - (most - least) * share) * (1.0 + 0.25 * self.doubt)
 
     # Word
@@ -262,7 +275,7 @@
         suspicion = self.suspicions.get(number)
         if suspicion and by not in suspicion.witnesses:
             suspicion.witnesses.add(by)
-            if len(suspicion.witnesses) <= WITNESSES:
+            if len(suspicion.witnesses) <= FULL_WITNESS_COUNT:
                 self.view.reporters[number] = by
                 self.gossip.add(number)
 
@@ -270,7 +283,7 @@
         self.gossip.add(change.number)
 
     def _doubt(self, steps: int) -> None:
-        self.doubt = min(DOUBT_MOST, self.doubt + steps)
+        self.doubt = min(MAX_SLOWDOWN_STEPS, self.doubt + steps)
 
     def _some(self, count: int, but: tuple[int, ...]) -> list[int]:
         others = [n for n in self.view.numbers_in(State.ALIVE) if n != self.own_number and n not in but]
