--- a/hitchtiller/membership/detector.py
+++ b/hitchtiller/membership/detector.py
@@ -51,17 +51,17 @@
 
     target: int
     number: int
-    begun_ms: float
-    asked: int = 0  # rounds
-    origin: int = -1  # who asked me to ping, and under which number; -1: myself
-    origin_number: int = 0
+    started_ms: float
+    retry_rounds: int = 0  # rounds
+    requester: int = -1  # who asked me to ping, and under which number; -1: myself
+    requester_probe: int = 0
 
 
 @dataclass(slots=True)
 class Suspicion:
     """A suspect's time."""
 
-    begun_ms: float
+    started_ms: float
     witnesses: set[int]
 
 
@@ -101,7 +101,7 @@
         if late:  # guards against accusing others for a time in which I did not run myself
             self.probes.clear()
             for suspicion in self.suspicions.values():
-                suspicion.begun_ms = now_ms
+                suspicion.started_ms = now_ms
             self._doubt(2)
             self.pages = INITIAL_SYNCS
             self.next_ms = now_ms
@@ -196,37 +196,44 @@
                 return number
         return None
 
-    def _ping(self, target: int, now_ms: float, origin: int = -1, origin_number: int = 0) -> Datagrams:
+    def _ping(self, target: int, now_ms: float, requester: int = -1, requester_probe: int = 0) -> Datagrams:
         self.numbers += 1
         self.probes[self.numbers] = Probe(
-            target, self.numbers, now_ms, MAX_RETRY_ROUNDS if origin >= 0 else 0, origin, origin_number
+            target,
+            self.numbers,
+            now_ms,
+            MAX_RETRY_ROUNDS if requester >= 0 else 0,
+            requester,
+            requester_probe,
         )
         return self._send(target, Kind.PING, self.numbers)
 
     def _acked(self, message: MembershipMessage, sender: int) -> Datagrams:
         probe = self.probes.get(message.number)
-        if probe is None or (probe.target != sender and probe.origin >= 0):
+        if probe is None or (probe.target != sender and probe.requester >= 0):
             return []
         del self.probes[message.number]
-        if probe.origin >= 0:
-            return self._send(probe.origin, Kind.ACK, probe.origin_number)
+        if probe.requester >= 0:
+            return self._send(probe.requester, Kind.ACK, probe.requester_probe)
         self.doubt = max(0, self.doubt - 1)
         return []
 
     def _watch(self, now_ms: float) -> Datagrams:
         out: Datagrams = []
         for probe in list(self.probes.values()):
-            age, wait = now_ms - probe.begun_ms, self.period_ms * (1.0 + 0.25 * self.doubt)
-            if self.heard.get(probe.target, -math.inf) >= probe.begun_ms and probe.origin < 0:
+            age, wait = now_ms - probe.started_ms, self.period_ms * (1.0 + 0.25 * self.doubt)
+            if self.heard.get(probe.target, -math.inf) >= probe.started_ms and probe.requester < 0:
                 del self.probes[probe.number]
-            elif probe.asked < MAX_RETRY_ROUNDS and age > ROUND_SHARE * wait * (probe.asked + 1):
-                probe.asked += 1
+            elif probe.retry_rounds < MAX_RETRY_ROUNDS and age > ROUND_SHARE * wait * (
+                probe.retry_rounds + 1
+            ):
+                probe.retry_rounds += 1
                 out += self._send(probe.target, Kind.PING, probe.number)
                 for helper in self._some(HELPER_COUNT, (probe.target,)):
                     out += self._send(helper, Kind.ASK, probe.number, probe.target)
             elif age > wait:
                 del self.probes[probe.number]
-                if probe.origin < 0:
+                if probe.requester < 0:
                     self._missed(probe.target, now_ms)
         return out
 
@@ -245,9 +252,11 @@
             claim = self.view.claims.get(number)
             if claim is None or claim.state is not State.SUSPECT:
                 del self.suspicions[number]
-            elif self.heard.get(number, -math.inf) > suspicion.begun_ms:
-                suspicion.begun_ms = self.heard[number]  # it spoke to me since: its refutation is on its way
-            elif now_ms - suspicion.begun_ms >= self.suspect_ms(len(suspicion.witnesses)):
+            elif self.heard.get(number, -math.inf) > suspicion.started_ms:
+                suspicion.started_ms = self.heard[
+                    number
+                ]  # it spoke to me since: its refutation is on its way
+            elif now_ms - suspicion.started_ms >= self.suspect_ms(len(suspicion.witnesses)):
                 del self.suspicions[number]
                 self.view.merge(number, Claim(claim.incarnation, State.DEAD), self.own_number, now_ms)
 
