--- a/hitchtiller/membership/detector.py
+++ b/hitchtiller/membership/detector.py
@@ -83,32 +83,32 @@
         self.view = View(own_number, size, incarnation)
         self.gossip, self.evidence = Gossip(size), Evidence(own_number)
         self.view.listeners.append(self._changed)
-        self.heard: dict[int, float] = {}
+        self.last_heard_ms: dict[int, float] = {}
         self.probes: dict[int, Probe] = {}
         self.suspicions: dict[int, Suspicion] = {}
-        self.round: list[int] = []
-        self.numbers, self.periods, self.doubt, self.pages = 0, 0, 0, INITIAL_SYNCS
-        self.next_ms = self.ticked_ms = now_ms
-        self.sent = self.dropped = 0
+        self.probe_queue: list[int] = []
+        self.last_probe_number, self.period_count, self.slowdown_steps, self.pages = 0, 0, 0, INITIAL_SYNCS
+        self.next_period_ms = self.last_tick_ms = now_ms
+        self.sent_count = self.dropped_count = 0
         self.gossip.add(own_number)
 
     # What the caller feeds
 
     def tick(self, now_ms: float) -> Datagrams:
         """Look at what is due; to be called several times a period."""
-        late = now_ms - self.ticked_ms > LATE_TICK_PERIODS * self.period_ms
-        self.ticked_ms = now_ms
+        late = now_ms - self.last_tick_ms > LATE_TICK_PERIODS * self.period_ms
+        self.last_tick_ms = now_ms
         if late:  # guards against accusing others for a time in which I did not run myself
             self.probes.clear()
             for suspicion in self.suspicions.values():
                 suspicion.started_ms = now_ms
-            self._doubt(2)
+            self._slow_down(2)
             self.pages = INITIAL_SYNCS
-            self.next_ms = now_ms
+            self.next_period_ms = now_ms
         out = self._watch(now_ms)
         self._expire(now_ms)
-        if now_ms >= self.next_ms and not self.view.superseded:
-            self.next_ms = now_ms + self.period_ms * (1.0 + 0.25 * self.doubt)
+        if now_ms >= self.next_period_ms and not self.view.superseded:
+            self.next_period_ms = now_ms + self.period_ms * (1.0 + 0.25 * self.slowdown_steps)
             out += self._period(now_ms)
         return out
 
@@ -116,7 +116,7 @@
         """Take a datagram from a listed peer; what can't be read is dropped and counted."""
         message = unpack(data, self.fleet_id)
         if message is None or message.sender != sender or sender not in self.view.claims:
-            self.dropped += 1
+            self.dropped_count += 1
             return []
         self.hear(sender, now_ms)
         for number, claim, by in message.items:
@@ -143,7 +143,7 @@
 
     def hear(self, number: int, now_ms: float) -> None:
         """Take any sign of life, such as a note on an object."""
-        self.heard[number] = now_ms
+        self.last_heard_ms[number] = now_ms
 
     def leave(self, now_ms: float) -> Datagrams:
         """Tell a few that I leave by plan."""
@@ -155,7 +155,7 @@
         self.suspicions.pop(number, None)
         return self.view.forget(number)
 
-    def report(self, now_ms: float) -> Datagrams:
+    def make_reports(self, now_ms: float) -> Datagrams:
         """Give what is to be said of servers, to a few; nothing while there is no news."""
         out: Datagrams = []
         for peer in self._some(REPORT_FANOUT, ()):
@@ -166,9 +166,9 @@
     # Periods
 
     def _period(self, now_ms: float) -> Datagrams:
-        self.periods += 1
+        self.period_count += 1
         out: Datagrams = []
-        if self.pages or self.periods % SYNC_INTERVAL_PERIODS == 0:
+        if self.pages or self.period_count % SYNC_INTERVAL_PERIODS == 0:
             self.pages = max(0, self.pages - 1)
             for peer in self._some(1, ()):
                 out += self._send(peer, Kind.PAGE, 0, self.rng.randrange(len(self.view.claims)))
@@ -183,30 +183,33 @@
 
     def _next(self, now_ms: float) -> int | None:
         for _ in range(2 * len(self.view.claims)):
-            if not self.round:
+            if not self.probe_queue:
                 # the dead are tried too, seldom: a cut that heals is noticed by nobody else
-                self.round = [n for n in self.view.in_service() if n != self.own_number]
+                self.probe_queue = [n for n in self.view.in_service() if n != self.own_number]
                 gone = self.view.numbers_in(State.DEAD)
-                self.round += self.rng.sample(gone, min(len(gone), 1 + len(self.round) // 8))
-                self.rng.shuffle(self.round)
-                if not self.round:
+                self.probe_queue += self.rng.sample(gone, min(len(gone), 1 + len(self.probe_queue) // 8))
+                self.rng.shuffle(self.probe_queue)
+                if not self.probe_queue:
                     return None
-            number = self.round.pop()
-            if number in self.view.claims and now_ms - self.heard.get(number, -math.inf) > self.period_ms:
+            number = self.probe_queue.pop()
+            if (
+                number in self.view.claims
+                and now_ms - self.last_heard_ms.get(number, -math.inf) > self.period_ms
+            ):
                 return number
         return None
 
     def _ping(self, target: int, now_ms: float, requester: int = -1, requester_probe: int = 0) -> Datagrams:
-        self.numbers += 1
-        self.probes[self.numbers] = Probe(
+        self.last_probe_number += 1
+        self.probes[self.last_probe_number] = Probe(
             target,
-            self.numbers,
+            self.last_probe_number,
             now_ms,
             MAX_RETRY_ROUNDS if requester >= 0 else 0,
             requester,
             requester_probe,
         )
-        return self._send(target, Kind.PING, self.numbers)
+        return self._send(target, Kind.PING, self.last_probe_number)
 
     def _acked(self, message: MembershipMessage, sender: int) -> Datagrams:
         probe = self.probes.get(message.number)
@@ -215,14 +218,14 @@
         del self.probes[message.number]
         if probe.requester >= 0:
             return self._send(probe.requester, Kind.ACK, probe.requester_probe)
-        self.doubt = max(0, self.doubt - 1)
+        self.slowdown_steps = max(0, self.slowdown_steps - 1)
         return []
 
     def _watch(self, now_ms: float) -> Datagrams:
         out: Datagrams = []
         for probe in list(self.probes.values()):
-            age, wait = now_ms - probe.started_ms, self.period_ms * (1.0 + 0.25 * self.doubt)
-            if self.heard.get(probe.target, -math.inf) >= probe.started_ms and probe.requester < 0:
+            age, wait = now_ms - probe.started_ms, self.period_ms * (1.0 + 0.25 * self.slowdown_steps)
+            if self.last_heard_ms.get(probe.target, -math.inf) >= probe.started_ms and probe.requester < 0:
                 del self.probes[probe.number]
             elif probe.retry_rounds < MAX_RETRY_ROUNDS and age > ROUND_SHARE * wait * (
                 probe.retry_rounds + 1
@@ -243,7 +246,7 @@
             return
         if claim.state is State.SUSPECT:
             return self._witness(target, self.own_number)
-        self._doubt(1)
+        self._slow_down(1)
         if self.view.merge(target, Claim(claim.incarnation, State.SUSPECT), self.own_number, now_ms):
             self._follow(target, self.own_number, now_ms)
 
@@ -252,8 +255,8 @@
             claim = self.view.claims.get(number)
             if claim is None or claim.state is not State.SUSPECT:
                 del self.suspicions[number]
-            elif self.heard.get(number, -math.inf) > suspicion.started_ms:
-                suspicion.started_ms = self.heard[
+            elif self.last_heard_ms.get(number, -math.inf) > suspicion.started_ms:
+                suspicion.started_ms = self.last_heard_ms[
                     number
                 ]  # it spoke to me since: its refutation is on its way
             elif now_ms - suspicion.started_ms >= self.suspect_ms(len(suspicion.witnesses)):
@@ -269,13 +272,13 @@
             if witnesses > 1
             else 0.0
         )
-        return self.period_ms * (most - (most - least) * share) * (1.0 + 0.25 * self.doubt)
+        return self.period_ms * (most - (most - least) * share) * (1.0 + 0.25 * self.slowdown_steps)
 
     # Word
 
     def _follow(self, number: int, reporter: int, now_ms: float) -> None:
         if number == self.own_number:
-            self._doubt(1)  # I was taken for gone: maybe it is I who is late
+            self._slow_down(1)  # I was taken for gone: maybe it is I who is late
         elif self.view.claims[number].state is State.SUSPECT:
             self.suspicions[number] = Suspicion(now_ms, {reporter})
 
@@ -291,8 +294,8 @@
     def _changed(self, change: Change) -> None:
         self.gossip.add(change.number)
 
-    def _doubt(self, steps: int) -> None:
-        self.doubt = min(MAX_SLOWDOWN_STEPS, self.doubt + steps)
+    def _slow_down(self, steps: int) -> None:
+        self.slowdown_steps = min(MAX_SLOWDOWN_STEPS, self.slowdown_steps + steps)
 
     def _some(self, count: int, but: tuple[int, ...]) -> list[int]:
         others = [n for n in self.view.numbers_in(State.ALIVE) if n != self.own_number and n not in but]
@@ -312,5 +315,5 @@
         return self._pack(peer, MembershipMessage(kind, self.own_number, number, target, items))
 
     def _pack(self, peer: int, message: MembershipMessage) -> Datagrams:
-        self.sent += 1
+        self.sent_count += 1
         return [(peer, pack(message, self.fleet_id))]
--- a/hitchtiller/ops/members.py
+++ b/hitchtiller/ops/members.py
@@ -60,8 +60,8 @@
             engine.stats.levels[name] = lambda state=state: len(self.view.numbers_in(state))  # type: ignore[misc]
         engine.stats.levels["members_standing"] = lambda: int(self.partition.standing)
         engine.stats.counts["members_entries_handed"] = lambda: self.handed
-        engine.stats.counts["members_words_sent"] = lambda: self.detector.sent
-        engine.stats.counts["members_words_dropped"] = lambda: self.detector.dropped
+        engine.stats.counts["members_words_sent"] = lambda: self.detector.sent_count
+        engine.stats.counts["members_words_dropped"] = lambda: self.detector.dropped_count
 
     def run(self) -> None:
         """Tick until the program ends."""
@@ -70,7 +70,7 @@
             self.post(self.detector.tick(now_ms()))
             self.look()
             self.witness()
-            self.post(self.detector.report(now_ms()))
+            self.post(self.detector.make_reports(now_ms()))
 
     def receive(self, sender: int, data: bytes) -> bool:
         """Take a datagram; True if it was a word, and no note on objects."""
@@ -90,13 +90,13 @@
         now, old = now_ms(), self.partition.standing
         others = len(self.view.claims) - 1
         missing = set(self.view.numbers_in(State.DEAD)) - {self.own_number}
-        heard = any(now - at < HEARD_PERIODS * self.period_ms for at in self.detector.heard.values())
+        heard = any(now - at < HEARD_PERIODS * self.period_ms for at in self.detector.last_heard_ms.values())
         tries = self.engine.stats.tries
         answers = sum(tries.get(word, 0) for word in ANSWERS)
         if answers > self.answers:
             self.answers, self.answered_ms = answers, now
         caches = now - self.answered_ms < CACHE_MS
-        young = self.detector.periods < HEARD_PERIODS
+        young = self.detector.period_count < HEARD_PERIODS
         bus = now - self.bus.last_frame_ms < BUS_MS
         new = self.partition.look(now, others, missing, heard or young, caches, bus)
         if new is not old:
