--- a/hitchtiller/membership/detector.py
+++ b/hitchtiller/membership/detector.py
@@ -82,7 +82,7 @@
         self.own_number, self.fleet_id, self.period_ms, self.rng = own_number, fleet_id, period_ms, rng
         self.view = View(own_number, size, incarnation)
         self.gossip, self.evidence = Gossip(size), Evidence(own_number)
-        self.view.listeners.append(self._changed)
+        self.view.listeners.append(self._queue_gossip)
         self.last_heard_ms: dict[int, float] = {}
         self.probes: dict[int, Probe] = {}
         self.suspicions: dict[int, Suspicion] = {}
@@ -105,11 +105,11 @@
             self._slow_down(2)
             self.pages = INITIAL_SYNCS
             self.next_period_ms = now_ms
-        out = self._watch(now_ms)
-        self._expire(now_ms)
+        out = self._check_probes(now_ms)
+        self._expire_suspicions(now_ms)
         if now_ms >= self.next_period_ms and not self.view.superseded:
             self.next_period_ms = now_ms + self.period_ms * (1.0 + 0.25 * self.slowdown_steps)
-            out += self._period(now_ms)
+            out += self._begin_period(now_ms)
         return out
 
     def receive(self, sender: int, data: bytes, now_ms: float) -> Datagrams:
@@ -121,20 +121,20 @@
         self.hear(sender, now_ms)
         for number, claim, by in message.items:
             if self.view.merge(number, claim, by, now_ms):
-                self._follow(number, by, now_ms)
+                self._on_claim_merged(number, by, now_ms)
             elif claim.state is State.SUSPECT and claim == self.view.claims.get(number):
-                self._witness(number, by)
+                self._add_witness(number, by)
             elif number == self.own_number and claim < self.view.claims[number] and not self.view.superseded:
                 self.gossip.add(number)  # its sender has not heard my newer claim: all those words were lost
         match message.kind:
             case Kind.PING:
-                return self._send(sender, Kind.ACK, message.number)
+                return self._compose(sender, Kind.ACK, message.number)
             case Kind.ACK:
-                return self._acked(message, sender)
+                return self._handle_ack(message, sender)
             case Kind.ASK if message.target in self.view.claims and message.target != self.own_number:
-                return self._ping(message.target, now_ms, sender, message.number)
+                return self._start_probe(message.target, now_ms, sender, message.number)
             case Kind.PAGE:
-                return self._page(sender, message.target)
+                return self._sync_answer(sender, message.target)
             case Kind.REPORT:
                 self.evidence.add_reports(
                     (r for r in message.reports if r.witness in self.view.claims), now_ms
@@ -148,7 +148,9 @@
     def leave(self, now_ms: float) -> Datagrams:
         """Tell a few that I leave by plan."""
         self.view.leave(now_ms)
-        return [d for peer in self._some(HELPER_COUNT, ()) for d in self._send(peer, Kind.TELL, 0)]
+        return [
+            d for peer in self._random_members(HELPER_COUNT, ()) for d in self._compose(peer, Kind.TELL, 0)
+        ]
 
     def forget(self, number: int) -> bool:
         """Forget what is claimed of a number; it is probed again like one never heard of."""
@@ -158,30 +160,30 @@
     def make_reports(self, now_ms: float) -> Datagrams:
         """Give what is to be said of servers, to a few; nothing while there is no news."""
         out: Datagrams = []
-        for peer in self._some(REPORT_FANOUT, ()):
+        for peer in self._random_members(REPORT_FANOUT, ()):
             if reports := self.evidence.next_reports(now_ms, MAX_REPORTS):
-                out += self._pack(peer, MembershipMessage(Kind.REPORT, self.own_number, 0, reports=reports))
+                out += self._encode(peer, MembershipMessage(Kind.REPORT, self.own_number, 0, reports=reports))
         return out
 
     # Periods
 
-    def _period(self, now_ms: float) -> Datagrams:
+    def _begin_period(self, now_ms: float) -> Datagrams:
         self.period_count += 1
         out: Datagrams = []
         if self.pages or self.period_count % SYNC_INTERVAL_PERIODS == 0:
             self.pages = max(0, self.pages - 1)
-            for peer in self._some(1, ()):
-                out += self._send(peer, Kind.PAGE, 0, self.rng.randrange(len(self.view.claims)))
-        target = self._next(now_ms)
+            for peer in self._random_members(1, ()):
+                out += self._compose(peer, Kind.PAGE, 0, self.rng.randrange(len(self.view.claims)))
+        target = self._next_target(now_ms)
         for number, suspicion in self.suspicions.items():  # so that it may refute
             if self.own_number in suspicion.witnesses:
-                out += self._send(number, Kind.PING, 0)
+                out += self._compose(number, Kind.PING, 0)
         if self.gossip.told:
-            for peer in self._some(GOSSIP_FANOUT, ()):
-                out += self._send(peer, Kind.TELL, 0)
-        return out + self._ping(target, now_ms) if target is not None else out
+            for peer in self._random_members(GOSSIP_FANOUT, ()):
+                out += self._compose(peer, Kind.TELL, 0)
+        return out + self._start_probe(target, now_ms) if target is not None else out
 
-    def _next(self, now_ms: float) -> int | None:
+    def _next_target(self, now_ms: float) -> int | None:
         for _ in range(2 * len(self.view.claims)):
             if not self.probe_queue:
                 # the dead are tried too, seldom: a cut that heals is noticed by nobody else
@@ -199,7 +201,9 @@
                 return number
         return None
 
-    def _ping(self, target: int, now_ms: float, requester: int = -1, requester_probe: int = 0) -> Datagrams:
+    def _start_probe(
+        self, target: int, now_ms: float, requester: int = -1, requester_probe: int = 0
+    ) -> Datagrams:
         self.last_probe_number += 1
         self.probes[self.last_probe_number] = Probe(
             target,
@@ -209,19 +213,19 @@
             requester,
             requester_probe,
         )
-        return self._send(target, Kind.PING, self.last_probe_number)
+        return self._compose(target, Kind.PING, self.last_probe_number)
 
-    def _acked(self, message: MembershipMessage, sender: int) -> Datagrams:
+    def _handle_ack(self, message: MembershipMessage, sender: int) -> Datagrams:
         probe = self.probes.get(message.number)
         if probe is None or (probe.target != sender and probe.requester >= 0):
             return []
         del self.probes[message.number]
         if probe.requester >= 0:
-            return self._send(probe.requester, Kind.ACK, probe.requester_probe)
+            return self._compose(probe.requester, Kind.ACK, probe.requester_probe)
         self.slowdown_steps = max(0, self.slowdown_steps - 1)
         return []
 
-    def _watch(self, now_ms: float) -> Datagrams:
+    def _check_probes(self, now_ms: float) -> Datagrams:
         out: Datagrams = []
         for probe in list(self.probes.values()):
             age, wait = now_ms - probe.started_ms, self.period_ms * (1.0 + 0.25 * self.slowdown_steps)
@@ -231,26 +235,26 @@
                 probe.retry_rounds + 1
             ):
                 probe.retry_rounds += 1
-                out += self._send(probe.target, Kind.PING, probe.number)
-                for helper in self._some(HELPER_COUNT, (probe.target,)):
-                    out += self._send(helper, Kind.ASK, probe.number, probe.target)
+                out += self._compose(probe.target, Kind.PING, probe.number)
+                for helper in self._random_members(HELPER_COUNT, (probe.target,)):
+                    out += self._compose(helper, Kind.ASK, probe.number, probe.target)
             elif age > wait:
                 del self.probes[probe.number]
                 if probe.requester < 0:
-                    self._missed(probe.target, now_ms)
+                    self._handle_missed_probe(probe.target, now_ms)
         return out
 
-    def _missed(self, target: int, now_ms: float) -> None:
+    def _handle_missed_probe(self, target: int, now_ms: float) -> None:
         claim = self.view.claims.get(target)
         if claim is None or claim.state > State.SUSPECT:
             return
         if claim.state is State.SUSPECT:
-            return self._witness(target, self.own_number)
+            return self._add_witness(target, self.own_number)
         self._slow_down(1)
         if self.view.merge(target, Claim(claim.incarnation, State.SUSPECT), self.own_number, now_ms):
-            self._follow(target, self.own_number, now_ms)
+            self._on_claim_merged(target, self.own_number, now_ms)
 
-    def _expire(self, now_ms: float) -> None:
+    def _expire_suspicions(self, now_ms: float) -> None:
         for number, suspicion in list(self.suspicions.items()):
             claim = self.view.claims.get(number)
             if claim is None or claim.state is not State.SUSPECT:
@@ -276,13 +280,13 @@
 
     # Word
 
-    def _follow(self, number: int, reporter: int, now_ms: float) -> None:
+    def _on_claim_merged(self, number: int, reporter: int, now_ms: float) -> None:
         if number == self.own_number:
             self._slow_down(1)  # I was taken for gone: maybe it is I who is late
         elif self.view.claims[number].state is State.SUSPECT:
             self.suspicions[number] = Suspicion(now_ms, {reporter})
 
-    def _witness(self, number: int, by: int) -> None:
+    def _add_witness(self, number: int, by: int) -> None:
         """Count one who suspects too, and pass on the first few of them."""
         suspicion = self.suspicions.get(number)
         if suspicion and by not in suspicion.witnesses:
@@ -291,29 +295,29 @@
                 self.view.reporters[number] = by
                 self.gossip.add(number)
 
-    def _changed(self, change: Change) -> None:
+    def _queue_gossip(self, change: Change) -> None:
         self.gossip.add(change.number)
 
     def _slow_down(self, steps: int) -> None:
         self.slowdown_steps = min(MAX_SLOWDOWN_STEPS, self.slowdown_steps + steps)
 
-    def _some(self, count: int, but: tuple[int, ...]) -> list[int]:
+    def _random_members(self, count: int, but: tuple[int, ...]) -> list[int]:
         others = [n for n in self.view.numbers_in(State.ALIVE) if n != self.own_number and n not in but]
         return self.rng.sample(others, min(count, len(others)))
 
-    def _page(self, peer: int, start: int) -> Datagrams:
+    def _sync_answer(self, peer: int, start: int) -> Datagrams:
         size = len(self.view.claims)
         numbers = sorted(self.view.claims, key=lambda n: (n - start) % size)
         items = self.view.items(numbers)[:MAX_CLAIMS]
-        return self._pack(peer, MembershipMessage(Kind.TELL, self.own_number, 0, 0, items))
+        return self._encode(peer, MembershipMessage(Kind.TELL, self.own_number, 0, 0, items))
 
-    def _send(self, peer: int, kind: Kind, number: int, target: int = 0) -> Datagrams:
+    def _compose(self, peer: int, kind: Kind, number: int, target: int = 0) -> Datagrams:
         # a peer that I hold for gone is told so first: it refutes, or knows that it is superseded
         claim = self.view.claims.get(peer, UNHEARD)
         first = peer if claim.state is not State.ALIVE else None
         items = self.view.items(self.gossip.take(MAX_CLAIMS, first))
-        return self._pack(peer, MembershipMessage(kind, self.own_number, number, target, items))
+        return self._encode(peer, MembershipMessage(kind, self.own_number, number, target, items))
 
-    def _pack(self, peer: int, message: MembershipMessage) -> Datagrams:
+    def _encode(self, peer: int, message: MembershipMessage) -> Datagrams:
         self.sent_count += 1
         return [(peer, pack(message, self.fleet_id))]
