--- a/hitchtiller/membership/detector.py
+++ b/hitchtiller/membership/detector.py
@@ -90,7 +90,7 @@
         self.last_probe_number, self.period_count, self.slowdown_steps, self.pages = 0, 0, 0, INITIAL_SYNCS
         self.next_period_ms = self.last_tick_ms = now_ms
         self.sent_count = self.dropped_count = 0
-        self.gossip.add(own_number)
+        self.gossip.queue(own_number)
 
     # What the caller feeds
 
@@ -125,7 +125,9 @@
             elif claim.state is State.SUSPECT and claim == self.view.claims.get(number):
                 self._add_witness(number, by)
             elif number == self.own_number and claim < self.view.claims[number] and not self.view.superseded:
-                self.gossip.add(number)  # its sender has not heard my newer claim: all those words were lost
+                self.gossip.queue(
+                    number
+                )  # its sender has not heard my newer claim: all those words were lost
         match message.kind:
             case Kind.PING:
                 return self._compose(sender, Kind.ACK, message.number)
@@ -293,10 +295,10 @@
             suspicion.witnesses.add(by)
             if len(suspicion.witnesses) <= FULL_WITNESS_COUNT:
                 self.view.reporters[number] = by
-                self.gossip.add(number)
+                self.gossip.queue(number)
 
     def _queue_gossip(self, change: Change) -> None:
-        self.gossip.add(change.number)
+        self.gossip.queue(change.number)
 
     def _slow_down(self, steps: int) -> None:
         self.slowdown_steps = min(MAX_SLOWDOWN_STEPS, self.slowdown_steps + steps)
@@ -315,7 +317,7 @@
         # a peer that I hold for gone is told so first: it refutes, or knows that it is superseded
         claim = self.view.claims.get(peer, UNHEARD)
         first = peer if claim.state is not State.ALIVE else None
-        items = self.view.items(self.gossip.take(MAX_CLAIMS, first))
+        items = self.view.items(self.gossip.next_numbers(MAX_CLAIMS, first))
         return self._encode(peer, MembershipMessage(kind, self.own_number, number, target, items))
 
     def _encode(self, peer: int, message: MembershipMessage) -> Datagrams:
--- a/hitchtiller/membership/gossip.py
+++ b/hitchtiller/membership/gossip.py
@@ -9,7 +9,7 @@
 import heapq
 import math
 
-TIMES = 3.0
+SENDS_PER_LOG2_SIZE = 3.0
 
 
 class Gossip:
@@ -18,22 +18,22 @@
     def __init__(self, size: int) -> None:
         """Start with nothing to tell."""
         self.told: dict[int, int] = {}
-        self.most = self.limit(size)
+        self.max_sends = self.max_sends_for(size)
 
     @staticmethod
-    def limit(size: int) -> int:
+    def max_sends_for(size: int) -> int:
         """Give how often a claim is told in a fleet of this size."""
-        return max(3, math.ceil(TIMES * math.log2(size + 1)))
+        return max(3, math.ceil(SENDS_PER_LOG2_SIZE * math.log2(size + 1)))
 
-    def add(self, number: int) -> None:
+    def queue(self, number: int) -> None:
         """Have the claim on a number told anew."""
         self.told[number] = 0
 
-    def take(self, most: int, first: int | None = None) -> list[int]:
+    def next_numbers(self, max_count: int, first: int | None = None) -> list[int]:
         """Give the numbers whose claims go with the next word; `first` goes in any case."""
-        order = heapq.nsmallest(most - (first is not None), self.told, key=lambda n: (self.told[n], n))
+        order = heapq.nsmallest(max_count - (first is not None), self.told, key=lambda n: (self.told[n], n))
         for number in order:
             self.told[number] += 1
-            if self.told[number] >= self.most:
+            if self.told[number] >= self.max_sends:
                 del self.told[number]
         return order if first is None or first in order else [first, *order]
--- a/tests/membership/test_membership_parts.py
+++ b/tests/membership/test_membership_parts.py
@@ -109,19 +109,19 @@
 def test_each_claim_is_told_a_bounded_number_of_times(size: int) -> None:
     gossip = Gossip(size)
     for number in range(size):
-        gossip.add(number)
+        gossip.queue(number)
     told = 0
-    while taken := gossip.take(MAX_CLAIMS):
-        told += len(taken)
-    assert told == size * Gossip.limit(size) and Gossip.limit(1000) == 30
+    while numbers := gossip.next_numbers(MAX_CLAIMS):
+        told += len(numbers)
+    assert told == size * Gossip.max_sends_for(size) and Gossip.max_sends_for(1000) == 30
 
 
 def test_what_was_told_least_often_goes_first() -> None:
     gossip = Gossip(5)
-    gossip.add(1)
-    gossip.take(MAX_CLAIMS)
-    gossip.add(2)
-    assert gossip.take(1) == [2]
+    gossip.queue(1)
+    gossip.next_numbers(MAX_CLAIMS)
+    gossip.queue(2)
+    assert gossip.next_numbers(1) == [2]
 
 
 def test_a_home_that_left_moves_its_own_objects_and_no_others() -> None:
