--- a/hitchtiller/membership/partition.py
+++ b/hitchtiller/membership/partition.py
@@ -15,7 +15,7 @@
 
 from enum import IntEnum
 
-CUT_AT, CUT_MS, CALM_MS = 0.3, 10_000.0, 3_000.0
+CUT_SHARE, CUT_WINDOW_MS, SETTLE_MS = 0.3, 10_000.0, 3_000.0
 
 
 class Standing(IntEnum):
@@ -42,11 +42,11 @@
     ) -> Standing:
         """Judge: of `others` these are missing; were any other, a cache, the bus heard lately?"""
         self.lost = {number: self.lost.get(number, now_ms) for number in missing}
-        lately = sum(now_ms - since <= CUT_MS for since in self.lost.values())
+        lately = sum(now_ms - since <= CUT_WINDOW_MS for since in self.lost.values())
         seems = Standing.WHOLE
         if others and not heard:
             seems = Standing.ALONE if caches or bus else Standing.DEAF
-        elif others and lately >= max(2.0, CUT_AT * others):
+        elif others and lately >= max(2.0, CUT_SHARE * others):
             seems = Standing.CUT
         elif missing:
             seems = Standing.DEATHS
@@ -54,6 +54,6 @@
             self.standing, self.better_ms = seems, None
         elif self.better_ms is None:
             self.better_ms = now_ms
-        elif now_ms - self.better_ms >= CALM_MS:
+        elif now_ms - self.better_ms >= SETTLE_MS:
             self.standing, self.better_ms = seems, None
         return self.standing
--- a/tests/membership/test_membership_parts.py
+++ b/tests/membership/test_membership_parts.py
@@ -9,7 +9,7 @@
 from hitchtiller.codec import notes
 from hitchtiller.membership.gossip import Gossip
 from hitchtiller.membership.homes import HANDED, Homes
-from hitchtiller.membership.partition import CALM_MS, CUT_MS, Partition, Standing
+from hitchtiller.membership.partition import CUT_WINDOW_MS, SETTLE_MS, Partition, Standing
 from hitchtiller.membership.shares import preferred_share, rule_share, weighed_share
 from hitchtiller.membership.view import UNHEARD, Claim, State, View
 from hitchtiller.membership.words import (
@@ -162,7 +162,7 @@
 def test_deaths_one_by_one_are_no_cut() -> None:
     partition = Partition()
     for n in range(4):
-        now = n * (CUT_MS + 1.0)
+        now = n * (CUT_WINDOW_MS + 1.0)
         assert partition.look(now, 9, set(range(n)), True, True, True) <= Standing.DEATHS
 
 
@@ -172,7 +172,7 @@
         seen.append(partition.look(n * 1000.0, 9, {1, 2, 3} if n % 2 else set(), True, True, True))
     assert seen[1:] == [Standing.CUT] * 19
     partition.look(30_000.0, 9, set(), True, True, True)
-    assert partition.look(30_000.0 + CALM_MS, 9, set(), True, True, True) is Standing.WHOLE
+    assert partition.look(30_000.0 + SETTLE_MS, 9, set(), True, True, True) is Standing.WHOLE
 
 
 def test_all_interleavings_of_two_claims_on_three_numbers_end_alike() -> None:
