--- a/hitchtiller/membership/partition.py
+++ b/hitchtiller/membership/partition.py
@@ -18,7 +18,7 @@
 CUT_SHARE, CUT_WINDOW_MS, SETTLE_MS = 0.3, 10_000.0, 3_000.0
 
 
-class Standing(IntEnum):
+class Connectivity(IntEnum):
     """How I stand to the others, by gravity."""
 
     WHOLE = 0
@@ -33,23 +33,23 @@
 
     def __init__(self) -> None:
         """Begin whole."""
-        self.standing = Standing.WHOLE
+        self.standing = Connectivity.WHOLE
         self.better_ms: float | None = None  # since when it looks milder
         self.lost: dict[int, float] = {}  # others, since when they are missing
 
     def look(
         self, now_ms: float, others: int, missing: set[int], heard: bool, caches: bool, bus: bool
-    ) -> Standing:
+    ) -> Connectivity:
         """Judge: of `others` these are missing; were any other, a cache, the bus heard lately?"""
         self.lost = {number: self.lost.get(number, now_ms) for number in missing}
         lately = sum(now_ms - since <= CUT_WINDOW_MS for since in self.lost.values())
-        seems = Standing.WHOLE
+        seems = Connectivity.WHOLE
         if others and not heard:
-            seems = Standing.ALONE if caches or bus else Standing.DEAF
+            seems = Connectivity.ALONE if caches or bus else Connectivity.DEAF
         elif others and lately >= max(2.0, CUT_SHARE * others):
-            seems = Standing.CUT
+            seems = Connectivity.CUT
         elif missing:
-            seems = Standing.DEATHS
+            seems = Connectivity.DEATHS
         if seems >= self.standing:
             self.standing, self.better_ms = seems, None
         elif self.better_ms is None:
--- a/hitchtiller/ops/members.py
+++ b/hitchtiller/ops/members.py
@@ -15,7 +15,7 @@
 from hitchtiller.membership.detector import Datagrams, Detector
 from hitchtiller.membership.evidence import Symptom
 from hitchtiller.membership.homes import Homes
-from hitchtiller.membership.partition import Partition, Standing
+from hitchtiller.membership.partition import Connectivity, Partition
 from hitchtiller.membership.shares import preferred_share
 from hitchtiller.membership.view import Change, State
 from hitchtiller.membership.words import is_membership_message
@@ -135,10 +135,12 @@
 
     def isolation_reason(self) -> str:
         """Tell why clients should go elsewhere: nothing at all is heard here; nothing to tell otherwise."""
-        return "neither gateways nor caches nor the bus are heard" if self.standing is Standing.DEAF else ""
+        return (
+            "neither gateways nor caches nor the bus are heard" if self.standing is Connectivity.DEAF else ""
+        )
 
     @property
-    def standing(self) -> Standing:
+    def standing(self) -> Connectivity:
         """Give my standing."""
         return self.partition.standing
 
