--- a/hitchtiller/membership/partition.py
+++ b/hitchtiller/membership/partition.py
@@ -28,21 +28,21 @@
     DEAF = 4
 
 
-class Partition:
+class PartitionMonitor:
     """Names the standing from what is seen."""
 
     def __init__(self) -> None:
         """Begin whole."""
-        self.standing = Connectivity.WHOLE
-        self.better_ms: float | None = None  # since when it looks milder
-        self.lost: dict[int, float] = {}  # others, since when they are missing
+        self.connectivity = Connectivity.WHOLE
+        self.milder_since_ms: float | None = None  # since when it looks milder
+        self.missing_since_ms: dict[int, float] = {}  # others, since when they are missing
 
-    def look(
+    def assess(
         self, now_ms: float, others: int, missing: set[int], heard: bool, caches: bool, bus: bool
     ) -> Connectivity:
         """Judge: of `others` these are missing; were any other, a cache, the bus heard lately?"""
-        self.lost = {number: self.lost.get(number, now_ms) for number in missing}
-        lately = sum(now_ms - since <= CUT_WINDOW_MS for since in self.lost.values())
+        self.missing_since_ms = {number: self.missing_since_ms.get(number, now_ms) for number in missing}
+        lately = sum(now_ms - since <= CUT_WINDOW_MS for since in self.missing_since_ms.values())
         seems = Connectivity.WHOLE
         if others and not heard:
             seems = Connectivity.ALONE if caches or bus else Connectivity.DEAF
@@ -50,10 +50,10 @@
             seems = Connectivity.CUT
         elif missing:
             seems = Connectivity.DEATHS
-        if seems >= self.standing:
-            self.standing, self.better_ms = seems, None
-        elif self.better_ms is None:
-            self.better_ms = now_ms
-        elif now_ms - self.better_ms >= SETTLE_MS:
-            self.standing, self.better_ms = seems, None
-        return self.standing
+        if seems >= self.connectivity:
+            self.connectivity, self.milder_since_ms = seems, None
+        elif self.milder_since_ms is None:
+            self.milder_since_ms = now_ms
+        elif now_ms - self.milder_since_ms >= SETTLE_MS:
+            self.connectivity, self.milder_since_ms = seems, None
+        return self.connectivity
--- a/hitchtiller/ops/members.py
+++ b/hitchtiller/ops/members.py
@@ -15,7 +15,7 @@
 from hitchtiller.membership.detector import Datagrams, Detector
 from hitchtiller.membership.evidence import Symptom
 from hitchtiller.membership.homes import Homes
-from hitchtiller.membership.partition import Connectivity, Partition
+from hitchtiller.membership.partition_monitor import Connectivity, PartitionMonitor
 from hitchtiller.membership.shares import preferred_share
 from hitchtiller.membership.view import Change, State
 from hitchtiller.membership.words import is_membership_message
@@ -47,7 +47,7 @@
         )
         self.view = self.detector.view
         self.view.listeners.append(self.changed)
-        self.homes, self.partition = Homes(size), Partition()
+        self.homes, self.partition_monitor = Homes(size), PartitionMonitor()
         self.changes: Counter[str] = Counter()
         self.handed = 0  # directory entries told to a new home
         self.outs: dict[int, float] = {}  # servers that I leave out, by mark, until when
@@ -58,7 +58,7 @@
         levels = {"members_alive": State.ALIVE, "members_suspect": State.SUSPECT, "members_dead": State.DEAD}
         for name, state in levels.items():
             engine.stats.levels[name] = lambda state=state: len(self.view.numbers_in(state))  # type: ignore[misc]
-        engine.stats.levels["members_standing"] = lambda: int(self.partition.standing)
+        engine.stats.levels["members_standing"] = lambda: int(self.partition_monitor.connectivity)
         engine.stats.counts["members_entries_handed"] = lambda: self.handed
         engine.stats.counts["members_words_sent"] = lambda: self.detector.sent_count
         engine.stats.counts["members_words_dropped"] = lambda: self.detector.dropped_count
@@ -87,7 +87,7 @@
 
     def look(self) -> None:
         """Name my standing; a change is a line of the log."""
-        now, old = now_ms(), self.partition.standing
+        now, old = now_ms(), self.partition_monitor.connectivity
         others = len(self.view.claims) - 1
         missing = set(self.view.numbers_in(State.DEAD)) - {self.own_number}
         heard = any(now - at < HEARD_PERIODS * self.period_ms for at in self.detector.last_heard_ms.values())
@@ -98,7 +98,7 @@
         caches = now - self.answered_ms < CACHE_MS
         young = self.detector.period_count < HEARD_PERIODS
         bus = now - self.bus.last_frame_ms < BUS_MS
-        new = self.partition.look(now, others, missing, heard or young, caches, bus)
+        new = self.partition_monitor.assess(now, others, missing, heard or young, caches, bus)
         if new is not old:
             logger.info("standing {} was {} missing={}", new.name, old.name, sorted(missing))
 
@@ -136,13 +136,15 @@
     def isolation_reason(self) -> str:
         """Tell why clients should go elsewhere: nothing at all is heard here; nothing to tell otherwise."""
         return (
-            "neither gateways nor caches nor the bus are heard" if self.standing is Connectivity.DEAF else ""
+            "neither gateways nor caches nor the bus are heard"
+            if self.connectivity is Connectivity.DEAF
+            else ""
         )
 
     @property
     def standing(self) -> Connectivity:
         """Give my standing."""
-        return self.partition.standing
+        return self.partition_monitor.connectivity
 
     def hand_over(self, before: set[int], after: set[int], to: int = -1) -> None:
         """Tell new homes of the directory entries that I held and they hold from now on."""
--- a/tests/membership/test_membership_parts.py
+++ b/tests/membership/test_membership_parts.py
@@ -9,7 +9,7 @@
 from hitchtiller.codec import notes
 from hitchtiller.membership.gossip import Gossip
 from hitchtiller.membership.homes import HANDED, Homes
-from hitchtiller.membership.partition import CUT_WINDOW_MS, SETTLE_MS, Connectivity, Partition
+from hitchtiller.membership.partition import CUT_WINDOW_MS, SETTLE_MS, Connectivity, PartitionMonitor
 from hitchtiller.membership.shares import preferred_share, rule_share, weighed_share
 from hitchtiller.membership.view import UNHEARD, Claim, State, View
 from hitchtiller.membership.words import (
@@ -150,7 +150,7 @@
 
 def test_standing_names_deaths_cuts_and_being_alone() -> None:
     def look(missing: set[int], heard: bool = True, caches: bool = True, bus: bool = True) -> Connectivity:
-        return Partition().look(0.0, 9, missing, heard, caches, bus)
+        return PartitionMonitor().assess(0.0, 9, missing, heard, caches, bus)
 
     assert look(set()) is Connectivity.WHOLE
     assert look({1}) is Connectivity.DEATHS
@@ -160,19 +160,19 @@
 
 
 def test_deaths_one_by_one_are_no_cut() -> None:
-    partition = Partition()
+    partition = PartitionMonitor()
     for n in range(4):
         now = n * (CUT_WINDOW_MS + 1.0)
-        assert partition.look(now, 9, set(range(n)), True, True, True) <= Connectivity.DEATHS
+        assert partition.assess(now, 9, set(range(n)), True, True, True) <= Connectivity.DEATHS
 
 
 def test_a_flapping_member_moves_nothing_back_and_forth() -> None:
-    partition, seen = Partition(), []
+    partition, seen = PartitionMonitor(), []
     for n in range(20):
-        seen.append(partition.look(n * 1000.0, 9, {1, 2, 3} if n % 2 else set(), True, True, True))
+        seen.append(partition.assess(n * 1000.0, 9, {1, 2, 3} if n % 2 else set(), True, True, True))
     assert seen[1:] == [Connectivity.CUT] * 19
-    partition.look(30_000.0, 9, set(), True, True, True)
-    assert partition.look(30_000.0 + SETTLE_MS, 9, set(), True, True, True) is Connectivity.WHOLE
+    partition.assess(30_000.0, 9, set(), True, True, True)
+    assert partition.assess(30_000.0 + SETTLE_MS, 9, set(), True, True, True) is Connectivity.WHOLE
 
 
 def test_all_interleavings_of_two_claims_on_three_numbers_end_alike() -> None:
