--- a/hitchtiller/membership/shares.py
+++ b/hitchtiller/membership/shares.py
@@ -15,7 +15,7 @@
 from collections.abc import Collection, Sequence
 from math import floor
 
-SHARES = 10_000
+SHARE_UNITS = 10_000
 
 
 def rule_share(bound: float, size: int) -> float:
@@ -23,11 +23,11 @@
     return bound / max(1, size)
 
 
-def weighed_share(bound: float, weights: Sequence[float], own_number: int) -> float:
+def weighted_share(bound: float, weights: Sequence[float], own_number: int) -> float:
     """Give my part of a rule's bound by configured weights; the sum over all is at most the bound."""
     total = sum(weights)
     return (
-        bound * floor(SHARES * weights[own_number] / total) / SHARES
+        bound * floor(SHARE_UNITS * weights[own_number] / total) / SHARE_UNITS
         if total > 0.0
         else rule_share(bound, len(weights))
     )
--- a/tests/membership/test_membership_parts.py
+++ b/tests/membership/test_membership_parts.py
@@ -10,7 +10,7 @@
 from hitchtiller.membership.gossip import Gossip
 from hitchtiller.membership.homes import HANDED, Homes
 from hitchtiller.membership.partition import CUT_WINDOW_MS, SETTLE_MS, Connectivity, PartitionMonitor
-from hitchtiller.membership.shares import preferred_share, rule_share, weighed_share
+from hitchtiller.membership.shares import preferred_share, rule_share, weighted_share
 from hitchtiller.membership.view import UNHEARD, Claim, State, View
 from hitchtiller.membership.words import (
     MAX_CLAIMS,
@@ -138,7 +138,7 @@
 
 @given(st.floats(0.1, 1e6), st.lists(st.floats(0.0, 100.0), min_size=1, max_size=60))
 def test_weighed_shares_never_sum_to_more_than_the_bound(bound: float, weights: list[float]) -> None:
-    assert sum(weighed_share(bound, weights, n) for n in range(len(weights))) <= bound * (1 + 1e-9)
+    assert sum(weighted_share(bound, weights, n) for n in range(len(weights))) <= bound * (1 + 1e-9)
 
 
 @pytest.mark.parametrize("size", [3, 40, 200])
