--- a/hitchtiller/membership/homes.py
+++ b/hitchtiller/membership/homes.py
@@ -16,9 +16,9 @@
 
 from hitchtiller.records import combine_hashes, hash64, lru_put
 
-KEPT, DEPTH = 2048, 4
-HANDED = 64  # entries at a change: notes in a burst, or look-ups that find nothing
-Item = tuple[int, int]  # object and part
+MAX_RANKINGS, RANKING_DEPTH = 2048, 4
+MAX_HANDED_OVER = 64  # entries at a change: notes in a burst, or look-ups that find nothing
+EntryKey = tuple[int, int]  # object and part
 
 
 class Homes:
@@ -26,36 +26,39 @@
 
     def __init__(self, size: int) -> None:
         """Rank these many."""
-        self.salts = [hash64(0x484F4D45, number) for number in range(size)]
-        self.orders: dict[int, list[int]] = {}
+        self.gateway_salts = [hash64(0x484F4D45, number) for number in range(size)]
+        self.rankings: dict[int, list[int]] = {}
 
-    def home(self, hashed: int, serving: Collection[int]) -> int:
+    def home(self, object_hash: int, serving: Collection[int]) -> int:
         """Give the first in service; the first of all where none is known to be."""
-        order = self.orders.get(hashed)
-        if order is None:
-            order = self._rank(hashed)[:DEPTH]
-            lru_put(self.orders, hashed, order, KEPT)
-        for number in order:
+        ranking = self.rankings.get(object_hash)
+        if ranking is None:
+            ranking = self._rank(object_hash)[:RANKING_DEPTH]
+            lru_put(self.rankings, object_hash, ranking, MAX_RANKINGS)
+        for number in ranking:
             if number in serving:
                 return number
-        return next((number for number in self._rank(hashed) if number in serving), order[0])
+        return next((number for number in self._rank(object_hash) if number in serving), ranking[0])
 
-    def moved(
-        self, entries: Iterable[Item], before: Collection[int], after: Collection[int], to: int = -1
-    ) -> list[tuple[Item, int]]:
+    def moved_entries(
+        self, entries: Iterable[EntryKey], before: Collection[int], after: Collection[int], new_home: int = -1
+    ) -> list[tuple[EntryKey, int]]:
         """Give the latest used of my entries whose home changes, with the new home; only to `to` if given.
 
         `entries` are in the order of their use, the latest last, as the decisions keep them.
         """
-        found: list[tuple[Item, int]] = []
+        found: list[tuple[EntryKey, int]] = []
         for item in reversed(list(entries)):
-            hashed = hash64(*item)
-            home = self.home(hashed, after)
-            if home != self.home(hashed, before) and to in (-1, home):
+            object_hash = hash64(*item)
+            home = self.home(object_hash, after)
+            if home != self.home(object_hash, before) and new_home in (-1, home):
                 found.append((item, home))
-                if len(found) >= HANDED:
+                if len(found) >= MAX_HANDED_OVER:
                     break
         return found
 
-    def _rank(self, hashed: int) -> list[int]:
-        return sorted(range(len(self.salts)), key=lambda n: (-combine_hashes(hashed, self.salts[n]), n))
+    def _rank(self, object_hash: int) -> list[int]:
+        return sorted(
+            range(len(self.gateway_salts)),
+            key=lambda n: (-combine_hashes(object_hash, self.gateway_salts[n]), n),
+        )
--- a/hitchtiller/ops/members.py
+++ b/hitchtiller/ops/members.py
@@ -149,7 +149,7 @@
     def hand_over(self, before: set[int], after: set[int], to: int = -1) -> None:
         """Tell new homes of the directory entries that I held and they hold from now on."""
         router, handed = self.engine.router, 0
-        for item, home in self.homes.moved(router.directory.entries, before, after, to):
+        for item, home in self.homes.moved_entries(router.directory.entries, before, after, to):
             entry = router.directory.entries[item]
             name, told = next(reversed(entry.holders.items()), ("", 0.0))
             if told > router.purges.latest(item[0], entry.group) and home != self.own_number:
--- a/tests/membership/test_membership_parts.py
+++ b/tests/membership/test_membership_parts.py
@@ -8,7 +8,7 @@
 
 from hitchtiller.codec import notes
 from hitchtiller.membership.gossip import Gossip
-from hitchtiller.membership.homes import HANDED, Homes
+from hitchtiller.membership.homes import MAX_HANDED_OVER, Homes
 from hitchtiller.membership.partition import CUT_WINDOW_MS, SETTLE_MS, Connectivity, PartitionMonitor
 from hitchtiller.membership.shares import preferred_share, rule_share, weighted_share
 from hitchtiller.membership.view import UNHEARD, Claim, State, View
@@ -190,10 +190,10 @@
 def test_the_latest_entries_whose_home_changes_are_handed_over_and_no_others() -> None:
     homes, all_of, rest = Homes(5), set(range(5)), {0, 1, 3, 4}
     mine = [(key, 0) for key in range(600) if homes.home(hash64(key, 0), all_of) == 2]
-    moved = homes.moved(mine, all_of, rest)
-    assert [item for item, _ in moved] == mine[::-1][:HANDED] and len(mine) > HANDED
+    moved = homes.moved_entries(mine, all_of, rest)
+    assert [item for item, _ in moved] == mine[::-1][:MAX_HANDED_OVER] and len(mine) > MAX_HANDED_OVER
     assert all(home == homes.home(hash64(*item), rest) for item, home in moved)
     theirs = [(key, 0) for key in range(600) if homes.home(hash64(key, 0), rest) == 1]
-    back = homes.moved(theirs, rest, all_of, to=2)
+    back = homes.moved_entries(theirs, rest, all_of, to=2)
     assert back and all(home == 2 for _, home in back)
-    assert homes.moved(theirs, rest, all_of, to=3) == [], "nobody but 2 came"
+    assert homes.moved_entries(theirs, rest, all_of, to=3) == [], "nobody but 2 came"
