--- a/hitchtiller/ops/members.py
+++ b/hitchtiller/ops/members.py
@@ -15,7 +15,7 @@
 from hitchtiller.membership.detector import Datagrams, Detector
 from hitchtiller.membership.evidence import Symptom
 from hitchtiller.membership.homes import Homes
-from hitchtiller.membership.partition_monitor import Connectivity, PartitionMonitor
+from hitchtiller.membership.partition import Connectivity, PartitionMonitor
 from hitchtiller.membership.shares import preferred_share
 from hitchtiller.membership.view import Change, State
 from hitchtiller.membership.words import is_membership_message
@@ -142,7 +142,7 @@
         )
 
     @property
-    def standing(self) -> Connectivity:
+    def connectivity(self) -> Connectivity:
         """Give my standing."""
         return self.partition_monitor.connectivity
 
@@ -183,7 +183,7 @@
             said = self.view.reporters.get(number, "-")
             name = claim.state.name if claim.incarnation else "UNHEARD"
             lines.append(f"{number}|{name}|{claim.incarnation}|{age}|{said}")
-        return "\n".join([*lines, f"standing|{Standing(self.partition.standing).name}", "."])
+        return "\n".join([*lines, f"standing|{Connectivity(self.partition_monitor.connectivity).name}", "."])
 
     def forget(self, word: str) -> str:
         """Forget what is claimed of a member."""
--- a/tests/membership/test_membership_parts.py
+++ b/tests/membership/test_membership_parts.py
@@ -194,6 +194,6 @@
     assert [item for item, _ in moved] == mine[::-1][:MAX_HANDED_OVER] and len(mine) > MAX_HANDED_OVER
     assert all(home == homes.home(hash64(*item), rest) for item, home in moved)
     theirs = [(key, 0) for key in range(600) if homes.home(hash64(key, 0), rest) == 1]
-    back = homes.moved_entries(theirs, rest, all_of, to=2)
+    back = homes.moved_entries(theirs, rest, all_of, new_home=2)
     assert back and all(home == 2 for _, home in back)
-    assert homes.moved_entries(theirs, rest, all_of, to=3) == [], "nobody but 2 came"
+    assert homes.moved_entries(theirs, rest, all_of, new_home=3) == [], "nobody but 2 came"
