--- a/hitchtiller/membership/view.py
+++ b/hitchtiller/membership/view.py
@@ -1,15 +1,17 @@
-"""What a gateway believes of the others: one claim for each number, and a merge that any order ends alike.
+"""A gateway's view of the fleet: one claim per configured member number, merged independently of order.
 
-A claim is a state at an incarnation. An incarnation grows with each start (it begins at the start's Unix
-milliseconds) and with each refutation, and only its owner makes a new one. Of two claims the higher
-incarnation holds; at the same one the graver state: alive < suspect < dead < left. Claims are so ordered in a
-line, and a merge takes the greater: commutative, associative, idempotent. Whatever is lost, repeated or late,
-those that heard the same claims hold the same view.
+A claim is a state at an incarnation. An incarnation starts at the Unix time of the process start in
+milliseconds and grows with each refutation; only its owner creates a new one. Of two claims the one with the
+higher incarnation wins; at the same incarnation the more severe state wins: alive < suspect < dead < left.
+Claims are therefore totally ordered, and a merge takes the maximum, which is commutative, associative and
+idempotent. Gateways that received the same claims hold the same view, even if datagrams were repeated, late
+or out of order.
 
-Two processes with one number (an upgrade) have two incarnations: the older one hears of the newer, which it
-never made itself, and knows that it is superseded; it refutes nothing from then on.
+During an upgrade two processes share one number and have two incarnations. The older process receives the
+newer incarnation, which it did not create, concludes that it is superseded, and refutes nothing from then on.
 
-Bounds. One claim for each configured number. A number that the configuration drops is forgotten with it.
+Bounds: one claim for each configured number. The claim of a number is dropped when the configuration drops
+the number.
 """
 
 from collections.abc import Callable, Iterable
@@ -18,7 +20,7 @@
 
 
 class State(IntEnum):
-    """What is claimed of a member, by gravity."""
+    """State of a member in a claim, ordered by severity."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -28,73 +30,77 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Claim:
-    """A state at an incarnation; the greater one holds."""
+    """State of a member at an incarnation; the greater of two claims holds."""
 
     incarnation: int
     state: State
 
 
-UNHEARD = Claim(0, State.ALIVE)  # configured, never heard of: taken for alive until a probe fails
+UNHEARD = Claim(0, State.ALIVE)  # configured but never heard of; treated as alive until a probe fails
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """A change of the view, for logs and figures."""
+    """A change of the view, as passed to its listeners."""
 
     number: int
     old: Claim
     new: Claim
-    reporter: int  # who said so: my own number for what I saw myself
+    reporter: int  # the member that made the claim; the own number for what this gateway found out itself
 
 
 class View:
-    """The claims of one gateway on all configured numbers."""
+    """The claims that one gateway holds about all configured numbers."""
 
     def __init__(self, own_number: int, size: int, incarnation: int) -> None:
-        """Start with all configured numbers unheard of, and myself alive."""
+        """Start with the own number alive and all other configured numbers unheard of."""
         self.own_number = own_number
         self.claims = {number: UNHEARD for number in range(size)}
         self.claims[own_number] = Claim(incarnation, State.ALIVE)
         self.superseded = False
-        self.changed_ms: dict[int, float] = {}
-        self.reporters: dict[int, int] = {}  # who said what is held now
+        self.changed_ms: dict[int, float] = {}  # time of the last change by number
+        self.reporters: dict[int, int] = {}  # by number: the member that made the claim held now
         self.listeners: list[Callable[[Change], object]] = []
 
     def merge(self, number: int, claim: Claim, reporter: int, now_ms: float) -> bool:
-        """Take a claim in; True if it changed the view. One about myself may be refuted by `refute`."""
+        """Merge a claim and return whether it changed the view; a claim about the own number is refuted.
+
+        A claim that the own number is alive at a newer incarnation is not refuted: it comes from a later
+        process with the same number and marks this process as superseded.
+        """
         old = self.claims.get(number)
         if old is None or claim <= old:
             return False
         if number == self.own_number:
             if claim.state is State.ALIVE:
-                self.superseded = True  # never made by me: a later process has my number
+                self.superseded = True  # not created by this process, so a later process has this number
             elif not self.superseded:
                 return self.refute(claim, now_ms)
         self.claims[number] = claim
         self.changed_ms[number], self.reporters[number] = now_ms, reporter
-        for ear in self.listeners:
-            ear(Change(number, old, claim, reporter))
+        for listener in self.listeners:
+            listener(Change(number, old, claim, reporter))
         return True
 
     def refute(self, claim: Claim, now_ms: float) -> bool:
-        """Answer a claim that I am not alive with a newer incarnation of mine."""
+        """Answer a claim that this gateway is not alive by raising the own incarnation."""
         old, new = self.claims[self.own_number], Claim(claim.incarnation + 1, State.ALIVE)
         self.claims[self.own_number] = new
         self.changed_ms[self.own_number], self.reporters[self.own_number] = now_ms, self.own_number
-        for ear in self.listeners:
-            ear(Change(self.own_number, old, new, self.own_number))
+        for listener in self.listeners:
+            listener(Change(self.own_number, old, new, self.own_number))
         return True
 
     def leave(self, now_ms: float) -> None:
-        """Claim that I leave by plan."""
+        """Record that this gateway leaves as planned."""
         old = self.claims[self.own_number]
         new = self.claims[self.own_number] = Claim(old.incarnation, State.LEFT)
         self.changed_ms[self.own_number], self.reporters[self.own_number] = now_ms, self.own_number
-        for ear in self.listeners:
-            ear(Change(self.own_number, old, new, self.own_number))
+        for listener in self.listeners:
+            listener(Change(self.own_number, old, new, self.own_number))
 
     def forget(self, number: int) -> bool:
-        """Forget what is claimed of another number, as if it had never been heard of."""
+        """Reset another number to unheard of; return whether that number exists."""
         if number == self.own_number or number not in self.claims:
             return False
         self.claims[number] = UNHEARD
@@ -103,7 +109,7 @@
         return True
 
     def resize(self, size: int) -> None:
-        """Take over a configuration with more or fewer numbers; mine stays."""
+        """Adopt a configuration with more or fewer numbers; the own number always stays."""
         for number in [n for n in self.claims if n >= size and n != self.own_number]:
             del self.claims[number]
             self.changed_ms.pop(number, None)
@@ -111,15 +117,15 @@
         for number in range(size):
             self.claims.setdefault(number, UNHEARD)
 
-    def numbers_in(self, *wanted: State) -> list[int]:
-        """Give the numbers in these states, in order."""
-        return sorted(n for n, claim in self.claims.items() if claim.state in wanted)
+    def numbers_in(self, *states: State) -> list[int]:
+        """Return the numbers in any of these states, in ascending order."""
+        return sorted(n for n, claim in self.claims.items() if claim.state in states)
 
     def in_service(self) -> list[int]:
-        """Give those that may be asked: alive, or suspect, which is no more than a doubt."""
+        """Return the numbers that may be contacted: those alive, and those only suspected."""
         return self.numbers_in(State.ALIVE, State.SUSPECT)
 
     def items(self, numbers: Iterable[int]) -> list[tuple[int, Claim, int]]:
-        """Give the claims on these numbers that tell something, and who first said so."""
+        """Return number, claim and reporter for those of these numbers that have been heard of."""
         known = (n for n in numbers if self.claims.get(n, UNHEARD) != UNHEARD)
         return [(n, self.claims[n], self.reporters.get(n, self.own_number)) for n in known]
