--- a/hitchtiller/membership/detector.py
+++ b/hitchtiller/membership/detector.py
@@ -1,21 +1,25 @@
-"""Who is there: probes, suspicion, and word of it, as a state machine fed with datagrams and the time.
-
-After SWIM and Lifeguard (ideas only): each period a gateway pings one other, in a shuffled round that meets
-each once; without an answer in a share of the period it pings again and asks HELPERS others to ping for it,
-in ROUNDS rounds (at 30% loss one probe in forty then fails for nothing, with one round one in five); without
-any by the period's end it suspects, and tells the suspect so each period until that is settled. A suspect is
-dead after a time that grows with the logarithm of the fleet's size and shrinks with independent witnesses;
-it refutes by a newer incarnation until then, and after. Any datagram is a sign of life: who was heard within
-the last period is not pinged in it, so busy gateways hardly probe.
-
-A gateway doubts itself first. Late ticks (a stopped process, a crowded core) void the probes under way; each
-missed answer, and each refutation of its own, lengthen its periods and suspicions up to DOUBT_MOST steps,
-each answer takes one back. So one that was stopped for 20 s accuses nobody when it wakes.
-
-Bounds, whatever the fleet's size: a gateway and period sends one ping, one more to each suspect that it
-accused itself, for an unanswered ping at most ROUNDS times one ping and HELPERS requests, NEWS words while
-there is news, answers what it is asked, and one page every PAGE_EVERY periods; 4 to 6 datagrams a second
-at a period of 1 s, 10 with 30% of them lost.
+"""Failure detector: probes, suspicions and their dissemination, as a state machine fed datagrams and the time.
+
+The protocol follows the ideas of SWIM and Lifeguard. Each period a gateway pings one other member, in shuffled
+order so that each round reaches every member once. Without an answer within ROUND_SHARE of the period it pings
+again and asks HELPER_COUNT other members to ping on its behalf, in up to MAX_RETRY_ROUNDS rounds. At 30% packet
+loss one probe in forty then fails although its target is alive; with a single round it is one in five. Without
+any answer by the end of the period the gateway suspects the target, and pings the suspect each period, which
+carries the suspicion, until it is refuted or confirmed. A suspect is declared dead after a time that grows with
+the logarithm of the fleet's size and shrinks with the number of independent witnesses. It can refute by a newer
+incarnation before and after that. Any datagram counts as a sign of life: a member heard from within the last
+period is not pinged, so busy gateways hardly probe.
+
+A gateway considers first that it may be slow itself. Late ticks (a stopped process, an overloaded core) discard
+the probes under way. Each missed answer and each claim against itself that it has to refute lengthens its
+periods and suspicion times by a step, up to MAX_SLOWDOWN_STEPS; each answer takes one step back. This prevents
+a process that was stopped for 20 s from accusing others when it resumes.
+
+Bounds, independent of the fleet's size: per period a gateway sends one ping, one more to each suspect that it
+suspected itself, at most MAX_RETRY_ROUNDS times one ping and HELPER_COUNT requests for an unanswered ping,
+GOSSIP_FANOUT messages while there are claims to pass on, its answers to requests, and one sync request every
+SYNC_INTERVAL_PERIODS periods. That is 4 to 6 datagrams a second at a period of 1 s, and 10 with 30% of them
+lost.
 """
 
 import math
@@ -27,46 +31,41 @@
 from hitchtiller.membership.view import UNHEARD, Change, Claim, State, View
 from hitchtiller.membership.words import MAX_CLAIMS, MAX_REPORTS, Kind, MembershipMessage, pack, unpack
 
+# INITIAL_SYNCS: after a start or a pause each of this many periods sends a sync request
 HELPER_COUNT, SYNC_INTERVAL_PERIODS, INITIAL_SYNCS = 3, 10, 3
-ROUND_SHARE, MAX_RETRY_ROUNDS = (
-    0.3,
-    2,
-)  # of a period, for an answer; rounds of asking again, itself and by helpers
-MAX_SUSPECT_PERIODS, MIN_SUSPECT_PERIODS = (
-    4.0,
-    2.0,
-)  # periods, times log10 of the size (1 at least); with all witnesses
-FULL_WITNESS_COUNT, GOSSIP_FANOUT = 3, 2  # from which on a suspicion lasts no longer than the least
-MAX_SLOWDOWN_STEPS, LATE_TICK_PERIODS = (
-    8,
-    1.5,
-)  # steps of doubt; periods between ticks from which on I was late myself
+# ROUND_SHARE: share of a period after which the next retry round starts, by this gateway and its helpers
+ROUND_SHARE, MAX_RETRY_ROUNDS = 0.3, 2
+# times log10 of the fleet's size (1 at least): with a single witness, and with FULL_WITNESS_COUNT or more
+MAX_SUSPECT_PERIODS, MIN_SUSPECT_PERIODS = 4.0, 2.0
+FULL_WITNESS_COUNT, GOSSIP_FANOUT = 3, 2
+# LATE_TICK_PERIODS: after a longer gap between two ticks this process itself counts as late
+MAX_SLOWDOWN_STEPS, LATE_TICK_PERIODS = 8, 1.5
 
 Datagrams = list[tuple[int, bytes]]
 
 
 @dataclass(slots=True)
 class Probe:
-    """A ping under way, for myself or for another."""
+    """A ping that awaits its answer, sent for this gateway itself or on behalf of another."""
 
     target: int
     number: int
     started_ms: float
-    retry_rounds: int = 0  # rounds
-    requester: int = -1  # who asked me to ping, and under which number; -1: myself
-    requester_probe: int = 0
+    retry_rounds: int = 0  # rounds started so far
+    requester: int = -1  # the member that asked for this ping; -1: this gateway's own probe
+    requester_probe: int = 0  # the requester's probe number
 
 
 @dataclass(slots=True)
 class Suspicion:
-    """A suspect's time."""
+    """A running suspicion: when its time started, and the members that suspect the same."""
 
     started_ms: float
     witnesses: set[int]
 
 
 class Detector:
-    """One gateway's part in membership; calls give the datagrams to send."""
+    """Failure detector of one gateway; its methods return the datagrams to send."""
 
     def __init__(
         self,
@@ -78,7 +77,7 @@
         rng: Random,
         now_ms: float,
     ) -> None:
-        """Start; `incarnation` is the start's Unix milliseconds."""
+        """Start with an empty view; `incarnation` is the Unix time of the process start in milliseconds."""
         self.own_number, self.fleet_id, self.period_ms, self.rng = own_number, fleet_id, period_ms, rng
         self.view = View(own_number, size, incarnation)
         self.gossip, self.evidence = Gossip(size), Evidence(own_number)
@@ -92,48 +91,47 @@
         self.sent_count = self.dropped_count = 0
         self.gossip.queue(own_number)
 
-    # What the caller feeds
+    # Input from the caller
 
     def tick(self, now_ms: float) -> Datagrams:
-        """Look at what is due; to be called several times a period."""
-        late = now_ms - self.last_tick_ms > LATE_TICK_PERIODS * self.period_ms
+        """Do what is due; to be called several times a period."""
+        is_late = now_ms - self.last_tick_ms > LATE_TICK_PERIODS * self.period_ms
         self.last_tick_ms = now_ms
-        if late:  # guards against accusing others for a time in which I did not run myself
+        if is_late:  # prevents accusing others for a time in which this process did not run itself
             self.probes.clear()
             for suspicion in self.suspicions.values():
                 suspicion.started_ms = now_ms
             self._slow_down(2)
             self.pages = INITIAL_SYNCS
             self.next_period_ms = now_ms
-        out = self._check_probes(now_ms)
+        datagrams = self._check_probes(now_ms)
         self._expire_suspicions(now_ms)
         if now_ms >= self.next_period_ms and not self.view.superseded:
             self.next_period_ms = now_ms + self.period_ms * (1.0 + 0.25 * self.slowdown_steps)
-            out += self._begin_period(now_ms)
-        return out
+            datagrams += self._begin_period(now_ms)
+        return datagrams
 
     def receive(self, sender: int, data: bytes, now_ms: float) -> Datagrams:
-        """Take a datagram from a listed peer; what can't be read is dropped and counted."""
+        """Handle a datagram from a configured peer; drop and count one that can't be decoded."""
         message = unpack(data, self.fleet_id)
         if message is None or message.sender != sender or sender not in self.view.claims:
             self.dropped_count += 1
             return []
         self.hear(sender, now_ms)
-        for number, claim, by in message.items:
-            if self.view.merge(number, claim, by, now_ms):
-                self._on_claim_merged(number, by, now_ms)
+        for number, claim, reporter in message.items:
+            if self.view.merge(number, claim, reporter, now_ms):
+                self._on_claim_merged(number, reporter, now_ms)
             elif claim.state is State.SUSPECT and claim == self.view.claims.get(number):
-                self._add_witness(number, by)
+                self._add_witness(number, reporter)
             elif number == self.own_number and claim < self.view.claims[number] and not self.view.superseded:
-                self.gossip.queue(
-                    number
-                )  # its sender has not heard my newer claim: all those words were lost
+                # the sender lacks this gateway's newer claim: all messages that carried it were lost
+                self.gossip.queue(number)
         match message.kind:
             case Kind.PING:
                 return self._compose(sender, Kind.ACK, message.number)
             case Kind.ACK:
                 return self._handle_ack(message, sender)
-            case Kind.ASK if message.target in self.view.claims and message.target != self.own_number:
+            case Kind.PING_REQUEST if message.target in self.view.claims and message.target != self.own_number:
                 return self._start_probe(message.target, now_ms, sender, message.number)
             case Kind.PAGE:
                 return self._sync_answer(sender, message.target)
@@ -144,54 +142,56 @@
         return []
 
     def hear(self, number: int, now_ms: float) -> None:
-        """Take any sign of life, such as a note on an object."""
+        """Record any sign of life of a member, such as a note about an object."""
         self.last_heard_ms[number] = now_ms
 
     def leave(self, now_ms: float) -> Datagrams:
-        """Tell a few that I leave by plan."""
+        """Announce to a few members that this gateway leaves as planned."""
         self.view.leave(now_ms)
         return [
             d for peer in self._random_members(HELPER_COUNT, ()) for d in self._compose(peer, Kind.TELL, 0)
         ]
 
     def forget(self, number: int) -> bool:
-        """Forget what is claimed of a number; it is probed again like one never heard of."""
+        """Forget the claim about a number, which is then probed like one never heard of."""
         self.suspicions.pop(number, None)
         return self.view.forget(number)
 
     def make_reports(self, now_ms: float) -> Datagrams:
-        """Give what is to be said of servers, to a few; nothing while there is no news."""
-        out: Datagrams = []
+        """Return reports on servers for a few members; none while there is nothing new to report."""
+        datagrams: Datagrams = []
         for peer in self._random_members(REPORT_FANOUT, ()):
             if reports := self.evidence.next_reports(now_ms, MAX_REPORTS):
-                out += self._encode(peer, MembershipMessage(Kind.REPORT, self.own_number, 0, reports=reports))
-        return out
+                datagrams += self._encode(
+                    peer, MembershipMessage(Kind.REPORT, self.own_number, 0, reports=reports)
+                )
+        return datagrams
 
     # Periods
 
     def _begin_period(self, now_ms: float) -> Datagrams:
         self.period_count += 1
-        out: Datagrams = []
+        datagrams: Datagrams = []
         if self.pages or self.period_count % SYNC_INTERVAL_PERIODS == 0:
             self.pages = max(0, self.pages - 1)
             for peer in self._random_members(1, ()):
-                out += self._compose(peer, Kind.PAGE, 0, self.rng.randrange(len(self.view.claims)))
+                datagrams += self._compose(peer, Kind.PAGE, 0, self.rng.randrange(len(self.view.claims)))
         target = self._next_target(now_ms)
-        for number, suspicion in self.suspicions.items():  # so that it may refute
+        for number, suspicion in self.suspicions.items():  # carries the suspicion, so that it can be refuted
             if self.own_number in suspicion.witnesses:
-                out += self._compose(number, Kind.PING, 0)
+                datagrams += self._compose(number, Kind.PING, 0)
         if self.gossip.told:
             for peer in self._random_members(GOSSIP_FANOUT, ()):
-                out += self._compose(peer, Kind.TELL, 0)
-        return out + self._start_probe(target, now_ms) if target is not None else out
+                datagrams += self._compose(peer, Kind.TELL, 0)
+        return datagrams + self._start_probe(target, now_ms) if target is not None else datagrams
 
     def _next_target(self, now_ms: float) -> int | None:
         for _ in range(2 * len(self.view.claims)):
             if not self.probe_queue:
-                # the dead are tried too, seldom: a cut that heals is noticed by nobody else
+                # a few dead members are probed too: after a network partition nothing else finds them again
                 self.probe_queue = [n for n in self.view.in_service() if n != self.own_number]
-                gone = self.view.numbers_in(State.DEAD)
-                self.probe_queue += self.rng.sample(gone, min(len(gone), 1 + len(self.probe_queue) // 8))
+                dead = self.view.numbers_in(State.DEAD)
+                self.probe_queue += self.rng.sample(dead, min(len(dead), 1 + len(self.probe_queue) // 8))
                 self.rng.shuffle(self.probe_queue)
                 if not self.probe_queue:
                     return None
@@ -228,23 +228,26 @@
         return []
 
     def _check_probes(self, now_ms: float) -> Datagrams:
-        out: Datagrams = []
+        datagrams: Datagrams = []
         for probe in list(self.probes.values()):
-            age, wait = now_ms - probe.started_ms, self.period_ms * (1.0 + 0.25 * self.slowdown_steps)
+            age_ms, timeout_ms = (
+                now_ms - probe.started_ms,
+                self.period_ms * (1.0 + 0.25 * self.slowdown_steps),
+            )
             if self.last_heard_ms.get(probe.target, -math.inf) >= probe.started_ms and probe.requester < 0:
                 del self.probes[probe.number]
-            elif probe.retry_rounds < MAX_RETRY_ROUNDS and age > ROUND_SHARE * wait * (
+            elif probe.retry_rounds < MAX_RETRY_ROUNDS and age_ms > ROUND_SHARE * timeout_ms * (
                 probe.retry_rounds + 1
             ):
                 probe.retry_rounds += 1
-                out += self._compose(probe.target, Kind.PING, probe.number)
+                datagrams += self._compose(probe.target, Kind.PING, probe.number)
                 for helper in self._random_members(HELPER_COUNT, (probe.target,)):
-                    out += self._compose(helper, Kind.ASK, probe.number, probe.target)
-            elif age > wait:
+                    datagrams += self._compose(helper, Kind.PING_REQUEST, probe.number, probe.target)
+            elif age_ms > timeout_ms:
                 del self.probes[probe.number]
                 if probe.requester < 0:
                     self._handle_missed_probe(probe.target, now_ms)
-        return out
+        return datagrams
 
     def _handle_missed_probe(self, target: int, now_ms: float) -> None:
         claim = self.view.claims.get(target)
@@ -262,39 +265,42 @@
             if claim is None or claim.state is not State.SUSPECT:
                 del self.suspicions[number]
             elif self.last_heard_ms.get(number, -math.inf) > suspicion.started_ms:
-                suspicion.started_ms = self.last_heard_ms[
-                    number
-                ]  # it spoke to me since: its refutation is on its way
+                # it has sent a datagram since the suspicion started, so its refutation is on its way
+                suspicion.started_ms = self.last_heard_ms[number]
             elif now_ms - suspicion.started_ms >= self.suspect_ms(len(suspicion.witnesses)):
                 del self.suspicions[number]
                 self.view.merge(number, Claim(claim.incarnation, State.DEAD), self.own_number, now_ms)
 
     def suspect_ms(self, witnesses: int) -> float:
-        """Give how long a suspect has to refute, with so many that suspect it."""
-        grown = max(1.0, math.log10(len(self.view.claims)))
-        most, least = MAX_SUSPECT_PERIODS * grown, MIN_SUSPECT_PERIODS * grown
+        """Return how long a suspect has to refute when it has this many witnesses."""
+        size_factor = max(1.0, math.log10(len(self.view.claims)))
+        max_periods, min_periods = MAX_SUSPECT_PERIODS * size_factor, MIN_SUSPECT_PERIODS * size_factor
         share = (
             math.log(min(witnesses, FULL_WITNESS_COUNT)) / math.log(FULL_WITNESS_COUNT)
             if witnesses > 1
             else 0.0
         )
-        return self.period_ms * (most - (most - least) * share) * (1.0 + 0.25 * self.slowdown_steps)
+        return (
+            self.period_ms
+            * (max_periods - (max_periods - min_periods) * share)
+            * (1.0 + 0.25 * self.slowdown_steps)
+        )
 
-    # Word
+    # Claims and messages
 
     def _on_claim_merged(self, number: int, reporter: int, now_ms: float) -> None:
         if number == self.own_number:
-            self._slow_down(1)  # I was taken for gone: maybe it is I who is late
+            self._slow_down(1)  # others suspected this gateway, so it may be the slow one
         elif self.view.claims[number].state is State.SUSPECT:
             self.suspicions[number] = Suspicion(now_ms, {reporter})
 
-    def _add_witness(self, number: int, by: int) -> None:
-        """Count one who suspects too, and pass on the first few of them."""
+    def _add_witness(self, number: int, witness: int) -> None:
+        """Record a further member that holds the suspicion; pass on the first FULL_WITNESS_COUNT of them."""
         suspicion = self.suspicions.get(number)
-        if suspicion and by not in suspicion.witnesses:
-            suspicion.witnesses.add(by)
+        if suspicion and witness not in suspicion.witnesses:
+            suspicion.witnesses.add(witness)
             if len(suspicion.witnesses) <= FULL_WITNESS_COUNT:
-                self.view.reporters[number] = by
+                self.view.reporters[number] = witness
                 self.gossip.queue(number)
 
     def _queue_gossip(self, change: Change) -> None:
@@ -303,8 +309,8 @@
     def _slow_down(self, steps: int) -> None:
         self.slowdown_steps = min(MAX_SLOWDOWN_STEPS, self.slowdown_steps + steps)
 
-    def _random_members(self, count: int, but: tuple[int, ...]) -> list[int]:
-        others = [n for n in self.view.numbers_in(State.ALIVE) if n != self.own_number and n not in but]
+    def _random_members(self, count: int, excluded: tuple[int, ...]) -> list[int]:
+        others = [n for n in self.view.numbers_in(State.ALIVE) if n != self.own_number and n not in excluded]
         return self.rng.sample(others, min(count, len(others)))
 
     def _sync_answer(self, peer: int, start: int) -> Datagrams:
@@ -314,10 +320,10 @@
         return self._encode(peer, MembershipMessage(Kind.TELL, self.own_number, 0, 0, items))
 
     def _compose(self, peer: int, kind: Kind, number: int, target: int = 0) -> Datagrams:
-        # a peer that I hold for gone is told so first: it refutes, or knows that it is superseded
+        # a peer not believed alive gets the claim about itself first: it refutes, or learns it is superseded
         claim = self.view.claims.get(peer, UNHEARD)
-        first = peer if claim.state is not State.ALIVE else None
-        items = self.view.items(self.gossip.next_numbers(MAX_CLAIMS, first))
+        first_number = peer if claim.state is not State.ALIVE else None
+        items = self.view.items(self.gossip.next_numbers(MAX_CLAIMS, first_number))
         return self._encode(peer, MembershipMessage(kind, self.own_number, number, target, items))
 
     def _encode(self, peer: int, message: MembershipMessage) -> Datagrams:
