--- a/hitchtiller/membership/detector.py
+++ b/hitchtiller/membership/detector.py
@@ -1,25 +1,25 @@
-"""Failure detector: probes, suspicions and their dissemination, as a state machine fed datagrams and the time.
-
-The protocol follows the ideas of SWIM and Lifeguard. Each period a gateway pings one other member, in shuffled
-order so that each round reaches every member once. Without an answer within ROUND_SHARE of the period it pings
-again and asks HELPER_COUNT other members to ping on its behalf, in up to MAX_RETRY_ROUNDS rounds. At 30% packet
-loss one probe in forty then fails although its target is alive; with a single round it is one in five. Without
-any answer by the end of the period the gateway suspects the target, and pings the suspect each period, which
-carries the suspicion, until it is refuted or confirmed. A suspect is declared dead after a time that grows with
-the logarithm of the fleet's size and shrinks with the number of independent witnesses. It can refute by a newer
-incarnation before and after that. Any datagram counts as a sign of life: a member heard from within the last
-period is not pinged, so busy gateways hardly probe.
-
-A gateway considers first that it may be slow itself. Late ticks (a stopped process, an overloaded core) discard
-the probes under way. Each missed answer and each claim against itself that it has to refute lengthens its
-periods and suspicion times by a step, up to MAX_SLOWDOWN_STEPS; each answer takes one step back. This prevents
-a process that was stopped for 20 s from accusing others when it resumes.
-
-Bounds, independent of the fleet's size: per period a gateway sends one ping, one more to each suspect that it
-suspected itself, at most MAX_RETRY_ROUNDS times one ping and HELPER_COUNT requests for an unanswered ping,
-GOSSIP_FANOUT messages while there are claims to pass on, its answers to requests, and one sync request every
-SYNC_INTERVAL_PERIODS periods. That is 4 to 6 datagrams a second at a period of 1 s, and 10 with 30% of them
-lost.
+"""Failure detector: probes, suspicions and gossip, as a state machine that is fed datagrams and the time.
+
+The protocol follows the ideas of SWIM and Lifeguard. Each period a gateway pings one other member, in
+shuffled order so that each round reaches every member once. Without an answer within ROUND_SHARE of the
+period it pings again and asks HELPER_COUNT other members to ping on its behalf, in up to MAX_RETRY_ROUNDS
+rounds. At 30% packet loss one probe in forty then fails although its target is alive; with a single round
+it is one in five. Without any answer by the end of the period the gateway suspects the target, and pings
+the suspect each period, which carries the suspicion, until it is refuted or confirmed. A suspect is
+declared dead after a time that grows with the logarithm of the fleet's size and shrinks with the number of
+independent witnesses. It can refute by a newer incarnation before and after that. Any datagram counts as a
+sign of life: a member heard from within the last period is not pinged, so busy gateways hardly probe.
+
+A gateway considers first that it may be slow itself. Late ticks (a stopped process, an overloaded core)
+discard the probes under way. Each missed answer and each claim against itself that it has to refute
+lengthens its periods and suspicion times by a step, up to MAX_SLOWDOWN_STEPS; each answer takes one step
+back. This prevents a process that was stopped for 20 s from accusing others when it resumes.
+
+Bounds, independent of the fleet's size: per period a gateway sends one ping, one more to each suspect that
+it suspected itself, at most MAX_RETRY_ROUNDS times one ping and HELPER_COUNT requests for an unanswered
+ping, GOSSIP_FANOUT messages while there are claims to pass on, its answers to requests, and one sync
+request every SYNC_INTERVAL_PERIODS periods. That is 4 to 6 datagrams a second at a period of 1 s, and 10
+with 30% of them lost.
 """
 
 import math
@@ -131,7 +131,7 @@
                 return self._compose(sender, Kind.ACK, message.number)
             case Kind.ACK:
                 return self._handle_ack(message, sender)
-            case Kind.PING_REQUEST if message.target in self.view.claims and message.target != self.own_number:
+            case Kind.PING_REQ if message.target in self.view.claims and message.target != self.own_number:
                 return self._start_probe(message.target, now_ms, sender, message.number)
             case Kind.PAGE:
                 return self._sync_answer(sender, message.target)
@@ -242,7 +242,7 @@
                 probe.retry_rounds += 1
                 datagrams += self._compose(probe.target, Kind.PING, probe.number)
                 for helper in self._random_members(HELPER_COUNT, (probe.target,)):
-                    datagrams += self._compose(helper, Kind.PING_REQUEST, probe.number, probe.target)
+                    datagrams += self._compose(helper, Kind.PING_REQ, probe.number, probe.target)
             elif age_ms > timeout_ms:
                 del self.probes[probe.number]
                 if probe.requester < 0:
--- a/hitchtiller/membership/view.py
+++ b/hitchtiller/membership/view.py
@@ -1,14 +1,15 @@
 """A gateway's view of the fleet: one claim per configured member number, merged independently of order.
 
 A claim is a state at an incarnation. An incarnation starts at the Unix time of the process start in
-milliseconds and grows with each refutation; only its owner creates a new one. Of two claims the one with the
-higher incarnation wins; at the same incarnation the more severe state wins: alive < suspect < dead < left.
-Claims are therefore totally ordered, and a merge takes the maximum, which is commutative, associative and
-idempotent. Gateways that received the same claims hold the same view, even if datagrams were repeated, late
-or out of order.
+milliseconds and grows with each refutation; only its owner creates a new one. Of two claims the one with
+the higher incarnation wins; at the same incarnation the more severe state wins: alive < suspect < dead <
+left. Claims are therefore totally ordered, and a merge takes the maximum, which is commutative, associative
+and idempotent. Gateways that received the same claims hold the same view, even if datagrams were repeated,
+late or out of order.
 
 During an upgrade two processes share one number and have two incarnations. The older process receives the
-newer incarnation, which it did not create, concludes that it is superseded, and refutes nothing from then on.
+newer incarnation, which it did not create, concludes that it is superseded, and refutes nothing from then
+on.
 
 Bounds: one claim for each configured number. The claim of a number is dropped when the configuration drops
 the number.
--- a/hitchtiller/membership/words.py
+++ b/hitchtiller/membership/words.py
@@ -39,7 +39,7 @@
 
     PING = 0
     ACK = 1
-    PING_REQUEST = 2  # ping `target` for me
+    PING_REQ = 2  # ping `target` for me
     PAGE = 3  # tell me what you hold from number `target` on
     TELL = 4  # claims, unasked or as a page
     REPORT = 5  # what was seen of servers
