--- a/hitchtiller/membership/evidence.py
+++ b/hitchtiller/membership/evidence.py
@@ -75,7 +75,7 @@
         self.failure_counts: dict[int, int] = {}
 
     def record_failure(self, server: int, symptom: Symptom, now_ms: float) -> None:
-        """Record a failure that this gateway saw itself; it is reported but does not count as a witness here."""
+        """Record a failure that this gateway saw itself: it is passed on, but is no witness here."""
         self.failure_counts[server] = self.failure_counts.get(server, 0) + 1
         self.reports.setdefault(server, {})[self.own_number] = StoredReport(
             symptom, now_ms, self.failure_counts[server]
@@ -89,7 +89,7 @@
     def add_reports(self, reports: Iterable[Report], now_ms: float) -> None:
         """Add reports of other gateways; expired ones and older ones of the same witness change nothing."""
         for report in reports:
-            at = now_ms - report.age_ms
+            seen_ms = now_ms - report.age_ms
             if report.witness == self.own_number or report.age_ms >= REPORT_LIFETIME_MS:
                 continue
             witnesses = self.reports.setdefault(report.server, {})
@@ -97,7 +97,7 @@
             if old is None and sum(witness != self.own_number for witness in witnesses) >= MAX_WITNESSES:
                 continue  # further witnesses would not change the verdict
             if old is None or report.count > old.count:
-                witnesses[report.witness] = StoredReport(report.symptom, at, report.count)
+                witnesses[report.witness] = StoredReport(report.symptom, seen_ms, report.count)
 
     def witnesses(self, server: int, now_ms: float) -> set[int]:
         """Return the other members that saw a server failing lately and since its last answer and verdict."""
@@ -121,16 +121,16 @@
                 self.last_verdict_ms[server] = now_ms
                 found.append(server)
             stored = {
-                witness: k
-                for witness, k in self.reports[server].items()
-                if now_ms - k.seen_ms < REPORT_LIFETIME_MS
+                witness: report
+                for witness, report in self.reports[server].items()
+                if now_ms - report.seen_ms < REPORT_LIFETIME_MS
             }
             if stored:
                 self.reports[server] = stored
             else:
                 del self.reports[server]
         for table in (self.last_answer_ms, self.last_verdict_ms):
-            for server in [s for s, at in table.items() if now_ms - at >= REPORT_LIFETIME_MS]:
+            for server in [s for s, time_ms in table.items() if now_ms - time_ms >= REPORT_LIFETIME_MS]:
                 del table[server]
         # the other gateways have dropped this gateway's reports on all further servers by now too
         known = {**self.reports, **self.last_answer_ms}
@@ -151,6 +151,6 @@
         for _, _, _, stored in chosen:
             stored.send_count += 1
         return [
-            Report(server, k.symptom, witness, now_ms - k.seen_ms, k.count)
-            for _, server, witness, k in chosen
+            Report(server, report.symptom, witness, now_ms - report.seen_ms, report.count)
+            for _, server, witness, report in chosen
         ]
