--- a/hitchtiller/membership/gossip.py
+++ b/hitchtiller/membership/gossip.py
@@ -1,9 +1,10 @@
-"""What is told along with each word: the claims told least often first, each a bounded number of times.
+"""Choice of the claims sent with each message: least often sent first, each a limited number of times.
 
-A claim that is new here is told TIMES times the logarithm of the fleet's size, whatever is lost; then it
-rests. What gossip lost is mended by pages (see `detector.py`). A newer claim on the same number takes the
-place of the older. Bounds over 200 gateways: 24 times for each claim, 21 claims a datagram, so a kill of half
-the fleet is 100 claims in five datagrams a neighbour.
+A claim that is new to this gateway is sent SENDS_PER_LOG2_SIZE times the binary logarithm of the fleet's
+size, without regard to lost datagrams, and then no longer. Members that missed it get it by a sync request
+(see `detector.py`). A newer claim about the same number replaces the older one. Bounds for 200 gateways: 24
+sends of each claim and 21 claims a datagram, so the death of half the fleet is 100 claims in five datagrams
+for each receiver.
 """
 
 import heapq
@@ -13,27 +14,27 @@
 
 
 class Gossip:
-    """How often each changed claim has been told."""
+    """The changed claims that are still to be sent, with how often each has been sent."""
 
     def __init__(self, size: int) -> None:
-        """Start with nothing to tell."""
+        """Start with nothing to send."""
         self.told: dict[int, int] = {}
         self.max_sends = self.max_sends_for(size)
 
     @staticmethod
     def max_sends_for(size: int) -> int:
-        """Give how often a claim is told in a fleet of this size."""
+        """Return how often a claim is sent in a fleet of this size."""
         return max(3, math.ceil(SENDS_PER_LOG2_SIZE * math.log2(size + 1)))
 
     def queue(self, number: int) -> None:
-        """Have the claim on a number told anew."""
+        """Queue the claim about a number to be sent, from a count of 0."""
         self.told[number] = 0
 
     def next_numbers(self, max_count: int, first: int | None = None) -> list[int]:
-        """Give the numbers whose claims go with the next word; `first` goes in any case."""
-        order = heapq.nsmallest(max_count - (first is not None), self.told, key=lambda n: (self.told[n], n))
-        for number in order:
+        """Return the numbers whose claims go with the next message, always including `first` if given."""
+        chosen = heapq.nsmallest(max_count - (first is not None), self.told, key=lambda n: (self.told[n], n))
+        for number in chosen:
             self.told[number] += 1
             if self.told[number] >= self.max_sends:
                 del self.told[number]
-        return order if first is None or first in order else [first, *order]
+        return chosen if first is None or first in chosen else [first, *chosen]
