--- a/hitchtiller/membership/shares.py
+++ b/hitchtiller/membership/shares.py
@@ -18,7 +18,7 @@
 SHARE_UNITS = 10_000
 
 
-def rule_share(bound: float, size: int) -> float:
+def limit_share(bound: float, size: int) -> float:
     """Give one gateway's part of a bound that is a rule: over the configured number, whatever is believed."""
     return bound / max(1, size)
 
@@ -29,7 +29,7 @@
     return (
         bound * floor(SHARE_UNITS * weights[own_number] / total) / SHARE_UNITS
         if total > 0.0
-        else rule_share(bound, len(weights))
+        else limit_share(bound, len(weights))
     )
 
 
@@ -41,7 +41,7 @@
     whatever each believes, also where all of them believe to be alone; and of a fleet of which the share
     wanted / bound or more is left, the wanted part is used in full. `cold_rate` in `decide.py` does the same.
     """
-    return min(wanted / max(1, min(serving, size)), rule_share(bound, size))
+    return min(wanted / max(1, min(serving, size)), limit_share(bound, size))
 
 
 def preferred_share(serving: Collection[int], own_number: int) -> float:
--- a/tests/membership/test_membership_parts.py
+++ b/tests/membership/test_membership_parts.py
@@ -10,7 +10,7 @@
 from hitchtiller.membership.gossip import Gossip
 from hitchtiller.membership.homes import MAX_HANDED_OVER, Homes
 from hitchtiller.membership.partition import CUT_WINDOW_MS, SETTLE_MS, Connectivity, PartitionMonitor
-from hitchtiller.membership.shares import preferred_share, rule_share, weighted_share
+from hitchtiller.membership.shares import limit_share, preferred_share, weighted_share
 from hitchtiller.membership.view import UNHEARD, Claim, State, View
 from hitchtiller.membership.words import (
     MAX_CLAIMS,
@@ -144,7 +144,7 @@
 @pytest.mark.parametrize("size", [3, 40, 200])
 def test_a_rules_share_is_the_same_in_every_view(size: int) -> None:
     """Both sides of a cut think the other dead: their sum still is the bound."""
-    assert sum(rule_share(8.0, size) for _ in range(size)) <= 8.0 + 1e-9
+    assert sum(limit_share(8.0, size) for _ in range(size)) <= 8.0 + 1e-9
     assert preferred_share(range(size // 2), 0) > preferred_share(range(size), 0)
 
 
--- a/tests/membership/test_membership_search.py
+++ b/tests/membership/test_membership_search.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from hitchtiller.membership.shares import capped_share, rule_share
+from hitchtiller.membership.shares import capped_share, limit_share
 from hitchtiller.membership.view import Claim, View
 from standins import explore
 
@@ -54,6 +54,6 @@
 @pytest.mark.parametrize("size", [1, 3, 40, 200])
 def test_any_views_spend_the_bound_at_most_and_the_rest_takes_over(size: int) -> None:
     assert size * capped_share(1.0, 0.8, size, serving=1) <= 1.0 + 1e-9  # all think that they are alone
-    assert capped_share(1.0, 0.8, size, serving=0) <= rule_share(1.0, size)
+    assert capped_share(1.0, 0.8, size, serving=0) <= limit_share(1.0, size)
     left = size - size // 10  # a tenth is dead: what the whole would use is used
     assert left * capped_share(1.0, 0.8, size, left) == pytest.approx(0.8)
