--- a/hitchtiller/membership/partition.py
+++ b/hitchtiller/membership/partition.py
@@ -1,16 +1,17 @@
-"""Are they dead, are they cut off, or am I? What a view looks like from inside, with hysteresis.
+"""Distinguishes dead members, a network partition and an isolated gateway, as seen from one gateway.
 
-| state | sign | homes | what others claim | clients |
+| state | condition | homes | claims of others | what clients are told |
 | --- | --- | --- | --- | --- |
-| WHOLE | hardly anybody is missing | in service | believed | nothing |
-| DEATHS | some are missing; caches and bus speak | in service | believed | nothing |
-| CUT | CUT_AT of the others or more went within CUT_MS | in service | its sides differ | nothing |
-| ALONE | nobody is heard, caches or the bus are | myself | nothing comes | nothing |
-| DEAF | nobody, no cache and no bus is heard | as before | not passed on | come back later |
-
-No state changes a rule's share (see `shares.py`), so a wrong guess costs worth and never a rule. A graver
-state is entered at once, a milder one only after it has looked so for CALM_MS, so that a flapping member or a
-cut that heals and opens again moves nothing back and forth.
+| WHOLE | no member is missing | members in service | believed | nothing |
+| DEATHS | some are missing; caches and bus are heard | members in service | believed | nothing |
+| CUT | CUT_SHARE of the others went missing within CUT_WINDOW_MS | members in service | the sides differ | nothing |
+| ALONE | no member is heard, but caches or the bus are | this gateway | none arrive | nothing |
+| DEAF | no member, no cache and no bus is heard | unchanged | not passed on | to come back later |
+
+No state changes a share of a fleet-wide limit (see `shares.py`), so a wrong state lowers the value of the
+service but never breaks a limit. A more severe state is entered at once, a milder one only after its
+condition has held for SETTLE_MS. This prevents a flapping member, or a partition that heals and opens
+again, from moving entries back and forth. Operators see the state as `standing`.
 """
 
 from enum import IntEnum
@@ -19,7 +20,7 @@
 
 
 class Connectivity(IntEnum):
-    """How I stand to the others, by gravity."""
+    """State of this gateway's connection to the rest of the fleet, ordered by severity."""
 
     WHOLE = 0
     DEATHS = 1
@@ -29,31 +30,37 @@
 
 
 class PartitionMonitor:
-    """Names the standing from what is seen."""
+    """Derives the connectivity from what the gateway hears, with hysteresis."""
 
     def __init__(self) -> None:
-        """Begin whole."""
+        """Start as WHOLE."""
         self.connectivity = Connectivity.WHOLE
-        self.milder_since_ms: float | None = None  # since when it looks milder
-        self.missing_since_ms: dict[int, float] = {}  # others, since when they are missing
+        self.milder_since_ms: float | None = None  # start of the time for which a milder condition has held
+        self.missing_since_ms: dict[int, float] = {}  # by member, for those missing now
 
     def assess(
         self, now_ms: float, others: int, missing: set[int], heard: bool, caches: bool, bus: bool
     ) -> Connectivity:
-        """Judge: of `others` these are missing; were any other, a cache, the bus heard lately?"""
+        """Update and return the state.
+
+        `others` is the number of other members and `missing` those believed dead; `heard`, `caches` and `bus`
+        state whether any other member, any cache and the event bus were heard lately.
+        """
         self.missing_since_ms = {number: self.missing_since_ms.get(number, now_ms) for number in missing}
-        lately = sum(now_ms - since <= CUT_WINDOW_MS for since in self.missing_since_ms.values())
-        seems = Connectivity.WHOLE
+        recently_missing = sum(
+            now_ms - since_ms <= CUT_WINDOW_MS for since_ms in self.missing_since_ms.values()
+        )
+        observed = Connectivity.WHOLE
         if others and not heard:
-            seems = Connectivity.ALONE if caches or bus else Connectivity.DEAF
-        elif others and lately >= max(2.0, CUT_SHARE * others):
-            seems = Connectivity.CUT
+            observed = Connectivity.ALONE if caches or bus else Connectivity.DEAF
+        elif others and recently_missing >= max(2.0, CUT_SHARE * others):
+            observed = Connectivity.CUT
         elif missing:
-            seems = Connectivity.DEATHS
-        if seems >= self.connectivity:
-            self.connectivity, self.milder_since_ms = seems, None
+            observed = Connectivity.DEATHS
+        if observed >= self.connectivity:
+            self.connectivity, self.milder_since_ms = observed, None
         elif self.milder_since_ms is None:
             self.milder_since_ms = now_ms
         elif now_ms - self.milder_since_ms >= SETTLE_MS:
-            self.connectivity, self.milder_since_ms = seems, None
+            self.connectivity, self.milder_since_ms = observed, None
         return self.connectivity
