--- a/hitchtiller/membership/homes.py
+++ b/hitchtiller/membership/homes.py
@@ -1,15 +1,17 @@
-"""Which gateway keeps an object's directory entry: rendezvous hash over the members in service.
+"""Home gateways of directory entries, by rendezvous hashing over the members in service.
 
-With a plain remainder over the configured number a home that is gone stays home: each look-up for its objects
-waits for an answer that never comes. Here each object ranks all gateways by hash, and the first in service is
-home; if one leaves, only its own objects move, each to its own next. It is a preference: two gateways whose
-views differ ask different homes for a while, which costs a fill and breaks no rule.
+With the remainder of the hash over the configured number of gateways, a dead gateway would stay home of its
+objects, and each look-up for them would wait for an answer that never comes. Here each object ranks all
+gateways by hash, and the first one in service is its home. If a gateway leaves, only its own objects move,
+each to the next gateway in its ranking. The home is a preference: two gateways whose views differ ask
+different homes for a while, which costs a fill and breaks no limit.
 
-When one leaves by plan, or comes into service, the entries that change home with it are handed over: the
-HANDED latest used of them, one note each, from the one home that holds them. A gateway that dies hands over
-nothing; what it held is told anew as copies are used.
+When a gateway leaves as planned, or comes into service, the entries whose home changes with it are handed
+over: the MAX_HANDED_OVER most recently used of them, in one note each, from the home that holds them. A
+gateway that dies hands over nothing; its entries are announced again as the copies are used.
 
-Bounds. KEPT orders are remembered, of DEPTH numbers each; one costs as many hashes as there are gateways.
+Bounds: MAX_RANKINGS rankings of RANKING_DEPTH numbers each are cached; a ranking costs one hash for each
+gateway.
 """
 
 from collections.abc import Collection, Iterable
@@ -17,20 +19,20 @@
 from hitchtiller.records import combine_hashes, hash64, lru_put
 
 MAX_RANKINGS, RANKING_DEPTH = 2048, 4
-MAX_HANDED_OVER = 64  # entries at a change: notes in a burst, or look-ups that find nothing
+MAX_HANDED_OVER = 64  # entries a change; more mean longer bursts of notes, fewer mean look-ups without result
 EntryKey = tuple[int, int]  # object and part
 
 
 class Homes:
-    """Ranks gateways for objects."""
+    """Ranks the gateways for each object and caches the rankings."""
 
     def __init__(self, size: int) -> None:
-        """Rank these many."""
+        """Rank `size` gateways."""
         self.gateway_salts = [hash64(0x484F4D45, number) for number in range(size)]
         self.rankings: dict[int, list[int]] = {}
 
     def home(self, object_hash: int, serving: Collection[int]) -> int:
-        """Give the first in service; the first of all where none is known to be."""
+        """Return the first gateway in service of the object's ranking, or its first one if none serves."""
         ranking = self.rankings.get(object_hash)
         if ranking is None:
             ranking = self._rank(object_hash)[:RANKING_DEPTH]
@@ -43,9 +45,10 @@
     def moved_entries(
         self, entries: Iterable[EntryKey], before: Collection[int], after: Collection[int], new_home: int = -1
     ) -> list[tuple[EntryKey, int]]:
-        """Give the latest used of my entries whose home changes, with the new home; only to `to` if given.
+        """Return the most recently used entries whose home changes, with their new home.
 
-        `entries` are in the order of their use, the latest last, as the decisions keep them.
+        `entries` are those of this gateway in the order of their use, the latest last, as the decisions keep
+        them. If `new_home` is given, only entries that move to that gateway are returned.
         """
         found: list[tuple[EntryKey, int]] = []
         for item in reversed(list(entries)):
