--- a/hitchtiller/membership/__init__.py
+++ b/hitchtiller/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which gateways are there: views, detection, word between gateways; no I/O, time and draws given."""
+"""Fleet membership: views, failure detection, message encoding; no I/O, time and randomness are passed in."""
--- a/hitchtiller/membership/homes.py
+++ b/hitchtiller/membership/homes.py
@@ -51,11 +51,11 @@
         them. If `new_home` is given, only entries that move to that gateway are returned.
         """
         found: list[tuple[EntryKey, int]] = []
-        for item in reversed(list(entries)):
-            object_hash = hash64(*item)
+        for entry_key in reversed(list(entries)):
+            object_hash = hash64(*entry_key)
             home = self.home(object_hash, after)
             if home != self.home(object_hash, before) and new_home in (-1, home):
-                found.append((item, home))
+                found.append((entry_key, home))
                 if len(found) >= MAX_HANDED_OVER:
                     break
         return found
--- a/hitchtiller/membership/partition.py
+++ b/hitchtiller/membership/partition.py
@@ -1,10 +1,10 @@
 """Distinguishes dead members, a network partition and an isolated gateway, as seen from one gateway.
 
-| state | condition | homes | claims of others | what clients are told |
+| state | condition | homes: members | claims of others | what clients are told |
 | --- | --- | --- | --- | --- |
-| WHOLE | no member is missing | members in service | believed | nothing |
-| DEATHS | some are missing; caches and bus are heard | members in service | believed | nothing |
-| CUT | CUT_SHARE of the others went missing within CUT_WINDOW_MS | members in service | the sides differ | nothing |
+| WHOLE | no member is missing | in service | believed | nothing |
+| DEATHS | some are missing; caches and bus are heard | in service | believed | nothing |
+| CUT | CUT_SHARE of the others, 2 at least, went missing within CUT_WINDOW_MS | in service | sides differ | nothing |
 | ALONE | no member is heard, but caches or the bus are | this gateway | none arrive | nothing |
 | DEAF | no member, no cache and no bus is heard | unchanged | not passed on | to come back later |
 
--- a/hitchtiller/ops/__init__.py
+++ b/hitchtiller/ops/__init__.py
@@ -1,1 +1,1 @@
-"""What on-call staff use: calls, figures, hold-outs, and the change to a new version."""
+"""Operation of a gateway: operators' calls, statistics, hold-outs, membership and upgrades."""
