--- a/hitchtiller/membership/partition.py
+++ b/hitchtiller/membership/partition.py
@@ -4,7 +4,7 @@
 | --- | --- | --- | --- | --- |
 | WHOLE | no member is missing | in service | believed | nothing |
 | DEATHS | some are missing; caches and bus are heard | in service | believed | nothing |
-| CUT | CUT_SHARE of the others, 2 at least, went missing within CUT_WINDOW_MS | in service | sides differ | nothing |
+| CUT | CUT_SHARE of the others, at least 2, lost within CUT_WINDOW_MS | in service | sides differ | nothing |
 | ALONE | no member is heard, but caches or the bus are | this gateway | none arrive | nothing |
 | DEAF | no member, no cache and no bus is heard | unchanged | not passed on | to come back later |
 
