--- a/hitchtiller/ops/calls.py
+++ b/hitchtiller/ops/calls.py
@@ -16,7 +16,7 @@
         self.front, self.stats = front, stats
         self.plain: dict[str, Callable[[], str]] = {
             "ready": self.ready,
-            "show-stat": self.show,
+            "show-stat": self.show_stats,
             "drain": self.drain,
             "resume": self.resume,
         }
@@ -44,7 +44,7 @@
             raise CallError(reason)
         return "ready"
 
-    def show(self) -> str:
+    def show_stats(self) -> str:
         """Give all figures, then a line with a full stop."""
         return "\n".join(["figures", *self.stats.lines(), "."])
 
