--- a/hitchtiller/ops/control.py
+++ b/hitchtiller/ops/control.py
@@ -8,10 +8,10 @@
 from hitchtiller.sched import READ, Closed, Scheduler, Stream
 
 BACKLOG = 64
-LONGEST = 200  # bytes of a call
-WAIT_MS = 5_000.0  # for a whole call: callers are known to hold a connection for 4 s without one
+MAX_CALL_BYTES = 200  # bytes of a call
+CALL_TIMEOUT_MS = 5_000.0  # for a whole call: callers are known to hold a connection for 4 s without one
 LINGER_MS = 500.0  # for the caller to close first: unread bytes would turn our close into a reset
-MOST_CALLERS = 16
+MAX_CALLERS = 16
 
 
 class CallError(Exception):
@@ -47,7 +47,7 @@
             except OSError:
                 self.sched.sleep(10.0)  # out of descriptors, or the caller left
                 continue
-            if len(self.callers) >= MOST_CALLERS:  # guards against callers that hold all there is
+            if len(self.callers) >= MAX_CALLERS:  # guards against callers that hold all there is
                 oldest = next((each for each, whole in self.callers.items() if not whole), None)
                 (oldest or next(iter(self.callers))).close("full")
             stream = Stream(self.sched, sock)
@@ -76,9 +76,9 @@
     def _line(self, stream: Stream) -> str:
         """Read the one line, within the time and the length that a call may have."""
         data = b""
-        timer = self.sched.later(WAIT_MS, lambda: stream.close("silent"))
+        timer = self.sched.later(CALL_TIMEOUT_MS, lambda: stream.close("silent"))
         try:
-            while b"\n" not in data and len(data) <= LONGEST:
+            while b"\n" not in data and len(data) <= MAX_CALL_BYTES:
                 data += stream.read()
         except Closed as error:
             if str(error) != "eof" or not data:
@@ -86,11 +86,11 @@
             data += b"\n"  # a line that ends with its connection is a line
         finally:
             timer.cancel()
-        return data.partition(b"\n")[0][: LONGEST + 1].decode("ascii", "replace").removesuffix("\r")
+        return data.partition(b"\n")[0][: MAX_CALL_BYTES + 1].decode("ascii", "replace").removesuffix("\r")
 
     def _reply(self, line: str) -> str:
         try:
-            if len(line) > LONGEST:
+            if len(line) > MAX_CALL_BYTES:
                 raise CallError(f"a call has at most {LONGEST} bytes")
             return f"+OK {self.answer(line)}".rstrip()
         except CallError as error:
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -22,7 +22,7 @@
 from hitchtiller.exchange import Attempt, ClientRequest
 from hitchtiller.front.server import Front
 from hitchtiller.news import ListedServer, Topology
-from hitchtiller.ops.control import LONGEST, MOST_CALLERS, CallError
+from hitchtiller.ops.control import MAX_CALL_BYTES, MAX_CALLERS, CallError
 from hitchtiller.ops.holdouts import FILE, HoldOuts
 from hitchtiller.ops.sign import READY, STARTING, ProcessMarker
 from hitchtiller.ops.stats import ENDS
@@ -38,7 +38,7 @@
         self.gateway.expect_line("code=answered call='ready' answer='+OK ready'")
 
     def test_what_is_no_call_gets_a_reason(self) -> None:
-        for line in ("", "Ready", "ready now", "disable-server", "x" * (LONGEST + 50), "\xff\0"):
+        for line in ("", "Ready", "ready now", "disable-server", "x" * (MAX_CALL_BYTES + 50), "\xff\0"):
             (reply,) = self.gateway.call(line)
             self.assertRegex(reply, "^-ERR .")
 
@@ -50,7 +50,7 @@
 
     def test_callers_that_hold_connections_hold_up_nobody(self) -> None:
         """They hold them for 4 s; the longest waiting goes when there is no more room."""
-        holders = [self.gateway.operator().send(b"rea") for _ in range(MOST_CALLERS)]
+        holders = [self.gateway.operator().send(b"rea") for _ in range(MAX_CALLERS)]
         self.assertEqual(self.gateway.call("ready"), ["+OK ready"])
         self.assertIsNone(holders[0].expect())
         holders[-1].send(b"dy\n").expect(lambda got: got == "+OK ready")
