--- a/hitchtiller/ops/control.py
+++ b/hitchtiller/ops/control.py
@@ -48,7 +48,7 @@
                 self.sched.sleep(10.0)  # out of descriptors, or the caller left
                 continue
             if len(self.callers) >= MAX_CALLERS:  # guards against callers that hold all there is
-                oldest = next((each for each, whole in self.callers.items() if not whole), None)
+                oldest = next((each for each, is_complete in self.callers.items() if not is_complete), None)
                 (oldest or next(iter(self.callers))).close("full")
             stream = Stream(self.sched, sock)
             stream.drained = False  # the call may be there already: asking poll would cost a turn of the loop
@@ -58,22 +58,22 @@
     def _serve(self, stream: Stream, peer: str) -> None:
         line = reply = ""
         try:
-            line = self._line(stream)
+            line = self._read_line(stream)
             self.callers[stream] = True
             reply = self._reply(line)
             stream.write(reply.encode() + b"\n")
             stream.finish()
-            self._linger(stream)
+            self._await_close(stream)
             stream.close("answered")
         except Closed as error:
             stream.close(str(error))
         finally:
             stream.close("fault")
             self.callers.pop(stream, None)
-            said = f"call={line[:LONGEST]!r} answer={reply.partition(chr(10))[0]!r}"
-            ended("control", peer, stream.code, said)
+            summary = f"call={line[:LONGEST]!r} answer={reply.partition(chr(10))[0]!r}"
+            ended("control", peer, stream.code, summary)
 
-    def _line(self, stream: Stream) -> str:
+    def _read_line(self, stream: Stream) -> str:
         """Read the one line, within the time and the length that a call may have."""
         data = b""
         timer = self.sched.later(CALL_TIMEOUT_MS, lambda: stream.close("silent"))
@@ -96,7 +96,7 @@
         except CallError as error:
             return f"-ERR {error}"
 
-    def _linger(self, stream: Stream) -> None:
+    def _await_close(self, stream: Stream) -> None:
         timer = self.sched.later(LINGER_MS, lambda: stream.close("answered"))
         with contextlib.suppress(Closed):
             while True:
