--- a/hitchtiller/ops/holdouts.py
+++ b/hitchtiller/ops/holdouts.py
@@ -12,9 +12,9 @@
 from hitchtiller.ops.control import CallError
 from hitchtiller.sched import Scheduler
 
-LOOK_MS = 100.0  # the other process of an upgrade may have taken a call
-FILE, LOCK = "held-out.json", "held-out.lock"
-WORDS = ("SERVING", "DRAINING")  # as the bus tells it, as the decisions hear it
+POLL_MS = 100.0  # the other process of an upgrade may have taken a call
+FILE_NAME, LOCK_NAME = "held-out.json", "held-out.lock"
+STATES = ("SERVING", "DRAINING")  # as the bus tells it, as the decisions hear it
 
 
 class HoldOuts:
@@ -44,8 +44,8 @@
 
     def _shade(self, host: ListedServer) -> ListedServer:
         member = host.member
-        if member.server in self.out and member.state == WORDS[0]:  # whatever the bus says meanwhile
-            return replace(host, member=replace(member, state=WORDS[1]))
+        if member.server in self.out and member.state == STATES[0]:  # whatever the bus says meanwhile
+            return replace(host, member=replace(member, state=STATES[1]))
         return host
 
     def disable(self, server: str) -> str:
@@ -70,14 +70,14 @@
         if self.folder is None:
             return self._adopt(change(self.out))
         try:
-            with (self.folder / LOCK).open("w") as lock:
+            with (self.folder / LOCK_NAME).open("w") as lock:
                 fcntl.flock(lock, fcntl.LOCK_EX)  # guards against two processes that change it at once
                 self.look()
                 out = change(self.out)
                 if out != self.out:
                     fresh = self.folder / f"{FILE}.new"
                     fresh.write_text(json.dumps({"out": sorted(out)}))
-                    fresh.rename(self.folder / FILE)
+                    fresh.rename(self.folder / FILE_NAME)
         except OSError as error:
             raise CallError(f"can't be kept: {error.strerror}") from None
         self._adopt(out)
@@ -86,7 +86,7 @@
         """Read the file if it is another than before; a damaged one changes nothing."""
         if self.folder is None:
             return
-        path = self.folder / FILE
+        path = self.folder / FILE_NAME
         with contextlib.suppress(FileNotFoundError):
             stat = path.stat()
             seen = (stat.st_ino, stat.st_mtime_ns, stat.st_size)
@@ -114,6 +114,6 @@
     def run(self, sched: Scheduler) -> None:
         """Look again and again for what another process was told."""
         while self.folder:
-            sched.sleep(LOOK_MS)
+            sched.sleep(POLL_MS)
             with contextlib.suppress(OSError):  # no descriptor left: it is looked at again
                 self.look()
--- a/hitchtiller/ops/upgrade.py
+++ b/hitchtiller/ops/upgrade.py
@@ -8,7 +8,7 @@
 from hitchtiller.ops.sign import READY, ProcessMarker
 from hitchtiller.sched import Scheduler
 
-LOOK_MS, START_MS = 100.0, 20.0  # how often to look, and while not ready yet
+POLL_MS, STARTUP_POLL_MS = 100.0, 20.0  # how often to look, and while not ready yet
 
 
 class Upgrade:
@@ -58,7 +58,7 @@
         """Look again and again."""
         while True:
             self.look()
-            self.sched.sleep(LOOK_MS if self.ready else START_MS)
+            self.sched.sleep(POLL_MS if self.ready else STARTUP_POLL_MS)
 
     def stop(self) -> None:
         """Leave; guards against accepting on beside a successor that was ready a moment before SIGTERM."""
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -23,7 +23,7 @@
 from hitchtiller.front.server import Front
 from hitchtiller.news import ListedServer, Topology
 from hitchtiller.ops.control import MAX_CALL_BYTES, MAX_CALLERS, CallError
-from hitchtiller.ops.holdouts import FILE, HoldOuts
+from hitchtiller.ops.holdouts import FILE_NAME, HoldOuts
 from hitchtiller.ops.sign import READY, STARTING, ProcessMarker
 from hitchtiller.ops.stats import ENDS
 from hitchtiller.ops.upgrade import Upgrade as UpgradeOf
@@ -213,7 +213,7 @@
     def test_a_damaged_file_changes_nothing_and_what_cannot_be_kept_is_no_yes(self) -> None:
         self.holdouts.disable("c0")
         for text in ("{", "[]", '{"out": [1]}'):
-            (self.folder / FILE).write_text(text)
+            (self.folder / FILE_NAME).write_text(text)
             self.holdouts.look()
             self.assertEqual(self.holdouts.out, {"c0"})
         self.holdouts.folder = self.folder / "gone"
