--- a/hitchtiller/ops/holdouts.py
+++ b/hitchtiller/ops/holdouts.py
@@ -20,13 +20,15 @@
 class HoldOuts:
     """Stands between the bus and the decisions, which hear of a held-out cache as of one that drains."""
 
-    def __init__(self, folder: Path | None, tell: Callable[[Event], None], origin: str | None = None) -> None:
+    def __init__(
+        self, folder: Path | None, forward: Callable[[Event], None], origin_kind: str | None = None
+    ) -> None:
         """Start from what was kept in the folder; without one it is kept in memory alone."""
-        self.folder, self.tell, self.origin = folder, tell, origin
-        self.told: dict[str, ListedServer] = {}  # the list as the bus last told it
+        self.folder, self.forward, self.origin_kind = folder, forward, origin_kind
+        self.listed: dict[str, ListedServer] = {}  # the list as the bus last told it
         self.out: frozenset[str] = frozenset()
-        self.seen: tuple[int, ...] = ()  # which file was read last
-        self.look()
+        self.read_version: tuple[int, ...] = ()  # which file was read last
+        self.reload()
         if self.out:
             logger.info("held out since before: {}", ", ".join(sorted(self.out)))
 
@@ -34,15 +36,15 @@
         """Take an event of the bus."""
         if isinstance(event, Topology):
             if event.whole:
-                self.told.clear()
+                self.listed.clear()
             for host in event.hosts:
-                self.told[host.member.server] = host
+                self.listed[host.member.server] = host
                 if host.member.state == "DELETED":
-                    del self.told[host.member.server]
-            event = replace(event, hosts=tuple(map(self._shade, event.hosts)))
-        self.tell(event)
+                    del self.listed[host.member.server]
+            event = replace(event, hosts=tuple(map(self._with_hold_out, event.hosts)))
+        self.forward(event)
 
-    def _shade(self, host: ListedServer) -> ListedServer:
+    def _with_hold_out(self, host: ListedServer) -> ListedServer:
         member = host.member
         if member.server in self.out and member.state == STATES[0]:  # whatever the bus says meanwhile
             return replace(host, member=replace(member, state=STATES[1]))
@@ -50,50 +52,50 @@
 
     def disable(self, server: str) -> str:
         """Leave a cache out until it is given back."""
-        host = self.told.get(server)
+        host = self.listed.get(server)
         if host is None and server not in self.out:
             raise CallError(f"unknown station cache {server[:40]!r}")
-        if host and host.member.kind == self.origin:
+        if host and host.member.kind == self.origin_kind:
             raise CallError(f"{server} is the origin, which nothing can stand in for")
-        self._change(lambda out: out | {server})
+        self._update(lambda out: out | {server})
         return f"{server} is out"
 
     def enable(self, server: str) -> str:
         """Give a cache back as the bus last told of it."""
-        if server not in self.told and server not in self.out:
+        if server not in self.listed and server not in self.out:
             raise CallError(f"unknown station cache {server[:40]!r}")
-        self._change(lambda out: out - {server})
+        self._update(lambda out: out - {server})
         return f"{server} may serve"
 
-    def _change(self, change: Callable[[frozenset[str]], frozenset[str]]) -> None:
+    def _update(self, change: Callable[[frozenset[str]], frozenset[str]]) -> None:
         """Change the set, and keep it before anybody is told that it has changed."""
         if self.folder is None:
-            return self._adopt(change(self.out))
+            return self._apply(change(self.out))
         try:
             with (self.folder / LOCK_NAME).open("w") as lock:
                 fcntl.flock(lock, fcntl.LOCK_EX)  # guards against two processes that change it at once
-                self.look()
+                self.reload()
                 out = change(self.out)
                 if out != self.out:
-                    fresh = self.folder / f"{FILE}.new"
-                    fresh.write_text(json.dumps({"out": sorted(out)}))
-                    fresh.rename(self.folder / FILE_NAME)
+                    new_file = self.folder / f"{FILE}.new"
+                    new_file.write_text(json.dumps({"out": sorted(out)}))
+                    new_file.rename(self.folder / FILE_NAME)
         except OSError as error:
             raise CallError(f"can't be kept: {error.strerror}") from None
-        self._adopt(out)
+        self._apply(out)
 
-    def look(self) -> None:
+    def reload(self) -> None:
         """Read the file if it is another than before; a damaged one changes nothing."""
         if self.folder is None:
             return
         path = self.folder / FILE_NAME
         with contextlib.suppress(FileNotFoundError):
             stat = path.stat()
-            seen = (stat.st_ino, stat.st_mtime_ns, stat.st_size)
-            if seen == self.seen:
+            read_version = (stat.st_ino, stat.st_mtime_ns, stat.st_size)
+            if read_version == self.read_version:
                 return
             text = path.read_text()
-            self.seen = seen
+            self.read_version = read_version
             try:
                 out = json.loads(text)["out"]
                 if not isinstance(out, list) or not all(isinstance(server, str) for server in out):
@@ -101,19 +103,19 @@
             except (ValueError, TypeError, KeyError) as error:
                 logger.warning("hold-outs not read, those in force stay: {!r}", error)
                 return
-            self._adopt(frozenset(out))
+            self._apply(frozenset(out))
 
-    def _adopt(self, out: Iterable[str]) -> None:
+    def _apply(self, out: Iterable[str]) -> None:
         """Tell the decisions what has changed."""
         before, self.out = self.out, frozenset(out)
         for server in sorted(before ^ self.out):
             logger.info("{} {}", server, "held out" if server in self.out else "given back")
-            if host := self.told.get(server):
-                self.tell(Topology((self._shade(host),), whole=False))
+            if host := self.listed.get(server):
+                self.forward(Topology((self._with_hold_out(host),), whole=False))
 
     def run(self, sched: Scheduler) -> None:
         """Look again and again for what another process was told."""
         while self.folder:
             sched.sleep(POLL_MS)
             with contextlib.suppress(OSError):  # no descriptor left: it is looked at again
-                self.look()
+                self.reload()
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -207,14 +207,14 @@
         other.news(Topology((ListedServer(self.member, ("127.0.0.1", 1)),), whole=True))
         other.disable("c0")  # it has not looked yet
         other.enable("c0")
-        self.holdouts.look()
+        self.holdouts.reload()
         self.assertEqual(self.state(), "SERVING")
 
     def test_a_damaged_file_changes_nothing_and_what_cannot_be_kept_is_no_yes(self) -> None:
         self.holdouts.disable("c0")
         for text in ("{", "[]", '{"out": [1]}'):
             (self.folder / FILE_NAME).write_text(text)
-            self.holdouts.look()
+            self.holdouts.reload()
             self.assertEqual(self.holdouts.out, {"c0"})
         self.holdouts.folder = self.folder / "gone"
         with self.assertRaisesRegex(CallError, "kept"):
