--- a/hitchtiller/ops/sign.py
+++ b/hitchtiller/ops/sign.py
@@ -17,27 +17,27 @@
         """Put the file there, locked before it has its name: nobody may take it for a stale one."""
         self.folder = folder
         self.name = f"{PREFIX}{time.time_ns():020d}-{os.getpid()}"
-        hidden = folder / f".{self.name}"
-        self.file = hidden.open("w+")  # never closed: the lock ends with the process, however that ends
+        hidden_path = folder / f".{self.name}"
+        self.file = hidden_path.open("w+")  # never closed: the lock ends with the process, however that ends
         fcntl.flock(self.file, fcntl.LOCK_EX)
-        self.say(STARTING)
-        hidden.rename(folder / self.name)
+        self.set_state(STARTING)
+        hidden_path.rename(folder / self.name)
 
-    def say(self, state: str) -> None:
+    def set_state(self, state: str) -> None:
         """Tell the others how far this process is."""
         os.pwrite(self.file.fileno(), f"{state:8}".encode(), 0)
 
-    def others(self) -> dict[str, str]:
+    def live_others(self) -> dict[str, str]:
         """Give the live ones by name with their states; stale ones are removed."""
-        found: dict[str, str] = {}
+        states: dict[str, str] = {}
         for name in os.listdir(self.folder):
             if name.startswith(PREFIX) and name != self.name:
-                state = self._look(self.folder / name)
+                state = self._read_state(self.folder / name)
                 if state:
-                    found[name] = state
-        return found
+                    states[name] = state
+        return states
 
-    def _look(self, path: Path) -> str:
+    def _read_state(self, path: Path) -> str:
         """Read one file; nothing if nobody holds its lock. OSError where it can't be told."""
         try:
             file = path.open()
--- a/hitchtiller/ops/upgrade.py
+++ b/hitchtiller/ops/upgrade.py
@@ -33,7 +33,7 @@
         self.others: dict[str, str] = {}
         self.ready = False
         if sign:
-            self.others = sign.others()
+            self.others = sign.live_others()
         if self.older():
             logger.info("takes over from {}", ", ".join(self.older()))
             front.accepting = False  # it would answer no list, and the older one serves
@@ -70,13 +70,13 @@
         before = bool(self.others)
         if self.sign:
             with contextlib.suppress(OSError):  # no descriptor left: what was seen last holds
-                self.others = self.sign.others()
+                self.others = self.sign.live_others()
         if before != bool(self.others):
             self.share(bool(self.others), bool(self.older()))
         if not self.ready and not self.front.unready():
             self.ready = True
             if self.sign:
-                self.sign.say(READY)
+                self.sign.set_state(READY)
             logger.info("ready")
         if self.succeeded():
             self.front.leave.hand_over()
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -266,12 +266,14 @@
             old, new = ProcessMarker(folder), ProcessMarker(folder)
             self.addCleanup(old.remove)
             self.assertLess(old.name, new.name)
-            self.assertEqual((new.others(), old.others()), ({old.name: STARTING}, {new.name: STARTING}))
-            new.say(READY)
-            self.assertEqual(old.others(), {new.name: READY})
+            self.assertEqual(
+                (new.live_others(), old.live_others()), ({old.name: STARTING}, {new.name: STARTING})
+            )
+            new.set_state(READY)
+            self.assertEqual(old.live_others(), {new.name: READY})
             self.assertEqual(len(list(folder.iterdir())), 2)
             new.file.close()  # as a kill does
-            self.assertEqual(old.others(), {})
+            self.assertEqual(old.live_others(), {})
 
     def test_two_versions_bind_the_port_for_peers_and_the_new_one_hears(self) -> None:
         """The second ended with `Address already in use`."""
@@ -367,7 +369,7 @@
             old = ProcessMarker(Path(name))
             upgrade = UpgradeOf(front.sched, old, front, lambda whole: True, lambda two, younger: None)
             new = ProcessMarker(Path(name))
-            new.say(READY)
+            new.set_state(READY)
             with patch.object(front.leave, "stop"):
                 upgrade.stop()
             self.assertFalse(front.accepting)
