--- a/hitchtiller/ops/stats.py
+++ b/hitchtiller/ops/stats.py
@@ -3,8 +3,8 @@
 from collections.abc import Callable, Iterable
 
 PREFIX = "svc"
-ENDS = ("served", "refused", "failed")
-WORTH = ("asked", "in_time", "late", "refused", "failed", "left")
+ANSWER_KINDS = ("served", "refused", "failed")
+WORTH_KINDS = ("asked", "in_time", "late", "refused", "failed", "left")
 
 
 class Stats:
@@ -12,9 +12,9 @@
 
     def __init__(self, classes: Iterable[str]) -> None:
         """Start at 0."""
-        self.ends = {name: dict.fromkeys(ENDS, 0) for name in classes}
+        self.answer_counts = {name: dict.fromkeys(ANSWER_KINDS, 0) for name in classes}
         self.taken = self.left = self.attempts = 0
-        self.worth = dict.fromkeys(WORTH, 0.0)  # of requests, by what became of them
+        self.worth = dict.fromkeys(WORTH_KINDS, 0.0)  # of requests, by what became of them
         self.links = 0  # connections opened to servers: each has cost a handshake
         self.tries: dict[str, int] = {}  # ends of attempts, in the decisions' words
         self.levels: dict[str, Callable[[], int]] = {}  # read when asked: steps may be missed
@@ -22,8 +22,8 @@
 
     def end(self, class_name: str, kind: str) -> None:
         """Count a final answer; a class that the settings don't have has no counter."""
-        if ends := self.ends.get(class_name):
-            ends[kind] += 1
+        if answer_counts := self.answer_counts.get(class_name):
+            answer_counts[kind] += 1
 
     def tried(self, status: str) -> None:
         """Count an attempt's end."""
@@ -37,11 +37,18 @@
 
     def total(self) -> dict[str, int]:
         """Sum the ends over the classes, for the log's regular line."""
-        return {kind: sum(ends[kind] for ends in self.ends.values()) for kind in ENDS}
+        return {
+            kind: sum(answer_counts[kind] for answer_counts in self.answer_counts.values())
+            for kind in ANSWER_KINDS
+        }
 
     def lines(self) -> list[str]:
         """Write all figures, a line each."""
-        counted = {f"{kind}.{name}": n for name, ends in self.ends.items() for kind, n in ends.items()}
+        counted = {
+            f"{kind}.{name}": n
+            for name, answer_counts in self.answer_counts.items()
+            for kind, n in answer_counts.items()
+        }
         counted["attempts"] = self.attempts
         counted |= {name: read() for name, read in self.counts.items()}
         levels = {name: read() for name, read in self.levels.items()}
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -25,7 +25,7 @@
 from hitchtiller.ops.control import MAX_CALL_BYTES, MAX_CALLERS, CallError
 from hitchtiller.ops.holdouts import FILE_NAME, HoldOuts
 from hitchtiller.ops.sign import READY, STARTING, ProcessMarker
-from hitchtiller.ops.stats import ENDS
+from hitchtiller.ops.stats import ANSWER_KINDS
 from hitchtiller.ops.upgrade import Upgrade as UpgradeOf
 from hitchtiller.peers import Peers
 from hitchtiller.sched import Scheduler
@@ -231,7 +231,7 @@
     def test_known_traffic_gives_exact_figures(self) -> None:
         """Those turned away at the door count too; those of clients that left do not."""
         cache, name = self.opened()
-        start = {f"{kind}.{cls}": "0|c" for kind in ENDS for cls in ("files", "charge")}
+        start = {f"{kind}.{cls}": "0|c" for kind in ANSWER_KINDS for cls in ("files", "charge")}
         levels = {"in_flight": "1|g", "station_caches_known": "3|g", "station_caches_excluded": "0|g"}
         self.assertEqual(self.figures(), self.figures() | start | {"attempts": "1|c"} | levels)
         cache.send(answer(name, b"DONE", body=b"x"))
@@ -252,7 +252,7 @@
         late.expect(lambda got: got.kind == frames.ANSWER)
         late.close()
         figures = self.figures()
-        ends = [int(figures[f"{kind}.files"].split("|")[0]) for kind in ENDS]
+        ends = [int(figures[f"{kind}.files"].split("|")[0]) for kind in ANSWER_KINDS]
         self.assertEqual(ends, [1, 2, 2])
         self.assertEqual(figures["attempts"], "3|c")
         self.assertEqual((figures["in_flight"], figures["station_caches_excluded"]), ("0|g", "1|g"))
