--- a/hitchtiller/ops/upgrade.py
+++ b/hitchtiller/ops/upgrade.py
@@ -17,10 +17,10 @@
     def __init__(
         self,
         sched: Scheduler,
-        sign: ProcessMarker | None,
+        marker: ProcessMarker | None,
         front: Front,
-        followed: Callable[[bool], bool],
-        share: Callable[[bool, bool], None],
+        is_bus_followed: Callable[[bool], bool],
+        apply_limits: Callable[[bool, bool], None],
     ) -> None:
         """Take over from an older one, if there is one.
 
@@ -28,29 +28,29 @@
 
         `followed` tells whether the bus is followed, or also (with True) that it has told all there was.
         """
-        self.sched, self.sign, self.front = sched, sign, front
-        self.followed, self.share = followed, share
-        self.others: dict[str, str] = {}
-        self.ready = False
-        if sign:
-            self.others = sign.live_others()
+        self.sched, self.marker, self.front = sched, marker, front
+        self.is_bus_followed, self.apply_limits = is_bus_followed, apply_limits
+        self.other_processes: dict[str, str] = {}
+        self.is_ready = False
+        if marker:
+            self.other_processes = marker.live_others()
         if self.older():
             logger.info("takes over from {}", ", ".join(self.older()))
             front.accepting = False  # it would answer no list, and the older one serves
-            share(True, True)
+            apply_limits(True, True)
 
     def older(self) -> list[str]:
         """Name the live processes that started before this one."""
-        return [name for name in self.others if self.sign and name < self.sign.name]
+        return [name for name in self.other_processes if self.marker and name < self.marker.name]
 
-    def succeeded(self) -> bool:
+    def has_ready_successor(self) -> bool:
         """Tell whether a younger process is ready to serve."""
         older = self.older()
-        return any(state == READY for name, state in self.others.items() if name not in older)
+        return any(state == READY for name, state in self.other_processes.items() if name not in older)
 
     def unready(self) -> str:
         """Tell why this process should not be asked to serve yet; nothing if it may."""
-        if not self.ready and not self.followed(bool(self.older())):
+        if not self.is_ready and not self.is_bus_followed(bool(self.older())):
             return "the event bus is not followed yet"
         return ""
 
@@ -58,7 +58,7 @@
         """Look again and again."""
         while True:
             self.look()
-            self.sched.sleep(POLL_MS if self.ready else STARTUP_POLL_MS)
+            self.sched.sleep(POLL_MS if self.is_ready else STARTUP_POLL_MS)
 
     def stop(self) -> None:
         """Leave; guards against accepting on beside a successor that was ready a moment before SIGTERM."""
@@ -67,19 +67,19 @@
 
     def look(self) -> None:
         """See who lives, and act on a change."""
-        before = bool(self.others)
-        if self.sign:
+        before = bool(self.other_processes)
+        if self.marker:
             with contextlib.suppress(OSError):  # no descriptor left: what was seen last holds
-                self.others = self.sign.live_others()
-        if before != bool(self.others):
-            self.share(bool(self.others), bool(self.older()))
-        if not self.ready and not self.front.unready():
-            self.ready = True
-            if self.sign:
-                self.sign.set_state(READY)
+                self.other_processes = self.marker.live_others()
+        if before != bool(self.other_processes):
+            self.apply_limits(bool(self.other_processes), bool(self.older()))
+        if not self.is_ready and not self.front.unready():
+            self.is_ready = True
+            if self.marker:
+                self.marker.set_state(READY)
             logger.info("ready")
-        if self.succeeded():
+        if self.has_ready_successor():
             self.front.leave.hand_over()
         else:
             self.front.leave.resume_after_hand_over()
-            self.front.accepting = self.ready or not self.older()
+            self.front.accepting = self.is_ready or not self.older()
