--- a/hitchtiller/ops/members.py
+++ b/hitchtiller/ops/members.py
@@ -23,11 +23,18 @@
 from hitchtiller.peers import Peers
 from hitchtiller.sched import Scheduler, now_ms
 
-TICKS = 4  # a period
-HEARD_PERIODS = 5.0  # without a datagram from anybody: nobody is heard
-ANSWERS = ("done", "enoent", "busy", "err")  # ends of attempts that only a server's answer has
-SOUND, TRUST, OUT_MOST = 0.2, 0.6, 12_000.0  # blame of one that answers; of one that others saw sick
-CACHE_MS, BUS_MS = 5_000.0, 3_000.0  # without one, or without a frame of the bus, which comes each second
+TICKS_PER_PERIOD = 4  # a period
+SILENCE_PERIODS = 5.0  # without a datagram from anybody: nobody is heard
+ANSWER_STATUSES = ("done", "enoent", "busy", "err")  # ends of attempts that only a server's answer has
+HEALTHY_SCORE, REPORTED_FAILURE, REFUSAL_WINDOW_MS = (
+    0.2,
+    0.6,
+    12_000.0,
+)  # blame of one that answers; of one that others saw sick
+CACHE_SILENCE_MS, BUS_SILENCE_MS = (
+    5_000.0,
+    3_000.0,
+)  # without one, or without a frame of the bus, which comes each second
 
 
 class Members:
@@ -66,7 +73,7 @@
     def run(self) -> None:
         """Tick until the program ends."""
         while True:
-            self.sched.sleep(self.period_ms / TICKS)
+            self.sched.sleep(self.period_ms / TICKS_PER_PERIOD)
             self.post(self.detector.tick(now_ms()))
             self.look()
             self.witness()
@@ -90,14 +97,16 @@
         now, old = now_ms(), self.partition_monitor.connectivity
         others = len(self.view.claims) - 1
         missing = set(self.view.numbers_in(State.DEAD)) - {self.own_number}
-        heard = any(now - at < HEARD_PERIODS * self.period_ms for at in self.detector.last_heard_ms.values())
+        heard = any(
+            now - at < SILENCE_PERIODS * self.period_ms for at in self.detector.last_heard_ms.values()
+        )
         tries = self.engine.stats.tries
-        answers = sum(tries.get(word, 0) for word in ANSWERS)
+        answers = sum(tries.get(word, 0) for word in ANSWER_STATUSES)
         if answers > self.answers:
             self.answers, self.answered_ms = answers, now
-        caches = now - self.answered_ms < CACHE_MS
-        young = self.detector.period_count < HEARD_PERIODS
-        bus = now - self.bus.last_frame_ms < BUS_MS
+        caches = now - self.answered_ms < CACHE_SILENCE_MS
+        young = self.detector.period_count < SILENCE_PERIODS
+        bus = now - self.bus.last_frame_ms < BUS_SILENCE_MS
         new = self.partition_monitor.assess(now, others, missing, heard or young, caches, bus)
         if new is not old:
             logger.info("standing {} was {} missing={}", new.name, old.name, sorted(missing))
@@ -109,14 +118,14 @@
         for mark, node in marks.items():
             if now < node.out_until:
                 if self.outs.get(mark) != node.out_until:  # once for each time that it is left out
-                    sign = Symptom.REFUSED if node.refused_ms > now - OUT_MOST else Symptom.SILENT
+                    sign = Symptom.REFUSED if node.refused_ms > now - REFUSAL_WINDOW_MS else Symptom.SILENT
                     evidence.record_failure(mark, sign, now)
-            elif node.blame < SOUND and now - node.answered_ms < self.period_ms:
+            elif node.blame < HEALTHY_SCORE and now - node.answered_ms < self.period_ms:
                 evidence.record_answer(mark, node.answered_ms)
         for node in (marks[mark] for mark in evidence.take_verdicts(now) if mark in marks):
             if now >= node.out_until and not self.engine.busy:
                 router.now, router.actions = now, []
-                router.add_failure(node, TRUST)
+                router.add_failure(node, REPORTED_FAILURE)
                 for action in router.actions:
                     self.engine.execute(action)
                 if now < node.out_until:
