--- a/hitchtiller/ops/members.py
+++ b/hitchtiller/ops/members.py
@@ -45,19 +45,19 @@
     ) -> None:
         """Join it to the peer socket and to the homes of directory entries."""
         self.sched, self.engine, self.peers, self.period_ms = sched, engine, peers, period_ms
-        self.bus, self.answers, self.answered_ms = bus, 0, now_ms()
+        self.bus, self.answer_count, self.last_answer_ms = bus, 0, now_ms()
         settings, begun = engine.router.settings, now_ms()
         self.own_number, size = settings.my_number, settings.group_size
-        mark = zlib.crc32(f"{fleet} {size} {' '.join(settings.zones)}".encode())
+        fleet_id = zlib.crc32(f"{fleet} {size} {' '.join(settings.zones)}".encode())
         self.detector = Detector(
-            self.own_number, size, int(begun), mark, period_ms, Random(int(begun)), begun
+            self.own_number, size, int(begun), fleet_id, period_ms, Random(int(begun)), begun
         )
         self.view = self.detector.view
-        self.view.listeners.append(self.changed)
+        self.view.listeners.append(self.on_change)
         self.homes, self.partition_monitor = Homes(size), PartitionMonitor()
         self.changes: Counter[str] = Counter()
-        self.handed = 0  # directory entries told to a new home
-        self.outs: dict[int, float] = {}  # servers that I leave out, by mark, until when
+        self.handed_over = 0  # directory entries told to a new home
+        self.reported_out_until: dict[int, float] = {}  # servers that I leave out, by mark, until when
         self.serving, self.present = set(range(size)), 1.0  # who is in service, and their share of all
         peers.on_other_datagram = self.receive
         engine.router.present = lambda: self.present
@@ -66,7 +66,7 @@
         for name, state in levels.items():
             engine.stats.levels[name] = lambda state=state: len(self.view.numbers_in(state))  # type: ignore[misc]
         engine.stats.levels["members_standing"] = lambda: int(self.partition_monitor.connectivity)
-        engine.stats.counts["members_entries_handed"] = lambda: self.handed
+        engine.stats.counts["members_entries_handed"] = lambda: self.handed_over
         engine.stats.counts["members_words_sent"] = lambda: self.detector.sent_count
         engine.stats.counts["members_words_dropped"] = lambda: self.detector.dropped_count
 
@@ -74,25 +74,25 @@
         """Tick until the program ends."""
         while True:
             self.sched.sleep(self.period_ms / TICKS_PER_PERIOD)
-            self.post(self.detector.tick(now_ms()))
-            self.look()
-            self.witness()
-            self.post(self.detector.make_reports(now_ms()))
+            self.send_all(self.detector.tick(now_ms()))
+            self.update_connectivity()
+            self.exchange_reports()
+            self.send_all(self.detector.make_reports(now_ms()))
 
     def receive(self, sender: int, data: bytes) -> bool:
         """Take a datagram; True if it was a word, and no note on objects."""
         if not is_membership_message(data):
             self.detector.hear(sender, now_ms())
             return False
-        self.post(self.detector.receive(sender, data, now_ms()))
+        self.send_all(self.detector.receive(sender, data, now_ms()))
         return True
 
-    def post(self, out: Datagrams) -> None:
+    def send_all(self, out: Datagrams) -> None:
         """Send datagrams."""
         for peer, data in out:
             self.peers.send(peer, data)
 
-    def look(self) -> None:
+    def update_connectivity(self) -> None:
         """Name my standing; a change is a line of the log."""
         now, old = now_ms(), self.partition_monitor.connectivity
         others = len(self.view.claims) - 1
@@ -102,27 +102,29 @@
         )
         tries = self.engine.stats.tries
         answers = sum(tries.get(word, 0) for word in ANSWER_STATUSES)
-        if answers > self.answers:
-            self.answers, self.answered_ms = answers, now
-        caches = now - self.answered_ms < CACHE_SILENCE_MS
+        if answers > self.answer_count:
+            self.answer_count, self.last_answer_ms = answers, now
+        caches = now - self.last_answer_ms < CACHE_SILENCE_MS
         young = self.detector.period_count < SILENCE_PERIODS
         bus = now - self.bus.last_frame_ms < BUS_SILENCE_MS
         new = self.partition_monitor.assess(now, others, missing, heard or young, caches, bus)
         if new is not old:
             logger.info("standing {} was {} missing={}", new.name, old.name, sorted(missing))
 
-    def witness(self) -> None:
+    def exchange_reports(self) -> None:
         """Say which servers I leave out, hear which answer, and leave out what enough others saw sick."""
         now, router, evidence = now_ms(), self.engine.router, self.detector.evidence
         marks = {zlib.crc32(name.encode()): node for name, node in router.nodes.items()}
-        for mark, node in marks.items():
+        for fleet_id, node in marks.items():
             if now < node.out_until:
-                if self.outs.get(mark) != node.out_until:  # once for each time that it is left out
+                if (
+                    self.reported_out_until.get(fleet_id) != node.out_until
+                ):  # once for each time that it is left out
                     sign = Symptom.REFUSED if node.refused_ms > now - REFUSAL_WINDOW_MS else Symptom.SILENT
-                    evidence.record_failure(mark, sign, now)
+                    evidence.record_failure(fleet_id, sign, now)
             elif node.blame < HEALTHY_SCORE and now - node.answered_ms < self.period_ms:
-                evidence.record_answer(mark, node.answered_ms)
-        for node in (marks[mark] for mark in evidence.take_verdicts(now) if mark in marks):
+                evidence.record_answer(fleet_id, node.answered_ms)
+        for node in (marks[fleet_id] for fleet_id in evidence.take_verdicts(now) if fleet_id in marks):
             if now >= node.out_until and not self.engine.busy:
                 router.now, router.actions = now, []
                 router.add_failure(node, REPORTED_FAILURE)
@@ -130,12 +132,14 @@
                     self.engine.execute(action)
                 if now < node.out_until:
                     logger.info("server {} left out on the word of others", node.m.server)
-        self.outs = {mark: node.out_until for mark, node in marks.items() if now < node.out_until}
+        self.reported_out_until = {
+            fleet_id: node.out_until for fleet_id, node in marks.items() if now < node.out_until
+        }
 
-    def changed(self, change: Change) -> None:
+    def on_change(self, change: Change) -> None:
         """Log a change with who said so, and follow it where it is preference."""
         self.changes[change.new.state.name] += 1
-        self.follow()
+        self.apply_view()
         new, old = change.new, change.old
         logger.info(
             "member {} {} incarnation={} was {} said by {}",
@@ -155,7 +159,7 @@
         """Give my standing."""
         return self.partition_monitor.connectivity
 
-    def hand_over(self, before: set[int], after: set[int], to: int = -1) -> None:
+    def hand_over_entries(self, before: set[int], after: set[int], to: int = -1) -> None:
         """Tell new homes of the directory entries that I held and they hold from now on."""
         router, handed = self.engine.router, 0
         for item, home in self.homes.moved_entries(router.directory.entries, before, after, to):
@@ -165,21 +169,21 @@
                 handed += 1
                 self.peers.send_note(home, PeerNote("kept", *item, name, max(0, entry.group)))
         if handed:
-            self.handed += handed
+            self.handed_over += handed
             logger.info("handed {} directory entries over", handed)
 
-    def follow(self) -> None:
+    def apply_view(self) -> None:
         """Follow the view with what is preference: homes, and the crowd that others make."""
         before, self.serving = self.serving, set(self.view.in_service())
         for number in self.serving - before:
-            self.hand_over(before, self.serving, number)
+            self.hand_over_entries(before, self.serving, number)
         self.present = 1.0 / preferred_share(self.serving, self.own_number) / len(self.view.claims)
 
     def leave(self) -> None:
         """Hand my directory entries over, and tell a few that I leave by plan."""
         if not self.view.superseded:
-            self.hand_over(self.serving, self.serving - {self.own_number})
-            self.post(self.detector.leave(now_ms()))
+            self.hand_over_entries(self.serving, self.serving - {self.own_number})
+            self.send_all(self.detector.leave(now_ms()))
 
     # Calls
 
@@ -199,5 +203,5 @@
         if not word.isdecimal() or not self.detector.forget(int(word)):
             most = len(self.view.claims) - 1
             raise CallError(f"{word[:20]!r} is no other member's number; there are 0 to {most}")
-        self.follow()
+        self.apply_view()
         return "forgotten"
