--- a/hitchtiller/ops/control.py
+++ b/hitchtiller/ops/control.py
@@ -70,7 +70,7 @@
         finally:
             stream.close("fault")
             self.callers.pop(stream, None)
-            summary = f"call={line[:LONGEST]!r} answer={reply.partition(chr(10))[0]!r}"
+            summary = f"call={line[:MAX_CALL_BYTES]!r} answer={reply.partition(chr(10))[0]!r}"
             ended("control", peer, stream.code, summary)
 
     def _read_line(self, stream: Stream) -> str:
@@ -91,7 +91,7 @@
     def _reply(self, line: str) -> str:
         try:
             if len(line) > MAX_CALL_BYTES:
-                raise CallError(f"a call has at most {LONGEST} bytes")
+                raise CallError(f"a call has at most {MAX_CALL_BYTES} bytes")
             return f"+OK {self.answer(line)}".rstrip()
         except CallError as error:
             return f"-ERR {error}"
--- a/hitchtiller/ops/holdouts.py
+++ b/hitchtiller/ops/holdouts.py
@@ -77,7 +77,7 @@
                 self.reload()
                 out = change(self.out)
                 if out != self.out:
-                    new_file = self.folder / f"{FILE}.new"
+                    new_file = self.folder / f"{FILE_NAME}.new"
                     new_file.write_text(json.dumps({"out": sorted(out)}))
                     new_file.rename(self.folder / FILE_NAME)
         except OSError as error:
