--- a/hitchtiller/ops/calls.py
+++ b/hitchtiller/ops/calls.py
@@ -1,4 +1,4 @@
-"""The calls that operators have, by name."""
+"""Operators' calls, by name."""
 
 from collections.abc import Callable
 
@@ -9,10 +9,10 @@
 
 
 class Calls:
-    """Reads a line as a call with its words and carries it out; each call may be made any number of times."""
+    """Parses a line as a call and executes it; every call is idempotent."""
 
     def __init__(self, front: Front, holdouts: HoldOuts, stats: Stats) -> None:
-        """Join the parts that calls go to."""
+        """Register the calls without an argument (`plain`) and those with one (`named`)."""
         self.front, self.stats = front, stats
         self.plain: dict[str, Callable[[], str]] = {
             "ready": self.ready,
@@ -26,35 +26,35 @@
         }
 
     def __call__(self, line: str) -> str:
-        """Carry a call out; CallError for what is none."""
-        name, *words = line.split() or [""]
+        """Execute a call and return its answer; CallError for an unknown call or a wrong argument."""
+        name, *arguments = line.split() or [""]
         if name in self.plain:
-            if words:
+            if arguments:
                 raise CallError(f"{name} takes no word")
             return self.plain[name]()
         if name in self.named:
-            if len(words) != 1:
+            if len(arguments) != 1:
                 raise CallError(f"{name} takes one word: whom it is about")
-            return self.named[name](words[0])
+            return self.named[name](arguments[0])
         raise CallError(f"unknown call; there are {' '.join([*self.plain, *self.named])}")
 
     def ready(self) -> str:
-        """Tell whether this process is ready to serve."""
+        """Return "ready" if this process is ready to serve; CallError with the reason if not."""
         if reason := self.front.unready():
             raise CallError(reason)
         return "ready"
 
     def show_stats(self) -> str:
-        """Give all figures, then a line with a full stop."""
+        """Return all statistics, followed by a line with a full stop."""
         return "\n".join(["figures", *self.stats.lines(), "."])
 
     def drain(self) -> str:
-        """Empty the gateway; one that is stopping empties itself."""
+        """Drain the gateway and return its state; a gateway that is stopping drains anyway."""
         self.front.leave.drain()
         return self.front.state
 
     def resume(self) -> str:
-        """Take clients again."""
+        """Accept clients again; CallError with the gateway's state if it can't."""
         if not self.front.leave.resume():
             raise CallError(self.front.state)
         return self.front.state
