--- a/hitchtiller/ops/control.py
+++ b/hitchtiller/ops/control.py
@@ -1,4 +1,4 @@
-"""Where operators call: one line a connection, one answer, then the close; ahead of client work."""
+"""Listener for operators' calls: one line per connection, one answer, then the close; ahead of client work."""
 
 import contextlib
 import socket
@@ -8,27 +8,27 @@
 from hitchtiller.sched import READ, Closed, Scheduler, Stream
 
 BACKLOG = 64
-MAX_CALL_BYTES = 200  # bytes of a call
-CALL_TIMEOUT_MS = 5_000.0  # for a whole call: callers are known to hold a connection for 4 s without one
-LINGER_MS = 500.0  # for the caller to close first: unread bytes would turn our close into a reset
+MAX_CALL_BYTES = 200
+CALL_TIMEOUT_MS = 5_000.0  # for a whole call; callers are known to hold a connection for 4 s without sending
+LINGER_MS = 500.0  # for the caller to close first: unread bytes would turn this side's close into a reset
 MAX_CALLERS = 16
 
 
 class CallError(Exception):
-    """A call that can't be carried out; the text is the reason."""
+    """A call that can't be executed; the text is the reason."""
 
 
 class Control:
-    """The listener for calls; whoever holds a connection holds up nobody else."""
+    """The listener for calls; a caller that holds its connection open does not delay the others."""
 
     def __init__(self, sched: Scheduler, answer: Callable[[str], str]) -> None:
-        """Answer a line by `answer`, which raises CallError with a reason."""
+        """Answer each line with `answer`, which raises CallError with a reason for a call that fails."""
         self.sched, self.answer = sched, answer
-        self.callers: dict[Stream, bool] = {}  # whether the call is whole, the oldest first
+        self.callers: dict[Stream, bool] = {}  # whether the call is complete; the oldest caller first
         self.listener = socket.socket()
 
     def listen(self, address: tuple[str, int]) -> tuple[str, int]:
-        """Start to accept calls; gives the address, with the port that the system chose for 0."""
+        """Start to accept calls and return the bound address, with the port chosen by the system for 0."""
         self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.listener.setblocking(False)
         self.listener.bind(address)
@@ -47,11 +47,13 @@
             except OSError:
                 self.sched.sleep(10.0)  # out of descriptors, or the caller left
                 continue
-            if len(self.callers) >= MAX_CALLERS:  # guards against callers that hold all there is
-                oldest = next((each for each, is_complete in self.callers.items() if not is_complete), None)
+            if len(self.callers) >= MAX_CALLERS:  # prevents silent callers from blocking all connections
+                oldest = next(
+                    (caller for caller, is_complete in self.callers.items() if not is_complete), None
+                )
                 (oldest or next(iter(self.callers))).close("full")
             stream = Stream(self.sched, sock)
-            stream.drained = False  # the call may be there already: asking poll would cost a turn of the loop
+            stream.drained = False  # the call may have arrived already: poll would cost a turn of the loop
             self.callers[stream] = False
             self.sched.spawn(self._serve, stream, f"{address[0]}:{address[1]}", urgent=True)
 
@@ -74,7 +76,7 @@
             ended("control", peer, stream.code, summary)
 
     def _read_line(self, stream: Stream) -> str:
-        """Read the one line, within the time and the length that a call may have."""
+        """Read the line of a call, within CALL_TIMEOUT_MS and MAX_CALL_BYTES."""
         data = b""
         timer = self.sched.later(CALL_TIMEOUT_MS, lambda: stream.close("silent"))
         try:
@@ -83,7 +85,7 @@
         except Closed as error:
             if str(error) != "eof" or not data:
                 raise
-            data += b"\n"  # a line that ends with its connection is a line
+            data += b"\n"  # the end of the connection also ends the line
         finally:
             timer.cancel()
         return data.partition(b"\n")[0][: MAX_CALL_BYTES + 1].decode("ascii", "replace").removesuffix("\r")
@@ -101,5 +103,5 @@
         with contextlib.suppress(Closed):
             while True:
                 stream.read()
-                self.sched.sleep(2.0)  # a caller that sends without end gets no more than this
+                self.sched.sleep(2.0)  # limits the work for a caller that sends without end
         timer.cancel()
