--- a/hitchtiller/ops/control.py
+++ b/hitchtiller/ops/control.py
@@ -1,4 +1,4 @@
-"""Listener for operators' calls: one line per connection, one answer, then the close; ahead of client work."""
+"""Listener for operators' calls: one line per connection, one answer, then the close; before client work."""
 
 import contextlib
 import socket
--- a/hitchtiller/ops/holdouts.py
+++ b/hitchtiller/ops/holdouts.py
@@ -1,4 +1,4 @@
-"""Station caches that operators left out: a set over the bus's list, shared by all processes of a gateway."""
+"""Station caches held out by operators: a set applied to the bus's list, shared by a gateway's processes."""
 
 import contextlib
 import fcntl
@@ -12,28 +12,31 @@
 from hitchtiller.ops.control import CallError
 from hitchtiller.sched import Scheduler
 
-POLL_MS = 100.0  # the other process of an upgrade may have taken a call
+POLL_MS = 100.0  # during an upgrade the other process may have received a call
 FILE_NAME, LOCK_NAME = "held-out.json", "held-out.lock"
-STATES = ("SERVING", "DRAINING")  # as the bus tells it, as the decisions hear it
+STATES = ("SERVING", "DRAINING")  # a held-out cache's state on the bus, and as passed to the decisions
 
 
 class HoldOuts:
-    """Stands between the bus and the decisions, which hear of a held-out cache as of one that drains."""
+    """Filter between the bus and the decisions, which see a held-out cache as a draining one."""
 
     def __init__(
         self, folder: Path | None, forward: Callable[[Event], None], origin_kind: str | None = None
     ) -> None:
-        """Start from what was kept in the folder; without one it is kept in memory alone."""
+        """Start with the set stored in the folder; without a folder the set is kept in memory only.
+
+        Events of the bus are passed on to `forward`. A cache of the kind `origin_kind` can't be held out.
+        """
         self.folder, self.forward, self.origin_kind = folder, forward, origin_kind
-        self.listed: dict[str, ListedServer] = {}  # the list as the bus last told it
+        self.listed: dict[str, ListedServer] = {}  # the list as last received from the bus
         self.out: frozenset[str] = frozenset()
-        self.read_version: tuple[int, ...] = ()  # which file was read last
+        self.read_version: tuple[int, ...] = ()  # inode, time and size of the file that was read last
         self.reload()
         if self.out:
-            logger.info("held out since before: {}", ", ".join(sorted(self.out)))
+            logger.info("held out before the start: {}", ", ".join(sorted(self.out)))
 
     def news(self, event: Event) -> None:
-        """Take an event of the bus."""
+        """Handle an event of the bus and pass it on."""
         if isinstance(event, Topology):
             if event.whole:
                 self.listed.clear()
@@ -46,12 +49,12 @@
 
     def _with_hold_out(self, host: ListedServer) -> ListedServer:
         member = host.member
-        if member.server in self.out and member.state == STATES[0]:  # whatever the bus says meanwhile
+        if member.server in self.out and member.state == STATES[0]:  # regardless of later bus events
             return replace(host, member=replace(member, state=STATES[1]))
         return host
 
     def disable(self, server: str) -> str:
-        """Leave a cache out until it is given back."""
+        """Hold a cache out of service until `enable`."""
         host = self.listed.get(server)
         if host is None and server not in self.out:
             raise CallError(f"unknown station cache {server[:40]!r}")
@@ -61,19 +64,19 @@
         return f"{server} is out"
 
     def enable(self, server: str) -> str:
-        """Give a cache back as the bus last told of it."""
+        """End the hold-out of a cache, which returns with its latest state on the bus."""
         if server not in self.listed and server not in self.out:
             raise CallError(f"unknown station cache {server[:40]!r}")
         self._update(lambda out: out - {server})
         return f"{server} may serve"
 
     def _update(self, change: Callable[[frozenset[str]], frozenset[str]]) -> None:
-        """Change the set, and keep it before anybody is told that it has changed."""
+        """Change the set, and store it before the change takes effect."""
         if self.folder is None:
             return self._apply(change(self.out))
         try:
             with (self.folder / LOCK_NAME).open("w") as lock:
-                fcntl.flock(lock, fcntl.LOCK_EX)  # guards against two processes that change it at once
+                fcntl.flock(lock, fcntl.LOCK_EX)  # prevents lost updates by two processes
                 self.reload()
                 out = change(self.out)
                 if out != self.out:
@@ -85,7 +88,7 @@
         self._apply(out)
 
     def reload(self) -> None:
-        """Read the file if it is another than before; a damaged one changes nothing."""
+        """Read the file if it has changed; a damaged file changes nothing."""
         if self.folder is None:
             return
         path = self.folder / FILE_NAME
@@ -99,14 +102,14 @@
             try:
                 out = json.loads(text)["out"]
                 if not isinstance(out, list) or not all(isinstance(server, str) for server in out):
-                    raise ValueError("no list of ids")
+                    raise ValueError("not a list of ids")
             except (ValueError, TypeError, KeyError) as error:
-                logger.warning("hold-outs not read, those in force stay: {!r}", error)
+                logger.warning("hold-outs not read, the current ones stay: {!r}", error)
                 return
             self._apply(frozenset(out))
 
     def _apply(self, out: Iterable[str]) -> None:
-        """Tell the decisions what has changed."""
+        """Replace the set, and pass the changed states on to the decisions."""
         before, self.out = self.out, frozenset(out)
         for server in sorted(before ^ self.out):
             logger.info("{} {}", server, "held out" if server in self.out else "given back")
@@ -114,8 +117,8 @@
                 self.forward(Topology((self._with_hold_out(host),), whole=False))
 
     def run(self, sched: Scheduler) -> None:
-        """Look again and again for what another process was told."""
+        """Poll the file for changes made by another process."""
         while self.folder:
             sched.sleep(POLL_MS)
-            with contextlib.suppress(OSError):  # no descriptor left: it is looked at again
+            with contextlib.suppress(OSError):  # out of descriptors: the next poll tries again
                 self.reload()
