--- a/hitchtiller/ops/stats.py
+++ b/hitchtiller/ops/stats.py
@@ -1,4 +1,4 @@
-"""The figures that operators read: counters in one place, and levels that are read when asked for."""
+"""The statistics that operators read: counters, and gauges that are read on demand."""
 
 from collections.abc import Callable, Iterable
 
@@ -8,42 +8,42 @@
 
 
 class Stats:
-    """Counts from 0 in each process; every class is there from the start."""
+    """Statistics of one process; they start at 0, and every class is present from the start."""
 
     def __init__(self, classes: Iterable[str]) -> None:
-        """Start at 0."""
+        """Start all counters of these classes at 0."""
         self.answer_counts = {name: dict.fromkeys(ANSWER_KINDS, 0) for name in classes}
         self.taken = self.left = self.attempts = 0
-        self.worth = dict.fromkeys(WORTH_KINDS, 0.0)  # of requests, by what became of them
-        self.links = 0  # connections opened to servers: each has cost a handshake
-        self.tries: dict[str, int] = {}  # ends of attempts, in the decisions' words
-        self.levels: dict[str, Callable[[], int]] = {}  # read when asked: steps may be missed
-        self.counts: dict[str, Callable[[], int]] = {}  # counters that other parts hold
+        self.worth = dict.fromkeys(WORTH_KINDS, 0.0)  # summed worth of requests by their result
+        self.links = 0  # connections opened to servers; each costs a handshake
+        self.tries: dict[str, int] = {}  # results of attempts, by the decisions' status
+        self.levels: dict[str, Callable[[], int]] = {}  # gauges, read on demand: short peaks may be missed
+        self.counts: dict[str, Callable[[], int]] = {}  # counters kept by other modules
 
     def end(self, class_name: str, kind: str) -> None:
-        """Count a final answer; a class that the settings don't have has no counter."""
+        """Count a final answer; classes that are not configured have no counter."""
         if answer_counts := self.answer_counts.get(class_name):
             answer_counts[kind] += 1
 
     def tried(self, status: str) -> None:
-        """Count an attempt's end."""
+        """Count the result of an attempt."""
         self.tries[status] = self.tries.get(status, 0) + 1
 
     def figures(self) -> str:
-        """Write the line that `hitchtiller worth` sums over a fleet: all since the start of the process."""
+        """Return the log line that `hitchtiller worth` sums over a fleet: totals since the process start."""
         worth = [f"worth.{name}={round(value, 3)}" for name, value in self.worth.items()]
         tries = [f"end.{name}={count}" for name, count in sorted(self.tries.items())]
         return " ".join(["figures", *worth, *tries, f"links={self.links}"])
 
     def total(self) -> dict[str, int]:
-        """Sum the ends over the classes, for the log's regular line."""
+        """Return the number of final answers of each kind over all classes, for the log's regular line."""
         return {
             kind: sum(answer_counts[kind] for answer_counts in self.answer_counts.values())
             for kind in ANSWER_KINDS
         }
 
     def lines(self) -> list[str]:
-        """Write all figures, a line each."""
+        """Return all statistics, one line each."""
         counted = {
             f"{kind}.{name}": n
             for name, answer_counts in self.answer_counts.items()
