--- a/hitchtiller/ops/upgrade.py
+++ b/hitchtiller/ops/upgrade.py
@@ -1,4 +1,4 @@
-"""A new version takes over while the old one serves: who accepts, who is ready, and what each may hold."""
+"""Hand-over to a new version while the old one serves: who accepts, who is ready, and each one's limits."""
 
 import contextlib
 from collections.abc import Callable
@@ -8,11 +8,11 @@
 from hitchtiller.ops.sign import READY, ProcessMarker
 from hitchtiller.sched import Scheduler
 
-POLL_MS, STARTUP_POLL_MS = 100.0, 20.0  # how often to look, and while not ready yet
+POLL_MS, STARTUP_POLL_MS = 100.0, 20.0  # STARTUP_POLL_MS applies until the process is ready
 
 
 class Upgrade:
-    """Looks for an older and a younger process of this gateway, and acts on what it sees."""
+    """Watches for older and younger processes of this gateway, and coordinates the hand-over with them."""
 
     def __init__(
         self,
@@ -22,11 +22,13 @@
         is_bus_followed: Callable[[bool], bool],
         apply_limits: Callable[[bool, bool], None],
     ) -> None:
-        """Take over from an older one, if there is one.
+        """Prepare to take over from an older process, if there is one.
 
-        `share` sets the bounds: for one process or for two, and then for the younger or the older of them.
+        `apply_limits(two, younger)` sets the resource limits for one process or for two, and in the latter case
+        for the younger or the older one.
 
-        `followed` tells whether the bus is followed, or also (with True) that it has told all there was.
+        `is_bus_followed(True)` returns whether the event bus is followed and has delivered its whole backlog;
+        `is_bus_followed(False)` returns only whether the bus is followed.
         """
         self.sched, self.marker, self.front = sched, marker, front
         self.is_bus_followed, self.apply_limits = is_bus_followed, apply_limits
@@ -36,40 +38,43 @@
             self.other_processes = marker.live_others()
         if self.older():
             logger.info("takes over from {}", ", ".join(self.older()))
-            front.accepting = False  # it would answer no list, and the older one serves
+            front.accepting = False  # it has no list of servers yet, and the older process serves
             apply_limits(True, True)
 
     def older(self) -> list[str]:
-        """Name the live processes that started before this one."""
+        """Return the marker names of the live processes that started before this one."""
         return [name for name in self.other_processes if self.marker and name < self.marker.name]
 
     def has_ready_successor(self) -> bool:
-        """Tell whether a younger process is ready to serve."""
+        """Return whether a younger process is ready to serve."""
         older = self.older()
         return any(state == READY for name, state in self.other_processes.items() if name not in older)
 
     def unready(self) -> str:
-        """Tell why this process should not be asked to serve yet; nothing if it may."""
+        """Return why this process is not ready to serve yet; "" if it is."""
         if not self.is_ready and not self.is_bus_followed(bool(self.older())):
             return "the event bus is not followed yet"
         return ""
 
     def run(self) -> None:
-        """Look again and again."""
+        """Poll until the program ends."""
         while True:
             self.look()
             self.sched.sleep(POLL_MS if self.is_ready else STARTUP_POLL_MS)
 
     def stop(self) -> None:
-        """Leave; guards against accepting on beside a successor that was ready a moment before SIGTERM."""
+        """Stop accepting and leave.
+
+        Polls first: a successor may have become ready just before SIGTERM, and both would accept otherwise.
+        """
         self.look()
         self.front.leave.stop()
 
     def look(self) -> None:
-        """See who lives, and act on a change."""
+        """Check which processes are live, and act on a change."""
         before = bool(self.other_processes)
         if self.marker:
-            with contextlib.suppress(OSError):  # no descriptor left: what was seen last holds
+            with contextlib.suppress(OSError):  # out of descriptors: keep the last result
                 self.other_processes = self.marker.live_others()
         if before != bool(self.other_processes):
             self.apply_limits(bool(self.other_processes), bool(self.older()))
