--- a/hitchtiller/ops/sign.py
+++ b/hitchtiller/ops/sign.py
@@ -1,4 +1,4 @@
-"""Marker of a live process in the folder shared by two versions: a file that it keeps locked until it ends."""
+"""Marker of a live process in the folder shared by two versions: a file kept locked until the process ends."""
 
 import contextlib
 import fcntl
@@ -27,7 +27,7 @@
         """Publish the state of this process to the others."""
         os.pwrite(self.file.fileno(), f"{state:8}".encode(), 0)
 
-    def live_others(self) -> dict[str, str]:
+    def find_others(self) -> dict[str, str]:
         """Return the other live processes' states by marker name, and remove stale files."""
         states: dict[str, str] = {}
         for name in os.listdir(self.folder):
@@ -38,7 +38,7 @@
         return states
 
     def _read_state(self, path: Path) -> str:
-        """Return the state in a file; "" if no process holds its lock. OSError if that can't be determined."""
+        """Return the state in a file, or "" if no process holds its lock. OSError if that is unknown."""
         try:
             file = path.open()
         except FileNotFoundError:  # the file may be removed at any time
--- a/hitchtiller/ops/upgrade.py
+++ b/hitchtiller/ops/upgrade.py
@@ -24,20 +24,20 @@
     ) -> None:
         """Prepare to take over from an older process, if there is one.
 
-        `apply_limits(two, younger)` sets the resource limits for one process or for two, and in the latter case
-        for the younger or the older one.
+        `apply_limits(two, younger)` sets the resource limits for one process or for two, and for two those
+        of the younger or the older one.
 
         `is_bus_followed(True)` returns whether the event bus is followed and has delivered its whole backlog;
-        `is_bus_followed(False)` returns only whether the bus is followed.
+        `is_bus_followed(False)` returns whether it is followed at all.
         """
         self.sched, self.marker, self.front = sched, marker, front
         self.is_bus_followed, self.apply_limits = is_bus_followed, apply_limits
         self.other_processes: dict[str, str] = {}
         self.is_ready = False
         if marker:
-            self.other_processes = marker.live_others()
+            self.other_processes = marker.find_others()
         if self.older():
-            logger.info("takes over from {}", ", ".join(self.older()))
+            logger.info("taking over from {}", ", ".join(self.older()))
             front.accepting = False  # it has no list of servers yet, and the older process serves
             apply_limits(True, True)
 
@@ -75,7 +75,7 @@
         before = bool(self.other_processes)
         if self.marker:
             with contextlib.suppress(OSError):  # out of descriptors: keep the last result
-                self.other_processes = self.marker.live_others()
+                self.other_processes = self.marker.find_others()
         if before != bool(self.other_processes):
             self.apply_limits(bool(self.other_processes), bool(self.older()))
         if not self.is_ready and not self.front.unready():
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -267,13 +267,13 @@
             self.addCleanup(old.remove)
             self.assertLess(old.name, new.name)
             self.assertEqual(
-                (new.live_others(), old.live_others()), ({old.name: STARTING}, {new.name: STARTING})
+                (new.find_others(), old.find_others()), ({old.name: STARTING}, {new.name: STARTING})
             )
             new.set_state(READY)
-            self.assertEqual(old.live_others(), {new.name: READY})
+            self.assertEqual(old.find_others(), {new.name: READY})
             self.assertEqual(len(list(folder.iterdir())), 2)
             new.file.close()  # as a kill does
-            self.assertEqual(old.live_others(), {})
+            self.assertEqual(old.find_others(), {})
 
     def test_two_versions_bind_the_port_for_peers_and_the_new_one_hears(self) -> None:
         """The second ended with `Address already in use`."""
