--- a/hitchtiller/ops/sign.py
+++ b/hitchtiller/ops/sign.py
@@ -1,4 +1,4 @@
-"""Marker of a live process in the folder shared by two versions: a file kept locked until the process ends."""
+"""Marker of a live process in the folder shared by two versions: a file kept locked until its process ends."""
 
 import contextlib
 import fcntl
@@ -45,9 +45,7 @@
             return ""
         with file:
             try:
-                fcntl.flock(
-                    file, fcntl.LOCK_SH | fcntl.LOCK_NB
-                )  # shared, so that two readers don't block each other
+                fcntl.flock(file, fcntl.LOCK_SH | fcntl.LOCK_NB)  # shared: readers don't block each other
             except BlockingIOError:
                 return file.read().strip() or STARTING
             with contextlib.suppress(OSError):
