--- a/hitchtiller/ops/sign.py
+++ b/hitchtiller/ops/sign.py
@@ -1,4 +1,4 @@
-"""Marker of a live process in the folder shared by two versions: a file kept locked until its process ends."""
+"""Marker of a live process in a folder shared by two versions: a file kept locked until it ends."""
 
 import contextlib
 import fcntl
