--- a/tests/membership/test_membership_evidence.py
+++ b/tests/membership/test_membership_evidence.py
@@ -1,4 +1,4 @@
-"""Word on servers: who counts as a witness, what an own answer outweighs, and how far word travels."""
+"""Reports about failing servers: which witnesses count, when an own answer voids them, and their bounds."""
 
 from random import Random
 
@@ -23,77 +23,79 @@
     unpack,
 )
 
-SICK = 77
+FAILING_SERVER = 77
 
 
-def said(by: int, age_ms: float = 0.0, count: int = 1) -> Report:
-    return Report(SICK, Symptom.SILENT, by, age_ms, count)
+def report(by: int, age_ms: float = 0.0, count: int = 1) -> Report:
+    return Report(FAILING_SERVER, Symptom.SILENT, by, age_ms, count)
 
 
-def test_one_witness_repeated_by_forty_is_one() -> None:
+def test_one_witness_repeated_by_forty_gateways_counts_once() -> None:
     mine = Evidence(0)
     for n in range(40):
-        mine.add_reports([said(1, age_ms=10.0 * n)], 1_000.0 + n)
-    assert mine.witnesses(SICK, 1_100.0) == {1} and mine.take_verdicts(1_100.0) == []
-    mine.add_reports([said(2)], 1_100.0)
-    assert mine.take_verdicts(1_100.0) == [SICK]
+        mine.add_reports([report(1, age_ms=10.0 * n)], 1_000.0 + n)
+    assert mine.witnesses(FAILING_SERVER, 1_100.0) == {1} and mine.take_verdicts(1_100.0) == []
+    mine.add_reports([report(2)], 1_100.0)
+    assert mine.take_verdicts(1_100.0) == [FAILING_SERVER]
     assert mine.take_verdicts(1_100.0) == [], "a verdict is given once"
 
 
-def test_my_own_answer_outweighs_what_was_said_before_it() -> None:
+def test_an_own_answer_outweighs_earlier_reports() -> None:
     mine = Evidence(0)
-    mine.add_reports([said(1), said(2)], 1_000.0)
-    mine.record_answer(SICK, 1_001.0)
+    mine.add_reports([report(1), report(2)], 1_000.0)
+    mine.record_answer(FAILING_SERVER, 1_001.0)
     assert mine.take_verdicts(1_002.0) == []
-    mine.add_reports([said(1, count=2), said(2, count=2)], 1_500.0)
-    assert mine.take_verdicts(1_500.0) == [SICK], "what was seen after it counts"
+    mine.add_reports([report(1, count=2), report(2, count=2)], 1_500.0)
+    assert mine.take_verdicts(1_500.0) == [FAILING_SERVER], "failures seen after the answer count"
 
 
-def test_what_i_saw_myself_is_told_and_is_no_witness_for_me() -> None:
+def test_own_failures_are_reported_but_are_no_witness_for_oneself() -> None:
     mine = Evidence(0)
-    mine.record_failure(SICK, Symptom.REFUSED, 1_000.0)
-    mine.add_reports([said(1)], 1_000.0)
-    assert mine.witnesses(SICK, 1_000.0) == {1}
-    told = next(r for r in mine.next_reports(1_200.0, 9) if r.witness == 0)
-    assert told.symptom is Symptom.REFUSED and told.age_ms == 200.0
+    mine.record_failure(FAILING_SERVER, Symptom.REFUSED, 1_000.0)
+    mine.add_reports([report(1)], 1_000.0)
+    assert mine.witnesses(FAILING_SERVER, 1_000.0) == {1}
+    own_report = next(r for r in mine.next_reports(1_200.0, 9) if r.witness == 0)
+    assert own_report.symptom is Symptom.REFUSED and own_report.age_ms == 200.0
     echo = Evidence(1)
-    echo.add_reports([told], 9_000.0)  # another clock
-    assert echo.witnesses(SICK, 9_000.0) == {0}
-    mine.add_reports([told], 1_300.0)  # my own word comes back
-    assert mine.witnesses(SICK, 1_300.0) == {1}
+    echo.add_reports([own_report], 9_000.0)  # by another gateway's clock
+    assert echo.witnesses(FAILING_SERVER, 9_000.0) == {0}
+    mine.add_reports([own_report], 1_300.0)  # its own report comes back
+    assert mine.witnesses(FAILING_SERVER, 1_300.0) == {1}
 
 
-def test_old_word_changes_nothing_and_is_forgotten() -> None:
+def test_expired_reports_change_nothing_and_are_dropped() -> None:
     mine = Evidence(0)
-    mine.add_reports([said(1, age_ms=REPORT_LIFETIME_MS)], 1_000.0)
+    mine.add_reports([report(1, age_ms=REPORT_LIFETIME_MS)], 1_000.0)
     assert mine.reports == {}
-    mine.add_reports([said(1), said(2)], 1_000.0)
+    mine.add_reports([report(1), report(2)], 1_000.0)
     assert mine.take_verdicts(1_000.0 + REPORT_LIFETIME_MS) == [] and mine.reports == {}
 
 
-def test_tables_and_tellings_are_bounded() -> None:
+def test_stored_reports_and_their_sends_are_bounded() -> None:
     mine = Evidence(0)
     for by in range(1, 200):
-        mine.add_reports([said(by)], 1_000.0)
-    assert len(mine.reports[SICK]) == MAX_WITNESSES
-    told = 0
-    while some := mine.next_reports(1_000.0, MAX_REPORTS):
-        told += len(some)
-    assert told == MAX_WITNESSES * MAX_SENDS
+        mine.add_reports([report(by)], 1_000.0)
+    assert len(mine.reports[FAILING_SERVER]) == MAX_WITNESSES
+    own_report = 0
+    while batch := mine.next_reports(1_000.0, MAX_REPORTS):
+        own_report += len(batch)
+    assert own_report == MAX_WITNESSES * MAX_SENDS
 
 
 @given(st.lists(st.tuples(st.integers(1, 5), st.integers(1, 4)), max_size=12), st.randoms())
-def test_witnesses_are_the_same_in_any_order_and_however_often_told(
-    words: list[tuple[int, int]], rng: Random
+def test_witnesses_depend_on_neither_order_nor_repetition_of_reports(
+    sightings: list[tuple[int, int]], rng: Random
 ) -> None:
     one, other = Evidence(0), Evidence(0)
-    few = [said(by, count=count) for by, count in words if by <= MAX_WITNESSES]
+    few = [report(by, count=count) for by, count in sightings if by <= MAX_WITNESSES]
     one.add_reports(few, 1_000.0)
     again = few * 2
     rng.shuffle(again)
     other.add_reports(again, 1_000.0)
-    assert one.witnesses(SICK, 1_001.0) == other.witnesses(SICK, 1_001.0)
-    assert one.take_verdicts(1_001.0) == ([SICK] if len({r.witness for r in few}) >= MIN_WITNESSES else [])
+    assert one.witnesses(FAILING_SERVER, 1_001.0) == other.witnesses(FAILING_SERVER, 1_001.0)
+    assert one.take_verdicts(1_001.0) == (
+        [FAILING_SERVER] if len({r.witness for r in few}) >= MIN_WITNESSES else []
+    )
 
 
 @given(
@@ -105,7 +107,7 @@
         max_size=40,
     )
 )  # fmt: skip
-def test_reports_read_back_and_fit_a_datagram(reports: list[Report]) -> None:
+def test_reports_fit_a_datagram_and_decode_unchanged(reports: list[Report]) -> None:
     data = pack(MembershipMessage(Kind.REPORT, 3, 9, reports=reports), 7)
     assert len(data) <= MAX_DATAGRAM_BYTES
     read = unpack(data, 7)
@@ -114,10 +116,10 @@
     assert unpack(data, 8) is None
 
 
-def test_counts_of_servers_that_are_gone_do_not_pile_up() -> None:
+def test_failure_counts_of_replaced_servers_are_dropped() -> None:
     mine = Evidence(0)
-    for server in range(500):  # caches that were replaced, each seen sick once
+    for server in range(500):  # caches that were replaced, each seen failing once
         mine.record_failure(server, Symptom.SILENT, 1_000.0)
-    mine.record_failure(SICK, Symptom.SILENT, 1_000.0 + REPORT_LIFETIME_MS)
+    mine.record_failure(FAILING_SERVER, Symptom.SILENT, 1_000.0 + REPORT_LIFETIME_MS)
     mine.take_verdicts(1_000.0 + REPORT_LIFETIME_MS)
-    assert set(mine.failure_counts) == {SICK} and mine.failure_counts[SICK] == 2
+    assert set(mine.failure_counts) == {FAILING_SERVER} and mine.failure_counts[FAILING_SERVER] == 2
