--- a/tests/membership/test_membership_evidence.py
+++ b/tests/membership/test_membership_evidence.py
@@ -26,60 +26,60 @@
 FAILING_SERVER = 77
 
 
-def report(by: int, age_ms: float = 0.0, count: int = 1) -> Report:
-    return Report(FAILING_SERVER, Symptom.SILENT, by, age_ms, count)
+def report(witness: int, age_ms: float = 0.0, count: int = 1) -> Report:
+    return Report(FAILING_SERVER, Symptom.SILENT, witness, age_ms, count)
 
 
 def test_one_witness_repeated_by_forty_gateways_counts_once() -> None:
-    mine = Evidence(0)
+    local = Evidence(0)
     for n in range(40):
-        mine.add_reports([report(1, age_ms=10.0 * n)], 1_000.0 + n)
-    assert mine.witnesses(FAILING_SERVER, 1_100.0) == {1} and mine.take_verdicts(1_100.0) == []
-    mine.add_reports([report(2)], 1_100.0)
-    assert mine.take_verdicts(1_100.0) == [FAILING_SERVER]
-    assert mine.take_verdicts(1_100.0) == [], "a verdict is given once"
+        local.add_reports([report(1, age_ms=10.0 * n)], 1_000.0 + n)
+    assert local.witnesses(FAILING_SERVER, 1_100.0) == {1} and local.take_verdicts(1_100.0) == []
+    local.add_reports([report(2)], 1_100.0)
+    assert local.take_verdicts(1_100.0) == [FAILING_SERVER]
+    assert local.take_verdicts(1_100.0) == [], "a verdict is returned once"
 
 
 def test_an_own_answer_outweighs_earlier_reports() -> None:
-    mine = Evidence(0)
-    mine.add_reports([report(1), report(2)], 1_000.0)
-    mine.record_answer(FAILING_SERVER, 1_001.0)
-    assert mine.take_verdicts(1_002.0) == []
-    mine.add_reports([report(1, count=2), report(2, count=2)], 1_500.0)
-    assert mine.take_verdicts(1_500.0) == [FAILING_SERVER], "failures seen after the answer count"
+    local = Evidence(0)
+    local.add_reports([report(1), report(2)], 1_000.0)
+    local.record_answer(FAILING_SERVER, 1_001.0)
+    assert local.take_verdicts(1_002.0) == []
+    local.add_reports([report(1, count=2), report(2, count=2)], 1_500.0)
+    assert local.take_verdicts(1_500.0) == [FAILING_SERVER], "failures seen after the answer count"
 
 
 def test_own_failures_are_reported_but_are_no_witness_for_oneself() -> None:
-    mine = Evidence(0)
-    mine.record_failure(FAILING_SERVER, Symptom.REFUSED, 1_000.0)
-    mine.add_reports([report(1)], 1_000.0)
-    assert mine.witnesses(FAILING_SERVER, 1_000.0) == {1}
-    own_report = next(r for r in mine.next_reports(1_200.0, 9) if r.witness == 0)
+    local = Evidence(0)
+    local.record_failure(FAILING_SERVER, Symptom.REFUSED, 1_000.0)
+    local.add_reports([report(1)], 1_000.0)
+    assert local.witnesses(FAILING_SERVER, 1_000.0) == {1}
+    own_report = next(r for r in local.next_reports(1_200.0, 9) if r.witness == 0)
     assert own_report.symptom is Symptom.REFUSED and own_report.age_ms == 200.0
-    echo = Evidence(1)
-    echo.add_reports([own_report], 9_000.0)  # by another gateway's clock
-    assert echo.witnesses(FAILING_SERVER, 9_000.0) == {0}
-    mine.add_reports([own_report], 1_300.0)  # its own report comes back
-    assert mine.witnesses(FAILING_SERVER, 1_300.0) == {1}
+    remote = Evidence(1)
+    remote.add_reports([own_report], 9_000.0)  # by another gateway's clock
+    assert remote.witnesses(FAILING_SERVER, 9_000.0) == {0}
+    local.add_reports([own_report], 1_300.0)  # its own report comes back
+    assert local.witnesses(FAILING_SERVER, 1_300.0) == {1}
 
 
 def test_expired_reports_change_nothing_and_are_dropped() -> None:
-    mine = Evidence(0)
-    mine.add_reports([report(1, age_ms=REPORT_LIFETIME_MS)], 1_000.0)
-    assert mine.reports == {}
-    mine.add_reports([report(1), report(2)], 1_000.0)
-    assert mine.take_verdicts(1_000.0 + REPORT_LIFETIME_MS) == [] and mine.reports == {}
+    local = Evidence(0)
+    local.add_reports([report(1, age_ms=REPORT_LIFETIME_MS)], 1_000.0)
+    assert local.reports == {}
+    local.add_reports([report(1), report(2)], 1_000.0)
+    assert local.take_verdicts(1_000.0 + REPORT_LIFETIME_MS) == [] and local.reports == {}
 
 
 def test_stored_reports_and_their_sends_are_bounded() -> None:
-    mine = Evidence(0)
-    for by in range(1, 200):
-        mine.add_reports([report(by)], 1_000.0)
-    assert len(mine.reports[FAILING_SERVER]) == MAX_WITNESSES
-    own_report = 0
-    while batch := mine.next_reports(1_000.0, MAX_REPORTS):
-        own_report += len(batch)
-    assert own_report == MAX_WITNESSES * MAX_SENDS
+    local = Evidence(0)
+    for witness in range(1, 200):
+        local.add_reports([report(witness)], 1_000.0)
+    assert len(local.reports[FAILING_SERVER]) == MAX_WITNESSES
+    sent_count = 0
+    while batch := local.next_reports(1_000.0, MAX_REPORTS):
+        sent_count += len(batch)
+    assert sent_count == MAX_WITNESSES * MAX_SENDS
 
 
 @given(st.lists(st.tuples(st.integers(1, 5), st.integers(1, 4)), max_size=12), st.randoms())
@@ -87,14 +87,14 @@
     sightings: list[tuple[int, int]], rng: Random
 ) -> None:
     one, other = Evidence(0), Evidence(0)
-    few = [report(by, count=count) for by, count in sightings if by <= MAX_WITNESSES]
-    one.add_reports(few, 1_000.0)
-    again = few * 2
-    rng.shuffle(again)
-    other.add_reports(again, 1_000.0)
+    batch = [report(witness, count=count) for witness, count in sightings if witness <= MAX_WITNESSES]
+    one.add_reports(batch, 1_000.0)
+    repeated = batch * 2
+    rng.shuffle(repeated)
+    other.add_reports(repeated, 1_000.0)
     assert one.witnesses(FAILING_SERVER, 1_001.0) == other.witnesses(FAILING_SERVER, 1_001.0)
     assert one.take_verdicts(1_001.0) == (
-        [FAILING_SERVER] if len({r.witness for r in few}) >= MIN_WITNESSES else []
+        [FAILING_SERVER] if len({r.witness for r in batch}) >= MIN_WITNESSES else []
     )
 
 
@@ -117,9 +117,9 @@
 
 
 def test_failure_counts_of_replaced_servers_are_dropped() -> None:
-    mine = Evidence(0)
+    local = Evidence(0)
     for server in range(500):  # caches that were replaced, each seen failing once
-        mine.record_failure(server, Symptom.SILENT, 1_000.0)
-    mine.record_failure(FAILING_SERVER, Symptom.SILENT, 1_000.0 + REPORT_LIFETIME_MS)
-    mine.take_verdicts(1_000.0 + REPORT_LIFETIME_MS)
-    assert set(mine.failure_counts) == {FAILING_SERVER} and mine.failure_counts[FAILING_SERVER] == 2
+        local.record_failure(server, Symptom.SILENT, 1_000.0)
+    local.record_failure(FAILING_SERVER, Symptom.SILENT, 1_000.0 + REPORT_LIFETIME_MS)
+    local.take_verdicts(1_000.0 + REPORT_LIFETIME_MS)
+    assert set(local.failure_counts) == {FAILING_SERVER} and local.failure_counts[FAILING_SERVER] == 2
