--- a/tests/membership/test_membership_parts.py
+++ b/tests/membership/test_membership_parts.py
@@ -27,18 +27,18 @@
 HISTORIES = st.lists(st.tuples(st.integers(1, 3), CLAIMS), max_size=12)
 
 
-def merged_claims(sayings: list[tuple[int, Claim]]) -> dict[int, Claim]:
+def merged_claims(history: list[tuple[int, Claim]]) -> dict[int, Claim]:
     view = View(0, 4, 100)
-    for number, claim in sayings:
+    for number, claim in history:
         view.merge(number, claim, 9, 0.0)
     return view.claims
 
 
 @given(HISTORIES, st.randoms())
-def test_order_and_repetition_of_claims_do_not_change_the_view(sayings: list[tuple[int, Claim]], rng) -> None:  # type: ignore[no-untyped-def]
-    shuffled = sayings + sayings[::2]
+def test_order_and_repetition_of_claims_do_not_change_the_view(history: list[tuple[int, Claim]], rng) -> None:  # type: ignore[no-untyped-def]
+    shuffled = history + history[::2]
     rng.shuffle(shuffled)
-    assert merged_claims(shuffled) == merged_claims(sayings)
+    assert merged_claims(shuffled) == merged_claims(history)
 
 
 @given(CLAIMS, CLAIMS, CLAIMS)
@@ -125,15 +125,15 @@
 
 
 def test_only_the_objects_of_a_home_that_left_move() -> None:
-    """With the hash modulo the fleet's size, look-ups for a dead home's objects waited for no answer."""
-    homes, all_, remaining = Homes(10), set(range(10)), set(range(10)) - {4}
+    """With the hash modulo the fleet's size, look-ups for a dead home's objects never got an answer."""
+    homes, everyone, remaining = Homes(10), set(range(10)), set(range(10)) - {4}
     moved = 0
-    for hashed in range(0, 1 << 62, 1 << 53):
-        before, after = homes.home(hashed, all_), homes.home(hashed, remaining)
+    for object_hash in range(0, 1 << 62, 1 << 53):
+        before, after = homes.home(object_hash, everyone), homes.home(object_hash, remaining)
         assert after != 4 and (before == 4 or before == after)
         moved += before != after
     assert 20 < moved < 90
-    assert homes.home(1, set()) in all_
+    assert homes.home(1, set()) in everyone
 
 
 @given(st.floats(0.1, 1e6), st.lists(st.floats(0.0, 100.0), min_size=1, max_size=60))
@@ -162,19 +162,19 @@
 
 
 def test_deaths_spread_over_time_are_no_partition() -> None:
-    partition = PartitionMonitor()
+    monitor = PartitionMonitor()
     for n in range(4):
         now = n * (CUT_WINDOW_MS + 1.0)
-        assert partition.assess(now, 9, set(range(n)), True, True, True) <= Connectivity.DEATHS
+        assert monitor.assess(now, 9, set(range(n)), True, True, True) <= Connectivity.DEATHS
 
 
 def test_flapping_members_do_not_change_the_connectivity_back_and_forth() -> None:
-    partition, seen = PartitionMonitor(), []
+    monitor, seen = PartitionMonitor(), []
     for n in range(20):
-        seen.append(partition.assess(n * 1000.0, 9, {1, 2, 3} if n % 2 else set(), True, True, True))
+        seen.append(monitor.assess(n * 1000.0, 9, {1, 2, 3} if n % 2 else set(), True, True, True))
     assert seen[1:] == [Connectivity.CUT] * 19
-    partition.assess(30_000.0, 9, set(), True, True, True)
-    assert partition.assess(30_000.0 + SETTLE_MS, 9, set(), True, True, True) is Connectivity.WHOLE
+    monitor.assess(30_000.0, 9, set(), True, True, True)
+    assert monitor.assess(30_000.0 + SETTLE_MS, 9, set(), True, True, True) is Connectivity.WHOLE
 
 
 def test_all_histories_of_four_claims_end_in_the_same_view() -> None:
@@ -191,9 +191,11 @@
 
 def test_only_the_latest_entries_whose_home_changes_are_handed_over() -> None:
     homes, everyone, remaining = Homes(5), set(range(5)), {0, 1, 3, 4}
-    mine = [(key, 0) for key in range(600) if homes.home(hash64(key, 0), everyone) == 2]
-    moved = homes.moved_entries(mine, everyone, remaining)
-    assert [item for item, _ in moved] == mine[::-1][:MAX_HANDED_OVER] and len(mine) > MAX_HANDED_OVER
+    own_entries = [(key, 0) for key in range(600) if homes.home(hash64(key, 0), everyone) == 2]
+    moved = homes.moved_entries(own_entries, everyone, remaining)
+    assert [item for item, _ in moved] == own_entries[::-1][:MAX_HANDED_OVER] and len(
+        own_entries
+    ) > MAX_HANDED_OVER
     assert all(home == homes.home(hash64(*item), remaining) for item, home in moved)
     entries = [(key, 0) for key in range(600) if homes.home(hash64(key, 0), remaining) == 1]
     back = homes.moved_entries(entries, remaining, everyone, new_home=2)
