--- a/tests/membership/test_membership_search.py
+++ b/tests/membership/test_membership_search.py
@@ -1,4 +1,4 @@
-"""All interleavings of three members to a depth with the real views; each invariant is shown to be checked."""
+"""All interleavings of three members to a depth, with the real views; each invariant is seen to fail."""
 
 import pytest
 
@@ -41,8 +41,8 @@
 def test_an_invented_incarnation_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     original_merge = View.merge
 
-    def merge_with_invention(self: View, number: int, claim: Claim, source: int, now_ms: float) -> bool:
-        changed = original_merge(self, number, claim, source, now_ms)
+    def merge_with_invention(self: View, number: int, claim: Claim, reporter: int, now_ms: float) -> bool:
+        changed = original_merge(self, number, claim, reporter, now_ms)
         if number == self.own_number and changed:
             old = self.claims[number]
             self.claims[number] = Claim(old.incarnation + 950, old.state)
