--- a/tests/fleet/test_fleet_faults.py
+++ b/tests/fleet/test_fleet_faults.py
@@ -1,7 +1,7 @@
-"""Several processes with faults towards servers and the bus, restarts beside faults, a cold cache in a cut.
+"""Several processes with faults towards servers and the bus, restarts during faults, and cold caches.
 
-Each is judged as in `test_fleet_processes.py`, and by what the servers were asked: drains and cold starts
-over all gateways together, effects once.
+Each test makes the checks of `test_fleet_processes.py`, and checks what the servers were asked: drains and
+cold starts hold over all gateways together, and each effect is executed once.
 """
 
 import asyncio
@@ -14,26 +14,26 @@
 from standins.load import Load
 from standins.relay import LinkMode
 
-ALIVE, GONE = {"ALIVE"}, {"DEAD"}
-SLOW_FROM = 1 << 32  # objects whose fills take long
+ALIVE, DEAD = {"ALIVE"}, {"DEAD"}
+FIRST_SLOW_OBJECT = 1 << 32  # from this number on, fills of objects are slow
 
 
-async def standing(fleet: Fleet, number: int, wanted: str, patience_s: float = 20.0) -> None:
-    """Wait until a gateway names its standing so."""
-    async with asyncio.timeout(patience_s):
+async def wait_for_connectivity(fleet: Fleet, number: int, wanted: str, timeout_s: float = 20.0) -> None:
+    """Wait until a gateway reports this connectivity state (`standing`)."""
+    async with asyncio.timeout(timeout_s):
         while (await fleet.running[number].call("members"))[-2] != f"standing|{wanted}":
             await asyncio.sleep(0.05)
 
 
-def test_one_cut_from_the_bus_but_not_from_peers_stays_a_member_and_serves() -> None:
-    async def story(fleet: Fleet) -> None:
+def test_a_gateway_cut_off_only_from_the_bus_stays_a_member_and_serves() -> None:
+    async def scenario(fleet: Fleet) -> None:
         load = Load(fleet, 20.0)
         load.start()
         await fleet.wire(LinkMode.SILENT, [0], [BUS])
         ended = len([line for line in fleet.running[0].lines if "end bus" in line])
         while len([line for line in fleet.running[0].lines if "end bus" in line]) < ended + 2:
-            await asyncio.sleep(0.05)  # it has given the silent bus up twice
-        fleet.tell(1, health="Terminating")  # which it can't hear
+            await asyncio.sleep(0.05)  # until it has closed the silent connection to the bus twice
+        fleet.tell(1, health="Terminating")  # gateway 0 can't receive this
         await load.until(30)
         assert await fleet.running[1].members() == {n: "ALIVE" for n in range(4)}
         assert (await fleet.running[0].call("members"))[-2] == "standing|WHOLE"
@@ -42,44 +42,44 @@
         await load.until(60)
         await load.stop()
         assert load.served[0] > 50
-        assert fleet.watch.reached.get((0, name(1)), 0) - told < 30  # it has heard of the drain since
+        assert fleet.watch.reached.get((0, name(1)), 0) - told < 30  # it has received the drain since
 
-    tell(Fleet(4, 21), story)
+    tell(Fleet(4, 21), scenario)
 
 
-def test_one_cut_from_everything_is_deaf_sends_clients_elsewhere_and_comes_back() -> None:
-    async def story(fleet: Fleet) -> None:
+def test_an_isolated_gateway_is_not_ready_and_recovers() -> None:
+    async def scenario(fleet: Fleet) -> None:
         fleet.fabric.faults = Faults(cut=lambda a, b: 0 in (a, b))
         await fleet.wire(LinkMode.SILENT, [0])
-        await fleet.until({0: GONE}, among=[1, 2])
-        await standing(fleet, 0, "DEAF")
+        await fleet.until({0: DEAD}, among=[1, 2])
+        await wait_for_connectivity(fleet, 0, "DEAF")
         assert (await fleet.running[0].call("ready"))[0].startswith("-ERR neither gateways")
         fleet.fabric.faults = Faults()
         await fleet.wire(LinkMode.PASS, [0])
         await fleet.until({n: ALIVE for n in range(3)})
-        await standing(fleet, 0, "WHOLE")
+        await wait_for_connectivity(fleet, 0, "WHOLE")
         assert await fleet.running[0].call("ready") == ["+OK ready"]
 
-    tell(Fleet(3, 22), story)
+    tell(Fleet(3, 22), scenario)
 
 
-def test_a_member_that_flaps_is_taken_back_each_time_and_nobody_else_is_blamed() -> None:
-    async def story(fleet: Fleet) -> None:
+def test_a_flapping_member_is_alive_again_each_time_and_no_other_is_declared_dead() -> None:
+    async def scenario(fleet: Fleet) -> None:
         load = Load(fleet, 15.0)
         load.start()
         for _ in range(3):
             fleet.fabric.faults = Faults(cut=lambda a, b: 2 in (a, b))
-            await fleet.until({2: GONE}, among=[0, 1, 3])
+            await fleet.until({2: DEAD}, among=[0, 1, 3])
             fleet.fabric.faults = Faults()
             await fleet.until({n: ALIVE for n in range(4)})
         await load.stop()
         assert fleet.declared_dead(among=[0, 1, 3]) == {2}
 
-    tell(Fleet(4, 23), story)
+    tell(Fleet(4, 23), scenario)
 
 
-def test_an_upgrade_with_two_processes_of_one_number_is_one_member_all_along() -> None:
-    async def story(fleet: Fleet) -> None:
+def test_an_upgrade_never_makes_its_member_dead() -> None:
+    async def scenario(fleet: Fleet) -> None:
         load = Load(fleet, 15.0)
         load.start()
         for number in range(3):
@@ -89,39 +89,39 @@
         await load.stop()
         assert fleet.declared_dead() == set()
 
-    tell(Fleet(3, 24), story)
+    tell(Fleet(3, 24), scenario)
 
 
-def test_an_upgrade_in_the_middle_of_a_cut() -> None:
-    async def story(fleet: Fleet) -> None:
+def test_an_upgrade_during_a_partition() -> None:
+    async def scenario(fleet: Fleet) -> None:
         fleet.fabric.faults = Faults(cut=lambda a, b: (a < 2) != (b < 2))
-        await fleet.until({0: GONE, 1: GONE}, among=[2, 3])
+        await fleet.until({0: DEAD, 1: DEAD}, among=[2, 3])
         await fleet.upgrade(0)
         fleet.fabric.faults = Faults()
         await fleet.until({n: ALIVE for n in range(4)})
 
-    tell(Fleet(4, 25), story)
+    tell(Fleet(4, 25), scenario)
 
 
-def test_a_cold_cache_in_the_middle_of_a_cut_is_not_pushed_over_by_both_sides() -> None:
-    async def story(fleet: Fleet) -> None:
+def test_both_sides_of_a_partition_together_respect_a_cold_caches_limit() -> None:
+    async def scenario(fleet: Fleet) -> None:
         load = Load(fleet, 50.0)
         load.start()
         fleet.fabric.faults = Faults(cut=lambda a, b: (a < 3) != (b < 3))
-        await fleet.until({n: GONE for n in (3, 4, 5)}, among=[0, 1, 2])
-        await fleet.until({n: GONE for n in (0, 1, 2)}, among=[3, 4, 5])
+        await fleet.until({n: DEAD for n in (3, 4, 5)}, among=[0, 1, 2])
+        await fleet.until({n: DEAD for n in (0, 1, 2)}, among=[3, 4, 5])
         await fleet.restart_cache(0)
         await load.until(150)
         fleet.fabric.faults = Faults()
         await fleet.until({n: ALIVE for n in range(6)})
         await load.stop()
 
-    fleet = tell(Fleet(6, 26, weight=4.0, flow_kb_per_s=300.0), story)
-    assert 0.05 < fleet.watch.cold.most <= 1.0, "the cold cache was used, and not pushed over"
+    fleet = tell(Fleet(6, 26, weight=4.0, flow_kb_per_s=300.0), scenario)
+    assert 0.05 < fleet.watch.cold.most <= 1.0, "the cold cache was used, and not overloaded"
 
 
-def test_a_cache_refuses_one_gateway_only() -> None:
-    async def story(fleet: Fleet) -> None:
+def test_a_cache_that_refuses_a_single_gateway() -> None:
+    async def scenario(fleet: Fleet) -> None:
         load = Load(fleet, 20.0)
         load.start()
         await fleet.wire(LinkMode.REFUSE, [1], [name(0)])
@@ -131,113 +131,119 @@
         await load.until(40)
         await fleet.wire(LinkMode.PASS, [2], [name(1)])
         fleet.poke(0, signal.SIGSTOP)
-        await fleet.until({0: GONE}, among=[1, 2])
+        await fleet.until({0: DEAD}, among=[1, 2])
         fleet.poke(0, signal.SIGCONT)
         await fleet.until({n: ALIVE for n in range(3)})
         await load.until(20)
         await load.stop()
         assert min(load.served.values()) > 80
 
-    tell(Fleet(3, 27), story)
+    tell(Fleet(3, 27), scenario)
 
 
-def test_a_slow_source_costs_no_connections_and_no_answers() -> None:
-    """Each connection with a fill of 0.8 s on it ended, the fill was asked for again: a jam fed itself."""
+def test_a_slow_source_costs_neither_connections_nor_answers() -> None:
+    """Guards against closing a connection because of a slow fill.
 
-    async def slow(fields: dict[str, str]) -> None:
-        if "up" in fields and int(fields["name"], 16) >= SLOW_FROM:
+    Each connection with a fill of 0.8 s on it was closed and the fill was requested again, which kept the
+    source congested.
+    """
+
+    async def delay_fills(fields: dict[str, str]) -> None:
+        if "up" in fields and int(fields["name"], 16) >= FIRST_SLOW_OBJECT:
             await asyncio.sleep(1.2)
 
-    async def story(fleet: Fleet) -> None:
+    async def scenario(fleet: Fleet) -> None:
         for cache in fleet.caches:
-            cache.hook = slow
-        terminals = []
+            cache.hook = delay_fills
+        clients = []
         for process in fleet.running.values():
             terminal = StandInClient(fleet.truth, fleet.verdicts, random.Random(process.number))
             await terminal.connect(process.port)
-            terminals.append(terminal)
-        asked = [t.read("files", SLOW_FROM + n, wait_ms=4_500.0) for n in range(4) for t in terminals]
-        answers = await asyncio.gather(*asked)
+            clients.append(terminal)
+        requests = [
+            t.read("files", FIRST_SLOW_OBJECT + n, wait_ms=4_500.0) for n in range(4) for t in clients
+        ]
+        answers = await asyncio.gather(*requests)
         assert [got and got.code for got in answers] == [0] * len(answers)
-        for terminal in terminals:
+        for terminal in clients:
             terminal.close()
         ended = [line for p in fleet.running.values() for line in p.lines if "code=stuck" in line]
         assert ended == []
 
-    tell(Fleet(3, 28), story)
+    tell(Fleet(3, 28), scenario)
 
 
-async def left_out(fleet: Fleet, number: int, text: str, patience_s: float = 20.0) -> None:
+async def wait_for_line(fleet: Fleet, number: int, text: str, timeout_s: float = 20.0) -> None:
     """Wait for a line of a gateway's log."""
-    async with asyncio.timeout(patience_s):
+    async with asyncio.timeout(timeout_s):
         while not any(text in line for line in fleet.running[number].lines):
             await asyncio.sleep(0.02)
 
 
-def test_a_silent_cache_is_left_out_on_the_word_of_others_by_one_that_never_asked_it() -> None:
-    async def story(fleet: Fleet) -> None:
+def test_reports_alone_make_a_gateway_eject_a_silent_cache() -> None:
+    async def scenario(fleet: Fleet) -> None:
         asking = [0, 1, 2]
         load = Load(fleet, 30.0, numbers=asking)
         load.start()
         await load.until(10, among=asking)
         await fleet.wire(LinkMode.SILENT, [0, 1, 2, 3], [name(1)])
         before = fleet.watch.reached.get((3, name(1)), 0)
-        await left_out(fleet, 3, f"server {name(1)} left out on the word of others")
-        assert fleet.watch.reached.get((3, name(1)), 0) == before == 0, "it asked for nothing itself"
+        await wait_for_line(fleet, 3, f"server {name(1)} left out on the word of others")
+        assert fleet.watch.reached.get((3, name(1)), 0) == before == 0, "it sent the cache no request itself"
         assert not any(f"left out {name(1)}, 2" in line for line in fleet.running[3].lines)
         await fleet.wire(LinkMode.PASS, [0, 1, 2, 3])
         await load.stop()
 
-    tell(Fleet(4, 29), story)
+    tell(Fleet(4, 29), scenario)
 
 
-def test_one_that_is_cut_from_a_cache_alone_persuades_nobody() -> None:
-    async def story(fleet: Fleet) -> None:
+def test_a_single_gateway_cut_off_from_a_cache_makes_no_other_eject_it() -> None:
+    async def scenario(fleet: Fleet) -> None:
         load = Load(fleet, 30.0)
         load.start()
         await load.until(10)
         await fleet.wire(LinkMode.SILENT, [0], [name(1)])
-        await left_out(fleet, 0, f"left out {name(1)}")
-        await load.until(60)  # some 2 s in which its word travels
+        await wait_for_line(fleet, 0, f"left out {name(1)}")
+        await load.until(60)  # some 2 s, in which its reports spread
         assert not any("on the word of others" in line for p in fleet.running.values() for line in p.lines)
         await fleet.wire(LinkMode.PASS, [0])
         await load.stop()
 
-    tell(Fleet(4, 30), story)
+    tell(Fleet(4, 30), scenario)
 
 
-def test_one_that_leaves_by_plan_hands_its_directory_entries_over() -> None:
-    async def story(fleet: Fleet) -> None:
+def test_a_planned_leave_hands_directory_entries_over() -> None:
+    async def scenario(fleet: Fleet) -> None:
         load = Load(fleet, 40.0, objects=60)
         load.start()
         await load.until(80)
-        leaver = fleet.running[0]
+        leaving_process = fleet.running[0]
         assert await fleet.end(0, signal.SIGTERM) == 0
-        assert any("directory entries over" in line for line in leaver.lines)
+        assert any("directory entries over" in line for line in leaving_process.lines)
         await fleet.until({0: {"LEFT"}})
         await fleet.launch(0)
-        await left_out(fleet, 1, "directory entries over")  # what 0 is home of again
+        await wait_for_line(fleet, 1, "directory entries over")  # entries of which 0 is the home again
         await load.stop()
 
     fleet = Fleet(3, 32)
     for setup in fleet.setups.values():
         setup["family_info"]["peers_fill"] = "location"
-    tell(fleet, story)
+    tell(fleet, scenario)
 
 
-def test_one_that_wakes_sends_nothing_before_it_has_heard_what_was_told_meanwhile() -> None:
-    """It sent to a cache 5.6 s after its drain had been told: found by schedule 2, 1 of 5 plays."""
+def test_a_resumed_process_sends_nothing_before_it_has_read_pending_bus_events() -> None:
+    """A resumed gateway sent to a cache 5.6 s after its drain was announced (schedule 2, 1 of 5 runs)."""
 
-    async def story(fleet: Fleet) -> None:
+    async def scenario(fleet: Fleet) -> None:
         load = Load(fleet, 60.0)
         load.start()
         await load.until(20)
         fleet.poke(0, signal.SIGSTOP)
-        # so that its requests come before the news, as they may
+        # so that its requests come before the bus event, which is possible
         await fleet.wire(LinkMode.SILENT, [0], [BUS])
         fleet.tell(0, health="Terminating")
         fleet.watch.told(0, fleet.buses[0].hosts[0])
-        await fleet.until({0: GONE}, among=[1, 2])
+        await fleet.until({0: DEAD}, among=[1, 2])
         fleet.poke(0, signal.SIGCONT)
         await load.until(20, among=[0])
         await fleet.wire(LinkMode.PASS, [0], [BUS])
@@ -245,11 +251,11 @@
         await load.stop()
         assert load.served[0] > 40
 
-    tell(Fleet(3, 33), story)
+    tell(Fleet(3, 33), scenario)
 
 
-def test_datagrams_of_random_bytes_are_dropped_and_counted() -> None:
-    async def story(fleet: Fleet) -> None:
+def test_random_datagrams_are_dropped_and_counted() -> None:
+    async def scenario(fleet: Fleet) -> None:
         load = Load(fleet, 20.0)
         load.start()
         for _ in range(40):
@@ -265,4 +271,4 @@
         assert await fleet.running[0].members() == {n: "ALIVE" for n in range(3)}
         assert fleet.declared_dead() == set()
 
-    tell(Fleet(3, 34), story)
+    tell(Fleet(3, 34), scenario)
--- a/tests/fleet/test_fleet_processes.py
+++ b/tests/fleet/test_fleet_processes.py
@@ -13,71 +13,73 @@
 from standins.fabric import Faults
 from standins.fleet import Fleet, tell
 
-ALIVE, GONE, LEFT = {"ALIVE"}, {"DEAD"}, {"LEFT"}
+ALIVE, DEAD, LEFT = {"ALIVE"}, {"DEAD"}, {"LEFT"}
 
 
-def play(size: int, seed: int, story: Callable[[Fleet], Awaitable[None]], old: tuple[int, ...] = ()) -> Fleet:
+def play(
+    size: int, seed: int, scenario: Callable[[Fleet], Awaitable[None]], old: tuple[int, ...] = ()
+) -> Fleet:
     """Tell a story of a fleet."""
-    return tell(Fleet(size, seed, old=old), story)
+    return tell(Fleet(size, seed, old=old), scenario)
 
 
 def test_half_killed_at_once() -> None:
-    async def story(fleet: Fleet) -> None:
+    async def scenario(fleet: Fleet) -> None:
         await asyncio.gather(*(fleet.end(n) for n in (0, 2, 4)))
-        await fleet.until({n: GONE for n in (0, 2, 4)} | {n: ALIVE for n in (1, 3, 5)})
+        await fleet.until({n: DEAD for n in (0, 2, 4)} | {n: ALIVE for n in (1, 3, 5)})
         await fleet.launch(2)
-        await fleet.until({2: ALIVE, 0: GONE})
+        await fleet.until({2: ALIVE, 0: DEAD})
 
-    play(6, 1, story)
+    play(6, 1, scenario)
 
 
 def test_a_cut_of_some_both_ways_and_back() -> None:
-    async def story(fleet: Fleet) -> None:
+    async def scenario(fleet: Fleet) -> None:
         fleet.fabric.faults = Faults(cut=lambda a, b: (a < 2) != (b < 2))
-        await fleet.until({0: GONE, 1: GONE}, among=[2, 3, 4])
-        await fleet.until({2: GONE, 3: GONE, 4: GONE}, among=[0, 1])
+        await fleet.until({0: DEAD, 1: DEAD}, among=[2, 3, 4])
+        await fleet.until({2: DEAD, 3: DEAD, 4: DEAD}, among=[0, 1])
         await fleet.ask_all()
         standing = (await fleet.running[0].call("members"))[-2]
         assert standing == "standing|CUT"
         fleet.fabric.faults = Faults()
         await fleet.until({n: ALIVE for n in range(5)})
 
-    play(5, 2, story)
+    play(5, 2, scenario)
 
 
 def test_three_sides() -> None:
-    async def story(fleet: Fleet) -> None:
+    async def scenario(fleet: Fleet) -> None:
         fleet.fabric.faults = Faults(cut=lambda a, b: a // 2 != b // 2)
         for side in ([0, 1], [2, 3], [4, 5]):
             others = set(range(6)) - set(side)
-            await fleet.until({n: GONE for n in others} | {n: ALIVE for n in side}, among=side)
+            await fleet.until({n: DEAD for n in others} | {n: ALIVE for n in side}, among=side)
         fleet.fabric.faults = Faults()
         await fleet.until({n: ALIVE for n in range(6)})
 
-    play(6, 3, story)
+    play(6, 3, scenario)
 
 
 def test_one_cut_from_all_peers_but_not_from_caches() -> None:
-    async def story(fleet: Fleet) -> None:
+    async def scenario(fleet: Fleet) -> None:
         fleet.fabric.faults = Faults(cut=lambda a, b: 0 in (a, b))
-        await fleet.until({0: GONE}, among=[1, 2, 3])
-        await fleet.until({n: GONE for n in (1, 2, 3)}, among=[0])
+        await fleet.until({0: DEAD}, among=[1, 2, 3])
+        await fleet.until({n: DEAD for n in (1, 2, 3)}, among=[0])
         await fleet.ask_all()  # it serves on
         fleet.fabric.faults = Faults()
         await fleet.until({n: ALIVE for n in range(4)})
 
-    play(4, 4, story)
+    play(4, 4, scenario)
 
 
 def test_a_one_way_cut_calls_nobody_dead() -> None:
-    async def story(fleet: Fleet) -> None:
+    async def scenario(fleet: Fleet) -> None:
         fleet.fabric.faults = Faults(cut=lambda a, b: (a, b) == (1, 0))
         passed = len(fleet.fabric.history)
         while len(fleet.fabric.history) < passed + 400:  # some 25 periods of four
             await asyncio.sleep(0.05)
         assert fleet.declared_dead() == set()
 
-    play(4, 5, story)
+    play(4, 5, scenario)
 
 
 @pytest.mark.parametrize(
@@ -90,59 +92,59 @@
     ids=["lost", "repeated and late", "altered"],
 )
 def test_a_bad_network_calls_nobody_dead_and_a_death_is_still_known(faults: Faults) -> None:
-    async def story(fleet: Fleet) -> None:
+    async def scenario(fleet: Fleet) -> None:
         fleet.fabric.faults = faults
         passed = len(fleet.fabric.history)
         while len(fleet.fabric.history) < passed + 400:
             await asyncio.sleep(0.05)
         assert fleet.declared_dead() == set()
         await fleet.end(3)
-        await fleet.until({3: GONE})
+        await fleet.until({3: DEAD})
         assert fleet.declared_dead() == {3}
 
-    play(4, 6, story)
+    play(4, 6, scenario)
 
 
 def test_a_stopped_process_wakes_and_is_taken_back() -> None:
-    async def story(fleet: Fleet) -> None:
+    async def scenario(fleet: Fleet) -> None:
         fleet.poke(1, signal.SIGSTOP)
-        await fleet.until({1: GONE}, among=[0, 2, 3])
+        await fleet.until({1: DEAD}, among=[0, 2, 3])
         fleet.poke(1, signal.SIGCONT)
         await fleet.until({n: ALIVE for n in range(4)})
         assert fleet.declared_dead() == {1}  # it accuses nobody for the time in which it did not run
 
-    play(4, 7, story)
+    play(4, 7, scenario)
 
 
 def test_a_planned_stop_is_told_and_a_rolling_restart_ends_whole() -> None:
-    async def story(fleet: Fleet) -> None:
+    async def scenario(fleet: Fleet) -> None:
         for number in range(4):
             assert await fleet.end(number, signal.SIGTERM) == 0
-            await fleet.until({number: LEFT | GONE})
+            await fleet.until({number: LEFT | DEAD})
             await fleet.launch(number)
             await fleet.until({number: ALIVE})
         await fleet.until({n: ALIVE for n in range(4)})
 
-    play(4, 8, story)
+    play(4, 8, scenario)
 
 
 def test_a_start_while_cut_off_comes_in_when_the_cut_ends() -> None:
-    async def story(fleet: Fleet) -> None:
+    async def scenario(fleet: Fleet) -> None:
         await fleet.end(2)
-        await fleet.until({2: GONE})
+        await fleet.until({2: DEAD})
         fleet.fabric.faults = Faults(cut=lambda a, b: 2 in (a, b))
         await fleet.launch(2)
         await fleet.ask_all()
         fleet.fabric.faults = Faults()
         await fleet.until({n: ALIVE for n in range(4)})
 
-    play(4, 9, story)
+    play(4, 9, scenario)
 
 
 def test_neighbours_without_membership_and_of_another_fleet_do_no_harm() -> None:
-    async def story(fleet: Fleet) -> None:
+    async def scenario(fleet: Fleet) -> None:
         await fleet.end(2)
-        await fleet.until({2: GONE}, among=[0, 1])
+        await fleet.until({2: DEAD}, among=[0, 1])
         await fleet.launch(2, fleet="another")
         before = (await fleet.running[0].call("members"))[3]
         assert "|DEAD|" in before
@@ -151,14 +153,14 @@
         assert (await fleet.running[0].members())[2] == "DEAD"
         assert (await fleet.running[0].members())[3] in {"UNHEARD", "SUSPECT", "DEAD"}
 
-    play(4, 10, story, old=(3,))
+    play(4, 10, scenario, old=(3,))
 
 
 def test_operators_can_have_a_member_forgotten() -> None:
-    async def story(fleet: Fleet) -> None:
+    async def scenario(fleet: Fleet) -> None:
         await fleet.end(1)
-        await fleet.until({1: GONE})
+        await fleet.until({1: DEAD})
         assert "forgotten" in (await fleet.running[0].call("forget-member 1"))[0]
         assert "is no other member" in (await fleet.running[0].call("forget-member 99"))[0]
 
-    play(3, 11, story)
+    play(3, 11, scenario)
--- a/tests/fleet/test_fleet_tools.py
+++ b/tests/fleet/test_fleet_tools.py
@@ -124,7 +124,7 @@
         thread.join()
         return found[0]
 
-    async def story(asked: Callable[..., tuple[int, str]]) -> None:
+    async def scenario(asked: Callable[..., tuple[int, str]]) -> None:
         loop = asyncio.get_running_loop()
         try:
             await fleet.start()
@@ -138,4 +138,4 @@
         finally:
             await fleet.finish()
 
-    asyncio.run(story(call))
+    asyncio.run(scenario(call))
