--- a/tests/fleet/test_fleet_faults.py
+++ b/tests/fleet/test_fleet_faults.py
@@ -157,16 +157,16 @@
             cache.hook = delay_fills
         clients = []
         for process in fleet.running.values():
-            terminal = StandInClient(fleet.truth, fleet.verdicts, random.Random(process.number))
-            await terminal.connect(process.port)
-            clients.append(terminal)
+            client = StandInClient(fleet.truth, fleet.verdicts, random.Random(process.number))
+            await client.connect(process.port)
+            clients.append(client)
         requests = [
             t.read("files", FIRST_SLOW_OBJECT + n, wait_ms=4_500.0) for n in range(4) for t in clients
         ]
         answers = await asyncio.gather(*requests)
         assert [got and got.code for got in answers] == [0] * len(answers)
-        for terminal in clients:
-            terminal.close()
+        for client in clients:
+            client.close()
         ended = [line for p in fleet.running.values() for line in p.lines if "code=stuck" in line]
         assert ended == []
 
--- a/tests/fleet/test_fleet_processes.py
+++ b/tests/fleet/test_fleet_processes.py
@@ -16,24 +16,27 @@
 ALIVE, DEAD, LEFT = {"ALIVE"}, {"DEAD"}, {"LEFT"}
 
 
-def play(
-    size: int, seed: int, scenario: Callable[[Fleet], Awaitable[None]], old: tuple[int, ...] = ()
+def run_fleet(
+    size: int,
+    seed: int,
+    scenario: Callable[[Fleet], Awaitable[None]],
+    without_membership: tuple[int, ...] = (),
 ) -> Fleet:
     """Tell a story of a fleet."""
-    return tell(Fleet(size, seed, old=old), scenario)
+    return tell(Fleet(size, seed, old=without_membership), scenario)
 
 
-def test_half_killed_at_once() -> None:
+def test_half_the_fleet_killed_at_once() -> None:
     async def scenario(fleet: Fleet) -> None:
         await asyncio.gather(*(fleet.end(n) for n in (0, 2, 4)))
         await fleet.until({n: DEAD for n in (0, 2, 4)} | {n: ALIVE for n in (1, 3, 5)})
         await fleet.launch(2)
         await fleet.until({2: ALIVE, 0: DEAD})
 
-    play(6, 1, scenario)
+    run_fleet(6, 1, scenario)
 
 
-def test_a_cut_of_some_both_ways_and_back() -> None:
+def test_a_partition_in_two_and_its_end() -> None:
     async def scenario(fleet: Fleet) -> None:
         fleet.fabric.faults = Faults(cut=lambda a, b: (a < 2) != (b < 2))
         await fleet.until({0: DEAD, 1: DEAD}, among=[2, 3, 4])
@@ -44,10 +47,10 @@
         fleet.fabric.faults = Faults()
         await fleet.until({n: ALIVE for n in range(5)})
 
-    play(5, 2, scenario)
+    run_fleet(5, 2, scenario)
 
 
-def test_three_sides() -> None:
+def test_a_partition_in_three() -> None:
     async def scenario(fleet: Fleet) -> None:
         fleet.fabric.faults = Faults(cut=lambda a, b: a // 2 != b // 2)
         for side in ([0, 1], [2, 3], [4, 5]):
@@ -56,10 +59,10 @@
         fleet.fabric.faults = Faults()
         await fleet.until({n: ALIVE for n in range(6)})
 
-    play(6, 3, scenario)
+    run_fleet(6, 3, scenario)
 
 
-def test_one_cut_from_all_peers_but_not_from_caches() -> None:
+def test_a_gateway_cut_off_only_from_its_peers_serves_on() -> None:
     async def scenario(fleet: Fleet) -> None:
         fleet.fabric.faults = Faults(cut=lambda a, b: 0 in (a, b))
         await fleet.until({0: DEAD}, among=[1, 2, 3])
@@ -68,10 +71,10 @@
         fleet.fabric.faults = Faults()
         await fleet.until({n: ALIVE for n in range(4)})
 
-    play(4, 4, scenario)
+    run_fleet(4, 4, scenario)
 
 
-def test_a_one_way_cut_calls_nobody_dead() -> None:
+def test_a_one_way_cut_makes_no_member_dead() -> None:
     async def scenario(fleet: Fleet) -> None:
         fleet.fabric.faults = Faults(cut=lambda a, b: (a, b) == (1, 0))
         passed = len(fleet.fabric.history)
@@ -79,7 +82,7 @@
             await asyncio.sleep(0.05)
         assert fleet.declared_dead() == set()
 
-    play(4, 5, scenario)
+    run_fleet(4, 5, scenario)
 
 
 @pytest.mark.parametrize(
@@ -91,7 +94,7 @@
     ],
     ids=["lost", "repeated and late", "altered"],
 )
-def test_a_bad_network_calls_nobody_dead_and_a_death_is_still_known(faults: Faults) -> None:
+def test_a_bad_network_makes_no_live_member_dead_and_a_death_is_still_detected(faults: Faults) -> None:
     async def scenario(fleet: Fleet) -> None:
         fleet.fabric.faults = faults
         passed = len(fleet.fabric.history)
@@ -102,10 +105,10 @@
         await fleet.until({3: DEAD})
         assert fleet.declared_dead() == {3}
 
-    play(4, 6, scenario)
+    run_fleet(4, 6, scenario)
 
 
-def test_a_stopped_process_wakes_and_is_taken_back() -> None:
+def test_a_stopped_process_resumes_and_is_alive_again() -> None:
     async def scenario(fleet: Fleet) -> None:
         fleet.poke(1, signal.SIGSTOP)
         await fleet.until({1: DEAD}, among=[0, 2, 3])
@@ -113,10 +116,10 @@
         await fleet.until({n: ALIVE for n in range(4)})
         assert fleet.declared_dead() == {1}  # it accuses nobody for the time in which it did not run
 
-    play(4, 7, scenario)
+    run_fleet(4, 7, scenario)
 
 
-def test_a_planned_stop_is_told_and_a_rolling_restart_ends_whole() -> None:
+def test_a_planned_stop_is_announced_and_a_rolling_restart_ends_with_all_alive() -> None:
     async def scenario(fleet: Fleet) -> None:
         for number in range(4):
             assert await fleet.end(number, signal.SIGTERM) == 0
@@ -125,10 +128,10 @@
             await fleet.until({number: ALIVE})
         await fleet.until({n: ALIVE for n in range(4)})
 
-    play(4, 8, scenario)
+    run_fleet(4, 8, scenario)
 
 
-def test_a_start_while_cut_off_comes_in_when_the_cut_ends() -> None:
+def test_a_gateway_started_while_cut_off_joins_when_the_cut_ends() -> None:
     async def scenario(fleet: Fleet) -> None:
         await fleet.end(2)
         await fleet.until({2: DEAD})
@@ -138,10 +141,10 @@
         fleet.fabric.faults = Faults()
         await fleet.until({n: ALIVE for n in range(4)})
 
-    play(4, 9, scenario)
+    run_fleet(4, 9, scenario)
 
 
-def test_neighbours_without_membership_and_of_another_fleet_do_no_harm() -> None:
+def test_gateways_without_membership_or_of_another_fleet_do_no_harm() -> None:
     async def scenario(fleet: Fleet) -> None:
         await fleet.end(2)
         await fleet.until({2: DEAD}, among=[0, 1])
@@ -153,14 +156,14 @@
         assert (await fleet.running[0].members())[2] == "DEAD"
         assert (await fleet.running[0].members())[3] in {"UNHEARD", "SUSPECT", "DEAD"}
 
-    play(4, 10, scenario, old=(3,))
+    run_fleet(4, 10, scenario, without_membership=(3,))
 
 
-def test_operators_can_have_a_member_forgotten() -> None:
+def test_operators_can_make_a_gateway_forget_a_member() -> None:
     async def scenario(fleet: Fleet) -> None:
         await fleet.end(1)
         await fleet.until({1: DEAD})
         assert "forgotten" in (await fleet.running[0].call("forget-member 1"))[0]
         assert "is no other member" in (await fleet.running[0].call("forget-member 99"))[0]
 
-    play(3, 11, scenario)
+    run_fleet(3, 11, scenario)
