--- a/tests/fleet/test_fleet_processes.py
+++ b/tests/fleet/test_fleet_processes.py
@@ -1,7 +1,8 @@
-"""Several processes of the program, with faults between them: who is there, told by those that are.
+"""Several processes of the program with network faults between them, judged by the views of those that run.
 
-Each test starts its fleet, waits for events (a view says so, a request was answered), and ends with the same
-judgement: each request one answer, no process ended by itself, no traceback. Periods are short.
+Each test starts its fleet, waits for events (a state in a view, an answered request), and ends with the same
+checks: each request gets one answer, no process has ended by itself, and no log holds a traceback. Membership
+periods are short.
 """
 
 import asyncio
@@ -22,7 +23,7 @@
     scenario: Callable[[Fleet], Awaitable[None]],
     without_membership: tuple[int, ...] = (),
 ) -> Fleet:
-    """Tell a story of a fleet."""
+    """Run a scenario on a new fleet, with the fleet's checks at the end."""
     return tell(Fleet(size, seed, old=without_membership), scenario)
 
 
@@ -67,7 +68,7 @@
         fleet.fabric.faults = Faults(cut=lambda a, b: 0 in (a, b))
         await fleet.until({0: DEAD}, among=[1, 2, 3])
         await fleet.until({n: DEAD for n in (1, 2, 3)}, among=[0])
-        await fleet.ask_all()  # it serves on
+        await fleet.ask_all()  # gateway 0 still serves
         fleet.fabric.faults = Faults()
         await fleet.until({n: ALIVE for n in range(4)})
 
@@ -78,7 +79,7 @@
     async def scenario(fleet: Fleet) -> None:
         fleet.fabric.faults = Faults(cut=lambda a, b: (a, b) == (1, 0))
         passed = len(fleet.fabric.history)
-        while len(fleet.fabric.history) < passed + 400:  # some 25 periods of four
+        while len(fleet.fabric.history) < passed + 400:  # some 25 periods of four gateways
             await asyncio.sleep(0.05)
         assert fleet.declared_dead() == set()
 
@@ -114,7 +115,7 @@
         await fleet.until({1: DEAD}, among=[0, 2, 3])
         fleet.poke(1, signal.SIGCONT)
         await fleet.until({n: ALIVE for n in range(4)})
-        assert fleet.declared_dead() == {1}  # it accuses nobody for the time in which it did not run
+        assert fleet.declared_dead() == {1}  # it accuses no other member for the time in which it did not run
 
     run_fleet(4, 7, scenario)
 
