--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -1,4 +1,4 @@
-"""Scenarios of daily operation: calls, drains, hold-outs, figures and new versions."""
+"""Scenarios of daily operation: operators' calls, drains, hold-outs, statistics and new versions."""
 
 import socket
 import subprocess
@@ -26,40 +26,40 @@
 from hitchtiller.ops.holdouts import FILE_NAME, HoldOuts
 from hitchtiller.ops.sign import READY, STARTING, ProcessMarker
 from hitchtiller.ops.stats import ANSWER_KINDS
-from hitchtiller.ops.upgrade import Upgrade as UpgradeOf
+from hitchtiller.ops.upgrade import Upgrade as UpgradeWatch
 from hitchtiller.peers import Peers
 from hitchtiller.sched import Scheduler
 
 
-class Control(Scenario):
-    def test_a_call_is_one_line_with_one_answer_and_the_close(self) -> None:
+class ControlCalls(Scenario):
+    def test_a_call_is_one_line_answered_once_before_the_close(self) -> None:
         for line in ("ready", "ready\r", " ready "):
             self.assertEqual(self.gateway.call(line), ["+OK ready"])
         self.gateway.expect_line("code=answered call='ready' answer='+OK ready'")
 
-    def test_what_is_no_call_gets_a_reason(self) -> None:
+    def test_an_invalid_call_gets_a_reason(self) -> None:
         for line in ("", "Ready", "ready now", "disable-server", "x" * (MAX_CALL_BYTES + 50), "\xff\0"):
             (reply,) = self.gateway.call(line)
             self.assertRegex(reply, "^-ERR .")
 
-    def test_a_line_that_ends_with_its_connection_is_a_line(self) -> None:
-        party = self.gateway.operator().send(b"ready")
-        party.sock.shutdown(socket.SHUT_WR)
-        party.expect(lambda got: got == "+OK ready")
-        party.close()
+    def test_the_end_of_the_connection_ends_a_line(self) -> None:
+        operator = self.gateway.operator().send(b"ready")
+        operator.sock.shutdown(socket.SHUT_WR)
+        operator.expect(lambda got: got == "+OK ready")
+        operator.close()
 
-    def test_callers_that_hold_connections_hold_up_nobody(self) -> None:
-        """They hold them for 4 s; the longest waiting goes when there is no more room."""
-        holders = [self.gateway.operator().send(b"rea") for _ in range(MAX_CALLERS)]
+    def test_callers_that_hold_connections_do_not_delay_others(self) -> None:
+        """Callers may hold a connection for 4 s; at the limit the one waiting longest is closed."""
+        silent_callers = [self.gateway.operator().send(b"rea") for _ in range(MAX_CALLERS)]
         self.assertEqual(self.gateway.call("ready"), ["+OK ready"])
-        self.assertIsNone(holders[0].expect())
-        holders[-1].send(b"dy\n").expect(lambda got: got == "+OK ready")
-        for holder in holders:
-            holder.close()
+        self.assertIsNone(silent_callers[0].expect())
+        silent_callers[-1].send(b"dy\n").expect(lambda got: got == "+OK ready")
+        for caller in silent_callers:
+            caller.close()
 
 
-class Urgent(unittest.TestCase):
-    def test_operators_go_before_the_client_work_of_a_full_loop(self) -> None:
+class UrgentTasks(unittest.TestCase):
+    def test_urgent_tasks_run_before_queued_client_work(self) -> None:
         sched, order = Scheduler(), list[str]()
         for name in ("client", "client"):
             sched.spawn(order.append, name)
@@ -70,48 +70,48 @@
 
 
 class Drain(Scenario):
-    def probe(self, code: int) -> None:
-        """Ask as the front does, on a connection of its own."""
+    def check_readiness(self, code: int) -> None:
+        """Check readiness on a connection of its own, as a load balancer does."""
         front = self.gateway.client().send(frames.head(frames.READY, 0, 1) + b"\0")
         front.expect(lambda got: got.kind == frames.READY_ANSWER and (got.payload[0] == 0) == (code == 0))
         front.close()
 
-    def test_a_drained_gateway_says_no_at_once_empties_itself_and_listens_on(self) -> None:
-        """It went on saying yes: the rule on lost requests was broken 4 s after the call."""
-        cache, name = self.opened(m="100000", d="5000")  # so large that silence is no bad sign yet
-        idle = self.gateway.client()
+    def test_a_draining_gateway_is_not_ready_finishes_its_requests_and_keeps_listening(self) -> None:
+        """A draining gateway that still reported ready broke the limit on lost requests 4 s after the call."""
+        cache, name = self.opened(m="100000", d="5000")  # so large that a silent server is not suspected yet
+        idle_client = self.gateway.client()
         self.assertEqual(self.gateway.call("drain"), ["+OK drained"])
         self.assertEqual(self.gateway.call("ready"), ["-ERR drained"])
-        self.probe(frames.REFUSED)
-        for client in (self.client, idle):
+        self.check_readiness(frames.REFUSED)
+        for client in (self.client, idle_client):
             client.expect(lambda got: got.kind == frames.GOING)
-        idle.expect(lambda got: got is None)
+        idle_client.expect(lambda got: got is None)
         cache.send(answer(name, b"DONE", body=b"x"))
         self.client.expect_answer(1, frames.SERVED, b"x")
         self.client.expect(lambda got: got is None)
-        self.probe(frames.REFUSED)
+        self.check_readiness(frames.REFUSED)
         for _ in range(2):
             self.assertEqual(self.gateway.call("resume"), ["+OK serving"])
-        self.probe(frames.SERVED)
-        again = self.gateway.client().ask(1)
+        self.check_readiness(frames.SERVED)
+        second_client = self.gateway.client().ask(1)
         cache.send(answer(cache.expect_pull()[0], b"DONE", body=b"x"))
-        again.expect_answer(1, frames.SERVED)
-        for client in (idle, again):
+        second_client.expect_answer(1, frames.SERVED)
+        for client in (idle_client, second_client):
             client.close()
 
-    def test_in_a_drain_a_late_request_is_refused_at_once_and_its_connection_closed(self) -> None:
+    def test_a_late_request_during_a_drain_is_refused_and_its_connection_closed(self) -> None:
         self.gateway.call("drain")
         wait(1.8)
-        late = self.gateway.client().ask(1, i="f" * 16)
-        frame = late.expect(lambda got: got.kind != frames.GOING)
+        late_client = self.gateway.client().ask(1, i="f" * 16)
+        frame = late_client.expect(lambda got: got.kind != frames.GOING)
         self.assertEqual((frame.kind, frame.payload[0]), (frames.ANSWER, frames.REFUSED))
-        late.sock.settimeout(1.5)
-        while late.expect() is not None:
+        late_client.sock.settimeout(1.5)
+        while late_client.expect() is not None:
             pass
-        late.close()
+        late_client.close()
 
-    def test_a_request_in_pieces_is_awaited_by_sigterm_and_by_a_drain(self) -> None:
-        """The rest of 17 requests came to closed connections, on a day of slow pieces and new versions."""
+    def test_sigterm_and_a_drain_wait_for_the_rest_of_a_request(self) -> None:
+        """On a day with slow senders and upgrades the rest of 17 requests arrived at closed connections."""
         payload = frames.write_fields({"c": "files", "i": "a" * 16, "d": "2000", "o": "b" * 16, "m": "10"})
         whole = frames.head(frames.REQUEST, 1, len(payload)) + payload
         for leave in (lambda: self.gateway.call("drain"), self.gateway.terminate):
@@ -128,7 +128,7 @@
             cache.close()
             self.gateway.call("resume")
 
-    def test_sigterm_while_drained_ends_well(self) -> None:
+    def test_sigterm_while_drained_ends_with_status_0(self) -> None:
         self.gateway.call("drain")
         self.gateway.terminate()
         self.gateway.expect_line("told to stop")
@@ -136,15 +136,15 @@
         self.assertEqual(self.gateway.process.wait(10.0), 0)
 
 
-class HeldOut(unittest.TestCase):
-    """A set over the bus's list, heard by the decisions as draining."""
+class HoldOutSet(unittest.TestCase):
+    """Hold-outs: a set applied to the bus's list, seen by the decisions as draining."""
 
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.folder = Path(folder.name)
-        self.clock, self.back = Later(), Back()
-        self.engine = Engine(Router(BASE, 7), self.clock, self.back, lambda peer, note: None)
+        self.clock, self.back_end = Later(), Back()
+        self.engine = Engine(Router(BASE, 7), self.clock, self.back_end, lambda peer, note: None)
         self.holdouts = HoldOuts(self.folder, self.engine.news, "origin")
         self.news(*FLEET, whole=True)
         self.member = FLEET[0]
@@ -160,9 +160,9 @@
             f"{number:016x}", "small", f"{number:016x}", number, self.clock.now + 900.0, size_kb=50.0
         )
         self.engine.take(ask, lambda answer: None)
-        return self.back.sent[-1]
+        return self.back_end.sent[-1]
 
-    def test_it_stays_out_whatever_the_bus_says_until_one_call_back(self) -> None:
+    def test_a_hold_out_lasts_through_bus_events_until_it_is_ended(self) -> None:
         for _ in range(2):
             self.holdouts.disable("c0")
         gone, back = replace(self.member, state="DELETED"), replace(self.member, started_ms=900.0)
@@ -172,23 +172,23 @@
                 self.assertEqual(self.state(), "DRAINING")
         self.assertFalse([number for number in range(60) if self.ask(number).get.server == "c0"])
         self.holdouts.enable("c0")
-        self.assertEqual(self.engine.router.nodes["c0"].m, back)  # cold: it started meanwhile
+        self.assertEqual(self.engine.router.nodes["c0"].m, back)  # cold, since it restarted meanwhile
 
-    def test_sources_and_unwritten_jobs_are_barred_too(self) -> None:
+    def test_a_hold_out_also_bars_sources_and_unsent_jobs(self) -> None:
         for name in ("server", "source"):
             attempt = self.ask(100)
             self.holdouts.disable(getattr(attempt.get, name))
             self.assertIsNone(attempt.authorize(attempt))
             self.engine.leave(attempt.exchange)
 
-    def test_old_blame_does_not_keep_out_what_is_given_back(self) -> None:
+    def test_an_earlier_failure_score_does_not_outlast_a_hold_out(self) -> None:
         node = self.engine.router.nodes["c0"]
         node.blame, node.out_until, node.trial = 0.9, self.clock.now + 60_000.0, True
         self.holdouts.disable("c0")
         self.holdouts.enable("c0")
         self.assertTrue(self.engine.router.usable(self.engine.router.nodes["c0"]))
 
-    def test_unknown_ids_and_the_origin_are_told_apart_from_those_that_are_gone(self) -> None:
+    def test_unknown_ids_and_the_origin_are_rejected_but_deleted_servers_are_not(self) -> None:
         for call in (self.holdouts.disable, self.holdouts.enable):
             with self.assertRaisesRegex(CallError, "unknown"):
                 call("c9")
@@ -200,17 +200,17 @@
         self.news(self.member)
         self.assertEqual(self.state(), "SERVING")
 
-    def test_it_is_kept_for_the_next_process_and_followed_by_the_one_beside(self) -> None:
+    def test_a_hold_out_is_stored_and_followed_by_other_processes(self) -> None:
         other = HoldOuts(self.folder, lambda event: None)
         self.holdouts.disable("c0")
         self.assertEqual(HoldOuts(self.folder, lambda event: None).out, {"c0"})
         other.news(Topology((ListedServer(self.member, ("127.0.0.1", 1)),), whole=True))
-        other.disable("c0")  # it has not looked yet
+        other.disable("c0")  # it has not polled yet
         other.enable("c0")
         self.holdouts.reload()
         self.assertEqual(self.state(), "SERVING")
 
-    def test_a_damaged_file_changes_nothing_and_what_cannot_be_kept_is_no_yes(self) -> None:
+    def test_a_damaged_file_changes_nothing_and_a_failed_write_is_an_error(self) -> None:
         self.holdouts.disable("c0")
         for text in ("{", "[]", '{"out": [1]}'):
             (self.folder / FILE_NAME).write_text(text)
@@ -222,23 +222,25 @@
         self.assertEqual(self.state("c1"), "SERVING")
 
 
-class Figures(Scenario):
-    def figures(self) -> dict[str, str]:
+class Statistics(Scenario):
+    def read_statistics(self) -> dict[str, str]:
         first, *lines, last = self.gateway.call("show-stat")
         self.assertEqual((first[:3], last), ("+OK", "."))
         return dict(line.removeprefix("svc.").split(":") for line in lines)
 
-    def test_known_traffic_gives_exact_figures(self) -> None:
-        """Those turned away at the door count too; those of clients that left do not."""
+    def test_known_traffic_gives_exact_statistics(self) -> None:
+        """Requests refused before the decisions count too; those of clients that left do not."""
         cache, name = self.opened()
         start = {f"{kind}.{cls}": "0|c" for kind in ANSWER_KINDS for cls in ("files", "charge")}
         levels = {"in_flight": "1|g", "station_caches_known": "3|g", "station_caches_excluded": "0|g"}
-        self.assertEqual(self.figures(), self.figures() | start | {"attempts": "1|c"} | levels)
+        self.assertEqual(
+            self.read_statistics(), self.read_statistics() | start | {"attempts": "1|c"} | levels
+        )
         cache.send(answer(name, b"DONE", body=b"x"))
         self.client.expect_answer(1, frames.SERVED)
-        self.client.ask(2, m="soon").expect_answer(2, frames.FAILED)  # can't be read
-        self.client.ask(1).expect_answer(1, frames.FAILED)  # its number was used
-        self.client.ask(3, c="none").expect_answer(3, frames.FAILED)  # of no class
+        self.client.ask(2, m="soon").expect_answer(2, frames.FAILED)  # malformed
+        self.client.ask(1).expect_answer(1, frames.FAILED)  # its stream number was used before
+        self.client.ask(3, c="none").expect_answer(3, frames.FAILED)  # of an unknown class
         self.client.ask(4, i="f" * 16)
         cache.expect_pull()
         self.client.send(frames.head(frames.GIVE_UP, 4, 0))
@@ -248,21 +250,21 @@
         self.gateway.call("disable-server s-00000001")
         self.gateway.call("drain")
         wait(1.8)
-        late = self.gateway.client().ask(1, i="e" * 16)  # refused at the door
-        late.expect(lambda got: got.kind == frames.ANSWER)
-        late.close()
-        figures = self.figures()
-        ends = [int(figures[f"{kind}.files"].split("|")[0]) for kind in ANSWER_KINDS]
+        late_client = self.gateway.client().ask(1, i="e" * 16)  # refused by the front
+        late_client.expect(lambda got: got.kind == frames.ANSWER)
+        late_client.close()
+        statistics = self.read_statistics()
+        ends = [int(statistics[f"{kind}.files"].split("|")[0]) for kind in ANSWER_KINDS]
         self.assertEqual(ends, [1, 2, 2])
-        self.assertEqual(figures["attempts"], "3|c")
-        self.assertEqual((figures["in_flight"], figures["station_caches_excluded"]), ("0|g", "1|g"))
+        self.assertEqual(statistics["attempts"], "3|c")
+        self.assertEqual((statistics["in_flight"], statistics["station_caches_excluded"]), ("0|g", "1|g"))
 
 
-class Signs(unittest.TestCase):
-    def test_a_live_process_is_told_from_one_that_has_ended(self) -> None:
+class ProcessMarkers(unittest.TestCase):
+    def test_live_processes_are_distinguished_from_ended_ones(self) -> None:
         with tempfile.TemporaryDirectory() as name:
             folder = Path(name)
-            (folder / "gateway-00000000000000000001-1").write_text(READY)  # nobody holds its lock
+            (folder / "gateway-00000000000000000001-1").write_text(READY)  # no process holds its lock
             old, new = ProcessMarker(folder), ProcessMarker(folder)
             self.addCleanup(old.remove)
             self.assertLess(old.name, new.name)
@@ -275,8 +277,8 @@
             new.file.close()  # as a kill does
             self.assertEqual(old.find_others(), {})
 
-    def test_two_versions_bind_the_port_for_peers_and_the_new_one_hears(self) -> None:
-        """The second ended with `Address already in use`."""
+    def test_two_versions_bind_the_peer_port_and_the_new_one_receives(self) -> None:
+        """The new version used to fail with `Address already in use`."""
         old = Peers(Scheduler(), ("127.0.0.1", 0), ())
         new = Peers(Scheduler(), old.sock.getsockname(), ())
         for peers in (old, new):
@@ -287,87 +289,87 @@
         self.assertEqual(new.sock.recv(9), b"x")
 
 
-class Bounds(unittest.TestCase):
-    def test_the_program_does_not_load_what_it_has_no_use_for(self) -> None:
-        """Two processes of 15 MB at their start crashed a gateway of 32 MB."""
+class ResourceLimits(unittest.TestCase):
+    def test_the_program_does_not_import_unused_heavy_modules(self) -> None:
+        """Two processes of 15 MB each at their start exceeded the memory of a 32 MB gateway and crashed it."""
         code = "import sys, hitchtiller.__main__; print({'asyncio', 'ssl'} & {*sys.modules}); import asyncio"
         command = [sys.executable, "-c", code]
         done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=True)
         self.assertEqual(done.stdout.strip(), "set()")
 
-    def test_descriptors_of_two_fit_with_clients_that_hold_all_they_may(self) -> None:
-        """Each held a third and the rest for servers: 540 of 384."""
+    def test_the_descriptors_of_two_processes_fit_the_limit(self) -> None:
+        """Each process used to hold a third for clients and the rest for servers: 540 descriptors of 384."""
         for limit in (256, 384, 1024):
             old, new = descriptors(limit, True, False), descriptors(limit, True, True)
             self.assertLessEqual(sum(old) + sum(new) + 2 * 24, limit)
             self.assertLessEqual(max(old[0], new[0]), descriptors(limit, False, False)[0])
 
-    def test_a_folder_that_cannot_be_written_does_not_keep_the_program_from_serving(self) -> None:
-        """It ended with 2."""
+    def test_an_unwritable_shared_folder_does_not_prevent_serving(self) -> None:
+        """The program used to exit with status 2."""
         self.assertIsNone(shared("/nowhere/at/all"))
         self.assertIsNone(shared(""))
         self.assertEqual(shared(str(ROOT)), ROOT)
 
-    def test_buffers_of_two_fit_beside_what_both_hold(self) -> None:
+    def test_the_buffers_of_two_processes_fit_the_memory_limit(self) -> None:
         for memory in (32.0, 80.0, 192.0):
             alone, two = room(memory, two=False), room(memory, two=True)
             self.assertLessEqual(2 * two, alone)
-            self.assertLessEqual(2 * (2 * two / 1e6 + 14.0), memory)  # half of it for copies
+            self.assertLessEqual(2 * (2 * two / 1e6 + 14.0), memory)  # half of the rest is for copies
 
 
-class Upgrade(Scenario):
+class VersionUpgrade(Scenario):
     held = True
 
-    def begin(self, server: str = "cache") -> None:
-        """Start a new version beside the old one, with a request in hand there."""
+    def start_upgrade(self, server: str = "cache") -> None:
+        """Start a new version beside the old one, which has an open request."""
         self.cache, self.name = self.opened(server=server, m="100000", d="5000")
         self.new = self.gateway.successor()
         self.addCleanup(self.new.kill)
 
-    def follow(self) -> None:
-        """Let the bus tell the new version that there is nothing more to tell."""
+    def complete_bus_backlog(self) -> None:
+        """Let the bus tell the new version that its backlog is complete."""
         self.assertEqual(self.new.call("ready"), ["-ERR the event bus is not followed yet"])
         self.new.told_all()
         self.gateway.expect_line("handed over")
 
-    def test_a_new_version_takes_over_once_it_has_heard_all_the_bus_had_to_tell(self) -> None:
-        self.begin()
-        early = self.gateway.client().ask(1, i="e" * 16)
-        self.cache.expect_pull()  # by the old one: the new one does not accept yet
-        self.follow()
-        for client in (self.client, early):
+    def test_a_new_version_takes_over_after_the_whole_bus_backlog(self) -> None:
+        self.start_upgrade()
+        early_client = self.gateway.client().ask(1, i="e" * 16)
+        self.cache.expect_pull()  # from the old version: the new one does not accept yet
+        self.complete_bus_backlog()
+        for client in (self.client, early_client):
             client.expect(lambda got: got.kind == frames.GOING)
-        late = self.gateway.client().ask(1, i="f" * 16)
+        late_client = self.gateway.client().ask(1, i="f" * 16)
         cache = self.gateway.server()
-        cache.send(answer(cache.expect_pull()[0], b"DONE", body=b"y"))  # on a connection of the new one's
-        late.expect_answer(1, frames.SERVED, b"y")
-        for client, name in ((self.client, self.name), (early, b"e" * 16)):
+        cache.send(answer(cache.expect_pull()[0], b"DONE", body=b"y"))  # on a connection of the new version
+        late_client.expect_answer(1, frames.SERVED, b"y")
+        for client, name in ((self.client, self.name), (early_client, b"e" * 16)):
             self.cache.send(answer(name, b"DONE", body=b"x"))
             client.expect_answer(1, frames.SERVED, b"x")
             client.expect(lambda got: got is None)
             client.close()
         self.assertEqual(self.gateway.process.wait(10.0), 0)
         self.assertEqual(self.new.call("ready"), ["+OK ready"])
-        late.close()
+        late_client.close()
 
-    def test_the_old_one_serves_on_if_the_new_one_ends(self) -> None:
-        self.begin()
-        self.follow()
+    def test_the_old_version_serves_again_if_the_new_one_ends(self) -> None:
+        self.start_upgrade()
+        self.complete_bus_backlog()
         self.new.kill()
         self.gateway.expect_line("serving again")
         self.assertEqual(self.gateway.call("ready"), ["+OK ready"])
-        late = self.gateway.client().ask(1, i="f" * 16)
+        late_client = self.gateway.client().ask(1, i="f" * 16)
         self.assertEqual(self.cache.expect_pull()[0], b"f" * 16)
-        late.close()
+        late_client.close()
 
-    def test_sigterm_just_after_the_new_ones_yes_hands_over_first(self) -> None:
-        """SIGTERM came 10 ms after the yes, before the old one's next look, and both accepted for 0.45 s."""
+    def test_sigterm_just_after_the_successor_is_ready_hands_over_first(self) -> None:
+        """SIGTERM 10 ms after the successor was ready, before the next poll, let both accept for 0.45 s."""
         with tempfile.TemporaryDirectory() as name:
             engine = Engine(Router(BASE, 7), Later(), Back(), lambda *_: None)
             front = Front(Scheduler(), engine, BASE, 4, 1000)
             self.addCleanup(front.listener.close)
             old = ProcessMarker(Path(name))
-            upgrade = UpgradeOf(front.sched, old, front, lambda whole: True, lambda two, younger: None)
+            upgrade = UpgradeWatch(front.sched, old, front, lambda whole: True, lambda two, younger: None)
             new = ProcessMarker(Path(name))
             new.set_state(READY)
             with patch.object(front.leave, "stop"):
@@ -376,27 +378,29 @@
             old.remove()
             new.remove()
 
-    def test_what_was_held_out_stays_out_of_the_new_one_and_either_takes_the_call_back(self) -> None:
+    def test_hold_outs_apply_to_the_new_version_and_either_version_can_end_them(self) -> None:
         self.assertRegex(self.gateway.call("disable-server s-00000009")[0], "^-ERR unknown")
         self.assertRegex(self.gateway.call("disable-server s-00000000")[0], "^.OK")
-        self.begin("parent")  # straight up: the zone has no other cache
-        self.follow()
-        late = self.gateway.client().ask(1, i="f" * 16)
+        self.start_upgrade("parent")  # sent to the parent, as the zone has no other cache
+        self.complete_bus_backlog()
+        late_client = self.gateway.client().ask(1, i="f" * 16)
         self.gateway.server("parent").expect_pull()
-        self.gateway.call("enable-server s-00000000")  # the old one's control
+        self.gateway.call("enable-server s-00000000")  # on the old version's control port
         self.new.expect_line("s-00000000 given back")
-        late.ask(2, i="e" * 16)
+        late_client.ask(2, i="e" * 16)
         self.gateway.server().expect_pull()
-        late.close()
+        late_client.close()
 
-    def test_sigterm_after_the_handing_over_answers_what_is_in_hand(self) -> None:
-        self.begin()
-        self.follow()
+    def test_sigterm_after_the_hand_over_answers_open_requests(self) -> None:
+        self.start_upgrade()
+        self.complete_bus_backlog()
         self.gateway.terminate()
         self.cache.send(answer(self.name, b"DONE", body=b"x"))
         self.client.expect(lambda got: got.kind == frames.GOING)
         self.client.expect_answer(1, frames.SERVED, b"x")
         self.assertEqual(self.gateway.process.wait(10.0), 0)
-        late = self.gateway.client().ask(1, i="f" * 16)  # its end shut down nothing of the platform's
+        late_client = self.gateway.client().ask(
+            1, i="f" * 16
+        )  # the end of the old process did not shut down the shared listener
         self.gateway.server().expect_pull()
-        late.close()
+        late_client.close()
