--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -77,7 +77,7 @@
         front.close()
 
     def test_a_draining_gateway_is_not_ready_finishes_its_requests_and_keeps_listening(self) -> None:
-        """A draining gateway that still reported ready broke the limit on lost requests 4 s after the call."""
+        """A gateway that reported ready in a drain broke the limit on lost requests 4 s after the call."""
         cache, name = self.opened(m="100000", d="5000")  # so large that a silent server is not suspected yet
         idle_client = self.gateway.client()
         self.assertEqual(self.gateway.call("drain"), ["+OK drained"])
@@ -291,7 +291,7 @@
 
 class ResourceLimits(unittest.TestCase):
     def test_the_program_does_not_import_unused_heavy_modules(self) -> None:
-        """Two processes of 15 MB each at their start exceeded the memory of a 32 MB gateway and crashed it."""
+        """Two processes of 15 MB each at their start crashed a gateway limited to 32 MB."""
         code = "import sys, hitchtiller.__main__; print({'asyncio', 'ssl'} & {*sys.modules}); import asyncio"
         command = [sys.executable, "-c", code]
         done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=True)
