--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -26,7 +26,7 @@
 from hitchtiller.ops.holdouts import FILE_NAME, HoldOuts
 from hitchtiller.ops.sign import READY, STARTING, ProcessMarker
 from hitchtiller.ops.stats import ANSWER_KINDS
-from hitchtiller.ops.upgrade import Upgrade as UpgradeWatch
+from hitchtiller.ops.upgrade import Upgrade
 from hitchtiller.peers import Peers
 from hitchtiller.sched import Scheduler
 
@@ -71,7 +71,7 @@
 
 class Drain(Scenario):
     def check_readiness(self, code: int) -> None:
-        """Check readiness on a connection of its own, as a load balancer does."""
+        """Probe readiness on a separate connection, as the platform's front does."""
         front = self.gateway.client().send(frames.head(frames.READY, 0, 1) + b"\0")
         front.expect(lambda got: got.kind == frames.READY_ANSWER and (got.payload[0] == 0) == (code == 0))
         front.close()
@@ -369,7 +369,7 @@
             front = Front(Scheduler(), engine, BASE, 4, 1000)
             self.addCleanup(front.listener.close)
             old = ProcessMarker(Path(name))
-            upgrade = UpgradeWatch(front.sched, old, front, lambda whole: True, lambda two, younger: None)
+            upgrade = Upgrade(front.sched, old, front, lambda whole: True, lambda two, younger: None)
             new = ProcessMarker(Path(name))
             new.set_state(READY)
             with patch.object(front.leave, "stop"):
