--- a/hitchtiller/membership/detector.py
+++ b/hitchtiller/membership/detector.py
@@ -134,7 +134,7 @@
             case Kind.PING_REQ if message.target in self.view.claims and message.target != self.own_number:
                 return self._start_probe(message.target, now_ms, sender, message.number)
             case Kind.PAGE:
-                return self._sync_answer(sender, message.target)
+                return self._answer_sync(sender, message.target)
             case Kind.REPORT:
                 self.evidence.add_reports(
                     (r for r in message.reports if r.witness in self.view.claims), now_ms
@@ -170,6 +170,7 @@
     # Periods
 
     def _begin_period(self, now_ms: float) -> Datagrams:
+        """Start a period: a sync request if due, pings to own suspects, gossip, and the next probe."""
         self.period_count += 1
         datagrams: Datagrams = []
         if self.pages or self.period_count % SYNC_INTERVAL_PERIODS == 0:
@@ -186,6 +187,7 @@
         return datagrams + self._start_probe(target, now_ms) if target is not None else datagrams
 
     def _next_target(self, now_ms: float) -> int | None:
+        """Return the next member of the probe round that was not heard within the last period."""
         for _ in range(2 * len(self.view.claims)):
             if not self.probe_queue:
                 # a few dead members are probed too: after a network partition nothing else finds them again
@@ -206,6 +208,7 @@
     def _start_probe(
         self, target: int, now_ms: float, requester: int = -1, requester_probe: int = 0
     ) -> Datagrams:
+        """Ping a member; a probe on behalf of a requester starts no retry rounds of its own."""
         self.last_probe_number += 1
         self.probes[self.last_probe_number] = Probe(
             target,
@@ -218,6 +221,7 @@
         return self._compose(target, Kind.PING, self.last_probe_number)
 
     def _handle_ack(self, message: MembershipMessage, sender: int) -> Datagrams:
+        """End a probe that was answered, and pass the answer on to the requester, if there is one."""
         probe = self.probes.get(message.number)
         if probe is None or (probe.target != sender and probe.requester >= 0):
             return []
@@ -228,6 +232,7 @@
         return []
 
     def _check_probes(self, now_ms: float) -> Datagrams:
+        """Drop answered probes, start retry rounds that are due, and handle probes that timed out."""
         datagrams: Datagrams = []
         for probe in list(self.probes.values()):
             age_ms, timeout_ms = (
@@ -250,6 +255,7 @@
         return datagrams
 
     def _handle_missed_probe(self, target: int, now_ms: float) -> None:
+        """Suspect a member after an unanswered probe, or become a witness of an existing suspicion."""
         claim = self.view.claims.get(target)
         if claim is None or claim.state > State.SUSPECT:
             return
@@ -260,6 +266,7 @@
             self._on_claim_merged(target, self.own_number, now_ms)
 
     def _expire_suspicions(self, now_ms: float) -> None:
+        """Drop settled suspicions, and declare members dead whose time to refute has passed."""
         for number, suspicion in list(self.suspicions.items()):
             claim = self.view.claims.get(number)
             if claim is None or claim.state is not State.SUSPECT:
@@ -289,6 +296,7 @@
     # Claims and messages
 
     def _on_claim_merged(self, number: int, reporter: int, now_ms: float) -> None:
+        """Act on a claim that changed the view: slow down if it is about this gateway; start a suspicion."""
         if number == self.own_number:
             self._slow_down(1)  # others suspected this gateway, so it may be the slow one
         elif self.view.claims[number].state is State.SUSPECT:
@@ -307,19 +315,23 @@
         self.gossip.queue(change.number)
 
     def _slow_down(self, steps: int) -> None:
+        """Lengthen this gateway's periods and suspicion times by this many steps."""
         self.slowdown_steps = min(MAX_SLOWDOWN_STEPS, self.slowdown_steps + steps)
 
     def _random_members(self, count: int, excluded: tuple[int, ...]) -> list[int]:
+        """Draw up to `count` other members that are believed alive."""
         others = [n for n in self.view.numbers_in(State.ALIVE) if n != self.own_number and n not in excluded]
         return self.rng.sample(others, min(count, len(others)))
 
-    def _sync_answer(self, peer: int, start: int) -> Datagrams:
+    def _answer_sync(self, peer: int, start: int) -> Datagrams:
+        """Answer a sync request with the claims about the numbers from `start` on, as many as fit."""
         size = len(self.view.claims)
         numbers = sorted(self.view.claims, key=lambda n: (n - start) % size)
         items = self.view.items(numbers)[:MAX_CLAIMS]
         return self._encode(peer, MembershipMessage(Kind.TELL, self.own_number, 0, 0, items))
 
     def _compose(self, peer: int, kind: Kind, number: int, target: int = 0) -> Datagrams:
+        """Build a message that also carries the claims next to be sent."""
         # a peer not believed alive gets the claim about itself first: it refutes, or learns it is superseded
         claim = self.view.claims.get(peer, UNHEARD)
         first_number = peer if claim.state is not State.ALIVE else None
