--- a/hitchtiller/membership/detector.py
+++ b/hitchtiller/membership/detector.py
@@ -58,7 +58,7 @@
 
 @dataclass(slots=True)
 class Suspicion:
-    """A running suspicion: when its time started, and the members that suspect the same."""
+    """A suspicion that is neither refuted nor confirmed: its start and the members that share it."""
 
     started_ms: float
     witnesses: set[int]
--- a/hitchtiller/ops/control.py
+++ b/hitchtiller/ops/control.py
@@ -38,6 +38,7 @@
         return str(host), int(port)
 
     def _accept(self) -> None:
+        """Accept callers; at MAX_CALLERS close the oldest one, first among those without a complete call."""
         while True:
             try:
                 sock, address = self.listener.accept()
@@ -58,6 +59,7 @@
             self.sched.spawn(self._serve, stream, f"{address[0]}:{address[1]}", urgent=True)
 
     def _serve(self, stream: Stream, peer: str) -> None:
+        """Read a call, answer it, and log both when the connection ends."""
         line = reply = ""
         try:
             line = self._read_line(stream)
@@ -99,6 +101,7 @@
             return f"-ERR {error}"
 
     def _await_close(self, stream: Stream) -> None:
+        """Read until the caller closes the connection, for LINGER_MS at most."""
         timer = self.sched.later(LINGER_MS, lambda: stream.close("answered"))
         with contextlib.suppress(Closed):
             while True:
--- a/hitchtiller/ops/holdouts.py
+++ b/hitchtiller/ops/holdouts.py
@@ -48,8 +48,9 @@
         self.forward(event)
 
     def _with_hold_out(self, host: ListedServer) -> ListedServer:
+        """Return a server as the decisions are to see it: draining if it is held out."""
         member = host.member
-        if member.server in self.out and member.state == STATES[0]:  # regardless of later bus events
+        if member.server in self.out and member.state == STATES[0]:  # whatever the bus reports meanwhile
             return replace(host, member=replace(member, state=STATES[1]))
         return host
 
