--- a/hitchtiller/operator/read.py
+++ b/hitchtiller/operator/read.py
@@ -20,7 +20,7 @@
 
 from hitchtiller.operator.model import File, Store
 
-HCL = hcl2.parser.hcl2
+HCL_PARSER = hcl2.parser.hcl2
 Model = TypeVar("Model", bound=msgspec.Struct)
 
 
@@ -69,7 +69,7 @@
 
 def read_text(text: str, name: str = "gateway.hcl") -> File:
     """Read and check a file's text."""
-    return read_model(File, text, name, lambda found, given: _relations(found.get("store"), given, name))
+    return read_model(File, text, name, lambda found, given: _check_store(found.get("store"), given, name))
 
 
 def read_model(
@@ -78,19 +78,19 @@
 ) -> Model:  # fmt: skip
     """Read and check a file of any model; `relations` checks what only holds between its settings."""
     try:
-        tree = HCL.parse(text + "\n")
-        body = next(node for node in _topdown(tree) if node.data == "body")
-        settings = tuple(_settings(body, text))
+        tree = HCL_PARSER.parse(text + "\n")
+        body = next(node for node in _iterate_topdown(tree) if node.data == "body")
+        settings = tuple(_read_settings(body, text))
     except UnexpectedInput as error:
         lines = text.splitlines() or [""]
         line = max(1, min(getattr(error, "line", 1), len(lines)))
-        shown = lines[line - 1].strip()
-        what = f"this is not HCL, near {shown[:60]!r}"
+        excerpt = lines[line - 1].strip()
+        what = f"this is not HCL, near {excerpt[:60]!r}"
         raise BadFile(
             [Problem(name, line, what, 'write settings as name = value, blocks as name "label" { }')]
         ) from None
     problems: list[Problem] = []
-    values = _struct(model, settings, 1, name, "the file", problems)
+    values = _check_struct(model, settings, 1, name, "the file", problems)
     if not problems:
         problems += relations(values, settings)
     if problems:
@@ -98,11 +98,11 @@
     return msgspec.convert(values, model)
 
 
-def _topdown(tree: Tree[Any]) -> Iterator[Tree[Any]]:
+def _iterate_topdown(tree: Tree[Any]) -> Iterator[Tree[Any]]:
     return tree.iter_subtrees_topdown()  # type: ignore[no-any-return, no-untyped-call]
 
 
-def _settings(body: Tree[Any], text: str) -> Iterator[Setting]:
+def _read_settings(body: Tree[Any], text: str) -> Iterator[Setting]:
     for node in body.children:
         if not isinstance(node, Tree) or node.data not in ("attribute", "block"):
             continue
@@ -112,27 +112,27 @@
         line = node.meta.line
         if node.data == "attribute":
             source = text[node.meta.start_pos : node.meta.end_pos]
-            yield Setting(name, (), line, _value(source))
+            yield Setting(name, (), line, _parse_value(source))
         else:
             labels = tuple(
                 str(child.children[0] if isinstance(child, Tree) else child).strip('"')
                 for child in node.children[1:-1]
             )
-            yield Setting(name, labels, line, inside=tuple(_settings(node.children[-1], text)))
+            yield Setting(name, labels, line, inside=tuple(_read_settings(node.children[-1], text)))
 
 
-def _value(source: str) -> Any:
+def _parse_value(source: str) -> Any:
     """Read one attribute by itself; what is no plain value comes back as text in ${ }."""
     (value,) = hcl2.api.loads(source.strip() + "\n").values()
     return value
 
 
-def _nearest(name: str, known: list[str]) -> str:
+def _suggest_name(name: str, known: list[str]) -> str:
     close = difflib.get_close_matches(name, known, 1, 0.5)
     return f"did you mean {close[0]!r}?" if close else "known here: " + ", ".join(sorted(known))
 
 
-def _struct(
+def _check_struct(
     model: type, settings: tuple[Setting, ...], line: int, file: str, where: str, problems: list[Problem]
 ) -> dict[str, Any]:
     """Check what stands in one block against its model; gives plain values for msgspec."""
@@ -140,7 +140,7 @@
     assert isinstance(info, types.StructType)
     fields = {field.name: field for field in info.fields}
     values: dict[str, Any] = {}
-    first: dict[tuple[str, ...], int] = {}
+    first_lines: dict[tuple[str, ...], int] = {}
     for setting in settings:
         field = fields.get(setting.name)
         if field is None:
@@ -149,30 +149,35 @@
                     file,
                     setting.line,
                     f"{setting.name!r} is not known in {where}",
-                    _nearest(setting.name, [*fields]),
+                    _suggest_name(setting.name, [*fields]),
                 )
             )
             continue
         place = (setting.name, *setting.labels)
-        if place in first:
-            text = f"{' '.join(place)!r} stands here a second time (first in line {first[place]})"
+        if place in first_lines:
+            text = f"{' '.join(place)!r} stands here a second time (first in line {first_lines[place]})"
             problems.append(Problem(file, setting.line, text, "leave one of them out"))
             continue
-        first[place] = setting.line
-        kind, many = _block(field.type)
+        first_lines[place] = setting.line
+        kind, is_labelled = _block_type(field.type)
         if kind is not None:
-            _take_block(kind, many, setting, file, values, problems)
+            _check_block(kind, is_labelled, setting, file, values, problems)
         else:
-            _take_value(field, setting, file, values, problems)
+            _check_value(field, setting, file, values, problems)
     for field in fields.values():
-        if field.required and not any(place[0] == field.name for place in first):
+        if field.required and not any(place[0] == field.name for place in first_lines):
             problems.append(
-                Problem(file, line, f"{field.name!r} is missing in {where}", f"write {_expected(field.type)}")
+                Problem(
+                    file,
+                    line,
+                    f"{field.name!r} is missing in {where}",
+                    f"write {_describe_expected(field.type)}",
+                )
             )
     return values
 
 
-def _block(kind: types.Type) -> tuple[type | None, bool]:
+def _block_type(kind: types.Type) -> tuple[type | None, bool]:
     """Tell whether a field is a block, and whether it may stand several times under labels."""
     if isinstance(kind, types.UnionType):
         kind = next((each for each in kind.types if isinstance(each, types.StructType)), kind)
@@ -181,29 +186,34 @@
     return (kind.cls, False) if isinstance(kind, types.StructType) else (None, False)
 
 
-def _take_block(
-    kind: type, many: bool, setting: Setting, file: str, values: dict[str, Any], problems: list[Problem]
+def _check_block(
+    kind: type,
+    is_labelled: bool,
+    setting: Setting,
+    file: str,
+    values: dict[str, Any],
+    problems: list[Problem],
 ) -> None:
     name, line = setting.name, setting.line
     if setting.inside is None:
-        form = f'{name} "NAME" {{ ... }}' if many else f"{name} {{ ... }}"
+        form = f'{name} "NAME" {{ ... }}' if is_labelled else f"{name} {{ ... }}"
         problems.append(Problem(file, line, f"{name!r} is a block", f"write {form}"))
         return
-    if len(setting.labels) != int(many):
-        text = f'{name} "NAME" {{ ... }}' if many else f"{name} {{ ... }}, without a label"
+    if len(setting.labels) != int(is_labelled):
+        text = f'{name} "NAME" {{ ... }}' if is_labelled else f"{name} {{ ... }}, without a label"
         problems.append(Problem(file, line, f"{name!r} has {len(setting.labels)} labels", f"write {text}"))
         return
-    inner = _struct(kind, setting.inside, line, file, repr(" ".join((name, *setting.labels))), problems)
-    if many:
+    inner = _check_struct(kind, setting.inside, line, file, repr(" ".join((name, *setting.labels))), problems)
+    if is_labelled:
         values.setdefault(name, {})[setting.labels[0]] = inner
     else:
         values[name] = inner
 
 
-def _take_value(
+def _check_value(
     field: types.Field, setting: Setting, file: str, values: dict[str, Any], problems: list[Problem]
 ) -> None:
-    expected = f"write {_expected(field.type)}"
+    expected = f"write {_describe_expected(field.type)}"
     if setting.inside is not None:
         problems.append(
             Problem(file, setting.line, f"{setting.name!r} is a setting, not a block", f"{expected} after =")
@@ -215,8 +225,8 @@
         problems.append(Problem(file, setting.line, text, expected))
         return
     try:
-        holder = msgspec.defstruct("Holder", [("value", _annotation(field.type))])
-        msgspec.convert({"value": value}, holder)
+        value_model = msgspec.defstruct("Holder", [("value", _rebuild_type(field.type))])
+        msgspec.convert({"value": value}, value_model)
     except msgspec.ValidationError as error:
         why = re.sub(r" - at `\$\.value`$", "", str(error))
         problems.append(
@@ -226,7 +236,7 @@
     values[setting.name] = value
 
 
-def _annotation(kind: types.Type) -> Any:
+def _rebuild_type(kind: types.Type) -> Any:
     """Build the type again that msgspec looked into."""
     from typing import Annotated, Literal
 
@@ -249,12 +259,12 @@
     return base
 
 
-def _expected(kind: types.Type) -> str:
+def _describe_expected(kind: types.Type) -> str:
     extra = kind.extra_json_schema if isinstance(kind, types.Metadata) else None
     return str((extra or {}).get("description", "a value"))
 
 
-def _relations(store: dict[str, Any] | None, settings: tuple[Setting, ...], file: str) -> list[Problem]:
+def _check_store(store: dict[str, Any] | None, settings: tuple[Setting, ...], file: str) -> list[Problem]:
     """Check what only holds between settings."""
     if not store or not store.get("disk"):
         return []
@@ -265,7 +275,7 @@
     inside = next(s for s in block.inside or () if s.name == "disk")
     lines = {setting.name: setting.line for setting in inside.inside or ()}
 
-    def at(name: str) -> int:
+    def line_of(name: str) -> int:
         return lines.get(name, inside.line)
 
     problems = []
@@ -273,18 +283,20 @@
     if disk.budget_mb < reserve + 2 * disk.segment_mb:
         what = f"budget_mb = {disk.budget_mb:g} leaves no two segments beside a reserve of {reserve:g}"
         problems.append(
-            Problem(file, at("budget_mb"), what, f"write at least {reserve + 2 * disk.segment_mb:g}")
+            Problem(file, line_of("budget_mb"), what, f"write at least {reserve + 2 * disk.segment_mb:g}")
         )
     if not Path(disk.folder).is_absolute():
         problems.append(
-            Problem(file, at("folder"), f"folder = {disk.folder!r} is not absolute", "write the path from /")
+            Problem(
+                file, line_of("folder"), f"folder = {disk.folder!r} is not absolute", "write the path from /"
+            )
         )
     if disk.compact_busy_mb_per_s > disk.compact_mb_per_s:
         what = "compact_busy_mb_per_s is above compact_mb_per_s: compaction would not give way to clients"
         problems.append(
-            Problem(file, at("compact_busy_mb_per_s"), what, f"write at most {disk.compact_mb_per_s:g}")
+            Problem(file, line_of("compact_busy_mb_per_s"), what, f"write at most {disk.compact_mb_per_s:g}")
         )
     if disk.queue_mb > disk.budget_mb / 2:
         what = f"queue_mb = {disk.queue_mb:g} is over half of the budget"
-        problems.append(Problem(file, at("queue_mb"), what, f"write at most {disk.budget_mb / 2:g}"))
+        problems.append(Problem(file, line_of("queue_mb"), what, f"write at most {disk.budget_mb / 2:g}"))
     return problems
