--- a/hitchtiller/operator/model.py
+++ b/hitchtiller/operator/model.py
@@ -1,7 +1,8 @@
-"""What may stand in the operators' file: blocks as msgspec models, each setting with its bounds.
+"""The schema of the operators' file: its blocks as msgspec models, each setting with its bounds.
 
-The models are the one list of names: reading, checking, the suggestions for misspelt names and the example in
-the docs are made from them. Sizes in `_mb` are millions of bytes, times end in `_s` or `_ms`.
+The models are the only list of the settings: reading, checking, the suggestions for misspelt names and the
+example in the docs derive from them. The description of a setting completes "write ..." in a problem. Sizes
+in `_mb` are millions of bytes; times end in `_s` or `_ms`.
 """
 
 from typing import Annotated, Literal
@@ -12,19 +13,19 @@
 
 
 class Log(Struct, frozen=True, forbid_unknown_fields=True):
-    """How log lines are written."""
+    """The block `log`: the form of the log lines."""
 
     form: Annotated[Literal["text", "json"], Meta(description='"text" or "json"')] = "text"
 
 
 class Share(Struct, frozen=True, forbid_unknown_fields=True):
-    """One class's share of the memory tier."""
+    """The block `share "CLASS"`: the weight of one request class in the memory tier."""
 
     weight: Annotated[float, Meta(gt=0, le=1000, description="a number above 0")] = 1.0
 
 
 class Disk(Struct, frozen=True, forbid_unknown_fields=True):
-    """A folder that outlives the process."""
+    """The block `disk`: the tier of copies in a folder, which survive a restart."""
 
     folder: Annotated[str, Meta(min_length=1, description="the path of a folder that this gateway may write")]
     budget_mb: Annotated[float, Meta(ge=1, le=1_000_000, description="a size from 1 to 1000000")] = 1024
@@ -41,7 +42,7 @@
 
 
 class Store(Struct, frozen=True, forbid_unknown_fields=True):
-    """Copies of the gateway's own."""
+    """The block `store`: the gateway's own copies, in memory and optionally on disk."""
 
     memory_mb: Annotated[float, Meta(ge=0.1, le=1_000_000, description="a size from 0.1 to 1000000")] = 64
     policy: Annotated[
@@ -55,7 +56,7 @@
 
 
 class Repository(Struct, frozen=True, forbid_unknown_fields=True):
-    """One repository, served below `prefix`."""
+    """The block `repository "NAME"`: a package repository, served below the path `prefix`."""
 
     kind: Annotated[Literal["simple", "debian"], Meta(description='"simple" or "debian"')]
     class_name: Annotated[str, Meta(min_length=1, description="the name of a class that may be kept")]
@@ -66,7 +67,7 @@
 
 
 class Repo(Struct, frozen=True, forbid_unknown_fields=True):
-    """The front for package repositories."""
+    """The block `repo`: the HTTP server for package repositories, its limits and timeouts."""
 
     listen: Annotated[str, Meta(min_length=3, description='an address such as "127.0.0.1:8080"')]
     connections: Annotated[int, Meta(ge=1, le=100_000, description="a number from 1 to 100000")] = 256
@@ -80,14 +81,14 @@
 
 
 class Membership(Struct, frozen=True, forbid_unknown_fields=True):
-    """Which gateways are there, told between them on the peer socket."""
+    """The block `membership`: gateways agree over the peer socket on which of them are alive."""
 
     period_ms: Annotated[float, Meta(ge=50, le=60_000, description="a time from 50 to 60000")] = 1000
     fleet: Annotated[str, Meta(description="a name that all gateways of one fleet share")] = ""
 
 
 class File(Struct, frozen=True, forbid_unknown_fields=True):
-    """The whole file; what is not in it is off."""
+    """The whole file; a feature whose block is absent is off, and the log is written as text."""
 
     log: Log = Log()
     store: Store | None = None
