--- a/hitchtiller/operator/read.py
+++ b/hitchtiller/operator/read.py
@@ -1,7 +1,9 @@
-"""Reads the operators' file: HCL to models, or problems with their lines and what to write instead.
+"""Reads the operators' file (HCL) into models, or reports problems with their lines and the remedies.
 
-All problems are found in one pass, and a file with any gives no settings at all: nothing starts on half a
-file.
+A check goes through the whole file and reports all invalid settings at once; text that can't be parsed is
+reported alone. A file with any problem gives no settings at all, so that no gateway starts with half of a
+file. The file holds plain values only: expressions of HCL are refused. Checks between several settings run
+once each setting is valid by itself.
 """
 
 import difflib
@@ -26,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Problem:
-    """One thing that is wrong."""
+    """One fault in a file: its place, what is wrong, and what to write instead."""
 
     file: str
     line: int
@@ -34,22 +36,26 @@
     instead: str
 
     def __str__(self) -> str:
-        """Write it as compilers do."""
+        """Return it on one line in the form of a compiler's message, `file:line: what; instead`."""
         return f"{self.file}:{self.line}: {self.what}; {self.instead}"
 
 
 class BadFile(Exception):
-    """A file that can't be used; `problems` are in the order of their lines."""
+    """Raised for a file that can't be used; `problems` are in the order of their lines."""
 
     def __init__(self, problems: list[Problem]) -> None:
-        """Keep the problems."""
+        """Make an error whose text has one line for each problem."""
         super().__init__("\n".join(map(str, problems)))
         self.problems = problems
 
 
 @dataclass(frozen=True, slots=True)
 class Setting:
-    """An attribute or a block as it stands: name, labels, line, and its value or what is in it."""
+    """An attribute or a block of the file: its name, labels and line, and its value or its contents.
+
+    An attribute has a `value`; a block has its attributes and blocks in `inside`, which is None for an
+    attribute.
+    """
 
     name: str
     labels: tuple[str, ...]
@@ -59,7 +65,10 @@
 
 
 def read_file(path: Path) -> File:
-    """Read and check a file; BadFile with all that is wrong, OSError if it can't be read."""
+    """Read and check the operators' file.
+
+    Raises BadFile with all problems if it is not valid, and OSError if it can't be read.
+    """
     try:
         text = path.read_text()
     except UnicodeDecodeError:
@@ -68,7 +77,7 @@
 
 
 def read_text(text: str, name: str = "gateway.hcl") -> File:
-    """Read and check a file's text."""
+    """Read and check the text of an operators' file; `name` stands for the file in the problems."""
     return read_model(File, text, name, lambda found, given: _check_store(found.get("store"), given, name))
 
 
@@ -76,7 +85,11 @@
     model: type[Model], text: str, name: str,
     relations: Callable[[dict[str, Any], tuple[Setting, ...]], list[Problem]] = lambda values, settings: [],
 ) -> Model:  # fmt: skip
-    """Read and check a file of any model; `relations` checks what only holds between its settings."""
+    """Read and check the text of an HCL file against a model.
+
+    `relations` gets the plain values and the settings of the file, and returns the problems that concern
+    several settings together. It is only called if each setting is valid by itself.
+    """
     try:
         tree = HCL_PARSER.parse(text + "\n")
         body = next(node for node in _iterate_topdown(tree) if node.data == "body")
@@ -99,10 +112,12 @@
 
 
 def _iterate_topdown(tree: Tree[Any]) -> Iterator[Tree[Any]]:
+    """Iterate over a tree and its subtrees from the root down; the parser's types are stated here only."""
     return tree.iter_subtrees_topdown()  # type: ignore[no-any-return, no-untyped-call]
 
 
 def _read_settings(body: Tree[Any], text: str) -> Iterator[Setting]:
+    """Read the attributes and blocks of a body in their order; `text` is the text of the whole file."""
     for node in body.children:
         if not isinstance(node, Tree) or node.data not in ("attribute", "block"):
             continue
@@ -122,12 +137,13 @@
 
 
 def _parse_value(source: str) -> Any:
-    """Read one attribute by itself; what is no plain value comes back as text in ${ }."""
+    """Parse one attribute by itself and return its value; an expression is returned as a text with `${ }`."""
     (value,) = hcl2.api.loads(source.strip() + "\n").values()
     return value
 
 
 def _suggest_name(name: str, known: list[str]) -> str:
+    """Return a hint to the most similar known name, or a list of all of them if none is similar."""
     close = difflib.get_close_matches(name, known, 1, 0.5)
     return f"did you mean {close[0]!r}?" if close else "known here: " + ", ".join(sorted(known))
 
@@ -135,7 +151,11 @@
 def _check_struct(
     model: type, settings: tuple[Setting, ...], line: int, file: str, where: str, problems: list[Problem]
 ) -> dict[str, Any]:
-    """Check what stands in one block against its model; gives plain values for msgspec."""
+    """Check the contents of one block, or of the file, against its model.
+
+    Appends what is wrong to `problems` and returns the plain values for msgspec. `line` is the line of the
+    block, which is reported for missing settings; `where` names the block in the problems.
+    """
     info = types.type_info(model)
     assert isinstance(info, types.StructType)
     fields = {field.name: field for field in info.fields}
@@ -178,7 +198,10 @@
 
 
 def _block_type(kind: types.Type) -> tuple[type | None, bool]:
-    """Tell whether a field is a block, and whether it may stand several times under labels."""
+    """Return the model of a field that is a block, else None, and whether the block is labelled.
+
+    A labelled block may stand several times, under different labels.
+    """
     if isinstance(kind, types.UnionType):
         kind = next((each for each in kind.types if isinstance(each, types.StructType)), kind)
     if isinstance(kind, types.DictType) and isinstance(kind.value_type, types.StructType):
@@ -194,6 +217,7 @@
     values: dict[str, Any],
     problems: list[Problem],
 ) -> None:
+    """Check one block with its labels and contents, and add its values to `values`."""
     name, line = setting.name, setting.line
     if setting.inside is None:
         form = f'{name} "NAME" {{ ... }}' if is_labelled else f"{name} {{ ... }}"
@@ -213,6 +237,7 @@
 def _check_value(
     field: types.Field, setting: Setting, file: str, values: dict[str, Any], problems: list[Problem]
 ) -> None:
+    """Check one setting against the type and bounds of its field, and add its value to `values`."""
     expected = f"write {_describe_expected(field.type)}"
     if setting.inside is not None:
         problems.append(
@@ -237,7 +262,10 @@
 
 
 def _rebuild_type(kind: types.Type) -> Any:
-    """Build the type again that msgspec looked into."""
+    """Return the annotation for which msgspec gave this type description, with its bounds.
+
+    Lets msgspec check a single value, so that the problem can name its setting and line.
+    """
     from typing import Annotated, Literal
 
     meta = kind
@@ -260,12 +288,13 @@
 
 
 def _describe_expected(kind: types.Type) -> str:
+    """Return the description of valid values that the model gives for a field."""
     extra = kind.extra_json_schema if isinstance(kind, types.Metadata) else None
     return str((extra or {}).get("description", "a value"))
 
 
 def _check_store(store: dict[str, Any] | None, settings: tuple[Setting, ...], file: str) -> list[Problem]:
-    """Check what only holds between settings."""
+    """Check the settings of the block `store` that depend on one another, and the disk folder's path."""
     if not store or not store.get("disk"):
         return []
     checked = msgspec.convert(store, Store)
@@ -276,6 +305,7 @@
     lines = {setting.name: setting.line for setting in inside.inside or ()}
 
     def line_of(name: str) -> int:
+        """Return the line of a setting of the block `disk`, or of the block if the default is used."""
         return lines.get(name, inside.line)
 
     problems = []
