--- a/hitchtiller/operator/__init__.py
+++ b/hitchtiller/operator/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' own file (HCL): what may stand in it, and how it is read and checked."""
+"""The operators' file (HCL): its schema (`model`), and how it is read and checked (`read`)."""
