--- a/hitchtiller/cli/serve.py
+++ b/hitchtiller/cli/serve.py
@@ -1,4 +1,8 @@
-"""`hitchtiller serve`: the platform's gateway with what the operators' file switches on."""
+"""`hitchtiller serve`: the platform's gateway with the optional parts that the operators' file switches on.
+
+The optional parts are the gateway's own copies, the front for package repositories and membership. Their
+modules are imported only if the file has their block.
+"""
 
 import os
 import sys
@@ -21,8 +25,8 @@
     from hitchtiller.repo.front import RepoFront
 
 
-def with_store(settings: Store) -> Callable[[Gateway], Callable[[], None]]:
-    """Join the tiers to a gateway."""
+def store_extension(settings: Store) -> Callable[[Gateway], Callable[[], None]]:
+    """Return a function that adds the tiers of copies to a gateway and returns a callable for its end."""
     from hitchtiller.store.disk import Options
     from hitchtiller.store.jobs import ThreadJobs
     from hitchtiller.store.keeper import Keeper
@@ -60,8 +64,8 @@
     return extend
 
 
-def with_repositories(settings: Repo) -> Callable[[Gateway], None]:
-    """Join the second front to a gateway."""
+def repository_extension(settings: Repo) -> Callable[[Gateway], None]:
+    """Return a function that adds the HTTP front for package repositories to a gateway."""
     from hitchtiller.repo.admission import BackgroundLimit, ConnectionLimits
     from hitchtiller.repo.budget import Budget
     from hitchtiller.repo.fetch import Fetcher
@@ -73,39 +77,40 @@
         sched, engine = gateway.sched, gateway.engine
         give_way = BackgroundLimit(on=settings.give_way)
         fetcher = Fetcher(sched, engine, give_way, Budget(), gateway.config.seed)
-        served = [
+        repositories = [
             Repository(
                 name, make(r.kind), r.prefix, r.class_name, r.group, r.grace_s * 1e3, int(r.index_mb * MB)
             )
             for name, r in settings.repository.items()
         ]
         hosts = frozenset(host.strip().lower() for host in settings.hosts.split(",") if host.strip())
-        service = Service(engine, fetcher, served, hosts)
+        service = Service(engine, fetcher, repositories, hosts)
         times = Times(settings.header_s * 1e3, settings.idle_s * 1e3, settings.slow_s * 1e3)
         front = RepoFront(
             sched, service, ConnectionLimits(settings.connections, settings.each_address), times
         )
         front.listen(read_dial(settings.listen))
-        publish(engine.stats, front, fetcher)
+        publish_repository_figures(engine.stats, front, fetcher)
 
-        def look() -> None:
+        def adjust_limit() -> None:
+            """Adapt the limit on background fetches to the load every 200 ms; never returns."""
             while True:
                 sched.sleep(200.0)
                 fetcher.look()
 
-        sched.spawn(look)
+        sched.spawn(adjust_limit)
 
     return extend
 
 
-def with_membership(settings: Membership) -> Callable[[Gateway], Callable[[], None]]:
-    """Join membership to a gateway."""
+def membership_extension(settings: Membership) -> Callable[[Gateway], Callable[[], None]]:
+    """Return a function that adds membership to a gateway and returns a callable for its end."""
     from hitchtiller.ops.members import Members
 
     def extend(gateway: Gateway) -> Callable[[], None]:
         assert gateway.peers, "checked before the start"
-        joined = (gateway.sched, gateway.engine, gateway.peers, gateway.bus)
-        members = Members(*joined, settings.fleet, settings.period_ms)
+        parts = (gateway.sched, gateway.engine, gateway.peers, gateway.bus)
+        members = Members(*parts, settings.fleet, settings.period_ms)
         gateway.front.not_ready_reasons.append(members.isolation_reason)
         gateway.calls.plain["members"] = members.listed
         gateway.calls.named["forget-member"] = members.forget
@@ -115,19 +120,19 @@
     return extend
 
 
-def publish(stats: Stats, front: "RepoFront", fetcher: "Fetcher") -> None:
-    """Put the second front's figures where operators read them."""
-    way, budget, service = fetcher.give_way, fetcher.budget, front.service
+def publish_repository_figures(stats: Stats, front: "RepoFront", fetcher: "Fetcher") -> None:
+    """Add the figures of the repository front to the statistics of the gateway."""
+    background_limit, budget, service = fetcher.give_way, fetcher.budget, front.service
     stats.levels |= {
         "repo.connections": lambda: front.connection_limits.all,
-        "repo.parts_open": lambda: way.open,
-        "repo.parts_limit": lambda: int(way.limit),
+        "repo.parts_open": lambda: background_limit.open,
+        "repo.parts_limit": lambda: int(background_limit.limit),
     }
     stats.counts |= {
         "repo.parts": lambda: fetcher.asked,
         "repo.repeats": lambda: budget.spent,
         "repo.repeats_denied": lambda: budget.denied,
-        "repo.gave_way": lambda: way.refused,
+        "repo.gave_way": lambda: background_limit.refused,
         "repo.turned_away": lambda: sum(front.rejected_connections.values()),
         "repo.answers": lambda: sum(service.counts.values()),
         "repo.held_back": lambda: sum(
@@ -136,19 +141,19 @@
     }
 
 
-def _extend(settings: File, gateway: Gateway) -> Callable[[], None]:
-    """Join all that the file asks for."""
-    finish = with_store(settings.store)(gateway) if settings.store else lambda: None
+def _add_parts(settings: File, gateway: Gateway) -> Callable[[], None]:
+    """Add the parts that the file switches on; return a callable that ends them."""
+    finish = store_extension(settings.store)(gateway) if settings.store else lambda: None
     if settings.repo:
-        with_repositories(settings.repo)(gateway)
+        repository_extension(settings.repo)(gateway)
     if settings.membership:
-        left = with_membership(settings.membership)(gateway)
-        return lambda: (left(), finish())[1]
+        leave_membership = membership_extension(settings.membership)(gateway)
+        return lambda: (leave_membership(), finish())[1]
     return finish
 
 
 def serve(file: Path | None) -> int:
-    """Run until told to stop; 2 for a configuration or a file that can't be used."""
+    """Run the gateway until it is stopped; return 2 for a configuration or a file that can't be used."""
     settings = File()
     try:
         if file:
@@ -156,13 +161,16 @@
         config = read_config(os.environ)
         unknown = set(settings.store.share if settings.store else ()) - set(config.settings.classes)
         for name, repository in (settings.repo.repository if settings.repo else {}).items():
-            cls = config.settings.classes.get(repository.class_name)
-            if cls is None or cls.write or cls.effect != "repeatable":
-                names = [
+            request_class = config.settings.classes.get(repository.class_name)
+            if request_class is None or request_class.write or request_class.effect != "repeatable":
+                valid_names = [
                     n for n, c in config.settings.classes.items() if c.effect == "repeatable" and not c.write
                 ]
-                told = f"class_name {repository.class_name!r} of repository {name!r} is none that may be kept"
-                raise ConfigError(f"{file}: {told}; there are " + ", ".join(names))
+                reason = (
+                    f"class_name {repository.class_name!r} of repository {name!r} "
+                    "is no class that may be kept"
+                )
+                raise ConfigError(f"{file}: {reason}; there are " + ", ".join(valid_names))
         if settings.membership and not (config.peer_listen and config.settings.peers):
             raise ConfigError(f"{file}: membership needs peers and peer_listen in the configuration")
         if unknown:
@@ -179,7 +187,7 @@
         return 2
     log.start(config.name, json_sink if settings.log.form == "json" else None)
     try:
-        serve_gateway(config, lambda gateway: _extend(settings, gateway))
+        serve_gateway(config, lambda gateway: _add_parts(settings, gateway))
     except OSError as error:
         print(f"hitchtiller: {error}", file=sys.stderr)
         return 2
