--- a/hitchtiller/cli/__init__.py
+++ b/hitchtiller/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line; each command imports what it needs when it is called."""
+"""The command line; each command's module is imported when the command is called."""
--- a/hitchtiller/cli/__main__.py
+++ b/hitchtiller/cli/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m hitchtiller.cli` is `hitchtiller`."""
+"""`python -m hitchtiller.cli` runs the command `hitchtiller`."""
 
 from hitchtiller.cli.main import main
 
