--- a/hitchtiller/cli/main.py
+++ b/hitchtiller/cli/main.py
@@ -1,6 +1,7 @@
-"""The commands and their options.
+"""The commands of `hitchtiller` and their options.
 
-Exit codes: 0 done, 1 something was found to be wrong, 2 bad usage or input.
+The module that carries out a command is imported only when the command runs. Exit codes: 0 done, 1 a fault
+was found, 2 invalid usage or input.
 """
 
 import sys
@@ -16,6 +17,7 @@
 
 
 def _version() -> str:
+    """Return the version of the installed package."""
     try:
         return version("hitchtiller")
     except PackageNotFoundError:
@@ -23,14 +25,14 @@
 
 
 def run(module: str, name: str, /, **options: Any) -> NoReturn:
-    """Import a command's module only now, run it, and end with its exit code."""
+    """Import the module of a command, call its function `name`, and exit with the code that it returns."""
     sys.exit(getattr(import_module(f"hitchtiller.cli.{module}"), name)(**options))
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(_version(), prog_name="hitchtiller")
 def main() -> None:
-    """A gateway for station caches, and the tools round it.
+    """A gateway for station caches, and the tools that belong to it.
 
     Shell completion: eval "$(_HITCHTILLER_COMPLETE=bash_source hitchtiller)".
     """
@@ -39,7 +41,7 @@
 @main.command()
 @click.option("--file", type=click.Path(dir_okay=False, path_type=Path), help="The operators' file (HCL).")
 def serve(file: Path | None) -> None:
-    """Run one gateway: BALANCER_* as on the platform, and what the operators' file switches on."""
+    """Run one gateway, configured by BALANCER_* as on the platform, plus what --file switches on."""
     run("serve", "serve", file=file)
 
 
@@ -47,7 +49,7 @@
 @click.argument("file", type=click.Path(dir_okay=False, path_type=Path))
 @JSON
 def check(file: Path, as_json: bool) -> None:
-    """Check an operators' file; every problem is told with its line. Exit code 1 if there is one."""
+    """Check an operators' file and report each problem with its line. Exit code 1 if there is one."""
     run("check", "check", file=file, as_json=as_json)
 
 
@@ -56,7 +58,7 @@
 @click.option("--seed", default=1, show_default=True)
 @JSON
 def demo(requests: int, seed: int, as_json: bool) -> None:
-    """Start a gateway with stand-in caches on free loopback ports, and show the way of some requests."""
+    """Start a gateway with stand-in caches on free loopback ports, and show how some requests are served."""
     run("demo", "demo", requests=requests, seed=seed, as_json=as_json)
 
 
@@ -65,25 +67,25 @@
 @click.option("--row-s", default=5.0, show_default=True, type=click.FloatRange(1.0), help="Length of a row.")
 @JSON
 def worth(logs: tuple[Path, ...], row_s: float, as_json: bool) -> None:
-    """Sum what became of requests over all gateways, from their logs: files, or folders of *.log.
+    """Sum the outcomes of requests over all gateways, from their logs: files, or folders of *.log.
 
-    A gateway that was killed or restarted counts from 0 again; what it had counted before stays in the sum.
-    Exit code 1 if a file or a line could not be read (they are named, the rest is summed), 2 if there is
-    nothing to sum.
+    The counters of a gateway that was killed or restarted begin at 0 again; its counts before that stay in
+    the sum. Exit code 1 if a file or a line could not be read (each is reported, the rest is summed), 2 if
+    there is nothing to sum.
     """
     run("worth", "worth", logs=logs, row_s=row_s, as_json=as_json)
 
 
 @main.group()
 def store() -> None:
-    """Look at, check and measure a folder of kept copies. The gateway that owns it must not be running."""
+    """Inspect, check and measure a folder of stored copies. The gateway that owns it must not be running."""
 
 
 @store.command()
 @FOLDER
 @JSON
 def inspect(folder: Path, as_json: bool) -> None:
-    """Show the segments, the checkpoint, the purges and the watermark; reads heads only."""
+    """Show the segments, the checkpoint, the purges and the watermark; reads only the records' headers."""
     run("store", "inspect", folder=folder, as_json=as_json)
 
 
@@ -91,7 +93,7 @@
 @FOLDER
 @JSON
 def verify(folder: Path, as_json: bool) -> None:
-    """Read every record and check its checksums. Exit code 1 if one does not hold."""
+    """Read every record and check its checksums. Exit code 1 if one does not match."""
     run("store", "verify", folder=folder, as_json=as_json)
 
 
@@ -101,7 +103,7 @@
 @click.option("--segment-mb", default=64.0, show_default=True, type=click.FloatRange(0.5, 256.0))
 @JSON
 def compact(folder: Path, budget_mb: float, segment_mb: float, as_json: bool) -> None:
-    """Write what lives into fresh segments, remove the rest, and leave a checkpoint."""
+    """Copy live records into new segments, remove dead ones, and write a checkpoint."""
     run("store", "compact", folder=folder, budget_mb=budget_mb, segment_mb=segment_mb, as_json=as_json)
 
 
@@ -111,7 +113,7 @@
 @click.option("--object", "name", help="Only this object, 16 hex digits.")
 @JSON
 def export(folder: Path, target: Path, name: str | None, as_json: bool) -> None:
-    """Write the parts as files into TARGET, with an index in JSON beside them."""
+    """Write the stored parts as files into TARGET, together with an index in JSON."""
     run("store", "export", folder=folder, target=target, name=name, as_json=as_json)
 
 
@@ -123,7 +125,7 @@
 @click.option("--index", default=100_000, show_default=True, type=click.IntRange(100, 20_000_000))
 @JSON
 def bench(folder: Path, parts: int, kb: float, seconds: float, index: int, as_json: bool) -> None:
-    """Fill an empty FOLDER and measure writes, starts, and reads beside plain os.pread of the same bytes."""
+    """Fill an empty FOLDER and time writes, starts, and reads compared with os.pread of the same bytes."""
     run("bench", "bench", folder=folder, parts=parts, kb=kb, seconds=seconds, index=index, as_json=as_json)
 
 
@@ -131,14 +133,26 @@
 @click.option("--requests", default=300_000, show_default=True, type=click.IntRange(1000))
 @click.option("--objects", default=40_000, show_default=True, type=click.IntRange(100))
 @click.option(
-    "--room", default=0.05, show_default=True, type=click.FloatRange(0.0001, 1.0), help="Share of all bytes."
+    "--room",
+    default=0.05,
+    show_default=True,
+    type=click.FloatRange(0.0001, 1.0),
+    help="Size of the tier as a share of all bytes.",
 )
 @click.option("--zipf", default=0.95, show_default=True, type=click.FloatRange(0.0, 3.0))
 @click.option(
-    "--drift", default=0.0, show_default=True, type=click.FloatRange(0.0, 1.0), help="Ranks lost in a run."
+    "--drift",
+    default=0.0,
+    show_default=True,
+    type=click.FloatRange(0.0, 1.0),
+    help="Shift of the popularity ranks over a run, as a share of all objects.",
 )
 @click.option(
-    "--scan", default=0.2, show_default=True, type=click.FloatRange(0.0, 0.9), help="Share wanted once."
+    "--scan",
+    default=0.2,
+    show_default=True,
+    type=click.FloatRange(0.0, 0.9),
+    help="Share of requests for objects requested once.",
 )
 @click.option("--seeds", default=3, show_default=True, type=click.IntRange(1, 50))
 @click.option(
@@ -146,13 +160,13 @@
 )
 @JSON
 def replay(**options: Any) -> None:
-    """Play traces against the admission policies, with and without a scan; no sockets, no files."""
+    """Replay traces against the admission policies, with and without a scan; no sockets, no files."""
     run("replay", "replay", **options)
 
 
 @main.group()
 def repo() -> None:
-    """Look at a package repository, by URL or folder, as its clients do."""
+    """Read a package repository at a URL or in a folder, as its clients do."""
 
 
 PLACE = click.argument("place")
@@ -166,7 +180,7 @@
 @ROOT
 @JSON
 def repo_check(place: str, kind: str, root: str, as_json: bool) -> None:
-    """Read every file that an index names. Exit code 1 if one is missing or has other bytes."""
+    """Read every file that an index lists. Exit code 1 if one is missing or has other bytes."""
     run("repo", "check", place=place, kind=kind, root=root, as_json=as_json)
 
 
@@ -178,7 +192,7 @@
 @click.option("--stations", default=14, show_default=True, type=click.IntRange(1))
 @JSON
 def repo_plan(place: str, kind: str, root: str, mb_per_s: float, stations: int, as_json: bool) -> None:
-    """Tell bytes, parts and time over a link of a given rate."""
+    """Print the bytes and parts of a release, and the time that a link of a given rate needs for it."""
     run(
         "repo",
         "plan",
@@ -198,17 +212,17 @@
 @ROOT
 @JSON
 def repo_pull(place: str, target: Path, kind: str, root: str, as_json: bool) -> None:
-    """Fetch a consistent set into TARGET; what broke off goes on, what is there and right is kept."""
+    """Fetch a consistent set of files into TARGET; resumes partial files and keeps those that are correct."""
     run("repo", "pull", place=place, target=target, kind=kind, root=root, as_json=as_json)
 
 
 @main.command()
 @click.argument("addresses", nargs=-1, required=True)
-@click.option("--watch", is_flag=True, help="Ask again and again, until interrupted.")
+@click.option("--watch", is_flag=True, help="Ask repeatedly, until interrupted.")
 @click.option("--every-s", default=1.0, show_default=True, type=click.FloatRange(0.1, 3600.0))
 @JSON
 def members(addresses: tuple[str, ...], watch: bool, every_s: float, as_json: bool) -> None:
-    """Ask gateways at their control ADDRESSES whom they hold for alive, and mark where they differ.
+    """Ask gateways at their control ADDRESSES which members they consider alive, and mark differences.
 
     Exit code 1 if they differ or one does not answer, 2 if none does.
     """
@@ -221,13 +235,13 @@
 STEPS = click.option("--steps", default=12, show_default=True, type=click.IntRange(0, 500))
 KEEP = click.option(
     "--keep", default="found", show_default=True, type=click.Path(file_okay=False, path_type=Path),
-    help="Where schedules are kept with what was seen.",
+    help="Folder for the schedules with what was observed.",
 )  # fmt: skip
 
 
 @main.group()
 def fleet() -> None:
-    """Several gateway processes among stand-ins on loopback, with faults between them, judged."""
+    """Run several gateway processes with stand-ins on loopback, inject faults, and check the results."""
 
 
 @fleet.command("draw")
@@ -235,7 +249,7 @@
 @SIZE
 @STEPS
 def fleet_draw(seed: int, size: int, steps: int) -> None:
-    """Print a schedule of faults drawn from a seed, as a file that `fleet play` takes."""
+    """Print a schedule of faults drawn from a seed, in the form of the files that `fleet play` reads."""
     run("fleet", "fleet_draw", seed=seed, size=size, steps=steps)
 
 
@@ -244,7 +258,7 @@
 @KEEP
 @JSON
 def fleet_play(file: Path, keep: Path, as_json: bool) -> None:
-    """Play a schedule. Exit code 1 if a rule or a process was broken, 2 for a file that can't be used."""
+    """Play a schedule. Exit code 1 if a rule or a process was broken, 2 if the file can't be used."""
     run("fleet", "fleet_play", file=file, keep=keep, as_json=as_json)
 
 
@@ -256,14 +270,16 @@
 @KEEP
 @JSON
 def fleet_soak(minutes: float, seed: int, size: int, steps: int, keep: Path, as_json: bool) -> None:
-    """Play drawn schedules of SEED, SEED + 1 and so on; exit code 1 if one was broken (it is kept)."""
+    """Play schedules drawn from SEED, SEED + 1 and so on. Exit code 1 if one was broken (it is kept)."""
     run("fleet", "fleet_soak", minutes=minutes, seed=seed, size=size, steps=steps, keep=keep, as_json=as_json)
 
 
 @fleet.command("shrink")
 @SCHEDULE
-@click.option("--plays", default=40, show_default=True, type=click.IntRange(1, 500), help="At the most.")
+@click.option(
+    "--plays", default=40, show_default=True, type=click.IntRange(1, 500), help="Maximum number of plays."
+)
 @click.option("--out", default="smaller.hcl", show_default=True, type=click.Path(path_type=Path))
 def fleet_shrink(file: Path, plays: int, out: Path) -> None:
-    """Leave out steps of a failing schedule while it still fails. Exit code 0 if it holds as it stands."""
+    """Remove steps of a failing schedule as long as it still fails. Exit code 0 if the schedule passes."""
     run("fleet", "fleet_shrink", file=file, plays=plays, out=out)
