--- a/hitchtiller/cli/repo.py
+++ b/hitchtiller/cli/repo.py
@@ -16,15 +16,15 @@
 from hitchtiller.repo.generations import NamedFile
 from hitchtiller.repo.kinds import BadIndex, make
 
-CHUNK = 65_536
-AGAIN, PAUSE_S = 5, 1.0
+CHUNK_BYTES = 65_536
+MAX_ATTEMPTS, RETRY_DELAY_S = 5, 1.0
 
 
-class Unreachable(Exception):
+class BadLocationError(Exception):
     """Nothing can be read from there."""
 
 
-class Away(Exception):
+class FileUnavailableError(Exception):
     """A file is not there, or not now; `status` is the answer's, 0 for none."""
 
     def __init__(self, status: int, text: str) -> None:
@@ -33,7 +33,7 @@
         self.status = status
 
 
-class Folder:
+class FolderSource:
     """A repository on this machine's disk."""
 
     def __init__(self, root: Path) -> None:
@@ -46,27 +46,27 @@
         if not file.is_file():
             file = file / "index.html"
         try:
-            opened = file.open("rb")
+            open_file = file.open("rb")
         except OSError:
-            raise Away(404, f"{path} is not there") from None
+            raise FileUnavailableError(404, f"{path} is not there") from None
 
-        def pieces() -> Iterator[bytes]:
-            with opened:
-                opened.seek(start)
-                while data := opened.read(CHUNK):
+        def chunks() -> Iterator[bytes]:
+            with open_file:
+                open_file.seek(start)
+                while data := open_file.read(CHUNK_BYTES):
                     yield data
 
-        return pieces(), "", bool(start)
+        return chunks(), "", bool(start)
 
 
-class Site:
+class HttpSource:
     """A repository behind HTTP/1.1."""
 
     def __init__(self, url: str) -> None:
         """Take a URL; Unreachable if it is none."""
         parts = urlsplit(url)
         if parts.scheme != "http" or not parts.hostname:
-            raise Unreachable(f"{url!r} is no http:// address and no folder")
+            raise BadLocationError(f"{url!r} is no http:// address and no folder")
         self.host, self.port, self.base = parts.hostname, parts.port or 80, parts.path.rstrip("/") + "/"
 
     def read(self, path: str, start: int = 0, tag: str = "") -> tuple[Iterator[bytes], str, bool]:
@@ -77,108 +77,108 @@
             headers |= {"Range": f"bytes={start}-", "If-Range": tag}
         try:
             connection.request("GET", self.base + quote(path), headers=headers)
-            answer = connection.getresponse()
+            response = connection.getresponse()
         except (OSError, http.client.HTTPException) as error:
-            raise Away(0, f"{self.host}:{self.port}: {error}") from None
-        if answer.status not in (200, 206):
-            raise Away(answer.status, f"{path}: {answer.status} {answer.reason}")
+            raise FileUnavailableError(0, f"{self.host}:{self.port}: {error}") from None
+        if response.status not in (200, 206):
+            raise FileUnavailableError(response.status, f"{path}: {response.status} {response.reason}")
 
-        def pieces() -> Iterator[bytes]:
+        def chunks() -> Iterator[bytes]:
             try:
-                while data := answer.read(CHUNK):
+                while data := response.read(CHUNK_BYTES):
                     yield data
             except (OSError, http.client.HTTPException) as error:
-                raise Away(0, f"{path}: broke off: {error!r}") from None
+                raise FileUnavailableError(0, f"{path}: broke off: {error!r}") from None
             finally:
                 connection.close()
 
-        return pieces(), answer.getheader("ETag") or "", answer.status == 206
+        return chunks(), response.getheader("ETag") or "", response.status == 206
 
 
-Reader = Folder | Site
+Source = FolderSource | HttpSource
 
 
-def reader(place: str) -> Reader:
+def open_source(place: str) -> Source:
     """Take a URL or a folder."""
-    return Folder(Path(place)) if Path(place).is_dir() else Site(place)
+    return FolderSource(Path(place)) if Path(place).is_dir() else HttpSource(place)
 
 
-def whole(source: Reader, path: str) -> bytes:
+def read_all(source: Source, path: str) -> bytes:
     """Read a file whole, a few times again where it is not there now."""
-    for attempt in range(AGAIN):
+    for attempt in range(MAX_ATTEMPTS):
         try:
             return b"".join(source.read(path)[0])
-        except Away as error:
-            if error.status not in (0, 503, 504) or attempt == AGAIN - 1:
+        except FileUnavailableError as error:
+            if error.status not in (0, 503, 504) or attempt == MAX_ATTEMPTS - 1:
                 raise
-        time.sleep(PAUSE_S)
+        time.sleep(RETRY_DELAY_S)
     raise AssertionError
 
 
-def named_by(source: Reader, kind_name: str, root: str) -> dict[str, NamedFile]:
+def read_index(source: Source, kind_name: str, root: str) -> dict[str, NamedFile]:
     """Read an index with what belongs to it."""
     kind = make(kind_name)
-    parsed = kind.parse(root, whole(source, root))
+    parsed = kind.parse(root, read_all(source, root))
     files = {path: named for path, named in parsed.files.items() if path not in parsed.optional}
     for path in parsed.nested:
-        body = whole(source, path)
+        body = read_all(source, path)
         if hashlib.sha256(body).hexdigest() != parsed.files[path].digest:
             raise BadIndex(f"{path}: not the bytes that {root} names")
         files |= kind.parse(path, body).files
     return files
 
 
-def fetch(source: Reader, named: NamedFile, target: Path, tick: Callable[[int], None]) -> str:
+def download(source: Source, named: NamedFile, target: Path, on_bytes: Callable[[int], None]) -> str:
     """Fetch one file, going on where it broke off.
 
     Gives "" or what is wrong. The file has its name only when whole.
     """
-    part, tag_file = target.with_name(target.name + ".part"), target.with_name(target.name + ".tag")
+    part_file, tag_file = target.with_name(target.name + ".part"), target.with_name(target.name + ".tag")
     target.parent.mkdir(parents=True, exist_ok=True)
-    told = ""
-    for attempt in range(AGAIN):
-        have = part.stat().st_size if part.exists() and tag_file.exists() else 0
-        tag = tag_file.read_text() if have else ""
+    problem = ""
+    for attempt in range(MAX_ATTEMPTS):
+        resume_from = part_file.stat().st_size if part_file.exists() and tag_file.exists() else 0
+        tag = tag_file.read_text() if resume_from else ""
         try:
-            pieces, fresh, goes_on = source.read(named.path, have, tag)
-            tag_file.write_text(fresh)
-            with part.open("ab" if goes_on and have else "wb") as out:
-                for data in pieces:
+            chunks, new_tag, is_resumed = source.read(named.path, resume_from, tag)
+            tag_file.write_text(new_tag)
+            with part_file.open("ab" if is_resumed and resume_from else "wb") as out:
+                for data in chunks:
                     out.write(data)
-                    tick(len(data))
-        except Away as error:
-            told = str(error)
+                    on_bytes(len(data))
+        except FileUnavailableError as error:
+            problem = str(error)
             if error.status not in (0, 503, 504):
                 break
-            time.sleep(PAUSE_S * (attempt > 0))
+            time.sleep(RETRY_DELAY_S * (attempt > 0))
             continue
-        with part.open("rb") as file:
+        with part_file.open("rb") as file:
             digest = hashlib.file_digest(file, "sha256").hexdigest()
-        size = part.stat().st_size
+        size = part_file.stat().st_size
         if named.digest in ("", digest) and named.size in (-1, size):
-            os.replace(part, target)
+            os.replace(part_file, target)
             tag_file.unlink()
             return ""
-        part.unlink()
-        told = f"{named.path}: {size} bytes with digest {digest[:12]}; the index names {named.digest[:12]}"
-    return told
+        part_file.unlink()
+        problem = f"{named.path}: {size} bytes with digest {digest[:12]}; the index names {named.digest[:12]}"
+    return problem
 
 
-def _index(place: str, kind: str, root: str) -> tuple[Reader, dict[str, NamedFile]] | str:
+def _load_index(place: str, kind: str, root: str) -> tuple[Source, dict[str, NamedFile]] | str:
     try:
-        source = reader(place)
-        return source, named_by(source, kind, root)
-    except (Unreachable, Away, BadIndex) as error:
+        source = open_source(place)
+        return source, read_index(source, kind, root)
+    except (BadLocationError, FileUnavailableError, BadIndex) as error:
         return str(error)
 
 
 def check(place: str, kind: str, root: str, as_json: bool) -> int:
     """Read all that an index names; 1 if a file is missing or wrong, 2 if the index can't be read."""
-    got = _index(place, kind, root)
-    if isinstance(got, str):
-        print(f"hitchtiller: {got}", file=sys.stderr)
+    loaded = _load_index(place, kind, root)
+    if isinstance(loaded, str):
+        print(f"hitchtiller: {loaded}", file=sys.stderr)
         return 2
-    source, files = got
+    source, files = loaded
     faults: list[dict[str, str]] = []
     total = 0
     with show.progress() as bar:
@@ -192,7 +192,7 @@
                 total += size
                 if named.digest not in ("", digest.hexdigest()) or named.size not in (-1, size):
                     faults.append({"file": path, "what": f"{size} bytes that are not those the index names"})
-            except Away as error:
+            except FileUnavailableError as error:
                 faults.append({"file": path, "what": str(error)})
             bar.advance(task)
     result = {"index": root, "files": len(files), "bytes": total, "faults": faults}
@@ -207,24 +207,24 @@
 
 def plan(place: str, kind: str, root: str, mb_per_s: float, stations: int, as_json: bool) -> int:
     """Tell what a release costs a link: bytes, parts, time; 2 if the index can't be read."""
-    got = _index(place, kind, root)
-    if isinstance(got, str):
-        print(f"hitchtiller: {got}", file=sys.stderr)
+    loaded = _load_index(place, kind, root)
+    if isinstance(loaded, str):
+        print(f"hitchtiller: {loaded}", file=sys.stderr)
         return 2
-    source, files = got
-    untold, sizes = 0, list[int]()
+    source, files = loaded
+    missing_count, sizes = 0, list[int]()
     for path, named in files.items():
         if named.size >= 0:
             sizes.append(named.size)
             continue
         try:
             sizes.append(sum(map(len, source.read(path)[0])))
-        except Away:
-            untold += 1
+        except FileUnavailableError:
+            missing_count += 1
     total, parts = sum(sizes), sum(-(-max(1, size) // PART) for size in sizes)
     result: dict[str, Any] = {
         "files": len(files),
-        "missing": untold,
+        "missing": missing_count,
         "bytes": total,
         "parts": parts,
         "seconds_a_station": round(total / (mb_per_s * 1e6), 1),
@@ -240,33 +240,33 @@
 
     What is there and right is kept. 1 if something is missing or wrong.
     """
-    for attempt in range(AGAIN):
-        got = _index(place, kind, root)
-        if isinstance(got, str):
-            print(f"hitchtiller: {got}", file=sys.stderr)
+    for attempt in range(MAX_ATTEMPTS):
+        loaded = _load_index(place, kind, root)
+        if isinstance(loaded, str):
+            print(f"hitchtiller: {loaded}", file=sys.stderr)
             return 2
-        source, files = got
+        source, files = loaded
         faults, fetched = list[str](), 0
         with show.progress() as bar:
             task = bar.add_task("pull", total=len(files))
             for path, named in sorted(files.items()):
                 file = target / path
-                if not _right(file, named):
-                    told = fetch(source, named, file, lambda size: None)
-                    faults += [told] if told else []
-                    fetched += not told
+                if not _is_correct(file, named):
+                    problem = download(source, named, file, lambda size: None)
+                    faults += [problem] if problem else []
+                    fetched += not problem
                 bar.advance(task)
         if not faults:
             break
         print(f"attempt {attempt + 1}: {faults[0]}; the index is read again", file=sys.stderr)
-        time.sleep(PAUSE_S)
+        time.sleep(RETRY_DELAY_S)
     result = {"files": len(files), "fetched": fetched, "faults": faults}
     print(json.dumps(result)) if as_json else show.pairs(str(target), result | {"faults": len(faults)})
     return 1 if faults else 0
 
 
-def _right(file: Path, named: NamedFile) -> bool:
+def _is_correct(file: Path, named: NamedFile) -> bool:
     if not file.is_file() or not named.digest:
         return False
-    with file.open("rb") as opened:
-        return hashlib.file_digest(opened, "sha256").hexdigest() == named.digest
+    with file.open("rb") as open_file:
+        return hashlib.file_digest(open_file, "sha256").hexdigest() == named.digest
