--- a/hitchtiller/cli/repo.py
+++ b/hitchtiller/cli/repo.py
@@ -1,4 +1,8 @@
-"""`hitchtiller repo check|mirror-plan|pull`: look at a repository by URL or folder as its clients do."""
+"""`hitchtiller repo check|mirror-plan|pull`: read a package repository by URL or folder as its clients do.
+
+A read of a file that fails for want of a connection or with status 503 or 504 is tried MAX_ATTEMPTS times;
+any other status is final.
+"""
 
 import hashlib
 import http.client
@@ -21,27 +25,30 @@
 
 
 class BadLocationError(Exception):
-    """Nothing can be read from there."""
+    """Raised for a location that is neither a folder nor an http:// URL."""
 
 
 class FileUnavailableError(Exception):
-    """A file is not there, or not now; `status` is the answer's, 0 for none."""
+    """Raised if a file is missing or can't be read now; `status` is the response's, 0 if there was none."""
 
     def __init__(self, status: int, text: str) -> None:
-        """Keep the status."""
+        """Make an error from the status of the response and a text for the user."""
         super().__init__(text)
         self.status = status
 
 
 class FolderSource:
-    """A repository on this machine's disk."""
+    """A repository in a local folder."""
 
     def __init__(self, root: Path) -> None:
-        """Take a folder."""
+        """Read the repository in the folder `root`."""
         self.root = root
 
     def read(self, path: str, start: int = 0, tag: str = "") -> tuple[Iterator[bytes], str, bool]:
-        """Give a file's bytes from `start` on, its tag, and whether it does go on there."""
+        """Return a file's bytes from `start` on, its tag, and whether they do begin at `start`.
+
+        A file in a folder has no tag. A path that is a folder is read as its `index.html`.
+        """
         file = self.root / path
         if not file.is_file():
             file = file / "index.html"
@@ -60,17 +67,21 @@
 
 
 class HttpSource:
-    """A repository behind HTTP/1.1."""
+    """A repository on an HTTP/1.1 server."""
 
     def __init__(self, url: str) -> None:
-        """Take a URL; Unreachable if it is none."""
+        """Read the repository at an http:// URL; BadLocationError for any other location."""
         parts = urlsplit(url)
         if parts.scheme != "http" or not parts.hostname:
-            raise BadLocationError(f"{url!r} is no http:// address and no folder")
+            raise BadLocationError(f"{url!r} is neither an http:// URL nor a folder")
         self.host, self.port, self.base = parts.hostname, parts.port or 80, parts.path.rstrip("/") + "/"
 
     def read(self, path: str, start: int = 0, tag: str = "") -> tuple[Iterator[bytes], str, bool]:
-        """Ask for a file from `start` on, as long as it is still the one of this tag."""
+        """Request a file and return its bytes, its tag, and whether the bytes begin at `start`.
+
+        The server sends the rest from `start` on only if the file still has the given tag, else the whole
+        file. FileUnavailableError if there is no response or its status is not 200 or 206.
+        """
         connection = http.client.HTTPConnection(self.host, self.port, timeout=30)
         headers = {"Connection": "close"}
         if start and tag:
@@ -88,7 +99,7 @@
                 while data := response.read(CHUNK_BYTES):
                     yield data
             except (OSError, http.client.HTTPException) as error:
-                raise FileUnavailableError(0, f"{path}: broke off: {error!r}") from None
+                raise FileUnavailableError(0, f"{path}: connection lost: {error!r}") from None
             finally:
                 connection.close()
 
@@ -99,12 +110,12 @@
 
 
 def open_source(place: str) -> Source:
-    """Take a URL or a folder."""
+    """Return the source for a URL or a folder."""
     return FolderSource(Path(place)) if Path(place).is_dir() else HttpSource(place)
 
 
 def read_all(source: Source, path: str) -> bytes:
-    """Read a file whole, a few times again where it is not there now."""
+    """Read a whole file, with up to MAX_ATTEMPTS tries if it is not available now."""
     for attempt in range(MAX_ATTEMPTS):
         try:
             return b"".join(source.read(path)[0])
@@ -116,7 +127,10 @@
 
 
 def read_index(source: Source, kind_name: str, root: str) -> dict[str, NamedFile]:
-    """Read an index with what belongs to it."""
+    """Read an index and the indexes that belong to it; return the files that they list, by path.
+
+    BadIndex if one is invalid or, for a nested one, has another digest than the first index gives.
+    """
     kind = make(kind_name)
     parsed = kind.parse(root, read_all(source, root))
     files = {path: named for path, named in parsed.files.items() if path not in parsed.optional}
@@ -129,9 +143,11 @@
 
 
 def download(source: Source, named: NamedFile, target: Path, on_bytes: Callable[[int], None]) -> str:
-    """Fetch one file, going on where it broke off.
+    """Download one file, resuming a partial download of the same version; return "" or what went wrong.
 
-    Gives "" or what is wrong. The file has its name only when whole.
+    The bytes go to TARGET.part, with their tag in TARGET.tag; the file gets its own name only once it is
+    complete and has the size and digest that the index gives. `on_bytes` is called with the size of each
+    piece.
     """
     part_file, tag_file = target.with_name(target.name + ".part"), target.with_name(target.name + ".tag")
     target.parent.mkdir(parents=True, exist_ok=True)
@@ -160,11 +176,12 @@
             tag_file.unlink()
             return ""
         part_file.unlink()
-        problem = f"{named.path}: {size} bytes with digest {digest[:12]}; the index names {named.digest[:12]}"
+        problem = f"{named.path}: {size} bytes with digest {digest[:12]}; the index gives {named.digest[:12]}"
     return problem
 
 
 def _load_index(place: str, kind: str, root: str) -> tuple[Source, dict[str, NamedFile]] | str:
+    """Open a source and read its index; return both, or the text of the error."""
     try:
         source = open_source(place)
         return source, read_index(source, kind, root)
@@ -173,7 +190,7 @@
 
 
 def check(place: str, kind: str, root: str, as_json: bool) -> int:
-    """Read all that an index names; 1 if a file is missing or wrong, 2 if the index can't be read."""
+    """Read all files that an index lists; return 1 if one is missing or wrong, 2 for an unreadable index."""
     loaded = _load_index(place, kind, root)
     if isinstance(loaded, str):
         print(f"hitchtiller: {loaded}", file=sys.stderr)
@@ -206,7 +223,10 @@
 
 
 def plan(place: str, kind: str, root: str, mb_per_s: float, stations: int, as_json: bool) -> int:
-    """Tell what a release costs a link: bytes, parts, time; 2 if the index can't be read."""
+    """Print the bytes and parts of a release and its time over a link; return 2 if the index can't be read.
+
+    Files whose size the index does not give are read to count their bytes.
+    """
     loaded = _load_index(place, kind, root)
     if isinstance(loaded, str):
         print(f"hitchtiller: {loaded}", file=sys.stderr)
@@ -236,9 +256,10 @@
 
 
 def pull(place: str, kind: str, root: str, target: Path, as_json: bool) -> int:
-    """Fetch a consistent set into a folder.
+    """Fetch a consistent set of files into a folder; files that are there and correct are kept.
 
-    What is there and right is kept. 1 if something is missing or wrong.
+    If a file fails, the index is read again, as a new release may have replaced the old one. Returns 1 if a
+    file is still missing or wrong after MAX_ATTEMPTS, 2 if the index can't be read.
     """
     for attempt in range(MAX_ATTEMPTS):
         loaded = _load_index(place, kind, root)
@@ -258,7 +279,7 @@
                 bar.advance(task)
         if not faults:
             break
-        print(f"attempt {attempt + 1}: {faults[0]}; the index is read again", file=sys.stderr)
+        print(f"attempt {attempt + 1}: {faults[0]}; reading the index again", file=sys.stderr)
         time.sleep(RETRY_DELAY_S)
     result = {"files": len(files), "fetched": fetched, "faults": faults}
     print(json.dumps(result)) if as_json else show.pairs(str(target), result | {"faults": len(faults)})
@@ -266,6 +287,7 @@
 
 
 def _is_correct(file: Path, named: NamedFile) -> bool:
+    """Return whether a file is there with the digest that the index gives; False if the index gives none."""
     if not file.is_file() or not named.digest:
         return False
     with file.open("rb") as open_file:
