--- a/hitchtiller/cli/store.py
+++ b/hitchtiller/cli/store.py
@@ -1,4 +1,4 @@
-"""`hitchtiller store inspect|verify|compact|export`: work on a folder that no gateway owns at the time."""
+"""`hitchtiller store inspect|verify|compact|export`: work on a store folder that no running gateway owns."""
 
 import sys
 import time
@@ -21,13 +21,14 @@
 
 
 class StoreUnavailableError(Exception):
-    """The folder can't be worked on."""
+    """Raised if a folder is not a store or a running gateway owns it."""
 
 
 def _open_store(folder: Path) -> OsFiles:
+    """Open and lock the store in a folder; StoreUnavailableError if it holds none or is locked."""
     names = [path.name for path in folder.iterdir()]
     if not any(name.startswith((recover.SEGMENT, recover.LOG)) for name in names):
-        raise StoreUnavailableError(f"{folder}: no store: it holds no segment and no {recover.LOG}")
+        raise StoreUnavailableError(f"{folder} is not a store: it holds no segment and no {recover.LOG}")
     files = OsFiles(folder)
     if not files.lock():
         files.close()
@@ -36,12 +37,13 @@
 
 
 def _report_error(error: StoreUnavailableError) -> int:
+    """Print an error and return the exit code for it."""
     print(f"hitchtiller: {error}", file=sys.stderr)
     return 2
 
 
 def inspect(folder: Path, as_json: bool) -> int:
-    """Show what a folder holds; 2 if it is no store or in use."""
+    """Print what a store holds; return 2 if the folder is not a store or is in use."""
     try:
         files = _open_store(folder)
     except StoreUnavailableError as error:
@@ -81,7 +83,7 @@
 
 
 def verify(folder: Path, as_json: bool) -> int:
-    """Read all records whole; 1 if a checksum does not hold."""
+    """Read all records in full, without the checkpoint; return 1 if anything in the folder is damaged."""
     try:
         files = _open_store(folder)
     except StoreUnavailableError as error:
@@ -115,7 +117,11 @@
 
 
 def compact(folder: Path, budget_mb: float, segment_mb: float, as_json: bool) -> int:
-    """Carry what lives into fresh segments; the purge log, era and watermark stay as they are."""
+    """Copy the live records of segments that also hold dead ones into new segments, and remove the old ones.
+
+    The purge log, the epoch and the watermark of the bus stay as they are. If the budget is too small for
+    the copies, a larger one is used for this run. Returns 1 if the store can't be written any more.
+    """
     try:
         files = _open_store(folder)
     except StoreUnavailableError as error:
@@ -157,7 +163,7 @@
 
 
 def export(folder: Path, target: Path, name: str | None, as_json: bool) -> int:
-    """Write parts as files named OBJECT-PART, and `index.json`; 1 if a part did not hold."""
+    """Write the parts as files named OBJECT-PART, and `index.json`; return 1 if a part was damaged."""
     wanted = None
     if name is not None:
         try:
