--- a/hitchtiller/cli/fleet.py
+++ b/hitchtiller/cli/fleet.py
@@ -16,7 +16,7 @@
 from standins.schedule import BadFile, Schedule, draw, read_schedule, write_schedule
 
 
-def _read(file: Path) -> Schedule | None:
+def _load_schedule(file: Path) -> Schedule | None:
     try:
         return read_schedule(file.read_text(), str(file))
     except BadFile as error:
@@ -26,18 +26,18 @@
     return None
 
 
-def _say(text: str) -> None:
+def _print_progress(text: str) -> None:
     click.echo(f"  {text}", err=True)
 
 
-def _keep(folder: Path, found: Outcome, name: str) -> Path:
+def _save_outcome(folder: Path, outcome: Outcome, name: str) -> Path:
     """Keep a schedule with what was seen; gives the schedule's file."""
     folder.mkdir(parents=True, exist_ok=True)
     file = folder / f"{name}.hcl"
-    file.write_text(write_schedule(found.schedule))
-    seen = {"seed": found.schedule.seed, "broken": found.broken, "counts": found.counts,
-            "history": [{"ms": at, "what": what} for at, what in found.history]}  # fmt: skip
-    (folder / f"{name}.json").write_bytes(msgspec.json.format(msgspec.json.encode(seen)))
+    file.write_text(write_schedule(outcome.schedule))
+    record = {"seed": outcome.schedule.seed, "broken": outcome.broken, "counts": outcome.counts,
+              "history": [{"ms": at_ms, "what": what} for at_ms, what in outcome.history]}  # fmt: skip
+    (folder / f"{name}.json").write_bytes(msgspec.json.format(msgspec.json.encode(record)))
     return file
 
 
@@ -49,66 +49,70 @@
 
 def fleet_play(file: Path, as_json: bool, keep: Path) -> int:
     """Play one schedule."""
-    schedule = _read(file)
+    schedule = _load_schedule(file)
     if schedule is None:
         return 2
-    found = play(schedule, _say)
-    _keep(keep, found, f"{file.stem}-played")
-    _show(found, as_json)
-    return 1 if found.broken else 0
+    outcome = play(schedule, _print_progress)
+    _save_outcome(keep, outcome, f"{file.stem}-played")
+    _print_outcome(outcome, as_json)
+    return 1 if outcome.broken else 0
 
 
-def _show(found: Outcome, as_json: bool) -> None:
+def _print_outcome(outcome: Outcome, as_json: bool) -> None:
     if as_json:
-        print_json({"seed": found.schedule.seed, "broken": found.broken, "counts": found.counts,
-                    "met_ms": round(found.converged_ms), "cold": round(found.cold, 3)})  # fmt: skip
+        print_json({"seed": outcome.schedule.seed, "broken": outcome.broken, "counts": outcome.counts,
+                    "met_ms": round(outcome.converged_ms), "cold": round(outcome.cold, 3)})  # fmt: skip
         return
-    rows = {"broken": len(found.broken), "one view after ms": round(found.converged_ms),
-            "most of a cold cache's bound": f"{found.cold:.2f}", **found.counts}  # fmt: skip
-    pairs(f"schedule of seed {found.schedule.seed}", rows)
-    for text in found.broken[:10]:
+    rows = {"broken": len(outcome.broken), "one view after ms": round(outcome.converged_ms),
+            "most of a cold cache's bound": f"{outcome.cold:.2f}", **outcome.counts}  # fmt: skip
+    pairs(f"schedule of seed {outcome.schedule.seed}", rows)
+    for text in outcome.broken[:10]:
         click.echo(f"hitchtiller: broken: {text}", err=True)
 
 
 def fleet_soak(minutes: float, seed: int, size: int, steps: int, keep: Path, as_json: bool) -> int:
     """Play drawn schedules, one after another; a failing one is kept."""
-    until, failing, plays, requests = time.monotonic() + 60.0 * minutes, list[int](), 0, 0
-    met = cold = 0.0
-    while time.monotonic() < until:
-        found = play(draw(seed + plays, size, steps))
+    deadline_s, failing_seeds, plays, requests = time.monotonic() + 60.0 * minutes, list[int](), 0, 0
+    max_converged_ms = max_cold_share = 0.0
+    while time.monotonic() < deadline_s:
+        outcome = play(draw(seed + plays, size, steps))
         plays += 1
-        requests += sum(found.counts.values())
-        met, cold = max(met, found.converged_ms), max(cold, found.cold)
+        requests += sum(outcome.counts.values())
+        max_converged_ms, max_cold_share = (
+            max(max_converged_ms, outcome.converged_ms),
+            max(max_cold_share, outcome.cold),
+        )
         verdict = "held"
-        if found.broken:
-            failing.append(found.schedule.seed)
-            kept = _keep(keep, found, f"seed-{found.schedule.seed}")
-            verdict = f"broken, kept as {kept}: {found.broken[0]}"
-        click.echo(f"  seed {found.schedule.seed}: {verdict}", err=True)
-    told = {"schedules": plays, "first_seed": seed, "requests": requests, "failing_seeds": failing,
-            "longest_to_one_view_ms": round(met), "most_of_a_cold_bound": round(cold, 3)}  # fmt: skip
+        if outcome.broken:
+            failing_seeds.append(outcome.schedule.seed)
+            saved_file = _save_outcome(keep, outcome, f"seed-{outcome.schedule.seed}")
+            verdict = f"broken, kept as {saved_file}: {outcome.broken[0]}"
+        click.echo(f"  seed {outcome.schedule.seed}: {verdict}", err=True)
+    summary = {"schedules": plays, "first_seed": seed, "requests": requests, "failing_seeds": failing_seeds,
+               "longest_to_one_view_ms": round(max_converged_ms),
+               "most_of_a_cold_bound": round(max_cold_share, 3)}  # fmt: skip
     if as_json:
-        print_json(told)
+        print_json(summary)
     else:
-        pairs("soak", {key: str(value) for key, value in told.items()})
-    return 1 if failing else 0
+        pairs("soak", {key: str(value) for key, value in summary.items()})
+    return 1 if failing_seeds else 0
 
 
 def fleet_shrink(file: Path, plays: int, out: Path) -> int:
     """Make a failing schedule smaller; 0 if it fails no more as it stands."""
-    schedule = _read(file)
+    schedule = _load_schedule(file)
     if schedule is None:
         return 2
     if not play(schedule).broken:
         click.echo(f"hitchtiller: {file} holds as it stands; nothing to make smaller", err=True)
         return 0
-    tried = 0
+    play_count = 0
 
-    def fails(one: Schedule) -> bool:
-        nonlocal tried
-        tried += 1
-        broken = bool(play(one).broken)
-        _say(f"{tried}: {len(one.steps)} steps, {'broken' if broken else 'held'}")
+    def fails(candidate: Schedule) -> bool:
+        nonlocal play_count
+        play_count += 1
+        broken = bool(play(candidate).broken)
+        _print_progress(f"{play_count}: {len(candidate.steps)} steps, {'broken' if broken else 'held'}")
         return broken
 
     smaller, _ = shrink(schedule, fails, plays)
