--- a/hitchtiller/cli/fleet.py
+++ b/hitchtiller/cli/fleet.py
@@ -1,7 +1,7 @@
-"""`hitchtiller fleet`: several gateway processes among stand-ins, with faults between them, judged.
+"""`hitchtiller fleet`: runs several gateway processes with stand-ins, injects faults and checks the results.
 
-Exit codes: 0 all held, 1 something was broken (it is named, and kept in a folder), 2 a file that can't be
-used.
+Exit codes: 0 no rule was broken, 1 a rule or a process was broken (it is named, and the schedule is saved
+in a folder), 2 a file can't be used.
 """
 
 import time
@@ -17,6 +17,7 @@
 
 
 def _load_schedule(file: Path) -> Schedule | None:
+    """Read a schedule; print the error and return None if it can't be used."""
     try:
         return read_schedule(file.read_text(), str(file))
     except BadFile as error:
@@ -27,11 +28,12 @@
 
 
 def _print_progress(text: str) -> None:
+    """Print a line of progress to standard error."""
     click.echo(f"  {text}", err=True)
 
 
 def _save_outcome(folder: Path, outcome: Outcome, name: str) -> Path:
-    """Keep a schedule with what was seen; gives the schedule's file."""
+    """Save a schedule and, in a JSON file beside it, what was observed; return the schedule's file."""
     folder.mkdir(parents=True, exist_ok=True)
     file = folder / f"{name}.hcl"
     file.write_text(write_schedule(outcome.schedule))
@@ -42,13 +44,13 @@
 
 
 def fleet_draw(seed: int, size: int, steps: int) -> int:
-    """Print a drawn schedule."""
+    """Print a schedule drawn from a seed."""
     click.echo(write_schedule(draw(seed, size, steps)), nl=False)
     return 0
 
 
 def fleet_play(file: Path, as_json: bool, keep: Path) -> int:
-    """Play one schedule."""
+    """Play one schedule, save the outcome in the folder `keep` and print it."""
     schedule = _load_schedule(file)
     if schedule is None:
         return 2
@@ -59,6 +61,7 @@
 
 
 def _print_outcome(outcome: Outcome, as_json: bool) -> None:
+    """Print an outcome; in the table form, the first ten faults go to standard error."""
     if as_json:
         print_json({"seed": outcome.schedule.seed, "broken": outcome.broken, "counts": outcome.counts,
                     "met_ms": round(outcome.converged_ms), "cold": round(outcome.cold, 3)})  # fmt: skip
@@ -71,7 +74,7 @@
 
 
 def fleet_soak(minutes: float, seed: int, size: int, steps: int, keep: Path, as_json: bool) -> int:
-    """Play drawn schedules, one after another; a failing one is kept."""
+    """Play drawn schedules one after another for `minutes`; failing ones are saved in the folder `keep`."""
     deadline_s, failing_seeds, plays, requests = time.monotonic() + 60.0 * minutes, list[int](), 0, 0
     max_converged_ms = max_cold_share = 0.0
     while time.monotonic() < deadline_s:
@@ -99,16 +102,17 @@
 
 
 def fleet_shrink(file: Path, plays: int, out: Path) -> int:
-    """Make a failing schedule smaller; 0 if it fails no more as it stands."""
+    """Shrink a failing schedule, with at most `plays` plays; return 0 if the schedule does not fail."""
     schedule = _load_schedule(file)
     if schedule is None:
         return 2
     if not play(schedule).broken:
-        click.echo(f"hitchtiller: {file} holds as it stands; nothing to make smaller", err=True)
+        click.echo(f"hitchtiller: {file} passes as it is; there is nothing to shrink", err=True)
         return 0
     play_count = 0
 
     def fails(candidate: Schedule) -> bool:
+        """Play a smaller schedule and return whether it is still broken."""
         nonlocal play_count
         play_count += 1
         broken = bool(play(candidate).broken)
