--- a/hitchtiller/cli/members.py
+++ b/hitchtiller/cli/members.py
@@ -17,91 +17,91 @@
 from hitchtiller.cli.show import as_json as print_json
 
 ADDRESS = re.compile(r"(?P<host>[0-9.]+):(?P<port>[0-9]{1,5})\Z")
-PATIENCE_S, MOST = 2.0, 1 << 20
+TIMEOUT_S, MAX_ANSWER_BYTES = 2.0, 1 << 20
 
 
 @dataclass
-class Seen:
+class GatewayView:
     """One gateway's answer; `problem` where there was none."""
 
     address: str
     problem: str = ""
     standing: str = ""
     states: dict[int, str] = field(default_factory=dict)
-    since_s: dict[int, str] = field(default_factory=dict)
-    said: dict[int, str] = field(default_factory=dict)
+    age_s: dict[int, str] = field(default_factory=dict)
+    reporter: dict[int, str] = field(default_factory=dict)
 
 
-def read_answer(address: str, text: str) -> Seen:
+def read_answer(address: str, text: str) -> GatewayView:
     """Read an answer to `members`: NUMBER|STATE|INCARNATION|SECONDS|SAID BY, then standing|NAME."""
-    seen = Seen(address)
+    view = GatewayView(address)
     for line in text.splitlines():
-        words = line.split("|")
-        if len(words) == 5 and words[0].isdecimal():
-            number = int(words[0])
-            seen.states[number], seen.since_s[number], seen.said[number] = words[1], words[3], words[4]
-        elif words[0] == "standing" and len(words) == 2:
-            seen.standing = words[1]
-    if not seen.states:
-        first = text.splitlines()[0] if text.strip() else "nothing"
-        seen.problem = f"answered {first[:60]!r}; is membership on there?"
-    return seen
-
-
-def ask(address: str) -> Seen:
+        fields = line.split("|")
+        if len(fields) == 5 and fields[0].isdecimal():
+            number = int(fields[0])
+            view.states[number], view.age_s[number], view.reporter[number] = fields[1], fields[3], fields[4]
+        elif fields[0] == "standing" and len(fields) == 2:
+            view.standing = fields[1]
+    if not view.states:
+        first_line = text.splitlines()[0] if text.strip() else "nothing"
+        view.problem = f"answered {first_line[:60]!r}; is membership on there?"
+    return view
+
+
+def query_gateway(address: str) -> GatewayView:
     """Ask one gateway."""
     host, _, port = address.rpartition(":")
     try:
-        with socket.create_connection((host, int(port)), PATIENCE_S) as sock:
+        with socket.create_connection((host, int(port)), TIMEOUT_S) as sock:
             sock.sendall(b"members\n")
             data = b""
-            while (more := sock.recv(65_536)) and len(data) < MOST:
-                data += more
+            while (chunk := sock.recv(65_536)) and len(data) < MAX_ANSWER_BYTES:
+                data += chunk
     except OSError as error:
-        return Seen(address, f"no answer: {error}")
+        return GatewayView(address, f"no answer: {error}")
     return read_answer(address, data.decode("utf-8", "replace"))
 
 
-def disagree(views: list[Seen]) -> set[int]:
+def disagree(views: list[GatewayView]) -> set[int]:
     """Give the numbers of which those that answered believe different things."""
-    answered = [seen for seen in views if not seen.problem]
-    numbers = {number for seen in answered for number in seen.states}
-    return {n for n in numbers if len({seen.states.get(n) for seen in answered}) > 1}
+    answered = [view for view in views if not view.problem]
+    numbers = {number for view in answered for number in view.states}
+    return {n for n in numbers if len({view.states.get(n) for view in answered}) > 1}
 
 
-def shown(views: list[Seen]) -> Table:
+def build_table(views: list[GatewayView]) -> Table:
     """Draw a table: a row a member, a column a gateway that was asked."""
-    apart = disagree(views)
-    table = Table(title=f"members, {len(apart)} of which views differ", title_justify="left")
+    differing = disagree(views)
+    table = Table(title=f"members, {len(differing)} of which views differ", title_justify="left")
     table.add_column("member", justify="right")
-    for seen in views:
-        table.add_column(seen.address)
-    for number in sorted({n for seen in views for n in seen.states}):
+    for view in views:
+        table.add_column(view.address)
+    for number in sorted({n for view in views for n in view.states}):
         cells = []
-        for seen in views:
-            state = seen.states.get(number, "-")
-            age = seen.since_s.get(number, "-")
-            cells.append(state if age == "-" else f"{state} {age} s by {seen.said[number]}")
-        mark = " !" if number in apart else ""
-        table.add_row(f"{number}{mark}", *cells, style="bold red" if mark else None)
-    table.add_row("standing", *(seen.problem or seen.standing for seen in views))
+        for view in views:
+            state = view.states.get(number, "-")
+            age = view.age_s.get(number, "-")
+            cells.append(state if age == "-" else f"{state} {age} s by {view.reporter[number]}")
+        marker = " !" if number in differing else ""
+        table.add_row(f"{number}{marker}", *cells, style="bold red" if marker else None)
+    table.add_row("standing", *(view.problem or view.standing for view in views))
     return table
 
 
-def code(views: list[Seen]) -> int:
+def code(views: list[GatewayView]) -> int:
     """Give the exit code."""
-    if all(seen.problem for seen in views):
+    if all(view.problem for view in views):
         return 2
-    return 1 if disagree(views) or any(seen.problem for seen in views) else 0
+    return 1 if disagree(views) or any(view.problem for view in views) else 0
 
 
 def members(addresses: tuple[str, ...], watch: bool, every_s: float, as_json: bool) -> int:
     """Ask once, or again and again until interrupted."""
     for address in addresses:
-        if not (found := ADDRESS.match(address)) or int(found["port"]) > 0xFFFF:
+        if not (parsed := ADDRESS.match(address)) or int(parsed["port"]) > 0xFFFF:
             click.echo(f"hitchtiller: {address!r} is no address; write 127.0.0.1:7109", err=True)
             return 2
-    views = [ask(address) for address in addresses]
+    views = [query_gateway(address) for address in addresses]
     if as_json:
         print_json({"differ": sorted(disagree(views)), "views": [
             {"address": s.address, "problem": s.problem, "standing": s.standing,
@@ -109,13 +109,13 @@
         ]})  # fmt: skip
         return code(views)
     if not watch:
-        Console(width=None if Console().is_terminal else 160).print(shown(views))
+        Console(width=None if Console().is_terminal else 160).print(build_table(views))
         return code(views)
     try:
-        with Live(shown(views), auto_refresh=False) as live:
+        with Live(build_table(views), auto_refresh=False) as live:
             while True:
                 time.sleep(every_s)
-                views = [ask(address) for address in addresses]
-                live.update(shown(views), refresh=True)
+                views = [query_gateway(address) for address in addresses]
+                live.update(build_table(views), refresh=True)
     except KeyboardInterrupt:
         return code(views)
