--- a/hitchtiller/cli/members.py
+++ b/hitchtiller/cli/members.py
@@ -1,7 +1,7 @@
-"""`hitchtiller members ADDRESS...`: what several gateways believe of one another, and where they disagree.
+"""`hitchtiller members ADDRESS...`: compares the states in which several gateways hold the fleet's members.
 
-Each address is a gateway's control; it is asked `members` as on-call staff would. Exit codes: 0 all agree, 1
-they disagree or one did not answer, 2 none answered or an address is no address.
+Each address is that of a gateway's control port, to which the command sends the call `members`. Exit codes:
+0 all agree, 1 they disagree or one did not answer, 2 none answered or an address is invalid.
 """
 
 import re
@@ -22,7 +22,11 @@
 
 @dataclass
 class GatewayView:
-    """One gateway's answer; `problem` where there was none."""
+    """One gateway's view of the members, by member number; `problem` says why there is none.
+
+    `age_s` holds the seconds since the state began as text, "-" if unknown; `reporter` is the gateway that
+    reported the state.
+    """
 
     address: str
     problem: str = ""
@@ -33,7 +37,7 @@
 
 
 def read_answer(address: str, text: str) -> GatewayView:
-    """Read an answer to `members`: NUMBER|STATE|INCARNATION|SECONDS|SAID BY, then standing|NAME."""
+    """Parse an answer to `members`: lines of NUMBER|STATE|INCARNATION|SECONDS|REPORTER, and standing|NAME."""
     view = GatewayView(address)
     for line in text.splitlines():
         fields = line.split("|")
@@ -49,7 +53,7 @@
 
 
 def query_gateway(address: str) -> GatewayView:
-    """Ask one gateway."""
+    """Send `members` to one gateway and return its view; a failed connection is its `problem`."""
     host, _, port = address.rpartition(":")
     try:
         with socket.create_connection((host, int(port)), TIMEOUT_S) as sock:
@@ -63,14 +67,14 @@
 
 
 def disagree(views: list[GatewayView]) -> set[int]:
-    """Give the numbers of which those that answered believe different things."""
+    """Return the members whose state differs between the gateways that answered."""
     answered = [view for view in views if not view.problem]
     numbers = {number for view in answered for number in view.states}
     return {n for n in numbers if len({view.states.get(n) for view in answered}) > 1}
 
 
 def build_table(views: list[GatewayView]) -> Table:
-    """Draw a table: a row a member, a column a gateway that was asked."""
+    """Return a table with a row for each member and a column for each gateway asked."""
     differing = disagree(views)
     table = Table(title=f"members, {len(differing)} of which views differ", title_justify="left")
     table.add_column("member", justify="right")
@@ -89,17 +93,19 @@
 
 
 def code(views: list[GatewayView]) -> int:
-    """Give the exit code."""
+    """Return the exit code for these views."""
     if all(view.problem for view in views):
         return 2
     return 1 if disagree(views) or any(view.problem for view in views) else 0
 
 
 def members(addresses: tuple[str, ...], watch: bool, every_s: float, as_json: bool) -> int:
-    """Ask once, or again and again until interrupted."""
+    """Ask the gateways and print their views, once or repeatedly until interrupted."""
     for address in addresses:
         if not (parsed := ADDRESS.match(address)) or int(parsed["port"]) > 0xFFFF:
-            click.echo(f"hitchtiller: {address!r} is no address; write 127.0.0.1:7109", err=True)
+            click.echo(
+                f"hitchtiller: {address!r} is not an address; write HOST:PORT, as 127.0.0.1:7109", err=True
+            )
             return 2
     views = [query_gateway(address) for address in addresses]
     if as_json:
