--- a/hitchtiller/cli/worth.py
+++ b/hitchtiller/cli/worth.py
@@ -1,9 +1,10 @@
-"""`hitchtiller worth LOG...`: where a fleet's worth goes, from the `figures` lines of all its gateways.
+"""`hitchtiller worth LOG...`: sums the outcomes of requests by worth, from `figures` lines of all gateways.
 
 Each gateway writes its counters every 5 s, counted from the start of its process. The difference between two
-lines belongs to the row in which the later one was written, so a row is off by one such interval at most, and
-what a gateway did after its last line is not in the sum. Rows are counted from the earliest line of all
-gateways, so their clocks must agree; the time of day is read, a log over midnight goes on by a day.
+lines is added to the row in which the later one was written, so a row is off by one such interval at most,
+and what a gateway did after its last line is not in the sum. Rows begin with the earliest line of all
+gateways, so their clocks must agree. The lines give the time of day only; a log that passes midnight
+continues with the next day.
 """
 
 import re
@@ -25,7 +26,7 @@
 
 @dataclass
 class OutcomeSum:
-    """What was read: rows by their start in seconds, and what could not be."""
+    """The summed counters by row, keyed by the row's start in seconds, and what could not be read."""
 
     rows: dict[float, defaultdict[str, float]] = field(default_factory=dict)
     gateways: set[str] = field(default_factory=set)
@@ -33,13 +34,16 @@
 
 
 def log_files(paths: Iterable[Path]) -> Iterator[Path]:
-    """Give the files, and those of folders that end in .log, in order."""
+    """Iterate over the files and, for each folder, its files that end in .log, sorted by name."""
     for path in paths:
         yield from sorted(path.glob("*.log")) if path.is_dir() else [path]
 
 
 def read_line(text: str) -> tuple[float, str, dict[str, float]] | None:
-    """Read a `figures` line: seconds of the day, the gateway, its counters; ValueError if it is spoilt."""
+    """Parse a `figures` line: the seconds of the day, the gateway and its counters.
+
+    Returns None for any other line; ValueError for a damaged `figures` line.
+    """
     parsed = LINE_PATTERN.search(text)
     if parsed is None:
         if " figures " in text and "worth." in text:
@@ -50,13 +54,13 @@
     for word in rest.split():
         counter = COUNTER_PATTERN.match(word)
         if counter is None:
-            raise ValueError(f"{word[:40]!r} is no counter, wanted name=number")
+            raise ValueError(f"{word[:40]!r} is no counter; expected name=number")
         counters[counter[1]] = float(counter[2])
     return int(hour) * 3600.0 + int(minute) * 60.0 + float(second), name, counters
 
 
 def read_file(path: Path, problems: list[str]) -> list[tuple[float, str, dict[str, float]]]:
-    """Read one log; what is spoilt is named with its file and line, and passed over."""
+    """Read the `figures` lines of one log; damaged lines are reported in `problems` and left out."""
     lines, last_s = [], 0.0
     try:
         with path.open(errors="replace") as log:
@@ -76,7 +80,7 @@
 
 
 def sum_logs(paths: Iterable[Path], row_s: float) -> OutcomeSum:
-    """Sum the differences between each gateway's lines, by row."""
+    """Sum the differences between successive lines of each gateway, by row."""
     summary = OutcomeSum()
     logs = [read_file(path, summary.problems) for path in log_files(paths)]
     start_s = min((line[0] for log in logs for line in log), default=0.0)
@@ -95,7 +99,7 @@
 
 
 def worth(logs: tuple[Path, ...], row_s: float, as_json: bool) -> int:
-    """Print the table; 1 if something could not be read, 2 if nothing was there to sum."""
+    """Print the sums; return 1 if something could not be read, 2 if there was nothing to sum."""
     summary = sum_logs(logs, row_s)
     for problem in summary.problems:
         click.echo(f"hitchtiller: {problem}", err=True)
