--- a/hitchtiller/cli/replay.py
+++ b/hitchtiller/cli/replay.py
@@ -1,9 +1,9 @@
-"""`hitchtiller store replay`: traces against the admission policies, with and without a scan.
+"""`hitchtiller store replay`: replays traces against the admission policies, with and without a scan.
 
-A trace is drawn from a seed: Zipf popularity over objects of log-normal sizes, ranks that drift, and a scan
-that puts objects wanted once between the others. The figure is the share of bytes asked for by the base
-requests (those of the scan are left out of both sides) that were kept. The sketch-based policies see the
-scan's requests too.
+A trace is drawn from a seed: Zipf popularity over objects of log-normal sizes, popularity ranks that drift,
+and a scan that inserts requests for objects requested once between the others. The result is the byte hit
+share of the base requests: the bytes found in the cache divided by the bytes requested. The requests of the
+scan count in neither, but the sketch-based policies see them too.
 """
 
 from collections.abc import Iterator
@@ -21,7 +21,10 @@
 def draw(
     seed: int, requests: int, objects: int, zipf: float, drift: float, scan: float
 ) -> tuple[list[int], list[int], list[bool]]:
-    """Draw a trace: keys, sizes, and which belong to the scan; the others don't depend on `scan`."""
+    """Draw a trace: the keys, the sizes, and which requests belong to the scan.
+
+    The other requests are the same for every value of `scan`.
+    """
     trace_rng, scan_rng = np.random.default_rng([seed, 1]), np.random.default_rng([seed, 2])
     weights = 1.0 / np.arange(1, objects + 1) ** zipf
     ranks = np.searchsorted(np.cumsum(weights) / weights.sum(), trace_rng.random(requests))
@@ -42,10 +45,10 @@
 
 
 def play(policy: str, capacity_bytes: int, trace: tuple[list[int], list[int], list[bool]]) -> float:
-    """Play a trace against a policy of so many bytes; gives the byte hit share of the base requests."""
+    """Replay a trace against a policy with this capacity; return the byte hit share of the base requests."""
     cache = POLICIES[policy](capacity_bytes)
     hit_bytes = total_bytes = 0
-    warm_up_count = len(trace[0]) // 5  # an empty cache is not what is compared
+    warm_up_count = len(trace[0]) // 5  # these requests fill the cache and are not counted
     for position, (key, size, from_scan) in enumerate(zip(*trace, strict=True)):
         fingerprint = (key * 0x9E3779B97F4A7C15 + 1) & 0xFFFFFFFFFFFFFFFF
         counted = position >= warm_up_count and not from_scan
@@ -60,7 +63,7 @@
 
 
 def read_trace(path: Path) -> tuple[list[int], list[int], list[bool]]:
-    """Read lines of KEY SIZE; ValueError names the first line that is none."""
+    """Read a trace from lines of KEY SIZE; ValueError names the first invalid line."""
     keys, sizes = list[int](), list[int]()
     for line_number, line in enumerate(path.read_text().splitlines(), 1):
         fields = line.split()
@@ -76,14 +79,14 @@
 
 
 def hash_name(name: str) -> int:
-    """Hash a key's text, the same in every run."""
+    """Return a hash of a key's text that is the same in every run."""
     import xxhash
 
     return xxhash.xxh3_64_intdigest(name)
 
 
 def replay_all(options: dict[str, Any], on_play: Any) -> Iterator[dict[str, Any]]:
-    """Play all policies on all seeds."""
+    """Replay the traces of all seeds against each policy; yield a row for each policy."""
     for policy in POLICIES:
         shares: dict[str, list[float]] = {"calm": [], "scan": []}
         for seed in range(1, options["seeds"] + 1):
@@ -107,7 +110,7 @@
 
 
 def replay(trace: Path | None, as_json: bool, **options: Any) -> int:
-    """Print the table; 2 for a trace that can't be read."""
+    """Print the hit shares of the policies; return 2 for a trace that can't be read."""
     if trace:
         try:
             loaded_trace = read_trace(trace)
