--- a/hitchtiller/cli/check.py
+++ b/hitchtiller/cli/check.py
@@ -1,4 +1,4 @@
-"""`hitchtiller check FILE`."""
+"""`hitchtiller check FILE`: checks an operators' file and prints its problems."""
 
 import sys
 from pathlib import Path
@@ -9,7 +9,7 @@
 
 
 def check(file: Path, as_json: bool) -> int:
-    """Print the problems; 0 if there is none, 1 if there is one, 2 if the file can't be read."""
+    """Print the problems of a file; return 0 if it has none, 1 if it has any, 2 if it can't be read."""
     try:
         settings = read_file(file)
     except OSError as error:
