--- a/hitchtiller/cli/check.py
+++ b/hitchtiller/cli/check.py
@@ -17,8 +17,8 @@
         return 2
     except BadFile as error:
         if as_json:
-            fields = [{"line": p.line, "what": p.what, "instead": p.instead} for p in error.problems]
-            print(msgspec.json.encode({"file": str(file), "problems": fields}).decode())
+            problems = [{"line": p.line, "what": p.what, "instead": p.instead} for p in error.problems]
+            print(msgspec.json.encode({"file": str(file), "problems": problems}).decode())
         else:
             print(error)
         return 1
