--- a/hitchtiller/cli/bench.py
+++ b/hitchtiller/cli/bench.py
@@ -1,7 +1,7 @@
-"""`hitchtiller store bench FOLDER`: fills an empty folder; times writes, starts and reads.
+"""`hitchtiller store bench FOLDER`: fills an empty folder and times writes, starts and reads.
 
-Reads are paired with plain `os.pread` of the same places in the same order, so that the ratio holds on noisy
-machines.
+The reads of the disk tier alternate with plain `os.pread` of the same places in the same order, so that their
+ratio stays comparable on machines with other load.
 """
 
 import os
@@ -24,6 +24,7 @@
 
 
 def _fill_store(folder: Path, parts: int, size: int) -> tuple[dict[str, Any], Disk, OsFiles]:
+    """Write `parts` parts of `size` bytes into a new store; return the figures, the tier and its files."""
     files = OsFiles(folder)
     files.lock()
     budget = parts * (size + 256) * 2 + 512 * MB
@@ -62,7 +63,7 @@
 
 
 def _compare_reads(disk: Disk, files: OsFiles, parts: int, seconds: float) -> dict[str, Any]:
-    """Take turns: a stretch by the tier, the same stretch by plain reads."""
+    """Time reads by the tier and plain reads of the same 200 parts in turn, for `seconds` of reading."""
     rng = random.Random(2)
     elapsed_s = {"tier": 0.0, "pread": 0.0}
     read_count = bytes_read = 0
@@ -73,7 +74,7 @@
     while elapsed_s["tier"] + elapsed_s["pread"] < seconds:
         keys = [rng.randrange(parts) for _ in range(200)]
         places = [unpack_place(disk.index.get(fingerprint(key, 0))) for key in keys]
-        for segment_id, offset, length in places:  # once before, so that neither pays for the first touch
+        for segment_id, offset, length in places:  # untimed, so that neither side pays for the first access
             os.pread(fds[segment_id], length, offset)
         body_sizes: list[int] = []
         begin_s = time.perf_counter()
@@ -96,7 +97,7 @@
 
 
 def _time_start(folder: Path, use_checkpoint: bool) -> tuple[float, int, float]:
-    """Time a start until the first part is read: seconds, records scanned, and the loading alone."""
+    """Time a start: the seconds until the first part is read, the records scanned and the load time."""
     files = OsFiles(folder)
     started_s = time.perf_counter()
     recovered = recover.load(files, use_checkpoint)
@@ -111,14 +112,14 @@
 
 
 def _resident_bytes() -> int:
-    """Give this process's resident bytes."""
+    """Return the resident memory of this process in bytes."""
     return int(Path("/proc/self/statm").read_text().split()[1]) * os.sysconf("SC_PAGE_SIZE")
 
 
 def index_against_dict(entries: int) -> dict[str, Any]:
-    """Measure the index beside a `dict` of the same content.
+    """Compare the index with a `dict` of the same content.
 
-    Memory a part, look-ups, the longest single change.
+    Measures the memory for each part, the time of look-ups, and the longest single insertion.
     """
     import gc
 
@@ -126,7 +127,7 @@
     index, longest_put_s = Index(), 0.0
     started_s = time.perf_counter()
     for number, key in enumerate(keys):
-        begin_s = time.thread_time()  # what the call itself takes, whoever else has the processor meanwhile
+        begin_s = time.thread_time()  # excludes the time in which other threads or processes run
         index.put(key, pack_place(number % 1000 + 1, 64, 64))
         longest_put_s = max(longest_put_s, time.thread_time() - begin_s)
     put_s = time.perf_counter() - started_s
@@ -138,7 +139,7 @@
         begin_s = time.thread_time()
         plain_dict[int(key)] = pack_place(number % 1000 + 1, 64, 64)
         longest_dict_put_s = max(longest_dict_put_s, time.thread_time() - begin_s)
-    # the keys are shared with the list above; a dict alone would hold them too, 36 bytes each
+    # The keys are shared with the list above; a dict by itself would hold them too, at 36 bytes each.
     dict_bytes = _resident_bytes() - bytes_before + 36 * entries
     rng = random.Random(3)
     sample_keys = [keys[rng.randrange(entries)] for _ in range(min(entries, 200_000))]
@@ -163,9 +164,11 @@
 
 
 def bench(folder: Path, parts: int, kb: float, seconds: float, index: int, as_json: bool) -> int:
-    """Fill, time and print; 2 if the folder is not empty. The folder is left filled."""
+    """Fill and time the folder and print the figures; return 2 if it is not empty. It stays filled."""
     if any(folder.iterdir()):
-        print(f"hitchtiller: {folder} is not empty; name an empty folder, it will be filled", file=sys.stderr)
+        print(
+            f"hitchtiller: {folder} is not empty; give an empty folder, which will be filled", file=sys.stderr
+        )
         return 2
     result, disk, files = _fill_store(folder, parts, int(kb * 1000))
     result |= _compare_reads(disk, files, parts, seconds)
