--- a/hitchtiller/cli/demo.py
+++ b/hitchtiller/cli/demo.py
@@ -7,30 +7,33 @@
 
 from hitchtiller.cli import show
 
-STEPS = ("memory", "disk", "joined")
+HIT_KINDS = ("memory", "disk", "joined")
 
 
-async def _ask(rig: Any, terminal: Any, number: int, key: int, note: str) -> dict[str, Any]:
+async def _request_and_trace(rig: Any, client: Any, number: int, key: int, note: str) -> dict[str, Any]:
     """Ask once, and tell from the figures and the stand-ins which way it went."""
     before, pulls = await rig.figures(), [server.pulls for server in rig.caches]
-    got = await terminal.read("files", key)
+    answered = await client.read("files", key)
     after = await rig.figures()
-    way = next((step for step in STEPS if after[f"store.hits.{step}"] > before[f"store.hits.{step}"]), "")
-    for place, server in enumerate(rig.caches):
-        if server.pulls > pulls[place]:
-            way = f"station cache s-{place:08x}"
+    way = next(
+        (kind for kind in HIT_KINDS if after[f"store.hits.{kind}"] > before[f"store.hits.{kind}"]),
+        "",
+    )
+    for index, server in enumerate(rig.caches):
+        if server.pulls > pulls[index]:
+            way = f"station cache s-{index:08x}"
     return {
         "request": number,
         "object": f"{key:04x}",
-        "answer": {0: "served", 11: "refused"}.get(got.code, "failed") if got else "lost",
+        "answer": {0: "served", 11: "refused"}.get(answered.code, "failed") if answered else "lost",
         "way": way or "?",
-        "bytes": len(got.body) if got else 0,
-        "ms": round(got.received_ms - got.sent_ms, 1) if got else 0.0,
-        "note": note or ("unchanged" if got and got.fields.get("unchanged") else ""),
+        "bytes": len(answered.body) if answered else 0,
+        "ms": round(answered.received_ms - answered.sent_ms, 1) if answered else 0.0,
+        "note": note or ("unchanged" if answered and answered.fields.get("unchanged") else ""),
     }
 
 
-async def _play(requests: int, seed: int) -> tuple[list[dict[str, Any]], list[str]]:
+async def _run_demo(requests: int, seed: int) -> tuple[list[dict[str, Any]], list[str]]:
     from standins.rig import Rig
     from standins.truth import now_ms
 
@@ -41,7 +44,7 @@
     try:
         await rig.launch()
         await rig.logged("store open")
-        terminal = await rig.terminal()
+        client = await rig.terminal()
         for number in range(1, requests + 1):
             key, note = 1 + (number - 1) % 4, ""
             if number == 7:
@@ -49,8 +52,8 @@
                 await asyncio.sleep(0.1)
                 note = "0003 was purged before"
                 key = 3
-            rows.append(await _ask(rig, terminal, number, key, note))
-        terminal.close()
+            rows.append(await _request_and_trace(rig, client, number, key, note))
+        client.close()
         code = await rig.terminate()
         if code:
             rig.verdicts.wrong.append(f"the gateway ended with {code}")
@@ -62,7 +65,7 @@
 
 def demo(requests: int, seed: int, as_json: bool) -> int:
     """Play it; 1 if an answer was wrong or did not come."""
-    rows, wrong = asyncio.run(_play(requests, seed))
+    rows, wrong = asyncio.run(_run_demo(requests, seed))
     if as_json:
         show.as_json({"requests": rows, "wrong": wrong})
     else:
