--- a/hitchtiller/cli/demo.py
+++ b/hitchtiller/cli/demo.py
@@ -1,4 +1,4 @@
-"""`hitchtiller demo`: a gateway with both tiers among stand-ins in one command; each request's way."""
+"""`hitchtiller demo`: runs a gateway with both tiers among stand-ins and shows what serves each request."""
 
 import asyncio
 import shutil
@@ -11,7 +11,10 @@
 
 
 async def _request_and_trace(rig: Any, client: Any, number: int, key: int, note: str) -> dict[str, Any]:
-    """Ask once, and tell from the figures and the stand-ins which way it went."""
+    """Send one request and return its row of the table.
+
+    The change of the gateway's figures and of the stand-ins' counts of PULLs shows what served it.
+    """
     before, pulls = await rig.figures(), [server.pulls for server in rig.caches]
     answered = await client.read("files", key)
     after = await rig.figures()
@@ -34,6 +37,10 @@
 
 
 async def _run_demo(requests: int, seed: int) -> tuple[list[dict[str, Any]], list[str]]:
+    """Start the gateway and its stand-ins, send the requests, and return their rows and all wrong results.
+
+    The requests ask for four objects in turn; before the seventh, which asks for object 3, that is purged.
+    """
     from standins.rig import Rig
     from standins.truth import now_ms
 
@@ -64,7 +71,7 @@
 
 
 def demo(requests: int, seed: int, as_json: bool) -> int:
-    """Play it; 1 if an answer was wrong or did not come."""
+    """Run the demo and print its rows; return 1 if an answer was wrong or missing, or was not `served`."""
     rows, wrong = asyncio.run(_run_demo(requests, seed))
     if as_json:
         show.as_json({"requests": rows, "wrong": wrong})
