--- a/hitchtiller/cli/show.py
+++ b/hitchtiller/cli/show.py
@@ -8,7 +8,7 @@
 from rich.progress import BarColumn, Progress, TextColumn, TimeRemainingColumn
 from rich.table import Table
 
-SIGNS = str.maketrans("", "", ".-%")
+NUMBER_PUNCTUATION = str.maketrans("", "", ".-%")
 
 
 def as_json(value: object) -> None:
@@ -18,17 +18,17 @@
 
 def table(title: str, columns: Sequence[str], rows: Iterable[Sequence[Any]]) -> None:
     """Print a table; numbers stand to the right."""
-    lines = [[str(cell) for cell in row] for row in rows]
-    shown = Table(title=title, title_justify="left")
-    for place, name in enumerate(columns):
-        numbers = all(line[place].translate(SIGNS).isdecimal() for line in lines)
-        shown.add_column(name, justify="right" if numbers and lines else "left")
-    for line in lines:
-        shown.add_row(*line)
+    cells = [[str(cell) for cell in row] for row in rows]
+    rich_table = Table(title=title, title_justify="left")
+    for index, column in enumerate(columns):
+        is_numeric = all(row[index].translate(NUMBER_PUNCTUATION).isdecimal() for row in cells)
+        rich_table.add_column(column, justify="right" if is_numeric and cells else "left")
+    for cell_row in cells:
+        rich_table.add_row(*cell_row)
     console = Console()
     if not console.is_terminal:
         console = Console(width=120)
-    console.print(shown)
+    console.print(rich_table)
 
 
 def pairs(title: str, values: Mapping[str, Any]) -> None:
