--- a/hitchtiller/cli/logs.py
+++ b/hitchtiller/cli/logs.py
@@ -9,13 +9,13 @@
 def json_sink(message: Any) -> None:
     """Write one record; what can't be encoded is written as its text."""
     record = message.record
-    line = {
+    entry = {
         "time": record["time"].timestamp(),
         "level": record["level"].name,
         **record["extra"],
         "text": record["message"],
     }
     if record["exception"]:
-        line["exception"] = repr(record["exception"].value)
-    sys.stderr.write(msgspec.json.encode(line, enc_hook=str).decode() + "\n")
+        entry["exception"] = repr(record["exception"].value)
+    sys.stderr.write(msgspec.json.encode(entry, enc_hook=str).decode() + "\n")
     sys.stderr.flush()
