--- a/hitchtiller/cli/logs.py
+++ b/hitchtiller/cli/logs.py
@@ -1,4 +1,4 @@
-"""Log lines as JSON: one object a line, with the bound fields beside the text."""
+"""Writes log lines as JSON: one object a line, with the text, the time, the level and the bound fields."""
 
 import sys
 from typing import Any
@@ -7,7 +7,7 @@
 
 
 def json_sink(message: Any) -> None:
-    """Write one record; what can't be encoded is written as its text."""
+    """Write one record to standard error; values that JSON can't hold are written as their `str`."""
     record = message.record
     entry = {
         "time": record["time"].timestamp(),
