--- a/hitchtiller/cli/show.py
+++ b/hitchtiller/cli/show.py
@@ -1,4 +1,4 @@
-"""What the commands print: one JSON object, or rich tables; progress bars go to standard error."""
+"""Output of the commands: JSON or rich tables on standard output, progress bars on standard error."""
 
 from collections.abc import Iterable, Mapping, Sequence
 from typing import Any
@@ -12,12 +12,15 @@
 
 
 def as_json(value: object) -> None:
-    """Print one object, on one line."""
+    """Print a value as JSON on one line."""
     print(msgspec.json.encode(value).decode())
 
 
 def table(title: str, columns: Sequence[str], rows: Iterable[Sequence[Any]]) -> None:
-    """Print a table; numbers stand to the right."""
+    """Print a table; columns that hold only numbers are aligned right.
+
+    Where standard output is no terminal, the table is at most 120 characters wide.
+    """
     cells = [[str(cell) for cell in row] for row in rows]
     rich_table = Table(title=title, title_justify="left")
     for index, column in enumerate(columns):
@@ -32,12 +35,12 @@
 
 
 def pairs(title: str, values: Mapping[str, Any]) -> None:
-    """Print names and values."""
+    """Print a table of names and values."""
     table(title, ("what", "value"), list(values.items()))
 
 
 def progress() -> Progress:
-    """Make a progress bar on standard error; it shows nothing where that is no terminal."""
+    """Return a progress bar on standard error; it shows nothing if that is not a terminal."""
     return Progress(
         TextColumn("{task.description}"), BarColumn(), TextColumn("{task.completed}/{task.total}"),
         TimeRemainingColumn(), console=Console(stderr=True), transient=True,
