--- a/examples/toy.py
+++ b/examples/toy.py
@@ -11,49 +11,51 @@
 
 from hitchtiller.codec import frames, resp
 
-PORTS = (7101, 7102, 7103)  # the cache, the parent, the origin
-BUS, GATEWAY = 7110, 7100
+SERVER_PORTS = (7101, 7102, 7103)  # the cache, the parent, the origin
+BUS_PORT, GATEWAY_PORT = 7110, 7100
 
 
 async def cache(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
     """Answer every PULL with a few bytes that name the object."""
     commands = resp.RespReader()
     while data := await reader.read(65_536):
-        for word, name, *rest in commands.feed(data):
-            if word == b"PULL":
+        for command, job_name, *rest in commands.feed(data):
+            if command == b"PULL":
                 fields = resp.read_fields(rest[0])
-                since = int(time.time() * 1000)
+                since_ms = int(time.time() * 1000)
                 body = f"object {fields['name']} part {fields['piece']}".encode()
-                writer.write(resp.write_command(name, b"DONE", f"rev=toy,since={since}".encode(), body))
+                writer.write(
+                    resp.write_command(job_name, b"DONE", f"rev=toy,since={since_ms}".encode(), body)
+                )
     writer.close()
 
 
 async def bus(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
     """Tell each second that there is nothing new."""
-    last = await reader.readexactly(8)
+    last_event = await reader.readexactly(8)
     while not writer.is_closing():
-        writer.write((9).to_bytes(4, "big") + last + b"\0")
+        writer.write((9).to_bytes(4, "big") + last_event + b"\0")
         await asyncio.sleep(1.0)
 
 
 async def serve() -> None:
     """Listen where config.json says until interrupted."""
-    servers = [await asyncio.start_server(cache, "127.0.0.1", port) for port in PORTS]
-    servers.append(await asyncio.start_server(bus, "127.0.0.1", BUS))
+    servers = [await asyncio.start_server(cache, "127.0.0.1", port) for port in SERVER_PORTS]
+    servers.append(await asyncio.start_server(bus, "127.0.0.1", BUS_PORT))
     await asyncio.gather(*(server.serve_forever() for server in servers))
 
 
-async def ask(class_name: str, name: str) -> None:
+async def ask(class_name: str, object_id: str) -> None:
     """Ask the gateway for one object and print its answer."""
-    reader, writer = await asyncio.open_connection("127.0.0.1", GATEWAY)
+    reader, writer = await asyncio.open_connection("127.0.0.1", GATEWAY_PORT)
     fields = {"c": class_name, "i": secrets.token_hex(8), "d": "2000", "m": "10"}
-    payload = frames.write_fields(fields | {"o": f"{int(name, 16):016x}", "k": secrets.token_hex(16)})
+    payload = frames.write_fields(fields | {"o": f"{int(object_id, 16):016x}", "k": secrets.token_hex(16)})
     writer.write(frames.head(frames.REQUEST, 1, len(payload)) + payload)
-    answers = frames.FrameReader()
+    frame_reader = frames.FrameReader()
     while data := await reader.read(65_536):
-        for frame in answers.feed(data):
-            told, end = frames.read_fields(frame.payload, 1)
-            print(f"code {frame.payload[0]} {told} {frame.payload[end:]!r}")
+        for frame in frame_reader.feed(data):
+            answer_fields, body_start = frames.read_fields(frame.payload, 1)
+            print(f"code {frame.payload[0]} {answer_fields} {frame.payload[body_start:]!r}")
             writer.close()
             return
 
