--- a/examples/toy.py
+++ b/examples/toy.py
@@ -1,7 +1,7 @@
-"""A toy to try hitchtiller with: stands in for the caches and the event bus of config.json, then asks.
+"""A minimal environment to try hitchtiller in: the servers and the event bus of config.json, and a client.
 
-Start it as `python examples/toy.py serve`, start the gateway with `make run`, then ask for an object
-with `python examples/toy.py ask files 2a`.
+Start the servers and the bus with `python examples/toy.py serve` and the gateway with `make run`, then
+request an object with `python examples/toy.py ask files 2a` (a class and a hexadecimal object id).
 """
 
 import asyncio
@@ -16,7 +16,7 @@
 
 
 async def cache(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """Answer every PULL with a few bytes that name the object."""
+    """Answer every PULL with a short body that names the object and the part."""
     commands = resp.RespReader()
     while data := await reader.read(65_536):
         for command, job_name, *rest in commands.feed(data):
@@ -31,7 +31,7 @@
 
 
 async def bus(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """Tell each second that there is nothing new."""
+    """Send an empty frame each second, which says that there is no new event."""
     last_event = await reader.readexactly(8)
     while not writer.is_closing():
         writer.write((9).to_bytes(4, "big") + last_event + b"\0")
@@ -39,14 +39,14 @@
 
 
 async def serve() -> None:
-    """Listen where config.json says until interrupted."""
+    """Serve at the ports that config.json gives, until interrupted."""
     servers = [await asyncio.start_server(cache, "127.0.0.1", port) for port in SERVER_PORTS]
     servers.append(await asyncio.start_server(bus, "127.0.0.1", BUS_PORT))
     await asyncio.gather(*(server.serve_forever() for server in servers))
 
 
 async def ask(class_name: str, object_id: str) -> None:
-    """Ask the gateway for one object and print its answer."""
+    """Request one object from the gateway and print the answer."""
     reader, writer = await asyncio.open_connection("127.0.0.1", GATEWAY_PORT)
     fields = {"c": class_name, "i": secrets.token_hex(8), "d": "2000", "m": "10"}
     payload = frames.write_fields(fields | {"o": f"{int(object_id, 16):016x}", "k": secrets.token_hex(16)})
