--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -10,7 +10,7 @@
 from hitchtiller.operator.model import File
 from hitchtiller.operator.read import BadFile, read_text
 
-GOOD = """
+VALID_FILE = """
 log { form = "json" }
 store {
   memory_mb = 32
@@ -23,8 +23,8 @@
   }
 }
 """
-DISK = 'store {\n  disk {\n    folder = "/x"\n'
-FAULTS = [
+DISK_BLOCK_START = 'store {\n  disk {\n    folder = "/x"\n'
+INVALID_FILES = [
     ("stor { }", 1, "'stor' is not known in the file", "did you mean 'store'?"),
     ('log {\n  from = "json"\n}', 2, "'from' is not known in 'log'", "did you mean 'form'?"),
     ("log {\n  qqqqqq = 1\n}", 2, "'qqqqqq' is not known", "known here: form"),
@@ -46,8 +46,8 @@
     ("store {\n  disk {\n    budget_mb = 600\n  }\n}", 2, "'folder' is missing in 'disk'", "write the path"),
     ('store {\n  disk {\n    folder = "x"\n  }\n}', 3, "'x' is not absolute", "write the path from /"),
     ('store {\n  disk {\n    folder = "/x"\n    readers = 2.5\n  }\n}', 4, "readers = 2.5", "from 1 to 16"),
-    (f"{DISK}    budget_mb = 100\n  }}\n}}", 4, "no two segments", "at least 256"),
-    (f"{DISK}    compact_mb_per_s = 1\n  }}\n}}", 2, "not give way", "at most 1"),
+    (f"{DISK_BLOCK_START}    budget_mb = 100\n  }}\n}}", 4, "no two segments", "at least 256"),
+    (f"{DISK_BLOCK_START}    compact_mb_per_s = 1\n  }}\n}}", 2, "not give way", "at most 1"),
     ('store {\n  disk {\n    folder = "/x"\n    queue_mb = 900\n  }\n}', 4, "over half", "at most 512"),
     ("store {\n  disk {\n", 2, "not HCL", "write settings as name = value"),
     ("a = = 1", 1, "not HCL", "write settings as name = value"),
@@ -55,39 +55,39 @@
 ]
 
 
-def test_a_good_file_is_read_and_an_empty_one_switches_nothing_on() -> None:
-    file = read_text(GOOD)
+def test_a_valid_file_is_read_and_an_empty_file_gives_the_defaults() -> None:
+    file = read_text(VALID_FILE)
     assert file.log.form == "json" and file.store and file.store.disk
     assert file.store.share["files"].weight == 3.0 and file.store.disk.budget_mb == 512
     assert read_text("") == read_text("# nothing\n") == File()
 
 
-@pytest.mark.parametrize("text, line, what, instead", FAULTS)
-def test_each_fault_is_told_with_its_line(text: str, line: int, what: str, instead: str) -> None:
-    with pytest.raises(BadFile) as told:
+@pytest.mark.parametrize("text, line, what, instead", INVALID_FILES)
+def test_each_fault_is_reported_with_line_and_remedy(text: str, line: int, what: str, instead: str) -> None:
+    with pytest.raises(BadFile) as caught:
         read_text(text, "f.hcl")
-    problem = told.value.problems[0]
+    problem = caught.value.problems[0]
     assert problem.line == line and what in problem.what and instead in problem.instead
     assert str(problem).startswith(f"f.hcl:{line}: ")
 
 
-def test_all_faults_are_told_at_once_in_the_order_of_their_lines() -> None:
-    with pytest.raises(BadFile) as told:
+def test_all_faults_are_reported_together_in_line_order() -> None:
+    with pytest.raises(BadFile) as caught:
         read_text("log {\n  form = 1\n}\nstore {\n  memory_mb = -1\n  disk {\n    reader = 1\n  }\n}")
-    assert [problem.line for problem in told.value.problems] == [2, 5, 6, 7]
+    assert [problem.line for problem in caught.value.problems] == [2, 5, 6, 7]
 
 
-def test_check_has_an_exit_code_and_json(tmp_path: Path) -> None:
+def test_check_sets_the_exit_code_and_prints_json(tmp_path: Path) -> None:
     good, bad = tmp_path / "good.hcl", tmp_path / "bad.hcl"
-    good.write_text(GOOD)
+    good.write_text(VALID_FILE)
     bad.write_text("stor { }")
-    run = CliRunner()
-    assert run.invoke(main, ["check", str(good)]).exit_code == 0
-    told = run.invoke(main, ["check", str(bad), "--json"])
-    assert told.exit_code == 1 and json.loads(told.output)["problems"][0]["line"] == 1
-    assert run.invoke(main, ["check", str(tmp_path / "none.hcl")]).exit_code == 2
+    runner = CliRunner()
+    assert runner.invoke(main, ["check", str(good)]).exit_code == 0
+    result = runner.invoke(main, ["check", str(bad), "--json"])
+    assert result.exit_code == 1 and json.loads(result.output)["problems"][0]["line"] == 1
+    assert runner.invoke(main, ["check", str(tmp_path / "none.hcl")]).exit_code == 2
 
 
-def test_the_example_file_is_good() -> None:
+def test_the_example_file_is_valid() -> None:
     example = Path(__file__).parent.parent / "deploy" / "gateway.example.hcl"
     assert read_text(example.read_text(), str(example)).store
