--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -1,4 +1,4 @@
-"""The operators' file: what is good is read, each fault is told with its line and a remedy."""
+"""The operators' file: valid files are read; each fault is reported with its line and a remedy."""
 
 import json
 from pathlib import Path
