--- a/hitchtiller/cli/bench.py
+++ b/hitchtiller/cli/bench.py
@@ -179,7 +179,7 @@
         result[f"scanned_{name}"] = scanned
     result["index"] = index_against_dict(index)
     if as_json:
-        show.as_json(result)
+        show.print_json(result)
     else:
         show.pairs("index beside dict", result.pop("index"))
         show.pairs("store bench", result)
--- a/hitchtiller/cli/demo.py
+++ b/hitchtiller/cli/demo.py
@@ -74,7 +74,7 @@
     """Run the demo and print its rows; return 1 if an answer was wrong or missing, or was not `served`."""
     rows, wrong = asyncio.run(_run_demo(requests, seed))
     if as_json:
-        show.as_json({"requests": rows, "wrong": wrong})
+        show.print_json({"requests": rows, "wrong": wrong})
     else:
         show.table("the way of each request", list(rows[0]), [list(row.values()) for row in rows])
         verdict = "wrong" if wrong else "right"
--- a/hitchtiller/cli/fleet.py
+++ b/hitchtiller/cli/fleet.py
@@ -10,8 +10,7 @@
 import click
 import msgspec
 
-from hitchtiller.cli.show import as_json as print_json
-from hitchtiller.cli.show import pairs
+from hitchtiller.cli.show import pairs, print_json
 from standins.play import Outcome, play, shrink
 from standins.schedule import BadFile, Schedule, draw, read_schedule, write_schedule
 
--- a/hitchtiller/cli/members.py
+++ b/hitchtiller/cli/members.py
@@ -14,7 +14,7 @@
 from rich.live import Live
 from rich.table import Table
 
-from hitchtiller.cli.show import as_json as print_json
+from hitchtiller.cli.show import print_json
 
 ADDRESS = re.compile(r"(?P<host>[0-9.]+):(?P<port>[0-9]{1,5})\Z")
 TIMEOUT_S, MAX_ANSWER_BYTES = 2.0, 1 << 20
--- a/hitchtiller/cli/replay.py
+++ b/hitchtiller/cli/replay.py
@@ -128,7 +128,7 @@
             task = bar.add_task("replay", total=len(POLICIES) * 2 * options["seeds"])
             rows = list(replay_all(options, lambda: bar.advance(task)))
     if as_json:
-        show.as_json({**options, "rows": rows})
+        show.print_json({**options, "rows": rows})
     else:
         show.table("byte hit share", list(rows[0]), [list(row.values()) for row in rows])
     return 0
--- a/hitchtiller/cli/repo.py
+++ b/hitchtiller/cli/repo.py
@@ -214,7 +214,7 @@
             bar.advance(task)
     result = {"index": root, "files": len(files), "bytes": total, "faults": faults}
     if as_json:
-        show.as_json(result)
+        show.print_json(result)
     else:
         show.pairs(place, {"index": root, "files": len(files), "bytes": total, "faults": len(faults)})
         for fault in faults:
@@ -251,7 +251,7 @@
         "seconds_in_turn": round(stations * total / (mb_per_s * 1e6), 1),
         "largest": max(sizes, default=0),
     }
-    show.as_json(result) if as_json else show.pairs(f"{place} over {mb_per_s:g} MB/s", result)
+    show.print_json(result) if as_json else show.pairs(f"{place} over {mb_per_s:g} MB/s", result)
     return 0
 
 
--- a/hitchtiller/cli/show.py
+++ b/hitchtiller/cli/show.py
@@ -11,7 +11,7 @@
 NUMBER_PUNCTUATION = str.maketrans("", "", ".-%")
 
 
-def as_json(value: object) -> None:
+def print_json(value: object) -> None:
     """Print a value as JSON on one line."""
     print(msgspec.json.encode(value).decode())
 
--- a/hitchtiller/cli/store.py
+++ b/hitchtiller/cli/store.py
@@ -72,7 +72,7 @@
         for s in recovered.segments.values()
     ]
     if as_json:
-        show.as_json({**facts, "notes": recovered.notes, "list": segments})
+        show.print_json({**facts, "notes": recovered.notes, "list": segments})
     else:
         show.pairs(str(folder), facts)
         columns = ("segment", "bytes", "live_bytes", "oldest_ms")
@@ -108,7 +108,7 @@
     files.close()
     result = {"records": counts["records"], "bytes": counts["bytes"], "bad": counts["bad"], "notes": notes}
     if as_json:
-        show.as_json(result)
+        show.print_json(result)
     else:
         show.pairs(str(folder), {name: value for name, value in result.items() if name != "notes"})
         for note in notes:
@@ -158,7 +158,7 @@
         "state": health.state,
     }
     files.close()
-    show.as_json(result) if as_json else show.pairs(str(folder), result)
+    show.print_json(result) if as_json else show.pairs(str(folder), result)
     return 0 if health.writes else 1
 
 
@@ -206,5 +206,5 @@
 
     (target / "index.json").write_bytes(msgspec.json.format(msgspec.json.encode(entries)))
     result = {"parts": len(entries), "bad": bad_count, "target": str(target)}
-    show.as_json(result) if as_json else show.pairs(str(folder), result)
+    show.print_json(result) if as_json else show.pairs(str(folder), result)
     return 1 if bad_count else 0
--- a/hitchtiller/cli/worth.py
+++ b/hitchtiller/cli/worth.py
@@ -15,8 +15,7 @@
 
 import click
 
-from hitchtiller.cli.show import as_json as print_json
-from hitchtiller.cli.show import table
+from hitchtiller.cli.show import print_json, table
 
 LINE_PATTERN = re.compile(r"(\d\d):(\d\d):(\d\d\.\d+) [A-Z]+ (\S+) figures (.*)\Z")
 COUNTER_PATTERN = re.compile(r"([a-z][a-z_.]*)=(\d+(?:\.\d+)?)\Z")
