--- a/hitchtiller/cli/bench.py
+++ b/hitchtiller/cli/bench.py
@@ -36,7 +36,7 @@
     disk.mark_epoch()
     random_bytes = random.Random(1).randbytes(size + parts % 997 + 997)
     started_s, longest_put_s = time.perf_counter(), 0.0
-    with show.progress() as bar:
+    with show.progress_bar() as bar:
         task = bar.add_task("write", total=parts)
         for number in range(parts):
             body = random_bytes[number % 997 : number % 997 + size]
@@ -181,6 +181,6 @@
     if as_json:
         show.print_json(result)
     else:
-        show.pairs("index beside dict", result.pop("index"))
-        show.pairs("store bench", result)
+        show.print_pairs("index beside dict", result.pop("index"))
+        show.print_pairs("store bench", result)
     return 0
--- a/hitchtiller/cli/demo.py
+++ b/hitchtiller/cli/demo.py
@@ -76,7 +76,7 @@
     if as_json:
         show.print_json({"requests": rows, "wrong": wrong})
     else:
-        show.table("the way of each request", list(rows[0]), [list(row.values()) for row in rows])
+        show.print_table("the way of each request", list(rows[0]), [list(row.values()) for row in rows])
         verdict = "wrong" if wrong else "right"
         print(f"every answer was compared with what the head office would have given: {verdict}")
     for line in wrong:
--- a/hitchtiller/cli/fleet.py
+++ b/hitchtiller/cli/fleet.py
@@ -10,7 +10,7 @@
 import click
 import msgspec
 
-from hitchtiller.cli.show import pairs, print_json
+from hitchtiller.cli.show import print_json, print_pairs
 from standins.play import Outcome, play, shrink
 from standins.schedule import BadFile, Schedule, draw, read_schedule, write_schedule
 
@@ -67,7 +67,7 @@
         return
     rows = {"broken": len(outcome.broken), "one view after ms": round(outcome.converged_ms),
             "most of a cold cache's bound": f"{outcome.cold:.2f}", **outcome.counts}  # fmt: skip
-    pairs(f"schedule of seed {outcome.schedule.seed}", rows)
+    print_pairs(f"schedule of seed {outcome.schedule.seed}", rows)
     for text in outcome.broken[:10]:
         click.echo(f"hitchtiller: broken: {text}", err=True)
 
@@ -96,7 +96,7 @@
     if as_json:
         print_json(summary)
     else:
-        pairs("soak", {key: str(value) for key, value in summary.items()})
+        print_pairs("soak", {key: str(value) for key, value in summary.items()})
     return 1 if failing_seeds else 0
 
 
--- a/hitchtiller/cli/replay.py
+++ b/hitchtiller/cli/replay.py
@@ -124,11 +124,11 @@
             {"policy": name, "share": round(play(name, capacity_bytes, loaded_trace), 4)} for name in POLICIES
         ]
     else:
-        with show.progress() as bar:
+        with show.progress_bar() as bar:
             task = bar.add_task("replay", total=len(POLICIES) * 2 * options["seeds"])
             rows = list(replay_all(options, lambda: bar.advance(task)))
     if as_json:
         show.print_json({**options, "rows": rows})
     else:
-        show.table("byte hit share", list(rows[0]), [list(row.values()) for row in rows])
+        show.print_table("byte hit share", list(rows[0]), [list(row.values()) for row in rows])
     return 0
--- a/hitchtiller/cli/repo.py
+++ b/hitchtiller/cli/repo.py
@@ -198,7 +198,7 @@
     source, files = loaded
     faults: list[dict[str, str]] = []
     total = 0
-    with show.progress() as bar:
+    with show.progress_bar() as bar:
         task = bar.add_task("check", total=len(files))
         for path, named in sorted(files.items()):
             try:
@@ -216,7 +216,7 @@
     if as_json:
         show.print_json(result)
     else:
-        show.pairs(place, {"index": root, "files": len(files), "bytes": total, "faults": len(faults)})
+        show.print_pairs(place, {"index": root, "files": len(files), "bytes": total, "faults": len(faults)})
         for fault in faults:
             print(f"{root} names {fault['file']}: {fault['what']}")
     return 1 if faults else 0
@@ -251,7 +251,7 @@
         "seconds_in_turn": round(stations * total / (mb_per_s * 1e6), 1),
         "largest": max(sizes, default=0),
     }
-    show.print_json(result) if as_json else show.pairs(f"{place} over {mb_per_s:g} MB/s", result)
+    show.print_json(result) if as_json else show.print_pairs(f"{place} over {mb_per_s:g} MB/s", result)
     return 0
 
 
@@ -268,7 +268,7 @@
             return 2
         source, files = loaded
         faults, fetched = list[str](), 0
-        with show.progress() as bar:
+        with show.progress_bar() as bar:
             task = bar.add_task("pull", total=len(files))
             for path, named in sorted(files.items()):
                 file = target / path
@@ -282,7 +282,7 @@
         print(f"attempt {attempt + 1}: {faults[0]}; reading the index again", file=sys.stderr)
         time.sleep(RETRY_DELAY_S)
     result = {"files": len(files), "fetched": fetched, "faults": faults}
-    print(json.dumps(result)) if as_json else show.pairs(str(target), result | {"faults": len(faults)})
+    print(json.dumps(result)) if as_json else show.print_pairs(str(target), result | {"faults": len(faults)})
     return 1 if faults else 0
 
 
--- a/hitchtiller/cli/show.py
+++ b/hitchtiller/cli/show.py
@@ -16,7 +16,7 @@
     print(msgspec.json.encode(value).decode())
 
 
-def table(title: str, columns: Sequence[str], rows: Iterable[Sequence[Any]]) -> None:
+def print_table(title: str, columns: Sequence[str], rows: Iterable[Sequence[Any]]) -> None:
     """Print a table; columns that hold only numbers are aligned right.
 
     Where standard output is no terminal, the table is at most 120 characters wide.
@@ -34,12 +34,12 @@
     console.print(rich_table)
 
 
-def pairs(title: str, values: Mapping[str, Any]) -> None:
+def print_pairs(title: str, values: Mapping[str, Any]) -> None:
     """Print a table of names and values."""
-    table(title, ("what", "value"), list(values.items()))
+    print_table(title, ("what", "value"), list(values.items()))
 
 
-def progress() -> Progress:
+def progress_bar() -> Progress:
     """Return a progress bar on standard error; it shows nothing if that is not a terminal."""
     return Progress(
         TextColumn("{task.description}"), BarColumn(), TextColumn("{task.completed}/{task.total}"),
--- a/hitchtiller/cli/store.py
+++ b/hitchtiller/cli/store.py
@@ -74,9 +74,9 @@
     if as_json:
         show.print_json({**facts, "notes": recovered.notes, "list": segments})
     else:
-        show.pairs(str(folder), facts)
+        show.print_pairs(str(folder), facts)
         columns = ("segment", "bytes", "live_bytes", "oldest_ms")
-        show.table("segments", columns, [list(s.values()) for s in segments])
+        show.print_table("segments", columns, [list(s.values()) for s in segments])
         for note in recovered.notes:
             print(f"note: {note}")
     return 0
@@ -90,7 +90,7 @@
         return _report_error(error)
     recovered = recover.load(files, use_checkpoint=False)
     notes, counts = list(recovered.notes), Counter[str]()
-    with show.progress() as bar:
+    with show.progress_bar() as bar:
         task = bar.add_task("verify", total=len(recovered.segments))
         for segment in recovered.segments.values():
             for offset, length, _ in recover.records(
@@ -110,7 +110,7 @@
     if as_json:
         show.print_json(result)
     else:
-        show.pairs(str(folder), {name: value for name, value in result.items() if name != "notes"})
+        show.print_pairs(str(folder), {name: value for name, value in result.items() if name != "notes"})
         for note in notes:
             print(f"note: {note}")
     return 1 if notes else 0
@@ -135,7 +135,7 @@
     disk = Disk(files, InlineJobs(), options, recovered, proof)
     compactor = Compactor(disk, lambda mark: 16, Rate(1e15, 1e15, 1e15))
     segment_ids = sorted(recovered.segments)
-    with show.progress() as bar:
+    with show.progress_bar() as bar:
         task = bar.add_task("compact", total=len(segment_ids))
         for segment_id in segment_ids:
             segment = disk.space.segments.get(segment_id)
@@ -158,7 +158,7 @@
         "state": health.state,
     }
     files.close()
-    show.print_json(result) if as_json else show.pairs(str(folder), result)
+    show.print_json(result) if as_json else show.print_pairs(str(folder), result)
     return 0 if health.writes else 1
 
 
@@ -178,7 +178,7 @@
     target.mkdir(parents=True, exist_ok=True)
     recovered = recover.load(files)
     entries, bad_count = list[dict[str, Any]](), 0
-    with show.progress() as bar:
+    with show.progress_bar() as bar:
         task = bar.add_task("export", total=len(recovered.index))
         for _, place in sorted(recovered.index.items(), key=lambda item: item[1]):
             segment_id, offset, length = unpack_place(place)
@@ -206,5 +206,5 @@
 
     (target / "index.json").write_bytes(msgspec.json.format(msgspec.json.encode(entries)))
     result = {"parts": len(entries), "bad": bad_count, "target": str(target)}
-    show.print_json(result) if as_json else show.pairs(str(folder), result)
+    show.print_json(result) if as_json else show.print_pairs(str(folder), result)
     return 1 if bad_count else 0
--- a/hitchtiller/cli/worth.py
+++ b/hitchtiller/cli/worth.py
@@ -15,7 +15,7 @@
 
 import click
 
-from hitchtiller.cli.show import print_json, table
+from hitchtiller.cli.show import print_json, print_table
 
 LINE_PATTERN = re.compile(r"(\d\d):(\d\d):(\d\d\.\d+) [A-Z]+ (\S+) figures (.*)\Z")
 COUNTER_PATTERN = re.compile(r"([a-z][a-z_.]*)=(\d+(?:\.\d+)?)\Z")
@@ -121,5 +121,5 @@
         for start, row in rows.items()
     ]  # fmt: skip
     title = f"worth by what became of it, ends of attempts, links opened: {len(summary.gateways)} gateways"
-    table(title, headings, cells)
+    print_table(title, headings, cells)
     return 1 if summary.problems else 0
