--- a/hitchtiller/cli/repo.py
+++ b/hitchtiller/cli/repo.py
@@ -133,7 +133,7 @@
     """
     kind = make(kind_name)
     parsed = kind.parse(root, read_all(source, root))
-    files = {path: named for path, named in parsed.files.items() if path not in parsed.optional}
+    files = {path: expected for path, expected in parsed.files.items() if path not in parsed.optional}
     for path in parsed.nested:
         body = read_all(source, path)
         if hashlib.sha256(body).hexdigest() != parsed.files[path].digest:
@@ -142,7 +142,7 @@
     return files
 
 
-def download(source: Source, named: NamedFile, target: Path, on_bytes: Callable[[int], None]) -> str:
+def download(source: Source, expected: NamedFile, target: Path, on_bytes: Callable[[int], None]) -> str:
     """Download one file, resuming a partial download of the same version; return "" or what went wrong.
 
     The bytes go to TARGET.part, with their tag in TARGET.tag; the file gets its own name only once it is
@@ -156,7 +156,7 @@
         resume_from = part_file.stat().st_size if part_file.exists() and tag_file.exists() else 0
         tag = tag_file.read_text() if resume_from else ""
         try:
-            chunks, new_tag, is_resumed = source.read(named.path, resume_from, tag)
+            chunks, new_tag, is_resumed = source.read(expected.path, resume_from, tag)
             tag_file.write_text(new_tag)
             with part_file.open("ab" if is_resumed and resume_from else "wb") as out:
                 for data in chunks:
@@ -171,12 +171,14 @@
         with part_file.open("rb") as file:
             digest = hashlib.file_digest(file, "sha256").hexdigest()
         size = part_file.stat().st_size
-        if named.digest in ("", digest) and named.size in (-1, size):
+        if expected.digest in ("", digest) and expected.size in (-1, size):
             os.replace(part_file, target)
             tag_file.unlink()
             return ""
         part_file.unlink()
-        problem = f"{named.path}: {size} bytes with digest {digest[:12]}; the index gives {named.digest[:12]}"
+        problem = (
+            f"{expected.path}: {size} bytes with digest {digest[:12]}; the index gives {expected.digest[:12]}"
+        )
     return problem
 
 
@@ -200,14 +202,14 @@
     total = 0
     with show.progress_bar() as bar:
         task = bar.add_task("check", total=len(files))
-        for path, named in sorted(files.items()):
+        for path, expected in sorted(files.items()):
             try:
                 digest, size = hashlib.sha256(), 0
                 for data in source.read(path)[0]:
                     digest.update(data)
                     size += len(data)
                 total += size
-                if named.digest not in ("", digest.hexdigest()) or named.size not in (-1, size):
+                if expected.digest not in ("", digest.hexdigest()) or expected.size not in (-1, size):
                     faults.append({"file": path, "what": f"{size} bytes that are not those the index names"})
             except FileUnavailableError as error:
                 faults.append({"file": path, "what": str(error)})
@@ -233,9 +235,9 @@
         return 2
     source, files = loaded
     missing_count, sizes = 0, list[int]()
-    for path, named in files.items():
-        if named.size >= 0:
-            sizes.append(named.size)
+    for path, expected in files.items():
+        if expected.size >= 0:
+            sizes.append(expected.size)
             continue
         try:
             sizes.append(sum(map(len, source.read(path)[0])))
@@ -270,10 +272,10 @@
         faults, fetched = list[str](), 0
         with show.progress_bar() as bar:
             task = bar.add_task("pull", total=len(files))
-            for path, named in sorted(files.items()):
+            for path, expected in sorted(files.items()):
                 file = target / path
-                if not _is_correct(file, named):
-                    problem = download(source, named, file, lambda size: None)
+                if not _is_correct(file, expected):
+                    problem = download(source, expected, file, lambda size: None)
                     faults += [problem] if problem else []
                     fetched += not problem
                 bar.advance(task)
@@ -286,9 +288,9 @@
     return 1 if faults else 0
 
 
-def _is_correct(file: Path, named: NamedFile) -> bool:
+def _is_correct(file: Path, expected: NamedFile) -> bool:
     """Return whether a file is there with the digest that the index gives; False if the index gives none."""
-    if not file.is_file() or not named.digest:
+    if not file.is_file() or not expected.digest:
         return False
     with file.open("rb") as open_file:
-        return hashlib.file_digest(open_file, "sha256").hexdigest() == named.digest
+        return hashlib.file_digest(open_file, "sha256").hexdigest() == expected.digest
