--- a/hitchtiller/cli/serve.py
+++ b/hitchtiller/cli/serve.py
@@ -25,7 +25,7 @@
     from hitchtiller.repo.front import RepoFront
 
 
-def store_extension(settings: Store) -> Callable[[Gateway], Callable[[], None]]:
+def make_store_extension(settings: Store) -> Callable[[Gateway], Callable[[], None]]:
     """Return a function that adds the tiers of copies to a gateway and returns a callable for its end."""
     from hitchtiller.store.disk import Options
     from hitchtiller.store.jobs import ThreadJobs
@@ -64,7 +64,7 @@
     return extend
 
 
-def repository_extension(settings: Repo) -> Callable[[Gateway], None]:
+def make_repository_extension(settings: Repo) -> Callable[[Gateway], None]:
     """Return a function that adds the HTTP front for package repositories to a gateway."""
     from hitchtiller.repo.admission import BackgroundLimit, ConnectionLimits
     from hitchtiller.repo.budget import Budget
@@ -103,7 +103,7 @@
     return extend
 
 
-def membership_extension(settings: Membership) -> Callable[[Gateway], Callable[[], None]]:
+def make_membership_extension(settings: Membership) -> Callable[[Gateway], Callable[[], None]]:
     """Return a function that adds membership to a gateway and returns a callable for its end."""
     from hitchtiller.ops.members import Members
 
@@ -143,11 +143,11 @@
 
 def _add_parts(settings: File, gateway: Gateway) -> Callable[[], None]:
     """Add the parts that the file switches on; return a callable that ends them."""
-    finish = store_extension(settings.store)(gateway) if settings.store else lambda: None
+    finish = make_store_extension(settings.store)(gateway) if settings.store else lambda: None
     if settings.repo:
-        repository_extension(settings.repo)(gateway)
+        make_repository_extension(settings.repo)(gateway)
     if settings.membership:
-        leave_membership = membership_extension(settings.membership)(gateway)
+        leave_membership = make_membership_extension(settings.membership)(gateway)
         return lambda: (leave_membership(), finish())[1]
     return finish
 
