--- a/hitchtiller/cli/worth.py
+++ b/hitchtiller/cli/worth.py
@@ -32,7 +32,7 @@
     problems: list[str] = field(default_factory=list)
 
 
-def log_files(paths: Iterable[Path]) -> Iterator[Path]:
+def find_log_files(paths: Iterable[Path]) -> Iterator[Path]:
     """Iterate over the files and, for each folder, its files that end in .log, sorted by name."""
     for path in paths:
         yield from sorted(path.glob("*.log")) if path.is_dir() else [path]
@@ -81,7 +81,7 @@
 def sum_logs(paths: Iterable[Path], row_s: float) -> OutcomeSum:
     """Sum the differences between successive lines of each gateway, by row."""
     summary = OutcomeSum()
-    logs = [read_file(path, summary.problems) for path in log_files(paths)]
+    logs = [read_file(path, summary.problems) for path in find_log_files(paths)]
     start_s = min((line[0] for log in logs for line in log), default=0.0)
     for log in logs:
         last_counters: dict[str, dict[str, float]] = {}
