--- a/hitchtiller/cli/bench.py
+++ b/hitchtiller/cli/bench.py
@@ -116,7 +116,7 @@
     return int(Path("/proc/self/statm").read_text().split()[1]) * os.sysconf("SC_PAGE_SIZE")
 
 
-def index_against_dict(entries: int) -> dict[str, Any]:
+def compare_index_with_dict(entries: int) -> dict[str, Any]:
     """Compare the index with a `dict` of the same content.
 
     Measures the memory for each part, the time of look-ups, and the longest single insertion.
@@ -177,7 +177,7 @@
         start_s, scanned, _ = _time_start(folder, use)
         result[f"first_hit_{name}_ms"] = round(start_s * 1e3, 1)
         result[f"scanned_{name}"] = scanned
-    result["index"] = index_against_dict(index)
+    result["index"] = compare_index_with_dict(index)
     if as_json:
         show.print_json(result)
     else:
