--- a/hitchtiller/operator/read.py
+++ b/hitchtiller/operator/read.py
@@ -78,7 +78,9 @@
 
 def read_text(text: str, name: str = "gateway.hcl") -> File:
     """Read and check the text of an operators' file; `name` stands for the file in the problems."""
-    return read_model(File, text, name, lambda found, given: _check_store(found.get("store"), given, name))
+    return read_model(
+        File, text, name, lambda values, settings: _check_store(values.get("store"), settings, name)
+    )
 
 
 def read_model(
@@ -179,7 +181,7 @@
             problems.append(Problem(file, setting.line, text, "leave one of them out"))
             continue
         first_lines[place] = setting.line
-        kind, is_labelled = _block_type(field.type)
+        kind, is_labelled = _find_block_model(field.type)
         if kind is not None:
             _check_block(kind, is_labelled, setting, file, values, problems)
         else:
@@ -197,7 +199,7 @@
     return values
 
 
-def _block_type(kind: types.Type) -> tuple[type | None, bool]:
+def _find_block_model(kind: types.Type) -> tuple[type | None, bool]:
     """Return the model of a field that is a block, else None, and whether the block is labelled.
 
     A labelled block may stand several times, under different labels.
@@ -253,9 +255,11 @@
         value_model = msgspec.defstruct("Holder", [("value", _rebuild_type(field.type))])
         msgspec.convert({"value": value}, value_model)
     except msgspec.ValidationError as error:
-        why = re.sub(r" - at `\$\.value`$", "", str(error))
+        reason = re.sub(r" - at `\$\.value`$", "", str(error))
         problems.append(
-            Problem(file, setting.line, f"{setting.name} = {value!r}: {why[0].lower()}{why[1:]}", expected)
+            Problem(
+                file, setting.line, f"{setting.name} = {value!r}: {reason[0].lower()}{reason[1:]}", expected
+            )
         )
         return
     values[setting.name] = value
@@ -304,7 +308,7 @@
     inside = next(s for s in block.inside or () if s.name == "disk")
     lines = {setting.name: setting.line for setting in inside.inside or ()}
 
-    def line_of(name: str) -> int:
+    def find_line(name: str) -> int:
         """Return the line of a setting of the block `disk`, or of the block if the default is used."""
         return lines.get(name, inside.line)
 
@@ -313,20 +317,25 @@
     if disk.budget_mb < reserve + 2 * disk.segment_mb:
         what = f"budget_mb = {disk.budget_mb:g} leaves no two segments beside a reserve of {reserve:g}"
         problems.append(
-            Problem(file, line_of("budget_mb"), what, f"write at least {reserve + 2 * disk.segment_mb:g}")
+            Problem(file, find_line("budget_mb"), what, f"write at least {reserve + 2 * disk.segment_mb:g}")
         )
     if not Path(disk.folder).is_absolute():
         problems.append(
             Problem(
-                file, line_of("folder"), f"folder = {disk.folder!r} is not absolute", "write the path from /"
+                file,
+                find_line("folder"),
+                f"folder = {disk.folder!r} is not absolute",
+                "write the path from /",
             )
         )
     if disk.compact_busy_mb_per_s > disk.compact_mb_per_s:
         what = "compact_busy_mb_per_s is above compact_mb_per_s: compaction would not give way to clients"
         problems.append(
-            Problem(file, line_of("compact_busy_mb_per_s"), what, f"write at most {disk.compact_mb_per_s:g}")
+            Problem(
+                file, find_line("compact_busy_mb_per_s"), what, f"write at most {disk.compact_mb_per_s:g}"
+            )
         )
     if disk.queue_mb > disk.budget_mb / 2:
         what = f"queue_mb = {disk.queue_mb:g} is over half of the budget"
-        problems.append(Problem(file, line_of("queue_mb"), what, f"write at most {disk.budget_mb / 2:g}"))
+        problems.append(Problem(file, find_line("queue_mb"), what, f"write at most {disk.budget_mb / 2:g}"))
     return problems
