--- a/hitchtiller/operator/read.py
+++ b/hitchtiller/operator/read.py
@@ -114,7 +114,7 @@
 
 
 def _iterate_topdown(tree: Tree[Any]) -> Iterator[Tree[Any]]:
-    """Iterate over a tree and its subtrees from the root down; the parser's types are stated here only."""
+    """Iterate over a tree and its subtrees from the root down; the only call of an untyped method of lark."""
     return tree.iter_subtrees_topdown()  # type: ignore[no-any-return, no-untyped-call]
 
 
