--- a/hitchtiller/cli/repo.py
+++ b/hitchtiller/cli/repo.py
@@ -1,7 +1,7 @@
 """`hitchtiller repo check|mirror-plan|pull`: read a package repository by URL or folder as its clients do.
 
-A read of a file that fails for want of a connection or with status 503 or 504 is tried MAX_ATTEMPTS times;
-any other status is final.
+The indexes, and the files that `pull` fetches, are requested up to MAX_ATTEMPTS times if the connection fails
+or the status is 503 or 504; any other status is final.
 """
 
 import hashlib
