--- a/hitchtiller/cli/store.py
+++ b/hitchtiller/cli/store.py
@@ -117,7 +117,7 @@
 
 
 def compact(folder: Path, budget_mb: float, segment_mb: float, as_json: bool) -> int:
-    """Copy the live records of segments that also hold dead ones into new segments, and remove the old ones.
+    """Copy the live records into new segments and remove the old ones; segments without dead bytes stay.
 
     The purge log, the epoch and the watermark of the bus stay as they are. If the budget is too small for
     the copies, a larger one is used for this run. Returns 1 if the store can't be written any more.
