--- a/hitchtiller/cli/show.py
+++ b/hitchtiller/cli/show.py
@@ -1,4 +1,4 @@
-"""What the commands print: one JSON object, or rich tables; progress bars go to standard error."""
+"""Output of the commands: JSON or rich tables on standard output, progress bars on standard error."""
 
 from collections.abc import Iterable, Mapping, Sequence
 from typing import Any
@@ -8,36 +8,39 @@
 from rich.progress import BarColumn, Progress, TextColumn, TimeRemainingColumn
 from rich.table import Table
 
-SIGNS = str.maketrans("", "", ".-%")
+NUMBER_PUNCTUATION = str.maketrans("", "", ".-%")
 
 
-def as_json(value: object) -> None:
-    """Print one object, on one line."""
+def print_json(value: object) -> None:
+    """Print a value as JSON on one line."""
     print(msgspec.json.encode(value).decode())
 
 
-def table(title: str, columns: Sequence[str], rows: Iterable[Sequence[Any]]) -> None:
-    """Print a table; numbers stand to the right."""
-    lines = [[str(cell) for cell in row] for row in rows]
-    shown = Table(title=title, title_justify="left")
-    for place, name in enumerate(columns):
-        numbers = all(line[place].translate(SIGNS).isdecimal() for line in lines)
-        shown.add_column(name, justify="right" if numbers and lines else "left")
-    for line in lines:
-        shown.add_row(*line)
+def print_table(title: str, columns: Sequence[str], rows: Iterable[Sequence[Any]]) -> None:
+    """Print a table; columns that hold only numbers are aligned right.
+
+    Where standard output is no terminal, the table is at most 120 characters wide.
+    """
+    cells = [[str(cell) for cell in row] for row in rows]
+    rich_table = Table(title=title, title_justify="left")
+    for index, column in enumerate(columns):
+        is_numeric = all(row[index].translate(NUMBER_PUNCTUATION).isdecimal() for row in cells)
+        rich_table.add_column(column, justify="right" if is_numeric and cells else "left")
+    for cell_row in cells:
+        rich_table.add_row(*cell_row)
     console = Console()
     if not console.is_terminal:
         console = Console(width=120)
-    console.print(shown)
+    console.print(rich_table)
 
 
-def pairs(title: str, values: Mapping[str, Any]) -> None:
-    """Print names and values."""
-    table(title, ("what", "value"), list(values.items()))
+def print_pairs(title: str, values: Mapping[str, Any]) -> None:
+    """Print a table of names and values."""
+    print_table(title, ("what", "value"), list(values.items()))
 
 
-def progress() -> Progress:
-    """Make a progress bar on standard error; it shows nothing where that is no terminal."""
+def progress_bar() -> Progress:
+    """Return a progress bar on standard error; it shows nothing if that is not a terminal."""
     return Progress(
         TextColumn("{task.description}"), BarColumn(), TextColumn("{task.completed}/{task.total}"),
         TimeRemainingColumn(), console=Console(stderr=True), transient=True,
--- a/hitchtiller/operator/read.py
+++ b/hitchtiller/operator/read.py
@@ -1,7 +1,9 @@
-"""Reads the operators' file: HCL to models, or problems with their lines and what to write instead.
+"""Reads the operators' file (HCL) into models, or reports problems with their lines and the remedies.
 
-All problems are found in one pass, and a file with any gives no settings at all: nothing starts on half a
-file.
+A check goes through the whole file and reports all invalid settings at once; text that can't be parsed is
+reported alone. A file with any problem gives no settings at all, so that no gateway starts with half of a
+file. The file holds plain values only: expressions of HCL are refused. Checks between several settings run
+once each setting is valid by itself.
 """
 
 import difflib
@@ -20,13 +22,13 @@
 
 from hitchtiller.operator.model import File, Store
 
-HCL = hcl2.parser.hcl2
+HCL_PARSER = hcl2.parser.hcl2
 Model = TypeVar("Model", bound=msgspec.Struct)
 
 
 @dataclass(frozen=True, slots=True)
 class Problem:
-    """One thing that is wrong."""
+    """One fault in a file: its place, what is wrong, and what to write instead."""
 
     file: str
     line: int
@@ -34,22 +36,26 @@
     instead: str
 
     def __str__(self) -> str:
-        """Write it as compilers do."""
+        """Return it on one line in the form of a compiler's message, `file:line: what; instead`."""
         return f"{self.file}:{self.line}: {self.what}; {self.instead}"
 
 
 class BadFile(Exception):
-    """A file that can't be used; `problems` are in the order of their lines."""
+    """Raised for a file that can't be used; `problems` are in the order of their lines."""
 
     def __init__(self, problems: list[Problem]) -> None:
-        """Keep the problems."""
+        """Make an error whose text has one line for each problem."""
         super().__init__("\n".join(map(str, problems)))
         self.problems = problems
 
 
 @dataclass(frozen=True, slots=True)
 class Setting:
-    """An attribute or a block as it stands: name, labels, line, and its value or what is in it."""
+    """An attribute or a block of the file: its name, labels and line, and its value or its contents.
+
+    An attribute has a `value`; a block has its attributes and blocks in `inside`, which is None for an
+    attribute.
+    """
 
     name: str
     labels: tuple[str, ...]
@@ -59,7 +65,10 @@
 
 
 def read_file(path: Path) -> File:
-    """Read and check a file; BadFile with all that is wrong, OSError if it can't be read."""
+    """Read and check the operators' file.
+
+    Raises BadFile with all problems if it is not valid, and OSError if it can't be read.
+    """
     try:
         text = path.read_text()
     except UnicodeDecodeError:
@@ -68,29 +77,35 @@
 
 
 def read_text(text: str, name: str = "gateway.hcl") -> File:
-    """Read and check a file's text."""
-    return read_model(File, text, name, lambda found, given: _relations(found.get("store"), given, name))
+    """Read and check the text of an operators' file; `name` stands for the file in the problems."""
+    return read_model(
+        File, text, name, lambda values, settings: _check_store(values.get("store"), settings, name)
+    )
 
 
 def read_model(
     model: type[Model], text: str, name: str,
     relations: Callable[[dict[str, Any], tuple[Setting, ...]], list[Problem]] = lambda values, settings: [],
 ) -> Model:  # fmt: skip
-    """Read and check a file of any model; `relations` checks what only holds between its settings."""
+    """Read and check the text of an HCL file against a model.
+
+    `relations` gets the plain values and the settings of the file, and returns the problems that concern
+    several settings together. It is only called if each setting is valid by itself.
+    """
     try:
-        tree = HCL.parse(text + "\n")
-        body = next(node for node in _topdown(tree) if node.data == "body")
-        settings = tuple(_settings(body, text))
+        tree = HCL_PARSER.parse(text + "\n")
+        body = next(node for node in _iterate_topdown(tree) if node.data == "body")
+        settings = tuple(_read_settings(body, text))
     except UnexpectedInput as error:
         lines = text.splitlines() or [""]
         line = max(1, min(getattr(error, "line", 1), len(lines)))
-        shown = lines[line - 1].strip()
-        what = f"this is not HCL, near {shown[:60]!r}"
+        excerpt = lines[line - 1].strip()
+        what = f"this is not HCL, near {excerpt[:60]!r}"
         raise BadFile(
             [Problem(name, line, what, 'write settings as name = value, blocks as name "label" { }')]
         ) from None
     problems: list[Problem] = []
-    values = _struct(model, settings, 1, name, "the file", problems)
+    values = _check_struct(model, settings, 1, name, "the file", problems)
     if not problems:
         problems += relations(values, settings)
     if problems:
@@ -98,11 +113,13 @@
     return msgspec.convert(values, model)
 
 
-def _topdown(tree: Tree[Any]) -> Iterator[Tree[Any]]:
+def _iterate_topdown(tree: Tree[Any]) -> Iterator[Tree[Any]]:
+    """Iterate over a tree and its subtrees from the root down; the only call of an untyped method of lark."""
     return tree.iter_subtrees_topdown()  # type: ignore[no-any-return, no-untyped-call]
 
 
-def _settings(body: Tree[Any], text: str) -> Iterator[Setting]:
+def _read_settings(body: Tree[Any], text: str) -> Iterator[Setting]:
+    """Read the attributes and blocks of a body in their order; `text` is the text of the whole file."""
     for node in body.children:
         if not isinstance(node, Tree) or node.data not in ("attribute", "block"):
             continue
@@ -112,35 +129,40 @@
         line = node.meta.line
         if node.data == "attribute":
             source = text[node.meta.start_pos : node.meta.end_pos]
-            yield Setting(name, (), line, _value(source))
+            yield Setting(name, (), line, _parse_value(source))
         else:
             labels = tuple(
                 str(child.children[0] if isinstance(child, Tree) else child).strip('"')
                 for child in node.children[1:-1]
             )
-            yield Setting(name, labels, line, inside=tuple(_settings(node.children[-1], text)))
+            yield Setting(name, labels, line, inside=tuple(_read_settings(node.children[-1], text)))
 
 
-def _value(source: str) -> Any:
-    """Read one attribute by itself; what is no plain value comes back as text in ${ }."""
+def _parse_value(source: str) -> Any:
+    """Parse one attribute by itself and return its value; an expression is returned as a text with `${ }`."""
     (value,) = hcl2.api.loads(source.strip() + "\n").values()
     return value
 
 
-def _nearest(name: str, known: list[str]) -> str:
+def _suggest_name(name: str, known: list[str]) -> str:
+    """Return a hint to the most similar known name, or a list of all of them if none is similar."""
     close = difflib.get_close_matches(name, known, 1, 0.5)
     return f"did you mean {close[0]!r}?" if close else "known here: " + ", ".join(sorted(known))
 
 
-def _struct(
+def _check_struct(
     model: type, settings: tuple[Setting, ...], line: int, file: str, where: str, problems: list[Problem]
 ) -> dict[str, Any]:
-    """Check what stands in one block against its model; gives plain values for msgspec."""
+    """Check the contents of one block, or of the file, against its model.
+
+    Appends what is wrong to `problems` and returns the plain values for msgspec. `line` is the line of the
+    block, which is reported for missing settings; `where` names the block in the problems.
+    """
     info = types.type_info(model)
     assert isinstance(info, types.StructType)
     fields = {field.name: field for field in info.fields}
     values: dict[str, Any] = {}
-    first: dict[tuple[str, ...], int] = {}
+    first_lines: dict[tuple[str, ...], int] = {}
     for setting in settings:
         field = fields.get(setting.name)
         if field is None:
@@ -149,31 +171,39 @@
                     file,
                     setting.line,
                     f"{setting.name!r} is not known in {where}",
-                    _nearest(setting.name, [*fields]),
+                    _suggest_name(setting.name, [*fields]),
                 )
             )
             continue
         place = (setting.name, *setting.labels)
-        if place in first:
-            text = f"{' '.join(place)!r} stands here a second time (first in line {first[place]})"
+        if place in first_lines:
+            text = f"{' '.join(place)!r} stands here a second time (first in line {first_lines[place]})"
             problems.append(Problem(file, setting.line, text, "leave one of them out"))
             continue
-        first[place] = setting.line
-        kind, many = _block(field.type)
+        first_lines[place] = setting.line
+        kind, is_labelled = _find_block_model(field.type)
         if kind is not None:
-            _take_block(kind, many, setting, file, values, problems)
+            _check_block(kind, is_labelled, setting, file, values, problems)
         else:
-            _take_value(field, setting, file, values, problems)
+            _check_value(field, setting, file, values, problems)
     for field in fields.values():
-        if field.required and not any(place[0] == field.name for place in first):
+        if field.required and not any(place[0] == field.name for place in first_lines):
             problems.append(
-                Problem(file, line, f"{field.name!r} is missing in {where}", f"write {_expected(field.type)}")
+                Problem(
+                    file,
+                    line,
+                    f"{field.name!r} is missing in {where}",
+                    f"write {_describe_expected(field.type)}",
+                )
             )
     return values
 
 
-def _block(kind: types.Type) -> tuple[type | None, bool]:
-    """Tell whether a field is a block, and whether it may stand several times under labels."""
+def _find_block_model(kind: types.Type) -> tuple[type | None, bool]:
+    """Return the model of a field that is a block, else None, and whether the block is labelled.
+
+    A labelled block may stand several times, under different labels.
+    """
     if isinstance(kind, types.UnionType):
         kind = next((each for each in kind.types if isinstance(each, types.StructType)), kind)
     if isinstance(kind, types.DictType) and isinstance(kind.value_type, types.StructType):
@@ -181,29 +211,36 @@
     return (kind.cls, False) if isinstance(kind, types.StructType) else (None, False)
 
 
-def _take_block(
-    kind: type, many: bool, setting: Setting, file: str, values: dict[str, Any], problems: list[Problem]
+def _check_block(
+    kind: type,
+    is_labelled: bool,
+    setting: Setting,
+    file: str,
+    values: dict[str, Any],
+    problems: list[Problem],
 ) -> None:
+    """Check one block with its labels and contents, and add its values to `values`."""
     name, line = setting.name, setting.line
     if setting.inside is None:
-        form = f'{name} "NAME" {{ ... }}' if many else f"{name} {{ ... }}"
+        form = f'{name} "NAME" {{ ... }}' if is_labelled else f"{name} {{ ... }}"
         problems.append(Problem(file, line, f"{name!r} is a block", f"write {form}"))
         return
-    if len(setting.labels) != int(many):
-        text = f'{name} "NAME" {{ ... }}' if many else f"{name} {{ ... }}, without a label"
+    if len(setting.labels) != int(is_labelled):
+        text = f'{name} "NAME" {{ ... }}' if is_labelled else f"{name} {{ ... }}, without a label"
         problems.append(Problem(file, line, f"{name!r} has {len(setting.labels)} labels", f"write {text}"))
         return
-    inner = _struct(kind, setting.inside, line, file, repr(" ".join((name, *setting.labels))), problems)
-    if many:
+    inner = _check_struct(kind, setting.inside, line, file, repr(" ".join((name, *setting.labels))), problems)
+    if is_labelled:
         values.setdefault(name, {})[setting.labels[0]] = inner
     else:
         values[name] = inner
 
 
-def _take_value(
+def _check_value(
     field: types.Field, setting: Setting, file: str, values: dict[str, Any], problems: list[Problem]
 ) -> None:
-    expected = f"write {_expected(field.type)}"
+    """Check one setting against the type and bounds of its field, and add its value to `values`."""
+    expected = f"write {_describe_expected(field.type)}"
     if setting.inside is not None:
         problems.append(
             Problem(file, setting.line, f"{setting.name!r} is a setting, not a block", f"{expected} after =")
@@ -215,19 +252,24 @@
         problems.append(Problem(file, setting.line, text, expected))
         return
     try:
-        holder = msgspec.defstruct("Holder", [("value", _annotation(field.type))])
-        msgspec.convert({"value": value}, holder)
+        value_model = msgspec.defstruct("Holder", [("value", _rebuild_type(field.type))])
+        msgspec.convert({"value": value}, value_model)
     except msgspec.ValidationError as error:
-        why = re.sub(r" - at `\$\.value`$", "", str(error))
+        reason = re.sub(r" - at `\$\.value`$", "", str(error))
         problems.append(
-            Problem(file, setting.line, f"{setting.name} = {value!r}: {why[0].lower()}{why[1:]}", expected)
+            Problem(
+                file, setting.line, f"{setting.name} = {value!r}: {reason[0].lower()}{reason[1:]}", expected
+            )
         )
         return
     values[setting.name] = value
 
 
-def _annotation(kind: types.Type) -> Any:
-    """Build the type again that msgspec looked into."""
+def _rebuild_type(kind: types.Type) -> Any:
+    """Return the annotation for which msgspec gave this type description, with its bounds.
+
+    Lets msgspec check a single value, so that the problem can name its setting and line.
+    """
     from typing import Annotated, Literal
 
     meta = kind
@@ -249,13 +291,14 @@
     return base
 
 
-def _expected(kind: types.Type) -> str:
+def _describe_expected(kind: types.Type) -> str:
+    """Return the description of valid values that the model gives for a field."""
     extra = kind.extra_json_schema if isinstance(kind, types.Metadata) else None
     return str((extra or {}).get("description", "a value"))
 
 
-def _relations(store: dict[str, Any] | None, settings: tuple[Setting, ...], file: str) -> list[Problem]:
-    """Check what only holds between settings."""
+def _check_store(store: dict[str, Any] | None, settings: tuple[Setting, ...], file: str) -> list[Problem]:
+    """Check the settings of the block `store` that depend on one another, and the disk folder's path."""
     if not store or not store.get("disk"):
         return []
     checked = msgspec.convert(store, Store)
@@ -265,7 +308,8 @@
     inside = next(s for s in block.inside or () if s.name == "disk")
     lines = {setting.name: setting.line for setting in inside.inside or ()}
 
-    def at(name: str) -> int:
+    def find_line(name: str) -> int:
+        """Return the line of a setting of the block `disk`, or of the block if the default is used."""
         return lines.get(name, inside.line)
 
     problems = []
@@ -273,18 +317,25 @@
     if disk.budget_mb < reserve + 2 * disk.segment_mb:
         what = f"budget_mb = {disk.budget_mb:g} leaves no two segments beside a reserve of {reserve:g}"
         problems.append(
-            Problem(file, at("budget_mb"), what, f"write at least {reserve + 2 * disk.segment_mb:g}")
+            Problem(file, find_line("budget_mb"), what, f"write at least {reserve + 2 * disk.segment_mb:g}")
         )
     if not Path(disk.folder).is_absolute():
         problems.append(
-            Problem(file, at("folder"), f"folder = {disk.folder!r} is not absolute", "write the path from /")
+            Problem(
+                file,
+                find_line("folder"),
+                f"folder = {disk.folder!r} is not absolute",
+                "write the path from /",
+            )
         )
     if disk.compact_busy_mb_per_s > disk.compact_mb_per_s:
         what = "compact_busy_mb_per_s is above compact_mb_per_s: compaction would not give way to clients"
         problems.append(
-            Problem(file, at("compact_busy_mb_per_s"), what, f"write at most {disk.compact_mb_per_s:g}")
+            Problem(
+                file, find_line("compact_busy_mb_per_s"), what, f"write at most {disk.compact_mb_per_s:g}"
+            )
         )
     if disk.queue_mb > disk.budget_mb / 2:
         what = f"queue_mb = {disk.queue_mb:g} is over half of the budget"
-        problems.append(Problem(file, at("queue_mb"), what, f"write at most {disk.budget_mb / 2:g}"))
+        problems.append(Problem(file, find_line("queue_mb"), what, f"write at most {disk.budget_mb / 2:g}"))
     return problems
