--- a/hitchtiller/repo/generations.py
+++ b/hitchtiller/repo/generations.py
@@ -52,7 +52,7 @@
     looked_ms: float = -math.inf
 
 
-class Line:
+class IndexHistory:
     """The generations of one index, oldest first."""
 
     def __init__(self, grace_ms: float) -> None:
--- a/hitchtiller/repo/service.py
+++ b/hitchtiller/repo/service.py
@@ -13,7 +13,7 @@
 from hitchtiller.repo.body import Assembly, Broken, Piece, Proofs, Proven, Restart
 from hitchtiller.repo.conditions import Validators, range_applies, status
 from hitchtiller.repo.fetch import ABSENT, PART, Failed, Fetcher, Refused, Source
-from hitchtiller.repo.generations import Line, NamedFile
+from hitchtiller.repo.generations import IndexHistory, NamedFile
 from hitchtiller.repo.kinds import BadIndex, Kind, Parsed
 from hitchtiller.repo.paths import BadTarget, object_key, read_target
 from hitchtiller.repo.ranges import Span, Unsatisfiable, parts_of, read_ranges
@@ -61,10 +61,10 @@
     group: int
     grace_ms: float
     index_bytes: int
-    lines: dict[str, Line] = field(default_factory=dict)
+    lines: dict[str, IndexHistory] = field(default_factory=dict)
     where: dict[str, set[str]] = field(default_factory=dict)  # path: the indexes that name it
 
-    def line(self, path: str) -> Line:
+    def line(self, path: str) -> IndexHistory:
         """Give an index's line."""
         if path not in self.lines:
             if len(self.lines) >= MOST_LINES:  # the longest known goes; it is learnt again when asked for
@@ -72,7 +72,7 @@
                 del self.lines[gone]
                 for names in self.where.values():
                     names.discard(gone)
-            self.lines[path] = Line(self.grace_ms)
+            self.lines[path] = IndexHistory(self.grace_ms)
         return self.lines[path]
 
 
@@ -163,7 +163,7 @@
             return b"".join(pieces), assembly
         raise Broken("two-releases")
 
-    def _learn(self, repo: Repository, path: str, client: str) -> Line | None:
+    def _learn(self, repo: Repository, path: str, client: str) -> IndexHistory | None:
         """Read an index as it is now, with what belongs to it; None if there is none."""
         got = self.whole(repo, path, client)
         if got is None:
@@ -190,7 +190,7 @@
             files |= repo.kind.parse(name, got[0]).files
         return Parsed(files, parsed.nested, parsed.optional)
 
-    def _prove(self, repo: Repository, line: Line, client: str) -> None:
+    def _prove(self, repo: Repository, line: IndexHistory, client: str) -> None:
         """Look for the files that are new in the newest generation; it is served only once they are there."""
         generation = line.to_look(now_ms())
         if generation is None:
--- a/tests/repo/test_repo_decide.py
+++ b/tests/repo/test_repo_decide.py
@@ -11,7 +11,7 @@
 from hitchtiller.repo.admission import CEILING, FLOOR, BackgroundLimit, ConnectionLimits
 from hitchtiller.repo.body import HOLD, Assembly, Broken, Piece, Proofs, Restart
 from hitchtiller.repo.budget import Budget, FileBudget
-from hitchtiller.repo.generations import KEPT, Line, NamedFile, State
+from hitchtiller.repo.generations import KEPT, IndexHistory, NamedFile, State
 from hitchtiller.repo.paths import BadTarget, object_key, read_target
 from hitchtiller.repo.window import HIGH, MOST, Window
 
@@ -134,7 +134,9 @@
     return {name: NamedFile(name, digest) for name, digest in files.items()}
 
 
-def served(line: Line, digest: str, files: dict[str, NamedFile], at: float, client: str = "c") -> None:
+def served(
+    line: IndexHistory, digest: str, files: dict[str, NamedFile], at: float, client: str = "c"
+) -> None:
     line.saw(digest, files, at, b"")
     for path in files:
         line.found(digest, path)
@@ -143,7 +145,7 @@
 
 
 def test_an_index_is_served_only_once_what_is_new_in_it_is_there() -> None:
-    line = Line(1000.0)
+    line = IndexHistory(1000.0)
     served(line, "g1", named(a="1"), 10.0)
     second = line.saw("g2", named(a="1", b="2"), 20.0, b"")
     assert second.wanted == {"b"} and line.to_look(20.0) is second
@@ -155,7 +157,7 @@
 
 
 def test_a_client_gets_files_of_its_own_generation_alone() -> None:
-    line = Line(1000.0)
+    line = IndexHistory(1000.0)
     served(line, "g1", named(a="1", b="1"), 10.0, "old")
     served(line, "g2", named(a="2", c="2"), 20.0, "new")
     assert line.permitted("old", "a", 30.0) == NamedFile("a", "1")
@@ -166,7 +168,7 @@
 
 
 def test_a_roll_back_makes_older_digests_good_again() -> None:
-    line = Line(0.0)
+    line = IndexHistory(0.0)
     served(line, "g1", named(a="1"), 10.0)
     served(line, "g2", named(a="2"), 20.0)
     assert line.saw("g1", {}, 30.0, b"").state is State.RETIRED
@@ -176,7 +178,7 @@
 
 
 def test_a_cache_that_lags_changes_nothing() -> None:
-    line = Line(0.0)
+    line = IndexHistory(0.0)
     served(line, "g2", named(a="2"), 20.0)
     line.saw("g1", named(a="1"), 10.0, b"")
     generation = line.serve("c", 30.0)
@@ -184,7 +186,7 @@
 
 
 def test_generations_and_clients_are_bounded() -> None:
-    line = Line(0.0)
+    line = IndexHistory(0.0)
     for number in range(50):
         served(line, f"g{number}", named(a=str(number)), float(number), f"c{number}")
         assert len(line.known) <= KEPT
