--- a/hitchtiller/repo/generations.py
+++ b/hitchtiller/repo/generations.py
@@ -64,7 +64,7 @@
         self.given: OrderedDict[str, str] = OrderedDict()
         self.updates_withheld = self.rolled_back = 0
 
-    def saw(
+    def record_index(
         self,
         digest: str,
         files: Mapping[str, NamedFile],
--- a/hitchtiller/repo/service.py
+++ b/hitchtiller/repo/service.py
@@ -171,10 +171,10 @@
         body, assembly = got
         line, digest = repo.line(path), assembly.hash.hexdigest()
         if digest in line.known:
-            line.saw(digest, line.known[digest].files, assembly.since_ms, body)
+            line.record_index(digest, line.known[digest].files, assembly.since_ms, body)
         else:
             parsed = self._with_nested(repo, path, repo.kind.parse(path, body), client)
-            line.saw(digest, parsed.files, assembly.since_ms, body, parsed.optional)
+            line.record_index(digest, parsed.files, assembly.since_ms, body, parsed.optional)
             for name in parsed.files:
                 repo.where.setdefault(name, set()).add(path)
         self._prove(repo, line, client)
--- a/tests/repo/test_repo_decide.py
+++ b/tests/repo/test_repo_decide.py
@@ -137,7 +137,7 @@
 def served(
     line: IndexHistory, digest: str, files: dict[str, NamedFile], at: float, client: str = "c"
 ) -> None:
-    line.saw(digest, files, at, b"")
+    line.record_index(digest, files, at, b"")
     for path in files:
         line.found(digest, path)
     generation = line.serve(client, at)
@@ -147,7 +147,7 @@
 def test_an_index_is_served_only_once_what_is_new_in_it_is_there() -> None:
     line = IndexHistory(1000.0)
     served(line, "g1", named(a="1"), 10.0)
-    second = line.saw("g2", named(a="1", b="2"), 20.0, b"")
+    second = line.record_index("g2", named(a="1", b="2"), 20.0, b"")
     assert second.wanted == {"b"} and line.to_look(20.0) is second
     assert line.serve("c", 20.0).digest == "g1" and line.updates_withheld == 1  # type: ignore[union-attr]
     line.missing("g2", 20.0)
@@ -171,7 +171,7 @@
     line = IndexHistory(0.0)
     served(line, "g1", named(a="1"), 10.0)
     served(line, "g2", named(a="2"), 20.0)
-    assert line.saw("g1", {}, 30.0, b"").state is State.RETIRED
+    assert line.record_index("g1", {}, 30.0, b"").state is State.RETIRED
     generation = line.serve("c", 30.0)
     assert generation and generation.digest == "g1" and line.rolled_back == 1
     assert line.permitted("c", "a", 31.0) == NamedFile("a", "1")
@@ -180,7 +180,7 @@
 def test_a_cache_that_lags_changes_nothing() -> None:
     line = IndexHistory(0.0)
     served(line, "g2", named(a="2"), 20.0)
-    line.saw("g1", named(a="1"), 10.0, b"")
+    line.record_index("g1", named(a="1"), 10.0, b"")
     generation = line.serve("c", 30.0)
     assert generation and generation.digest == "g2"
 
