--- a/hitchtiller/repo/generations.py
+++ b/hitchtiller/repo/generations.py
@@ -103,7 +103,7 @@
                 return
             del self.known[old]
 
-    def found(self, digest: str, path: str) -> None:
+    def mark_found(self, digest: str, path: str) -> None:
         """Hear that a file that a generation names is there."""
         generation = self.known.get(digest)
         if generation:
--- a/hitchtiller/repo/service.py
+++ b/hitchtiller/repo/service.py
@@ -198,7 +198,7 @@
         source = Source(0, repo.class_name, repo.group, client)
         source.budget.parts = len(generation.wanted)
         for path in sorted(generation.wanted)[PROVE_MOST:]:
-            line.found(generation.digest, path)
+            line.mark_found(generation.digest, path)
         for path in sorted(generation.wanted):
             source.key = object_key(repo.name, path)
             piece = self.fetcher.one(source, 0)
@@ -207,7 +207,7 @@
             if piece.tag == ABSENT or not _may_be(piece, named, proof.digest if proof else ""):
                 line.missing(generation.digest, now_ms())
                 return
-            line.found(generation.digest, path)
+            line.mark_found(generation.digest, path)
 
     def _index(
         self, repo: Repository, path: str, method: str, headers: Mapping[str, str], client: str
--- a/tests/repo/test_repo_decide.py
+++ b/tests/repo/test_repo_decide.py
@@ -139,7 +139,7 @@
 ) -> None:
     line.record_index(digest, files, at, b"")
     for path in files:
-        line.found(digest, path)
+        line.mark_found(digest, path)
     generation = line.serve(client, at)
     assert generation and generation.digest == digest
 
@@ -152,7 +152,7 @@
     assert line.serve("c", 20.0).digest == "g1" and line.updates_withheld == 1  # type: ignore[union-attr]
     line.missing("g2", 20.0)
     assert line.to_look(100.0) is None and line.to_look(600.0) is second
-    line.found("g2", "b")
+    line.mark_found("g2", "b")
     assert line.serve("c", 30.0).digest == "g2" and line.known["g1"].state is State.RETIRED  # type: ignore[union-attr]
 
 
