--- a/hitchtiller/repo/generations.py
+++ b/hitchtiller/repo/generations.py
@@ -111,7 +111,7 @@
             if not generation.wanted and generation.state is State.SEEN:
                 generation.state = State.PROVEN
 
-    def missing(self, digest: str, now_ms: float) -> None:
+    def mark_missing(self, digest: str, now_ms: float) -> None:
         """Hear that a file is not there: it is looked for again after a while."""
         if generation := self.known.get(digest):
             generation.looked_ms = now_ms
--- a/hitchtiller/repo/service.py
+++ b/hitchtiller/repo/service.py
@@ -205,7 +205,7 @@
             named = generation.files[path]
             proof = self.proofs.get(source.key, piece.tag)
             if piece.tag == ABSENT or not _may_be(piece, named, proof.digest if proof else ""):
-                line.missing(generation.digest, now_ms())
+                line.mark_missing(generation.digest, now_ms())
                 return
             line.mark_found(generation.digest, path)
 
