--- a/hitchtiller/repo/generations.py
+++ b/hitchtiller/repo/generations.py
@@ -116,7 +116,7 @@
         if generation := self.known.get(digest):
             generation.looked_ms = now_ms
 
-    def to_look(self, now_ms: float) -> Generation | None:
+    def due_for_check(self, now_ms: float) -> Generation | None:
         """Give the newest generation if its files have to be looked for now."""
         generation = self.known.get(self.newest)
         if generation is None or generation.state is not State.SEEN:
--- a/hitchtiller/repo/service.py
+++ b/hitchtiller/repo/service.py
@@ -192,7 +192,7 @@
 
     def _prove(self, repo: Repository, line: IndexHistory, client: str) -> None:
         """Look for the files that are new in the newest generation; it is served only once they are there."""
-        generation = line.to_look(now_ms())
+        generation = line.due_for_check(now_ms())
         if generation is None:
             return
         source = Source(0, repo.class_name, repo.group, client)
