--- a/hitchtiller/repo/generations.py
+++ b/hitchtiller/repo/generations.py
@@ -59,7 +59,7 @@
         """Permit a generation for `grace_ms` after another was served in its place."""
         self.grace_ms = grace_ms
         self.known: OrderedDict[str, Generation] = OrderedDict()
-        self.newest = ""  # the digest that came last from upstream
+        self.newest_digest = ""  # the digest that came last from upstream
         self.current = ""  # the digest that is served
         self.given: OrderedDict[str, str] = OrderedDict()
         self.updates_withheld = self.rolled_back = 0
@@ -78,7 +78,7 @@
         newer one: a cache may lag. A roll-back is an older text given out anew.
         """
         found = self.known.get(digest)
-        newest = self.known.get(self.newest)
+        newest = self.known.get(self.newest_digest)
         if found is None:
             found = self.known[digest] = Generation(digest, files, since_ms, body=body)
             before = self.known.get(self.current)
@@ -92,13 +92,13 @@
             order = list(self.known)
             if newest and newest is not found and order.index(digest) < order.index(newest.digest):
                 self.rolled_back += 1
-            self.newest = digest
+            self.newest_digest = digest
         self._bound()
         return found
 
     def _bound(self) -> None:
         while len(self.known) > KEPT:
-            old = next((d for d in self.known if d not in (self.newest, self.current)), None)
+            old = next((d for d in self.known if d not in (self.newest_digest, self.current)), None)
             if old is None:
                 return
             del self.known[old]
@@ -118,7 +118,7 @@
 
     def due_for_check(self, now_ms: float) -> Generation | None:
         """Give the newest generation if its files have to be looked for now."""
-        generation = self.known.get(self.newest)
+        generation = self.known.get(self.newest_digest)
         if generation is None or generation.state is not State.SEEN:
             return None
         return generation if now_ms - generation.looked_ms >= AGAIN_MS else None
@@ -128,12 +128,12 @@
 
         The newest proven one; None if there is none yet.
         """
-        newest = self.known.get(self.newest)
-        if newest and newest.state is not State.SEEN and self.newest != self.current:
+        newest = self.known.get(self.newest_digest)
+        if newest and newest.state is not State.SEEN and self.newest_digest != self.current:
             before = self.known.get(self.current)
             if before:
                 before.state, before.retired_ms = State.RETIRED, now_ms
-            self.current = self.newest
+            self.current = self.newest_digest
         elif newest and newest.state is State.SEEN:
             self.updates_withheld += 1
         generation = self.known.get(self.current)
--- a/hitchtiller/repo/service.py
+++ b/hitchtiller/repo/service.py
@@ -220,7 +220,7 @@
         purged = self.purges.last(key, repo.group)
         if generation is None or (generation.since_ms <= purged and now - purged > GRACE_MS):
             return refusal(503, "release-not-whole", "a release is being published; come back", 1.0)
-        if generation.digest != line.newest and now - purged <= GRACE_MS:
+        if generation.digest != line.newest_digest and now - purged <= GRACE_MS:
             logger.info("{}: the release before is given, the newest is not whole", path)
         known = Validators(generation.digest, int(generation.since_ms))
         return _plain(repo.kind.content_type(path, generation.body), generation.body, known, method, headers)
