--- a/hitchtiller/repo/generations.py
+++ b/hitchtiller/repo/generations.py
@@ -60,7 +60,7 @@
         self.grace_ms = grace_ms
         self.known: OrderedDict[str, Generation] = OrderedDict()
         self.newest_digest = ""  # the digest that came last from upstream
-        self.current = ""  # the digest that is served
+        self.served_digest = ""  # the digest that is served
         self.given: OrderedDict[str, str] = OrderedDict()
         self.updates_withheld = self.rolled_back = 0
 
@@ -81,7 +81,7 @@
         newest = self.known.get(self.newest_digest)
         if found is None:
             found = self.known[digest] = Generation(digest, files, since_ms, body=body)
-            before = self.known.get(self.current)
+            before = self.known.get(self.served_digest)
             had = before.files if before else {}
             found.wanted = {p for p, named in files.items() if had.get(p) != named and p not in optional}
             if not found.wanted:
@@ -98,7 +98,7 @@
 
     def _bound(self) -> None:
         while len(self.known) > KEPT:
-            old = next((d for d in self.known if d not in (self.newest_digest, self.current)), None)
+            old = next((d for d in self.known if d not in (self.newest_digest, self.served_digest)), None)
             if old is None:
                 return
             del self.known[old]
@@ -129,14 +129,14 @@
         The newest proven one; None if there is none yet.
         """
         newest = self.known.get(self.newest_digest)
-        if newest and newest.state is not State.SEEN and self.newest_digest != self.current:
-            before = self.known.get(self.current)
+        if newest and newest.state is not State.SEEN and self.newest_digest != self.served_digest:
+            before = self.known.get(self.served_digest)
             if before:
                 before.state, before.retired_ms = State.RETIRED, now_ms
-            self.current = self.newest_digest
+            self.served_digest = self.newest_digest
         elif newest and newest.state is State.SEEN:
             self.updates_withheld += 1
-        generation = self.known.get(self.current)
+        generation = self.known.get(self.served_digest)
         if generation is None:
             return None
         generation.state, generation.served_ms, generation.retired_ms = State.SERVED, now_ms, math.inf
@@ -158,7 +158,9 @@
 
     def _own(self, client: str) -> Generation | None:
         """Give a client's generation; the one that is served, where it is not known."""
-        return self.known.get(self.given.get(client, self.current)) or self.known.get(self.current)
+        return self.known.get(self.given.get(client, self.served_digest)) or self.known.get(
+            self.served_digest
+        )
 
     def outdated(self, client: str, now_ms: float) -> bool:
         """Tell whether a client holds an index that is permitted no more."""
