--- a/hitchtiller/repo/generations.py
+++ b/hitchtiller/repo/generations.py
@@ -162,7 +162,7 @@
             self.served_digest
         )
 
-    def outdated(self, client: str, now_ms: float) -> bool:
+    def is_outdated(self, client: str, now_ms: float) -> bool:
         """Tell whether a client holds an index that is permitted no more."""
         own = self._own(client)
         return own is not None and not self._may(own, now_ms)
--- a/hitchtiller/repo/service.py
+++ b/hitchtiller/repo/service.py
@@ -266,7 +266,7 @@
         permitted = self._permitted(repo, path, client)
         if not permitted:
             roots = repo.where.get(path, set())
-            if any(repo.lines[root].outdated(client, now_ms()) for root in roots):
+            if any(repo.lines[root].is_outdated(client, now_ms()) for root in roots):
                 return refusal(404, "index-outdated", "your index is of an older release; ask for it again")
             return refusal(404, "not-found", "no index that was given to you names this file")
         source = self._source(repo, path, client)
--- a/tests/repo/test_repo_decide.py
+++ b/tests/repo/test_repo_decide.py
@@ -163,7 +163,7 @@
     assert line.permitted("old", "a", 30.0) == NamedFile("a", "1")
     assert line.permitted("new", "a", 30.0) == NamedFile("a", "2") == line.permitted("stranger", "a", 30.0)
     assert not line.permitted("new", "b", 30.0), "its index does not name it"
-    assert not line.permitted("old", "a", 1021.0) and line.outdated("old", 1021.0)
+    assert not line.permitted("old", "a", 1021.0) and line.is_outdated("old", 1021.0)
     assert line.permitted("new", "a", 1021.0)
 
 
