--- a/hitchtiller/repo/generations.py
+++ b/hitchtiller/repo/generations.py
@@ -62,7 +62,7 @@
         self.newest_digest = ""  # the digest that came last from upstream
         self.served_digest = ""  # the digest that is served
         self.given: OrderedDict[str, str] = OrderedDict()
-        self.updates_withheld = self.rolled_back = 0
+        self.updates_withheld = self.rollback_count = 0
 
     def record_index(
         self,
@@ -91,7 +91,7 @@
         if newest is None or found.since_ms >= newest.since_ms:
             order = list(self.known)
             if newest and newest is not found and order.index(digest) < order.index(newest.digest):
-                self.rolled_back += 1
+                self.rollback_count += 1
             self.newest_digest = digest
         self._bound()
         return found
--- a/tests/repo/test_repo_decide.py
+++ b/tests/repo/test_repo_decide.py
@@ -173,7 +173,7 @@
     served(line, "g2", named(a="2"), 20.0)
     assert line.record_index("g1", {}, 30.0, b"").state is State.RETIRED
     generation = line.serve("c", 30.0)
-    assert generation and generation.digest == "g1" and line.rolled_back == 1
+    assert generation and generation.digest == "g1" and line.rollback_count == 1
     assert line.permitted("c", "a", 31.0) == NamedFile("a", "1")
 
 
