--- a/hitchtiller/repo/generations.py
+++ b/hitchtiller/repo/generations.py
@@ -48,7 +48,7 @@
     served_ms: float = -math.inf
     retired_ms: float = math.inf
     body: bytes = b""
-    wanted: set[str] = field(default_factory=set)  # paths that have to be there before it is proven
+    pending_paths: set[str] = field(default_factory=set)  # paths that have to be there before it is proven
     looked_ms: float = -math.inf
 
 
@@ -83,8 +83,10 @@
             found = self.known[digest] = Generation(digest, files, since_ms, body=body)
             before = self.known.get(self.served_digest)
             had = before.files if before else {}
-            found.wanted = {p for p, named in files.items() if had.get(p) != named and p not in optional}
-            if not found.wanted:
+            found.pending_paths = {
+                p for p, named in files.items() if had.get(p) != named and p not in optional
+            }
+            if not found.pending_paths:
                 found.state = State.PROVEN
         elif since_ms > found.since_ms:
             found.since_ms = since_ms
@@ -107,8 +109,8 @@
         """Hear that a file that a generation names is there."""
         generation = self.known.get(digest)
         if generation:
-            generation.wanted.discard(path)
-            if not generation.wanted and generation.state is State.SEEN:
+            generation.pending_paths.discard(path)
+            if not generation.pending_paths and generation.state is State.SEEN:
                 generation.state = State.PROVEN
 
     def mark_missing(self, digest: str, now_ms: float) -> None:
