--- a/hitchtiller/repo/service.py
+++ b/hitchtiller/repo/service.py
@@ -196,10 +196,10 @@
         if generation is None:
             return
         source = Source(0, repo.class_name, repo.group, client)
-        source.budget.parts = len(generation.wanted)
-        for path in sorted(generation.wanted)[PROVE_MOST:]:
+        source.budget.parts = len(generation.pending_paths)
+        for path in sorted(generation.pending_paths)[PROVE_MOST:]:
             line.mark_found(generation.digest, path)
-        for path in sorted(generation.wanted):
+        for path in sorted(generation.pending_paths):
             source.key = object_key(repo.name, path)
             piece = self.fetcher.one(source, 0)
             named = generation.files[path]
--- a/tests/repo/test_repo_decide.py
+++ b/tests/repo/test_repo_decide.py
@@ -148,7 +148,7 @@
     line = IndexHistory(1000.0)
     served(line, "g1", named(a="1"), 10.0)
     second = line.record_index("g2", named(a="1", b="2"), 20.0, b"")
-    assert second.wanted == {"b"} and line.due_for_check(20.0) is second
+    assert second.pending_paths == {"b"} and line.due_for_check(20.0) is second
     assert line.serve("c", 20.0).digest == "g1" and line.updates_withheld == 1  # type: ignore[union-attr]
     line.mark_missing("g2", 20.0)
     assert line.due_for_check(100.0) is None and line.due_for_check(600.0) is second
