--- a/hitchtiller/repo/generations.py
+++ b/hitchtiller/repo/generations.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-KEPT = 8
+MAX_GENERATIONS = 8
 FOLLOWED = 10_000
 AGAIN_MS = 500.0  # before an unproven generation is looked at again
 
@@ -99,7 +99,7 @@
         return found
 
     def _bound(self) -> None:
-        while len(self.known) > KEPT:
+        while len(self.known) > MAX_GENERATIONS:
             old = next((d for d in self.known if d not in (self.newest_digest, self.served_digest)), None)
             if old is None:
                 return
--- a/tests/repo/test_repo_decide.py
+++ b/tests/repo/test_repo_decide.py
@@ -11,7 +11,7 @@
 from hitchtiller.repo.admission import CEILING, FLOOR, BackgroundLimit, ConnectionLimits
 from hitchtiller.repo.body import HOLD, Assembly, Broken, Piece, Proofs, Restart
 from hitchtiller.repo.budget import Budget, FileBudget
-from hitchtiller.repo.generations import KEPT, IndexHistory, NamedFile, State
+from hitchtiller.repo.generations import MAX_GENERATIONS, IndexHistory, NamedFile, State
 from hitchtiller.repo.paths import BadTarget, object_key, read_target
 from hitchtiller.repo.window import HIGH, MOST, Window
 
@@ -189,7 +189,7 @@
     line = IndexHistory(0.0)
     for number in range(50):
         served(line, f"g{number}", named(a=str(number)), float(number), f"c{number}")
-        assert len(line.known) <= KEPT
+        assert len(line.known) <= MAX_GENERATIONS
     assert line.known.keys() >= {"g49"}
 
 
