--- a/hitchtiller/repo/generations.py
+++ b/hitchtiller/repo/generations.py
@@ -12,7 +12,7 @@
 from enum import Enum
 
 MAX_GENERATIONS = 8
-FOLLOWED = 10_000
+MAX_CLIENTS = 10_000
 AGAIN_MS = 500.0  # before an unproven generation is looked at again
 
 
@@ -144,7 +144,7 @@
         generation.state, generation.served_ms, generation.retired_ms = State.SERVED, now_ms, math.inf
         self.given[client] = generation.digest
         self.given.move_to_end(client)
-        if len(self.given) > FOLLOWED:
+        if len(self.given) > MAX_CLIENTS:
             self.given.popitem(last=False)
         return generation
 
