--- a/hitchtiller/repo/body.py
+++ b/hitchtiller/repo/body.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(slots=True)
-class Piece:
+class Part:
     """A part as it came."""
 
     data: bytes
@@ -42,13 +42,13 @@
     tag: str = ""
     next: int = 0  # the part that goes out next
     sent: int = 0  # bytes given out
-    early: dict[int, Piece] = field(default_factory=dict)
+    early: dict[int, Part] = field(default_factory=dict)
     hash: "hashlib._Hash" = field(default_factory=hashlib.sha256)
     held: bytearray = field(default_factory=bytearray)
     done: bool = False
     since_ms: int = 0  # the oldest part's
 
-    def suits(self, piece: Piece) -> bool:
+    def suits(self, piece: Part) -> bool:
         """Tell whether a part is of the tag that this body has."""
         return not self.tag or piece.tag == self.tag
 
@@ -57,7 +57,7 @@
         known_end = self.size >= 0 and number * self.part_bytes >= max(1, self.size)
         return not self.done and not known_end and number >= self.next and number not in self.early
 
-    def take(self, number: int, piece: Piece) -> list[bytes]:
+    def take(self, number: int, piece: Part) -> list[bytes]:
         """Take a part.
 
         Gives the bytes that may be sent now, in order. Broken or Restart where it does not fit.
@@ -82,7 +82,7 @@
         self.sent += sum(map(len, out))
         return out
 
-    def _next(self, piece: Piece) -> list[bytes]:
+    def _next(self, piece: Part) -> list[bytes]:
         """Pass one part on, but for what has to be held."""
         self.hash.update(piece.data)
         self.since_ms = min(self.since_ms or piece.since_ms, piece.since_ms)
--- a/hitchtiller/repo/fetch.py
+++ b/hitchtiller/repo/fetch.py
@@ -16,7 +16,7 @@
 from hitchtiller.engine import Engine
 from hitchtiller.exchange import REFUSED, SERVED, Answer, ClientRequest, Exchange
 from hitchtiller.repo.admission import BackgroundLimit
-from hitchtiller.repo.body import Piece
+from hitchtiller.repo.body import Part
 from hitchtiller.repo.budget import HEDGE_AFTER, HEDGE_LAST, Budget, FileBudget
 from hitchtiller.repo.window import Window
 from hitchtiller.sched import Scheduler, now_ms
@@ -51,8 +51,8 @@
     budget: FileBudget = field(default_factory=FileBudget)
 
 
-def _size(got: Piece | Exception) -> int:
-    return len(got.data) if isinstance(got, Piece) else 0
+def _size(got: Part | Exception) -> int:
+    return len(got.data) if isinstance(got, Part) else 0
 
 
 class Fetcher:
@@ -102,7 +102,7 @@
             self.queue.remove(task)
             self.sched.wake(task, False)
 
-    def one(self, source: Source, number: int) -> Piece:
+    def one(self, source: Source, number: int) -> Part:
         """Get one part, parking this greenlet; Refused or Failed where it does not come."""
         cls = self.engine.router.settings.classes[source.class_name]
         begun = now_ms()
@@ -117,7 +117,7 @@
         if answer.kind == SERVED:
             self.came += 1
             self.budget.came(now_ms() - begun)
-            return Piece(answer.body, answer.tag, answer.since_ms)
+            return Part(answer.body, answer.tag, answer.since_ms)
         if answer.kind == REFUSED:
             raise Refused(answer.wait_ms)
         raise Failed
@@ -146,7 +146,7 @@
                 raise
         return got[0]
 
-    def again(self, source: Source, number: int, fits: Callable[[Piece], bool] = lambda piece: True) -> Piece:
+    def again(self, source: Source, number: int, fits: Callable[[Part], bool] = lambda piece: True) -> Part:
         """Get one part, repeating within the budget what fails or does not fit.
 
         The last answer goes up as it is.
@@ -173,23 +173,23 @@
         source: Source,
         numbers: Iterator[int],
         waiting: Callable[[], int],
-        fits: Callable[[Piece], bool],
+        fits: Callable[[Part], bool],
         total: int = -1,
-    ) -> Iterator[tuple[int, Piece]]:
+    ) -> Iterator[tuple[int, Part]]:
         """Give parts in the order of their numbers, several under way; closing the iterator ends them.
 
         `waiting` tells how many bytes wait for the client: while there are many, nothing more is asked for.
         With a known `total` of parts, the last ones are asked for a second time where they are late.
         """
         window, me = Window(), getcurrent()
-        ready: dict[int, Piece | Exception] = {}
+        ready: dict[int, Part | Exception] = {}
         out: dict[int, int] = {}  # requests under way for a part
         order: deque[int] = deque()
         more, closed, parked, starved = True, False, False, False
 
         def run(number: int) -> None:
             nonlocal parked
-            got: Piece | Exception
+            got: Part | Exception
             try:
                 got = self.again(source, number, fits)
             except (Refused, Failed) as error:
--- a/hitchtiller/repo/service.py
+++ b/hitchtiller/repo/service.py
@@ -10,7 +10,7 @@
 
 from hitchtiller.engine import Engine
 from hitchtiller.log import logger
-from hitchtiller.repo.body import Assembly, Broken, Piece, Proofs, Proven, Restart
+from hitchtiller.repo.body import Assembly, Broken, Part, Proofs, Proven, Restart
 from hitchtiller.repo.conditions import Validators, range_applies, status
 from hitchtiller.repo.fetch import ABSENT, PART, Failed, Fetcher, Refused, Source
 from hitchtiller.repo.generations import IndexHistory, NamedFile
@@ -300,14 +300,14 @@
         assembly = Assembly(PART, digest, size)
         return Reply(200, common, self._stream(source, first, assembly, waiting), whole, "whole")
 
-    def _suits(self, key: int, piece: Piece, permitted: list[NamedFile]) -> bool:
+    def _suits(self, key: int, piece: Part, permitted: list[NamedFile]) -> bool:
         """Tell whether a first part can be of a permitted release; others are asked for again for a while."""
         proof = self.proofs.get(key, piece.tag)
         if piece.tag == ABSENT:
             return False
         return any(_may_be(piece, named, proof.digest if proof else "") for named in permitted)
 
-    def _read_through(self, source: Source, first: Piece, named: NamedFile) -> Proven:
+    def _read_through(self, source: Source, first: Part, named: NamedFile) -> Proven:
         """Read a file once for its digest; nothing of it is sent or held."""
         assembly = Assembly(PART, named.digest, named.size)
         for _ in self._stream(source, first, assembly, lambda: 0):
@@ -317,7 +317,7 @@
         return proof
 
     def _stream(
-        self, source: Source, first: Piece, assembly: Assembly, waiting: Callable[[], int]
+        self, source: Source, first: Part, assembly: Assembly, waiting: Callable[[], int]
     ) -> Iterator[bytes]:
         """Give a whole body as its parts come; Broken if it can't be ended well."""
         yield from assembly.take(0, first)
@@ -388,7 +388,7 @@
                 yield piece.data[begin:end]
 
 
-def _may_be(piece: Piece, named: NamedFile, proven: str) -> bool:
+def _may_be(piece: Part, named: NamedFile, proven: str) -> bool:
     """Tell whether a file's first part can be of what an index names."""
     if proven:
         return named.digest in ("", proven)
--- a/tests/repo/test_repo_decide.py
+++ b/tests/repo/test_repo_decide.py
@@ -9,7 +9,7 @@
 
 from hitchtiller.repo import conditions, ranges
 from hitchtiller.repo.admission import CEILING, FLOOR, BackgroundLimit, ConnectionLimits
-from hitchtiller.repo.body import HOLD, Assembly, Broken, Piece, Proofs, Restart
+from hitchtiller.repo.body import HOLD, Assembly, Broken, Part, Proofs, Restart
 from hitchtiller.repo.budget import Budget, FileBudget
 from hitchtiller.repo.generations import MAX_GENERATIONS, IndexHistory, NamedFile, State
 from hitchtiller.repo.paths import BadTarget, object_key, read_target
@@ -196,9 +196,9 @@
 # Bodies
 
 
-def pieces(body: bytes, tag: str = "t") -> list[Piece]:
+def pieces(body: bytes, tag: str = "t") -> list[Part]:
     parts = [body[at : at + PART] for at in range(0, len(body) + 1, PART)]
-    return [Piece(part, tag, 5) for part in parts]
+    return [Part(part, tag, 5) for part in parts]
 
 
 @given(st.integers(0, 60_000), st.booleans(), st.randoms(use_true_random=False))
@@ -227,15 +227,15 @@
 
 def test_parts_of_two_tags_are_never_put_together() -> None:
     assembly = Assembly(PART)
-    assembly.take(0, Piece(bytes(PART), "t1", 5))
+    assembly.take(0, Part(bytes(PART), "t1", 5))
     with pytest.raises(Restart) as told:
-        assembly.take(1, Piece(bytes(PART), "t2", 5))
+        assembly.take(1, Part(bytes(PART), "t2", 5))
     assert told.value.tag == "t2"
     for number in range(1, 30):
-        assembly.take(number, Piece(bytes(PART), "t1", 5))
+        assembly.take(number, Part(bytes(PART), "t1", 5))
     assert assembly.sent
     with pytest.raises(Broken, match="two-releases"):
-        assembly.take(30, Piece(b"", "t2", 5))
+        assembly.take(30, Part(b"", "t2", 5))
 
 
 @pytest.mark.parametrize(
@@ -245,7 +245,7 @@
     assembly = Assembly(PART, "", size)
     with pytest.raises(Broken):
         for number, length in enumerate(lengths):
-            assembly.take(number, Piece(bytes(length), "t", 5))
+            assembly.take(number, Part(bytes(length), "t", 5))
 
 
 def test_proofs_are_bounded_and_the_longest_unused_goes() -> None:
