--- a/hitchtiller/repo/body.py
+++ b/hitchtiller/repo/body.py
@@ -48,16 +48,16 @@
     done: bool = False
     since_ms: int = 0  # the oldest part's
 
-    def suits(self, piece: Part) -> bool:
+    def suits(self, part: Part) -> bool:
         """Tell whether a part is of the tag that this body has."""
-        return not self.tag or piece.tag == self.tag
+        return not self.tag or part.tag == self.tag
 
     def wants(self, number: int) -> bool:
         """Tell whether a part is needed and has not come."""
         known_end = self.size >= 0 and number * self.part_bytes >= max(1, self.size)
         return not self.done and not known_end and number >= self.next and number not in self.early
 
-    def take(self, number: int, piece: Part) -> list[bytes]:
+    def take(self, number: int, part: Part) -> list[bytes]:
         """Take a part.
 
         Gives the bytes that may be sent now, in order. Broken or Restart where it does not fit.
@@ -65,14 +65,14 @@
         if self.done or number < self.next:
             return []
         if not self.tag:
-            self.tag = piece.tag
-        if piece.tag != self.tag:
+            self.tag = part.tag
+        if part.tag != self.tag:
             if self.sent:
                 raise Broken("two-releases")  # never mixed bytes: the client must be able to tell
-            raise Restart(piece.tag)
-        if len(piece.data) > self.part_bytes:
+            raise Restart(part.tag)
+        if len(part.data) > self.part_bytes:
             raise Broken("part-too-long")
-        self.early[number] = piece
+        self.early[number] = part
         out: list[bytes] = []
         while (ready := self.early.pop(self.next, None)) is not None:
             out += self._next(ready)
@@ -82,16 +82,16 @@
         self.sent += sum(map(len, out))
         return out
 
-    def _next(self, piece: Part) -> list[bytes]:
+    def _next(self, part: Part) -> list[bytes]:
         """Pass one part on, but for what has to be held."""
-        self.hash.update(piece.data)
-        self.since_ms = min(self.since_ms or piece.since_ms, piece.since_ms)
+        self.hash.update(part.data)
+        self.since_ms = min(self.since_ms or part.since_ms, part.since_ms)
         self.next += 1
-        total = (self.next - 1) * self.part_bytes + len(piece.data)
-        short = len(piece.data) < self.part_bytes
+        total = (self.next - 1) * self.part_bytes + len(part.data)
+        short = len(part.data) < self.part_bytes
         if self.size >= 0 and (total > self.size or (short and total < self.size)):
             raise Broken("wrong-size")
-        self.held += piece.data
+        self.held += part.data
         if short or total == self.size:
             self.done, self.size = True, total
             if self.digest and self.hash.hexdigest() != self.digest:
--- a/hitchtiller/repo/fetch.py
+++ b/hitchtiller/repo/fetch.py
@@ -146,26 +146,26 @@
                 raise
         return got[0]
 
-    def again(self, source: Source, number: int, fits: Callable[[Part], bool] = lambda piece: True) -> Part:
+    def again(self, source: Source, number: int, fits: Callable[[Part], bool] = lambda part: True) -> Part:
         """Get one part, repeating within the budget what fails or does not fit.
 
         The last answer goes up as it is.
         """
         self.budget.asked(source.budget)
         while True:
-            wait, error, piece = PAUSE_MS, Exception(), None
+            wait, error, part = PAUSE_MS, Exception(), None
             try:
-                piece = self.one(source, number)
-                if fits(piece):
-                    return piece
+                part = self.one(source, number)
+                if fits(part):
+                    return part
             except Refused as refused:
                 wait, error = max(PAUSE_MS, refused.wait_ms), refused
             except Failed as failed:
                 error = failed
             if not self.budget.repeat(source.budget, source.client, now_ms()):
-                if piece is None:
+                if part is None:
                     raise error
-                return piece
+                return part
             self.sched.sleep(wait)
 
     def ordered(
--- a/hitchtiller/repo/service.py
+++ b/hitchtiller/repo/service.py
@@ -145,12 +145,12 @@
             assembly, pieces, number = Assembly(PART, digest, tag=tag), list[bytes](), 0
             try:
                 while not assembly.done:
-                    piece = self.fetcher.again(source, number, assembly.suits)
-                    if piece.tag == ABSENT:
+                    part = self.fetcher.again(source, number, assembly.suits)
+                    if part.tag == ABSENT:
                         return None
-                    if piece.tag != (assembly.tag or piece.tag):
-                        raise Restart(piece.tag)
-                    pieces += assembly.take(number, piece)
+                    if part.tag != (assembly.tag or part.tag):
+                        raise Restart(part.tag)
+                    pieces += assembly.take(number, part)
                     number += 1
                     if number * PART > repo.index_bytes:
                         raise BadIndex(
@@ -201,10 +201,10 @@
             line.mark_found(generation.digest, path)
         for path in sorted(generation.pending_paths):
             source.key = object_key(repo.name, path)
-            piece = self.fetcher.one(source, 0)
+            part = self.fetcher.one(source, 0)
             named = generation.files[path]
-            proof = self.proofs.get(source.key, piece.tag)
-            if piece.tag == ABSENT or not _may_be(piece, named, proof.digest if proof else ""):
+            proof = self.proofs.get(source.key, part.tag)
+            if part.tag == ABSENT or not _may_be(part, named, proof.digest if proof else ""):
                 line.mark_missing(generation.digest, now_ms())
                 return
             line.mark_found(generation.digest, path)
@@ -270,7 +270,7 @@
                 return refusal(404, "index-outdated", "your index is of an older release; ask for it again")
             return refusal(404, "not-found", "no index that was given to you names this file")
         source = self._source(repo, path, client)
-        first = self.fetcher.again(source, 0, lambda piece: self._suits(source.key, piece, permitted))
+        first = self.fetcher.again(source, 0, lambda part: self._suits(source.key, part, permitted))
         if first.tag == ABSENT:
             return refusal(404, "not-there", "the index names it, but it is not there")
         proof = self.proofs.get(source.key, first.tag)
@@ -300,12 +300,12 @@
         assembly = Assembly(PART, digest, size)
         return Reply(200, common, self._stream(source, first, assembly, waiting), whole, "whole")
 
-    def _suits(self, key: int, piece: Part, permitted: list[NamedFile]) -> bool:
+    def _suits(self, key: int, part: Part, permitted: list[NamedFile]) -> bool:
         """Tell whether a first part can be of a permitted release; others are asked for again for a while."""
-        proof = self.proofs.get(key, piece.tag)
-        if piece.tag == ABSENT:
+        proof = self.proofs.get(key, part.tag)
+        if part.tag == ABSENT:
             return False
-        return any(_may_be(piece, named, proof.digest if proof else "") for named in permitted)
+        return any(_may_be(part, named, proof.digest if proof else "") for named in permitted)
 
     def _read_through(self, source: Source, first: Part, named: NamedFile) -> Proven:
         """Read a file once for its digest; nothing of it is sent or held."""
@@ -325,8 +325,8 @@
             last = -(-assembly.size // PART) if assembly.size >= 0 else 1 << 16
             known = last if assembly.size >= 0 else -1
             parts = self.fetcher.ordered(source, iter(range(1, last)), waiting, assembly.suits, known)
-            for number, piece in parts:
-                yield from assembly.take(number, piece)
+            for number, part in parts:
+                yield from assembly.take(number, part)
                 if assembly.done:
                     break
         if not assembly.done:
@@ -380,21 +380,21 @@
         """Give stretches of a proven tag; Broken where a part of another tag came."""
         for span in spans:
             slices = {number: (begin, end) for number, begin, end in parts_of(span, PART)}
-            parts = self.fetcher.ordered(source, iter(slices), waiting, lambda piece: piece.tag == tag)
-            for number, piece in parts:
+            parts = self.fetcher.ordered(source, iter(slices), waiting, lambda part: part.tag == tag)
+            for number, part in parts:
                 begin, end = slices[number]
-                if piece.tag != tag or len(piece.data) != min(PART, size - number * PART):
+                if part.tag != tag or len(part.data) != min(PART, size - number * PART):
                     raise Broken("two-releases")
-                yield piece.data[begin:end]
+                yield part.data[begin:end]
 
 
-def _may_be(piece: Part, named: NamedFile, proven: str) -> bool:
+def _may_be(part: Part, named: NamedFile, proven: str) -> bool:
     """Tell whether a file's first part can be of what an index names."""
     if proven:
         return named.digest in ("", proven)
-    if len(piece.data) < PART:  # it is all there is
-        whole = named.size in (-1, len(piece.data))
-        return whole and named.digest in ("", hashlib.sha256(piece.data).hexdigest())
+    if len(part.data) < PART:  # it is all there is
+        whole = named.size in (-1, len(part.data))
+        return whole and named.digest in ("", hashlib.sha256(part.data).hexdigest())
     return named.size < 0 or named.size >= PART
 
 
--- a/tests/repo/test_repo_decide.py
+++ b/tests/repo/test_repo_decide.py
@@ -210,8 +210,8 @@
     order = list(enumerate(pieces(body)))
     rng.shuffle(order)
     out = b""
-    for number, piece in order:
-        out += b"".join(assembly.take(number, piece))
+    for number, part in order:
+        out += b"".join(assembly.take(number, part))
         assert body.startswith(out) and (assembly.done or len(out) <= max(0, size - 1))
     assert out == body and assembly.done and assembly.size == size
 
@@ -219,7 +219,7 @@
 def test_the_end_is_held_until_the_digest_holds() -> None:
     body = bytes(40_500)
     assembly = Assembly(PART, "0" * 64)
-    out = b"".join(b"".join(assembly.take(n, piece)) for n, piece in enumerate(pieces(body)[:-1]))
+    out = b"".join(b"".join(assembly.take(n, part)) for n, part in enumerate(pieces(body)[:-1]))
     assert len(out) == 40_000 - HOLD
     with pytest.raises(Broken, match="wrong-digest"):
         assembly.take(40, pieces(body)[-1])
