--- a/hitchtiller/repo/body.py
+++ b/hitchtiller/repo/body.py
@@ -10,7 +10,7 @@
 HOLD = 16_384  # bytes at the end that are sent only once the digest holds
 
 
-class Broken(Exception):
+class BrokenBodyError(Exception):
     """The body can't be ended well; the text is the reason code."""
 
 
@@ -68,10 +68,10 @@
             self.tag = part.tag
         if part.tag != self.tag:
             if self.sent:
-                raise Broken("two-releases")  # never mixed bytes: the client must be able to tell
+                raise BrokenBodyError("two-releases")  # never mixed bytes: the client must be able to tell
             raise Restart(part.tag)
         if len(part.data) > self.part_bytes:
-            raise Broken("part-too-long")
+            raise BrokenBodyError("part-too-long")
         self.early[number] = part
         out: list[bytes] = []
         while (ready := self.early.pop(self.next, None)) is not None:
@@ -90,12 +90,12 @@
         total = (self.next - 1) * self.part_bytes + len(part.data)
         short = len(part.data) < self.part_bytes
         if self.size >= 0 and (total > self.size or (short and total < self.size)):
-            raise Broken("wrong-size")
+            raise BrokenBodyError("wrong-size")
         self.held += part.data
         if short or total == self.size:
             self.done, self.size = True, total
             if self.digest and self.hash.hexdigest() != self.digest:
-                raise Broken("wrong-digest")
+                raise BrokenBodyError("wrong-digest")
             whole, self.held = bytes(self.held), bytearray()
             return [whole] if whole else []
         if len(self.held) <= HOLD:
--- a/hitchtiller/repo/front.py
+++ b/hitchtiller/repo/front.py
@@ -15,7 +15,7 @@
 
 from hitchtiller.log import ended, logger
 from hitchtiller.repo.admission import ConnectionLimits
-from hitchtiller.repo.body import Broken
+from hitchtiller.repo.body import BrokenBodyError
 from hitchtiller.repo.fetch import Failed, Refused
 from hitchtiller.repo.service import Reply, Service, refusal
 from hitchtiller.sched import READ, Closed, Scheduler, Stream, now_ms
@@ -73,7 +73,7 @@
         except h11.RemoteProtocolError as error:
             code = "bad-request"
             self._last(error.error_status_hint, str(error))
-        except (Broken, Refused, Failed) as error:
+        except (BrokenBodyError, Refused, Failed) as error:
             code = f"broken-{error}"  # the body had begun: only the end of the connection can tell
         finally:
             self._linger(code)
@@ -150,7 +150,7 @@
         body = iter(()) if method == "HEAD" or reply.status in (204, 304) else reply.body
         try:
             return reply, body, next(body, b"")
-        except Broken as error:
+        except BrokenBodyError as error:
             reply = refusal(503, str(error), "a release is being published; come back", 1.0)
         except Refused as error:
             reply = refusal(503, "refused", "busy; come back", max(1.0, error.wait_ms / 1000.0))
--- a/hitchtiller/repo/service.py
+++ b/hitchtiller/repo/service.py
@@ -10,7 +10,7 @@
 
 from hitchtiller.engine import Engine
 from hitchtiller.log import logger
-from hitchtiller.repo.body import Assembly, Broken, Part, Proofs, Proven, Restart
+from hitchtiller.repo.body import Assembly, BrokenBodyError, Part, Proofs, Proven, Restart
 from hitchtiller.repo.conditions import Validators, range_applies, status
 from hitchtiller.repo.fetch import ABSENT, PART, Failed, Fetcher, Refused, Source
 from hitchtiller.repo.generations import IndexHistory, NamedFile
@@ -106,7 +106,7 @@
         except BadIndex as error:
             logger.warning("index not taken: {}", error)
             reply = refusal(502, "bad-index", str(error))
-        except Broken as error:
+        except BrokenBodyError as error:
             reply = refusal(503, str(error), "two releases at once; come back", 1.0)
         self.counts[reply.reason or str(reply.status)] = (
             self.counts.get(reply.reason or str(reply.status), 0) + 1
@@ -161,7 +161,7 @@
                 continue
             self.proofs.put(source.key, assembly.tag, assembly.hash.hexdigest(), assembly.size)
             return b"".join(pieces), assembly
-        raise Broken("two-releases")
+        raise BrokenBodyError("two-releases")
 
     def _learn(self, repo: Repository, path: str, client: str) -> IndexHistory | None:
         """Read an index as it is now, with what belongs to it; None if there is none."""
@@ -186,7 +186,7 @@
         for name in parsed.nested:
             got = self.whole(repo, name, client, parsed.files[name].digest)
             if got is None:
-                raise Broken("index-before-its-files")
+                raise BrokenBodyError("index-before-its-files")
             files |= repo.kind.parse(name, got[0]).files
         return Parsed(files, parsed.nested, parsed.optional)
 
@@ -330,7 +330,7 @@
                 if assembly.done:
                     break
         if not assembly.done:
-            raise Broken("cut-short")
+            raise BrokenBodyError("cut-short")
         self.proofs.put(source.key, assembly.tag, assembly.hash.hexdigest(), assembly.size)
 
     def _ranges(
@@ -384,7 +384,7 @@
             for number, part in parts:
                 begin, end = slices[number]
                 if part.tag != tag or len(part.data) != min(PART, size - number * PART):
-                    raise Broken("two-releases")
+                    raise BrokenBodyError("two-releases")
                 yield part.data[begin:end]
 
 
--- a/tests/repo/test_repo_decide.py
+++ b/tests/repo/test_repo_decide.py
@@ -9,7 +9,7 @@
 
 from hitchtiller.repo import conditions, ranges
 from hitchtiller.repo.admission import CEILING, FLOOR, BackgroundLimit, ConnectionLimits
-from hitchtiller.repo.body import HOLD, Assembly, Broken, Part, Proofs, Restart
+from hitchtiller.repo.body import HOLD, Assembly, BrokenBodyError, Part, Proofs, Restart
 from hitchtiller.repo.budget import Budget, FileBudget
 from hitchtiller.repo.generations import MAX_GENERATIONS, IndexHistory, NamedFile, State
 from hitchtiller.repo.paths import BadTarget, object_key, read_target
@@ -221,7 +221,7 @@
     assembly = Assembly(PART, "0" * 64)
     out = b"".join(b"".join(assembly.take(n, part)) for n, part in enumerate(pieces(body)[:-1]))
     assert len(out) == 40_000 - HOLD
-    with pytest.raises(Broken, match="wrong-digest"):
+    with pytest.raises(BrokenBodyError, match="wrong-digest"):
         assembly.take(40, pieces(body)[-1])
 
 
@@ -234,7 +234,7 @@
     for number in range(1, 30):
         assembly.take(number, Part(bytes(PART), "t1", 5))
     assert assembly.sent
-    with pytest.raises(Broken, match="two-releases"):
+    with pytest.raises(BrokenBodyError, match="two-releases"):
         assembly.take(30, Part(b"", "t2", 5))
 
 
@@ -243,7 +243,7 @@
 )
 def test_a_size_that_does_not_fit_breaks(size: int, lengths: list[int]) -> None:
     assembly = Assembly(PART, "", size)
-    with pytest.raises(Broken):
+    with pytest.raises(BrokenBodyError):
         for number, length in enumerate(lengths):
             assembly.take(number, Part(bytes(length), "t", 5))
 
