--- a/hitchtiller/repo/body.py
+++ b/hitchtiller/repo/body.py
@@ -14,7 +14,7 @@
     """The body can't be ended well; the text is the reason code."""
 
 
-class Restart(Exception):
+class TagChangedError(Exception):
     """Another tag came before anything was sent: all of it can begin anew with that one."""
 
     def __init__(self, tag: str) -> None:
@@ -69,7 +69,7 @@
         if part.tag != self.tag:
             if self.sent:
                 raise BrokenBodyError("two-releases")  # never mixed bytes: the client must be able to tell
-            raise Restart(part.tag)
+            raise TagChangedError(part.tag)
         if len(part.data) > self.part_bytes:
             raise BrokenBodyError("part-too-long")
         self.early[number] = part
--- a/hitchtiller/repo/service.py
+++ b/hitchtiller/repo/service.py
@@ -10,7 +10,7 @@
 
 from hitchtiller.engine import Engine
 from hitchtiller.log import logger
-from hitchtiller.repo.body import Assembly, BrokenBodyError, Part, Proofs, Proven, Restart
+from hitchtiller.repo.body import Assembly, BrokenBodyError, Part, Proofs, Proven, TagChangedError
 from hitchtiller.repo.conditions import Validators, range_applies, status
 from hitchtiller.repo.fetch import ABSENT, PART, Failed, Fetcher, Refused, Source
 from hitchtiller.repo.generations import IndexHistory, NamedFile
@@ -149,14 +149,14 @@
                     if part.tag == ABSENT:
                         return None
                     if part.tag != (assembly.tag or part.tag):
-                        raise Restart(part.tag)
+                        raise TagChangedError(part.tag)
                     pieces += assembly.take(number, part)
                     number += 1
                     if number * PART > repo.index_bytes:
                         raise BadIndex(
                             f"{path}: over {repo.index_bytes} bytes, which is what index_mb allows"
                         )
-            except Restart as restart:
+            except TagChangedError as restart:
                 tag = restart.tag
                 continue
             self.proofs.put(source.key, assembly.tag, assembly.hash.hexdigest(), assembly.size)
--- a/tests/repo/test_repo_decide.py
+++ b/tests/repo/test_repo_decide.py
@@ -9,7 +9,7 @@
 
 from hitchtiller.repo import conditions, ranges
 from hitchtiller.repo.admission import CEILING, FLOOR, BackgroundLimit, ConnectionLimits
-from hitchtiller.repo.body import HOLD, Assembly, BrokenBodyError, Part, Proofs, Restart
+from hitchtiller.repo.body import HOLD, Assembly, BrokenBodyError, Part, Proofs, TagChangedError
 from hitchtiller.repo.budget import Budget, FileBudget
 from hitchtiller.repo.generations import MAX_GENERATIONS, IndexHistory, NamedFile, State
 from hitchtiller.repo.paths import BadTarget, object_key, read_target
@@ -228,7 +228,7 @@
 def test_parts_of_two_tags_are_never_put_together() -> None:
     assembly = Assembly(PART)
     assembly.take(0, Part(bytes(PART), "t1", 5))
-    with pytest.raises(Restart) as told:
+    with pytest.raises(TagChangedError) as told:
         assembly.take(1, Part(bytes(PART), "t2", 5))
     assert told.value.tag == "t2"
     for number in range(1, 30):
