--- a/hitchtiller/repo/fetch.py
+++ b/hitchtiller/repo/fetch.py
@@ -27,7 +27,7 @@
 ABSENT = "absent"  # the tag of an empty part that says: there is no such file
 
 
-class Refused(Exception):
+class FetchRefusedError(Exception):
     """Turned away; `wait_ms` says for how long."""
 
     def __init__(self, wait_ms: float) -> None:
@@ -94,7 +94,7 @@
             let_in = self.sched.park()
             timer.cancel()
             if not let_in:
-                raise Refused(self.engine.router.settings.max_retry_after_ms)
+                raise FetchRefusedError(self.engine.router.settings.max_retry_after_ms)
         self.give_way.open += 1
 
     def _tired(self, task: greenlet) -> None:
@@ -119,7 +119,7 @@
             self.budget.came(now_ms() - begun)
             return Part(answer.body, answer.tag, answer.since_ms)
         if answer.kind == REFUSED:
-            raise Refused(answer.wait_ms)
+            raise FetchRefusedError(answer.wait_ms)
         raise Failed
 
     def _ask(self, source: Source, number: int, until: float) -> Answer:
@@ -158,7 +158,7 @@
                 part = self.one(source, number)
                 if fits(part):
                     return part
-            except Refused as refused:
+            except FetchRefusedError as refused:
                 wait, error = max(PAUSE_MS, refused.wait_ms), refused
             except Failed as failed:
                 error = failed
@@ -192,7 +192,7 @@
             got: Part | Exception
             try:
                 got = self.again(source, number, fits)
-            except (Refused, Failed) as error:
+            except (FetchRefusedError, Failed) as error:
                 got = error
             out[number] -= 1
             if closed or number in ready or number not in order:
