--- a/hitchtiller/repo/fetch.py
+++ b/hitchtiller/repo/fetch.py
@@ -36,7 +36,7 @@
         self.wait_ms = wait_ms
 
 
-class Failed(Exception):
+class FetchFailedError(Exception):
     """No part came in time, again and again."""
 
 
@@ -120,7 +120,7 @@
             return Part(answer.body, answer.tag, answer.since_ms)
         if answer.kind == REFUSED:
             raise FetchRefusedError(answer.wait_ms)
-        raise Failed
+        raise FetchFailedError
 
     def _ask(self, source: Source, number: int, until: float) -> Answer:
         me, got = getcurrent(), list[Answer]()
@@ -160,7 +160,7 @@
                     return part
             except FetchRefusedError as refused:
                 wait, error = max(PAUSE_MS, refused.wait_ms), refused
-            except Failed as failed:
+            except FetchFailedError as failed:
                 error = failed
             if not self.budget.repeat(source.budget, source.client, now_ms()):
                 if part is None:
@@ -192,7 +192,7 @@
             got: Part | Exception
             try:
                 got = self.again(source, number, fits)
-            except (FetchRefusedError, Failed) as error:
+            except (FetchRefusedError, FetchFailedError) as error:
                 got = error
             out[number] -= 1
             if closed or number in ready or number not in order:
--- a/hitchtiller/repo/front.py
+++ b/hitchtiller/repo/front.py
@@ -16,7 +16,7 @@
 from hitchtiller.log import ended, logger
 from hitchtiller.repo.admission import ConnectionLimits
 from hitchtiller.repo.body import BrokenBodyError
-from hitchtiller.repo.fetch import Failed, FetchRefusedError
+from hitchtiller.repo.fetch import FetchFailedError, FetchRefusedError
 from hitchtiller.repo.service import Reply, Service, refusal
 from hitchtiller.sched import READ, Closed, Scheduler, Stream, now_ms
 
@@ -73,7 +73,7 @@
         except h11.RemoteProtocolError as error:
             code = "bad-request"
             self._last(error.error_status_hint, str(error))
-        except (BrokenBodyError, FetchRefusedError, Failed) as error:
+        except (BrokenBodyError, FetchRefusedError, FetchFailedError) as error:
             code = f"broken-{error}"  # the body had begun: only the end of the connection can tell
         finally:
             self._linger(code)
@@ -154,7 +154,7 @@
             reply = refusal(503, str(error), "a release is being published; come back", 1.0)
         except FetchRefusedError as error:
             reply = refusal(503, "refused", "busy; come back", max(1.0, error.wait_ms / 1000.0))
-        except Failed:
+        except FetchFailedError:
             reply = refusal(504, "failed", "no server answered in time")
         return reply, reply.body, next(reply.body, b"")
 
--- a/hitchtiller/repo/service.py
+++ b/hitchtiller/repo/service.py
@@ -12,7 +12,7 @@
 from hitchtiller.log import logger
 from hitchtiller.repo.body import Assembly, BrokenBodyError, Part, Proofs, Proven, TagChangedError
 from hitchtiller.repo.conditions import Validators, range_applies, status
-from hitchtiller.repo.fetch import ABSENT, PART, Failed, Fetcher, FetchRefusedError, Source
+from hitchtiller.repo.fetch import ABSENT, PART, FetchFailedError, Fetcher, FetchRefusedError, Source
 from hitchtiller.repo.generations import IndexHistory, NamedFile
 from hitchtiller.repo.kinds import BadIndex, Kind, Parsed
 from hitchtiller.repo.paths import BadTarget, object_key, read_target
@@ -101,7 +101,7 @@
             reply = refusal(error.status, "bad-target", str(error))
         except FetchRefusedError as error:
             reply = refusal(503, "refused", "busy; come back", max(1.0, error.wait_ms / 1000.0))
-        except Failed:
+        except FetchFailedError:
             reply = refusal(504, "failed", "no server answered in time")
         except BadIndex as error:
             logger.warning("index not taken: {}", error)
