--- a/hitchtiller/repo/body.py
+++ b/hitchtiller/repo/body.py
@@ -107,7 +107,7 @@
 
 
 @dataclass(slots=True)
-class Proven:
+class VerifiedBody:
     """What the bytes of a tag were found to be."""
 
     digest: str
@@ -123,9 +123,9 @@
     def __init__(self, most: int = 50_000) -> None:
         """Remember `most` tags, about 250 bytes each."""
         self.most = most
-        self.known: dict[tuple[int, str], Proven] = {}
+        self.known: dict[tuple[int, str], VerifiedBody] = {}
 
-    def get(self, key: int, tag: str) -> Proven | None:
+    def get(self, key: int, tag: str) -> VerifiedBody | None:
         """Give what a tag stands for."""
         found = self.known.pop((key, tag), None)
         if found:
@@ -134,6 +134,6 @@
 
     def put(self, key: int, tag: str, digest: str, size: int) -> None:
         """Note a body that was read whole."""
-        self.known[key, tag] = Proven(digest, size)
+        self.known[key, tag] = VerifiedBody(digest, size)
         while len(self.known) > self.most:
             del self.known[next(iter(self.known))]
--- a/hitchtiller/repo/service.py
+++ b/hitchtiller/repo/service.py
@@ -10,7 +10,7 @@
 
 from hitchtiller.engine import Engine
 from hitchtiller.log import logger
-from hitchtiller.repo.body import Assembly, BrokenBodyError, Part, Proofs, Proven, TagChangedError
+from hitchtiller.repo.body import Assembly, BrokenBodyError, Part, Proofs, VerifiedBody, TagChangedError
 from hitchtiller.repo.conditions import Validators, range_applies, status
 from hitchtiller.repo.fetch import ABSENT, PART, FetchFailedError, Fetcher, FetchRefusedError, Source
 from hitchtiller.repo.generations import IndexHistory, NamedFile
@@ -307,7 +307,7 @@
             return False
         return any(_may_be(part, named, proof.digest if proof else "") for named in permitted)
 
-    def _read_through(self, source: Source, first: Part, named: NamedFile) -> Proven:
+    def _read_through(self, source: Source, first: Part, named: NamedFile) -> VerifiedBody:
         """Read a file once for its digest; nothing of it is sent or held."""
         assembly = Assembly(PART, named.digest, named.size)
         for _ in self._stream(source, first, assembly, lambda: 0):
