--- a/hitchtiller/repo/body.py
+++ b/hitchtiller/repo/body.py
@@ -114,7 +114,7 @@
     size: int
 
 
-class Proofs:
+class VerifiedBodies:
     """Which digest a tag of an object stands for, once all of it has been read.
 
     The longest unused goes first.
--- a/hitchtiller/repo/service.py
+++ b/hitchtiller/repo/service.py
@@ -10,7 +10,14 @@
 
 from hitchtiller.engine import Engine
 from hitchtiller.log import logger
-from hitchtiller.repo.body import Assembly, BrokenBodyError, Part, Proofs, VerifiedBody, TagChangedError
+from hitchtiller.repo.body import (
+    Assembly,
+    BrokenBodyError,
+    Part,
+    VerifiedBodies,
+    VerifiedBody,
+    TagChangedError,
+)
 from hitchtiller.repo.conditions import Validators, range_applies, status
 from hitchtiller.repo.fetch import ABSENT, PART, FetchFailedError, Fetcher, FetchRefusedError, Source
 from hitchtiller.repo.generations import IndexHistory, NamedFile
@@ -85,7 +92,7 @@
         """Serve these repositories; the longest prefix that fits counts."""
         self.engine, self.fetcher, self.hosts = engine, fetcher, hosts
         self.repositories = sorted(repositories, key=lambda each: -len(each.prefix))
-        self.proofs = Proofs()
+        self.proofs = VerifiedBodies()
         self.counts: dict[str, int] = {}
         # the decisions forget a purge once caches have dropped; indexes are held for longer
         self.purges = Purges()
--- a/tests/repo/test_repo_decide.py
+++ b/tests/repo/test_repo_decide.py
@@ -9,7 +9,7 @@
 
 from hitchtiller.repo import conditions, ranges
 from hitchtiller.repo.admission import CEILING, FLOOR, BackgroundLimit, ConnectionLimits
-from hitchtiller.repo.body import HOLD, Assembly, BrokenBodyError, Part, Proofs, TagChangedError
+from hitchtiller.repo.body import HOLD, Assembly, BrokenBodyError, Part, VerifiedBodies, TagChangedError
 from hitchtiller.repo.budget import Budget, FileBudget
 from hitchtiller.repo.generations import MAX_GENERATIONS, IndexHistory, NamedFile, State
 from hitchtiller.repo.paths import BadTarget, object_key, read_target
@@ -249,7 +249,7 @@
 
 
 def test_proofs_are_bounded_and_the_longest_unused_goes() -> None:
-    proofs = Proofs(3)
+    proofs = VerifiedBodies(3)
     for number in range(3):
         proofs.put(number, "t", "d", 1)
     assert proofs.get(0, "t")
