--- a/hitchtiller/repo/service.py
+++ b/hitchtiller/repo/service.py
@@ -92,7 +92,7 @@
         """Serve these repositories; the longest prefix that fits counts."""
         self.engine, self.fetcher, self.hosts = engine, fetcher, hosts
         self.repositories = sorted(repositories, key=lambda each: -len(each.prefix))
-        self.proofs = VerifiedBodies()
+        self.verified_bodies = VerifiedBodies()
         self.counts: dict[str, int] = {}
         # the decisions forget a purge once caches have dropped; indexes are held for longer
         self.purges = Purges()
@@ -166,7 +166,7 @@
             except TagChangedError as restart:
                 tag = restart.tag
                 continue
-            self.proofs.put(source.key, assembly.tag, assembly.hash.hexdigest(), assembly.size)
+            self.verified_bodies.put(source.key, assembly.tag, assembly.hash.hexdigest(), assembly.size)
             return b"".join(pieces), assembly
         raise BrokenBodyError("two-releases")
 
@@ -210,8 +210,8 @@
             source.key = object_key(repo.name, path)
             part = self.fetcher.one(source, 0)
             named = generation.files[path]
-            proof = self.proofs.get(source.key, part.tag)
-            if part.tag == ABSENT or not _may_be(part, named, proof.digest if proof else ""):
+            verified = self.verified_bodies.get(source.key, part.tag)
+            if part.tag == ABSENT or not _may_be(part, named, verified.digest if verified else ""):
                 line.mark_missing(generation.digest, now_ms())
                 return
             line.mark_found(generation.digest, path)
@@ -280,11 +280,11 @@
         first = self.fetcher.again(source, 0, lambda part: self._suits(source.key, part, permitted))
         if first.tag == ABSENT:
             return refusal(404, "not-there", "the index names it, but it is not there")
-        proof = self.proofs.get(source.key, first.tag)
-        named = next((n for n in permitted if not proof or n.digest in ("", proof.digest)), None)
+        verified = self.verified_bodies.get(source.key, first.tag)
+        named = next((n for n in permitted if not verified or n.digest in ("", verified.digest)), None)
         if named is None:
             return refusal(503, "other-release", "a release is being published; come back", 1.0)
-        digest = proof.digest if proof else named.digest
+        digest = verified.digest if verified else named.digest
         known = Validators(digest, first.since_ms, first.tag)
         kind = repo.kind.content_type(path, b"")
         common = [("Content-Type", kind), ("Accept-Ranges", "bytes")]
@@ -296,11 +296,11 @@
             if verdict == 412:
                 return refusal(412, "precondition")
         ranged = digest and method == "GET" and "range" in headers and range_applies(headers, known)
-        if ranged and proof is None:
-            proof = self._read_through(source, first, named)
-        size = proof.size if proof else named.size
-        if ranged and proof:
-            return self._ranges(source, first.tag, proof.size, headers["range"], common, waiting)
+        if ranged and verified is None:
+            verified = self._read_through(source, first, named)
+        size = verified.size if verified else named.size
+        if ranged and verified:
+            return self._ranges(source, first.tag, verified.size, headers["range"], common, waiting)
         whole = None if size < 0 else size
         if method == "HEAD":
             return Reply(200, common, iter(()), whole, "head")
@@ -309,19 +309,19 @@
 
     def _suits(self, key: int, part: Part, permitted: list[NamedFile]) -> bool:
         """Tell whether a first part can be of a permitted release; others are asked for again for a while."""
-        proof = self.proofs.get(key, part.tag)
+        verified = self.verified_bodies.get(key, part.tag)
         if part.tag == ABSENT:
             return False
-        return any(_may_be(part, named, proof.digest if proof else "") for named in permitted)
+        return any(_may_be(part, named, verified.digest if verified else "") for named in permitted)
 
     def _read_through(self, source: Source, first: Part, named: NamedFile) -> VerifiedBody:
         """Read a file once for its digest; nothing of it is sent or held."""
         assembly = Assembly(PART, named.digest, named.size)
         for _ in self._stream(source, first, assembly, lambda: 0):
             pass
-        proof = self.proofs.get(source.key, assembly.tag)
-        assert proof
-        return proof
+        verified = self.verified_bodies.get(source.key, assembly.tag)
+        assert verified
+        return verified
 
     def _stream(
         self, source: Source, first: Part, assembly: Assembly, waiting: Callable[[], int]
@@ -338,7 +338,7 @@
                     break
         if not assembly.done:
             raise BrokenBodyError("cut-short")
-        self.proofs.put(source.key, assembly.tag, assembly.hash.hexdigest(), assembly.size)
+        self.verified_bodies.put(source.key, assembly.tag, assembly.hash.hexdigest(), assembly.size)
 
     def _ranges(
         self,
--- a/tests/repo/test_repo_decide.py
+++ b/tests/repo/test_repo_decide.py
@@ -249,12 +249,16 @@
 
 
 def test_proofs_are_bounded_and_the_longest_unused_goes() -> None:
-    proofs = VerifiedBodies(3)
+    verified_bodies = VerifiedBodies(3)
     for number in range(3):
-        proofs.put(number, "t", "d", 1)
-    assert proofs.get(0, "t")
-    proofs.put(9, "t", "d", 1)
-    assert proofs.get(0, "t") and not proofs.get(1, "t") and not proofs.get(0, "other")
+        verified_bodies.put(number, "t", "d", 1)
+    assert verified_bodies.get(0, "t")
+    verified_bodies.put(9, "t", "d", 1)
+    assert (
+        verified_bodies.get(0, "t")
+        and not verified_bodies.get(1, "t")
+        and not verified_bodies.get(0, "other")
+    )
 
 
 # Windows, budgets, admission
