--- a/hitchtiller/repo/body.py
+++ b/hitchtiller/repo/body.py
@@ -40,7 +40,7 @@
     digest: str = ""
     size: int = -1  # -1: the first part that is short ends it
     tag: str = ""
-    next: int = 0  # the part that goes out next
+    next_part: int = 0  # the part that goes out next
     sent: int = 0  # bytes given out
     early: dict[int, Part] = field(default_factory=dict)
     hash: "hashlib._Hash" = field(default_factory=hashlib.sha256)
@@ -55,14 +55,14 @@
     def wants(self, number: int) -> bool:
         """Tell whether a part is needed and has not come."""
         known_end = self.size >= 0 and number * self.part_bytes >= max(1, self.size)
-        return not self.done and not known_end and number >= self.next and number not in self.early
+        return not self.done and not known_end and number >= self.next_part and number not in self.early
 
     def take(self, number: int, part: Part) -> list[bytes]:
         """Take a part.
 
         Gives the bytes that may be sent now, in order. Broken or Restart where it does not fit.
         """
-        if self.done or number < self.next:
+        if self.done or number < self.next_part:
             return []
         if not self.tag:
             self.tag = part.tag
@@ -74,7 +74,7 @@
             raise BrokenBodyError("part-too-long")
         self.early[number] = part
         out: list[bytes] = []
-        while (ready := self.early.pop(self.next, None)) is not None:
+        while (ready := self.early.pop(self.next_part, None)) is not None:
             out += self._next(ready)
             if self.done:
                 self.early.clear()
@@ -86,8 +86,8 @@
         """Pass one part on, but for what has to be held."""
         self.hash.update(part.data)
         self.since_ms = min(self.since_ms or part.since_ms, part.since_ms)
-        self.next += 1
-        total = (self.next - 1) * self.part_bytes + len(part.data)
+        self.next_part += 1
+        total = (self.next_part - 1) * self.part_bytes + len(part.data)
         short = len(part.data) < self.part_bytes
         if self.size >= 0 and (total > self.size or (short and total < self.size)):
             raise BrokenBodyError("wrong-size")
