--- a/hitchtiller/repo/body.py
+++ b/hitchtiller/repo/body.py
@@ -41,7 +41,7 @@
     size: int = -1  # -1: the first part that is short ends it
     tag: str = ""
     next_part: int = 0  # the part that goes out next
-    sent: int = 0  # bytes given out
+    sent_bytes: int = 0  # bytes given out
     early: dict[int, Part] = field(default_factory=dict)
     hash: "hashlib._Hash" = field(default_factory=hashlib.sha256)
     held: bytearray = field(default_factory=bytearray)
@@ -67,7 +67,7 @@
         if not self.tag:
             self.tag = part.tag
         if part.tag != self.tag:
-            if self.sent:
+            if self.sent_bytes:
                 raise BrokenBodyError("two-releases")  # never mixed bytes: the client must be able to tell
             raise TagChangedError(part.tag)
         if len(part.data) > self.part_bytes:
@@ -79,7 +79,7 @@
             if self.done:
                 self.early.clear()
                 break
-        self.sent += sum(map(len, out))
+        self.sent_bytes += sum(map(len, out))
         return out
 
     def _next(self, part: Part) -> list[bytes]:
