--- a/tests/repo/test_repo_decide.py
+++ b/tests/repo/test_repo_decide.py
@@ -233,7 +233,7 @@
     assert told.value.tag == "t2"
     for number in range(1, 30):
         assembly.take(number, Part(bytes(PART), "t1", 5))
-    assert assembly.sent
+    assert assembly.sent_bytes
     with pytest.raises(BrokenBodyError, match="two-releases"):
         assembly.take(30, Part(b"", "t2", 5))
 
