--- a/hitchtiller/repo/body.py
+++ b/hitchtiller/repo/body.py
@@ -42,7 +42,7 @@
     tag: str = ""
     next_part: int = 0  # the part that goes out next
     sent_bytes: int = 0  # bytes given out
-    early: dict[int, Part] = field(default_factory=dict)
+    early_parts: dict[int, Part] = field(default_factory=dict)
     hash: "hashlib._Hash" = field(default_factory=hashlib.sha256)
     held: bytearray = field(default_factory=bytearray)
     done: bool = False
@@ -55,7 +55,7 @@
     def wants(self, number: int) -> bool:
         """Tell whether a part is needed and has not come."""
         known_end = self.size >= 0 and number * self.part_bytes >= max(1, self.size)
-        return not self.done and not known_end and number >= self.next_part and number not in self.early
+        return not self.done and not known_end and number >= self.next_part and number not in self.early_parts
 
     def take(self, number: int, part: Part) -> list[bytes]:
         """Take a part.
@@ -72,12 +72,12 @@
             raise TagChangedError(part.tag)
         if len(part.data) > self.part_bytes:
             raise BrokenBodyError("part-too-long")
-        self.early[number] = part
+        self.early_parts[number] = part
         out: list[bytes] = []
-        while (ready := self.early.pop(self.next_part, None)) is not None:
+        while (ready := self.early_parts.pop(self.next_part, None)) is not None:
             out += self._next(ready)
             if self.done:
-                self.early.clear()
+                self.early_parts.clear()
                 break
         self.sent_bytes += sum(map(len, out))
         return out
