--- a/hitchtiller/repo/body.py
+++ b/hitchtiller/repo/body.py
@@ -44,7 +44,7 @@
     sent_bytes: int = 0  # bytes given out
     early_parts: dict[int, Part] = field(default_factory=dict)
     hash: "hashlib._Hash" = field(default_factory=hashlib.sha256)
-    held: bytearray = field(default_factory=bytearray)
+    tail: bytearray = field(default_factory=bytearray)
     done: bool = False
     since_ms: int = 0  # the oldest part's
 
@@ -91,18 +91,18 @@
         short = len(part.data) < self.part_bytes
         if self.size >= 0 and (total > self.size or (short and total < self.size)):
             raise BrokenBodyError("wrong-size")
-        self.held += part.data
+        self.tail += part.data
         if short or total == self.size:
             self.done, self.size = True, total
             if self.digest and self.hash.hexdigest() != self.digest:
                 raise BrokenBodyError("wrong-digest")
-            whole, self.held = bytes(self.held), bytearray()
+            whole, self.tail = bytes(self.tail), bytearray()
             return [whole] if whole else []
-        if len(self.held) <= HOLD:
+        if len(self.tail) <= HOLD:
             return []
-        cut = len(self.held) - HOLD
-        out = bytes(self.held[:cut])
-        del self.held[:cut]
+        cut = len(self.tail) - HOLD
+        out = bytes(self.tail[:cut])
+        del self.tail[:cut]
         return [out]
 
 
