--- a/hitchtiller/repo/body.py
+++ b/hitchtiller/repo/body.py
@@ -45,7 +45,7 @@
     early_parts: dict[int, Part] = field(default_factory=dict)
     hash: "hashlib._Hash" = field(default_factory=hashlib.sha256)
     tail: bytearray = field(default_factory=bytearray)
-    done: bool = False
+    is_complete: bool = False
     since_ms: int = 0  # the oldest part's
 
     def suits(self, part: Part) -> bool:
@@ -55,14 +55,19 @@
     def wants(self, number: int) -> bool:
         """Tell whether a part is needed and has not come."""
         known_end = self.size >= 0 and number * self.part_bytes >= max(1, self.size)
-        return not self.done and not known_end and number >= self.next_part and number not in self.early_parts
+        return (
+            not self.is_complete
+            and not known_end
+            and number >= self.next_part
+            and number not in self.early_parts
+        )
 
     def take(self, number: int, part: Part) -> list[bytes]:
         """Take a part.
 
         Gives the bytes that may be sent now, in order. Broken or Restart where it does not fit.
         """
-        if self.done or number < self.next_part:
+        if self.is_complete or number < self.next_part:
             return []
         if not self.tag:
             self.tag = part.tag
@@ -76,7 +81,7 @@
         out: list[bytes] = []
         while (ready := self.early_parts.pop(self.next_part, None)) is not None:
             out += self._next(ready)
-            if self.done:
+            if self.is_complete:
                 self.early_parts.clear()
                 break
         self.sent_bytes += sum(map(len, out))
@@ -93,7 +98,7 @@
             raise BrokenBodyError("wrong-size")
         self.tail += part.data
         if short or total == self.size:
-            self.done, self.size = True, total
+            self.is_complete, self.size = True, total
             if self.digest and self.hash.hexdigest() != self.digest:
                 raise BrokenBodyError("wrong-digest")
             whole, self.tail = bytes(self.tail), bytearray()
--- a/hitchtiller/repo/service.py
+++ b/hitchtiller/repo/service.py
@@ -151,7 +151,7 @@
         for _ in range(3):
             assembly, pieces, number = Assembly(PART, digest, tag=tag), list[bytes](), 0
             try:
-                while not assembly.done:
+                while not assembly.is_complete:
                     part = self.fetcher.again(source, number, assembly.suits)
                     if part.tag == ABSENT:
                         return None
@@ -328,15 +328,15 @@
     ) -> Iterator[bytes]:
         """Give a whole body as its parts come; Broken if it can't be ended well."""
         yield from assembly.take(0, first)
-        if not assembly.done:
+        if not assembly.is_complete:
             last = -(-assembly.size // PART) if assembly.size >= 0 else 1 << 16
             known = last if assembly.size >= 0 else -1
             parts = self.fetcher.ordered(source, iter(range(1, last)), waiting, assembly.suits, known)
             for number, part in parts:
                 yield from assembly.take(number, part)
-                if assembly.done:
+                if assembly.is_complete:
                     break
-        if not assembly.done:
+        if not assembly.is_complete:
             raise BrokenBodyError("cut-short")
         self.verified_bodies.put(source.key, assembly.tag, assembly.hash.hexdigest(), assembly.size)
 
