--- a/tests/repo/test_repo_decide.py
+++ b/tests/repo/test_repo_decide.py
@@ -212,8 +212,8 @@
     out = b""
     for number, part in order:
         out += b"".join(assembly.take(number, part))
-        assert body.startswith(out) and (assembly.done or len(out) <= max(0, size - 1))
-    assert out == body and assembly.done and assembly.size == size
+        assert body.startswith(out) and (assembly.is_complete or len(out) <= max(0, size - 1))
+    assert out == body and assembly.is_complete and assembly.size == size
 
 
 def test_the_end_is_held_until_the_digest_holds() -> None:
