--- a/hitchtiller/repo/body.py
+++ b/hitchtiller/repo/body.py
@@ -62,7 +62,7 @@
             and number not in self.early_parts
         )
 
-    def take(self, number: int, part: Part) -> list[bytes]:
+    def add_part(self, number: int, part: Part) -> list[bytes]:
         """Take a part.
 
         Gives the bytes that may be sent now, in order. Broken or Restart where it does not fit.
--- a/hitchtiller/repo/service.py
+++ b/hitchtiller/repo/service.py
@@ -157,7 +157,7 @@
                         return None
                     if part.tag != (assembly.tag or part.tag):
                         raise TagChangedError(part.tag)
-                    pieces += assembly.take(number, part)
+                    pieces += assembly.add_part(number, part)
                     number += 1
                     if number * PART > repo.index_bytes:
                         raise BadIndex(
@@ -327,13 +327,13 @@
         self, source: Source, first: Part, assembly: Assembly, waiting: Callable[[], int]
     ) -> Iterator[bytes]:
         """Give a whole body as its parts come; Broken if it can't be ended well."""
-        yield from assembly.take(0, first)
+        yield from assembly.add_part(0, first)
         if not assembly.is_complete:
             last = -(-assembly.size // PART) if assembly.size >= 0 else 1 << 16
             known = last if assembly.size >= 0 else -1
             parts = self.fetcher.ordered(source, iter(range(1, last)), waiting, assembly.suits, known)
             for number, part in parts:
-                yield from assembly.take(number, part)
+                yield from assembly.add_part(number, part)
                 if assembly.is_complete:
                     break
         if not assembly.is_complete:
