--- a/tests/repo/test_repo_decide.py
+++ b/tests/repo/test_repo_decide.py
@@ -211,7 +211,7 @@
     rng.shuffle(order)
     out = b""
     for number, part in order:
-        out += b"".join(assembly.take(number, part))
+        out += b"".join(assembly.add_part(number, part))
         assert body.startswith(out) and (assembly.is_complete or len(out) <= max(0, size - 1))
     assert out == body and assembly.is_complete and assembly.size == size
 
@@ -219,23 +219,23 @@
 def test_the_end_is_held_until_the_digest_holds() -> None:
     body = bytes(40_500)
     assembly = Assembly(PART, "0" * 64)
-    out = b"".join(b"".join(assembly.take(n, part)) for n, part in enumerate(pieces(body)[:-1]))
+    out = b"".join(b"".join(assembly.add_part(n, part)) for n, part in enumerate(pieces(body)[:-1]))
     assert len(out) == 40_000 - HOLD
     with pytest.raises(BrokenBodyError, match="wrong-digest"):
-        assembly.take(40, pieces(body)[-1])
+        assembly.add_part(40, pieces(body)[-1])
 
 
 def test_parts_of_two_tags_are_never_put_together() -> None:
     assembly = Assembly(PART)
-    assembly.take(0, Part(bytes(PART), "t1", 5))
+    assembly.add_part(0, Part(bytes(PART), "t1", 5))
     with pytest.raises(TagChangedError) as told:
-        assembly.take(1, Part(bytes(PART), "t2", 5))
+        assembly.add_part(1, Part(bytes(PART), "t2", 5))
     assert told.value.tag == "t2"
     for number in range(1, 30):
-        assembly.take(number, Part(bytes(PART), "t1", 5))
+        assembly.add_part(number, Part(bytes(PART), "t1", 5))
     assert assembly.sent_bytes
     with pytest.raises(BrokenBodyError, match="two-releases"):
-        assembly.take(30, Part(b"", "t2", 5))
+        assembly.add_part(30, Part(b"", "t2", 5))
 
 
 @pytest.mark.parametrize(
@@ -245,7 +245,7 @@
     assembly = Assembly(PART, "", size)
     with pytest.raises(BrokenBodyError):
         for number, length in enumerate(lengths):
-            assembly.take(number, Part(bytes(length), "t", 5))
+            assembly.add_part(number, Part(bytes(length), "t", 5))
 
 
 def test_proofs_are_bounded_and_the_longest_unused_goes() -> None:
