--- a/hitchtiller/repo/body.py
+++ b/hitchtiller/repo/body.py
@@ -48,7 +48,7 @@
     is_complete: bool = False
     since_ms: int = 0  # the oldest part's
 
-    def suits(self, part: Part) -> bool:
+    def has_same_tag(self, part: Part) -> bool:
         """Tell whether a part is of the tag that this body has."""
         return not self.tag or part.tag == self.tag
 
--- a/hitchtiller/repo/service.py
+++ b/hitchtiller/repo/service.py
@@ -152,7 +152,7 @@
             assembly, pieces, number = Assembly(PART, digest, tag=tag), list[bytes](), 0
             try:
                 while not assembly.is_complete:
-                    part = self.fetcher.again(source, number, assembly.suits)
+                    part = self.fetcher.again(source, number, assembly.has_same_tag)
                     if part.tag == ABSENT:
                         return None
                     if part.tag != (assembly.tag or part.tag):
@@ -331,7 +331,7 @@
         if not assembly.is_complete:
             last = -(-assembly.size // PART) if assembly.size >= 0 else 1 << 16
             known = last if assembly.size >= 0 else -1
-            parts = self.fetcher.ordered(source, iter(range(1, last)), waiting, assembly.suits, known)
+            parts = self.fetcher.ordered(source, iter(range(1, last)), waiting, assembly.has_same_tag, known)
             for number, part in parts:
                 yield from assembly.add_part(number, part)
                 if assembly.is_complete:
