--- a/hitchtiller/repo/body.py
+++ b/hitchtiller/repo/body.py
@@ -52,7 +52,7 @@
         """Tell whether a part is of the tag that this body has."""
         return not self.tag or part.tag == self.tag
 
-    def wants(self, number: int) -> bool:
+    def needs(self, number: int) -> bool:
         """Tell whether a part is needed and has not come."""
         known_end = self.size >= 0 and number * self.part_bytes >= max(1, self.size)
         return (
