--- a/hitchtiller/repo/body.py
+++ b/hitchtiller/repo/body.py
@@ -7,7 +7,7 @@
 import hashlib
 from dataclasses import dataclass, field
 
-HOLD = 16_384  # bytes at the end that are sent only once the digest holds
+TAIL_BYTES = 16_384  # bytes at the end that are sent only once the digest holds
 
 
 class BrokenBodyError(Exception):
@@ -103,9 +103,9 @@
                 raise BrokenBodyError("wrong-digest")
             whole, self.tail = bytes(self.tail), bytearray()
             return [whole] if whole else []
-        if len(self.tail) <= HOLD:
+        if len(self.tail) <= TAIL_BYTES:
             return []
-        cut = len(self.tail) - HOLD
+        cut = len(self.tail) - TAIL_BYTES
         out = bytes(self.tail[:cut])
         del self.tail[:cut]
         return [out]
--- a/tests/repo/test_repo_decide.py
+++ b/tests/repo/test_repo_decide.py
@@ -9,7 +9,7 @@
 
 from hitchtiller.repo import conditions, ranges
 from hitchtiller.repo.admission import CEILING, FLOOR, BackgroundLimit, ConnectionLimits
-from hitchtiller.repo.body import HOLD, Assembly, BrokenBodyError, Part, VerifiedBodies, TagChangedError
+from hitchtiller.repo.body import TAIL_BYTES, Assembly, BrokenBodyError, Part, VerifiedBodies, TagChangedError
 from hitchtiller.repo.budget import Budget, FileBudget
 from hitchtiller.repo.generations import MAX_GENERATIONS, IndexHistory, NamedFile, State
 from hitchtiller.repo.paths import BadTarget, object_key, read_target
@@ -220,7 +220,7 @@
     body = bytes(40_500)
     assembly = Assembly(PART, "0" * 64)
     out = b"".join(b"".join(assembly.add_part(n, part)) for n, part in enumerate(pieces(body)[:-1]))
-    assert len(out) == 40_000 - HOLD
+    assert len(out) == 40_000 - TAIL_BYTES
     with pytest.raises(BrokenBodyError, match="wrong-digest"):
         assembly.add_part(40, pieces(body)[-1])
 
