--- a/hitchtiller/repo/fetch.py
+++ b/hitchtiller/repo/fetch.py
@@ -41,7 +41,7 @@
 
 
 @dataclass(slots=True)
-class Source:
+class FileRequest:
     """Where the parts of one file come from, and for whom."""
 
     key: int
@@ -102,7 +102,7 @@
             self.queue.remove(task)
             self.sched.wake(task, False)
 
-    def one(self, source: Source, number: int) -> Part:
+    def one(self, source: FileRequest, number: int) -> Part:
         """Get one part, parking this greenlet; Refused or Failed where it does not come."""
         cls = self.engine.router.settings.classes[source.class_name]
         begun = now_ms()
@@ -122,7 +122,7 @@
             raise FetchRefusedError(answer.wait_ms)
         raise FetchFailedError
 
-    def _ask(self, source: Source, number: int, until: float) -> Answer:
+    def _ask(self, source: FileRequest, number: int, until: float) -> Answer:
         me, got = getcurrent(), list[Answer]()
         parked = False
 
@@ -146,7 +146,9 @@
                 raise
         return got[0]
 
-    def again(self, source: Source, number: int, fits: Callable[[Part], bool] = lambda part: True) -> Part:
+    def again(
+        self, source: FileRequest, number: int, fits: Callable[[Part], bool] = lambda part: True
+    ) -> Part:
         """Get one part, repeating within the budget what fails or does not fit.
 
         The last answer goes up as it is.
@@ -170,7 +172,7 @@
 
     def ordered(
         self,
-        source: Source,
+        source: FileRequest,
         numbers: Iterator[int],
         waiting: Callable[[], int],
         fits: Callable[[Part], bool],
--- a/hitchtiller/repo/service.py
+++ b/hitchtiller/repo/service.py
@@ -19,7 +19,7 @@
     TagChangedError,
 )
 from hitchtiller.repo.conditions import Validators, range_applies, status
-from hitchtiller.repo.fetch import ABSENT, PART, FetchFailedError, Fetcher, FetchRefusedError, Source
+from hitchtiller.repo.fetch import ABSENT, PART, FetchFailedError, Fetcher, FetchRefusedError, FileRequest
 from hitchtiller.repo.generations import IndexHistory, NamedFile
 from hitchtiller.repo.kinds import BadIndex, Kind, Parsed
 from hitchtiller.repo.paths import BadTarget, object_key, read_target
@@ -140,8 +140,8 @@
 
     # Indexes
 
-    def _source(self, repo: Repository, path: str, client: str) -> Source:
-        return Source(object_key(repo.name, path), repo.class_name, repo.group, client)
+    def _source(self, repo: Repository, path: str, client: str) -> FileRequest:
+        return FileRequest(object_key(repo.name, path), repo.class_name, repo.group, client)
 
     def whole(
         self, repo: Repository, path: str, client: str, digest: str = ""
@@ -202,7 +202,7 @@
         generation = line.due_for_check(now_ms())
         if generation is None:
             return
-        source = Source(0, repo.class_name, repo.group, client)
+        source = FileRequest(0, repo.class_name, repo.group, client)
         source.budget.parts = len(generation.pending_paths)
         for path in sorted(generation.pending_paths)[PROVE_MOST:]:
             line.mark_found(generation.digest, path)
@@ -314,7 +314,7 @@
             return False
         return any(_may_be(part, named, verified.digest if verified else "") for named in permitted)
 
-    def _read_through(self, source: Source, first: Part, named: NamedFile) -> VerifiedBody:
+    def _read_through(self, source: FileRequest, first: Part, named: NamedFile) -> VerifiedBody:
         """Read a file once for its digest; nothing of it is sent or held."""
         assembly = Assembly(PART, named.digest, named.size)
         for _ in self._stream(source, first, assembly, lambda: 0):
@@ -324,7 +324,7 @@
         return verified
 
     def _stream(
-        self, source: Source, first: Part, assembly: Assembly, waiting: Callable[[], int]
+        self, source: FileRequest, first: Part, assembly: Assembly, waiting: Callable[[], int]
     ) -> Iterator[bytes]:
         """Give a whole body as its parts come; Broken if it can't be ended well."""
         yield from assembly.add_part(0, first)
@@ -342,7 +342,7 @@
 
     def _ranges(
         self,
-        source: Source,
+        source: FileRequest,
         tag: str,
         size: int,
         header: str,
@@ -382,7 +382,7 @@
         return Reply(206, fields, body(), total, "ranges")
 
     def _spans(
-        self, source: Source, tag: str, size: int, spans: list[Span], waiting: Callable[[], int]
+        self, source: FileRequest, tag: str, size: int, spans: list[Span], waiting: Callable[[], int]
     ) -> Iterator[bytes]:
         """Give stretches of a proven tag; Broken where a part of another tag came."""
         for span in spans:
