--- a/hitchtiller/repo/fetch.py
+++ b/hitchtiller/repo/fetch.py
@@ -102,15 +102,15 @@
             self.queue.remove(task)
             self.sched.wake(task, False)
 
-    def one(self, source: FileRequest, number: int) -> Part:
+    def one(self, file_request: FileRequest, number: int) -> Part:
         """Get one part, parking this greenlet; Refused or Failed where it does not come."""
-        cls = self.engine.router.settings.classes[source.class_name]
+        cls = self.engine.router.settings.classes[file_request.class_name]
         begun = now_ms()
         until = begun + cls.deadline_ms
         self._enter(until)
         self.asked += 1
         try:
-            answer = self._ask(source, number, until)
+            answer = self._ask(file_request, number, until)
         finally:
             self.give_way.open -= 1
             self._next()
@@ -122,7 +122,7 @@
             raise FetchRefusedError(answer.wait_ms)
         raise FetchFailedError
 
-    def _ask(self, source: FileRequest, number: int, until: float) -> Answer:
+    def _ask(self, file_request: FileRequest, number: int, until: float) -> Answer:
         me, got = getcurrent(), list[Answer]()
         parked = False
 
@@ -133,8 +133,8 @@
 
         name = f"{source.key:016x}"
         ask = ClientRequest(
-            f"{self.rng.getrandbits(64):016x}", source.class_name, name, source.key, until,
-            part=number, group=source.group, size_kb=PART / 1000.0, background=True,
+            f"{self.rng.getrandbits(64):016x}", file_request.class_name, name, file_request.key, until,
+            part=number, group=file_request.group, size_kb=PART / 1000.0, background=True,
         )  # fmt: skip
         exchange = self.engine.take(ask, deliver)
         if not got:
@@ -147,24 +147,24 @@
         return got[0]
 
     def again(
-        self, source: FileRequest, number: int, fits: Callable[[Part], bool] = lambda part: True
+        self, file_request: FileRequest, number: int, fits: Callable[[Part], bool] = lambda part: True
     ) -> Part:
         """Get one part, repeating within the budget what fails or does not fit.
 
         The last answer goes up as it is.
         """
-        self.budget.asked(source.budget)
+        self.budget.asked(file_request.budget)
         while True:
             wait, error, part = PAUSE_MS, Exception(), None
             try:
-                part = self.one(source, number)
+                part = self.one(file_request, number)
                 if fits(part):
                     return part
             except FetchRefusedError as refused:
                 wait, error = max(PAUSE_MS, refused.wait_ms), refused
             except FetchFailedError as failed:
                 error = failed
-            if not self.budget.repeat(source.budget, source.client, now_ms()):
+            if not self.budget.repeat(file_request.budget, file_request.client, now_ms()):
                 if part is None:
                     raise error
                 return part
@@ -172,7 +172,7 @@
 
     def ordered(
         self,
-        source: FileRequest,
+        file_request: FileRequest,
         numbers: Iterator[int],
         waiting: Callable[[], int],
         fits: Callable[[Part], bool],
@@ -193,7 +193,7 @@
             nonlocal parked
             got: Part | Exception
             try:
-                got = self.again(source, number, fits)
+                got = self.again(file_request, number, fits)
             except (FetchRefusedError, FetchFailedError) as error:
                 got = error
             out[number] -= 1
@@ -210,7 +210,7 @@
             if closed or number in ready or number not in order:
                 return
             now = now_ms()
-            if self.budget.hedge(number, total, now - begun, source.budget, source.client, now):
+            if self.budget.hedge(number, total, now - begun, file_request.budget, file_request.client, now):
                 out[number] += 1
                 self.sched.spawn(run, number)
 
--- a/hitchtiller/repo/service.py
+++ b/hitchtiller/repo/service.py
@@ -147,12 +147,12 @@
         self, repo: Repository, path: str, client: str, digest: str = ""
     ) -> tuple[bytes, Assembly] | None:
         """Read a file whole, of one tag; None if there is none. Its digest must hold, where one is given."""
-        source, tag = self._source(repo, path, client), ""
+        file_request, tag = self._source(repo, path, client), ""
         for _ in range(3):
             assembly, pieces, number = Assembly(PART, digest, tag=tag), list[bytes](), 0
             try:
                 while not assembly.is_complete:
-                    part = self.fetcher.again(source, number, assembly.has_same_tag)
+                    part = self.fetcher.again(file_request, number, assembly.has_same_tag)
                     if part.tag == ABSENT:
                         return None
                     if part.tag != (assembly.tag or part.tag):
@@ -166,7 +166,7 @@
             except TagChangedError as restart:
                 tag = restart.tag
                 continue
-            self.verified_bodies.put(source.key, assembly.tag, assembly.hash.hexdigest(), assembly.size)
+            self.verified_bodies.put(file_request.key, assembly.tag, assembly.hash.hexdigest(), assembly.size)
             return b"".join(pieces), assembly
         raise BrokenBodyError("two-releases")
 
@@ -202,15 +202,15 @@
         generation = line.due_for_check(now_ms())
         if generation is None:
             return
-        source = FileRequest(0, repo.class_name, repo.group, client)
-        source.budget.parts = len(generation.pending_paths)
+        file_request = FileRequest(0, repo.class_name, repo.group, client)
+        file_request.budget.parts = len(generation.pending_paths)
         for path in sorted(generation.pending_paths)[PROVE_MOST:]:
             line.mark_found(generation.digest, path)
         for path in sorted(generation.pending_paths):
-            source.key = object_key(repo.name, path)
-            part = self.fetcher.one(source, 0)
+            file_request.key = object_key(repo.name, path)
+            part = self.fetcher.one(file_request, 0)
             named = generation.files[path]
-            verified = self.verified_bodies.get(source.key, part.tag)
+            verified = self.verified_bodies.get(file_request.key, part.tag)
             if part.tag == ABSENT or not _may_be(part, named, verified.digest if verified else ""):
                 line.mark_missing(generation.digest, now_ms())
                 return
@@ -276,11 +276,13 @@
             if any(repo.lines[root].is_outdated(client, now_ms()) for root in roots):
                 return refusal(404, "index-outdated", "your index is of an older release; ask for it again")
             return refusal(404, "not-found", "no index that was given to you names this file")
-        source = self._source(repo, path, client)
-        first = self.fetcher.again(source, 0, lambda part: self._suits(source.key, part, permitted))
+        file_request = self._source(repo, path, client)
+        first = self.fetcher.again(
+            file_request, 0, lambda part: self._suits(file_request.key, part, permitted)
+        )
         if first.tag == ABSENT:
             return refusal(404, "not-there", "the index names it, but it is not there")
-        verified = self.verified_bodies.get(source.key, first.tag)
+        verified = self.verified_bodies.get(file_request.key, first.tag)
         named = next((n for n in permitted if not verified or n.digest in ("", verified.digest)), None)
         if named is None:
             return refusal(503, "other-release", "a release is being published; come back", 1.0)
@@ -297,15 +299,15 @@
                 return refusal(412, "precondition")
         ranged = digest and method == "GET" and "range" in headers and range_applies(headers, known)
         if ranged and verified is None:
-            verified = self._read_through(source, first, named)
+            verified = self._read_through(file_request, first, named)
         size = verified.size if verified else named.size
         if ranged and verified:
-            return self._ranges(source, first.tag, verified.size, headers["range"], common, waiting)
+            return self._ranges(file_request, first.tag, verified.size, headers["range"], common, waiting)
         whole = None if size < 0 else size
         if method == "HEAD":
             return Reply(200, common, iter(()), whole, "head")
         assembly = Assembly(PART, digest, size)
-        return Reply(200, common, self._stream(source, first, assembly, waiting), whole, "whole")
+        return Reply(200, common, self._stream(file_request, first, assembly, waiting), whole, "whole")
 
     def _suits(self, key: int, part: Part, permitted: list[NamedFile]) -> bool:
         """Tell whether a first part can be of a permitted release; others are asked for again for a while."""
@@ -314,35 +316,37 @@
             return False
         return any(_may_be(part, named, verified.digest if verified else "") for named in permitted)
 
-    def _read_through(self, source: FileRequest, first: Part, named: NamedFile) -> VerifiedBody:
+    def _read_through(self, file_request: FileRequest, first: Part, named: NamedFile) -> VerifiedBody:
         """Read a file once for its digest; nothing of it is sent or held."""
         assembly = Assembly(PART, named.digest, named.size)
-        for _ in self._stream(source, first, assembly, lambda: 0):
+        for _ in self._stream(file_request, first, assembly, lambda: 0):
             pass
-        verified = self.verified_bodies.get(source.key, assembly.tag)
+        verified = self.verified_bodies.get(file_request.key, assembly.tag)
         assert verified
         return verified
 
     def _stream(
-        self, source: FileRequest, first: Part, assembly: Assembly, waiting: Callable[[], int]
+        self, file_request: FileRequest, first: Part, assembly: Assembly, waiting: Callable[[], int]
     ) -> Iterator[bytes]:
         """Give a whole body as its parts come; Broken if it can't be ended well."""
         yield from assembly.add_part(0, first)
         if not assembly.is_complete:
             last = -(-assembly.size // PART) if assembly.size >= 0 else 1 << 16
             known = last if assembly.size >= 0 else -1
-            parts = self.fetcher.ordered(source, iter(range(1, last)), waiting, assembly.has_same_tag, known)
+            parts = self.fetcher.ordered(
+                file_request, iter(range(1, last)), waiting, assembly.has_same_tag, known
+            )
             for number, part in parts:
                 yield from assembly.add_part(number, part)
                 if assembly.is_complete:
                     break
         if not assembly.is_complete:
             raise BrokenBodyError("cut-short")
-        self.verified_bodies.put(source.key, assembly.tag, assembly.hash.hexdigest(), assembly.size)
+        self.verified_bodies.put(file_request.key, assembly.tag, assembly.hash.hexdigest(), assembly.size)
 
     def _ranges(
         self,
-        source: FileRequest,
+        file_request: FileRequest,
         tag: str,
         size: int,
         header: str,
@@ -357,10 +361,12 @@
             )
         if spans is None:
             spans = [Span(0, size)]
-            return Reply(200, common, self._spans(source, tag, size, spans, waiting), size, "whole")
+            return Reply(200, common, self._spans(file_request, tag, size, spans, waiting), size, "whole")
         if len(spans) == 1:
             fields = [*common, ("Content-Range", spans[0].content_range(size))]
-            return Reply(206, fields, self._spans(source, tag, size, spans, waiting), spans[0].size, "range")
+            return Reply(
+                206, fields, self._spans(file_request, tag, size, spans, waiting), spans[0].size, "range"
+            )
         boundary = hashlib.sha256(f"{source.key}{header}".encode()).hexdigest()[:24]
         inner = next(value for name, value in common if name == "Content-Type")
         heads = [
@@ -376,18 +382,18 @@
         def body() -> Iterator[bytes]:
             for head, span in zip(heads, spans, strict=True):
                 yield head
-                yield from self._spans(source, tag, size, [span], waiting)
+                yield from self._spans(file_request, tag, size, [span], waiting)
             yield end
 
         return Reply(206, fields, body(), total, "ranges")
 
     def _spans(
-        self, source: FileRequest, tag: str, size: int, spans: list[Span], waiting: Callable[[], int]
+        self, file_request: FileRequest, tag: str, size: int, spans: list[Span], waiting: Callable[[], int]
     ) -> Iterator[bytes]:
         """Give stretches of a proven tag; Broken where a part of another tag came."""
         for span in spans:
             slices = {number: (begin, end) for number, begin, end in parts_of(span, PART)}
-            parts = self.fetcher.ordered(source, iter(slices), waiting, lambda part: part.tag == tag)
+            parts = self.fetcher.ordered(file_request, iter(slices), waiting, lambda part: part.tag == tag)
             for number, part in parts:
                 begin, end = slices[number]
                 if part.tag != tag or len(part.data) != min(PART, size - number * PART):
