--- a/hitchtiller/repo/fetch.py
+++ b/hitchtiller/repo/fetch.py
@@ -174,7 +174,7 @@
         self,
         file_request: FileRequest,
         numbers: Iterator[int],
-        waiting: Callable[[], int],
+        count_unsent_bytes: Callable[[], int],
         fits: Callable[[Part], bool],
         total: int = -1,
     ) -> Iterator[tuple[int, Part]]:
@@ -216,7 +216,7 @@
 
         try:
             while True:
-                while more and window.may_ask(waiting() + sum(map(_size, ready.values()))):
+                while more and window.may_ask(count_unsent_bytes() + sum(map(_size, ready.values()))):
                     number = next(numbers, None)
                     if number is None:
                         more = False
@@ -242,7 +242,7 @@
                 if isinstance(got, Exception):
                     window.failed()
                     raise got
-                window.came(waiting(), len(ready), starved)
+                window.came(count_unsent_bytes(), len(ready), starved)
                 starved = False
                 yield number, got
         finally:
--- a/hitchtiller/repo/service.py
+++ b/hitchtiller/repo/service.py
@@ -99,11 +99,16 @@
         engine.purge_listeners.append(lambda ban: self.purges.add(ban.key, ban.group, ban.at_ms))
 
     def answer(
-        self, method: str, target: bytes, headers: Mapping[str, str], client: str, waiting: Callable[[], int]
+        self,
+        method: str,
+        target: bytes,
+        headers: Mapping[str, str],
+        client: str,
+        count_unsent_bytes: Callable[[], int],
     ) -> Reply:
         """Answer a request; `waiting` tells how many bytes its client has not taken yet."""
         try:
-            reply = self._answer(method, target, headers, client, waiting)
+            reply = self._answer(method, target, headers, client, count_unsent_bytes)
         except BadTarget as error:
             reply = refusal(error.status, "bad-target", str(error))
         except FetchRefusedError as error:
@@ -121,7 +126,12 @@
         return reply
 
     def _answer(
-        self, method: str, target: bytes, headers: Mapping[str, str], client: str, waiting: Callable[[], int]
+        self,
+        method: str,
+        target: bytes,
+        headers: Mapping[str, str],
+        client: str,
+        count_unsent_bytes: Callable[[], int],
     ) -> Reply:
         if method not in ("GET", "HEAD"):
             return refusal(405, "method", "GET and HEAD are taken", Allow="GET, HEAD")
@@ -136,7 +146,7 @@
             return self._index(repo, path, method, headers, client)
         if repo.kind.listing(path):
             return self._listing(repo, path, method, headers, client)
-        return self._file(repo, path, method, headers, client, waiting)
+        return self._file(repo, path, method, headers, client, count_unsent_bytes)
 
     # Indexes
 
@@ -268,7 +278,7 @@
         method: str,
         headers: Mapping[str, str],
         client: str,
-        waiting: Callable[[], int],
+        count_unsent_bytes: Callable[[], int],
     ) -> Reply:
         permitted = self._permitted(repo, path, client)
         if not permitted:
@@ -302,12 +312,16 @@
             verified = self._read_through(file_request, first, named)
         size = verified.size if verified else named.size
         if ranged and verified:
-            return self._ranges(file_request, first.tag, verified.size, headers["range"], common, waiting)
+            return self._ranges(
+                file_request, first.tag, verified.size, headers["range"], common, count_unsent_bytes
+            )
         whole = None if size < 0 else size
         if method == "HEAD":
             return Reply(200, common, iter(()), whole, "head")
         assembly = Assembly(PART, digest, size)
-        return Reply(200, common, self._stream(file_request, first, assembly, waiting), whole, "whole")
+        return Reply(
+            200, common, self._stream(file_request, first, assembly, count_unsent_bytes), whole, "whole"
+        )
 
     def _suits(self, key: int, part: Part, permitted: list[NamedFile]) -> bool:
         """Tell whether a first part can be of a permitted release; others are asked for again for a while."""
@@ -326,7 +340,11 @@
         return verified
 
     def _stream(
-        self, file_request: FileRequest, first: Part, assembly: Assembly, waiting: Callable[[], int]
+        self,
+        file_request: FileRequest,
+        first: Part,
+        assembly: Assembly,
+        count_unsent_bytes: Callable[[], int],
     ) -> Iterator[bytes]:
         """Give a whole body as its parts come; Broken if it can't be ended well."""
         yield from assembly.add_part(0, first)
@@ -334,7 +352,7 @@
             last = -(-assembly.size // PART) if assembly.size >= 0 else 1 << 16
             known = last if assembly.size >= 0 else -1
             parts = self.fetcher.ordered(
-                file_request, iter(range(1, last)), waiting, assembly.has_same_tag, known
+                file_request, iter(range(1, last)), count_unsent_bytes, assembly.has_same_tag, known
             )
             for number, part in parts:
                 yield from assembly.add_part(number, part)
@@ -351,7 +369,7 @@
         size: int,
         header: str,
         common: list[tuple[str, str]],
-        waiting: Callable[[], int],
+        count_unsent_bytes: Callable[[], int],
     ) -> Reply:
         try:
             spans = read_ranges(header, size)
@@ -361,11 +379,17 @@
             )
         if spans is None:
             spans = [Span(0, size)]
-            return Reply(200, common, self._spans(file_request, tag, size, spans, waiting), size, "whole")
+            return Reply(
+                200, common, self._spans(file_request, tag, size, spans, count_unsent_bytes), size, "whole"
+            )
         if len(spans) == 1:
             fields = [*common, ("Content-Range", spans[0].content_range(size))]
             return Reply(
-                206, fields, self._spans(file_request, tag, size, spans, waiting), spans[0].size, "range"
+                206,
+                fields,
+                self._spans(file_request, tag, size, spans, count_unsent_bytes),
+                spans[0].size,
+                "range",
             )
         boundary = hashlib.sha256(f"{source.key}{header}".encode()).hexdigest()[:24]
         inner = next(value for name, value in common if name == "Content-Type")
@@ -382,18 +406,25 @@
         def body() -> Iterator[bytes]:
             for head, span in zip(heads, spans, strict=True):
                 yield head
-                yield from self._spans(file_request, tag, size, [span], waiting)
+                yield from self._spans(file_request, tag, size, [span], count_unsent_bytes)
             yield end
 
         return Reply(206, fields, body(), total, "ranges")
 
     def _spans(
-        self, file_request: FileRequest, tag: str, size: int, spans: list[Span], waiting: Callable[[], int]
+        self,
+        file_request: FileRequest,
+        tag: str,
+        size: int,
+        spans: list[Span],
+        count_unsent_bytes: Callable[[], int],
     ) -> Iterator[bytes]:
         """Give stretches of a proven tag; Broken where a part of another tag came."""
         for span in spans:
             slices = {number: (begin, end) for number, begin, end in parts_of(span, PART)}
-            parts = self.fetcher.ordered(file_request, iter(slices), waiting, lambda part: part.tag == tag)
+            parts = self.fetcher.ordered(
+                file_request, iter(slices), count_unsent_bytes, lambda part: part.tag == tag
+            )
             for number, part in parts:
                 begin, end = slices[number]
                 if part.tag != tag or len(part.data) != min(PART, size - number * PART):
