--- a/hitchtiller/repo/fetch.py
+++ b/hitchtiller/repo/fetch.py
@@ -146,7 +146,7 @@
                 raise
         return got[0]
 
-    def again(
+    def fetch_with_repeats(
         self, file_request: FileRequest, number: int, fits: Callable[[Part], bool] = lambda part: True
     ) -> Part:
         """Get one part, repeating within the budget what fails or does not fit.
@@ -193,7 +193,7 @@
             nonlocal parked
             got: Part | Exception
             try:
-                got = self.again(file_request, number, fits)
+                got = self.fetch_with_repeats(file_request, number, fits)
             except (FetchRefusedError, FetchFailedError) as error:
                 got = error
             out[number] -= 1
