--- a/hitchtiller/repo/service.py
+++ b/hitchtiller/repo/service.py
@@ -162,7 +162,7 @@
             assembly, pieces, number = Assembly(PART, digest, tag=tag), list[bytes](), 0
             try:
                 while not assembly.is_complete:
-                    part = self.fetcher.again(file_request, number, assembly.has_same_tag)
+                    part = self.fetcher.fetch_with_repeats(file_request, number, assembly.has_same_tag)
                     if part.tag == ABSENT:
                         return None
                     if part.tag != (assembly.tag or part.tag):
@@ -287,7 +287,7 @@
                 return refusal(404, "index-outdated", "your index is of an older release; ask for it again")
             return refusal(404, "not-found", "no index that was given to you names this file")
         file_request = self._source(repo, path, client)
-        first = self.fetcher.again(
+        first = self.fetcher.fetch_with_repeats(
             file_request, 0, lambda part: self._suits(file_request.key, part, permitted)
         )
         if first.tag == ABSENT:
