--- a/hitchtiller/repo/fetch.py
+++ b/hitchtiller/repo/fetch.py
@@ -102,7 +102,7 @@
             self.queue.remove(task)
             self.sched.wake(task, False)
 
-    def one(self, file_request: FileRequest, number: int) -> Part:
+    def fetch(self, file_request: FileRequest, number: int) -> Part:
         """Get one part, parking this greenlet; Refused or Failed where it does not come."""
         cls = self.engine.router.settings.classes[file_request.class_name]
         begun = now_ms()
@@ -157,7 +157,7 @@
         while True:
             wait, error, part = PAUSE_MS, Exception(), None
             try:
-                part = self.one(file_request, number)
+                part = self.fetch(file_request, number)
                 if fits(part):
                     return part
             except FetchRefusedError as refused:
