--- a/hitchtiller/repo/fetch.py
+++ b/hitchtiller/repo/fetch.py
@@ -170,7 +170,7 @@
                 return part
             self.sched.sleep(wait)
 
-    def ordered(
+    def fetch_in_order(
         self,
         file_request: FileRequest,
         numbers: Iterator[int],
