--- a/hitchtiller/repo/service.py
+++ b/hitchtiller/repo/service.py
@@ -351,7 +351,7 @@
         if not assembly.is_complete:
             last = -(-assembly.size // PART) if assembly.size >= 0 else 1 << 16
             known = last if assembly.size >= 0 else -1
-            parts = self.fetcher.ordered(
+            parts = self.fetcher.fetch_in_order(
                 file_request, iter(range(1, last)), count_unsent_bytes, assembly.has_same_tag, known
             )
             for number, part in parts:
@@ -422,7 +422,7 @@
         """Give stretches of a proven tag; Broken where a part of another tag came."""
         for span in spans:
             slices = {number: (begin, end) for number, begin, end in parts_of(span, PART)}
-            parts = self.fetcher.ordered(
+            parts = self.fetcher.fetch_in_order(
                 file_request, iter(slices), count_unsent_bytes, lambda part: part.tag == tag
             )
             for number, part in parts:
