--- a/hitchtiller/repo/kinds/__init__.py
+++ b/hitchtiller/repo/kinds/__init__.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Parsed:
+class ParsedIndex:
     """What an index says: the files it names, and further indexes that belong to it and name more."""
 
     files: dict[str, NamedFile]
@@ -34,7 +34,7 @@
     def roots_for(self, path: str) -> list[str]:
         """Give the indexes that could name a file, as far as its path tells."""
 
-    def parse(self, path: str, body: bytes) -> Parsed:
+    def parse(self, path: str, body: bytes) -> ParsedIndex:
         """Read an index; BadIndex where it is none."""
 
     def content_type(self, path: str, body: bytes) -> str:
--- a/hitchtiller/repo/kinds/debian.py
+++ b/hitchtiller/repo/kinds/debian.py
@@ -13,7 +13,7 @@
 from posixpath import dirname, normpath
 
 from hitchtiller.repo.generations import NamedFile
-from hitchtiller.repo.kinds import BadIndex, Parsed
+from hitchtiller.repo.kinds import BadIndex, ParsedIndex
 
 ROOT = re.compile(r"dists/.+/(InRelease|Release)\Z")
 PACKAGES = re.compile(r"dists/.+/Packages(\.gz|\.xz)?\Z")
@@ -105,15 +105,15 @@
             return []
         return [f"dists/{words[1]}/InRelease", f"dists/{words[1]}/Release"]
 
-    def parse(self, path: str, body: bytes) -> Parsed:
+    def parse(self, path: str, body: bytes) -> ParsedIndex:
         """Read a Release, or a Packages file in any form."""
         if self.root(path):
             return self._release(path, _text(path, body))
         if PACKAGES.match(path):
-            return Parsed(self._packages(path, _text(path, _unpack(path, body))))
+            return ParsedIndex(self._packages(path, _text(path, _unpack(path, body))))
         raise BadIndex(f"{path} is no index of an archive")
 
-    def _release(self, path: str, text: str) -> Parsed:
+    def _release(self, path: str, text: str) -> ParsedIndex:
         if text.startswith(BEGIN):
             head, sign, rest = text.partition("\n\n")
             signed, end, _ = rest.partition(END)
@@ -141,7 +141,7 @@
                 beside = f"{dirname(named.path)}/by-hash/SHA256/{named.digest}"
                 files[beside] = NamedFile(beside, named.digest, named.size)
         nested = self._nested(files)
-        return Parsed(files, nested, frozenset(files) - frozenset(nested))
+        return ParsedIndex(files, nested, frozenset(files) - frozenset(nested))
 
     def _nested(self, files: dict[str, NamedFile]) -> tuple[str, ...]:
         """Of each Packages file the smallest form that is there."""
--- a/hitchtiller/repo/kinds/simple.py
+++ b/hitchtiller/repo/kinds/simple.py
@@ -20,7 +20,7 @@
 )
 
 from hitchtiller.repo.generations import NamedFile
-from hitchtiller.repo.kinds import BadIndex, Parsed
+from hitchtiller.repo.kinds import BadIndex, ParsedIndex
 
 ROOT = re.compile(r"simple/([^/]+)/(index\.(html|json))?\Z")
 LISTING = re.compile(r"simple/(index\.(html|json))?\Z")
@@ -97,7 +97,7 @@
             return []
         return [f"simple/{project}/"]
 
-    def parse(self, path: str, body: bytes) -> Parsed:
+    def parse(self, path: str, body: bytes) -> ParsedIndex:
         """Read a project's page in either form."""
         match = ROOT.match(path)
         if not match:
@@ -107,7 +107,7 @@
         except UnicodeDecodeError as error:
             raise BadIndex(f"{path}: byte {error.start} is not UTF-8") from None
         read = self._json if text.lstrip().startswith("{") else self._html
-        return Parsed(read(path, match.group(1), text))
+        return ParsedIndex(read(path, match.group(1), text))
 
     def _json(self, path: str, project: str, text: str) -> dict[str, NamedFile]:
         try:
--- a/hitchtiller/repo/service.py
+++ b/hitchtiller/repo/service.py
@@ -21,7 +21,7 @@
 from hitchtiller.repo.conditions import Validators, range_applies, status
 from hitchtiller.repo.fetch import ABSENT, PART, FetchFailedError, Fetcher, FetchRefusedError, FileRequest
 from hitchtiller.repo.generations import IndexHistory, NamedFile
-from hitchtiller.repo.kinds import BadIndex, Kind, Parsed
+from hitchtiller.repo.kinds import BadIndex, Kind, ParsedIndex
 from hitchtiller.repo.paths import BadTarget, object_key, read_target
 from hitchtiller.repo.ranges import Span, Unsatisfiable, parts_of, read_ranges
 from hitchtiller.sched import now_ms
@@ -197,7 +197,7 @@
         self._prove(repo, line, client)
         return line
 
-    def _with_nested(self, repo: Repository, path: str, parsed: Parsed, client: str) -> Parsed:
+    def _with_nested(self, repo: Repository, path: str, parsed: ParsedIndex, client: str) -> ParsedIndex:
         """Read the further indexes that an index names, each by its digest."""
         files = dict(parsed.files)
         for name in parsed.nested:
@@ -205,7 +205,7 @@
             if got is None:
                 raise BrokenBodyError("index-before-its-files")
             files |= repo.kind.parse(name, got[0]).files
-        return Parsed(files, parsed.nested, parsed.optional)
+        return ParsedIndex(files, parsed.nested, parsed.optional)
 
     def _prove(self, repo: Repository, line: IndexHistory, client: str) -> None:
         """Look for the files that are new in the newest generation; it is served only once they are there."""
