--- a/hitchtiller/repo/kinds/__init__.py
+++ b/hitchtiller/repo/kinds/__init__.py
@@ -25,7 +25,7 @@
 class Kind(Protocol):
     """One kind of repository; paths have no leading slash."""
 
-    def root(self, path: str) -> bool:
+    def is_index(self, path: str) -> bool:
         """Tell whether a path is an index that begins a generation."""
 
     def listing(self, path: str) -> bool:
--- a/hitchtiller/repo/kinds/debian.py
+++ b/hitchtiller/repo/kinds/debian.py
@@ -82,7 +82,7 @@
 class Debian:
     """The kind `debian`."""
 
-    def root(self, path: str) -> bool:
+    def is_index(self, path: str) -> bool:
         """A suite's InRelease or Release."""
         return bool(ROOT.match(path))
 
@@ -94,7 +94,7 @@
         """Text for what has no suffix, bytes for the rest."""
         return (
             "text/plain; charset=utf-8"
-            if self.root(path) or self.listing(path)
+            if self.is_index(path) or self.listing(path)
             else "application/octet-stream"
         )
 
@@ -107,7 +107,7 @@
 
     def parse(self, path: str, body: bytes) -> ParsedIndex:
         """Read a Release, or a Packages file in any form."""
-        if self.root(path):
+        if self.is_index(path):
             return self._release(path, _text(path, body))
         if PACKAGES.match(path):
             return ParsedIndex(self._packages(path, _text(path, _unpack(path, body))))
--- a/hitchtiller/repo/kinds/simple.py
+++ b/hitchtiller/repo/kinds/simple.py
@@ -69,7 +69,7 @@
 class Simple:
     """The kind `simple`."""
 
-    def root(self, path: str) -> bool:
+    def is_index(self, path: str) -> bool:
         """A project's page."""
         return bool(ROOT.match(path))
 
@@ -79,7 +79,7 @@
 
     def content_type(self, path: str, body: bytes) -> str:
         """Tell HTML and JSON apart by their first byte."""
-        if not (self.root(path) or self.listing(path)):
+        if not (self.is_index(path) or self.listing(path)):
             return "application/octet-stream"
         if body.lstrip()[:1] == b"{":
             return "application/vnd.pypi.simple.v1+json"
