--- a/hitchtiller/repo/service.py
+++ b/hitchtiller/repo/service.py
@@ -142,7 +142,7 @@
         path = found.path[len(repo.prefix) :] if repo else ""
         if repo is None or not path:
             return refusal(404, "not-found", "no repository has this path")
-        if repo.kind.root(path):
+        if repo.kind.is_index(path):
             return self._index(repo, path, method, headers, client)
         if repo.kind.listing(path):
             return self._listing(repo, path, method, headers, client)
