--- a/hitchtiller/repo/kinds/__init__.py
+++ b/hitchtiller/repo/kinds/__init__.py
@@ -28,7 +28,7 @@
     def is_index(self, path: str) -> bool:
         """Tell whether a path is an index that begins a generation."""
 
-    def listing(self, path: str) -> bool:
+    def is_listing(self, path: str) -> bool:
         """Tell whether a path is a list that names no files, served as it comes."""
 
     def roots_for(self, path: str) -> list[str]:
--- a/hitchtiller/repo/kinds/debian.py
+++ b/hitchtiller/repo/kinds/debian.py
@@ -86,7 +86,7 @@
         """A suite's InRelease or Release."""
         return bool(ROOT.match(path))
 
-    def listing(self, path: str) -> bool:
+    def is_listing(self, path: str) -> bool:
         """Detached signatures go as they come: which Release they are of is the client's to check."""
         return path.startswith("dists/") and path.endswith("/Release.gpg")
 
@@ -94,7 +94,7 @@
         """Text for what has no suffix, bytes for the rest."""
         return (
             "text/plain; charset=utf-8"
-            if self.is_index(path) or self.listing(path)
+            if self.is_index(path) or self.is_listing(path)
             else "application/octet-stream"
         )
 
--- a/hitchtiller/repo/kinds/simple.py
+++ b/hitchtiller/repo/kinds/simple.py
@@ -73,13 +73,13 @@
         """A project's page."""
         return bool(ROOT.match(path))
 
-    def listing(self, path: str) -> bool:
+    def is_listing(self, path: str) -> bool:
         """The list of projects."""
         return bool(LISTING.match(path))
 
     def content_type(self, path: str, body: bytes) -> str:
         """Tell HTML and JSON apart by their first byte."""
-        if not (self.is_index(path) or self.listing(path)):
+        if not (self.is_index(path) or self.is_listing(path)):
             return "application/octet-stream"
         if body.lstrip()[:1] == b"{":
             return "application/vnd.pypi.simple.v1+json"
