--- a/hitchtiller/repo/service.py
+++ b/hitchtiller/repo/service.py
@@ -144,7 +144,7 @@
             return refusal(404, "not-found", "no repository has this path")
         if repo.kind.is_index(path):
             return self._index(repo, path, method, headers, client)
-        if repo.kind.listing(path):
+        if repo.kind.is_listing(path):
             return self._listing(repo, path, method, headers, client)
         return self._file(repo, path, method, headers, client, count_unsent_bytes)
 
--- a/tests/repo/test_repo_kinds.py
+++ b/tests/repo/test_repo_kinds.py
@@ -51,7 +51,7 @@
 def test_a_file_tells_its_project() -> None:
     assert SIMPLE.roots_for("files/Demo_Thing-1.0-py3-none-any.whl") == ["simple/demo-thing/"]
     assert SIMPLE.roots_for("files/demo-1.0.tar.gz") == ["simple/demo/"] and SIMPLE.roots_for("files/x") == []
-    assert SIMPLE.is_index(PAGE) and SIMPLE.listing("simple/") and not SIMPLE.is_index("files/x")
+    assert SIMPLE.is_index(PAGE) and SIMPLE.is_listing("simple/") and not SIMPLE.is_index("files/x")
     assert "dists/stable/InRelease" in DEBIAN.roots_for("dists/stable/main/binary-amd64/Packages")
 
 
