--- a/hitchtiller/repo/kinds/__init__.py
+++ b/hitchtiller/repo/kinds/__init__.py
@@ -31,7 +31,7 @@
     def is_listing(self, path: str) -> bool:
         """Tell whether a path is a list that names no files, served as it comes."""
 
-    def roots_for(self, path: str) -> list[str]:
+    def index_paths_for(self, path: str) -> list[str]:
         """Give the indexes that could name a file, as far as its path tells."""
 
     def parse(self, path: str, body: bytes) -> ParsedIndex:
--- a/hitchtiller/repo/kinds/debian.py
+++ b/hitchtiller/repo/kinds/debian.py
@@ -98,7 +98,7 @@
             else "application/octet-stream"
         )
 
-    def roots_for(self, path: str) -> list[str]:
+    def index_paths_for(self, path: str) -> list[str]:
         """Files below `dists/SUITE` are named by its Release; of the pool any suite may name one."""
         words = path.split("/")
         if words[0] != "dists" or len(words) < 3:
--- a/hitchtiller/repo/kinds/simple.py
+++ b/hitchtiller/repo/kinds/simple.py
@@ -85,7 +85,7 @@
             return "application/vnd.pypi.simple.v1+json"
         return "text/html; charset=utf-8"
 
-    def roots_for(self, path: str) -> list[str]:
+    def index_paths_for(self, path: str) -> list[str]:
         """A file's name begins with its project's."""
         name = path.rpartition("/")[2].removesuffix(".metadata")
         try:
--- a/hitchtiller/repo/service.py
+++ b/hitchtiller/repo/service.py
@@ -260,7 +260,7 @@
         One is read where none is known.
         """
         if path not in repo.where:
-            for root in repo.kind.roots_for(path):
+            for root in repo.kind.index_paths_for(path):
                 line = self._learn(repo, root, client)
                 if line:
                     line.serve(client, now_ms())
--- a/tests/repo/test_repo_kinds.py
+++ b/tests/repo/test_repo_kinds.py
@@ -49,10 +49,13 @@
 
 
 def test_a_file_tells_its_project() -> None:
-    assert SIMPLE.roots_for("files/Demo_Thing-1.0-py3-none-any.whl") == ["simple/demo-thing/"]
-    assert SIMPLE.roots_for("files/demo-1.0.tar.gz") == ["simple/demo/"] and SIMPLE.roots_for("files/x") == []
+    assert SIMPLE.index_paths_for("files/Demo_Thing-1.0-py3-none-any.whl") == ["simple/demo-thing/"]
+    assert (
+        SIMPLE.index_paths_for("files/demo-1.0.tar.gz") == ["simple/demo/"]
+        and SIMPLE.index_paths_for("files/x") == []
+    )
     assert SIMPLE.is_index(PAGE) and SIMPLE.is_listing("simple/") and not SIMPLE.is_index("files/x")
-    assert "dists/stable/InRelease" in DEBIAN.roots_for("dists/stable/main/binary-amd64/Packages")
+    assert "dists/stable/InRelease" in DEBIAN.index_paths_for("dists/stable/main/binary-amd64/Packages")
 
 
 RELEASE = f"Origin: x\nAcquire-By-Hash: yes\nSHA256:\n {A} 100 main/Packages\n {B} 50 main/Packages.gz\n"
