--- a/hitchtiller/repo/fetch.py
+++ b/hitchtiller/repo/fetch.py
@@ -131,7 +131,7 @@
             if parked:
                 self.sched.wake(me)
 
-        name = f"{source.key:016x}"
+        name = f"{file_request.key:016x}"
         ask = ClientRequest(
             f"{self.rng.getrandbits(64):016x}", file_request.class_name, name, file_request.key, until,
             part=number, group=file_request.group, size_kb=PART / 1000.0, background=True,
--- a/hitchtiller/repo/service.py
+++ b/hitchtiller/repo/service.py
@@ -14,12 +14,12 @@
     Assembly,
     BrokenBodyError,
     Part,
+    TagChangedError,
     VerifiedBodies,
     VerifiedBody,
-    TagChangedError,
 )
 from hitchtiller.repo.conditions import Validators, range_applies, status
-from hitchtiller.repo.fetch import ABSENT, PART, FetchFailedError, Fetcher, FetchRefusedError, FileRequest
+from hitchtiller.repo.fetch import ABSENT, PART, Fetcher, FetchFailedError, FetchRefusedError, FileRequest
 from hitchtiller.repo.generations import IndexHistory, NamedFile
 from hitchtiller.repo.kinds import BadIndex, Kind, ParsedIndex
 from hitchtiller.repo.paths import BadTarget, object_key, read_target
@@ -218,7 +218,7 @@
             line.mark_found(generation.digest, path)
         for path in sorted(generation.pending_paths):
             file_request.key = object_key(repo.name, path)
-            part = self.fetcher.one(file_request, 0)
+            part = self.fetcher.fetch(file_request, 0)
             named = generation.files[path]
             verified = self.verified_bodies.get(file_request.key, part.tag)
             if part.tag == ABSENT or not _may_be(part, named, verified.digest if verified else ""):
@@ -391,7 +391,7 @@
                 spans[0].size,
                 "range",
             )
-        boundary = hashlib.sha256(f"{source.key}{header}".encode()).hexdigest()[:24]
+        boundary = hashlib.sha256(f"{file_request.key}{header}".encode()).hexdigest()[:24]
         inner = next(value for name, value in common if name == "Content-Type")
         heads = [
             f"\r\n--{boundary}\r\nContent-Type: {inner}\r\n"
--- a/tests/repo/test_repo_decide.py
+++ b/tests/repo/test_repo_decide.py
@@ -9,7 +9,7 @@
 
 from hitchtiller.repo import conditions, ranges
 from hitchtiller.repo.admission import CEILING, FLOOR, BackgroundLimit, ConnectionLimits
-from hitchtiller.repo.body import TAIL_BYTES, Assembly, BrokenBodyError, Part, VerifiedBodies, TagChangedError
+from hitchtiller.repo.body import TAIL_BYTES, Assembly, BrokenBodyError, Part, TagChangedError, VerifiedBodies
 from hitchtiller.repo.budget import Budget, FileBudget
 from hitchtiller.repo.generations import MAX_GENERATIONS, IndexHistory, NamedFile, State
 from hitchtiller.repo.paths import BadTarget, object_key, read_target
