--- a/hitchtiller/repo/generations.py
+++ b/hitchtiller/repo/generations.py
@@ -58,7 +58,7 @@
     def __init__(self, grace_ms: float) -> None:
         """Permit a generation for `grace_ms` after another was served in its place."""
         self.grace_ms = grace_ms
-        self.known: OrderedDict[str, Generation] = OrderedDict()
+        self.generations: OrderedDict[str, Generation] = OrderedDict()
         self.newest_digest = ""  # the digest that came last from upstream
         self.served_digest = ""  # the digest that is served
         self.given: OrderedDict[str, str] = OrderedDict()
@@ -77,11 +77,11 @@
         One that is older than what is known by its time changes nothing, unless it has the same bytes as a
         newer one: a cache may lag. A roll-back is an older text given out anew.
         """
-        found = self.known.get(digest)
-        newest = self.known.get(self.newest_digest)
+        found = self.generations.get(digest)
+        newest = self.generations.get(self.newest_digest)
         if found is None:
-            found = self.known[digest] = Generation(digest, files, since_ms, body=body)
-            before = self.known.get(self.served_digest)
+            found = self.generations[digest] = Generation(digest, files, since_ms, body=body)
+            before = self.generations.get(self.served_digest)
             had = before.files if before else {}
             found.pending_paths = {
                 p for p, named in files.items() if had.get(p) != named and p not in optional
@@ -91,7 +91,7 @@
         elif since_ms > found.since_ms:
             found.since_ms = since_ms
         if newest is None or found.since_ms >= newest.since_ms:
-            order = list(self.known)
+            order = list(self.generations)
             if newest and newest is not found and order.index(digest) < order.index(newest.digest):
                 self.rollback_count += 1
             self.newest_digest = digest
@@ -99,15 +99,17 @@
         return found
 
     def _bound(self) -> None:
-        while len(self.known) > MAX_GENERATIONS:
-            old = next((d for d in self.known if d not in (self.newest_digest, self.served_digest)), None)
+        while len(self.generations) > MAX_GENERATIONS:
+            old = next(
+                (d for d in self.generations if d not in (self.newest_digest, self.served_digest)), None
+            )
             if old is None:
                 return
-            del self.known[old]
+            del self.generations[old]
 
     def mark_found(self, digest: str, path: str) -> None:
         """Hear that a file that a generation names is there."""
-        generation = self.known.get(digest)
+        generation = self.generations.get(digest)
         if generation:
             generation.pending_paths.discard(path)
             if not generation.pending_paths and generation.state is State.SEEN:
@@ -115,12 +117,12 @@
 
     def mark_missing(self, digest: str, now_ms: float) -> None:
         """Hear that a file is not there: it is looked for again after a while."""
-        if generation := self.known.get(digest):
+        if generation := self.generations.get(digest):
             generation.looked_ms = now_ms
 
     def due_for_check(self, now_ms: float) -> Generation | None:
         """Give the newest generation if its files have to be looked for now."""
-        generation = self.known.get(self.newest_digest)
+        generation = self.generations.get(self.newest_digest)
         if generation is None or generation.state is not State.SEEN:
             return None
         return generation if now_ms - generation.looked_ms >= AGAIN_MS else None
@@ -130,15 +132,15 @@
 
         The newest proven one; None if there is none yet.
         """
-        newest = self.known.get(self.newest_digest)
+        newest = self.generations.get(self.newest_digest)
         if newest and newest.state is not State.SEEN and self.newest_digest != self.served_digest:
-            before = self.known.get(self.served_digest)
+            before = self.generations.get(self.served_digest)
             if before:
                 before.state, before.retired_ms = State.RETIRED, now_ms
             self.served_digest = self.newest_digest
         elif newest and newest.state is State.SEEN:
             self.updates_withheld += 1
-        generation = self.known.get(self.served_digest)
+        generation = self.generations.get(self.served_digest)
         if generation is None:
             return None
         generation.state, generation.served_ms, generation.retired_ms = State.SERVED, now_ms, math.inf
@@ -160,7 +162,7 @@
 
     def _own(self, client: str) -> Generation | None:
         """Give a client's generation; the one that is served, where it is not known."""
-        return self.known.get(self.given.get(client, self.served_digest)) or self.known.get(
+        return self.generations.get(self.given.get(client, self.served_digest)) or self.generations.get(
             self.served_digest
         )
 
--- a/hitchtiller/repo/service.py
+++ b/hitchtiller/repo/service.py
@@ -187,8 +187,8 @@
             return None
         body, assembly = got
         line, digest = repo.line(path), assembly.hash.hexdigest()
-        if digest in line.known:
-            line.record_index(digest, line.known[digest].files, assembly.since_ms, body)
+        if digest in line.generations:
+            line.record_index(digest, line.generations[digest].files, assembly.since_ms, body)
         else:
             parsed = self._with_nested(repo, path, repo.kind.parse(path, body), client)
             line.record_index(digest, parsed.files, assembly.since_ms, body, parsed.optional)
--- a/tests/repo/test_repo_decide.py
+++ b/tests/repo/test_repo_decide.py
@@ -153,7 +153,7 @@
     line.mark_missing("g2", 20.0)
     assert line.due_for_check(100.0) is None and line.due_for_check(600.0) is second
     line.mark_found("g2", "b")
-    assert line.serve("c", 30.0).digest == "g2" and line.known["g1"].state is State.RETIRED  # type: ignore[union-attr]
+    assert line.serve("c", 30.0).digest == "g2" and line.generations["g1"].state is State.RETIRED  # type: ignore[union-attr]
 
 
 def test_a_client_gets_files_of_its_own_generation_alone() -> None:
@@ -189,8 +189,8 @@
     line = IndexHistory(0.0)
     for number in range(50):
         served(line, f"g{number}", named(a=str(number)), float(number), f"c{number}")
-        assert len(line.known) <= MAX_GENERATIONS
-    assert line.known.keys() >= {"g49"}
+        assert len(line.generations) <= MAX_GENERATIONS
+    assert line.generations.keys() >= {"g49"}
 
 
 # Bodies
