--- a/hitchtiller/repo/budget.py
+++ b/hitchtiller/repo/budget.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(slots=True)
-class FileBudget:
+class FileRepeatBudget:
     """One body's repeats."""
 
     parts: int = 0
@@ -37,7 +37,7 @@
     denied: int = 0
     hedged: int = 0
 
-    def asked(self, file: FileBudget) -> None:
+    def asked(self, file: FileRepeatBudget) -> None:
         """Earn from a first request for a part."""
         file.parts += 1
         self.tokens = min(SAVED, self.tokens + SHARE)
@@ -46,7 +46,7 @@
         """Learn how long a part usually takes."""
         self.usual_ms += 0.05 * (waited_ms - self.usual_ms) if self.usual_ms else waited_ms
 
-    def repeat(self, file: FileBudget, client: str, now_ms: float) -> bool:
+    def repeat(self, file: FileRepeatBudget, client: str, now_ms: float) -> bool:
         """Spend one repeat, if file, client and gateway all have one left."""
         left, at = self.clients.get(client, (CLIENT_SAVED, now_ms))
         left = min(CLIENT_SAVED, left + CLIENT_PER_S * max(0.0, now_ms - at) / 1000.0)
@@ -66,7 +66,7 @@
         self.clients = {name: entry for name, entry in self.clients.items() if now_ms - entry[1] < full_ms}
 
     def hedge(
-        self, number: int, parts: int, waited_ms: float, file: FileBudget, client: str, now_ms: float
+        self, number: int, parts: int, waited_ms: float, file: FileRepeatBudget, client: str, now_ms: float
     ) -> bool:
         """Tell whether a late part is asked for a second time.
 
--- a/hitchtiller/repo/fetch.py
+++ b/hitchtiller/repo/fetch.py
@@ -17,7 +17,7 @@
 from hitchtiller.exchange import REFUSED, SERVED, Answer, ClientRequest, Exchange
 from hitchtiller.repo.admission import BackgroundLimit
 from hitchtiller.repo.body import Part
-from hitchtiller.repo.budget import HEDGE_AFTER, HEDGE_LAST, Budget, FileBudget
+from hitchtiller.repo.budget import HEDGE_AFTER, HEDGE_LAST, Budget, FileRepeatBudget
 from hitchtiller.repo.window import Window
 from hitchtiller.sched import Scheduler, now_ms
 
@@ -48,7 +48,7 @@
     class_name: str
     group: int
     client: str
-    budget: FileBudget = field(default_factory=FileBudget)
+    budget: FileRepeatBudget = field(default_factory=FileRepeatBudget)
 
 
 def _size(got: Part | Exception) -> int:
--- a/tests/repo/test_repo_decide.py
+++ b/tests/repo/test_repo_decide.py
@@ -10,7 +10,7 @@
 from hitchtiller.repo import conditions, ranges
 from hitchtiller.repo.admission import CEILING, FLOOR, BackgroundLimit, ConnectionLimits
 from hitchtiller.repo.body import TAIL_BYTES, Assembly, BrokenBodyError, Part, TagChangedError, VerifiedBodies
-from hitchtiller.repo.budget import Budget, FileBudget
+from hitchtiller.repo.budget import Budget, FileRepeatBudget
 from hitchtiller.repo.generations import MAX_GENERATIONS, IndexHistory, NamedFile, State
 from hitchtiller.repo.paths import BadTarget, object_key, read_target
 from hitchtiller.repo.window import HIGH, MOST, Window
@@ -283,7 +283,7 @@
     budget = Budget()
     asked = repeats = 0
     for number in range(2000):
-        file = FileBudget()
+        file = FileRepeatBudget()
         for _ in range(3):
             budget.asked(file)
             asked += 1
@@ -294,17 +294,17 @@
 
 def test_one_client_can_not_spend_what_others_need() -> None:
     budget = Budget()
-    spent = sum(budget.repeat(FileBudget(), "greedy", 0.0) for _ in range(100))
-    assert spent == 20 and budget.repeat(FileBudget(), "other", 0.0)
-    assert budget.repeat(FileBudget(), "greedy", 1000.0)
+    spent = sum(budget.repeat(FileRepeatBudget(), "greedy", 0.0) for _ in range(100))
+    assert spent == 20 and budget.repeat(FileRepeatBudget(), "other", 0.0)
+    assert budget.repeat(FileRepeatBudget(), "greedy", 1000.0)
     many = Budget(tokens=1e9)
     for number in range(3000):
-        many.repeat(FileBudget(), f"c{number}", float(number * 100))
+        many.repeat(FileRepeatBudget(), f"c{number}", float(number * 100))
     assert len(many.clients) <= 1001
 
 
 def test_only_a_files_last_parts_are_hedged() -> None:
-    budget, file = Budget(), FileBudget(10)
+    budget, file = Budget(), FileRepeatBudget(10)
     assert not budget.hedge(9, 10, 500.0, file, "c", 0.0), "nothing is usual yet"
     budget.came(100.0)
     assert not budget.hedge(7, 10, 500.0, file, "c", 0.0) and not budget.hedge(9, 10, 200.0, file, "c", 0.0)
