--- a/hitchtiller/repo/budget.py
+++ b/hitchtiller/repo/budget.py
@@ -37,7 +37,7 @@
     denied: int = 0
     hedged: int = 0
 
-    def asked(self, file: FileRepeatBudget) -> None:
+    def record_request(self, file: FileRepeatBudget) -> None:
         """Earn from a first request for a part."""
         file.parts += 1
         self.tokens = min(SAVED, self.tokens + SHARE)
--- a/hitchtiller/repo/fetch.py
+++ b/hitchtiller/repo/fetch.py
@@ -153,7 +153,7 @@
 
         The last answer goes up as it is.
         """
-        self.budget.asked(file_request.budget)
+        self.budget.record_request(file_request.budget)
         while True:
             wait, error, part = PAUSE_MS, Exception(), None
             try:
@@ -221,7 +221,7 @@
                     if number is None:
                         more = False
                         break
-                    window.asked()
+                    window.record_request()
                     order.append(number)
                     out[number] = 1
                     self.sched.spawn(run, number)
--- a/hitchtiller/repo/window.py
+++ b/hitchtiller/repo/window.py
@@ -28,7 +28,7 @@
         """
         return waiting < HIGH and self.open + self.early < self.size
 
-    def asked(self) -> None:
+    def record_request(self) -> None:
         """Note a part that was asked for."""
         self.open += 1
 
--- a/tests/repo/test_repo_decide.py
+++ b/tests/repo/test_repo_decide.py
@@ -267,14 +267,14 @@
 def test_a_window_grows_with_a_client_that_drains_and_asks_nothing_for_one_that_does_not() -> None:
     window = Window()
     for _ in range(20):
-        window.asked()
+        window.record_request()
         window.came(0, 0)
     assert window.size == MOST and not window.may_ask(HIGH)
-    window.asked()
+    window.record_request()
     window.came(HIGH, 0)
     assert window.size == MOST // 2
     for _ in range(5):
-        window.asked()
+        window.record_request()
         window.failed()
     assert window.size == 1 and window.open == 0 and window.may_ask(0)
 
@@ -285,7 +285,7 @@
     for number in range(2000):
         file = FileRepeatBudget()
         for _ in range(3):
-            budget.asked(file)
+            budget.record_request(file)
             asked += 1
             while budget.repeat(file, f"c{number % 50}", float(number)):
                 repeats += 1
