--- a/hitchtiller/repo/budget.py
+++ b/hitchtiller/repo/budget.py
@@ -42,7 +42,7 @@
         file.parts += 1
         self.tokens = min(SAVED, self.tokens + SHARE)
 
-    def came(self, waited_ms: float) -> None:
+    def record_wait(self, waited_ms: float) -> None:
         """Learn how long a part usually takes."""
         self.usual_ms += 0.05 * (waited_ms - self.usual_ms) if self.usual_ms else waited_ms
 
--- a/hitchtiller/repo/fetch.py
+++ b/hitchtiller/repo/fetch.py
@@ -116,7 +116,7 @@
             self._next()
         if answer.kind == SERVED:
             self.came += 1
-            self.budget.came(now_ms() - begun)
+            self.budget.record_wait(now_ms() - begun)
             return Part(answer.body, answer.tag, answer.since_ms)
         if answer.kind == REFUSED:
             raise FetchRefusedError(answer.wait_ms)
