--- a/hitchtiller/repo/fetch.py
+++ b/hitchtiller/repo/fetch.py
@@ -242,7 +242,7 @@
                 if isinstance(got, Exception):
                     window.failed()
                     raise got
-                window.came(count_unsent_bytes(), len(ready), starved)
+                window.record_arrival(count_unsent_bytes(), len(ready), starved)
                 starved = False
                 yield number, got
         finally:
--- a/hitchtiller/repo/window.py
+++ b/hitchtiller/repo/window.py
@@ -32,7 +32,7 @@
         """Note a part that was asked for."""
         self.open += 1
 
-    def came(self, waiting: int, early: int, starved: bool = True) -> None:
+    def record_arrival(self, waiting: int, early: int, starved: bool = True) -> None:
         """Note a part that came, with what waits for the client and how many parts came early.
 
         More at once help only where the body had to wait for the part: a client that is slower needs none.
--- a/tests/repo/test_repo_decide.py
+++ b/tests/repo/test_repo_decide.py
@@ -268,10 +268,10 @@
     window = Window()
     for _ in range(20):
         window.record_request()
-        window.came(0, 0)
+        window.record_arrival(0, 0)
     assert window.size == MOST and not window.may_ask(HIGH)
     window.record_request()
-    window.came(HIGH, 0)
+    window.record_arrival(HIGH, 0)
     assert window.size == MOST // 2
     for _ in range(5):
         window.record_request()
