--- a/hitchtiller/repo/fetch.py
+++ b/hitchtiller/repo/fetch.py
@@ -240,7 +240,7 @@
                 number = order.popleft()
                 got = ready.pop(number)
                 if isinstance(got, Exception):
-                    window.failed()
+                    window.record_failure()
                     raise got
                 window.record_arrival(count_unsent_bytes(), len(ready), starved)
                 starved = False
--- a/hitchtiller/repo/window.py
+++ b/hitchtiller/repo/window.py
@@ -44,7 +44,7 @@
         elif waiting >= HIGH:
             self.size = max(1, self.size // 2)
 
-    def failed(self) -> None:
+    def record_failure(self) -> None:
         """Note a part that did not come: where servers fail, fewer at a time."""
         self.open -= 1
         self.size = max(1, self.size // 2)
--- a/tests/repo/test_repo_decide.py
+++ b/tests/repo/test_repo_decide.py
@@ -275,7 +275,7 @@
     assert window.size == MOST // 2
     for _ in range(5):
         window.record_request()
-        window.failed()
+        window.record_failure()
     assert window.size == 1 and window.open == 0 and window.may_ask(0)
 
 
