--- a/hitchtiller/repo/fetch.py
+++ b/hitchtiller/repo/fetch.py
@@ -65,7 +65,7 @@
         self.sched, self.engine, self.give_way, self.budget = sched, engine, give_way, budget
         self.rng = random.Random(seed)
         self.queue: deque[greenlet] = deque()  # who waits for a place
-        self.asked = self.came = 0
+        self.asked = self.parts_received = 0
         engine.on_final_answer = self._foreground
 
     def _foreground(self, exchange: Exchange, answer: Answer) -> None:
@@ -115,7 +115,7 @@
             self.give_way.open -= 1
             self._next()
         if answer.kind == SERVED:
-            self.came += 1
+            self.parts_received += 1
             self.budget.record_wait(now_ms() - begun)
             return Part(answer.body, answer.tag, answer.since_ms)
         if answer.kind == REFUSED:
