--- a/hitchtiller/repo/budget.py
+++ b/hitchtiller/repo/budget.py
@@ -46,7 +46,7 @@
         """Learn how long a part usually takes."""
         self.usual_ms += 0.05 * (waited_ms - self.usual_ms) if self.usual_ms else waited_ms
 
-    def repeat(self, file: FileRepeatBudget, client: str, now_ms: float) -> bool:
+    def try_repeat(self, file: FileRepeatBudget, client: str, now_ms: float) -> bool:
         """Spend one repeat, if file, client and gateway all have one left."""
         left, at = self.clients.get(client, (CLIENT_SAVED, now_ms))
         left = min(CLIENT_SAVED, left + CLIENT_PER_S * max(0.0, now_ms - at) / 1000.0)
@@ -74,7 +74,7 @@
         """
         if parts < 0 or number < parts - HEDGE_LAST or not self.usual_ms:
             return False
-        if waited_ms < HEDGE_AFTER * self.usual_ms or not self.repeat(file, client, now_ms):
+        if waited_ms < HEDGE_AFTER * self.usual_ms or not self.try_repeat(file, client, now_ms):
             return False
         self.hedged += 1
         return True
--- a/hitchtiller/repo/fetch.py
+++ b/hitchtiller/repo/fetch.py
@@ -164,7 +164,7 @@
                 wait, error = max(PAUSE_MS, refused.wait_ms), refused
             except FetchFailedError as failed:
                 error = failed
-            if not self.budget.repeat(file_request.budget, file_request.client, now_ms()):
+            if not self.budget.try_repeat(file_request.budget, file_request.client, now_ms()):
                 if part is None:
                     raise error
                 return part
--- a/tests/repo/test_repo_decide.py
+++ b/tests/repo/test_repo_decide.py
@@ -287,19 +287,19 @@
         for _ in range(3):
             budget.record_request(file)
             asked += 1
-            while budget.repeat(file, f"c{number % 50}", float(number)):
+            while budget.try_repeat(file, f"c{number % 50}", float(number)):
                 repeats += 1
     assert repeats == budget.spent <= 50 + 0.1 * asked + 1 and budget.denied
 
 
 def test_one_client_can_not_spend_what_others_need() -> None:
     budget = Budget()
-    spent = sum(budget.repeat(FileRepeatBudget(), "greedy", 0.0) for _ in range(100))
-    assert spent == 20 and budget.repeat(FileRepeatBudget(), "other", 0.0)
-    assert budget.repeat(FileRepeatBudget(), "greedy", 1000.0)
+    spent = sum(budget.try_repeat(FileRepeatBudget(), "greedy", 0.0) for _ in range(100))
+    assert spent == 20 and budget.try_repeat(FileRepeatBudget(), "other", 0.0)
+    assert budget.try_repeat(FileRepeatBudget(), "greedy", 1000.0)
     many = Budget(tokens=1e9)
     for number in range(3000):
-        many.repeat(FileRepeatBudget(), f"c{number}", float(number * 100))
+        many.try_repeat(FileRepeatBudget(), f"c{number}", float(number * 100))
     assert len(many.clients) <= 1001
 
 
