--- a/hitchtiller/repo/budget.py
+++ b/hitchtiller/repo/budget.py
@@ -65,7 +65,7 @@
         full_ms = 1000.0 * CLIENT_SAVED / CLIENT_PER_S
         self.clients = {name: entry for name, entry in self.clients.items() if now_ms - entry[1] < full_ms}
 
-    def hedge(
+    def try_hedge(
         self, number: int, parts: int, waited_ms: float, file: FileRepeatBudget, client: str, now_ms: float
     ) -> bool:
         """Tell whether a late part is asked for a second time.
--- a/hitchtiller/repo/fetch.py
+++ b/hitchtiller/repo/fetch.py
@@ -210,7 +210,9 @@
             if closed or number in ready or number not in order:
                 return
             now = now_ms()
-            if self.budget.hedge(number, total, now - begun, file_request.budget, file_request.client, now):
+            if self.budget.try_hedge(
+                number, total, now - begun, file_request.budget, file_request.client, now
+            ):
                 out[number] += 1
                 self.sched.spawn(run, number)
 
--- a/tests/repo/test_repo_decide.py
+++ b/tests/repo/test_repo_decide.py
@@ -305,10 +305,14 @@
 
 def test_only_a_files_last_parts_are_hedged() -> None:
     budget, file = Budget(), FileRepeatBudget(10)
-    assert not budget.hedge(9, 10, 500.0, file, "c", 0.0), "nothing is usual yet"
+    assert not budget.try_hedge(9, 10, 500.0, file, "c", 0.0), "nothing is usual yet"
     budget.record_wait(100.0)
-    assert not budget.hedge(7, 10, 500.0, file, "c", 0.0) and not budget.hedge(9, 10, 200.0, file, "c", 0.0)
-    assert budget.hedge(9, 10, 500.0, file, "c", 0.0) and not budget.hedge(9, -1, 500.0, file, "c", 0.0)
+    assert not budget.try_hedge(7, 10, 500.0, file, "c", 0.0) and not budget.try_hedge(
+        9, 10, 200.0, file, "c", 0.0
+    )
+    assert budget.try_hedge(9, 10, 500.0, file, "c", 0.0) and not budget.try_hedge(
+        9, -1, 500.0, file, "c", 0.0
+    )
 
 
 def test_background_gives_way_when_the_foreground_falls_behind_and_comes_back() -> None:
