--- a/hitchtiller/repo/budget.py
+++ b/hitchtiller/repo/budget.py
@@ -21,7 +21,7 @@
     parts: int = 0
     repeats: int = 0
 
-    def allows(self) -> bool:
+    def can_repeat(self) -> bool:
         """Tell whether one more may be repeated."""
         return self.repeats < FILE_LEAST + FILE_SHARE * self.parts
 
@@ -50,7 +50,7 @@
         """Spend one repeat, if file, client and gateway all have one left."""
         left, at = self.clients.get(client, (CLIENT_SAVED, now_ms))
         left = min(CLIENT_SAVED, left + CLIENT_PER_S * max(0.0, now_ms - at) / 1000.0)
-        if left < 1.0 or self.tokens < 1.0 or not file.allows():
+        if left < 1.0 or self.tokens < 1.0 or not file.can_repeat():
             self.denied += 1
             return False
         self.tokens -= 1.0
