--- a/hitchtiller/repo/budget.py
+++ b/hitchtiller/repo/budget.py
@@ -32,7 +32,7 @@
 
     tokens: float = SAVED
     clients: dict[str, tuple[float, float]] = field(default_factory=dict)  # tokens, when
-    usual_ms: float = 0.0
+    typical_wait_ms: float = 0.0
     spent: int = 0
     denied: int = 0
     hedged: int = 0
@@ -44,7 +44,9 @@
 
     def record_wait(self, waited_ms: float) -> None:
         """Learn how long a part usually takes."""
-        self.usual_ms += 0.05 * (waited_ms - self.usual_ms) if self.usual_ms else waited_ms
+        self.typical_wait_ms += (
+            0.05 * (waited_ms - self.typical_wait_ms) if self.typical_wait_ms else waited_ms
+        )
 
     def try_repeat(self, file: FileRepeatBudget, client: str, now_ms: float) -> bool:
         """Spend one repeat, if file, client and gateway all have one left."""
@@ -72,9 +74,9 @@
 
         Only a file's last ones, and from the same budget.
         """
-        if parts < 0 or number < parts - HEDGE_LAST or not self.usual_ms:
+        if parts < 0 or number < parts - HEDGE_LAST or not self.typical_wait_ms:
             return False
-        if waited_ms < HEDGE_AFTER * self.usual_ms or not self.try_repeat(file, client, now_ms):
+        if waited_ms < HEDGE_AFTER * self.typical_wait_ms or not self.try_repeat(file, client, now_ms):
             return False
         self.hedged += 1
         return True
--- a/hitchtiller/repo/fetch.py
+++ b/hitchtiller/repo/fetch.py
@@ -227,8 +227,8 @@
                     order.append(number)
                     out[number] = 1
                     self.sched.spawn(run, number)
-                    if total >= 0 and number >= total - HEDGE_LAST and self.budget.usual_ms:
-                        wait = 1.0 + HEDGE_AFTER * self.budget.usual_ms
+                    if total >= 0 and number >= total - HEDGE_LAST and self.budget.typical_wait_ms:
+                        wait = 1.0 + HEDGE_AFTER * self.budget.typical_wait_ms
                         self.sched.later(wait, partial(late, number, now_ms()))
                 if not order:
                     if not more:
