--- a/hitchtiller/repo/budget.py
+++ b/hitchtiller/repo/budget.py
@@ -35,7 +35,7 @@
     typical_wait_ms: float = 0.0
     spent: int = 0
     denied: int = 0
-    hedged: int = 0
+    hedge_count: int = 0
 
     def record_request(self, file: FileRepeatBudget) -> None:
         """Earn from a first request for a part."""
@@ -78,5 +78,5 @@
             return False
         if waited_ms < HEDGE_AFTER * self.typical_wait_ms or not self.try_repeat(file, client, now_ms):
             return False
-        self.hedged += 1
+        self.hedge_count += 1
         return True
