--- a/hitchtiller/repo/budget.py
+++ b/hitchtiller/repo/budget.py
@@ -6,10 +6,10 @@
 
 from dataclasses import dataclass, field
 
-SHARE = 0.1  # of all parts asked for, that may be repeats
-SAVED = 50.0  # repeats that are saved up at most
-FILE_LEAST, FILE_SHARE = 3, 0.2  # repeats of one file: some, and a share of its parts
-CLIENT_SAVED, CLIENT_PER_S = 20.0, 2.0
+REPEAT_SHARE = 0.1  # of all parts asked for, that may be repeats
+MAX_SAVED_REPEATS = 50.0  # repeats that are saved up at most
+MIN_FILE_REPEATS, FILE_REPEAT_SHARE = 3, 0.2  # repeats of one file: some, and a share of its parts
+MAX_CLIENT_REPEATS, CLIENT_REPEATS_PER_S = 20.0, 2.0
 HEDGE_LAST = 2  # parts at a file's end that may be asked for twice
 HEDGE_AFTER = 3.0  # times the usual wait
 
@@ -23,14 +23,14 @@
 
     def can_repeat(self) -> bool:
         """Tell whether one more may be repeated."""
-        return self.repeats < FILE_LEAST + FILE_SHARE * self.parts
+        return self.repeats < MIN_FILE_REPEATS + FILE_REPEAT_SHARE * self.parts
 
 
 @dataclass(slots=True)
 class Budget:
     """All repeats of a gateway's second front; times in ms."""
 
-    tokens: float = SAVED
+    tokens: float = MAX_SAVED_REPEATS
     clients: dict[str, tuple[float, float]] = field(default_factory=dict)  # tokens, when
     typical_wait_ms: float = 0.0
     spent: int = 0
@@ -40,7 +40,7 @@
     def record_request(self, file: FileRepeatBudget) -> None:
         """Earn from a first request for a part."""
         file.parts += 1
-        self.tokens = min(SAVED, self.tokens + SHARE)
+        self.tokens = min(MAX_SAVED_REPEATS, self.tokens + REPEAT_SHARE)
 
     def record_wait(self, waited_ms: float) -> None:
         """Learn how long a part usually takes."""
@@ -50,21 +50,23 @@
 
     def try_repeat(self, file: FileRepeatBudget, client: str, now_ms: float) -> bool:
         """Spend one repeat, if file, client and gateway all have one left."""
-        left, at = self.clients.get(client, (CLIENT_SAVED, now_ms))
-        left = min(CLIENT_SAVED, left + CLIENT_PER_S * max(0.0, now_ms - at) / 1000.0)
-        if left < 1.0 or self.tokens < 1.0 or not file.can_repeat():
+        remaining, updated_ms = self.clients.get(client, (MAX_CLIENT_REPEATS, now_ms))
+        remaining = min(
+            MAX_CLIENT_REPEATS, remaining + CLIENT_REPEATS_PER_S * max(0.0, now_ms - updated_ms) / 1000.0
+        )
+        if remaining < 1.0 or self.tokens < 1.0 or not file.can_repeat():
             self.denied += 1
             return False
         self.tokens -= 1.0
         file.repeats += 1
         self.spent += 1
-        self.clients[client] = (left - 1.0, now_ms)
+        self.clients[client] = (remaining - 1.0, now_ms)
         if len(self.clients) > 1000:
             self._forget(now_ms)
         return True
 
     def _forget(self, now_ms: float) -> None:
-        full_ms = 1000.0 * CLIENT_SAVED / CLIENT_PER_S
+        full_ms = 1000.0 * MAX_CLIENT_REPEATS / CLIENT_REPEATS_PER_S
         self.clients = {name: entry for name, entry in self.clients.items() if now_ms - entry[1] < full_ms}
 
     def try_hedge(
