--- a/hitchtiller/repo/budget.py
+++ b/hitchtiller/repo/budget.py
@@ -11,7 +11,7 @@
 MIN_FILE_REPEATS, FILE_REPEAT_SHARE = 3, 0.2  # repeats of one file: some, and a share of its parts
 MAX_CLIENT_REPEATS, CLIENT_REPEATS_PER_S = 20.0, 2.0
 HEDGE_LAST_PARTS = 2  # parts at a file's end that may be asked for twice
-HEDGE_AFTER = 3.0  # times the usual wait
+HEDGE_DELAY_FACTOR = 3.0  # times the usual wait
 
 
 @dataclass(slots=True)
@@ -78,7 +78,7 @@
         """
         if parts < 0 or number < parts - HEDGE_LAST_PARTS or not self.typical_wait_ms:
             return False
-        if waited_ms < HEDGE_AFTER * self.typical_wait_ms or not self.try_repeat(file, client, now_ms):
+        if waited_ms < HEDGE_DELAY_FACTOR * self.typical_wait_ms or not self.try_repeat(file, client, now_ms):
             return False
         self.hedge_count += 1
         return True
--- a/hitchtiller/repo/fetch.py
+++ b/hitchtiller/repo/fetch.py
@@ -17,7 +17,7 @@
 from hitchtiller.exchange import REFUSED, SERVED, Answer, ClientRequest, Exchange
 from hitchtiller.repo.admission import BackgroundLimit
 from hitchtiller.repo.body import Part
-from hitchtiller.repo.budget import HEDGE_AFTER, HEDGE_LAST_PARTS, Budget, FileRepeatBudget
+from hitchtiller.repo.budget import HEDGE_DELAY_FACTOR, HEDGE_LAST_PARTS, Budget, FileRepeatBudget
 from hitchtiller.repo.window import Window
 from hitchtiller.sched import Scheduler, now_ms
 
@@ -228,7 +228,7 @@
                     out[number] = 1
                     self.sched.spawn(run, number)
                     if total >= 0 and number >= total - HEDGE_LAST_PARTS and self.budget.typical_wait_ms:
-                        wait = 1.0 + HEDGE_AFTER * self.budget.typical_wait_ms
+                        wait = 1.0 + HEDGE_DELAY_FACTOR * self.budget.typical_wait_ms
                         self.sched.later(wait, partial(late, number, now_ms()))
                 if not order:
                     if not more:
