--- a/hitchtiller/repo/window.py
+++ b/hitchtiller/repo/window.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 FIRST, MOST = 2, 6
-LOW, HIGH = (
+LOW, MAX_UNSENT_BYTES = (
     60_000,
     240_000,
 )  # bytes that wait for the client: below, the window grows; above, nothing is asked
@@ -26,7 +26,7 @@
 
         A client that reads slowly holds no attempt open: nothing is asked while HIGH bytes wait for it.
         """
-        return waiting < HIGH and self.open + self.early < self.size
+        return waiting < MAX_UNSENT_BYTES and self.open + self.early < self.size
 
     def record_request(self) -> None:
         """Note a part that was asked for."""
@@ -41,7 +41,7 @@
         self.early = early
         if starved and waiting < LOW:
             self.size = min(MOST, self.size + 1)
-        elif waiting >= HIGH:
+        elif waiting >= MAX_UNSENT_BYTES:
             self.size = max(1, self.size // 2)
 
     def record_failure(self) -> None:
