--- a/hitchtiller/repo/window.py
+++ b/hitchtiller/repo/window.py
@@ -6,7 +6,7 @@
 
 from dataclasses import dataclass
 
-FIRST, MOST = 2, 6
+FIRST, MAX_PARTS = 2, 6
 LOW, MAX_UNSENT_BYTES = (
     60_000,
     240_000,
@@ -40,7 +40,7 @@
         self.open -= 1
         self.early = early
         if starved and waiting < LOW:
-            self.size = min(MOST, self.size + 1)
+            self.size = min(MAX_PARTS, self.size + 1)
         elif waiting >= MAX_UNSENT_BYTES:
             self.size = max(1, self.size // 2)
 
--- a/tests/repo/test_repo_decide.py
+++ b/tests/repo/test_repo_decide.py
@@ -13,7 +13,7 @@
 from hitchtiller.repo.budget import Budget, FileRepeatBudget
 from hitchtiller.repo.generations import MAX_GENERATIONS, IndexHistory, NamedFile, State
 from hitchtiller.repo.paths import BadTarget, object_key, read_target
-from hitchtiller.repo.window import MAX_UNSENT_BYTES, MOST, Window
+from hitchtiller.repo.window import MAX_PARTS, MAX_UNSENT_BYTES, Window
 
 PART = 1000
 
@@ -269,10 +269,10 @@
     for _ in range(20):
         window.record_request()
         window.record_arrival(0, 0)
-    assert window.size == MOST and not window.may_ask(MAX_UNSENT_BYTES)
+    assert window.size == MAX_PARTS and not window.may_ask(MAX_UNSENT_BYTES)
     window.record_request()
     window.record_arrival(MAX_UNSENT_BYTES, 0)
-    assert window.size == MOST // 2
+    assert window.size == MAX_PARTS // 2
     for _ in range(5):
         window.record_request()
         window.record_failure()
