--- a/hitchtiller/repo/fetch.py
+++ b/hitchtiller/repo/fetch.py
@@ -218,7 +218,7 @@
 
         try:
             while True:
-                while more and window.may_ask(count_unsent_bytes() + sum(map(_size, ready.values()))):
+                while more and window.can_request(count_unsent_bytes() + sum(map(_size, ready.values()))):
                     number = next(numbers, None)
                     if number is None:
                         more = False
--- a/hitchtiller/repo/window.py
+++ b/hitchtiller/repo/window.py
@@ -21,7 +21,7 @@
     open: int = 0  # parts under way
     early: int = 0  # parts that came before their turn
 
-    def may_ask(self, waiting: int) -> bool:
+    def can_request(self, waiting: int) -> bool:
         """Tell whether one more part may be asked for, with so many bytes waiting for the client.
 
         A client that reads slowly holds no attempt open: nothing is asked while HIGH bytes wait for it.
--- a/tests/repo/test_repo_decide.py
+++ b/tests/repo/test_repo_decide.py
@@ -269,14 +269,14 @@
     for _ in range(20):
         window.record_request()
         window.record_arrival(0, 0)
-    assert window.size == MAX_PARTS and not window.may_ask(MAX_UNSENT_BYTES)
+    assert window.size == MAX_PARTS and not window.can_request(MAX_UNSENT_BYTES)
     window.record_request()
     window.record_arrival(MAX_UNSENT_BYTES, 0)
     assert window.size == MAX_PARTS // 2
     for _ in range(5):
         window.record_request()
         window.record_failure()
-    assert window.size == 1 and window.open == 0 and window.may_ask(0)
+    assert window.size == 1 and window.open == 0 and window.can_request(0)
 
 
 def test_a_storm_of_failures_is_repeated_within_the_budget() -> None:
