--- a/hitchtiller/repo/window.py
+++ b/hitchtiller/repo/window.py
@@ -18,7 +18,7 @@
     """One body's window."""
 
     size: int = FIRST
-    open: int = 0  # parts under way
+    in_flight: int = 0  # parts under way
     early: int = 0  # parts that came before their turn
 
     def can_request(self, waiting: int) -> bool:
@@ -26,18 +26,18 @@
 
         A client that reads slowly holds no attempt open: nothing is asked while HIGH bytes wait for it.
         """
-        return waiting < MAX_UNSENT_BYTES and self.open + self.early < self.size
+        return waiting < MAX_UNSENT_BYTES and self.in_flight + self.early < self.size
 
     def record_request(self) -> None:
         """Note a part that was asked for."""
-        self.open += 1
+        self.in_flight += 1
 
     def record_arrival(self, waiting: int, early: int, starved: bool = True) -> None:
         """Note a part that came, with what waits for the client and how many parts came early.
 
         More at once help only where the body had to wait for the part: a client that is slower needs none.
         """
-        self.open -= 1
+        self.in_flight -= 1
         self.early = early
         if starved and waiting < LOW:
             self.size = min(MAX_PARTS, self.size + 1)
@@ -46,5 +46,5 @@
 
     def record_failure(self) -> None:
         """Note a part that did not come: where servers fail, fewer at a time."""
-        self.open -= 1
+        self.in_flight -= 1
         self.size = max(1, self.size // 2)
--- a/tests/repo/test_repo_decide.py
+++ b/tests/repo/test_repo_decide.py
@@ -276,7 +276,7 @@
     for _ in range(5):
         window.record_request()
         window.record_failure()
-    assert window.size == 1 and window.open == 0 and window.can_request(0)
+    assert window.size == 1 and window.in_flight == 0 and window.can_request(0)
 
 
 def test_a_storm_of_failures_is_repeated_within_the_budget() -> None:
