--- a/hitchtiller/repo/admission.py
+++ b/hitchtiller/repo/admission.py
@@ -8,7 +8,7 @@
 import math
 from dataclasses import dataclass, field
 
-FLOOR, CEILING = 2, 64  # parts under way in all
+MIN_PARTS, CEILING = 2, 64  # parts under way in all
 GOOD = 0.97  # share of foreground answers in time, from which on more is let in
 LOOK_MS = 200.0
 MEMORY_MS = 2_000.0  # over which the share is taken
@@ -43,7 +43,7 @@
         self.looked_ms = now_ms
         stale = now_ms - self.at_ms > MEMORY_MS
         if lag_ms > LAG_MS or (not stale and self.good < GOOD):
-            self.limit = max(FLOOR, self.limit * 0.7)
+            self.limit = max(MIN_PARTS, self.limit * 0.7)
         else:
             self.limit = min(CEILING, self.limit + 1.0)
 
--- a/tests/repo/test_repo_decide.py
+++ b/tests/repo/test_repo_decide.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from hitchtiller.repo import conditions, ranges
-from hitchtiller.repo.admission import CEILING, FLOOR, BackgroundLimit, ConnectionLimits
+from hitchtiller.repo.admission import CEILING, MIN_PARTS, BackgroundLimit, ConnectionLimits
 from hitchtiller.repo.body import TAIL_BYTES, Assembly, BrokenBodyError, Part, TagChangedError, VerifiedBodies
 from hitchtiller.repo.budget import Budget, FileRepeatBudget
 from hitchtiller.repo.generations import MAX_GENERATIONS, IndexHistory, NamedFile, State
@@ -321,8 +321,8 @@
         now += 10.0
         way.foreground(in_time=False, now_ms=now)
         way.look(0.0, now)
-    assert way.limit == FLOOR
-    way.open = FLOOR
+    assert way.limit == MIN_PARTS
+    way.open = MIN_PARTS
     assert not way.admits() and way.refused == 1
     for _ in range(3000):
         now += 10.0
@@ -332,7 +332,7 @@
     for _ in range(20):
         now += 200.0
         way.look(100.0, now)
-    assert way.limit == FLOOR, "the loop's lag counts too"
+    assert way.limit == MIN_PARTS, "the loop's lag counts too"
     assert BackgroundLimit(on=False, open=10**6).admits()
 
 
