--- a/hitchtiller/repo/admission.py
+++ b/hitchtiller/repo/admission.py
@@ -8,7 +8,7 @@
 import math
 from dataclasses import dataclass, field
 
-MIN_PARTS, CEILING = 2, 64  # parts under way in all
+MIN_PARTS, MAX_PARTS = 2, 64  # parts under way in all
 GOOD = 0.97  # share of foreground answers in time, from which on more is let in
 LOOK_MS = 200.0
 MEMORY_MS = 2_000.0  # over which the share is taken
@@ -45,7 +45,7 @@
         if lag_ms > LAG_MS or (not stale and self.good < GOOD):
             self.limit = max(MIN_PARTS, self.limit * 0.7)
         else:
-            self.limit = min(CEILING, self.limit + 1.0)
+            self.limit = min(MAX_PARTS, self.limit + 1.0)
 
     def admits(self) -> bool:
         """Tell whether one more part may go out now."""
--- a/tests/repo/test_repo_decide.py
+++ b/tests/repo/test_repo_decide.py
@@ -8,7 +8,8 @@
 from hypothesis import strategies as st
 
 from hitchtiller.repo import conditions, ranges
-from hitchtiller.repo.admission import CEILING, MIN_PARTS, BackgroundLimit, ConnectionLimits
+from hitchtiller.repo.admission import MAX_PARTS as MAX_BACKGROUND_PARTS
+from hitchtiller.repo.admission import MIN_PARTS, BackgroundLimit, ConnectionLimits
 from hitchtiller.repo.body import TAIL_BYTES, Assembly, BrokenBodyError, Part, TagChangedError, VerifiedBodies
 from hitchtiller.repo.budget import Budget, FileRepeatBudget
 from hitchtiller.repo.generations import MAX_GENERATIONS, IndexHistory, NamedFile, State
@@ -328,7 +329,7 @@
         now += 10.0
         way.foreground(in_time=True, now_ms=now)
         way.look(0.0, now)
-    assert way.limit == CEILING and way.admits()
+    assert way.limit == MAX_BACKGROUND_PARTS and way.admits()
     for _ in range(20):
         now += 200.0
         way.look(100.0, now)
