--- a/hitchtiller/repo/admission.py
+++ b/hitchtiller/repo/admission.py
@@ -28,7 +28,7 @@
     at_ms: float = -math.inf
     looked_ms: float = -math.inf
 
-    def foreground(self, in_time: bool, now_ms: float) -> None:
+    def record_foreground(self, in_time: bool, now_ms: float) -> None:
         """Hear how a request of another class ended."""
         left = math.exp(min(0.0, self.at_ms - now_ms) / MEMORY_MS) if self.weight else 0.0
         self.at_ms = now_ms
--- a/hitchtiller/repo/fetch.py
+++ b/hitchtiller/repo/fetch.py
@@ -74,7 +74,7 @@
             return
         now, cls = now_ms(), self.engine.router.settings.classes[exchange.request.class_name]
         in_time = answer.kind == SERVED and now - exchange.taken_ms <= cls.aim_ms
-        self.give_way.foreground(in_time, now)
+        self.give_way.record_foreground(in_time, now)
 
     def look(self) -> None:
         """Let the limit follow the foreground; called a few times a second."""
