--- a/hitchtiller/repo/admission.py
+++ b/hitchtiller/repo/admission.py
@@ -36,7 +36,7 @@
         self.good = (self.good * self.weight * left + in_time) / total
         self.weight = total
 
-    def look(self, lag_ms: float, now_ms: float) -> None:
+    def adjust(self, lag_ms: float, now_ms: float) -> None:
         """Move the limit, at most once in LOOK_MS."""
         if now_ms - self.looked_ms < LOOK_MS:
             return
--- a/hitchtiller/repo/fetch.py
+++ b/hitchtiller/repo/fetch.py
@@ -78,7 +78,7 @@
 
     def look(self) -> None:
         """Let the limit follow the foreground; called a few times a second."""
-        self.give_way.look(self.sched.lag_ms, now_ms())
+        self.give_way.adjust(self.sched.lag_ms, now_ms())
         self._next()
 
     def _next(self) -> None:
--- a/tests/repo/test_repo_decide.py
+++ b/tests/repo/test_repo_decide.py
@@ -321,18 +321,18 @@
     for _ in range(400):
         now += 10.0
         way.record_foreground(in_time=False, now_ms=now)
-        way.look(0.0, now)
+        way.adjust(0.0, now)
     assert way.limit == MIN_PARTS
     way.open = MIN_PARTS
     assert not way.admits() and way.refused == 1
     for _ in range(3000):
         now += 10.0
         way.record_foreground(in_time=True, now_ms=now)
-        way.look(0.0, now)
+        way.adjust(0.0, now)
     assert way.limit == MAX_BACKGROUND_PARTS and way.admits()
     for _ in range(20):
         now += 200.0
-        way.look(100.0, now)
+        way.adjust(100.0, now)
     assert way.limit == MIN_PARTS, "the loop's lag counts too"
     assert BackgroundLimit(on=False, open=10**6).admits()
 
