--- a/hitchtiller/repo/admission.py
+++ b/hitchtiller/repo/admission.py
@@ -9,10 +9,10 @@
 from dataclasses import dataclass, field
 
 MIN_PARTS, MAX_PARTS = 2, 64  # parts under way in all
-GOOD = 0.97  # share of foreground answers in time, from which on more is let in
-LOOK_MS = 200.0
-MEMORY_MS = 2_000.0  # over which the share is taken
-LAG_MS = 60.0  # of the loop, from which on less is let in
+MIN_IN_TIME_SHARE = 0.97  # share of foreground answers in time, from which on more is let in
+ADJUST_PERIOD_MS = 200.0
+AVERAGING_MS = 2_000.0  # over which the share is taken
+MAX_LAG_MS = 60.0  # of the loop, from which on less is let in
 
 
 @dataclass(slots=True)
@@ -23,26 +23,26 @@
     open: int = 0
     on: bool = True
     refused: int = 0
-    good: float = 1.0
-    weight: float = 0.0
-    at_ms: float = -math.inf
-    looked_ms: float = -math.inf
+    in_time_share: float = 1.0
+    sample_weight: float = 0.0
+    sampled_ms: float = -math.inf
+    adjusted_ms: float = -math.inf
 
     def record_foreground(self, in_time: bool, now_ms: float) -> None:
         """Hear how a request of another class ended."""
-        left = math.exp(min(0.0, self.at_ms - now_ms) / MEMORY_MS) if self.weight else 0.0
-        self.at_ms = now_ms
-        total = self.weight * left + 1.0
-        self.good = (self.good * self.weight * left + in_time) / total
-        self.weight = total
+        decay = math.exp(min(0.0, self.sampled_ms - now_ms) / AVERAGING_MS) if self.sample_weight else 0.0
+        self.sampled_ms = now_ms
+        total = self.sample_weight * decay + 1.0
+        self.in_time_share = (self.in_time_share * self.sample_weight * decay + in_time) / total
+        self.sample_weight = total
 
     def adjust(self, lag_ms: float, now_ms: float) -> None:
         """Move the limit, at most once in LOOK_MS."""
-        if now_ms - self.looked_ms < LOOK_MS:
+        if now_ms - self.adjusted_ms < ADJUST_PERIOD_MS:
             return
-        self.looked_ms = now_ms
-        stale = now_ms - self.at_ms > MEMORY_MS
-        if lag_ms > LAG_MS or (not stale and self.good < GOOD):
+        self.adjusted_ms = now_ms
+        is_stale = now_ms - self.sampled_ms > AVERAGING_MS
+        if lag_ms > MAX_LAG_MS or (not is_stale and self.in_time_share < MIN_IN_TIME_SHARE):
             self.limit = max(MIN_PARTS, self.limit * 0.7)
         else:
             self.limit = min(MAX_PARTS, self.limit + 1.0)
@@ -59,16 +59,16 @@
 class ConnectionLimits:
     """Connections in all and from each address."""
 
-    most: int
-    each: int
+    max_connections: int
+    max_per_address: int
     all: int = 0
     by_address: dict[str, int] = field(default_factory=dict)
 
     def enter(self, address: str) -> str:
         """Let one in, or give the reason code why not."""
-        if self.all >= self.most:
+        if self.all >= self.max_connections:
             return "full"
-        if self.by_address.get(address, 0) >= self.each:
+        if self.by_address.get(address, 0) >= self.max_per_address:
             return "too-many-of-one-address"
         self.all += 1
         self.by_address[address] = self.by_address.get(address, 0) + 1
