--- a/hitchtiller/repo/conditions.py
+++ b/hitchtiller/repo/conditions.py
@@ -11,8 +11,8 @@
 from datetime import UTC, datetime
 from email.utils import format_datetime, parsedate_to_datetime
 
-TAG = re.compile(r'(W/)?"([\x21\x23-\x7e]*)"')
-MOST_TAGS = 64
+ENTITY_TAG = re.compile(r'(W/)?"([\x21\x23-\x7e]*)"')
+MAX_TAGS = 64
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,7 +24,7 @@
     tag: str = ""  # of the bytes, as caches know them; "" for a body that is made here
 
     @property
-    def opaque(self) -> str:
+    def tag_text(self) -> str:
         """Give the strong tag's text."""
         return f"{self.digest}.{self.tag}" if self.tag else self.digest
 
@@ -33,7 +33,7 @@
         """Write the strong tag."""
         return f'"{self.opaque}"'
 
-    def same(self, text: str) -> bool:
+    def has_digest_of(self, text: str) -> bool:
         """Tell whether a client's whole copy of this tag has these bytes: only its digest counts then."""
         return text.partition(".")[0] == self.digest
 
@@ -47,36 +47,36 @@
     """Read a list of entity tags as (weak, opaque); None for `*`; what is malformed is left out."""
     if header.strip() == "*":
         return None
-    return [(bool(weak), text) for weak, text in TAG.findall(header)[:MOST_TAGS]]
+    return [(bool(weak), text) for weak, text in ENTITY_TAG.findall(header)[:MAX_TAGS]]
 
 
 def _date_ms(header: str) -> float | None:
     try:
-        moment = parsedate_to_datetime(header)
+        date = parsedate_to_datetime(header)
     except (ValueError, TypeError, IndexError, OverflowError):
         return None
-    if moment.tzinfo is None:
-        moment = moment.replace(tzinfo=UTC)
-    return moment.timestamp() * 1000.0
+    if date.tzinfo is None:
+        date = date.replace(tzinfo=UTC)
+    return date.timestamp() * 1000.0
 
 
 def status(method: str, headers: Mapping[str, str], known: Validators) -> int:
     """Give 200 to go on, 304 or 412, in the order that the standard gives the conditions."""
     if "if-match" in headers:
         tags = read_tags(headers["if-match"])
-        if tags is not None and not any(not weak and known.same(text) for weak, text in tags):
+        if tags is not None and not any(not weak and known.has_digest_of(text) for weak, text in tags):
             return 412
     elif "if-unmodified-since" in headers and known.modified_ms:
-        since = _date_ms(headers["if-unmodified-since"])
-        if since is not None and known.modified_ms // 1000 * 1000 > since:
+        date_ms = _date_ms(headers["if-unmodified-since"])
+        if date_ms is not None and known.modified_ms // 1000 * 1000 > date_ms:
             return 412
     if "if-none-match" in headers:
         tags = read_tags(headers["if-none-match"])
-        if tags is None or any(known.same(text) for _, text in tags):
+        if tags is None or any(known.has_digest_of(text) for _, text in tags):
             return 304 if method in ("GET", "HEAD") else 412
     elif "if-modified-since" in headers and known.modified_ms and method in ("GET", "HEAD"):
-        since = _date_ms(headers["if-modified-since"])
-        if since is not None and known.modified_ms // 1000 * 1000 <= since:
+        date_ms = _date_ms(headers["if-modified-since"])
+        if date_ms is not None and known.modified_ms // 1000 * 1000 <= date_ms:
             return 304
     return 200
 
@@ -86,8 +86,8 @@
     condition = headers.get("if-range")
     if condition is None:
         return True
-    tags = TAG.findall(condition)
+    tags = ENTITY_TAG.findall(condition)
     if tags:
-        return [(bool(weak), text) for weak, text in tags] == [(False, known.opaque)]
-    since = _date_ms(condition)
-    return since is not None and bool(known.modified_ms) and known.modified_ms // 1000 * 1000 == since
+        return [(bool(weak), text) for weak, text in tags] == [(False, known.tag_text)]
+    date_ms = _date_ms(condition)
+    return date_ms is not None and bool(known.modified_ms) and known.modified_ms // 1000 * 1000 == date_ms
