--- a/hitchtiller/repo/ranges.py
+++ b/hitchtiller/repo/ranges.py
@@ -7,8 +7,8 @@
 import re
 from dataclasses import dataclass
 
-MOST = 16
-SPEC = re.compile(r"(\d{1,18})?-(\d{1,18})?\Z")
+MAX_RANGES = 16
+RANGE_SPEC = re.compile(r"(\d{1,18})?-(\d{1,18})?\Z")
 
 
 class Unsatisfiable(Exception):
@@ -38,16 +38,16 @@
     None where it is to be passed over (another unit, malformed, too many, overlapping); Unsatisfiable where
     all of it lies outside.
     """
-    unit, sign, text = header.partition("=")
-    if not sign or unit.strip().lower() != "bytes":
+    unit, equals, text = header.partition("=")
+    if not equals or unit.strip().lower() != "bytes":
         return None
     specs = [spec.strip(" \t") for spec in text.split(",")]
     specs = [spec for spec in specs if spec]
-    if not specs or len(specs) > MOST:
+    if not specs or len(specs) > MAX_RANGES:
         return None
     spans: list[Span] = []
     for spec in specs:
-        match = SPEC.match(spec)
+        match = RANGE_SPEC.match(spec)
         if not match or spec == "-":
             return None
         first, last = match.groups()
@@ -68,12 +68,12 @@
 
 def parts_of(span: Span, part_bytes: int) -> list[tuple[int, int, int]]:
     """Give part number and slice (begin, end) within it for each part that a span needs, in order."""
-    found = []
-    at = span.first
-    while at < span.end:
-        number = at // part_bytes
-        begin = at - number * part_bytes
+    slices = []
+    offset = span.first
+    while offset < span.end:
+        number = offset // part_bytes
+        begin = offset - number * part_bytes
         end = min(part_bytes, span.end - number * part_bytes)
-        found.append((number, begin, end))
-        at = number * part_bytes + end
-    return found
+        slices.append((number, begin, end))
+        offset = number * part_bytes + end
+    return slices
