--- a/hitchtiller/repo/ranges.py
+++ b/hitchtiller/repo/ranges.py
@@ -66,7 +66,7 @@
     return None if overlaps > 1 else spans
 
 
-def parts_of(span: Span, part_bytes: int) -> list[tuple[int, int, int]]:
+def split_into_parts(span: Span, part_bytes: int) -> list[tuple[int, int, int]]:
     """Give part number and slice (begin, end) within it for each part that a span needs, in order."""
     slices = []
     offset = span.first
--- a/hitchtiller/repo/service.py
+++ b/hitchtiller/repo/service.py
@@ -23,7 +23,7 @@
 from hitchtiller.repo.generations import IndexHistory, NamedFile
 from hitchtiller.repo.kinds import BadIndex, Kind, ParsedIndex
 from hitchtiller.repo.paths import BadTarget, object_key, read_target
-from hitchtiller.repo.ranges import Span, Unsatisfiable, parts_of, read_ranges
+from hitchtiller.repo.ranges import Span, Unsatisfiable, read_ranges, split_into_parts
 from hitchtiller.sched import now_ms
 from hitchtiller.store.purges import Purges
 
@@ -421,7 +421,7 @@
     ) -> Iterator[bytes]:
         """Give stretches of a proven tag; Broken where a part of another tag came."""
         for span in spans:
-            slices = {number: (begin, end) for number, begin, end in parts_of(span, PART)}
+            slices = {number: (begin, end) for number, begin, end in split_into_parts(span, PART)}
             parts = self.fetcher.fetch_in_order(
                 file_request, iter(slices), count_unsent_bytes, lambda part: part.tag == tag
             )
--- a/tests/repo/test_repo_decide.py
+++ b/tests/repo/test_repo_decide.py
@@ -34,7 +34,7 @@
         assert not slices
         return
     if spans is not None:
-        got = [b"".join(parts[n][x:y] for n, x, y in ranges.parts_of(span, PART)) for span in spans]
+        got = [b"".join(parts[n][x:y] for n, x, y in ranges.split_into_parts(span, PART)) for span in spans]
         assert got == slices
         assert all(span.content_range(size).startswith(f"bytes {span.first}-") for span in spans)
 
