--- a/hitchtiller/repo/paths.py
+++ b/hitchtiller/repo/paths.py
@@ -10,11 +10,11 @@
 
 import xxhash
 
-MOST_TARGET = 2_048  # bytes
-MOST_SEGMENTS = 32
-UNRESERVED = re.compile(r"[A-Za-z0-9\-._~!$&'()*+,;=:@/%]*\Z")  # RFC 3986, pchar and the slash
+MAX_TARGET_BYTES = 2_048  # bytes
+MAX_SEGMENTS = 32
+PATH_CHARACTERS = re.compile(r"[A-Za-z0-9\-._~!$&'()*+,;=:@/%]*\Z")  # RFC 3986, pchar and the slash
 ESCAPE = re.compile(r"%([0-9A-Fa-f]{2})?")
-PLAIN = re.compile(r"[A-Za-z0-9\-._~!$&'()*+,;=:@]+\Z")
+SEGMENT_CHARACTERS = re.compile(r"[A-Za-z0-9\-._~!$&'()*+,;=:@]+\Z")
 
 
 class BadTarget(ValueError):
@@ -36,8 +36,8 @@
 
 def read_target(raw: bytes, hosts: frozenset[str] = frozenset()) -> Target:
     """Read a request target; an absolute form is taken only for one of our own hosts."""
-    if len(raw) > MOST_TARGET:
-        raise BadTarget(414, f"target of {len(raw)} bytes; {MOST_TARGET} are taken")
+    if len(raw) > MAX_TARGET_BYTES:
+        raise BadTarget(414, f"target of {len(raw)} bytes; {MAX_TARGET_BYTES} are taken")
     try:
         text = raw.decode("ascii")
     except UnicodeDecodeError:
@@ -50,34 +50,40 @@
     if not text.startswith("/"):
         raise BadTarget(400, "target does not begin with /")
     path, _, query = text.partition("?")
-    if not UNRESERVED.match(path):
+    if not PATH_CHARACTERS.match(path):
         raise BadTarget(400, "target holds bytes that must be encoded")
     return Target(_decode(path[1:]), query)
 
 
 def _decode(path: str) -> str:
     segments = path.split("/")
-    if len(segments) > MOST_SEGMENTS:
-        raise BadTarget(414, f"target of {len(segments)} segments; {MOST_SEGMENTS} are taken")
+    if len(segments) > MAX_SEGMENTS:
+        raise BadTarget(414, f"target of {len(segments)} segments; {MAX_SEGMENTS} are taken")
     return "/".join(
-        _segment(segment, last=place == len(segments) - 1) for place, segment in enumerate(segments)
+        _segment(segment, is_last=position == len(segments) - 1) for position, segment in enumerate(segments)
     )
 
 
-def _segment(text: str, last: bool) -> str:
-    def decoded(match: re.Match[str]) -> str:
+def _segment(text: str, is_last: bool) -> str:
+    def decode_escape(match: re.Match[str]) -> str:
         if not match.group(1):
             raise BadTarget(400, "target holds a % without two hexadecimal digits")
         return chr(int(match.group(1), 16))
 
-    plain = ESCAPE.sub(decoded, text)
-    if plain in (".", "..") or not plain.isprintable() or "/" in plain or "\\" in plain or "%" in plain:
+    decoded_text = ESCAPE.sub(decode_escape, text)
+    if (
+        decoded_text in (".", "..")
+        or not decoded_text.isprintable()
+        or "/" in decoded_text
+        or "\\" in decoded_text
+        or "%" in decoded_text
+    ):
         raise BadTarget(400, f"segment {text[:40]!r} is not taken: it could be read as another path")
-    if not plain.isascii():
+    if not decoded_text.isascii():
         raise BadTarget(404, "nothing here has such a name")
-    if not plain and not last:
+    if not decoded_text and not is_last:
         raise BadTarget(400, "target has an empty segment")
-    return plain
+    return decoded_text
 
 
 def object_key(repository: str, path: str) -> int:
