--- a/hitchtiller/repo/conditions.py
+++ b/hitchtiller/repo/conditions.py
@@ -31,7 +31,7 @@
     @property
     def etag(self) -> str:
         """Write the strong tag."""
-        return f'"{self.opaque}"'
+        return f'"{self.tag_text}"'
 
     def has_digest_of(self, text: str) -> bool:
         """Tell whether a client's whole copy of this tag has these bytes: only its digest counts then."""
