--- a/hitchtiller/repo/generations.py
+++ b/hitchtiller/repo/generations.py
@@ -13,7 +13,7 @@
 
 MAX_GENERATIONS = 8
 MAX_CLIENTS = 10_000
-AGAIN_MS = 500.0  # before an unproven generation is looked at again
+RECHECK_MS = 500.0  # before an unproven generation is looked at again
 
 
 class State(Enum):
@@ -49,7 +49,7 @@
     retired_ms: float = math.inf
     body: bytes = b""
     pending_paths: set[str] = field(default_factory=set)  # paths that have to be there before it is proven
-    looked_ms: float = -math.inf
+    checked_ms: float = -math.inf
 
 
 class IndexHistory:
@@ -61,7 +61,7 @@
         self.generations: OrderedDict[str, Generation] = OrderedDict()
         self.newest_digest = ""  # the digest that came last from upstream
         self.served_digest = ""  # the digest that is served
-        self.given: OrderedDict[str, str] = OrderedDict()
+        self.served_to: OrderedDict[str, str] = OrderedDict()
         self.updates_withheld = self.rollback_count = 0
 
     def record_index(
@@ -77,35 +77,39 @@
         One that is older than what is known by its time changes nothing, unless it has the same bytes as a
         newer one: a cache may lag. A roll-back is an older text given out anew.
         """
-        found = self.generations.get(digest)
-        newest = self.generations.get(self.newest_digest)
-        if found is None:
-            found = self.generations[digest] = Generation(digest, files, since_ms, body=body)
-            before = self.generations.get(self.served_digest)
-            had = before.files if before else {}
-            found.pending_paths = {
-                p for p, named in files.items() if had.get(p) != named and p not in optional
+        generation = self.generations.get(digest)
+        newest_generation = self.generations.get(self.newest_digest)
+        if generation is None:
+            generation = self.generations[digest] = Generation(digest, files, since_ms, body=body)
+            previous = self.generations.get(self.served_digest)
+            previous_files = previous.files if previous else {}
+            generation.pending_paths = {
+                p for p, named in files.items() if previous_files.get(p) != named and p not in optional
             }
-            if not found.pending_paths:
-                found.state = State.PROVEN
-        elif since_ms > found.since_ms:
-            found.since_ms = since_ms
-        if newest is None or found.since_ms >= newest.since_ms:
-            order = list(self.generations)
-            if newest and newest is not found and order.index(digest) < order.index(newest.digest):
+            if not generation.pending_paths:
+                generation.state = State.PROVEN
+        elif since_ms > generation.since_ms:
+            generation.since_ms = since_ms
+        if newest_generation is None or generation.since_ms >= newest_generation.since_ms:
+            arrival_order = list(self.generations)
+            if (
+                newest_generation
+                and newest_generation is not generation
+                and arrival_order.index(digest) < arrival_order.index(newest_generation.digest)
+            ):
                 self.rollback_count += 1
             self.newest_digest = digest
-        self._bound()
-        return found
+        self._enforce_limit()
+        return generation
 
-    def _bound(self) -> None:
+    def _enforce_limit(self) -> None:
         while len(self.generations) > MAX_GENERATIONS:
-            old = next(
+            oldest = next(
                 (d for d in self.generations if d not in (self.newest_digest, self.served_digest)), None
             )
-            if old is None:
+            if oldest is None:
                 return
-            del self.generations[old]
+            del self.generations[oldest]
 
     def mark_found(self, digest: str, path: str) -> None:
         """Hear that a file that a generation names is there."""
@@ -118,36 +122,40 @@
     def mark_missing(self, digest: str, now_ms: float) -> None:
         """Hear that a file is not there: it is looked for again after a while."""
         if generation := self.generations.get(digest):
-            generation.looked_ms = now_ms
+            generation.checked_ms = now_ms
 
     def due_for_check(self, now_ms: float) -> Generation | None:
         """Give the newest generation if its files have to be looked for now."""
         generation = self.generations.get(self.newest_digest)
         if generation is None or generation.state is not State.SEEN:
             return None
-        return generation if now_ms - generation.looked_ms >= AGAIN_MS else None
+        return generation if now_ms - generation.checked_ms >= RECHECK_MS else None
 
     def serve(self, client: str, now_ms: float) -> Generation | None:
         """Give the generation whose index a client gets now.
 
         The newest proven one; None if there is none yet.
         """
-        newest = self.generations.get(self.newest_digest)
-        if newest and newest.state is not State.SEEN and self.newest_digest != self.served_digest:
-            before = self.generations.get(self.served_digest)
-            if before:
-                before.state, before.retired_ms = State.RETIRED, now_ms
+        newest_generation = self.generations.get(self.newest_digest)
+        if (
+            newest_generation
+            and newest_generation.state is not State.SEEN
+            and self.newest_digest != self.served_digest
+        ):
+            previous = self.generations.get(self.served_digest)
+            if previous:
+                previous.state, previous.retired_ms = State.RETIRED, now_ms
             self.served_digest = self.newest_digest
-        elif newest and newest.state is State.SEEN:
+        elif newest_generation and newest_generation.state is State.SEEN:
             self.updates_withheld += 1
         generation = self.generations.get(self.served_digest)
         if generation is None:
             return None
         generation.state, generation.served_ms, generation.retired_ms = State.SERVED, now_ms, math.inf
-        self.given[client] = generation.digest
-        self.given.move_to_end(client)
-        if len(self.given) > MAX_CLIENTS:
-            self.given.popitem(last=False)
+        self.served_to[client] = generation.digest
+        self.served_to.move_to_end(client)
+        if len(self.served_to) > MAX_CLIENTS:
+            self.served_to.popitem(last=False)
         return generation
 
     def permitted(self, client: str, path: str, now_ms: float) -> NamedFile | None:
@@ -157,21 +165,21 @@
         generation, older or newer, are never for a client: it would pair an index with another release's
         file.
         """
-        own = self._own(client)
-        return own.files.get(path) if own and self._may(own, now_ms) else None
+        own = self._generation_for(client)
+        return own.files.get(path) if own and self._is_permitted(own, now_ms) else None
 
-    def _own(self, client: str) -> Generation | None:
+    def _generation_for(self, client: str) -> Generation | None:
         """Give a client's generation; the one that is served, where it is not known."""
-        return self.generations.get(self.given.get(client, self.served_digest)) or self.generations.get(
+        return self.generations.get(self.served_to.get(client, self.served_digest)) or self.generations.get(
             self.served_digest
         )
 
     def is_outdated(self, client: str, now_ms: float) -> bool:
         """Tell whether a client holds an index that is permitted no more."""
-        own = self._own(client)
-        return own is not None and not self._may(own, now_ms)
+        own = self._generation_for(client)
+        return own is not None and not self._is_permitted(own, now_ms)
 
-    def _may(self, generation: Generation, now_ms: float) -> bool:
+    def _is_permitted(self, generation: Generation, now_ms: float) -> bool:
         if generation.state is State.RETIRED:
             return now_ms - generation.retired_ms <= self.grace_ms
         return generation.state is State.SERVED
