--- a/hitchtiller/repo/fetch.py
+++ b/hitchtiller/repo/fetch.py
@@ -22,8 +22,8 @@
 from hitchtiller.sched import Scheduler, now_ms
 
 PART = 240_000  # bytes: the most that the platform's objects hold
-PAUSE_MS = 100.0  # before a part is asked for again
-FULL_MS = 20.0  # how often a client that takes nothing is looked at
+REPEAT_DELAY_MS = 100.0  # before a part is asked for again
+CLIENT_POLL_MS = 20.0  # how often a client that takes nothing is looked at
 ABSENT = "absent"  # the tag of an empty part that says: there is no such file
 
 
@@ -64,11 +64,11 @@
         """Share limits and budget among all bodies."""
         self.sched, self.engine, self.give_way, self.budget = sched, engine, give_way, budget
         self.rng = random.Random(seed)
-        self.queue: deque[greenlet] = deque()  # who waits for a place
+        self.waiters: deque[greenlet] = deque()  # who waits for a place
         self.asked = self.parts_received = 0
-        engine.on_final_answer = self._foreground
+        engine.on_final_answer = self._on_final_answer
 
-    def _foreground(self, exchange: Exchange, answer: Answer) -> None:
+    def _on_final_answer(self, exchange: Exchange, answer: Answer) -> None:
         """Learn from other classes' answers whether the foreground keeps up."""
         if exchange.request.background:
             return
@@ -79,66 +79,68 @@
     def look(self) -> None:
         """Let the limit follow the foreground; called a few times a second."""
         self.give_way.adjust(self.sched.lag_ms, now_ms())
-        self._next()
+        self._wake_next()
 
-    def _next(self) -> None:
-        while self.queue and (not self.give_way.on or self.give_way.open < int(self.give_way.limit)):
-            self.sched.wake(self.queue.popleft(), True)
+    def _wake_next(self) -> None:
+        while self.waiters and (not self.give_way.on or self.give_way.open < int(self.give_way.limit)):
+            self.sched.wake(self.waiters.popleft(), True)
             return
 
-    def _enter(self, until_ms: float) -> None:
-        me = getcurrent()
+    def _acquire_slot(self, until_ms: float) -> None:
+        own_greenlet = getcurrent()
         while not self.give_way.admits():
-            self.queue.append(me)
-            timer = self.sched.later(max(1.0, until_ms - now_ms()), lambda: self._tired(me))
-            let_in = self.sched.park()
+            self.waiters.append(own_greenlet)
+            timer = self.sched.later(
+                max(1.0, until_ms - now_ms()), lambda: self._on_slot_timeout(own_greenlet)
+            )
+            was_admitted = self.sched.park()
             timer.cancel()
-            if not let_in:
+            if not was_admitted:
                 raise FetchRefusedError(self.engine.router.settings.max_retry_after_ms)
         self.give_way.open += 1
 
-    def _tired(self, task: greenlet) -> None:
-        if task in self.queue:
-            self.queue.remove(task)
-            self.sched.wake(task, False)
+    def _on_slot_timeout(self, waiter: greenlet) -> None:
+        if waiter in self.waiters:
+            self.waiters.remove(waiter)
+            self.sched.wake(waiter, False)
 
     def fetch(self, file_request: FileRequest, number: int) -> Part:
         """Get one part, parking this greenlet; Refused or Failed where it does not come."""
         cls = self.engine.router.settings.classes[file_request.class_name]
-        begun = now_ms()
-        until = begun + cls.deadline_ms
-        self._enter(until)
+        started_ms = now_ms()
+        until = started_ms + cls.deadline_ms
+        self._acquire_slot(until)
         self.asked += 1
         try:
-            answer = self._ask(file_request, number, until)
+            answer = self._request_part(file_request, number, until)
         finally:
             self.give_way.open -= 1
-            self._next()
+            self._wake_next()
         if answer.kind == SERVED:
             self.parts_received += 1
-            self.budget.record_wait(now_ms() - begun)
+            self.budget.record_wait(now_ms() - started_ms)
             return Part(answer.body, answer.tag, answer.since_ms)
         if answer.kind == REFUSED:
             raise FetchRefusedError(answer.wait_ms)
         raise FetchFailedError
 
-    def _ask(self, file_request: FileRequest, number: int, until: float) -> Answer:
-        me, got = getcurrent(), list[Answer]()
-        parked = False
+    def _request_part(self, file_request: FileRequest, number: int, until: float) -> Answer:
+        own_greenlet, got = getcurrent(), list[Answer]()
+        is_parked = False
 
         def deliver(answer: Answer) -> None:
             got.append(answer)
-            if parked:
-                self.sched.wake(me)
+            if is_parked:
+                self.sched.wake(own_greenlet)
 
-        name = f"{file_request.key:016x}"
+        object_name = f"{file_request.key:016x}"
         ask = ClientRequest(
-            f"{self.rng.getrandbits(64):016x}", file_request.class_name, name, file_request.key, until,
+            f"{self.rng.getrandbits(64):016x}", file_request.class_name, object_name, file_request.key, until,
             part=number, group=file_request.group, size_kb=PART / 1000.0, background=True,
         )  # fmt: skip
         exchange = self.engine.take(ask, deliver)
         if not got:
-            parked = True
+            is_parked = True
             try:
                 self.sched.park()
             except BaseException:
@@ -147,7 +149,10 @@
         return got[0]
 
     def fetch_with_repeats(
-        self, file_request: FileRequest, number: int, fits: Callable[[Part], bool] = lambda part: True
+        self,
+        file_request: FileRequest,
+        number: int,
+        is_acceptable: Callable[[Part], bool] = lambda part: True,
     ) -> Part:
         """Get one part, repeating within the budget what fails or does not fit.
 
@@ -155,97 +160,103 @@
         """
         self.budget.record_request(file_request.budget)
         while True:
-            wait, error, part = PAUSE_MS, Exception(), None
+            delay_ms, error, part = REPEAT_DELAY_MS, Exception(), None
             try:
                 part = self.fetch(file_request, number)
-                if fits(part):
+                if is_acceptable(part):
                     return part
             except FetchRefusedError as refused:
-                wait, error = max(PAUSE_MS, refused.wait_ms), refused
+                delay_ms, error = max(REPEAT_DELAY_MS, refused.wait_ms), refused
             except FetchFailedError as failed:
                 error = failed
             if not self.budget.try_repeat(file_request.budget, file_request.client, now_ms()):
                 if part is None:
                     raise error
                 return part
-            self.sched.sleep(wait)
+            self.sched.sleep(delay_ms)
 
     def fetch_in_order(
         self,
         file_request: FileRequest,
         numbers: Iterator[int],
         count_unsent_bytes: Callable[[], int],
-        fits: Callable[[Part], bool],
-        total: int = -1,
+        is_acceptable: Callable[[Part], bool],
+        part_count: int = -1,
     ) -> Iterator[tuple[int, Part]]:
         """Give parts in the order of their numbers, several under way; closing the iterator ends them.
 
         `waiting` tells how many bytes wait for the client: while there are many, nothing more is asked for.
         With a known `total` of parts, the last ones are asked for a second time where they are late.
         """
-        window, me = Window(), getcurrent()
-        ready: dict[int, Part | Exception] = {}
-        out: dict[int, int] = {}  # requests under way for a part
-        order: deque[int] = deque()
-        more, closed, parked, starved = True, False, False, False
+        window, own_greenlet = Window(), getcurrent()
+        arrived: dict[int, Part | Exception] = {}
+        pending_requests: dict[int, int] = {}  # requests under way for a part
+        requested: deque[int] = deque()
+        has_more, is_closed, is_parked, was_starved = True, False, False, False
 
         def run(number: int) -> None:
-            nonlocal parked
+            nonlocal is_parked
             got: Part | Exception
             try:
-                got = self.fetch_with_repeats(file_request, number, fits)
+                got = self.fetch_with_repeats(file_request, number, is_acceptable)
             except (FetchRefusedError, FetchFailedError) as error:
                 got = error
-            out[number] -= 1
-            if closed or number in ready or number not in order:
+            pending_requests[number] -= 1
+            if is_closed or number in arrived or number not in requested:
                 return
-            if isinstance(got, Exception) and out[number]:
+            if isinstance(got, Exception) and pending_requests[number]:
                 return  # its second request may still bring it
-            ready[number] = got
-            if parked:
-                parked = False
-                self.sched.wake(me)
+            arrived[number] = got
+            if is_parked:
+                is_parked = False
+                self.sched.wake(own_greenlet)
 
-        def late(number: int, begun: float) -> None:
-            if closed or number in ready or number not in order:
+        def hedge_if_late(number: int, started_ms: float) -> None:
+            if is_closed or number in arrived or number not in requested:
                 return
             now = now_ms()
             if self.budget.try_hedge(
-                number, total, now - begun, file_request.budget, file_request.client, now
+                number, part_count, now - started_ms, file_request.budget, file_request.client, now
             ):
-                out[number] += 1
+                pending_requests[number] += 1
                 self.sched.spawn(run, number)
 
         try:
             while True:
-                while more and window.can_request(count_unsent_bytes() + sum(map(_size, ready.values()))):
+                while has_more and window.can_request(
+                    count_unsent_bytes() + sum(map(_size, arrived.values()))
+                ):
                     number = next(numbers, None)
                     if number is None:
-                        more = False
+                        has_more = False
                         break
                     window.record_request()
-                    order.append(number)
-                    out[number] = 1
+                    requested.append(number)
+                    pending_requests[number] = 1
                     self.sched.spawn(run, number)
-                    if total >= 0 and number >= total - HEDGE_LAST_PARTS and self.budget.typical_wait_ms:
-                        wait = 1.0 + HEDGE_DELAY_FACTOR * self.budget.typical_wait_ms
-                        self.sched.later(wait, partial(late, number, now_ms()))
-                if not order:
-                    if not more:
+                    if (
+                        part_count >= 0
+                        and number >= part_count - HEDGE_LAST_PARTS
+                        and self.budget.typical_wait_ms
+                    ):
+                        delay_ms = 1.0 + HEDGE_DELAY_FACTOR * self.budget.typical_wait_ms
+                        self.sched.later(delay_ms, partial(hedge_if_late, number, now_ms()))
+                if not requested:
+                    if not has_more:
                         return
-                    self.sched.sleep(FULL_MS)  # the client takes nothing
+                    self.sched.sleep(CLIENT_POLL_MS)  # the client takes nothing
                     continue
-                if order[0] not in ready:
-                    parked = starved = True
+                if requested[0] not in arrived:
+                    is_parked = was_starved = True
                     self.sched.park()
                     continue
-                number = order.popleft()
-                got = ready.pop(number)
+                number = requested.popleft()
+                got = arrived.pop(number)
                 if isinstance(got, Exception):
                     window.record_failure()
                     raise got
-                window.record_arrival(count_unsent_bytes(), len(ready), starved)
-                starved = False
+                window.record_arrival(count_unsent_bytes(), len(arrived), was_starved)
+                was_starved = False
                 yield number, got
         finally:
-            closed = True
+            is_closed = True
