--- a/hitchtiller/repo/body.py
+++ b/hitchtiller/repo/body.py
@@ -54,10 +54,10 @@
 
     def needs(self, number: int) -> bool:
         """Tell whether a part is needed and has not come."""
-        known_end = self.size >= 0 and number * self.part_bytes >= max(1, self.size)
+        is_past_end = self.size >= 0 and number * self.part_bytes >= max(1, self.size)
         return (
             not self.is_complete
-            and not known_end
+            and not is_past_end
             and number >= self.next_part
             and number not in self.early_parts
         )
@@ -78,37 +78,37 @@
         if len(part.data) > self.part_bytes:
             raise BrokenBodyError("part-too-long")
         self.early_parts[number] = part
-        out: list[bytes] = []
-        while (ready := self.early_parts.pop(self.next_part, None)) is not None:
-            out += self._next(ready)
+        released: list[bytes] = []
+        while (arrived := self.early_parts.pop(self.next_part, None)) is not None:
+            released += self._release_part(arrived)
             if self.is_complete:
                 self.early_parts.clear()
                 break
-        self.sent_bytes += sum(map(len, out))
-        return out
+        self.sent_bytes += sum(map(len, released))
+        return released
 
-    def _next(self, part: Part) -> list[bytes]:
+    def _release_part(self, part: Part) -> list[bytes]:
         """Pass one part on, but for what has to be held."""
         self.hash.update(part.data)
         self.since_ms = min(self.since_ms or part.since_ms, part.since_ms)
         self.next_part += 1
-        total = (self.next_part - 1) * self.part_bytes + len(part.data)
-        short = len(part.data) < self.part_bytes
-        if self.size >= 0 and (total > self.size or (short and total < self.size)):
+        end = (self.next_part - 1) * self.part_bytes + len(part.data)
+        is_short = len(part.data) < self.part_bytes
+        if self.size >= 0 and (end > self.size or (is_short and end < self.size)):
             raise BrokenBodyError("wrong-size")
         self.tail += part.data
-        if short or total == self.size:
-            self.is_complete, self.size = True, total
+        if is_short or end == self.size:
+            self.is_complete, self.size = True, end
             if self.digest and self.hash.hexdigest() != self.digest:
                 raise BrokenBodyError("wrong-digest")
-            whole, self.tail = bytes(self.tail), bytearray()
-            return [whole] if whole else []
+            remainder, self.tail = bytes(self.tail), bytearray()
+            return [remainder] if remainder else []
         if len(self.tail) <= TAIL_BYTES:
             return []
-        cut = len(self.tail) - TAIL_BYTES
-        out = bytes(self.tail[:cut])
-        del self.tail[:cut]
-        return [out]
+        release_bytes = len(self.tail) - TAIL_BYTES
+        released = bytes(self.tail[:release_bytes])
+        del self.tail[:release_bytes]
+        return [released]
 
 
 @dataclass(slots=True)
@@ -125,20 +125,20 @@
     The longest unused goes first.
     """
 
-    def __init__(self, most: int = 50_000) -> None:
+    def __init__(self, max_entries: int = 50_000) -> None:
         """Remember `most` tags, about 250 bytes each."""
-        self.most = most
-        self.known: dict[tuple[int, str], VerifiedBody] = {}
+        self.max_entries = max_entries
+        self.entries: dict[tuple[int, str], VerifiedBody] = {}
 
     def get(self, key: int, tag: str) -> VerifiedBody | None:
         """Give what a tag stands for."""
-        found = self.known.pop((key, tag), None)
+        found = self.entries.pop((key, tag), None)
         if found:
-            self.known[key, tag] = found
+            self.entries[key, tag] = found
         return found
 
     def put(self, key: int, tag: str, digest: str, size: int) -> None:
         """Note a body that was read whole."""
-        self.known[key, tag] = VerifiedBody(digest, size)
-        while len(self.known) > self.most:
-            del self.known[next(iter(self.known))]
+        self.entries[key, tag] = VerifiedBody(digest, size)
+        while len(self.entries) > self.max_entries:
+            del self.entries[next(iter(self.entries))]
