--- a/hitchtiller/repo/service.py
+++ b/hitchtiller/repo/service.py
@@ -27,10 +27,10 @@
 from hitchtiller.sched import now_ms
 from hitchtiller.store.purges import Purges
 
-PROVE_MOST = 500  # files of a generation that are looked for before it is served
-PROVE_AT_ONCE = 8
-MOST_LINES = 20_000  # indexes that are followed
-GRACE_MS = 1_000.0  # after a purge was told, until which an older index may still be given
+MAX_FILES_CHECKED = 500  # files of a generation that are looked for before it is served
+MAX_CHECKS_AT_ONCE = 8
+MAX_INDEXES = 20_000  # indexes that are followed
+PURGE_GRACE_MS = 1_000.0  # after a purge was told, until which an older index may still be given
 
 
 @dataclass(slots=True)
@@ -50,11 +50,11 @@
 def refusal(code: int, reason: str, text: str = "", wait_s: float = 0.0, **headers: str) -> Reply:
     """Make an answer that has no bytes of a file; its text says what was wrong."""
     data = (text or reason.replace("-", " ")).encode() + b"\n"
-    fields = [("Content-Type", "text/plain; charset=utf-8"), ("Cache-Control", "no-store")]
+    reply_headers = [("Content-Type", "text/plain; charset=utf-8"), ("Cache-Control", "no-store")]
     if wait_s:
-        fields.append(("Retry-After", str(max(1, round(wait_s)))))
-    fields += [(name.replace("_", "-"), value) for name, value in headers.items()]
-    return Reply(code, fields, iter((data,)), len(data), reason)
+        reply_headers.append(("Retry-After", str(max(1, round(wait_s)))))
+    reply_headers += [(name.replace("_", "-"), value) for name, value in headers.items()]
+    return Reply(code, reply_headers, iter((data,)), len(data), reason)
 
 
 @dataclass(slots=True)
@@ -69,16 +69,16 @@
     grace_ms: float
     index_bytes: int
     lines: dict[str, IndexHistory] = field(default_factory=dict)
-    where: dict[str, set[str]] = field(default_factory=dict)  # path: the indexes that name it
+    indexes_by_path: dict[str, set[str]] = field(default_factory=dict)  # path: the indexes that name it
 
-    def line(self, path: str) -> IndexHistory:
+    def history(self, path: str) -> IndexHistory:
         """Give an index's line."""
         if path not in self.lines:
-            if len(self.lines) >= MOST_LINES:  # the longest known goes; it is learnt again when asked for
-                gone = next(iter(self.lines))
-                del self.lines[gone]
-                for names in self.where.values():
-                    names.discard(gone)
+            if len(self.lines) >= MAX_INDEXES:  # the longest known goes; it is learnt again when asked for
+                oldest = next(iter(self.lines))
+                del self.lines[oldest]
+                for names in self.indexes_by_path.values():
+                    names.discard(oldest)
             self.lines[path] = IndexHistory(self.grace_ms)
         return self.lines[path]
 
@@ -137,23 +137,23 @@
             return refusal(405, "method", "GET and HEAD are taken", Allow="GET, HEAD")
         if headers.get("expect", "100-continue").lower() != "100-continue":
             return refusal(417, "expect", "only 100-continue is known")
-        found = read_target(target, self.hosts)
-        repo = next((r for r in self.repositories if found.path.startswith(r.prefix)), None)
-        path = found.path[len(repo.prefix) :] if repo else ""
+        target_path = read_target(target, self.hosts)
+        repo = next((r for r in self.repositories if target_path.path.startswith(r.prefix)), None)
+        path = target_path.path[len(repo.prefix) :] if repo else ""
         if repo is None or not path:
             return refusal(404, "not-found", "no repository has this path")
         if repo.kind.is_index(path):
-            return self._index(repo, path, method, headers, client)
+            return self._answer_index(repo, path, method, headers, client)
         if repo.kind.is_listing(path):
-            return self._listing(repo, path, method, headers, client)
-        return self._file(repo, path, method, headers, client, count_unsent_bytes)
+            return self._answer_listing(repo, path, method, headers, client)
+        return self._answer_file(repo, path, method, headers, client, count_unsent_bytes)
 
     # Indexes
 
     def _source(self, repo: Repository, path: str, client: str) -> FileRequest:
         return FileRequest(object_key(repo.name, path), repo.class_name, repo.group, client)
 
-    def whole(
+    def read_whole(
         self, repo: Repository, path: str, client: str, digest: str = ""
     ) -> tuple[bytes, Assembly] | None:
         """Read a file whole, of one tag; None if there is none. Its digest must hold, where one is given."""
@@ -180,98 +180,102 @@
             return b"".join(pieces), assembly
         raise BrokenBodyError("two-releases")
 
-    def _learn(self, repo: Repository, path: str, client: str) -> IndexHistory | None:
+    def _refresh_index(self, repo: Repository, path: str, client: str) -> IndexHistory | None:
         """Read an index as it is now, with what belongs to it; None if there is none."""
-        got = self.whole(repo, path, client)
-        if got is None:
+        result = self.read_whole(repo, path, client)
+        if result is None:
             return None
-        body, assembly = got
-        line, digest = repo.line(path), assembly.hash.hexdigest()
-        if digest in line.generations:
-            line.record_index(digest, line.generations[digest].files, assembly.since_ms, body)
+        body, assembly = result
+        history, digest = repo.history(path), assembly.hash.hexdigest()
+        if digest in history.generations:
+            history.record_index(digest, history.generations[digest].files, assembly.since_ms, body)
         else:
-            parsed = self._with_nested(repo, path, repo.kind.parse(path, body), client)
-            line.record_index(digest, parsed.files, assembly.since_ms, body, parsed.optional)
-            for name in parsed.files:
-                repo.where.setdefault(name, set()).add(path)
-        self._prove(repo, line, client)
-        return line
-
-    def _with_nested(self, repo: Repository, path: str, parsed: ParsedIndex, client: str) -> ParsedIndex:
+            parsed_index = self._read_nested(repo, path, repo.kind.parse(path, body), client)
+            history.record_index(digest, parsed_index.files, assembly.since_ms, body, parsed_index.optional)
+            for name in parsed_index.files:
+                repo.indexes_by_path.setdefault(name, set()).add(path)
+        self._check_files(repo, history, client)
+        return history
+
+    def _read_nested(
+        self, repo: Repository, path: str, parsed_index: ParsedIndex, client: str
+    ) -> ParsedIndex:
         """Read the further indexes that an index names, each by its digest."""
-        files = dict(parsed.files)
-        for name in parsed.nested:
-            got = self.whole(repo, name, client, parsed.files[name].digest)
-            if got is None:
+        files = dict(parsed_index.files)
+        for name in parsed_index.nested:
+            result = self.read_whole(repo, name, client, parsed_index.files[name].digest)
+            if result is None:
                 raise BrokenBodyError("index-before-its-files")
-            files |= repo.kind.parse(name, got[0]).files
-        return ParsedIndex(files, parsed.nested, parsed.optional)
+            files |= repo.kind.parse(name, result[0]).files
+        return ParsedIndex(files, parsed_index.nested, parsed_index.optional)
 
-    def _prove(self, repo: Repository, line: IndexHistory, client: str) -> None:
+    def _check_files(self, repo: Repository, history: IndexHistory, client: str) -> None:
         """Look for the files that are new in the newest generation; it is served only once they are there."""
-        generation = line.due_for_check(now_ms())
+        generation = history.due_for_check(now_ms())
         if generation is None:
             return
         file_request = FileRequest(0, repo.class_name, repo.group, client)
         file_request.budget.parts = len(generation.pending_paths)
-        for path in sorted(generation.pending_paths)[PROVE_MOST:]:
-            line.mark_found(generation.digest, path)
+        for path in sorted(generation.pending_paths)[MAX_FILES_CHECKED:]:
+            history.mark_found(generation.digest, path)
         for path in sorted(generation.pending_paths):
             file_request.key = object_key(repo.name, path)
             part = self.fetcher.fetch(file_request, 0)
             named = generation.files[path]
             verified = self.verified_bodies.get(file_request.key, part.tag)
-            if part.tag == ABSENT or not _may_be(part, named, verified.digest if verified else ""):
-                line.mark_missing(generation.digest, now_ms())
+            if part.tag == ABSENT or not _could_match(part, named, verified.digest if verified else ""):
+                history.mark_missing(generation.digest, now_ms())
                 return
-            line.mark_found(generation.digest, path)
+            history.mark_found(generation.digest, path)
 
-    def _index(
+    def _answer_index(
         self, repo: Repository, path: str, method: str, headers: Mapping[str, str], client: str
     ) -> Reply:
-        line = self._learn(repo, path, client)
-        if line is None:
+        history = self._refresh_index(repo, path, client)
+        if history is None:
             return refusal(404, "not-found", "there is no such index")
         key, now = object_key(repo.name, path), now_ms()
-        generation = line.serve(client, now)
+        generation = history.serve(client, now)
         purged = self.purges.last(key, repo.group)
-        if generation is None or (generation.since_ms <= purged and now - purged > GRACE_MS):
+        if generation is None or (generation.since_ms <= purged and now - purged > PURGE_GRACE_MS):
             return refusal(503, "release-not-whole", "a release is being published; come back", 1.0)
-        if generation.digest != line.newest_digest and now - purged <= GRACE_MS:
+        if generation.digest != history.newest_digest and now - purged <= PURGE_GRACE_MS:
             logger.info("{}: the release before is given, the newest is not whole", path)
-        known = Validators(generation.digest, int(generation.since_ms))
-        return _plain(repo.kind.content_type(path, generation.body), generation.body, known, method, headers)
+        validators = Validators(generation.digest, int(generation.since_ms))
+        return _answer_from_memory(
+            repo.kind.content_type(path, generation.body), generation.body, validators, method, headers
+        )
 
-    def _listing(
+    def _answer_listing(
         self, repo: Repository, path: str, method: str, headers: Mapping[str, str], client: str
     ) -> Reply:
-        got = self.whole(repo, path, client)
-        if got is None:
+        result = self.read_whole(repo, path, client)
+        if result is None:
             return refusal(404, "not-found", "there is no such list")
-        body, assembly = got
-        known = Validators(assembly.hash.hexdigest(), assembly.since_ms)
-        return _plain(repo.kind.content_type(path, body), body, known, method, headers)
+        body, assembly = result
+        validators = Validators(assembly.hash.hexdigest(), assembly.since_ms)
+        return _answer_from_memory(repo.kind.content_type(path, body), body, validators, method, headers)
 
     # Files
 
-    def _permitted(self, repo: Repository, path: str, client: str) -> list[NamedFile]:
+    def _permitted_files(self, repo: Repository, path: str, client: str) -> list[NamedFile]:
         """Give what a file may be for a client, by each index that names it.
 
         One is read where none is known.
         """
-        if path not in repo.where:
-            for root in repo.kind.index_paths_for(path):
-                line = self._learn(repo, root, client)
-                if line:
-                    line.serve(client, now_ms())
+        if path not in repo.indexes_by_path:
+            for index in repo.kind.index_paths_for(path):
+                history = self._refresh_index(repo, index, client)
+                if history:
+                    history.serve(client, now_ms())
         named: list[NamedFile] = []
-        for root in sorted(repo.where.get(path, ())):
-            each = repo.lines[root].permitted(client, path, now_ms())
+        for index in sorted(repo.indexes_by_path.get(path, ())):
+            each = repo.lines[index].permitted(client, path, now_ms())
             if each and each not in named:
                 named.append(each)
         return named
 
-    def _file(
+    def _answer_file(
         self,
         repo: Repository,
         path: str,
@@ -280,15 +284,15 @@
         client: str,
         count_unsent_bytes: Callable[[], int],
     ) -> Reply:
-        permitted = self._permitted(repo, path, client)
+        permitted = self._permitted_files(repo, path, client)
         if not permitted:
-            roots = repo.where.get(path, set())
-            if any(repo.lines[root].is_outdated(client, now_ms()) for root in roots):
+            indexes = repo.indexes_by_path.get(path, set())
+            if any(repo.lines[index].is_outdated(client, now_ms()) for index in indexes):
                 return refusal(404, "index-outdated", "your index is of an older release; ask for it again")
             return refusal(404, "not-found", "no index that was given to you names this file")
         file_request = self._source(repo, path, client)
         first = self.fetcher.fetch_with_repeats(
-            file_request, 0, lambda part: self._suits(file_request.key, part, permitted)
+            file_request, 0, lambda part: self._is_acceptable(file_request.key, part, permitted)
         )
         if first.tag == ABSENT:
             return refusal(404, "not-there", "the index names it, but it is not there")
@@ -297,49 +301,53 @@
         if named is None:
             return refusal(503, "other-release", "a release is being published; come back", 1.0)
         digest = verified.digest if verified else named.digest
-        known = Validators(digest, first.since_ms, first.tag)
+        validators = Validators(digest, first.since_ms, first.tag)
         kind = repo.kind.content_type(path, b"")
-        common = [("Content-Type", kind), ("Accept-Ranges", "bytes")]
+        common_headers = [("Content-Type", kind), ("Accept-Ranges", "bytes")]
         if digest:
-            common += [("ETag", known.etag), ("Last-Modified", known.last_modified)]
-            verdict = status(method, headers, known)
-            if verdict == 304:
-                return Reply(304, common, reason="not-modified")
-            if verdict == 412:
+            common_headers += [("ETag", validators.etag), ("Last-Modified", validators.last_modified)]
+            condition_status = status(method, headers, validators)
+            if condition_status == 304:
+                return Reply(304, common_headers, reason="not-modified")
+            if condition_status == 412:
                 return refusal(412, "precondition")
-        ranged = digest and method == "GET" and "range" in headers and range_applies(headers, known)
-        if ranged and verified is None:
-            verified = self._read_through(file_request, first, named)
+        is_range = digest and method == "GET" and "range" in headers and range_applies(headers, validators)
+        if is_range and verified is None:
+            verified = self._verify_file(file_request, first, named)
         size = verified.size if verified else named.size
-        if ranged and verified:
-            return self._ranges(
-                file_request, first.tag, verified.size, headers["range"], common, count_unsent_bytes
+        if is_range and verified:
+            return self._answer_ranges(
+                file_request, first.tag, verified.size, headers["range"], common_headers, count_unsent_bytes
             )
         whole = None if size < 0 else size
         if method == "HEAD":
-            return Reply(200, common, iter(()), whole, "head")
+            return Reply(200, common_headers, iter(()), whole, "head")
         assembly = Assembly(PART, digest, size)
         return Reply(
-            200, common, self._stream(file_request, first, assembly, count_unsent_bytes), whole, "whole"
+            200,
+            common_headers,
+            self._stream_body(file_request, first, assembly, count_unsent_bytes),
+            whole,
+            "whole",
         )
 
-    def _suits(self, key: int, part: Part, permitted: list[NamedFile]) -> bool:
+    def _is_acceptable(self, key: int, part: Part, permitted: list[NamedFile]) -> bool:
         """Tell whether a first part can be of a permitted release; others are asked for again for a while."""
         verified = self.verified_bodies.get(key, part.tag)
         if part.tag == ABSENT:
             return False
-        return any(_may_be(part, named, verified.digest if verified else "") for named in permitted)
+        return any(_could_match(part, named, verified.digest if verified else "") for named in permitted)
 
-    def _read_through(self, file_request: FileRequest, first: Part, named: NamedFile) -> VerifiedBody:
+    def _verify_file(self, file_request: FileRequest, first: Part, named: NamedFile) -> VerifiedBody:
         """Read a file once for its digest; nothing of it is sent or held."""
         assembly = Assembly(PART, named.digest, named.size)
-        for _ in self._stream(file_request, first, assembly, lambda: 0):
+        for _ in self._stream_body(file_request, first, assembly, lambda: 0):
             pass
         verified = self.verified_bodies.get(file_request.key, assembly.tag)
         assert verified
         return verified
 
-    def _stream(
+    def _stream_body(
         self,
         file_request: FileRequest,
         first: Part,
@@ -349,10 +357,14 @@
         """Give a whole body as its parts come; Broken if it can't be ended well."""
         yield from assembly.add_part(0, first)
         if not assembly.is_complete:
-            last = -(-assembly.size // PART) if assembly.size >= 0 else 1 << 16
-            known = last if assembly.size >= 0 else -1
+            part_limit = -(-assembly.size // PART) if assembly.size >= 0 else 1 << 16
+            validators = part_limit if assembly.size >= 0 else -1
             parts = self.fetcher.fetch_in_order(
-                file_request, iter(range(1, last)), count_unsent_bytes, assembly.has_same_tag, known
+                file_request,
+                iter(range(1, part_limit)),
+                count_unsent_bytes,
+                assembly.has_same_tag,
+                validators,
             )
             for number, part in parts:
                 yield from assembly.add_part(number, part)
@@ -362,13 +374,13 @@
             raise BrokenBodyError("cut-short")
         self.verified_bodies.put(file_request.key, assembly.tag, assembly.hash.hexdigest(), assembly.size)
 
-    def _ranges(
+    def _answer_ranges(
         self,
         file_request: FileRequest,
         tag: str,
         size: int,
         header: str,
-        common: list[tuple[str, str]],
+        common_headers: list[tuple[str, str]],
         count_unsent_bytes: Callable[[], int],
     ) -> Reply:
         try:
@@ -380,38 +392,44 @@
         if spans is None:
             spans = [Span(0, size)]
             return Reply(
-                200, common, self._spans(file_request, tag, size, spans, count_unsent_bytes), size, "whole"
+                200,
+                common_headers,
+                self._stream_spans(file_request, tag, size, spans, count_unsent_bytes),
+                size,
+                "whole",
             )
         if len(spans) == 1:
-            fields = [*common, ("Content-Range", spans[0].content_range(size))]
+            reply_headers = [*common_headers, ("Content-Range", spans[0].content_range(size))]
             return Reply(
                 206,
-                fields,
-                self._spans(file_request, tag, size, spans, count_unsent_bytes),
+                reply_headers,
+                self._stream_spans(file_request, tag, size, spans, count_unsent_bytes),
                 spans[0].size,
                 "range",
             )
         boundary = hashlib.sha256(f"{file_request.key}{header}".encode()).hexdigest()[:24]
-        inner = next(value for name, value in common if name == "Content-Type")
-        heads = [
+        inner = next(value for name, value in common_headers if name == "Content-Type")
+        part_headers = [
             f"\r\n--{boundary}\r\nContent-Type: {inner}\r\n"
             f"Content-Range: {span.content_range(size)}\r\n\r\n".encode()
             for span in spans
         ]
-        end = f"\r\n--{boundary}--\r\n".encode()
-        total = sum(len(head) + span.size for head, span in zip(heads, spans, strict=True)) + len(end)
-        fields = [("Content-Type", f"multipart/byteranges; boundary={boundary}")]
-        fields += [(name, value) for name, value in common if name != "Content-Type"]
+        closing_boundary = f"\r\n--{boundary}--\r\n".encode()
+        total = sum(len(head) + span.size for head, span in zip(part_headers, spans, strict=True)) + len(
+            closing_boundary
+        )
+        reply_headers = [("Content-Type", f"multipart/byteranges; boundary={boundary}")]
+        reply_headers += [(name, value) for name, value in common_headers if name != "Content-Type"]
 
         def body() -> Iterator[bytes]:
-            for head, span in zip(heads, spans, strict=True):
+            for head, span in zip(part_headers, spans, strict=True):
                 yield head
-                yield from self._spans(file_request, tag, size, [span], count_unsent_bytes)
-            yield end
+                yield from self._stream_spans(file_request, tag, size, [span], count_unsent_bytes)
+            yield closing_boundary
 
-        return Reply(206, fields, body(), total, "ranges")
+        return Reply(206, reply_headers, body(), total, "ranges")
 
-    def _spans(
+    def _stream_spans(
         self,
         file_request: FileRequest,
         tag: str,
@@ -421,45 +439,50 @@
     ) -> Iterator[bytes]:
         """Give stretches of a proven tag; Broken where a part of another tag came."""
         for span in spans:
-            slices = {number: (begin, end) for number, begin, end in split_into_parts(span, PART)}
+            slices = {
+                number: (begin, closing_boundary)
+                for number, begin, closing_boundary in split_into_parts(span, PART)
+            }
             parts = self.fetcher.fetch_in_order(
                 file_request, iter(slices), count_unsent_bytes, lambda part: part.tag == tag
             )
             for number, part in parts:
-                begin, end = slices[number]
+                begin, closing_boundary = slices[number]
                 if part.tag != tag or len(part.data) != min(PART, size - number * PART):
                     raise BrokenBodyError("two-releases")
-                yield part.data[begin:end]
+                yield part.data[begin:closing_boundary]
 
 
-def _may_be(part: Part, named: NamedFile, proven: str) -> bool:
+def _could_match(part: Part, named: NamedFile, verified_digest: str) -> bool:
     """Tell whether a file's first part can be of what an index names."""
-    if proven:
-        return named.digest in ("", proven)
+    if verified_digest:
+        return named.digest in ("", verified_digest)
     if len(part.data) < PART:  # it is all there is
         whole = named.size in (-1, len(part.data))
         return whole and named.digest in ("", hashlib.sha256(part.data).hexdigest())
     return named.size < 0 or named.size >= PART
 
 
-def _plain(kind: str, body: bytes, known: Validators, method: str, headers: Mapping[str, str]) -> Reply:
+def _answer_from_memory(
+    kind: str, body: bytes, validators: Validators, method: str, headers: Mapping[str, str]
+) -> Reply:
     """Answer with a body that is in memory."""
-    common = [
-        ("Content-Type", kind), ("ETag", known.etag), ("Last-Modified", known.last_modified),
+    common_headers = [
+        ("Content-Type", kind), ("ETag", validators.etag), ("Last-Modified", validators.last_modified),
         ("Accept-Ranges", "bytes"), ("Cache-Control", "no-cache"),
     ]  # fmt: skip
-    verdict = status(method, headers, known)
-    if verdict == 304:
-        return Reply(304, common, reason="not-modified")
-    if verdict == 412:
+    condition_status = status(method, headers, validators)
+    if condition_status == 304:
+        return Reply(304, common_headers, reason="not-modified")
+    if condition_status == 412:
         return refusal(412, "precondition")
-    if method == "GET" and "range" in headers and range_applies(headers, known):
+    if method == "GET" and "range" in headers and range_applies(headers, validators):
         try:
             spans = read_ranges(headers["range"], len(body))
         except Unsatisfiable:
             return refusal(416, "range", "outside", Content_Range=f"bytes */{len(body)}")
         if spans and len(spans) == 1:
             part = body[spans[0].first : spans[0].end]
-            fields = [*common, ("Content-Range", spans[0].content_range(len(body)))]
-            return Reply(206, fields, iter((part,)), len(part), "range")
-    return Reply(200, common, iter((body,)) if method == "GET" else iter(()), len(body), "index")
+            reply_headers = [*common_headers, ("Content-Range", spans[0].content_range(len(body)))]
+            return Reply(206, reply_headers, iter((part,)), len(part), "range")
+    return Reply(200, common_headers, iter((body,)) if method == "GET" else iter(()), len(body), "index")
