--- a/hitchtiller/repo/front.py
+++ b/hitchtiller/repo/front.py
@@ -17,7 +17,7 @@
 from hitchtiller.repo.admission import ConnectionLimits
 from hitchtiller.repo.body import BrokenBodyError
 from hitchtiller.repo.fetch import FetchFailedError, FetchRefusedError
-from hitchtiller.repo.service import Reply, Service, refusal
+from hitchtiller.repo.service import Reply, Service, make_refusal
 from hitchtiller.sched import READ, Closed, Scheduler, Stream, now_ms
 
 HEADER, FIELDS = 16_384, 64  # bytes and fields of one request's header
@@ -151,11 +151,11 @@
         try:
             return reply, body, next(body, b"")
         except BrokenBodyError as error:
-            reply = refusal(503, str(error), "a release is being published; come back", 1.0)
+            reply = make_refusal(503, str(error), "a release is being published; come back", 1.0)
         except FetchRefusedError as error:
-            reply = refusal(503, "refused", "busy; come back", max(1.0, error.wait_ms / 1000.0))
+            reply = make_refusal(503, "refused", "busy; come back", max(1.0, error.wait_ms / 1000.0))
         except FetchFailedError:
-            reply = refusal(504, "failed", "no server answered in time")
+            reply = make_refusal(504, "failed", "no server answered in time")
         return reply, reply.body, next(reply.body, b"")
 
     def _send(self, reply: Reply, method: str) -> None:
@@ -195,7 +195,7 @@
         """Answer what was no request, if nothing has been said yet."""
         if self.http.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             return
-        reply = refusal(status, "bad-request", text)
+        reply = make_refusal(status, "bad-request", text)
         fields = [*reply.headers, ("Content-Length", str(reply.size)), ("Connection", "close")]
         with contextlib.suppress(h11.LocalProtocolError):
             self.stream.write(self.http.send(h11.Response(status_code=status, headers=fields)) or b"")
--- a/hitchtiller/repo/service.py
+++ b/hitchtiller/repo/service.py
@@ -47,7 +47,7 @@
     reason: str = ""  # a code for the log and the counters
 
 
-def refusal(code: int, reason: str, text: str = "", wait_s: float = 0.0, **headers: str) -> Reply:
+def make_refusal(code: int, reason: str, text: str = "", wait_s: float = 0.0, **headers: str) -> Reply:
     """Make an answer that has no bytes of a file; its text says what was wrong."""
     data = (text or reason.replace("-", " ")).encode() + b"\n"
     reply_headers = [("Content-Type", "text/plain; charset=utf-8"), ("Cache-Control", "no-store")]
@@ -110,16 +110,16 @@
         try:
             reply = self._answer(method, target, headers, client, count_unsent_bytes)
         except BadTarget as error:
-            reply = refusal(error.status, "bad-target", str(error))
+            reply = make_refusal(error.status, "bad-target", str(error))
         except FetchRefusedError as error:
-            reply = refusal(503, "refused", "busy; come back", max(1.0, error.wait_ms / 1000.0))
+            reply = make_refusal(503, "refused", "busy; come back", max(1.0, error.wait_ms / 1000.0))
         except FetchFailedError:
-            reply = refusal(504, "failed", "no server answered in time")
+            reply = make_refusal(504, "failed", "no server answered in time")
         except BadIndex as error:
             logger.warning("index not taken: {}", error)
-            reply = refusal(502, "bad-index", str(error))
+            reply = make_refusal(502, "bad-index", str(error))
         except BrokenBodyError as error:
-            reply = refusal(503, str(error), "two releases at once; come back", 1.0)
+            reply = make_refusal(503, str(error), "two releases at once; come back", 1.0)
         self.counts[reply.reason or str(reply.status)] = (
             self.counts.get(reply.reason or str(reply.status), 0) + 1
         )
@@ -134,14 +134,14 @@
         count_unsent_bytes: Callable[[], int],
     ) -> Reply:
         if method not in ("GET", "HEAD"):
-            return refusal(405, "method", "GET and HEAD are taken", Allow="GET, HEAD")
+            return make_refusal(405, "method", "GET and HEAD are taken", Allow="GET, HEAD")
         if headers.get("expect", "100-continue").lower() != "100-continue":
-            return refusal(417, "expect", "only 100-continue is known")
+            return make_refusal(417, "expect", "only 100-continue is known")
         target_path = read_target(target, self.hosts)
         repo = next((r for r in self.repositories if target_path.path.startswith(r.prefix)), None)
         path = target_path.path[len(repo.prefix) :] if repo else ""
         if repo is None or not path:
-            return refusal(404, "not-found", "no repository has this path")
+            return make_refusal(404, "not-found", "no repository has this path")
         if repo.kind.is_index(path):
             return self._answer_index(repo, path, method, headers, client)
         if repo.kind.is_listing(path):
@@ -233,12 +233,12 @@
     ) -> Reply:
         history = self._refresh_index(repo, path, client)
         if history is None:
-            return refusal(404, "not-found", "there is no such index")
+            return make_refusal(404, "not-found", "there is no such index")
         key, now = object_key(repo.name, path), now_ms()
         generation = history.serve(client, now)
         purged = self.purges.last(key, repo.group)
         if generation is None or (generation.since_ms <= purged and now - purged > PURGE_GRACE_MS):
-            return refusal(503, "release-not-whole", "a release is being published; come back", 1.0)
+            return make_refusal(503, "release-not-whole", "a release is being published; come back", 1.0)
         if generation.digest != history.newest_digest and now - purged <= PURGE_GRACE_MS:
             logger.info("{}: the release before is given, the newest is not whole", path)
         validators = Validators(generation.digest, int(generation.since_ms))
@@ -251,7 +251,7 @@
     ) -> Reply:
         result = self.read_whole(repo, path, client)
         if result is None:
-            return refusal(404, "not-found", "there is no such list")
+            return make_refusal(404, "not-found", "there is no such list")
         body, assembly = result
         validators = Validators(assembly.hash.hexdigest(), assembly.since_ms)
         return _answer_from_memory(repo.kind.content_type(path, body), body, validators, method, headers)
@@ -288,18 +288,20 @@
         if not permitted:
             indexes = repo.indexes_by_path.get(path, set())
             if any(repo.lines[index].is_outdated(client, now_ms()) for index in indexes):
-                return refusal(404, "index-outdated", "your index is of an older release; ask for it again")
-            return refusal(404, "not-found", "no index that was given to you names this file")
+                return make_refusal(
+                    404, "index-outdated", "your index is of an older release; ask for it again"
+                )
+            return make_refusal(404, "not-found", "no index that was given to you names this file")
         file_request = self._source(repo, path, client)
         first = self.fetcher.fetch_with_repeats(
             file_request, 0, lambda part: self._is_acceptable(file_request.key, part, permitted)
         )
         if first.tag == ABSENT:
-            return refusal(404, "not-there", "the index names it, but it is not there")
+            return make_refusal(404, "not-there", "the index names it, but it is not there")
         verified = self.verified_bodies.get(file_request.key, first.tag)
         named = next((n for n in permitted if not verified or n.digest in ("", verified.digest)), None)
         if named is None:
-            return refusal(503, "other-release", "a release is being published; come back", 1.0)
+            return make_refusal(503, "other-release", "a release is being published; come back", 1.0)
         digest = verified.digest if verified else named.digest
         validators = Validators(digest, first.since_ms, first.tag)
         kind = repo.kind.content_type(path, b"")
@@ -310,7 +312,7 @@
             if condition_status == 304:
                 return Reply(304, common_headers, reason="not-modified")
             if condition_status == 412:
-                return refusal(412, "precondition")
+                return make_refusal(412, "precondition")
         is_range = digest and method == "GET" and "range" in headers and range_applies(headers, validators)
         if is_range and verified is None:
             verified = self._verify_file(file_request, first, named)
@@ -386,7 +388,7 @@
         try:
             spans = read_ranges(header, size)
         except Unsatisfiable:
-            return refusal(
+            return make_refusal(
                 416, "range", "no byte of this file is in that range", Content_Range=f"bytes */{size}"
             )
         if spans is None:
@@ -475,12 +477,12 @@
     if condition_status == 304:
         return Reply(304, common_headers, reason="not-modified")
     if condition_status == 412:
-        return refusal(412, "precondition")
+        return make_refusal(412, "precondition")
     if method == "GET" and "range" in headers and range_applies(headers, validators):
         try:
             spans = read_ranges(headers["range"], len(body))
         except Unsatisfiable:
-            return refusal(416, "range", "outside", Content_Range=f"bytes */{len(body)}")
+            return make_refusal(416, "range", "outside", Content_Range=f"bytes */{len(body)}")
         if spans and len(spans) == 1:
             part = body[spans[0].first : spans[0].end]
             reply_headers = [*common_headers, ("Content-Range", spans[0].content_range(len(body)))]
