--- a/hitchtiller/repo/front.py
+++ b/hitchtiller/repo/front.py
@@ -20,12 +20,14 @@
 from hitchtiller.repo.service import Reply, Service, make_refusal
 from hitchtiller.sched import READ, Closed, Scheduler, Stream, now_ms
 
-HEADER, FIELDS = 16_384, 64  # bytes and fields of one request's header
-BODY = 65_536  # bytes of a request's body that are read and dropped
-HIGH = 240_000  # bytes that wait for a client, from which on nothing is added
-BACKLOG = 512
-SEND_BUFFER = 131_072  # bytes that the machine holds for a client: more would hide that it takes nothing
-QUICK_MS, LOOK_MS = 1.0, 20.0  # how often a client that takes something, or nothing, is looked at
+HEADER, MAX_HEADER_FIELDS = 16_384, 64  # bytes and fields of one request's header
+MAX_REQUEST_BODY_BYTES = 65_536  # bytes of a request's body that are read and dropped
+MAX_UNSENT_BYTES = 240_000  # bytes that wait for a client, from which on nothing is added
+LISTEN_BACKLOG = 512
+SEND_BUFFER_BYTES = (
+    131_072  # bytes that the machine holds for a client: more would hide that it takes nothing
+)
+FAST_POLL_MS, SLOW_POLL_MS = 1.0, 20.0  # how often a client that takes something, or nothing, is looked at
 
 
 @dataclass(frozen=True, slots=True)
@@ -52,48 +54,50 @@
             times,
         )
         self.http = h11.Connection(h11.SERVER, max_incomplete_event_size=HEADER)
-        self.requests = self.sent = 0
+        self.requests = self.sent_bytes = 0
 
     def run(self) -> None:
         """Serve request after request."""
         code = "fault"
         try:
             while True:
-                request = self._request()
+                request = self._read_request()
                 if request is None:
                     code = "eof"
                     break
                 self.requests += 1
                 self._serve(request)
-                if not self._again():
+                if not self._start_next_cycle():
                     code = "close"
                     break
         except Closed as error:
             code = str(error)
         except h11.RemoteProtocolError as error:
             code = "bad-request"
-            self._last(error.error_status_hint, str(error))
+            self._send_error(error.error_status_hint, str(error))
         except (BrokenBodyError, FetchRefusedError, FetchFailedError) as error:
             code = f"broken-{error}"  # the body had begun: only the end of the connection can tell
         finally:
-            self._linger(code)
+            self._flush_and_finish(code)
             self.stream.close(code)
-            ended("repo", self.address, code, requests=self.requests, sent=self.sent)
+            ended("repo", self.address, code, requests=self.requests, sent=self.sent_bytes)
 
-    def _request(self) -> h11.Request | None:
+    def _read_request(self) -> h11.Request | None:
         """Read one request's header; None at an orderly end."""
-        until = now_ms() + self.times.idle_ms
-        begun = False
+        deadline_ms = now_ms() + self.times.idle_ms
+        has_started = False
         while True:
             event = self.http.next_event()
             if event is h11.NEED_DATA:
-                data = self._read(max(1.0, until - now_ms()), "half-header" if begun else "idle")
-                if data and not begun:  # from the first byte on, however slowly the others come
-                    begun, until = True, now_ms() + self.times.header_ms
+                data = self._read(max(1.0, deadline_ms - now_ms()), "half-header" if has_started else "idle")
+                if data and not has_started:  # from the first byte on, however slowly the others come
+                    has_started, deadline_ms = True, now_ms() + self.times.header_ms
                 self.http.receive_data(data)
             elif isinstance(event, h11.Request):
-                if len(event.headers) > FIELDS:
-                    raise h11.RemoteProtocolError(f"over {FIELDS} header fields", error_status_hint=431)
+                if len(event.headers) > MAX_HEADER_FIELDS:
+                    raise h11.RemoteProtocolError(
+                        f"over {MAX_HEADER_FIELDS} header fields", error_status_hint=431
+                    )
                 if sum(len(name) + len(value) for name, value in event.headers) > HEADER:
                     raise h11.RemoteProtocolError(f"over {HEADER} bytes of header", error_status_hint=431)
                 return event
@@ -112,8 +116,8 @@
 
     def _serve(self, request: h11.Request) -> None:
         headers: dict[str, str] = {}
-        for raw, value in request.headers:
-            name, text = raw.decode("ascii").lower(), value.decode("latin-1")
+        for raw_name, value in request.headers:
+            name, text = raw_name.decode("ascii").lower(), value.decode("latin-1")
             headers[name] = f"{headers[name]}, {text}" if name in headers else text
         method = request.method.decode("ascii")
         reply = self.service.answer(
@@ -121,28 +125,28 @@
             request.target,
             headers,
             self.address,
-            lambda: self.stream.size + (HIGH if self.stream.code else 0),
+            lambda: self.stream.size + (MAX_UNSENT_BYTES if self.stream.code else 0),
         )
-        self._drain_body()
+        self._discard_request_body()
         self._send(reply, method)
 
-    def _drain_body(self) -> None:
+    def _discard_request_body(self) -> None:
         """Read and drop a request's body, up to a bound: nothing here takes one."""
         if self.http.they_are_waiting_for_100_continue:
             return  # they hear the final answer instead
-        until, size = now_ms() + self.times.header_ms, 0
+        deadline_ms, size = now_ms() + self.times.header_ms, 0
         while self.http.their_state is h11.SEND_BODY:
             event = self.http.next_event()
             if event is h11.NEED_DATA:
-                self.http.receive_data(self._read(max(1.0, until - now_ms()), "half-body"))
+                self.http.receive_data(self._read(max(1.0, deadline_ms - now_ms()), "half-body"))
             elif isinstance(event, h11.Data):
                 size += len(event.data)
-                if size > BODY:
+                if size > MAX_REQUEST_BODY_BYTES:
                     raise h11.RemoteProtocolError("body too long", error_status_hint=413)
             elif isinstance(event, h11.EndOfMessage):
                 return
 
-    def _begin(self, reply: Reply, method: str) -> tuple[Reply, Iterator[bytes], bytes]:
+    def _start_body(self, reply: Reply, method: str) -> tuple[Reply, Iterator[bytes], bytes]:
         """Get a body's first bytes before its header goes out.
 
         What fails until then gets an answer of its own.
@@ -159,55 +163,57 @@
         return reply, reply.body, next(reply.body, b"")
 
     def _send(self, reply: Reply, method: str) -> None:
-        reply, body, first = self._begin(reply, method)
-        fields = list(reply.headers)
-        bare = reply.status in (204, 304)
-        if reply.size is not None and not bare:
-            fields.append(("Content-Length", str(reply.size)))
-        response = h11.Response(status_code=reply.status, headers=fields)
+        reply, body, first = self._start_body(reply, method)
+        response_headers = list(reply.headers)
+        has_no_body = reply.status in (204, 304)
+        if reply.size is not None and not has_no_body:
+            response_headers.append(("Content-Length", str(reply.size)))
+        response = h11.Response(status_code=reply.status, headers=response_headers)
         self._write(self.http.send(response))
         if first:
             self._write(self.http.send(h11.Data(data=first)))
-        for piece in body:
-            self._write(self.http.send(h11.Data(data=piece)))
+        for chunk in body:
+            self._write(self.http.send(h11.Data(data=chunk)))
         self._write(self.http.send(h11.EndOfMessage()))
 
     def _write(self, data: bytes | None) -> None:
         if data:
             self.stream.write(data)
-            self.sent += len(data)
-        while self.stream.size > HIGH and not self.stream.code:
+            self.sent_bytes += len(data)
+        while self.stream.size > MAX_UNSENT_BYTES and not self.stream.code:
             if now_ms() - self.stream.progress_ms > self.times.slow_ms:
                 raise Closed("slow")
-            moving = now_ms() - self.stream.progress_ms < 10.0 * LOOK_MS
-            self.sched.sleep(QUICK_MS if moving else LOOK_MS)
+            is_draining = now_ms() - self.stream.progress_ms < 10.0 * SLOW_POLL_MS
+            self.sched.sleep(FAST_POLL_MS if is_draining else SLOW_POLL_MS)
         if self.stream.code:
             raise Closed(self.stream.code)
 
-    def _again(self) -> bool:
+    def _start_next_cycle(self) -> bool:
         """Make ready for the next request; False where the connection ends with this one."""
         if self.http.our_state is not h11.DONE or self.http.their_state is not h11.DONE:
             return False
         self.http.start_next_cycle()
         return True
 
-    def _last(self, status: int, text: str) -> None:
+    def _send_error(self, status: int, text: str) -> None:
         """Answer what was no request, if nothing has been said yet."""
         if self.http.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             return
         reply = make_refusal(status, "bad-request", text)
-        fields = [*reply.headers, ("Content-Length", str(reply.size)), ("Connection", "close")]
+        response_headers = [*reply.headers, ("Content-Length", str(reply.size)), ("Connection", "close")]
         with contextlib.suppress(h11.LocalProtocolError):
-            self.stream.write(self.http.send(h11.Response(status_code=status, headers=fields)) or b"")
-            for piece in reply.body:  # none is taken in answer to HEAD
-                self.stream.write(self.http.send(h11.Data(data=piece)) or b"")
+            self.stream.write(
+                self.http.send(h11.Response(status_code=status, headers=response_headers)) or b""
+            )
+            for chunk in reply.body:  # none is taken in answer to HEAD
+                self.stream.write(self.http.send(h11.Data(data=chunk)) or b"")
             self.stream.write(self.http.send(h11.EndOfMessage()) or b"")
 
-    def _linger(self, code: str) -> None:
+    def _flush_and_finish(self, code: str) -> None:
         """Let what is buffered go out, for a while, unless the end must show at once."""
-        until = now_ms() + self.times.slow_ms
-        while self.stream.size and not self.stream.code and now_ms() < until:
-            self.sched.sleep(LOOK_MS)
+        deadline_ms = now_ms() + self.times.slow_ms
+        while self.stream.size and not self.stream.code and now_ms() < deadline_ms:
+            self.sched.sleep(SLOW_POLL_MS)
         if code in ("close", "bad-request") and not self.stream.code:
             self.stream.finish()
             with contextlib.suppress(Closed):  # unread bytes would turn our close into a reset
@@ -218,9 +224,16 @@
 class RepoFront:
     """The listener of the second front."""
 
-    def __init__(self, sched: Scheduler, service: Service, doors: ConnectionLimits, times: Times) -> None:
+    def __init__(
+        self, sched: Scheduler, service: Service, connection_limits: ConnectionLimits, times: Times
+    ) -> None:
         """Let clients in by `connection_limits`."""
-        self.sched, self.service, self.connection_limits, self.times = sched, service, doors, times
+        self.sched, self.service, self.connection_limits, self.times = (
+            sched,
+            service,
+            connection_limits,
+            times,
+        )
         self.listener = socket.socket()
         self.rejected_connections: dict[str, int] = {}
         self.accepting = True
@@ -230,7 +243,7 @@
         self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.listener.setblocking(False)
         self.listener.bind(address)
-        self.listener.listen(BACKLOG)
+        self.listener.listen(LISTEN_BACKLOG)
         self.sched.spawn(self._accept)
         host, port = self.listener.getsockname()
         logger.info("repositories on {}:{}", host, port)
@@ -246,7 +259,7 @@
             except OSError:
                 self.sched.sleep(10.0)  # out of descriptors, or the client left
                 continue
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER)
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)
             if code := self.connection_limits.enter(address[0]):
                 self.rejected_connections[code] = self.rejected_connections.get(code, 0) + 1
                 sock.close()
