--- a/hitchtiller/repo/kinds/debian.py
+++ b/hitchtiller/repo/kinds/debian.py
@@ -18,7 +18,7 @@
 ROOT = re.compile(r"dists/.+/(InRelease|Release)\Z")
 PACKAGES = re.compile(r"dists/.+/Packages(\.gz|\.xz)?\Z")
 SHA256 = re.compile(r"[0-9a-f]{64}\Z")
-MOST_BYTES = 256_000_000  # of a Packages file, unpacked: guards against a few bytes that become many
+MAX_UNPACKED_BYTES = 256_000_000  # of a Packages file, unpacked: guards against a few bytes that become many
 MOST_FILES = 500_000
 BEGIN, END = "-----BEGIN PGP SIGNED MESSAGE-----", "-----BEGIN PGP SIGNATURE-----"
 
@@ -27,18 +27,18 @@
     try:
         if path.endswith(".gz"):
             engine = zlib.decompressobj(16 + zlib.MAX_WBITS)
-            data = engine.decompress(body, MOST_BYTES + 1)
+            data = engine.decompress(body, MAX_UNPACKED_BYTES + 1)
             whole = engine.eof
         elif path.endswith(".xz"):
             opened = lzma.LZMADecompressor(lzma.FORMAT_XZ, memlimit=128_000_000)
-            data = opened.decompress(body, MOST_BYTES + 1)
+            data = opened.decompress(body, MAX_UNPACKED_BYTES + 1)
             whole = opened.eof
         else:
             return body
     except (zlib.error, lzma.LZMAError, gzip.BadGzipFile, EOFError) as error:
         raise BadIndex(f"{path}: can't be unpacked: {error}") from None
-    if len(data) > MOST_BYTES:
-        raise BadIndex(f"{path}: over {MOST_BYTES} bytes unpacked")
+    if len(data) > MAX_UNPACKED_BYTES:
+        raise BadIndex(f"{path}: over {MAX_UNPACKED_BYTES} bytes unpacked")
     if not whole:
         raise BadIndex(f"{path}: cut short")
     return data
--- a/tests/repo/test_repo_kinds.py
+++ b/tests/repo/test_repo_kinds.py
@@ -202,7 +202,7 @@
 
 
 def test_few_bytes_do_not_become_many(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("hitchtiller.repo.kinds.debian.MOST_BYTES", 10_000)
+    monkeypatch.setattr("hitchtiller.repo.kinds.debian.MAX_UNPACKED_BYTES", 10_000)
     refused(DEBIAN, "dists/s/main/Packages.gz", gzip.compress(b"x" * 1_000_000), "over 10000 bytes")
     refused(DEBIAN, "dists/s/main/Packages.xz", lzma.compress(b"x" * 1_000_000), "over 10000 bytes")
 
