--- a/hitchtiller/repo/kinds/debian.py
+++ b/hitchtiller/repo/kinds/debian.py
@@ -15,31 +15,31 @@
 from hitchtiller.repo.generations import NamedFile
 from hitchtiller.repo.kinds import BadIndex, ParsedIndex
 
-ROOT = re.compile(r"dists/.+/(InRelease|Release)\Z")
-PACKAGES = re.compile(r"dists/.+/Packages(\.gz|\.xz)?\Z")
-SHA256 = re.compile(r"[0-9a-f]{64}\Z")
+INDEX_PATH = re.compile(r"dists/.+/(InRelease|Release)\Z")
+PACKAGES_PATH = re.compile(r"dists/.+/Packages(\.gz|\.xz)?\Z")
+SHA256_HEX = re.compile(r"[0-9a-f]{64}\Z")
 MAX_UNPACKED_BYTES = 256_000_000  # of a Packages file, unpacked: guards against a few bytes that become many
-MOST_FILES = 500_000
-BEGIN, END = "-----BEGIN PGP SIGNED MESSAGE-----", "-----BEGIN PGP SIGNATURE-----"
+MAX_FILES = 500_000
+SIGNED_BEGIN, SIGNATURE_BEGIN = "-----BEGIN PGP SIGNED MESSAGE-----", "-----BEGIN PGP SIGNATURE-----"
 
 
 def _unpack(path: str, body: bytes) -> bytes:
     try:
         if path.endswith(".gz"):
-            engine = zlib.decompressobj(16 + zlib.MAX_WBITS)
-            data = engine.decompress(body, MAX_UNPACKED_BYTES + 1)
-            whole = engine.eof
+            decompressor = zlib.decompressobj(16 + zlib.MAX_WBITS)
+            data = decompressor.decompress(body, MAX_UNPACKED_BYTES + 1)
+            is_complete = decompressor.eof
         elif path.endswith(".xz"):
             opened = lzma.LZMADecompressor(lzma.FORMAT_XZ, memlimit=128_000_000)
             data = opened.decompress(body, MAX_UNPACKED_BYTES + 1)
-            whole = opened.eof
+            is_complete = opened.eof
         else:
             return body
     except (zlib.error, lzma.LZMAError, gzip.BadGzipFile, EOFError) as error:
         raise BadIndex(f"{path}: can't be unpacked: {error}") from None
     if len(data) > MAX_UNPACKED_BYTES:
         raise BadIndex(f"{path}: over {MAX_UNPACKED_BYTES} bytes unpacked")
-    if not whole:
+    if not is_complete:
         raise BadIndex(f"{path}: cut short")
     return data
 
@@ -54,29 +54,29 @@
 def stanzas(path: str, text: str) -> Iterator[tuple[int, dict[str, str]]]:
     """Give the stanzas of a control file: the line each begins in, and its fields by lower-case name."""
     fields: dict[str, str] = {}
-    begun, last = 1, ""
+    first_line, last_field = 1, ""
     for number, line in enumerate(text.splitlines(), 1):
         if not line.strip():
             if fields:
-                yield begun, fields
-            fields, last = {}, ""
+                yield first_line, fields
+            fields, last_field = {}, ""
             continue
         if not fields:
-            begun = number
+            first_line = number
         if line[0] in " \t":
-            if not last:
+            if not last_field:
                 raise BadIndex(f"{path}:{number}: a continuation before any field")
-            fields[last] += "\n" + line.strip()
+            fields[last_field] += "\n" + line.strip()
             continue
-        name, sign, value = line.partition(":")
-        if not sign or not name or " " in name:
+        name, separator, value = line.partition(":")
+        if not separator or not name or " " in name:
             raise BadIndex(f"{path}:{number}: {line[:40]!r} is not NAME: VALUE")
-        last = name.lower()
-        if last in fields:
+        last_field = name.lower()
+        if last_field in fields:
             raise BadIndex(f"{path}:{number}: field {name!r} a second time in this stanza")
-        fields[last] = value.strip()
+        fields[last_field] = value.strip()
     if fields:
-        yield begun, fields
+        yield first_line, fields
 
 
 class Debian:
@@ -84,7 +84,7 @@
 
     def is_index(self, path: str) -> bool:
         """A suite's InRelease or Release."""
-        return bool(ROOT.match(path))
+        return bool(INDEX_PATH.match(path))
 
     def is_listing(self, path: str) -> bool:
         """Detached signatures go as they come: which Release they are of is the client's to check."""
@@ -108,70 +108,72 @@
     def parse(self, path: str, body: bytes) -> ParsedIndex:
         """Read a Release, or a Packages file in any form."""
         if self.is_index(path):
-            return self._release(path, _text(path, body))
-        if PACKAGES.match(path):
-            return ParsedIndex(self._packages(path, _text(path, _unpack(path, body))))
+            return self._parse_release(path, _text(path, body))
+        if PACKAGES_PATH.match(path):
+            return ParsedIndex(self._parse_packages(path, _text(path, _unpack(path, body))))
         raise BadIndex(f"{path} is no index of an archive")
 
-    def _release(self, path: str, text: str) -> ParsedIndex:
-        if text.startswith(BEGIN):
-            head, sign, rest = text.partition("\n\n")
-            signed, end, _ = rest.partition(END)
-            if not sign or not end:
+    def _parse_release(self, path: str, text: str) -> ParsedIndex:
+        if text.startswith(SIGNED_BEGIN):
+            head, separator, rest = text.partition("\n\n")
+            signed, end, _ = rest.partition(SIGNATURE_BEGIN)
+            if not separator or not end:
                 raise BadIndex(f"{path}: the signature's frame is cut short")
             text = re.sub(r"(?m)^- ", "", signed)
-        found = list(stanzas(path, text))
-        if len(found) != 1:
+        all_stanzas = list(stanzas(path, text))
+        if len(all_stanzas) != 1:
             raise BadIndex(f"{path}: {len(found)} stanzas; a Release has one")
-        fields = found[0][1]
+        fields = all_stanzas[0][1]
         if "sha256" not in fields:
             raise BadIndex(f"{path}: no SHA256 field")
-        folder = dirname(path)
+        directory = dirname(path)
         by_hash = fields.get("acquire-by-hash", "no") == "yes"
         files: dict[str, NamedFile] = {}
         for line in fields["sha256"].splitlines():
             words = line.split()
             if not words:
                 continue
-            if len(words) != 3 or not SHA256.match(words[0]) or not words[1].isdecimal():
+            if len(words) != 3 or not SHA256_HEX.match(words[0]) or not words[1].isdecimal():
                 raise BadIndex(f"{path}: {line[:60]!r} is not DIGEST SIZE NAME")
-            named = self._named(path, f"{folder}/{words[2]}", words[0], int(words[1]))
+            named = self._make_named_file(path, f"{folder}/{words[2]}", words[0], int(words[1]))
             files[named.path] = named
             if by_hash:
-                beside = f"{dirname(named.path)}/by-hash/SHA256/{named.digest}"
-                files[beside] = NamedFile(beside, named.digest, named.size)
-        nested = self._nested(files)
+                by_hash_path = f"{dirname(named.path)}/by-hash/SHA256/{named.digest}"
+                files[by_hash_path] = NamedFile(by_hash_path, named.digest, named.size)
+        nested = self._choose_packages(files)
         return ParsedIndex(files, nested, frozenset(files) - frozenset(nested))
 
-    def _nested(self, files: dict[str, NamedFile]) -> tuple[str, ...]:
+    def _choose_packages(self, files: dict[str, NamedFile]) -> tuple[str, ...]:
         """Of each Packages file the smallest form that is there."""
-        best: dict[str, str] = {}
+        smallest: dict[str, str] = {}
         for name in files:
-            if PACKAGES.match(name) and "/by-hash/" not in name:
+            if PACKAGES_PATH.match(name) and "/by-hash/" not in name:
                 stem = name.removesuffix(".gz").removesuffix(".xz")
-                if stem not in best or files[name].size < files[best[stem]].size:
-                    best[stem] = name
-        return tuple(sorted(best.values()))
+                if stem not in smallest or files[name].size < files[smallest[stem]].size:
+                    smallest[stem] = name
+        return tuple(sorted(smallest.values()))
 
-    def _packages(self, path: str, text: str) -> dict[str, NamedFile]:
+    def _parse_packages(self, path: str, text: str) -> dict[str, NamedFile]:
         files: dict[str, NamedFile] = {}
         for line, fields in stanzas(path, text):
             missing = [name for name in ("filename", "size", "sha256") if name not in fields]
             if missing:
                 raise BadIndex(f"{path}:{line}: stanza without {missing[0]}")
             digest, size = fields["sha256"].lower(), fields["size"]
-            if not SHA256.match(digest) or not size.isdecimal():
+            if not SHA256_HEX.match(digest) or not size.isdecimal():
                 raise BadIndex(f"{path}:{line}: SHA256 or Size is malformed")
-            named = self._named(f"{path}:{line}", fields["filename"].removeprefix("./"), digest, int(size))
+            named = self._make_named_file(
+                f"{path}:{line}", fields["filename"].removeprefix("./"), digest, int(size)
+            )
             known = files.get(named.path)
             if known and known != named:
                 raise BadIndex(f"{path}:{line}: {named.path[:60]!r} is named twice with different digests")
             files[named.path] = named
-            if len(files) > MOST_FILES:
-                raise BadIndex(f"{path}:{line}: over {MOST_FILES} files")
+            if len(files) > MAX_FILES:
+                raise BadIndex(f"{path}:{line}: over {MAX_FILES} files")
         return files
 
-    def _named(self, where: str, name: str, digest: str, size: int) -> NamedFile:
+    def _make_named_file(self, where: str, name: str, digest: str, size: int) -> NamedFile:
         if name != normpath(name) or name.startswith(("/", "..")) or "\\" in name or "\0" in name:
             raise BadIndex(f"{where}: {name[:60]!r} does not name a file of this archive")
         return NamedFile(name, digest, size)
--- a/hitchtiller/repo/kinds/simple.py
+++ b/hitchtiller/repo/kinds/simple.py
@@ -175,4 +175,4 @@
             raise BadIndex(f"{where}: {name[:60]!r} is named twice with different digests")
         files[name] = NamedFile(name, digest, size)
         if len(files) > MOST_FILES:
-            raise BadIndex(f"{where}: over {MOST_FILES} files")
+            raise BadIndex(f"{where}: over {MAX_FILES} files")
