--- a/hitchtiller/repo/kinds/simple.py
+++ b/hitchtiller/repo/kinds/simple.py
@@ -22,25 +22,25 @@
 from hitchtiller.repo.generations import NamedFile
 from hitchtiller.repo.kinds import BadIndex, ParsedIndex
 
-ROOT = re.compile(r"simple/([^/]+)/(index\.(html|json))?\Z")
-LISTING = re.compile(r"simple/(index\.(html|json))?\Z")
-SHA256 = re.compile(r"[0-9a-f]{64}\Z")
-MOST_FILES = 100_000
-BASE = "http://here.invalid/"
+INDEX_PATH = re.compile(r"simple/([^/]+)/(index\.(html|json))?\Z")
+LISTING_PATH = re.compile(r"simple/(index\.(html|json))?\Z")
+SHA256_HEX = re.compile(r"[0-9a-f]{64}\Z")
+MAX_FILES = 100_000
+BASE_URL = "http://here.invalid/"
 
 
-class _Page(HTMLParser):
+class _PageParser(HTMLParser):
     """Collects the anchors of a page with their lines."""
 
     def __init__(self) -> None:
         super().__init__(convert_charrefs=True)
         self.anchors: list[tuple[int, dict[str, str]]] = []
         self.version = ""
-        self.tags = 0
+        self.tag_count = 0
 
     def handle_starttag(self, tag: str, attrs: list[tuple[str, str | None]]) -> None:
         """Take a tag."""
-        self.tags += 1
+        self.tag_count += 1
         fields = {name: value or "" for name, value in attrs}
         if tag == "a" and "href" in fields:
             self.anchors.append((self.getpos()[0], fields))
@@ -71,11 +71,11 @@
 
     def is_index(self, path: str) -> bool:
         """A project's page."""
-        return bool(ROOT.match(path))
+        return bool(INDEX_PATH.match(path))
 
     def is_listing(self, path: str) -> bool:
         """The list of projects."""
-        return bool(LISTING.match(path))
+        return bool(LISTING_PATH.match(path))
 
     def content_type(self, path: str, body: bytes) -> str:
         """Tell HTML and JSON apart by their first byte."""
@@ -99,70 +99,74 @@
 
     def parse(self, path: str, body: bytes) -> ParsedIndex:
         """Read a project's page in either form."""
-        match = ROOT.match(path)
-        if not match:
+        path_match = INDEX_PATH.match(path)
+        if not path_match:
             raise BadIndex(f"{path} is no project's page")
         try:
             text = body.decode()
         except UnicodeDecodeError as error:
             raise BadIndex(f"{path}: byte {error.start} is not UTF-8") from None
-        read = self._json if text.lstrip().startswith("{") else self._html
-        return ParsedIndex(read(path, match.group(1), text))
+        parse_page = self._parse_json if text.lstrip().startswith("{") else self._parse_html
+        return ParsedIndex(parse_page(path, path_match.group(1), text))
 
-    def _json(self, path: str, project: str, text: str) -> dict[str, NamedFile]:
+    def _parse_json(self, path: str, project: str, text: str) -> dict[str, NamedFile]:
         try:
             page = msgspec.json.decode(text, type=_Project)
         except (msgspec.DecodeError, RecursionError) as error:
             raise BadIndex(f"{path}: {error}") from None
-        self._version(path, page.meta.api_version)
+        self._check_version(path, page.meta.api_version)
         if canonicalize_name(page.name) != canonicalize_name(project):
             raise BadIndex(f"{path}: it is the page of {page.name[:60]!r}")
         files: dict[str, NamedFile] = {}
         for number, file in enumerate(page.files, 1):
             where = f"{path}: file {number} ({file.filename[:60]!r})"
             digest = file.hashes.get("sha256", "").lower()
-            self._add(files, where, path, file.url, digest, file.size)
+            self._add_file(files, where, path, file.url, digest, file.size)
             if isinstance(file.core_metadata, dict):
-                beside = file.core_metadata.get("sha256", "").lower()
-                self._add(files, where, path, file.url.partition("#")[0] + ".metadata", beside, -1)
+                metadata_digest = file.core_metadata.get("sha256", "").lower()
+                self._add_file(
+                    files, where, path, file.url.partition("#")[0] + ".metadata", metadata_digest, -1
+                )
         return files
 
-    def _html(self, path: str, project: str, text: str) -> dict[str, NamedFile]:
-        page = _Page()
+    def _parse_html(self, path: str, project: str, text: str) -> dict[str, NamedFile]:
+        page = _PageParser()
         page.feed(text)
         page.close()
-        if not page.tags:
+        if not page.tag_count:
             raise BadIndex(f"{path}: neither HTML nor JSON")
-        self._version(path, page.version or "1.0")
+        self._check_version(path, page.version or "1.0")
         files: dict[str, NamedFile] = {}
         for line, fields in page.anchors:
             where = f"{path}:{line}"
             url, _, fragment = fields["href"].strip().partition("#")
-            kind, _, digest = fragment.partition("=")
-            if kind and kind != "sha256":
+            hash_name, _, digest = fragment.partition("=")
+            if hash_name and hash_name != "sha256":
                 digest = ""  # an older hash: the file is named, its bytes can't be proven
-            self._add(files, where, path, url, digest.lower(), -1)
-            beside = fields.get("data-core-metadata", fields.get("data-dist-info-metadata", ""))
-            if beside and beside != "false":
-                self._add(files, where, path, url + ".metadata", beside.removeprefix("sha256=").lower(), -1)
+            self._add_file(files, where, path, url, digest.lower(), -1)
+            metadata_digest = fields.get("data-core-metadata", fields.get("data-dist-info-metadata", ""))
+            if metadata_digest and metadata_digest != "false":
+                self._add_file(
+                    files, where, path, url + ".metadata", metadata_digest.removeprefix("sha256=").lower(), -1
+                )
         return files
 
-    def _version(self, path: str, version: str) -> None:
+    def _check_version(self, path: str, version: str) -> None:
         major, _, minor = version.partition(".")
         if not (major.isdecimal() and minor.isdecimal()) or int(major) != 1:
             raise BadIndex(f"{path}: repository version {version[:20]!r}; 1.x is read")
 
-    def _add(
+    def _add_file(
         self, files: dict[str, NamedFile], where: str, path: str, url: str, digest: str, size: int
     ) -> None:
         if digest == "true":
             digest = ""
-        if digest and not SHA256.match(digest):
+        if digest and not SHA256_HEX.match(digest):
             raise BadIndex(f"{where}: sha256 {digest[:20]!r} is not 64 hexadecimal digits")
         if not url or size < -1:
             raise BadIndex(f"{where}: no url, or a size below 0")
         try:
-            parts = urlsplit(urljoin(BASE + path, url))
+            parts = urlsplit(urljoin(BASE_URL + path, url))
         except ValueError as error:
             raise BadIndex(f"{where}: url {url[:60]!r}: {error}") from None
         if parts.netloc != "here.invalid":
@@ -174,5 +178,5 @@
         if known and known.digest != digest:
             raise BadIndex(f"{where}: {name[:60]!r} is named twice with different digests")
         files[name] = NamedFile(name, digest, size)
-        if len(files) > MOST_FILES:
+        if len(files) > MAX_FILES:
             raise BadIndex(f"{where}: over {MAX_FILES} files")
