--- a/hitchtiller/repo/kinds/debian.py
+++ b/hitchtiller/repo/kinds/debian.py
@@ -30,9 +30,9 @@
             data = decompressor.decompress(body, MAX_UNPACKED_BYTES + 1)
             is_complete = decompressor.eof
         elif path.endswith(".xz"):
-            opened = lzma.LZMADecompressor(lzma.FORMAT_XZ, memlimit=128_000_000)
-            data = opened.decompress(body, MAX_UNPACKED_BYTES + 1)
-            is_complete = opened.eof
+            decompressor = lzma.LZMADecompressor(lzma.FORMAT_XZ, memlimit=128_000_000)
+            data = decompressor.decompress(body, MAX_UNPACKED_BYTES + 1)
+            is_complete = decompressor.eof
         else:
             return body
     except (zlib.error, lzma.LZMAError, gzip.BadGzipFile, EOFError) as error:
@@ -122,7 +122,7 @@
             text = re.sub(r"(?m)^- ", "", signed)
         all_stanzas = list(stanzas(path, text))
         if len(all_stanzas) != 1:
-            raise BadIndex(f"{path}: {len(found)} stanzas; a Release has one")
+            raise BadIndex(f"{path}: {len(all_stanzas)} stanzas; a Release has one")
         fields = all_stanzas[0][1]
         if "sha256" not in fields:
             raise BadIndex(f"{path}: no SHA256 field")
@@ -135,7 +135,7 @@
                 continue
             if len(words) != 3 or not SHA256_HEX.match(words[0]) or not words[1].isdecimal():
                 raise BadIndex(f"{path}: {line[:60]!r} is not DIGEST SIZE NAME")
-            named = self._make_named_file(path, f"{folder}/{words[2]}", words[0], int(words[1]))
+            named = self._make_named_file(path, f"{directory}/{words[2]}", words[0], int(words[1]))
             files[named.path] = named
             if by_hash:
                 by_hash_path = f"{dirname(named.path)}/by-hash/SHA256/{named.digest}"
