--- a/hitchtiller/repo/generations.py
+++ b/hitchtiller/repo/generations.py
@@ -165,8 +165,8 @@
         generation, older or newer, are never for a client: it would pair an index with another release's
         file.
         """
-        own = self._generation_for(client)
-        return own.files.get(path) if own and self._is_permitted(own, now_ms) else None
+        generation = self._generation_for(client)
+        return generation.files.get(path) if generation and self._is_permitted(generation, now_ms) else None
 
     def _generation_for(self, client: str) -> Generation | None:
         """Give a client's generation; the one that is served, where it is not known."""
@@ -176,8 +176,8 @@
 
     def is_outdated(self, client: str, now_ms: float) -> bool:
         """Tell whether a client holds an index that is permitted no more."""
-        own = self._generation_for(client)
-        return own is not None and not self._is_permitted(own, now_ms)
+        generation = self._generation_for(client)
+        return generation is not None and not self._is_permitted(generation, now_ms)
 
     def _is_permitted(self, generation: Generation, now_ms: float) -> bool:
         if generation.state is State.RETIRED:
