--- a/hitchtiller/repo/fetch.py
+++ b/hitchtiller/repo/fetch.py
@@ -72,8 +72,8 @@
         """Learn from other classes' answers whether the foreground keeps up."""
         if exchange.request.background:
             return
-        now, cls = now_ms(), self.engine.router.settings.classes[exchange.request.class_name]
-        in_time = answer.kind == SERVED and now - exchange.taken_ms <= cls.aim_ms
+        now, class_settings = now_ms(), self.engine.router.settings.classes[exchange.request.class_name]
+        in_time = answer.kind == SERVED and now - exchange.taken_ms <= class_settings.aim_ms
         self.give_way.record_foreground(in_time, now)
 
     def look(self) -> None:
@@ -86,12 +86,12 @@
             self.sched.wake(self.waiters.popleft(), True)
             return
 
-    def _acquire_slot(self, until_ms: float) -> None:
+    def _acquire_slot(self, deadline_ms: float) -> None:
         own_greenlet = getcurrent()
         while not self.give_way.admits():
             self.waiters.append(own_greenlet)
             timer = self.sched.later(
-                max(1.0, until_ms - now_ms()), lambda: self._on_slot_timeout(own_greenlet)
+                max(1.0, deadline_ms - now_ms()), lambda: self._on_slot_timeout(own_greenlet)
             )
             was_admitted = self.sched.park()
             timer.cancel()
@@ -106,13 +106,13 @@
 
     def fetch(self, file_request: FileRequest, number: int) -> Part:
         """Get one part, parking this greenlet; Refused or Failed where it does not come."""
-        cls = self.engine.router.settings.classes[file_request.class_name]
+        class_settings = self.engine.router.settings.classes[file_request.class_name]
         started_ms = now_ms()
-        until = started_ms + cls.deadline_ms
-        self._acquire_slot(until)
+        deadline_ms = started_ms + class_settings.deadline_ms
+        self._acquire_slot(deadline_ms)
         self.asked += 1
         try:
-            answer = self._request_part(file_request, number, until)
+            answer = self._request_part(file_request, number, deadline_ms)
         finally:
             self.give_way.open -= 1
             self._wake_next()
@@ -124,7 +124,7 @@
             raise FetchRefusedError(answer.wait_ms)
         raise FetchFailedError
 
-    def _request_part(self, file_request: FileRequest, number: int, until: float) -> Answer:
+    def _request_part(self, file_request: FileRequest, number: int, deadline_ms: float) -> Answer:
         own_greenlet, got = getcurrent(), list[Answer]()
         is_parked = False
 
@@ -134,11 +134,11 @@
                 self.sched.wake(own_greenlet)
 
         object_name = f"{file_request.key:016x}"
-        ask = ClientRequest(
-            f"{self.rng.getrandbits(64):016x}", file_request.class_name, object_name, file_request.key, until,
+        request = ClientRequest(
+            f"{self.rng.getrandbits(64):016x}", file_request.class_name, object_name, file_request.key, deadline_ms,
             part=number, group=file_request.group, size_kb=PART / 1000.0, background=True,
         )  # fmt: skip
-        exchange = self.engine.take(ask, deliver)
+        exchange = self.engine.take(request, deliver)
         if not got:
             is_parked = True
             try:
