--- a/hitchtiller/repo/service.py
+++ b/hitchtiller/repo/service.py
@@ -304,8 +304,8 @@
             return make_refusal(503, "other-release", "a release is being published; come back", 1.0)
         digest = verified.digest if verified else named.digest
         validators = Validators(digest, first.since_ms, first.tag)
-        kind = repo.kind.content_type(path, b"")
-        common_headers = [("Content-Type", kind), ("Accept-Ranges", "bytes")]
+        content_type = repo.kind.content_type(path, b"")
+        common_headers = [("Content-Type", content_type), ("Accept-Ranges", "bytes")]
         if digest:
             common_headers += [("ETag", validators.etag), ("Last-Modified", validators.last_modified)]
             condition_status = status(method, headers, validators)
@@ -410,7 +410,7 @@
                 "range",
             )
         boundary = hashlib.sha256(f"{file_request.key}{header}".encode()).hexdigest()[:24]
-        inner = next(value for name, value in common_headers if name == "Content-Type")
+        content_type = next(value for name, value in common_headers if name == "Content-Type")
         part_headers = [
             f"\r\n--{boundary}\r\nContent-Type: {inner}\r\n"
             f"Content-Range: {span.content_range(size)}\r\n\r\n".encode()
@@ -470,7 +470,7 @@
 ) -> Reply:
     """Answer with a body that is in memory."""
     common_headers = [
-        ("Content-Type", kind), ("ETag", validators.etag), ("Last-Modified", validators.last_modified),
+        ("Content-Type", content_type), ("ETag", validators.etag), ("Last-Modified", validators.last_modified),
         ("Accept-Ranges", "bytes"), ("Cache-Control", "no-cache"),
     ]  # fmt: skip
     condition_status = status(method, headers, validators)
