--- a/hitchtiller/repo/service.py
+++ b/hitchtiller/repo/service.py
@@ -173,8 +173,8 @@
                         raise BadIndex(
                             f"{path}: over {repo.index_bytes} bytes, which is what index_mb allows"
                         )
-            except TagChangedError as restart:
-                tag = restart.tag
+            except TagChangedError as changed:
+                tag = changed.tag
                 continue
             self.verified_bodies.put(file_request.key, assembly.tag, assembly.hash.hexdigest(), assembly.size)
             return b"".join(pieces), assembly
@@ -360,13 +360,13 @@
         yield from assembly.add_part(0, first)
         if not assembly.is_complete:
             part_limit = -(-assembly.size // PART) if assembly.size >= 0 else 1 << 16
-            validators = part_limit if assembly.size >= 0 else -1
+            part_count = part_limit if assembly.size >= 0 else -1
             parts = self.fetcher.fetch_in_order(
                 file_request,
                 iter(range(1, part_limit)),
                 count_unsent_bytes,
                 assembly.has_same_tag,
-                validators,
+                part_count,
             )
             for number, part in parts:
                 yield from assembly.add_part(number, part)
@@ -412,7 +412,7 @@
         boundary = hashlib.sha256(f"{file_request.key}{header}".encode()).hexdigest()[:24]
         content_type = next(value for name, value in common_headers if name == "Content-Type")
         part_headers = [
-            f"\r\n--{boundary}\r\nContent-Type: {inner}\r\n"
+            f"\r\n--{boundary}\r\nContent-Type: {content_type}\r\n"
             f"Content-Range: {span.content_range(size)}\r\n\r\n".encode()
             for span in spans
         ]
@@ -441,18 +441,15 @@
     ) -> Iterator[bytes]:
         """Give stretches of a proven tag; Broken where a part of another tag came."""
         for span in spans:
-            slices = {
-                number: (begin, closing_boundary)
-                for number, begin, closing_boundary in split_into_parts(span, PART)
-            }
+            slices = {number: (begin, end) for number, begin, end in split_into_parts(span, PART)}
             parts = self.fetcher.fetch_in_order(
                 file_request, iter(slices), count_unsent_bytes, lambda part: part.tag == tag
             )
             for number, part in parts:
-                begin, closing_boundary = slices[number]
+                begin, end = slices[number]
                 if part.tag != tag or len(part.data) != min(PART, size - number * PART):
                     raise BrokenBodyError("two-releases")
-                yield part.data[begin:closing_boundary]
+                yield part.data[begin:end]
 
 
 def _could_match(part: Part, named: NamedFile, verified_digest: str) -> bool:
@@ -466,12 +463,13 @@
 
 
 def _answer_from_memory(
-    kind: str, body: bytes, validators: Validators, method: str, headers: Mapping[str, str]
+    content_type: str, body: bytes, validators: Validators, method: str, headers: Mapping[str, str]
 ) -> Reply:
     """Answer with a body that is in memory."""
     common_headers = [
-        ("Content-Type", content_type), ("ETag", validators.etag), ("Last-Modified", validators.last_modified),
-        ("Accept-Ranges", "bytes"), ("Cache-Control", "no-cache"),
+        ("Content-Type", content_type), ("ETag", validators.etag),
+        ("Last-Modified", validators.last_modified), ("Accept-Ranges", "bytes"),
+        ("Cache-Control", "no-cache"),
     ]  # fmt: skip
     condition_status = status(method, headers, validators)
     if condition_status == 304:
