--- a/hitchtiller/repo/kinds/debian.py
+++ b/hitchtiller/repo/kinds/debian.py
@@ -30,9 +30,9 @@
             data = decompressor.decompress(body, MAX_UNPACKED_BYTES + 1)
             is_complete = decompressor.eof
         elif path.endswith(".xz"):
-            decompressor = lzma.LZMADecompressor(lzma.FORMAT_XZ, memlimit=128_000_000)
-            data = decompressor.decompress(body, MAX_UNPACKED_BYTES + 1)
-            is_complete = decompressor.eof
+            xz_decompressor = lzma.LZMADecompressor(lzma.FORMAT_XZ, memlimit=128_000_000)
+            data = xz_decompressor.decompress(body, MAX_UNPACKED_BYTES + 1)
+            is_complete = xz_decompressor.eof
         else:
             return body
     except (zlib.error, lzma.LZMAError, gzip.BadGzipFile, EOFError) as error:
