--- a/hitchtiller/repo/service.py
+++ b/hitchtiller/repo/service.py
@@ -1,7 +1,8 @@
-"""What the repositories answer: a request's method, target and conditions become bytes, or a refusal.
+"""Answers HTTP requests to the package repositories.
 
-Greenlets of the loop; no sockets. Bound: one index at a time in memory for each request that reads one
-(`index_mb`), and the window's parts for bodies.
+Given a request's method, target and headers, `Service` returns the status, the headers and an iterator over
+the body. Runs in greenlets of the event loop and opens no sockets; `hitchtiller.repo.front` does that. Memory
+bound: one index at a time for each request that reads one (`index_mb`), and the parts in the body's window.
 """
 
 import hashlib
@@ -27,28 +28,28 @@
 from hitchtiller.sched import now_ms
 from hitchtiller.store.purges import Purges
 
-MAX_FILES_CHECKED = 500  # files of a generation that are looked for before it is served
+MAX_FILES_CHECKED = 500  # files of a generation whose presence is checked before it is served
 MAX_CHECKS_AT_ONCE = 8
-MAX_INDEXES = 20_000  # indexes that are followed
-PURGE_GRACE_MS = 1_000.0  # after a purge was told, until which an older index may still be given
+MAX_INDEXES = 20_000  # per repository; the index known for longest is forgotten first
+PURGE_GRACE_MS = 1_000.0  # after a purge is reported, an older index may still be served for this long
 
 
 @dataclass(slots=True)
 class Reply:
-    """An answer.
-
-    Status, headers, and its body, piece by piece; `size` is None where it is not known before.
-    """
+    """An HTTP response; `size` is the length of its body, None where that is not known in advance."""
 
     status: int
     headers: list[tuple[str, str]] = field(default_factory=list)
     body: Iterator[bytes] = field(default_factory=lambda: iter(()))
     size: int | None = 0
-    reason: str = ""  # a code for the log and the counters
+    reason: str = ""  # reason code, counted in Service.counts
 
 
 def make_refusal(code: int, reason: str, text: str = "", wait_s: float = 0.0, **headers: str) -> Reply:
-    """Make an answer that has no bytes of a file; its text says what was wrong."""
+    """Return an error response with a plain-text body.
+
+    `headers` become additional HTTP headers, with each `_` in a name replaced by `-`.
+    """
     data = (text or reason.replace("-", " ")).encode() + b"\n"
     reply_headers = [("Content-Type", "text/plain; charset=utf-8"), ("Cache-Control", "no-store")]
     if wait_s:
@@ -59,7 +60,7 @@
 
 @dataclass(slots=True)
 class Repository:
-    """One repository: its kind, where it hangs, and the generations of its indexes."""
+    """One repository: its kind, its URL path prefix, and the generations of its indexes."""
 
     name: str
     kind: Kind
@@ -69,12 +70,14 @@
     grace_ms: float
     index_bytes: int
     lines: dict[str, IndexHistory] = field(default_factory=dict)
-    indexes_by_path: dict[str, set[str]] = field(default_factory=dict)  # path: the indexes that name it
+    indexes_by_path: dict[str, set[str]] = field(
+        default_factory=dict
+    )  # file path to the paths of the indexes that name it
 
     def history(self, path: str) -> IndexHistory:
-        """Give an index's line."""
+        """Return the history of an index, creating it if there is none."""
         if path not in self.lines:
-            if len(self.lines) >= MAX_INDEXES:  # the longest known goes; it is learnt again when asked for
+            if len(self.lines) >= MAX_INDEXES:  # read again when it is next requested
                 oldest = next(iter(self.lines))
                 del self.lines[oldest]
                 for names in self.indexes_by_path.values():
@@ -89,12 +92,13 @@
     def __init__(
         self, engine: Engine, fetcher: Fetcher, repositories: list[Repository], hosts: frozenset[str]
     ) -> None:
-        """Serve these repositories; the longest prefix that fits counts."""
+        """Serve these repositories; the longest matching prefix wins."""
         self.engine, self.fetcher, self.hosts = engine, fetcher, hosts
         self.repositories = sorted(repositories, key=lambda each: -len(each.prefix))
         self.verified_bodies = VerifiedBodies()
         self.counts: dict[str, int] = {}
-        # the decisions forget a purge once caches have dropped; indexes are held for longer
+        # The decision module forgets a purge once the caches have dropped their copies. Indexes are held here
+        # for longer, so the purges are recorded separately.
         self.purges = Purges()
         engine.purge_listeners.append(lambda ban: self.purges.add(ban.key, ban.group, ban.at_ms))
 
@@ -106,7 +110,7 @@
         client: str,
         count_unsent_bytes: Callable[[], int],
     ) -> Reply:
-        """Answer a request; `waiting` tells how many bytes its client has not taken yet."""
+        """Answer a request; `count_unsent_bytes` returns how many response bytes wait for the client."""
         try:
             reply = self._answer(method, target, headers, client, count_unsent_bytes)
         except BadTarget as error:
@@ -116,7 +120,7 @@
         except FetchFailedError:
             reply = make_refusal(504, "failed", "no server answered in time")
         except BadIndex as error:
-            logger.warning("index not taken: {}", error)
+            logger.warning("invalid index: {}", error)
             reply = make_refusal(502, "bad-index", str(error))
         except BrokenBodyError as error:
             reply = make_refusal(503, str(error), "two releases at once; come back", 1.0)
@@ -150,16 +154,20 @@
 
     # Indexes
 
-    def _source(self, repo: Repository, path: str, client: str) -> FileRequest:
+    def _file_request(self, repo: Repository, path: str, client: str) -> FileRequest:
         return FileRequest(object_key(repo.name, path), repo.class_name, repo.group, client)
 
     def read_whole(
         self, repo: Repository, path: str, client: str, digest: str = ""
     ) -> tuple[bytes, Assembly] | None:
-        """Read a file whole, of one tag; None if there is none. Its digest must hold, where one is given."""
-        file_request, tag = self._source(repo, path, client), ""
+        """Read a complete file whose parts all have one tag; return its bytes and the assembly.
+
+        Returns None if the file does not exist. Raises BrokenBodyError if the bytes do not match `digest`,
+        where one is given, or if the tag changed during each of three reads.
+        """
+        file_request, tag = self._file_request(repo, path, client), ""
         for _ in range(3):
-            assembly, pieces, number = Assembly(PART, digest, tag=tag), list[bytes](), 0
+            assembly, chunks, number = Assembly(PART, digest, tag=tag), list[bytes](), 0
             try:
                 while not assembly.is_complete:
                     part = self.fetcher.fetch_with_repeats(file_request, number, assembly.has_same_tag)
@@ -167,7 +175,7 @@
                         return None
                     if part.tag != (assembly.tag or part.tag):
                         raise TagChangedError(part.tag)
-                    pieces += assembly.add_part(number, part)
+                    chunks += assembly.add_part(number, part)
                     number += 1
                     if number * PART > repo.index_bytes:
                         raise BadIndex(
@@ -177,11 +185,11 @@
                 tag = changed.tag
                 continue
             self.verified_bodies.put(file_request.key, assembly.tag, assembly.hash.hexdigest(), assembly.size)
-            return b"".join(pieces), assembly
+            return b"".join(chunks), assembly
         raise BrokenBodyError("two-releases")
 
     def _refresh_index(self, repo: Repository, path: str, client: str) -> IndexHistory | None:
-        """Read an index as it is now, with what belongs to it; None if there is none."""
+        """Read the current index and its nested indexes, and record them; None if there is no index."""
         result = self.read_whole(repo, path, client)
         if result is None:
             return None
@@ -200,7 +208,7 @@
     def _read_nested(
         self, repo: Repository, path: str, parsed_index: ParsedIndex, client: str
     ) -> ParsedIndex:
-        """Read the further indexes that an index names, each by its digest."""
+        """Read the nested indexes, verify each against its digest, and return the index with their files."""
         files = dict(parsed_index.files)
         for name in parsed_index.nested:
             result = self.read_whole(repo, name, client, parsed_index.files[name].digest)
@@ -210,7 +218,11 @@
         return ParsedIndex(files, parsed_index.nested, parsed_index.optional)
 
     def _check_files(self, repo: Repository, history: IndexHistory, client: str) -> None:
-        """Look for the files that are new in the newest generation; it is served only once they are there."""
+        """Check that the files that are new in the newest generation exist at the caches.
+
+        The generation is served only once they do. Of each file only the first part is fetched. Files beyond
+        the first MAX_FILES_CHECKED are assumed to exist.
+        """
         generation = history.due_for_check(now_ms())
         if generation is None:
             return
@@ -240,7 +252,7 @@
         if generation is None or (generation.since_ms <= purged and now - purged > PURGE_GRACE_MS):
             return make_refusal(503, "release-not-whole", "a release is being published; come back", 1.0)
         if generation.digest != history.newest_digest and now - purged <= PURGE_GRACE_MS:
-            logger.info("{}: the release before is given, the newest is not whole", path)
+            logger.info("{}: serving the previous release because files of the newest one are missing", path)
         validators = Validators(generation.digest, int(generation.since_ms))
         return _answer_from_memory(
             repo.kind.content_type(path, generation.body), generation.body, validators, method, headers
@@ -259,9 +271,9 @@
     # Files
 
     def _permitted_files(self, repo: Repository, path: str, client: str) -> list[NamedFile]:
-        """Give what a file may be for a client, by each index that names it.
+        """Return each distinct version of a file that the client may be sent, one for each index that names it.
 
-        One is read where none is known.
+        Where no known index names the path, the indexes that its path suggests are read first.
         """
         if path not in repo.indexes_by_path:
             for index in repo.kind.index_paths_for(path):
@@ -292,7 +304,7 @@
                     404, "index-outdated", "your index is of an older release; ask for it again"
                 )
             return make_refusal(404, "not-found", "no index that was given to you names this file")
-        file_request = self._source(repo, path, client)
+        file_request = self._file_request(repo, path, client)
         first = self.fetcher.fetch_with_repeats(
             file_request, 0, lambda part: self._is_acceptable(file_request.key, part, permitted)
         )
@@ -334,14 +346,14 @@
         )
 
     def _is_acceptable(self, key: int, part: Part, permitted: list[NamedFile]) -> bool:
-        """Tell whether a first part can be of a permitted release; others are asked for again for a while."""
+        """Return whether a first part can belong to a permitted release; if not, the fetch is repeated."""
         verified = self.verified_bodies.get(key, part.tag)
         if part.tag == ABSENT:
             return False
         return any(_could_match(part, named, verified.digest if verified else "") for named in permitted)
 
     def _verify_file(self, file_request: FileRequest, first: Part, named: NamedFile) -> VerifiedBody:
-        """Read a file once for its digest; nothing of it is sent or held."""
+        """Read a complete file to verify its digest, without sending or keeping its bytes."""
         assembly = Assembly(PART, named.digest, named.size)
         for _ in self._stream_body(file_request, first, assembly, lambda: 0):
             pass
@@ -356,7 +368,7 @@
         assembly: Assembly,
         count_unsent_bytes: Callable[[], int],
     ) -> Iterator[bytes]:
-        """Give a whole body as its parts come; Broken if it can't be ended well."""
+        """Yield a complete body as its parts arrive; raise BrokenBodyError if it cannot be completed."""
         yield from assembly.add_part(0, first)
         if not assembly.is_complete:
             part_limit = -(-assembly.size // PART) if assembly.size >= 0 else 1 << 16
@@ -439,7 +451,7 @@
         spans: list[Span],
         count_unsent_bytes: Callable[[], int],
     ) -> Iterator[bytes]:
-        """Give stretches of a proven tag; Broken where a part of another tag came."""
+        """Yield the bytes of `spans` of a verified tag; raise BrokenBodyError if a part has another tag."""
         for span in spans:
             slices = {number: (begin, end) for number, begin, end in split_into_parts(span, PART)}
             parts = self.fetcher.fetch_in_order(
@@ -453,10 +465,14 @@
 
 
 def _could_match(part: Part, named: NamedFile, verified_digest: str) -> bool:
-    """Tell whether a file's first part can be of what an index names."""
+    """Return whether a file's first part can belong to the file that an index names.
+
+    `verified_digest` is the digest already established for the part's tag, "" if there is none. Without one,
+    a digest can be compared only if the first part is the complete file.
+    """
     if verified_digest:
         return named.digest in ("", verified_digest)
-    if len(part.data) < PART:  # it is all there is
+    if len(part.data) < PART:
         whole = named.size in (-1, len(part.data))
         return whole and named.digest in ("", hashlib.sha256(part.data).hexdigest())
     return named.size < 0 or named.size >= PART
@@ -465,7 +481,7 @@
 def _answer_from_memory(
     content_type: str, body: bytes, validators: Validators, method: str, headers: Mapping[str, str]
 ) -> Reply:
-    """Answer with a body that is in memory."""
+    """Return the response for a body that is in memory: 200, 206, 304, 412 or 416."""
     common_headers = [
         ("Content-Type", content_type), ("ETag", validators.etag),
         ("Last-Modified", validators.last_modified), ("Accept-Ranges", "bytes"),
