--- a/hitchtiller/repo/generations.py
+++ b/hitchtiller/repo/generations.py
@@ -1,8 +1,11 @@
-"""Releases as generations: which index may be served to whom, and which bytes go with it; no I/O.
-
-One `Line` follows one index (a project's page, a suite's Release). Times are Unix ms. Bounds: KEPT
-generations a line, with what each names; FOLLOWED clients a line, the longest silent forgotten first; a
-forgotten client has the newest served.
+"""Generations of an index: which version is served to which client, and which files belong to it.
+
+A release changes an index and the files that it names, but not atomically. To prevent a client from combining
+an index with files of another release, one `IndexHistory` for each index (a project's page, a suite's
+Release) remembers the recent versions of the index and which version each client was served. Performs no I/O.
+Times are Unix ms. Bounds for each index: MAX_GENERATIONS generations, each with the files that it names, and
+MAX_CLIENTS clients. The client whose last request is oldest is forgotten first and is then treated as having
+been served the current generation.
 """
 
 import math
@@ -13,23 +16,23 @@
 
 MAX_GENERATIONS = 8
 MAX_CLIENTS = 10_000
-RECHECK_MS = 500.0  # before an unproven generation is looked at again
+RECHECK_MS = 500.0  # delay before missing files of a generation are checked again
 
 
 class State(Enum):
-    """How far a generation is."""
+    """State of a generation."""
 
-    SEEN = "seen"
-    PROVEN = "proven"
-    SERVED = "served"
-    RETIRED = "retired"
+    SEEN = "seen"  # read from upstream; some of its files are not yet known to exist
+    PROVEN = "proven"  # all of its files are known to exist
+    SERVED = "served"  # the generation that clients currently get
+    RETIRED = "retired"  # replaced by another generation; permitted for the grace period
 
 
 @dataclass(frozen=True, slots=True)
 class NamedFile:
     """A file as an index names it.
 
-    SHA-256 in hexadecimal, "" where it gives none; size in bytes, -1 where untold.
+    `digest` is its SHA-256 in hexadecimal, "" if the index gives none; `size` is in bytes, -1 if unknown.
     """
 
     path: str
@@ -39,29 +42,29 @@
 
 @dataclass(slots=True)
 class Generation:
-    """One index, by the digest of its bytes, with what it names."""
+    """One version of an index, identified by the digest of its bytes, with the files that it names."""
 
     digest: str
     files: Mapping[str, NamedFile]
-    since_ms: float  # when the origin gave out these bytes
+    since_ms: float  # when the origin sent these bytes
     state: State = State.SEEN
     served_ms: float = -math.inf
     retired_ms: float = math.inf
     body: bytes = b""
-    pending_paths: set[str] = field(default_factory=set)  # paths that have to be there before it is proven
+    pending_paths: set[str] = field(default_factory=set)  # files not yet known to exist
     checked_ms: float = -math.inf
 
 
 class IndexHistory:
-    """The generations of one index, oldest first."""
+    """The generations of one index in the order in which they were first read."""
 
     def __init__(self, grace_ms: float) -> None:
-        """Permit a generation for `grace_ms` after another was served in its place."""
+        """Permit a generation for `grace_ms` after another one has replaced it."""
         self.grace_ms = grace_ms
         self.generations: OrderedDict[str, Generation] = OrderedDict()
-        self.newest_digest = ""  # the digest that came last from upstream
-        self.served_digest = ""  # the digest that is served
-        self.served_to: OrderedDict[str, str] = OrderedDict()
+        self.newest_digest = ""  # of the generation that upstream served last
+        self.served_digest = ""  # of the generation that clients currently get
+        self.served_to: OrderedDict[str, str] = OrderedDict()  # client to digest, longest silent first
         self.updates_withheld = self.rollback_count = 0
 
     def record_index(
@@ -72,10 +75,11 @@
         body: bytes,
         optional: frozenset[str] = frozenset(),
     ) -> Generation:
-        """Hear of an index as it came; gives its generation.
+        """Record an index that was read from upstream, and return its generation.
 
-        One that is older than what is known by its time changes nothing, unless it has the same bytes as a
-        newer one: a cache may lag. A roll-back is an older text given out anew.
+        A generation that the origin sent before the newest known one does not replace it, because a cache
+        may lag behind. A rollback is an earlier version of the index that the origin sends again: the same
+        bytes with a later time. Files in `optional` need not exist before the generation is served.
         """
         generation = self.generations.get(digest)
         newest_generation = self.generations.get(self.newest_digest)
@@ -112,7 +116,7 @@
             del self.generations[oldest]
 
     def mark_found(self, digest: str, path: str) -> None:
-        """Hear that a file that a generation names is there."""
+        """Record that a file that a generation names exists."""
         generation = self.generations.get(digest)
         if generation:
             generation.pending_paths.discard(path)
@@ -120,21 +124,22 @@
                 generation.state = State.PROVEN
 
     def mark_missing(self, digest: str, now_ms: float) -> None:
-        """Hear that a file is not there: it is looked for again after a while."""
+        """Record that a file of a generation is missing; its files are checked again after RECHECK_MS."""
         if generation := self.generations.get(digest):
             generation.checked_ms = now_ms
 
     def due_for_check(self, now_ms: float) -> Generation | None:
-        """Give the newest generation if its files have to be looked for now."""
+        """Return the newest generation if its files have to be checked now, else None."""
         generation = self.generations.get(self.newest_digest)
         if generation is None or generation.state is not State.SEEN:
             return None
         return generation if now_ms - generation.checked_ms >= RECHECK_MS else None
 
     def serve(self, client: str, now_ms: float) -> Generation | None:
-        """Give the generation whose index a client gets now.
+        """Return the generation whose index the client gets now, and remember it for that client.
 
-        The newest proven one; None if there is none yet.
+        This is the newest generation if all of its files exist, otherwise the one served so far; None if no
+        generation has been complete yet.
         """
         newest_generation = self.generations.get(self.newest_digest)
         if (
@@ -159,23 +164,23 @@
         return generation
 
     def permitted(self, client: str, path: str, now_ms: float) -> NamedFile | None:
-        """Give what a file must be for a client: as the index names it that the client was given.
+        """Return the file as named by the index that the client was served, or None.
 
-        An older index counts as long as it is permitted, for the clients that were given it. Bytes of another
-        generation, older or newer, are never for a client: it would pair an index with another release's
-        file.
+        An older index remains valid during its grace period for the clients that were served it. A client
+        never gets the bytes of another generation, older or newer: it would combine its index with another
+        release's file.
         """
         generation = self._generation_for(client)
         return generation.files.get(path) if generation and self._is_permitted(generation, now_ms) else None
 
     def _generation_for(self, client: str) -> Generation | None:
-        """Give a client's generation; the one that is served, where it is not known."""
+        """Return the generation that the client was served; the current one if that is not known."""
         return self.generations.get(self.served_to.get(client, self.served_digest)) or self.generations.get(
             self.served_digest
         )
 
     def is_outdated(self, client: str, now_ms: float) -> bool:
-        """Tell whether a client holds an index that is permitted no more."""
+        """Return whether the grace period of the index that the client was served has ended."""
         generation = self._generation_for(client)
         return generation is not None and not self._is_permitted(generation, now_ms)
 
