--- a/hitchtiller/repo/generations.py
+++ b/hitchtiller/repo/generations.py
@@ -78,8 +78,9 @@
         """Record an index that was read from upstream, and return its generation.
 
         A generation that the origin sent before the newest known one does not replace it, because a cache
-        may lag behind. A rollback is an earlier version of the index that the origin sends again: the same
-        bytes with a later time. Files in `optional` need not exist before the generation is served.
+        may lag behind. Where the same bytes are already recorded with a later time, that time counts. A
+        rollback is an earlier version of the index that the origin sends again: the same bytes with a later
+        time. Files in `optional` need not exist before the generation is served.
         """
         generation = self.generations.get(digest)
         newest_generation = self.generations.get(self.newest_digest)
