--- a/hitchtiller/repo/service.py
+++ b/hitchtiller/repo/service.py
@@ -271,7 +271,7 @@
     # Files
 
     def _permitted_files(self, repo: Repository, path: str, client: str) -> list[NamedFile]:
-        """Return each distinct version of a file that the client may be sent, one for each index that names it.
+        """Return the distinct versions of a file that the client may get, by the indexes that name it.
 
         Where no known index names the path, the indexes that its path suggests are read first.
         """
