--- a/hitchtiller/repo/fetch.py
+++ b/hitchtiller/repo/fetch.py
@@ -1,8 +1,10 @@
-"""Parts by way of the engine: with a deadline, repeated within a budget, in order, within the window.
+"""Fetches the parts of repository files through the engine.
 
-Greenlets of the loop. Each part is a request like any other: the decision module chooses, repeats and
-refuses. Bounds: the window's parts a body; `BackgroundLimit`'s parts in all; what waits for a place waits in
-order, until its deadline.
+Each part is an ordinary client request with a deadline: the decision module chooses servers, retries and
+refuses. On top of that, a part whose request ended without a usable answer is requested again within the
+repeat budget, and parts are delivered in order while several are in flight. Runs in greenlets of the event
+loop. Bounds: for each body, the parts in its window; in total, the parts that `BackgroundLimit` allows.
+Requests above that limit wait in order of arrival, until their deadline.
 """
 
 import random
@@ -21,28 +23,28 @@
 from hitchtiller.repo.window import Window
 from hitchtiller.sched import Scheduler, now_ms
 
-PART = 240_000  # bytes: the most that the platform's objects hold
-REPEAT_DELAY_MS = 100.0  # before a part is asked for again
-CLIENT_POLL_MS = 20.0  # how often a client that takes nothing is looked at
-ABSENT = "absent"  # the tag of an empty part that says: there is no such file
+PART = 240_000  # bytes: the largest size of an object of the platform
+REPEAT_DELAY_MS = 100.0  # delay before a part is requested again
+CLIENT_POLL_MS = 20.0  # how often the unsent bytes of a client that reads nothing are checked
+ABSENT = "absent"  # tag of an empty part by which a cache reports that the file does not exist
 
 
 class FetchRefusedError(Exception):
-    """Turned away; `wait_ms` says for how long."""
+    """The part was refused; `wait_ms` is the time to wait before another request."""
 
     def __init__(self, wait_ms: float) -> None:
-        """Keep the advice."""
+        """Keep the time to wait."""
         super().__init__("refused")
         self.wait_ms = wait_ms
 
 
 class FetchFailedError(Exception):
-    """No part came in time, again and again."""
+    """The part did not arrive within its deadline, or its request failed."""
 
 
 @dataclass(slots=True)
 class FileRequest:
-    """Where the parts of one file come from, and for whom."""
+    """What is needed to request the parts of one file: its object, class, group, client and budget."""
 
     key: int
     class_name: str
@@ -56,20 +58,20 @@
 
 
 class Fetcher:
-    """Asks the engine for parts."""
+    """Requests parts from the engine."""
 
     def __init__(
         self, sched: Scheduler, engine: Engine, give_way: BackgroundLimit, budget: Budget, seed: int
     ) -> None:
-        """Share limits and budget among all bodies."""
+        """Share the limit on background parts and the repeat budget among all bodies."""
         self.sched, self.engine, self.give_way, self.budget = sched, engine, give_way, budget
         self.rng = random.Random(seed)
-        self.waiters: deque[greenlet] = deque()  # who waits for a place
+        self.waiters: deque[greenlet] = deque()  # greenlets waiting for a slot under the background limit
         self.asked = self.parts_received = 0
         engine.on_final_answer = self._on_final_answer
 
     def _on_final_answer(self, exchange: Exchange, answer: Answer) -> None:
-        """Learn from other classes' answers whether the foreground keeps up."""
+        """Record for the background limit whether a foreground request was answered within its aim."""
         if exchange.request.background:
             return
         now, class_settings = now_ms(), self.engine.router.settings.classes[exchange.request.class_name]
@@ -77,7 +79,7 @@
         self.give_way.record_foreground(in_time, now)
 
     def look(self) -> None:
-        """Let the limit follow the foreground; called a few times a second."""
+        """Adjust the background limit to the foreground traffic; called a few times a second."""
         self.give_way.adjust(self.sched.lag_ms, now_ms())
         self._wake_next()
 
@@ -105,7 +107,10 @@
             self.sched.wake(waiter, False)
 
     def fetch(self, file_request: FileRequest, number: int) -> Part:
-        """Get one part, parking this greenlet; Refused or Failed where it does not come."""
+        """Fetch one part, parking this greenlet meanwhile.
+
+        Raises FetchRefusedError or FetchFailedError if the part does not arrive.
+        """
         class_settings = self.engine.router.settings.classes[file_request.class_name]
         started_ms = now_ms()
         deadline_ms = started_ms + class_settings.deadline_ms
@@ -154,9 +159,10 @@
         number: int,
         is_acceptable: Callable[[Part], bool] = lambda part: True,
     ) -> Part:
-        """Get one part, repeating within the budget what fails or does not fit.
+        """Fetch one part, repeating the request within the budget if it fails or the part is not acceptable.
 
-        The last answer goes up as it is.
+        Once the budget is spent, the last part is returned even if it is not acceptable, or the last error is
+        raised.
         """
         self.budget.record_request(file_request.budget)
         while True:
@@ -183,14 +189,15 @@
         is_acceptable: Callable[[Part], bool],
         part_count: int = -1,
     ) -> Iterator[tuple[int, Part]]:
-        """Give parts in the order of their numbers, several under way; closing the iterator ends them.
+        """Yield parts in the order of `numbers` while several are in flight.
 
-        `waiting` tells how many bytes wait for the client: while there are many, nothing more is asked for.
-        With a known `total` of parts, the last ones are asked for a second time where they are late.
+        `count_unsent_bytes` returns how many bytes wait for the client: while there are many, no further part
+        is requested. If `part_count` is known, the file's last parts are requested a second time when they
+        are late. Closing the iterator discards the parts that are still in flight.
         """
         window, own_greenlet = Window(), getcurrent()
         arrived: dict[int, Part | Exception] = {}
-        pending_requests: dict[int, int] = {}  # requests under way for a part
+        pending_requests: dict[int, int] = {}  # part number to the requests in flight for it
         requested: deque[int] = deque()
         has_more, is_closed, is_parked, was_starved = True, False, False, False
 
@@ -205,7 +212,7 @@
             if is_closed or number in arrived or number not in requested:
                 return
             if isinstance(got, Exception) and pending_requests[number]:
-                return  # its second request may still bring it
+                return  # the other request for this part may still succeed
             arrived[number] = got
             if is_parked:
                 is_parked = False
@@ -244,7 +251,7 @@
                 if not requested:
                     if not has_more:
                         return
-                    self.sched.sleep(CLIENT_POLL_MS)  # the client takes nothing
+                    self.sched.sleep(CLIENT_POLL_MS)  # the client reads nothing
                     continue
                 if requested[0] not in arrived:
                     is_parked = was_starved = True
