--- a/hitchtiller/repo/body.py
+++ b/hitchtiller/repo/body.py
@@ -1,31 +1,33 @@
-"""One body put together from parts: of one tag only, hashed as it goes, its end held until the digest holds.
+"""Assembles one response body from parts that all have the same tag.
 
-Sans-I/O: parts come in any order and leave in order. Bound: parts that came early, as many as the window lets
-be under way, and HOLD bytes of the end.
+Parts may be added in any order; bytes are released in order and hashed on the way. The last TAIL_BYTES are
+released only once the digest has been verified, so that a client never receives a complete body with wrong
+bytes. Performs no I/O. Memory bound: the parts that arrived before their turn, at most as many as the window
+allows in flight, and TAIL_BYTES.
 """
 
 import hashlib
 from dataclasses import dataclass, field
 
-TAIL_BYTES = 16_384  # bytes at the end that are sent only once the digest holds
+TAIL_BYTES = 16_384  # held back at the end of a body until its digest is verified
 
 
 class BrokenBodyError(Exception):
-    """The body can't be ended well; the text is the reason code."""
+    """The body cannot be completed; the message is the reason code."""
 
 
 class TagChangedError(Exception):
-    """Another tag came before anything was sent: all of it can begin anew with that one."""
+    """A part with another tag arrived before any byte was released; the body can start again with that tag."""
 
     def __init__(self, tag: str) -> None:
-        """Keep the tag to begin with."""
+        """Keep the tag to start again with."""
         super().__init__(tag)
         self.tag = tag
 
 
 @dataclass(slots=True)
 class Part:
-    """A part as it came."""
+    """A part as received: its bytes, its tag and the time from which they hold (Unix ms)."""
 
     data: bytes
     tag: str
@@ -34,26 +36,26 @@
 
 @dataclass(slots=True)
 class Assembly:
-    """Puts one body together; `digest` is the SHA-256 it must have, "" for any."""
+    """The state of one body; `digest` is the SHA-256 that it must have, "" for any."""
 
     part_bytes: int
     digest: str = ""
-    size: int = -1  # -1: the first part that is short ends it
+    size: int = -1  # -1 if unknown: the first part shorter than part_bytes is the last one
     tag: str = ""
-    next_part: int = 0  # the part that goes out next
-    sent_bytes: int = 0  # bytes given out
+    next_part: int = 0  # number of the part to be released next
+    sent_bytes: int = 0  # bytes released so far
     early_parts: dict[int, Part] = field(default_factory=dict)
     hash: "hashlib._Hash" = field(default_factory=hashlib.sha256)
     tail: bytearray = field(default_factory=bytearray)
     is_complete: bool = False
-    since_ms: int = 0  # the oldest part's
+    since_ms: int = 0  # of the oldest part
 
     def has_same_tag(self, part: Part) -> bool:
-        """Tell whether a part is of the tag that this body has."""
+        """Return whether a part has the tag of this body; any tag will do before the first part."""
         return not self.tag or part.tag == self.tag
 
     def needs(self, number: int) -> bool:
-        """Tell whether a part is needed and has not come."""
+        """Return whether a part is still needed: it lies within the body and has not been added yet."""
         is_past_end = self.size >= 0 and number * self.part_bytes >= max(1, self.size)
         return (
             not self.is_complete
@@ -63,9 +65,10 @@
         )
 
     def add_part(self, number: int, part: Part) -> list[bytes]:
-        """Take a part.
+        """Add a part, and return the bytes that may be sent now, in order.
 
-        Gives the bytes that may be sent now, in order. Broken or Restart where it does not fit.
+        Raises TagChangedError for a part with another tag before any byte was released, BrokenBodyError for
+        one after that, and BrokenBodyError for a wrong size or digest.
         """
         if self.is_complete or number < self.next_part:
             return []
@@ -73,7 +76,7 @@
             self.tag = part.tag
         if part.tag != self.tag:
             if self.sent_bytes:
-                raise BrokenBodyError("two-releases")  # never mixed bytes: the client must be able to tell
+                raise BrokenBodyError("two-releases")  # the client must not get mixed bytes
             raise TagChangedError(part.tag)
         if len(part.data) > self.part_bytes:
             raise BrokenBodyError("part-too-long")
@@ -88,7 +91,7 @@
         return released
 
     def _release_part(self, part: Part) -> list[bytes]:
-        """Pass one part on, but for what has to be held."""
+        """Append one part, and return the bytes that need not be held back."""
         self.hash.update(part.data)
         self.since_ms = min(self.since_ms or part.since_ms, part.since_ms)
         self.next_part += 1
@@ -113,32 +116,32 @@
 
 @dataclass(slots=True)
 class VerifiedBody:
-    """What the bytes of a tag were found to be."""
+    """Digest and size of a body that was read completely."""
 
     digest: str
     size: int
 
 
 class VerifiedBodies:
-    """Which digest a tag of an object stands for, once all of it has been read.
+    """Digest and size by object key and tag, for the bodies that were read completely.
 
-    The longest unused goes first.
+    The least recently used entry is forgotten first.
     """
 
     def __init__(self, max_entries: int = 50_000) -> None:
-        """Remember `most` tags, about 250 bytes each."""
+        """Keep at most `max_entries` entries, about 250 bytes each."""
         self.max_entries = max_entries
         self.entries: dict[tuple[int, str], VerifiedBody] = {}
 
     def get(self, key: int, tag: str) -> VerifiedBody | None:
-        """Give what a tag stands for."""
+        """Return digest and size for a tag of an object, None if unknown."""
         found = self.entries.pop((key, tag), None)
         if found:
             self.entries[key, tag] = found
         return found
 
     def put(self, key: int, tag: str, digest: str, size: int) -> None:
-        """Note a body that was read whole."""
+        """Record a body that was read completely."""
         self.entries[key, tag] = VerifiedBody(digest, size)
         while len(self.entries) > self.max_entries:
             del self.entries[next(iter(self.entries))]
