--- a/hitchtiller/repo/budget.py
+++ b/hitchtiller/repo/budget.py
@@ -1,55 +1,57 @@
-"""Repeated parts against a budget that a storm can't exceed: of a file, of a client, and of all together.
+"""Repeat budget for parts: for each file, for each client, and for the gateway as a whole.
 
-The engine's own attempts for a part are the decision module's; this bounds how often a part is asked for
-again after those have ended. Bound: a client's entry is dropped once its bucket is full again.
+Prevents a retry storm: when many requests fail at once, repeats stay a small share of the requests. The
+attempts that the decision module makes within one request are not counted here; this budget limits how often
+a part is requested again after such a request has ended. Memory bound: with more than 1000 clients, the
+entries whose token bucket is full again are dropped.
 """
 
 from dataclasses import dataclass, field
 
-REPEAT_SHARE = 0.1  # of all parts asked for, that may be repeats
-MAX_SAVED_REPEATS = 50.0  # repeats that are saved up at most
-MIN_FILE_REPEATS, FILE_REPEAT_SHARE = 3, 0.2  # repeats of one file: some, and a share of its parts
-MAX_CLIENT_REPEATS, CLIENT_REPEATS_PER_S = 20.0, 2.0
-HEDGE_LAST_PARTS = 2  # parts at a file's end that may be asked for twice
-HEDGE_DELAY_FACTOR = 3.0  # times the usual wait
+REPEAT_SHARE = 0.1  # repeats earned by each requested part
+MAX_SAVED_REPEATS = 50.0  # most repeats that can be saved up
+MIN_FILE_REPEATS, FILE_REPEAT_SHARE = 3, 0.2  # repeats of one file: a base and a share of its parts
+MAX_CLIENT_REPEATS, CLIENT_REPEATS_PER_S = 20.0, 2.0  # token bucket of one client
+HEDGE_LAST_PARTS = 2  # only the last parts of a file may be requested a second time
+HEDGE_DELAY_FACTOR = 3.0  # a part is late after this many times the typical wait
 
 
 @dataclass(slots=True)
 class FileRepeatBudget:
-    """One body's repeats."""
+    """Parts requested and repeats made for one body."""
 
     parts: int = 0
     repeats: int = 0
 
     def can_repeat(self) -> bool:
-        """Tell whether one more may be repeated."""
+        """Return whether one more part of this body may be repeated."""
         return self.repeats < MIN_FILE_REPEATS + FILE_REPEAT_SHARE * self.parts
 
 
 @dataclass(slots=True)
 class Budget:
-    """All repeats of a gateway's second front; times in ms."""
+    """Repeat budget of all repositories of a gateway; times in ms."""
 
     tokens: float = MAX_SAVED_REPEATS
-    clients: dict[str, tuple[float, float]] = field(default_factory=dict)  # tokens, when
+    clients: dict[str, tuple[float, float]] = field(default_factory=dict)  # tokens, time of the last update
     typical_wait_ms: float = 0.0
     spent: int = 0
     denied: int = 0
     hedge_count: int = 0
 
     def record_request(self, file: FileRepeatBudget) -> None:
-        """Earn from a first request for a part."""
+        """Record the first request for a part, which earns REPEAT_SHARE of a repeat."""
         file.parts += 1
         self.tokens = min(MAX_SAVED_REPEATS, self.tokens + REPEAT_SHARE)
 
     def record_wait(self, waited_ms: float) -> None:
-        """Learn how long a part usually takes."""
+        """Update the moving average of how long a part takes."""
         self.typical_wait_ms += (
             0.05 * (waited_ms - self.typical_wait_ms) if self.typical_wait_ms else waited_ms
         )
 
     def try_repeat(self, file: FileRepeatBudget, client: str, now_ms: float) -> bool:
-        """Spend one repeat, if file, client and gateway all have one left."""
+        """Spend one repeat if file, client and gateway all have one left; return whether it was spent."""
         remaining, updated_ms = self.clients.get(client, (MAX_CLIENT_REPEATS, now_ms))
         remaining = min(
             MAX_CLIENT_REPEATS, remaining + CLIENT_REPEATS_PER_S * max(0.0, now_ms - updated_ms) / 1000.0
@@ -72,9 +74,9 @@
     def try_hedge(
         self, number: int, parts: int, waited_ms: float, file: FileRepeatBudget, client: str, now_ms: float
     ) -> bool:
-        """Tell whether a late part is asked for a second time.
+        """Spend one repeat on a second request for a late part; return whether to send it.
 
-        Only a file's last ones, and from the same budget.
+        Only the last parts of a file are requested twice, and only within the same budget.
         """
         if parts < 0 or number < parts - HEDGE_LAST_PARTS or not self.typical_wait_ms:
             return False
