--- a/hitchtiller/repo/window.py
+++ b/hitchtiller/repo/window.py
@@ -1,41 +1,41 @@
-"""How many parts of a body are under way: grown while the client drains, shrunk when it does not.
+"""Window of one body: how many of its parts may be in flight.
 
-Bound: MOST parts of a body at once, so that MOST x 240 kB is the memory of one client's body, plus what its
-socket takes.
+The window grows while the client reads as fast as parts arrive, and shrinks when it does not or when a part
+fails. Bound: MAX_PARTS parts of a body at once, so one client's body takes at most MAX_PARTS x 240 kB of
+memory, plus the socket's send buffer.
 """
 
 from dataclasses import dataclass
 
 INITIAL_PARTS, MAX_PARTS = 2, 6
-LOW_UNSENT_BYTES, MAX_UNSENT_BYTES = (
-    60_000,
-    240_000,
-)  # bytes that wait for the client: below, the window grows; above, nothing is asked
+# Bytes that wait for the client: below the first the window grows, from the second on nothing is requested.
+LOW_UNSENT_BYTES, MAX_UNSENT_BYTES = 60_000, 240_000
 
 
 @dataclass(slots=True)
 class Window:
-    """One body's window."""
+    """State of one body's window."""
 
     size: int = INITIAL_PARTS
-    in_flight: int = 0  # parts under way
-    early_parts: int = 0  # parts that came before their turn
+    in_flight: int = 0  # parts requested that have not been delivered
+    early_parts: int = 0  # parts that arrived before their turn
 
     def can_request(self, unsent_bytes: int) -> bool:
-        """Tell whether one more part may be asked for, with so many bytes waiting for the client.
+        """Return whether one more part may be requested while `unsent_bytes` wait for the client.
 
-        A client that reads slowly holds no attempt open: nothing is asked while HIGH bytes wait for it.
+        Nothing is requested while MAX_UNSENT_BYTES wait, so a slow client keeps no attempt open.
         """
         return unsent_bytes < MAX_UNSENT_BYTES and self.in_flight + self.early_parts < self.size
 
     def record_request(self) -> None:
-        """Note a part that was asked for."""
+        """Record a part that was requested."""
         self.in_flight += 1
 
     def record_arrival(self, unsent_bytes: int, early_parts: int, was_starved: bool = True) -> None:
-        """Note a part that came, with what waits for the client and how many parts came early.
+        """Record a part that was delivered, the unsent bytes, and how many parts wait for their turn.
 
-        More at once help only where the body had to wait for the part: a client that is slower needs none.
+        The window grows only if the body had to wait for the part (`was_starved`): more parts in flight do
+        not help a client that reads more slowly than parts arrive.
         """
         self.in_flight -= 1
         self.early_parts = early_parts
@@ -45,6 +45,6 @@
             self.size = max(1, self.size // 2)
 
     def record_failure(self) -> None:
-        """Note a part that did not come: where servers fail, fewer at a time."""
+        """Record a part that did not arrive, and halve the window to reduce the load on failing servers."""
         self.in_flight -= 1
         self.size = max(1, self.size // 2)
