--- a/hitchtiller/repo/admission.py
+++ b/hitchtiller/repo/admission.py
@@ -1,23 +1,24 @@
-"""A station's release rush against its card look-ups: background parts give way to the foreground.
+"""Admission control for repositories: background parts in flight, and client connections.
 
-Additive increase, multiplicative decrease of the parts under way in all, driven by how many of the
-foreground's answers came within their wanted time lately, and by the loop's lag. Bound: constant space. Also
-who may connect.
+Repository parts are background traffic. Without a limit, a new release that all clients of a station fetch at
+once would delay the station's foreground requests. The limit on parts in flight follows additive increase and
+multiplicative decrease. It falls when too few of the recent foreground answers met the aim of their class, or
+when the event loop lags. Takes constant memory, apart from one entry for each connected address.
 """
 
 import math
 from dataclasses import dataclass, field
 
-MIN_PARTS, MAX_PARTS = 2, 64  # parts under way in all
-MIN_IN_TIME_SHARE = 0.97  # share of foreground answers in time, from which on more is let in
-ADJUST_PERIOD_MS = 200.0
-AVERAGING_MS = 2_000.0  # over which the share is taken
-MAX_LAG_MS = 60.0  # of the loop, from which on less is let in
+MIN_PARTS, MAX_PARTS = 2, 64  # limit on parts in flight, over all bodies
+MIN_IN_TIME_SHARE = 0.97  # of foreground answers; below it the limit falls
+ADJUST_PERIOD_MS = 200.0  # shortest time between two changes of the limit
+AVERAGING_MS = 2_000.0  # time constant of the moving average of the share
+MAX_LAG_MS = 60.0  # of the event loop; above it the limit falls
 
 
 @dataclass(slots=True)
 class BackgroundLimit:
-    """The gateway's limit on background parts."""
+    """Limit on the background parts that a gateway has in flight."""
 
     limit: float = 16.0
     open: int = 0
@@ -29,7 +30,7 @@
     adjusted_ms: float = -math.inf
 
     def record_foreground(self, in_time: bool, now_ms: float) -> None:
-        """Hear how a request of another class ended."""
+        """Record whether a foreground request was answered within the aim of its class."""
         decay = math.exp(min(0.0, self.sampled_ms - now_ms) / AVERAGING_MS) if self.sample_weight else 0.0
         self.sampled_ms = now_ms
         total = self.sample_weight * decay + 1.0
@@ -37,7 +38,10 @@
         self.sample_weight = total
 
     def adjust(self, lag_ms: float, now_ms: float) -> None:
-        """Move the limit, at most once in LOOK_MS."""
+        """Raise or lower the limit, at most once every ADJUST_PERIOD_MS.
+
+        Without a recent foreground answer, only the lag of the event loop can lower it.
+        """
         if now_ms - self.adjusted_ms < ADJUST_PERIOD_MS:
             return
         self.adjusted_ms = now_ms
@@ -48,7 +52,7 @@
             self.limit = min(MAX_PARTS, self.limit + 1.0)
 
     def admits(self) -> bool:
-        """Tell whether one more part may go out now."""
+        """Return whether one more part may be requested now; count a refusal."""
         if self.on and self.open >= int(self.limit):
             self.refused += 1
             return False
@@ -57,7 +61,7 @@
 
 @dataclass(slots=True)
 class ConnectionLimits:
-    """Connections in all and from each address."""
+    """Counts and limits of connections, in total and for each client address."""
 
     max_connections: int
     max_per_address: int
@@ -65,7 +69,7 @@
     by_address: dict[str, int] = field(default_factory=dict)
 
     def enter(self, address: str) -> str:
-        """Let one in, or give the reason code why not."""
+        """Count a new connection and return "", or return the reason code for which it is rejected."""
         if self.all >= self.max_connections:
             return "full"
         if self.by_address.get(address, 0) >= self.max_per_address:
@@ -75,7 +79,7 @@
         return ""
 
     def leave(self, address: str) -> None:
-        """Let one go."""
+        """Remove a closed connection from the counts."""
         self.all -= 1
         self.by_address[address] -= 1
         if not self.by_address[address]:
