--- a/hitchtiller/repo/front.py
+++ b/hitchtiller/repo/front.py
@@ -1,9 +1,10 @@
-"""HTTP/1.1 connections: h11 for the protocol, one greenlet each, limits on all that a client may hold.
+"""HTTP/1.1 listener for the repositories: h11 parses the protocol, one greenlet serves each connection.
 
-Bounds: `connections` in all and `each_address`; HEADER bytes and FIELDS fields a header; one request at a
-time, later ones wait unread in the socket; HIGH bytes of answer that a client has not taken. Each
-connection's last log line has a reason code. Once a body has begun, a failure ends the connection, so that
-the client can tell.
+Bounds: `connections` in total and `each_address` for one client address; HEADER bytes and MAX_HEADER_FIELDS
+fields in a request's header; one request at a time on a connection, while later ones stay unread in the
+socket; MAX_UNSENT_BYTES of response that a client has not read. The last log line of each connection has a
+reason code. A failure after the start of a body closes the connection before the announced end of the body,
+so that the client notices it.
 """
 
 import contextlib
@@ -20,19 +21,21 @@
 from hitchtiller.repo.service import Reply, Service, make_refusal
 from hitchtiller.sched import READ, Closed, Scheduler, Stream, now_ms
 
-HEADER, MAX_HEADER_FIELDS = 16_384, 64  # bytes and fields of one request's header
-MAX_REQUEST_BODY_BYTES = 65_536  # bytes of a request's body that are read and dropped
-MAX_UNSENT_BYTES = 240_000  # bytes that wait for a client, from which on nothing is added
+HEADER, MAX_HEADER_FIELDS = 16_384, 64  # bytes and number of fields of one request header
+MAX_REQUEST_BODY_BYTES = 65_536  # a longer request body is rejected; a shorter one is discarded
+MAX_UNSENT_BYTES = 240_000  # above this, nothing is added until the client reads
 LISTEN_BACKLOG = 512
-SEND_BUFFER_BYTES = (
-    131_072  # bytes that the machine holds for a client: more would hide that it takes nothing
-)
-FAST_POLL_MS, SLOW_POLL_MS = 1.0, 20.0  # how often a client that takes something, or nothing, is looked at
+SEND_BUFFER_BYTES = 131_072  # socket buffer; a larger one would hide that a client reads nothing
+FAST_POLL_MS, SLOW_POLL_MS = 1.0, 20.0  # while a client reads, and while it does not
 
 
 @dataclass(frozen=True, slots=True)
 class Times:
-    """How long a client may take; milliseconds."""
+    """Time limits for a client, in ms.
+
+    `header_ms` for one request header or body, `idle_ms` for the first byte of a request, `slow_ms` without
+    reading any of a waiting response.
+    """
 
     header_ms: float = 5_000.0
     idle_ms: float = 15_000.0
@@ -40,12 +43,12 @@
 
 
 class Connection:
-    """Serves one client until one side ends it."""
+    """Serves one client connection until either side closes it."""
 
     def __init__(
         self, sched: Scheduler, service: Service, stream: Stream, address: str, times: Times
     ) -> None:
-        """Take an accepted connection."""
+        """Serve an accepted connection."""
         self.sched, self.service, self.stream, self.address, self.times = (
             sched,
             service,
@@ -57,7 +60,7 @@
         self.requests = self.sent_bytes = 0
 
     def run(self) -> None:
-        """Serve request after request."""
+        """Serve requests one after another, close the connection and log its reason code."""
         code = "fault"
         try:
             while True:
@@ -76,21 +79,23 @@
             code = "bad-request"
             self._send_error(error.error_status_hint, str(error))
         except (BrokenBodyError, FetchRefusedError, FetchFailedError) as error:
-            code = f"broken-{error}"  # the body had begun: only the end of the connection can tell
+            code = f"broken-{error}"  # the body has started: only closing reports the failure
         finally:
             self._flush_and_finish(code)
             self.stream.close(code)
             ended("repo", self.address, code, requests=self.requests, sent=self.sent_bytes)
 
     def _read_request(self) -> h11.Request | None:
-        """Read one request's header; None at an orderly end."""
+        """Read the header of the next request; None if the client closed the connection."""
         deadline_ms = now_ms() + self.times.idle_ms
         has_started = False
         while True:
             event = self.http.next_event()
             if event is h11.NEED_DATA:
                 data = self._read(max(1.0, deadline_ms - now_ms()), "half-header" if has_started else "idle")
-                if data and not has_started:  # from the first byte on, however slowly the others come
+                if (
+                    data and not has_started
+                ):  # the limit counts from the first byte, however slowly the rest arrives
                     has_started, deadline_ms = True, now_ms() + self.times.header_ms
                 self.http.receive_data(data)
             elif isinstance(event, h11.Request):
@@ -131,9 +136,9 @@
         self._send(reply, method)
 
     def _discard_request_body(self) -> None:
-        """Read and drop a request's body, up to a bound: nothing here takes one."""
+        """Read and discard the request's body, up to MAX_REQUEST_BODY_BYTES; no request here needs one."""
         if self.http.they_are_waiting_for_100_continue:
-            return  # they hear the final answer instead
+            return  # the client gets the final response instead and sends no body
         deadline_ms, size = now_ms() + self.times.header_ms, 0
         while self.http.their_state is h11.SEND_BODY:
             event = self.http.next_event()
@@ -147,9 +152,9 @@
                 return
 
     def _start_body(self, reply: Reply, method: str) -> tuple[Reply, Iterator[bytes], bytes]:
-        """Get a body's first bytes before its header goes out.
+        """Get the first bytes of a body before the response header is sent.
 
-        What fails until then gets an answer of its own.
+        A failure up to that point can still be answered with an error status.
         """
         body = iter(()) if method == "HEAD" or reply.status in (204, 304) else reply.body
         try:
@@ -189,14 +194,14 @@
             raise Closed(self.stream.code)
 
     def _start_next_cycle(self) -> bool:
-        """Make ready for the next request; False where the connection ends with this one."""
+        """Prepare for the next request; return False if the connection ends after this one."""
         if self.http.our_state is not h11.DONE or self.http.their_state is not h11.DONE:
             return False
         self.http.start_next_cycle()
         return True
 
     def _send_error(self, status: int, text: str) -> None:
-        """Answer what was no request, if nothing has been said yet."""
+        """Send an error response to a malformed request, unless a response has already started."""
         if self.http.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             return
         reply = make_refusal(status, "bad-request", text)
@@ -205,29 +210,29 @@
             self.stream.write(
                 self.http.send(h11.Response(status_code=status, headers=response_headers)) or b""
             )
-            for chunk in reply.body:  # none is taken in answer to HEAD
+            for chunk in reply.body:  # h11 allows no body in the response to HEAD
                 self.stream.write(self.http.send(h11.Data(data=chunk)) or b"")
             self.stream.write(self.http.send(h11.EndOfMessage()) or b"")
 
     def _flush_and_finish(self, code: str) -> None:
-        """Let what is buffered go out, for a while, unless the end must show at once."""
+        """Wait for buffered bytes to be sent, up to `slow_ms`, then end the connection in an orderly way."""
         deadline_ms = now_ms() + self.times.slow_ms
         while self.stream.size and not self.stream.code and now_ms() < deadline_ms:
             self.sched.sleep(SLOW_POLL_MS)
         if code in ("close", "bad-request") and not self.stream.code:
             self.stream.finish()
-            with contextlib.suppress(Closed):  # unread bytes would turn our close into a reset
+            with contextlib.suppress(Closed):  # closing with unread bytes would reset the connection
                 for _ in range(16):
                     self.stream.read(200.0)
 
 
 class RepoFront:
-    """The listener of the second front."""
+    """Listens for HTTP clients of the repositories."""
 
     def __init__(
         self, sched: Scheduler, service: Service, connection_limits: ConnectionLimits, times: Times
     ) -> None:
-        """Let clients in by `connection_limits`."""
+        """Accept clients within `connection_limits`."""
         self.sched, self.service, self.connection_limits, self.times = (
             sched,
             service,
@@ -239,7 +244,7 @@
         self.accepting = True
 
     def listen(self, address: tuple[str, int]) -> tuple[str, int]:
-        """Start to accept; gives the address, with the port that the system chose for 0."""
+        """Start accepting; return the address, with the port that the system chose if it was 0."""
         self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.listener.setblocking(False)
         self.listener.bind(address)
@@ -257,7 +262,7 @@
             except BlockingIOError:
                 continue
             except OSError:
-                self.sched.sleep(10.0)  # out of descriptors, or the client left
+                self.sched.sleep(10.0)  # out of descriptors, or the client has closed the connection
                 continue
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)
             if code := self.connection_limits.enter(address[0]):
