--- a/hitchtiller/repo/body.py
+++ b/hitchtiller/repo/body.py
@@ -17,7 +17,7 @@
 
 
 class TagChangedError(Exception):
-    """A part with another tag arrived before any byte was released; the body can start again with that tag."""
+    """A part with another tag arrived before any byte was released; the body can restart with that tag."""
 
     def __init__(self, tag: str) -> None:
         """Keep the tag to start again with."""
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True)
 class Part:
-    """A part as received: its bytes, its tag and the time from which they hold (Unix ms)."""
+    """A part as received: its bytes, their tag, and when the origin sent them (Unix ms)."""
 
     data: bytes
     tag: str
