--- a/hitchtiller/repo/front.py
+++ b/hitchtiller/repo/front.py
@@ -93,9 +93,8 @@
             event = self.http.next_event()
             if event is h11.NEED_DATA:
                 data = self._read(max(1.0, deadline_ms - now_ms()), "half-header" if has_started else "idle")
-                if (
-                    data and not has_started
-                ):  # the limit counts from the first byte, however slowly the rest arrives
+                # The header's time limit counts from its first byte, however slowly the rest arrives.
+                if data and not has_started:
                     has_started, deadline_ms = True, now_ms() + self.times.header_ms
                 self.http.receive_data(data)
             elif isinstance(event, h11.Request):
@@ -215,7 +214,10 @@
             self.stream.write(self.http.send(h11.EndOfMessage()) or b"")
 
     def _flush_and_finish(self, code: str) -> None:
-        """Wait for buffered bytes to be sent, up to `slow_ms`, then end the connection in an orderly way."""
+        """Wait up to `slow_ms` for buffered bytes to be sent; shut the connection down after an orderly end.
+
+        After any other end the caller closes it at once, so that the client notices the failure.
+        """
         deadline_ms = now_ms() + self.times.slow_ms
         while self.stream.size and not self.stream.code and now_ms() < deadline_ms:
             self.sched.sleep(SLOW_POLL_MS)
