--- a/hitchtiller/repo/fetch.py
+++ b/hitchtiller/repo/fetch.py
@@ -53,8 +53,8 @@
     budget: FileRepeatBudget = field(default_factory=FileRepeatBudget)
 
 
-def _size(got: Part | Exception) -> int:
-    return len(got.data) if isinstance(got, Part) else 0
+def _size(result: Part | Exception) -> int:
+    return len(result.data) if isinstance(result, Part) else 0
 
 
 class Fetcher:
@@ -130,11 +130,11 @@
         raise FetchFailedError
 
     def _request_part(self, file_request: FileRequest, number: int, deadline_ms: float) -> Answer:
-        own_greenlet, got = getcurrent(), list[Answer]()
+        own_greenlet, answers = getcurrent(), list[Answer]()
         is_parked = False
 
         def deliver(answer: Answer) -> None:
-            got.append(answer)
+            answers.append(answer)
             if is_parked:
                 self.sched.wake(own_greenlet)
 
@@ -144,14 +144,14 @@
             deadline_ms, part=number, group=file_request.group, size_kb=PART / 1000.0, background=True,
         )  # fmt: skip
         exchange = self.engine.take(request, deliver)
-        if not got:
+        if not answers:
             is_parked = True
             try:
                 self.sched.park()
             except BaseException:
                 self.engine.leave(exchange)
                 raise
-        return got[0]
+        return answers[0]
 
     def fetch_with_repeats(
         self,
@@ -203,17 +203,17 @@
 
         def run(number: int) -> None:
             nonlocal is_parked
-            got: Part | Exception
+            result: Part | Exception
             try:
-                got = self.fetch_with_repeats(file_request, number, is_acceptable)
+                result = self.fetch_with_repeats(file_request, number, is_acceptable)
             except (FetchRefusedError, FetchFailedError) as error:
-                got = error
+                result = error
             pending_requests[number] -= 1
             if is_closed or number in arrived or number not in requested:
                 return
-            if isinstance(got, Exception) and pending_requests[number]:
+            if isinstance(result, Exception) and pending_requests[number]:
                 return  # the other request for this part may still succeed
-            arrived[number] = got
+            arrived[number] = result
             if is_parked:
                 is_parked = False
                 self.sched.wake(own_greenlet)
@@ -258,12 +258,12 @@
                     self.sched.park()
                     continue
                 number = requested.popleft()
-                got = arrived.pop(number)
-                if isinstance(got, Exception):
+                result = arrived.pop(number)
+                if isinstance(result, Exception):
                     window.record_failure()
-                    raise got
+                    raise result
                 window.record_arrival(count_unsent_bytes(), len(arrived), was_starved)
                 was_starved = False
-                yield number, got
+                yield number, result
         finally:
             is_closed = True
