--- a/hitchtiller/repo/conditions.py
+++ b/hitchtiller/repo/conditions.py
@@ -1,8 +1,9 @@
-"""Conditional requests (RFC 9110, 13): whether a request is answered in full, in part, with 304 or with 412.
+"""Conditional requests (RFC 9110, section 13): decides between a full response, a partial one, 304 and 412.
 
-Entity tags are strong: the digest that an index gives, and the tag of the cache's bytes. Both, because a body
-that broke off may have begun with bytes that its digest would have refused at the end: it may go on only with
-bytes of the very same tag. Weak tags never match where strong ones are called for.
+Entity tags are strong and combine two values: the digest that the index gives for the file, and the tag that
+the caches give to its bytes. The digest alone is not enough to resume a download: an interrupted body may have
+started with wrong bytes, which the digest would have exposed only at the end. It may therefore be continued
+only with bytes of the same cache tag. Weak tags never match where a strong comparison is required.
 """
 
 import re
@@ -17,34 +18,34 @@
 
 @dataclass(frozen=True, slots=True)
 class Validators:
-    """What a representation is known by; `modified_ms` is Unix time, 0 where unknown."""
+    """Validators of a representation; `modified_ms` is a Unix time, 0 if unknown."""
 
     digest: str
     modified_ms: int = 0
-    tag: str = ""  # of the bytes, as caches know them; "" for a body that is made here
+    tag: str = ""  # tag that the caches give to the bytes; "" for a body built from memory
 
     @property
     def tag_text(self) -> str:
-        """Give the strong tag's text."""
+        """Return the text of the strong entity tag, without quotes."""
         return f"{self.digest}.{self.tag}" if self.tag else self.digest
 
     @property
     def etag(self) -> str:
-        """Write the strong tag."""
+        """Return the strong entity tag as a header value."""
         return f'"{self.tag_text}"'
 
     def has_digest_of(self, text: str) -> bool:
-        """Tell whether a client's whole copy of this tag has these bytes: only its digest counts then."""
+        """Return whether an entity tag of a complete copy has this digest; its cache tag does not matter."""
         return text.partition(".")[0] == self.digest
 
     @property
     def last_modified(self) -> str:
-        """Write the date, whole seconds."""
+        """Return the Last-Modified header value, in whole seconds."""
         return format_datetime(datetime.fromtimestamp(self.modified_ms // 1000, UTC), usegmt=True)
 
 
 def read_tags(header: str) -> list[tuple[bool, str]] | None:
-    """Read a list of entity tags as (weak, opaque); None for `*`; what is malformed is left out."""
+    """Parse a list of entity tags into (is weak, text) pairs; None for `*`. Malformed tags are ignored."""
     if header.strip() == "*":
         return None
     return [(bool(weak), text) for weak, text in ENTITY_TAG.findall(header)[:MAX_TAGS]]
@@ -61,7 +62,7 @@
 
 
 def status(method: str, headers: Mapping[str, str], known: Validators) -> int:
-    """Give 200 to go on, 304 or 412, in the order that the standard gives the conditions."""
+    """Evaluate the conditions in the order of the RFC; return 304, 412, or 200 to answer the request."""
     if "if-match" in headers:
         tags = read_tags(headers["if-match"])
         if tags is not None and not any(not weak and known.has_digest_of(text) for weak, text in tags):
@@ -82,7 +83,7 @@
 
 
 def range_applies(headers: Mapping[str, str], known: Validators) -> bool:
-    """Tell whether a Range is to be heeded: always without If-Range, else only for the very same bytes."""
+    """Return whether to honour Range: without If-Range always, with it only for exactly the same bytes."""
     condition = headers.get("if-range")
     if condition is None:
         return True
