--- a/hitchtiller/repo/ranges.py
+++ b/hitchtiller/repo/ranges.py
@@ -1,7 +1,8 @@
-"""Byte ranges (RFC 9110, 14): which bytes a request wants of a body of known size.
+"""Byte ranges (RFC 9110, section 14): which bytes of a body of known size a request asks for.
 
-Bound: at most MOST ranges, which may not overlap more than once; a header that asks for more is served whole,
-which the standard allows and which costs the attacker what it costs us.
+Bound: at most MAX_RANGES ranges, of which at most one pair of neighbours may overlap. A request for more is
+answered with the complete body, as the RFC allows: a client then cannot make the gateway send more bytes for
+one small request than the body has.
 """
 
 import re
@@ -12,31 +13,31 @@
 
 
 class Unsatisfiable(Exception):
-    """No range lies within the body: 416."""
+    """No range lies within the body; answered with 416."""
 
 
 @dataclass(frozen=True, slots=True)
 class Span:
-    """Bytes from `first` up to `end`, the end left out."""
+    """Bytes from `first` up to but not including `end`."""
 
     first: int
     end: int
 
     @property
     def size(self) -> int:
-        """Give the number of bytes."""
+        """Return the number of bytes."""
         return self.end - self.first
 
     def content_range(self, size: int) -> str:
-        """Write the Content-Range."""
+        """Return the Content-Range header value."""
         return f"bytes {self.first}-{self.end - 1}/{size}"
 
 
 def read_ranges(header: str, size: int) -> list[Span] | None:
-    """Read a Range header for a body of `size` bytes.
+    """Parse a Range header for a body of `size` bytes.
 
-    None where it is to be passed over (another unit, malformed, too many, overlapping); Unsatisfiable where
-    all of it lies outside.
+    Returns None if the header is to be ignored: another unit, malformed, too many ranges, or more than one
+    overlap. Raises Unsatisfiable if all ranges lie outside the body.
     """
     unit, equals, text = header.partition("=")
     if not equals or unit.strip().lower() != "bytes":
@@ -67,7 +68,7 @@
 
 
 def split_into_parts(span: Span, part_bytes: int) -> list[tuple[int, int, int]]:
-    """Give part number and slice (begin, end) within it for each part that a span needs, in order."""
+    """Return (part number, begin, end) for each part that a span covers, in order; offsets are in the part."""
     slices = []
     offset = span.first
     while offset < span.end:
