--- a/hitchtiller/repo/paths.py
+++ b/hitchtiller/repo/paths.py
@@ -1,8 +1,8 @@
-"""What a request's target names: a repository and a path in it, or a reason why it names nothing.
+"""Parses request targets into paths, and maps the paths to objects of the platform.
 
-Guards against targets that two readers could take for two paths: traversal, encoded separators, control
-bytes, absolute forms of other hosts. A path is compared byte for byte after decoding; no cost but its length,
-which is bounded.
+Rejects targets that two parsers could interpret as different paths: traversal, encoded separators, control
+bytes, and absolute forms for other hosts. Paths are compared byte for byte after decoding. The work is linear
+in the length of the target, which is bounded.
 """
 
 import re
@@ -18,24 +18,24 @@
 
 
 class BadTarget(ValueError):
-    """The target names nothing; `status` is the answer's."""
+    """The target is not valid here; `status` is the HTTP status of the response."""
 
     def __init__(self, status: int, reason: str) -> None:
-        """Keep the status with the reason."""
+        """Keep the status and the reason."""
         super().__init__(reason)
         self.status = status
 
 
 @dataclass(frozen=True, slots=True)
 class Target:
-    """A path in a repository, without the leading slash; `query` as it stood."""
+    """A decoded path without the leading slash, and the query as sent."""
 
     path: str
     query: str = ""
 
 
 def read_target(raw: bytes, hosts: frozenset[str] = frozenset()) -> Target:
-    """Read a request target; an absolute form is taken only for one of our own hosts."""
+    """Parse a request target; an absolute form is accepted only if its host is one of `hosts`."""
     if len(raw) > MAX_TARGET_BYTES:
         raise BadTarget(414, f"target of {len(raw)} bytes; {MAX_TARGET_BYTES} are taken")
     try:
@@ -87,5 +87,5 @@
 
 
 def object_key(repository: str, path: str) -> int:
-    """Give the platform's object of a path, 64 bits."""
+    """Return the 64-bit key of the platform's object that holds the file at a path of a repository."""
     return xxhash.xxh3_64_intdigest(f"{repository}\0{path}")
