--- a/hitchtiller/repo/kinds/__init__.py
+++ b/hitchtiller/repo/kinds/__init__.py
@@ -1,6 +1,6 @@
-"""Kinds of repositories.
+"""Repository kinds: which paths are indexes, and which files an index names.
 
-What is an index, and what it names. A kind is one file with a class that has `Kind`'s methods.
+Each kind is one module with a class that implements the `Kind` protocol.
 """
 
 from dataclasses import dataclass, field
@@ -10,39 +10,39 @@
 
 
 class BadIndex(ValueError):
-    """An index that can't be used; the text says what is wrong and where."""
+    """An index that cannot be used; the message says what is wrong and where."""
 
 
 @dataclass(frozen=True, slots=True)
 class ParsedIndex:
-    """What an index says: the files it names, and further indexes that belong to it and name more."""
+    """A parsed index: the files that it names, and the nested indexes among them, which name more files."""
 
     files: dict[str, NamedFile]
     nested: tuple[str, ...] = field(default=())
-    optional: frozenset[str] = frozenset()  # named, but need not be there for the release to be whole
+    optional: frozenset[str] = frozenset()  # need not exist before the release is served
 
 
 class Kind(Protocol):
-    """One kind of repository; paths have no leading slash."""
+    """One kind of repository; its paths have no leading slash."""
 
     def is_index(self, path: str) -> bool:
-        """Tell whether a path is an index that begins a generation."""
+        """Return whether a path is a top-level index, whose versions are the generations."""
 
     def is_listing(self, path: str) -> bool:
-        """Tell whether a path is a list that names no files, served as it comes."""
+        """Return whether a path is a list that names no files and is served unchanged."""
 
     def index_paths_for(self, path: str) -> list[str]:
-        """Give the indexes that could name a file, as far as its path tells."""
+        """Return the paths of the indexes that may name a file, as far as its path shows."""
 
     def parse(self, path: str, body: bytes) -> ParsedIndex:
-        """Read an index; BadIndex where it is none."""
+        """Parse an index; raise BadIndex if it is not valid."""
 
     def content_type(self, path: str, body: bytes) -> str:
-        """Give the media type of what is served."""
+        """Return the media type of a file."""
 
 
 def make(name: str) -> Kind:
-    """Make a kind by its name; KeyError for an unknown one."""
+    """Return the kind of a name; raise KeyError if there is none."""
     from hitchtiller.repo.kinds.debian import Debian
     from hitchtiller.repo.kinds.simple import Simple
 
