--- a/hitchtiller/repo/kinds/debian.py
+++ b/hitchtiller/repo/kinds/debian.py
@@ -1,8 +1,8 @@
-"""Debian archives as the repository format describes them: InRelease or Release, Packages, by-hash, the pool.
+"""Debian archives, after the Debian repository format: InRelease or Release, Packages, by-hash and the pool.
 
-A suite's `dists/SUITE/InRelease` (or `Release`) is a root; it names Packages files by SHA-256, and of each
-component and architecture one of them (plain, gz or xz) is read further: it names the files of the pool.
-Signatures are passed on as they are; checking them is the client's.
+A suite's `dists/SUITE/InRelease` (or `Release`) is the top-level index. It names Packages files by SHA-256.
+For each component and architecture one of them (plain, gz or xz) is read as a nested index, which names the
+files of the pool. Signatures are served unchanged; verifying them is left to the client.
 """
 
 import gzip
@@ -18,7 +18,7 @@
 INDEX_PATH = re.compile(r"dists/.+/(InRelease|Release)\Z")
 PACKAGES_PATH = re.compile(r"dists/.+/Packages(\.gz|\.xz)?\Z")
 SHA256_HEX = re.compile(r"[0-9a-f]{64}\Z")
-MAX_UNPACKED_BYTES = 256_000_000  # of a Packages file, unpacked: guards against a few bytes that become many
+MAX_UNPACKED_BYTES = 256_000_000  # of an unpacked Packages file; prevents decompression bombs
 MAX_FILES = 500_000
 SIGNED_BEGIN, SIGNATURE_BEGIN = "-----BEGIN PGP SIGNED MESSAGE-----", "-----BEGIN PGP SIGNATURE-----"
 
@@ -52,7 +52,7 @@
 
 
 def stanzas(path: str, text: str) -> Iterator[tuple[int, dict[str, str]]]:
-    """Give the stanzas of a control file: the line each begins in, and its fields by lower-case name."""
+    """Yield each stanza of a control file as its first line number and its fields by lower-case name."""
     fields: dict[str, str] = {}
     first_line, last_field = 1, ""
     for number, line in enumerate(text.splitlines(), 1):
@@ -80,18 +80,21 @@
 
 
 class Debian:
-    """The kind `debian`."""
+    """Repository kind `debian`."""
 
     def is_index(self, path: str) -> bool:
-        """A suite's InRelease or Release."""
+        """Return whether a path is a suite's InRelease or Release."""
         return bool(INDEX_PATH.match(path))
 
     def is_listing(self, path: str) -> bool:
-        """Detached signatures go as they come: which Release they are of is the client's to check."""
+        """Return whether a path is a detached signature.
+
+        It is served unchanged: the client checks which Release it belongs to.
+        """
         return path.startswith("dists/") and path.endswith("/Release.gpg")
 
     def content_type(self, path: str, body: bytes) -> str:
-        """Text for what has no suffix, bytes for the rest."""
+        """Return the text type for indexes and signatures, the type of binary data for all other files."""
         return (
             "text/plain; charset=utf-8"
             if self.is_index(path) or self.is_listing(path)
@@ -99,14 +102,17 @@
         )
 
     def index_paths_for(self, path: str) -> list[str]:
-        """Files below `dists/SUITE` are named by its Release; of the pool any suite may name one."""
+        """Return the Release files of the suite for a path below `dists/SUITE`.
+
+        Any suite may name a file of the pool, so the list is empty for such a path.
+        """
         words = path.split("/")
         if words[0] != "dists" or len(words) < 3:
             return []
         return [f"dists/{words[1]}/InRelease", f"dists/{words[1]}/Release"]
 
     def parse(self, path: str, body: bytes) -> ParsedIndex:
-        """Read a Release, or a Packages file in any form."""
+        """Parse a Release, or a Packages file in any compression."""
         if self.is_index(path):
             return self._parse_release(path, _text(path, body))
         if PACKAGES_PATH.match(path):
@@ -144,7 +150,7 @@
         return ParsedIndex(files, nested, frozenset(files) - frozenset(nested))
 
     def _choose_packages(self, files: dict[str, NamedFile]) -> tuple[str, ...]:
-        """Of each Packages file the smallest form that is there."""
+        """Return the smallest form of each Packages file that the Release names."""
         smallest: dict[str, str] = {}
         for name in files:
             if PACKAGES_PATH.match(name) and "/by-hash/" not in name:
