--- a/hitchtiller/repo/kinds/simple.py
+++ b/hitchtiller/repo/kinds/simple.py
@@ -1,8 +1,8 @@
-"""The Python simple index, HTML (1.0) and JSON (1.x), as the packaging specifications describe it.
+"""The Python simple repository API in HTML (1.0) and JSON (1.x), after the Python packaging specifications.
 
-A project's page `simple/NAME/` is a root; `simple/` lists projects and names no files. Files carry `#sha256=`
-fragments (HTML) or `hashes` (JSON); the metadata file beside one is named by `data-core-metadata` or
-`core-metadata`.
+A project's page `simple/NAME/` is a top-level index; `simple/` lists the projects and names no files. The
+digest of a file is in the `#sha256=` fragment of its URL (HTML) or in `hashes` (JSON). Its separate metadata
+file is announced by `data-core-metadata` (HTML) or `core-metadata` (JSON).
 """
 
 import re
@@ -30,7 +30,7 @@
 
 
 class _PageParser(HTMLParser):
-    """Collects the anchors of a page with their lines."""
+    """Collects the anchors of a page with their line numbers."""
 
     def __init__(self) -> None:
         super().__init__(convert_charrefs=True)
@@ -39,7 +39,7 @@
         self.tag_count = 0
 
     def handle_starttag(self, tag: str, attrs: list[tuple[str, str | None]]) -> None:
-        """Take a tag."""
+        """Record an anchor or the repository version."""
         self.tag_count += 1
         fields = {name: value or "" for name, value in attrs}
         if tag == "a" and "href" in fields:
@@ -67,18 +67,18 @@
 
 
 class Simple:
-    """The kind `simple`."""
+    """Repository kind `simple`."""
 
     def is_index(self, path: str) -> bool:
-        """A project's page."""
+        """Return whether a path is a project's page."""
         return bool(INDEX_PATH.match(path))
 
     def is_listing(self, path: str) -> bool:
-        """The list of projects."""
+        """Return whether a path is the list of projects."""
         return bool(LISTING_PATH.match(path))
 
     def content_type(self, path: str, body: bytes) -> str:
-        """Tell HTML and JSON apart by their first byte."""
+        """Return the media type: HTML or JSON by the first byte of an index, binary data for a file."""
         if not (self.is_index(path) or self.is_listing(path)):
             return "application/octet-stream"
         if body.lstrip()[:1] == b"{":
@@ -86,7 +86,7 @@
         return "text/html; charset=utf-8"
 
     def index_paths_for(self, path: str) -> list[str]:
-        """A file's name begins with its project's."""
+        """Return the page of the project whose name the file name contains."""
         name = path.rpartition("/")[2].removesuffix(".metadata")
         try:
             if name.endswith(".whl"):
@@ -98,7 +98,7 @@
         return [f"simple/{project}/"]
 
     def parse(self, path: str, body: bytes) -> ParsedIndex:
-        """Read a project's page in either form."""
+        """Parse a project's page in HTML or JSON."""
         path_match = INDEX_PATH.match(path)
         if not path_match:
             raise BadIndex(f"{path} is no project's page")
@@ -142,7 +142,7 @@
             url, _, fragment = fields["href"].strip().partition("#")
             hash_name, _, digest = fragment.partition("=")
             if hash_name and hash_name != "sha256":
-                digest = ""  # an older hash: the file is named, its bytes can't be proven
+                digest = ""  # other hashes are not checked: the file is served without a digest
             self._add_file(files, where, path, url, digest.lower(), -1)
             metadata_digest = fields.get("data-core-metadata", fields.get("data-dist-info-metadata", ""))
             if metadata_digest and metadata_digest != "false":
@@ -170,7 +170,7 @@
         except ValueError as error:
             raise BadIndex(f"{where}: url {url[:60]!r}: {error}") from None
         if parts.netloc != "here.invalid":
-            return  # on another host: clients fetch it there
+            return  # on another host, from which clients fetch it directly
         name = unquote(parts.path).lstrip("/")
         if not name or name != normpath(name) or name.startswith("..") or "\\" in name or "\0" in name:
             raise BadIndex(f"{where}: url {url[:60]!r} does not name a file of this repository")
