--- a/hitchtiller/repo/__init__.py
+++ b/hitchtiller/repo/__init__.py
@@ -1,1 +1,1 @@
-"""The second front: package repositories over HTTP/1.1; see docs/repositories.md."""
+"""Package repositories over HTTP/1.1; see docs/repositories.md."""
