--- a/hitchtiller/repo/conditions.py
+++ b/hitchtiller/repo/conditions.py
@@ -1,9 +1,9 @@
 """Conditional requests (RFC 9110, section 13): decides between a full response, a partial one, 304 and 412.
 
 Entity tags are strong and combine two values: the digest that the index gives for the file, and the tag that
-the caches give to its bytes. The digest alone is not enough to resume a download: an interrupted body may have
-started with wrong bytes, which the digest would have exposed only at the end. It may therefore be continued
-only with bytes of the same cache tag. Weak tags never match where a strong comparison is required.
+the caches give to its bytes. The digest alone is not enough to resume a download: an interrupted body may
+have started with wrong bytes, which the digest would have exposed only at the end. It may therefore be
+continued only with bytes of the same cache tag. Weak tags never match where a strong comparison is required.
 """
 
 import re
