--- a/hitchtiller/repo/ranges.py
+++ b/hitchtiller/repo/ranges.py
@@ -1,8 +1,8 @@
 """Byte ranges (RFC 9110, section 14): which bytes of a body of known size a request asks for.
 
 Bound: at most MAX_RANGES ranges, of which at most one pair of neighbours may overlap. A request for more is
-answered with the complete body, as the RFC allows: a client then cannot make the gateway send more bytes for
-one small request than the body has.
+answered with the complete body, as the RFC allows: receiving it costs an attacker as much as sending it costs
+the gateway.
 """
 
 import re
@@ -68,7 +68,7 @@
 
 
 def split_into_parts(span: Span, part_bytes: int) -> list[tuple[int, int, int]]:
-    """Return (part number, begin, end) for each part that a span covers, in order; offsets are in the part."""
+    """Return (part number, begin, end) for each part that a span covers; begin and end are in the part."""
     slices = []
     offset = span.first
     while offset < span.end:
