--- a/hitchtiller/repo/paths.py
+++ b/hitchtiller/repo/paths.py
@@ -60,11 +60,12 @@
     if len(segments) > MAX_SEGMENTS:
         raise BadTarget(414, f"target of {len(segments)} segments; {MAX_SEGMENTS} are taken")
     return "/".join(
-        _segment(segment, is_last=position == len(segments) - 1) for position, segment in enumerate(segments)
+        _decode_segment(segment, is_last=position == len(segments) - 1)
+        for position, segment in enumerate(segments)
     )
 
 
-def _segment(text: str, is_last: bool) -> str:
+def _decode_segment(text: str, is_last: bool) -> str:
     def decode_escape(match: re.Match[str]) -> str:
         if not match.group(1):
             raise BadTarget(400, "target holds a % without two hexadecimal digits")
