--- a/hitchtiller/repo/kinds/debian.py
+++ b/hitchtiller/repo/kinds/debian.py
@@ -44,7 +44,7 @@
     return data
 
 
-def _text(path: str, body: bytes) -> str:
+def _decode_text(path: str, body: bytes) -> str:
     try:
         return body.decode()
     except UnicodeDecodeError as error:
@@ -114,9 +114,9 @@
     def parse(self, path: str, body: bytes) -> ParsedIndex:
         """Parse a Release, or a Packages file in any compression."""
         if self.is_index(path):
-            return self._parse_release(path, _text(path, body))
+            return self._parse_release(path, _decode_text(path, body))
         if PACKAGES_PATH.match(path):
-            return ParsedIndex(self._parse_packages(path, _text(path, _unpack(path, body))))
+            return ParsedIndex(self._parse_packages(path, _decode_text(path, _unpack(path, body))))
         raise BadIndex(f"{path} is no index of an archive")
 
     def _parse_release(self, path: str, text: str) -> ParsedIndex:
