--- a/hitchtiller/repo/fetch.py
+++ b/hitchtiller/repo/fetch.py
@@ -53,7 +53,7 @@
     budget: FileRepeatBudget = field(default_factory=FileRepeatBudget)
 
 
-def _size(result: Part | Exception) -> int:
+def _received_bytes(result: Part | Exception) -> int:
     return len(result.data) if isinstance(result, Part) else 0
 
 
@@ -231,7 +231,7 @@
         try:
             while True:
                 while has_more and window.can_request(
-                    count_unsent_bytes() + sum(map(_size, arrived.values()))
+                    count_unsent_bytes() + sum(map(_received_bytes, arrived.values()))
                 ):
                     number = next(numbers, None)
                     if number is None:
