--- a/hitchtiller/repo/budget.py
+++ b/hitchtiller/repo/budget.py
@@ -39,9 +39,9 @@
     denied: int = 0
     hedge_count: int = 0
 
-    def record_request(self, file: FileRepeatBudget) -> None:
+    def record_request(self, file_budget: FileRepeatBudget) -> None:
         """Record the first request for a part, which earns REPEAT_SHARE of a repeat."""
-        file.parts += 1
+        file_budget.parts += 1
         self.tokens = min(MAX_SAVED_REPEATS, self.tokens + REPEAT_SHARE)
 
     def record_wait(self, waited_ms: float) -> None:
@@ -50,29 +50,35 @@
             0.05 * (waited_ms - self.typical_wait_ms) if self.typical_wait_ms else waited_ms
         )
 
-    def try_repeat(self, file: FileRepeatBudget, client: str, now_ms: float) -> bool:
+    def try_repeat(self, file_budget: FileRepeatBudget, client: str, now_ms: float) -> bool:
         """Spend one repeat if file, client and gateway all have one left; return whether it was spent."""
         remaining, updated_ms = self.clients.get(client, (MAX_CLIENT_REPEATS, now_ms))
         remaining = min(
             MAX_CLIENT_REPEATS, remaining + CLIENT_REPEATS_PER_S * max(0.0, now_ms - updated_ms) / 1000.0
         )
-        if remaining < 1.0 or self.tokens < 1.0 or not file.can_repeat():
+        if remaining < 1.0 or self.tokens < 1.0 or not file_budget.can_repeat():
             self.denied += 1
             return False
         self.tokens -= 1.0
-        file.repeats += 1
+        file_budget.repeats += 1
         self.spent += 1
         self.clients[client] = (remaining - 1.0, now_ms)
         if len(self.clients) > 1000:
-            self._forget(now_ms)
+            self._drop_full_buckets(now_ms)
         return True
 
-    def _forget(self, now_ms: float) -> None:
-        full_ms = 1000.0 * MAX_CLIENT_REPEATS / CLIENT_REPEATS_PER_S
-        self.clients = {name: entry for name, entry in self.clients.items() if now_ms - entry[1] < full_ms}
+    def _drop_full_buckets(self, now_ms: float) -> None:
+        refill_ms = 1000.0 * MAX_CLIENT_REPEATS / CLIENT_REPEATS_PER_S
+        self.clients = {name: entry for name, entry in self.clients.items() if now_ms - entry[1] < refill_ms}
 
     def try_hedge(
-        self, number: int, parts: int, waited_ms: float, file: FileRepeatBudget, client: str, now_ms: float
+        self,
+        number: int,
+        parts: int,
+        waited_ms: float,
+        file_budget: FileRepeatBudget,
+        client: str,
+        now_ms: float,
     ) -> bool:
         """Spend one repeat on a second request for a late part; return whether to send it.
 
@@ -80,7 +86,9 @@
         """
         if parts < 0 or number < parts - HEDGE_LAST_PARTS or not self.typical_wait_ms:
             return False
-        if waited_ms < HEDGE_DELAY_FACTOR * self.typical_wait_ms or not self.try_repeat(file, client, now_ms):
+        if waited_ms < HEDGE_DELAY_FACTOR * self.typical_wait_ms or not self.try_repeat(
+            file_budget, client, now_ms
+        ):
             return False
         self.hedge_count += 1
         return True
