--- a/hitchtiller/repo/service.py
+++ b/hitchtiller/repo/service.py
@@ -94,7 +94,7 @@
     ) -> None:
         """Serve these repositories; the longest matching prefix wins."""
         self.engine, self.fetcher, self.hosts = engine, fetcher, hosts
-        self.repositories = sorted(repositories, key=lambda each: -len(each.prefix))
+        self.repositories = sorted(repositories, key=lambda version: -len(version.prefix))
         self.verified_bodies = VerifiedBodies()
         self.counts: dict[str, int] = {}
         # The decision module forgets a purge once the caches have dropped their copies. Indexes are held here
@@ -167,7 +167,7 @@
         """
         file_request, tag = self._file_request(repo, path, client), ""
         for _ in range(3):
-            assembly, chunks, number = Assembly(PART, digest, tag=tag), list[bytes](), 0
+            assembly, body_chunks, number = Assembly(PART, digest, tag=tag), list[bytes](), 0
             try:
                 while not assembly.is_complete:
                     part = self.fetcher.fetch_with_repeats(file_request, number, assembly.has_same_tag)
@@ -175,7 +175,7 @@
                         return None
                     if part.tag != (assembly.tag or part.tag):
                         raise TagChangedError(part.tag)
-                    chunks += assembly.add_part(number, part)
+                    body_chunks += assembly.add_part(number, part)
                     number += 1
                     if number * PART > repo.index_bytes:
                         raise BadIndex(
@@ -185,7 +185,7 @@
                 tag = changed.tag
                 continue
             self.verified_bodies.put(file_request.key, assembly.tag, assembly.hash.hexdigest(), assembly.size)
-            return b"".join(chunks), assembly
+            return b"".join(body_chunks), assembly
         raise BrokenBodyError("two-releases")
 
     def _refresh_index(self, repo: Repository, path: str, client: str) -> IndexHistory | None:
@@ -233,9 +233,9 @@
         for path in sorted(generation.pending_paths):
             file_request.key = object_key(repo.name, path)
             part = self.fetcher.fetch(file_request, 0)
-            named = generation.files[path]
+            named_file = generation.files[path]
             verified = self.verified_bodies.get(file_request.key, part.tag)
-            if part.tag == ABSENT or not _could_match(part, named, verified.digest if verified else ""):
+            if part.tag == ABSENT or not _could_match(part, named_file, verified.digest if verified else ""):
                 history.mark_missing(generation.digest, now_ms())
                 return
             history.mark_found(generation.digest, path)
@@ -248,10 +248,10 @@
             return make_refusal(404, "not-found", "there is no such index")
         key, now = object_key(repo.name, path), now_ms()
         generation = history.serve(client, now)
-        purged = self.purges.last(key, repo.group)
-        if generation is None or (generation.since_ms <= purged and now - purged > PURGE_GRACE_MS):
+        purged_ms = self.purges.last(key, repo.group)
+        if generation is None or (generation.since_ms <= purged_ms and now - purged_ms > PURGE_GRACE_MS):
             return make_refusal(503, "release-not-whole", "a release is being published; come back", 1.0)
-        if generation.digest != history.newest_digest and now - purged <= PURGE_GRACE_MS:
+        if generation.digest != history.newest_digest and now - purged_ms <= PURGE_GRACE_MS:
             logger.info("{}: serving the previous release because files of the newest one are missing", path)
         validators = Validators(generation.digest, int(generation.since_ms))
         return _answer_from_memory(
@@ -280,12 +280,12 @@
                 history = self._refresh_index(repo, index, client)
                 if history:
                     history.serve(client, now_ms())
-        named: list[NamedFile] = []
+        named_file: list[NamedFile] = []
         for index in sorted(repo.indexes_by_path.get(path, ())):
-            each = repo.lines[index].permitted(client, path, now_ms())
-            if each and each not in named:
-                named.append(each)
-        return named
+            version = repo.lines[index].permitted(client, path, now_ms())
+            if version and version not in named_file:
+                named_file.append(version)
+        return named_file
 
     def _answer_file(
         self,
@@ -311,10 +311,10 @@
         if first.tag == ABSENT:
             return make_refusal(404, "not-there", "the index names it, but it is not there")
         verified = self.verified_bodies.get(file_request.key, first.tag)
-        named = next((n for n in permitted if not verified or n.digest in ("", verified.digest)), None)
-        if named is None:
+        named_file = next((n for n in permitted if not verified or n.digest in ("", verified.digest)), None)
+        if named_file is None:
             return make_refusal(503, "other-release", "a release is being published; come back", 1.0)
-        digest = verified.digest if verified else named.digest
+        digest = verified.digest if verified else named_file.digest
         validators = Validators(digest, first.since_ms, first.tag)
         content_type = repo.kind.content_type(path, b"")
         common_headers = [("Content-Type", content_type), ("Accept-Ranges", "bytes")]
@@ -327,21 +327,21 @@
                 return make_refusal(412, "precondition")
         is_range = digest and method == "GET" and "range" in headers and range_applies(headers, validators)
         if is_range and verified is None:
-            verified = self._verify_file(file_request, first, named)
-        size = verified.size if verified else named.size
+            verified = self._verify_file(file_request, first, named_file)
+        size = verified.size if verified else named_file.size
         if is_range and verified:
             return self._answer_ranges(
                 file_request, first.tag, verified.size, headers["range"], common_headers, count_unsent_bytes
             )
-        whole = None if size < 0 else size
+        length = None if size < 0 else size
         if method == "HEAD":
-            return Reply(200, common_headers, iter(()), whole, "head")
+            return Reply(200, common_headers, iter(()), length, "head")
         assembly = Assembly(PART, digest, size)
         return Reply(
             200,
             common_headers,
             self._stream_body(file_request, first, assembly, count_unsent_bytes),
-            whole,
+            length,
             "whole",
         )
 
@@ -350,11 +350,13 @@
         verified = self.verified_bodies.get(key, part.tag)
         if part.tag == ABSENT:
             return False
-        return any(_could_match(part, named, verified.digest if verified else "") for named in permitted)
+        return any(
+            _could_match(part, named_file, verified.digest if verified else "") for named_file in permitted
+        )
 
-    def _verify_file(self, file_request: FileRequest, first: Part, named: NamedFile) -> VerifiedBody:
+    def _verify_file(self, file_request: FileRequest, first: Part, named_file: NamedFile) -> VerifiedBody:
         """Read a complete file to verify its digest, without sending or keeping its bytes."""
-        assembly = Assembly(PART, named.digest, named.size)
+        assembly = Assembly(PART, named_file.digest, named_file.size)
         for _ in self._stream_body(file_request, first, assembly, lambda: 0):
             pass
         verified = self.verified_bodies.get(file_request.key, assembly.tag)
@@ -429,19 +431,19 @@
             for span in spans
         ]
         closing_boundary = f"\r\n--{boundary}--\r\n".encode()
-        total = sum(len(head) + span.size for head, span in zip(part_headers, spans, strict=True)) + len(
-            closing_boundary
-        )
+        total_bytes = sum(
+            len(part_header) + span.size for part_header, span in zip(part_headers, spans, strict=True)
+        ) + len(closing_boundary)
         reply_headers = [("Content-Type", f"multipart/byteranges; boundary={boundary}")]
         reply_headers += [(name, value) for name, value in common_headers if name != "Content-Type"]
 
         def body() -> Iterator[bytes]:
-            for head, span in zip(part_headers, spans, strict=True):
-                yield head
+            for part_header, span in zip(part_headers, spans, strict=True):
+                yield part_header
                 yield from self._stream_spans(file_request, tag, size, [span], count_unsent_bytes)
             yield closing_boundary
 
-        return Reply(206, reply_headers, body(), total, "ranges")
+        return Reply(206, reply_headers, body(), total_bytes, "ranges")
 
     def _stream_spans(
         self,
@@ -464,18 +466,18 @@
                 yield part.data[begin:end]
 
 
-def _could_match(part: Part, named: NamedFile, verified_digest: str) -> bool:
+def _could_match(part: Part, named_file: NamedFile, verified_digest: str) -> bool:
     """Return whether a file's first part can belong to the file that an index names.
 
     `verified_digest` is the digest already established for the part's tag, "" if there is none. Without one,
     a digest can be compared only if the first part is the complete file.
     """
     if verified_digest:
-        return named.digest in ("", verified_digest)
+        return named_file.digest in ("", verified_digest)
     if len(part.data) < PART:
-        whole = named.size in (-1, len(part.data))
-        return whole and named.digest in ("", hashlib.sha256(part.data).hexdigest())
-    return named.size < 0 or named.size >= PART
+        length = named_file.size in (-1, len(part.data))
+        return length and named_file.digest in ("", hashlib.sha256(part.data).hexdigest())
+    return named_file.size < 0 or named_file.size >= PART
 
 
 def _answer_from_memory(
