--- a/hitchtiller/repo/service.py
+++ b/hitchtiller/repo/service.py
@@ -94,7 +94,7 @@
     ) -> None:
         """Serve these repositories; the longest matching prefix wins."""
         self.engine, self.fetcher, self.hosts = engine, fetcher, hosts
-        self.repositories = sorted(repositories, key=lambda version: -len(version.prefix))
+        self.repositories = sorted(repositories, key=lambda repository: -len(repository.prefix))
         self.verified_bodies = VerifiedBodies()
         self.counts: dict[str, int] = {}
         # The decision module forgets a purge once the caches have dropped their copies. Indexes are held here
@@ -280,12 +280,12 @@
                 history = self._refresh_index(repo, index, client)
                 if history:
                     history.serve(client, now_ms())
-        named_file: list[NamedFile] = []
+        named_files: list[NamedFile] = []
         for index in sorted(repo.indexes_by_path.get(path, ())):
             version = repo.lines[index].permitted(client, path, now_ms())
-            if version and version not in named_file:
-                named_file.append(version)
-        return named_file
+            if version and version not in named_files:
+                named_files.append(version)
+        return named_files
 
     def _answer_file(
         self,
@@ -475,8 +475,8 @@
     if verified_digest:
         return named_file.digest in ("", verified_digest)
     if len(part.data) < PART:
-        length = named_file.size in (-1, len(part.data))
-        return length and named_file.digest in ("", hashlib.sha256(part.data).hexdigest())
+        has_named_size = named_file.size in (-1, len(part.data))
+        return has_named_size and named_file.digest in ("", hashlib.sha256(part.data).hexdigest())
     return named_file.size < 0 or named_file.size >= PART
 
 
