--- a/tests/repo/test_repo_decide.py
+++ b/tests/repo/test_repo_decide.py
@@ -73,9 +73,9 @@
 
 def test_an_absolute_form_is_taken_for_our_own_hosts_only() -> None:
     assert read_target(b"http://repo.local/a/b?q", frozenset({"repo.local"})).path == "a/b"
-    with pytest.raises(BadTarget) as told:
+    with pytest.raises(BadTarget) as raised:
         read_target(b"http://repo.local/a", frozenset())
-    assert told.value.status == 421
+    assert raised.value.status == 421
     assert object_key("r", "a") != object_key("r2", "a") != object_key("r2", "b")
 
 
@@ -131,84 +131,86 @@
 # Generations
 
 
-def named(**files: str) -> dict[str, NamedFile]:
+def named_files(**files: str) -> dict[str, NamedFile]:
     return {name: NamedFile(name, digest) for name, digest in files.items()}
 
 
-def served(
-    line: IndexHistory, digest: str, files: dict[str, NamedFile], at: float, client: str = "c"
+def record_and_serve(
+    history: IndexHistory, digest: str, files: dict[str, NamedFile], at: float, client: str = "c"
 ) -> None:
-    line.record_index(digest, files, at, b"")
+    history.record_index(digest, files, at, b"")
     for path in files:
-        line.mark_found(digest, path)
-    generation = line.serve(client, at)
+        history.mark_found(digest, path)
+    generation = history.serve(client, at)
     assert generation and generation.digest == digest
 
 
 def test_an_index_is_served_only_once_what_is_new_in_it_is_there() -> None:
-    line = IndexHistory(1000.0)
-    served(line, "g1", named(a="1"), 10.0)
-    second = line.record_index("g2", named(a="1", b="2"), 20.0, b"")
-    assert second.pending_paths == {"b"} and line.due_for_check(20.0) is second
-    assert line.serve("c", 20.0).digest == "g1" and line.updates_withheld == 1  # type: ignore[union-attr]
-    line.mark_missing("g2", 20.0)
-    assert line.due_for_check(100.0) is None and line.due_for_check(600.0) is second
-    line.mark_found("g2", "b")
-    assert line.serve("c", 30.0).digest == "g2" and line.generations["g1"].state is State.RETIRED  # type: ignore[union-attr]
+    history = IndexHistory(1000.0)
+    record_and_serve(history, "g1", named_files(a="1"), 10.0)
+    second = history.record_index("g2", named_files(a="1", b="2"), 20.0, b"")
+    assert second.pending_paths == {"b"} and history.due_for_check(20.0) is second
+    assert history.serve("c", 20.0).digest == "g1" and history.updates_withheld == 1  # type: ignore[union-attr]
+    history.mark_missing("g2", 20.0)
+    assert history.due_for_check(100.0) is None and history.due_for_check(600.0) is second
+    history.mark_found("g2", "b")
+    assert history.serve("c", 30.0).digest == "g2" and history.generations["g1"].state is State.RETIRED  # type: ignore[union-attr]
 
 
 def test_a_client_gets_files_of_its_own_generation_alone() -> None:
-    line = IndexHistory(1000.0)
-    served(line, "g1", named(a="1", b="1"), 10.0, "old")
-    served(line, "g2", named(a="2", c="2"), 20.0, "new")
-    assert line.permitted("old", "a", 30.0) == NamedFile("a", "1")
-    assert line.permitted("new", "a", 30.0) == NamedFile("a", "2") == line.permitted("stranger", "a", 30.0)
-    assert not line.permitted("new", "b", 30.0), "its index does not name it"
-    assert not line.permitted("old", "a", 1021.0) and line.is_outdated("old", 1021.0)
-    assert line.permitted("new", "a", 1021.0)
+    history = IndexHistory(1000.0)
+    record_and_serve(history, "g1", named_files(a="1", b="1"), 10.0, "old")
+    record_and_serve(history, "g2", named_files(a="2", c="2"), 20.0, "new")
+    assert history.permitted("old", "a", 30.0) == NamedFile("a", "1")
+    assert (
+        history.permitted("new", "a", 30.0) == NamedFile("a", "2") == history.permitted("stranger", "a", 30.0)
+    )
+    assert not history.permitted("new", "b", 30.0), "its index does not name it"
+    assert not history.permitted("old", "a", 1021.0) and history.is_outdated("old", 1021.0)
+    assert history.permitted("new", "a", 1021.0)
 
 
 def test_a_roll_back_makes_older_digests_good_again() -> None:
-    line = IndexHistory(0.0)
-    served(line, "g1", named(a="1"), 10.0)
-    served(line, "g2", named(a="2"), 20.0)
-    assert line.record_index("g1", {}, 30.0, b"").state is State.RETIRED
-    generation = line.serve("c", 30.0)
-    assert generation and generation.digest == "g1" and line.rollback_count == 1
-    assert line.permitted("c", "a", 31.0) == NamedFile("a", "1")
+    history = IndexHistory(0.0)
+    record_and_serve(history, "g1", named_files(a="1"), 10.0)
+    record_and_serve(history, "g2", named_files(a="2"), 20.0)
+    assert history.record_index("g1", {}, 30.0, b"").state is State.RETIRED
+    generation = history.serve("c", 30.0)
+    assert generation and generation.digest == "g1" and history.rollback_count == 1
+    assert history.permitted("c", "a", 31.0) == NamedFile("a", "1")
 
 
 def test_a_cache_that_lags_changes_nothing() -> None:
-    line = IndexHistory(0.0)
-    served(line, "g2", named(a="2"), 20.0)
-    line.record_index("g1", named(a="1"), 10.0, b"")
-    generation = line.serve("c", 30.0)
+    history = IndexHistory(0.0)
+    record_and_serve(history, "g2", named_files(a="2"), 20.0)
+    history.record_index("g1", named_files(a="1"), 10.0, b"")
+    generation = history.serve("c", 30.0)
     assert generation and generation.digest == "g2"
 
 
 def test_generations_and_clients_are_bounded() -> None:
-    line = IndexHistory(0.0)
+    history = IndexHistory(0.0)
     for number in range(50):
-        served(line, f"g{number}", named(a=str(number)), float(number), f"c{number}")
-        assert len(line.generations) <= MAX_GENERATIONS
-    assert line.generations.keys() >= {"g49"}
+        record_and_serve(history, f"g{number}", named_files(a=str(number)), float(number), f"c{number}")
+        assert len(history.generations) <= MAX_GENERATIONS
+    assert history.generations.keys() >= {"g49"}
 
 
 # Bodies
 
 
-def pieces(body: bytes, tag: str = "t") -> list[Part]:
+def make_parts(body: bytes, tag: str = "t") -> list[Part]:
     parts = [body[at : at + PART] for at in range(0, len(body) + 1, PART)]
     return [Part(part, tag, 5) for part in parts]
 
 
 @given(st.integers(0, 60_000), st.booleans(), st.randoms(use_true_random=False))
 def test_a_body_leaves_in_order_whatever_order_its_parts_come_in(
-    size: int, told: bool, rng: random.Random
+    size: int, is_size_known: bool, rng: random.Random
 ) -> None:
     body = random.Random(size).randbytes(size)
-    assembly = Assembly(PART, hashlib.sha256(body).hexdigest(), size if told else -1)
-    order = list(enumerate(pieces(body)))
+    assembly = Assembly(PART, hashlib.sha256(body).hexdigest(), size if is_size_known else -1)
+    order = list(enumerate(make_parts(body)))
     rng.shuffle(order)
     out = b""
     for number, part in order:
@@ -220,18 +222,18 @@
 def test_the_end_is_held_until_the_digest_holds() -> None:
     body = bytes(40_500)
     assembly = Assembly(PART, "0" * 64)
-    out = b"".join(b"".join(assembly.add_part(n, part)) for n, part in enumerate(pieces(body)[:-1]))
+    out = b"".join(b"".join(assembly.add_part(n, part)) for n, part in enumerate(make_parts(body)[:-1]))
     assert len(out) == 40_000 - TAIL_BYTES
     with pytest.raises(BrokenBodyError, match="wrong-digest"):
-        assembly.add_part(40, pieces(body)[-1])
+        assembly.add_part(40, make_parts(body)[-1])
 
 
 def test_parts_of_two_tags_are_never_put_together() -> None:
     assembly = Assembly(PART)
     assembly.add_part(0, Part(bytes(PART), "t1", 5))
-    with pytest.raises(TagChangedError) as told:
+    with pytest.raises(TagChangedError) as raised:
         assembly.add_part(1, Part(bytes(PART), "t2", 5))
-    assert told.value.tag == "t2"
+    assert raised.value.tag == "t2"
     for number in range(1, 30):
         assembly.add_part(number, Part(bytes(PART), "t1", 5))
     assert assembly.sent_bytes
@@ -284,11 +286,11 @@
     budget = Budget()
     asked = repeats = 0
     for number in range(2000):
-        file = FileRepeatBudget()
+        file_budget = FileRepeatBudget()
         for _ in range(3):
-            budget.record_request(file)
+            budget.record_request(file_budget)
             asked += 1
-            while budget.try_repeat(file, f"c{number % 50}", float(number)):
+            while budget.try_repeat(file_budget, f"c{number % 50}", float(number)):
                 repeats += 1
     assert repeats == budget.spent <= 50 + 0.1 * asked + 1 and budget.denied
 
@@ -305,42 +307,42 @@
 
 
 def test_only_a_files_last_parts_are_hedged() -> None:
-    budget, file = Budget(), FileRepeatBudget(10)
-    assert not budget.try_hedge(9, 10, 500.0, file, "c", 0.0), "nothing is usual yet"
+    budget, file_budget = Budget(), FileRepeatBudget(10)
+    assert not budget.try_hedge(9, 10, 500.0, file_budget, "c", 0.0), "nothing is usual yet"
     budget.record_wait(100.0)
-    assert not budget.try_hedge(7, 10, 500.0, file, "c", 0.0) and not budget.try_hedge(
-        9, 10, 200.0, file, "c", 0.0
+    assert not budget.try_hedge(7, 10, 500.0, file_budget, "c", 0.0) and not budget.try_hedge(
+        9, 10, 200.0, file_budget, "c", 0.0
     )
-    assert budget.try_hedge(9, 10, 500.0, file, "c", 0.0) and not budget.try_hedge(
-        9, -1, 500.0, file, "c", 0.0
+    assert budget.try_hedge(9, 10, 500.0, file_budget, "c", 0.0) and not budget.try_hedge(
+        9, -1, 500.0, file_budget, "c", 0.0
     )
 
 
 def test_background_gives_way_when_the_foreground_falls_behind_and_comes_back() -> None:
-    way, now = BackgroundLimit(), 0.0
+    background_limit, now = BackgroundLimit(), 0.0
     for _ in range(400):
         now += 10.0
-        way.record_foreground(in_time=False, now_ms=now)
-        way.adjust(0.0, now)
-    assert way.limit == MIN_PARTS
-    way.open = MIN_PARTS
-    assert not way.admits() and way.refused == 1
+        background_limit.record_foreground(in_time=False, now_ms=now)
+        background_limit.adjust(0.0, now)
+    assert background_limit.limit == MIN_PARTS
+    background_limit.open = MIN_PARTS
+    assert not background_limit.admits() and background_limit.refused == 1
     for _ in range(3000):
         now += 10.0
-        way.record_foreground(in_time=True, now_ms=now)
-        way.adjust(0.0, now)
-    assert way.limit == MAX_BACKGROUND_PARTS and way.admits()
+        background_limit.record_foreground(in_time=True, now_ms=now)
+        background_limit.adjust(0.0, now)
+    assert background_limit.limit == MAX_BACKGROUND_PARTS and background_limit.admits()
     for _ in range(20):
         now += 200.0
-        way.adjust(100.0, now)
-    assert way.limit == MIN_PARTS, "the loop's lag counts too"
+        background_limit.adjust(100.0, now)
+    assert background_limit.limit == MIN_PARTS, "the loop's lag counts too"
     assert BackgroundLimit(on=False, open=10**6).admits()
 
 
 def test_doors_are_bounded_in_all_and_by_address() -> None:
-    doors = ConnectionLimits(3, 2)
-    assert [doors.enter("a"), doors.enter("a"), doors.enter("a"), doors.enter("b"), doors.enter("c")] == [
+    limits = ConnectionLimits(3, 2)
+    assert [limits.enter("a"), limits.enter("a"), limits.enter("a"), limits.enter("b"), limits.enter("c")] == [
         "", "", "too-many-of-one-address", "", "full",
     ]  # fmt: skip
-    doors.leave("a")
-    assert doors.enter("c") == "" and doors.by_address == {"a": 1, "b": 1, "c": 1}
+    limits.leave("a")
+    assert limits.enter("c") == "" and limits.by_address == {"a": 1, "b": 1, "c": 1}
