--- a/tests/repo/test_repo_decide.py
+++ b/tests/repo/test_repo_decide.py
@@ -23,7 +23,7 @@
     st.integers(1, 5000),
     st.lists(st.tuples(st.integers(0, 6000), st.integers(0, 6000)), min_size=1, max_size=4),
 )
-def test_every_range_gives_the_bytes_of_the_slice(size: int, wanted: list[tuple[int, int]]) -> None:
+def test_every_range_covers_the_bytes_of_the_same_slice(size: int, wanted: list[tuple[int, int]]) -> None:
     body = random.Random(size).randbytes(size)
     parts = [body[at : at + PART] for at in range(0, size, PART)]
     header = "bytes=" + ",".join(f"{a}-{a + b}" for a, b in wanted)
@@ -52,7 +52,7 @@
 
 
 @given(st.text(max_size=60))
-def test_no_range_header_breaks_the_reader(text: str) -> None:
+def test_any_range_header_is_parsed_ignored_or_unsatisfiable(text: str) -> None:
     try:
         spans = ranges.read_ranges(text, 1000)
     except ranges.Unsatisfiable:
@@ -61,7 +61,7 @@
 
 
 @given(st.binary(max_size=80))
-def test_no_target_names_anything_outside(raw: bytes) -> None:
+def test_no_target_names_a_path_outside_the_repositories(raw: bytes) -> None:
     try:
         path = read_target(b"/" + raw).path
     except BadTarget as error:
@@ -71,7 +71,7 @@
     assert ".." not in segments and "." not in segments and "\\" not in path and path.isprintable()
 
 
-def test_an_absolute_form_is_taken_for_our_own_hosts_only() -> None:
+def test_an_absolute_target_is_accepted_only_for_served_hosts() -> None:
     assert read_target(b"http://repo.local/a/b?q", frozenset({"repo.local"})).path == "a/b"
     with pytest.raises(BadTarget) as raised:
         read_target(b"http://repo.local/a", frozenset())
@@ -104,11 +104,13 @@
         ({"if-unmodified-since": KNOWN.last_modified}, "GET", 200),
     ],
 )
-def test_conditions_in_the_order_of_the_standard(headers: dict[str, str], method: str, expected: int) -> None:
+def test_conditions_are_evaluated_in_the_order_of_the_rfc(
+    headers: dict[str, str], method: str, expected: int
+) -> None:
     assert conditions.status(method, headers, KNOWN) == expected
 
 
-def test_if_range_needs_the_very_same_bytes() -> None:
+def test_if_range_requires_exactly_the_same_bytes() -> None:
     for value, applies in (
         ('"d1"', True),
         ('W/"d1"', False),
@@ -120,7 +122,7 @@
     assert conditions.range_applies({}, KNOWN)
 
 
-def test_a_body_goes_on_only_with_bytes_of_the_same_tag_though_the_digest_is_the_same() -> None:
+def test_a_range_continues_a_body_only_with_the_same_cache_tag() -> None:
     """A body broke off that had begun with another release's bytes, and went on with the right ones."""
     known = conditions.Validators("d1", 0, "t1")
     assert known.etag == '"d1.t1"' and conditions.range_applies({"if-range": '"d1.t1"'}, known)
@@ -145,7 +147,7 @@
     assert generation and generation.digest == digest
 
 
-def test_an_index_is_served_only_once_what_is_new_in_it_is_there() -> None:
+def test_an_index_is_served_only_once_its_new_files_exist() -> None:
     history = IndexHistory(1000.0)
     record_and_serve(history, "g1", named_files(a="1"), 10.0)
     second = history.record_index("g2", named_files(a="1", b="2"), 20.0, b"")
@@ -157,7 +159,7 @@
     assert history.serve("c", 30.0).digest == "g2" and history.generations["g1"].state is State.RETIRED  # type: ignore[union-attr]
 
 
-def test_a_client_gets_files_of_its_own_generation_alone() -> None:
+def test_a_client_gets_only_files_of_its_own_generation() -> None:
     history = IndexHistory(1000.0)
     record_and_serve(history, "g1", named_files(a="1", b="1"), 10.0, "old")
     record_and_serve(history, "g2", named_files(a="2", c="2"), 20.0, "new")
@@ -170,7 +172,7 @@
     assert history.permitted("new", "a", 1021.0)
 
 
-def test_a_roll_back_makes_older_digests_good_again() -> None:
+def test_a_rollback_makes_an_older_generation_valid_again() -> None:
     history = IndexHistory(0.0)
     record_and_serve(history, "g1", named_files(a="1"), 10.0)
     record_and_serve(history, "g2", named_files(a="2"), 20.0)
@@ -180,7 +182,7 @@
     assert history.permitted("c", "a", 31.0) == NamedFile("a", "1")
 
 
-def test_a_cache_that_lags_changes_nothing() -> None:
+def test_an_older_index_from_a_lagging_cache_is_ignored() -> None:
     history = IndexHistory(0.0)
     record_and_serve(history, "g2", named_files(a="2"), 20.0)
     history.record_index("g1", named_files(a="1"), 10.0, b"")
@@ -205,7 +207,7 @@
 
 
 @given(st.integers(0, 60_000), st.booleans(), st.randoms(use_true_random=False))
-def test_a_body_leaves_in_order_whatever_order_its_parts_come_in(
+def test_a_body_is_released_in_order_for_any_arrival_order_of_its_parts(
     size: int, is_size_known: bool, rng: random.Random
 ) -> None:
     body = random.Random(size).randbytes(size)
@@ -219,7 +221,7 @@
     assert out == body and assembly.is_complete and assembly.size == size
 
 
-def test_the_end_is_held_until_the_digest_holds() -> None:
+def test_the_tail_is_held_back_until_the_digest_is_verified() -> None:
     body = bytes(40_500)
     assembly = Assembly(PART, "0" * 64)
     out = b"".join(b"".join(assembly.add_part(n, part)) for n, part in enumerate(make_parts(body)[:-1]))
@@ -228,7 +230,7 @@
         assembly.add_part(40, make_parts(body)[-1])
 
 
-def test_parts_of_two_tags_are_never_put_together() -> None:
+def test_parts_of_two_tags_are_never_combined() -> None:
     assembly = Assembly(PART)
     assembly.add_part(0, Part(bytes(PART), "t1", 5))
     with pytest.raises(TagChangedError) as raised:
@@ -244,14 +246,14 @@
 @pytest.mark.parametrize(
     "size, lengths", [(2500, [1000, 400]), (1500, [1000, 1000]), (100, [101]), (-1, [1001])]
 )
-def test_a_size_that_does_not_fit_breaks(size: int, lengths: list[int]) -> None:
+def test_a_wrong_size_breaks_the_body(size: int, lengths: list[int]) -> None:
     assembly = Assembly(PART, "", size)
     with pytest.raises(BrokenBodyError):
         for number, length in enumerate(lengths):
             assembly.add_part(number, Part(bytes(length), "t", 5))
 
 
-def test_proofs_are_bounded_and_the_longest_unused_goes() -> None:
+def test_verified_bodies_are_bounded_and_drop_the_least_recently_used() -> None:
     verified_bodies = VerifiedBodies(3)
     for number in range(3):
         verified_bodies.put(number, "t", "d", 1)
@@ -267,7 +269,7 @@
 # Windows, budgets, admission
 
 
-def test_a_window_grows_with_a_client_that_drains_and_asks_nothing_for_one_that_does_not() -> None:
+def test_a_window_grows_for_a_reading_client_and_requests_nothing_for_a_stalled_one() -> None:
     window = Window()
     for _ in range(20):
         window.record_request()
@@ -282,7 +284,7 @@
     assert window.size == 1 and window.in_flight == 0 and window.can_request(0)
 
 
-def test_a_storm_of_failures_is_repeated_within_the_budget() -> None:
+def test_repeats_in_a_storm_of_failures_stay_within_the_budget() -> None:
     budget = Budget()
     asked = repeats = 0
     for number in range(2000):
@@ -295,7 +297,7 @@
     assert repeats == budget.spent <= 50 + 0.1 * asked + 1 and budget.denied
 
 
-def test_one_client_can_not_spend_what_others_need() -> None:
+def test_one_client_cannot_spend_the_repeats_of_others() -> None:
     budget = Budget()
     spent = sum(budget.try_repeat(FileRepeatBudget(), "greedy", 0.0) for _ in range(100))
     assert spent == 20 and budget.try_repeat(FileRepeatBudget(), "other", 0.0)
@@ -318,7 +320,7 @@
     )
 
 
-def test_background_gives_way_when_the_foreground_falls_behind_and_comes_back() -> None:
+def test_the_background_limit_falls_when_the_foreground_is_late_and_recovers() -> None:
     background_limit, now = BackgroundLimit(), 0.0
     for _ in range(400):
         now += 10.0
@@ -339,7 +341,7 @@
     assert BackgroundLimit(on=False, open=10**6).admits()
 
 
-def test_doors_are_bounded_in_all_and_by_address() -> None:
+def test_connections_are_bounded_in_total_and_by_address() -> None:
     limits = ConnectionLimits(3, 2)
     assert [limits.enter("a"), limits.enter("a"), limits.enter("a"), limits.enter("b"), limits.enter("c")] == [
         "", "", "too-many-of-one-address", "", "full",
