--- a/tests/repo/test_repo_live.py
+++ b/tests/repo/test_repo_live.py
@@ -27,7 +27,7 @@
 INDEX = "/simple/simple/demo/"
 
 
-def played(
+def run_script(
     script: Callable[[Rig, ScriptedRepository], Awaitable[None]], store: bool = False, **more: float
 ) -> None:
     """Run a script on a gateway with a repository that has published one release."""
@@ -40,12 +40,12 @@
         if store:
             rig.disk()
         rig.repositories(**more)
-        shop = ScriptedRepository(truth, random.Random(1))
-        await shop.publish()
+        repository = ScriptedRepository(truth, random.Random(1))
+        await repository.publish()
         await rig.start()
         try:
             await rig.launch()
-            await script(rig, shop)
+            await script(rig, repository)
         finally:
             await rig.kill()
             shutil.rmtree(rig.folder, ignore_errors=True)
@@ -53,18 +53,18 @@
     asyncio.run(run())
 
 
-async def told(rig: Rig) -> None:
+async def wait_for_purge(rig: Rig) -> None:
     """Wait until a purge that was published has been told, and caches have dropped what is older."""
     await asyncio.sleep(0.8)
 
 
-def test_an_index_and_its_files_are_served_whole_with_tags_that_hold() -> None:
-    async def script(rig: Rig, shop: ScriptedRepository) -> None:
+def test_an_index_and_its_files_are_served_completely_with_matching_tags() -> None:
+    async def script(rig: Rig, repository: ScriptedRepository) -> None:
         index = await get(rig.http, INDEX)
-        assert index.status == 200 and index.body == page(shop.files)
+        assert index.status == 200 and index.body == page(repository.files)
         again = await get(rig.http, INDEX, {"If-None-Match": index.headers["etag"]})
         assert again.status == 304 and not again.body
-        for name, data in shop.files.items():
+        for name, data in repository.files.items():
             got = await get(rig.http, f"/simple/files/{name}")
             assert (got.status, got.whole, got.body) == (200, True, data)
             assert got.headers["etag"].startswith(f'"{hashlib.sha256(data).hexdigest()}.')
@@ -73,12 +73,12 @@
         assert (await get(rig.http, "/simple/files/none-1.0.tar.gz")).status == 404
         assert (await get(rig.http, "/simple/simple/none/")).status == 404
 
-    played(script)
+    run_script(script)
 
 
 def test_ranges_give_the_same_bytes_as_slicing_the_file() -> None:
-    async def script(rig: Rig, shop: ScriptedRepository) -> None:
-        data, rng = shop.files["demo-1.1-py3-none-any.whl"], random.Random(3)
+    async def script(rig: Rig, repository: ScriptedRepository) -> None:
+        data, rng = repository.files["demo-1.1-py3-none-any.whl"], random.Random(3)
         for number in range(60):
             first = rng.randrange(len(data))
             last = min(len(data) - 1, first + rng.choice((0, 1, 5_000, 240_000, 500_000)))
@@ -91,91 +91,95 @@
         several = await get(rig.http, FILE, {"Range": "bytes=10-19,239990-240009"})
         assert several.status == 206 and data[10:20] in several.body and data[239_990:240_010] in several.body
         assert several.headers["content-type"].startswith("multipart/byteranges")
-        beyond = await get(rig.http, FILE, {"Range": f"bytes={len(data)}-"})
-        assert beyond.status == 416 and beyond.headers["content-range"] == f"bytes */{len(data)}"
+        gateway_writer = await get(rig.http, FILE, {"Range": f"bytes={len(data)}-"})
+        assert (
+            gateway_writer.status == 416 and gateway_writer.headers["content-range"] == f"bytes */{len(data)}"
+        )
         stale = await get(rig.http, FILE, {"Range": "bytes=5-", "If-Range": '"other"'})
         assert stale.status == 200 and stale.body == data
 
-    played(script)
+    run_script(script)
 
 
-def test_a_file_that_broke_off_goes_on_and_after_a_new_release_begins_anew() -> None:
-    async def script(rig: Rig, shop: ScriptedRepository) -> None:
+def test_an_interrupted_download_resumes_and_starts_again_after_a_new_release() -> None:
+    async def script(rig: Rig, repository: ScriptedRepository) -> None:
         await get(rig.http, INDEX)
         part = await get(rig.http, FILE, cut=300_000)
-        tag, old = part.headers["etag"], shop.files["demo-1.1-py3-none-any.whl"]
-        ask = {"Range": f"bytes={len(part.body)}-", "If-Range": tag}
-        rest = await get(rig.http, FILE, ask)
+        tag, old = part.headers["etag"], repository.files["demo-1.1-py3-none-any.whl"]
+        range_headers = {"Range": f"bytes={len(part.body)}-", "If-Range": tag}
+        rest = await get(rig.http, FILE, range_headers)
         assert rest.status == 206 and part.body + rest.body == old
-        await shop.publish()
-        await told(rig)
-        assert (await get(rig.http, INDEX)).body == page(shop.files)
-        anew = await get(rig.http, FILE, ask)
-        assert anew.status == 200 and anew.body == shop.files["demo-1.1-py3-none-any.whl"] != old
+        await repository.publish()
+        await wait_for_purge(rig)
+        assert (await get(rig.http, INDEX)).body == page(repository.files)
+        restarted = await get(rig.http, FILE, range_headers)
+        assert (
+            restarted.status == 200 and restarted.body == repository.files["demo-1.1-py3-none-any.whl"] != old
+        )
 
-    played(script)
+    run_script(script)
 
 
-def test_after_a_restart_a_client_that_comes_back_with_a_range_goes_on() -> None:
-    async def script(rig: Rig, shop: ScriptedRepository) -> None:
+def test_a_download_resumes_with_a_range_after_a_gateway_restart() -> None:
+    async def script(rig: Rig, repository: ScriptedRepository) -> None:
         await get(rig.http, INDEX)
         part = await get(rig.http, FILE, cut=300_000)
         await rig.kill()
         await rig.launch()
-        ask = {"Range": f"bytes={len(part.body)}-", "If-Range": part.headers["etag"]}
-        rest = await get(rig.http, FILE, ask)
-        assert rest.status == 206 and part.body + rest.body == shop.files["demo-1.1-py3-none-any.whl"]
+        range_headers = {"Range": f"bytes={len(part.body)}-", "If-Range": part.headers["etag"]}
+        rest = await get(rig.http, FILE, range_headers)
+        assert rest.status == 206 and part.body + rest.body == repository.files["demo-1.1-py3-none-any.whl"]
 
-    played(script, store=True)
+    run_script(script, store=True)
 
 
-def test_an_index_before_its_files_is_held_back_until_they_are_there() -> None:
-    async def script(rig: Rig, shop: ScriptedRepository) -> None:
-        truth = shop.truth
+def test_an_index_is_withheld_until_its_files_exist() -> None:
+    async def script(rig: Rig, repository: ScriptedRepository) -> None:
+        truth = repository.truth
         await get(rig.http, INDEX)
-        files = shop.files | {"demo-3.0.tar.gz": b"new" * 100}
+        files = repository.files | {"demo-3.0.tar.gz": b"new" * 100}
         truth.publish("simple/demo/", page(files), 0.0)
-        await told(rig)
+        await wait_for_purge(rig)
         await asyncio.sleep(1.0)
         held = await get(rig.http, INDEX)
         assert (
             held.status == 503 and "retry-after" in held.headers
         ), "the old one was purged, the new is not whole"
         truth.publish("files/demo-3.0.tar.gz", files["demo-3.0.tar.gz"], 0.0)
-        await told(rig)
+        await wait_for_purge(rig)
         assert (await get(rig.http, INDEX)).body == page(files)
 
-    played(script)
+    run_script(script)
 
 
 def test_a_client_with_an_older_index_never_gets_a_newer_file_under_its_old_name() -> None:
-    async def script(rig: Rig, shop: ScriptedRepository) -> None:
+    async def script(rig: Rig, repository: ScriptedRepository) -> None:
         assert (await get(rig.http, INDEX, source="127.0.0.5")).status == 200
-        await shop.publish()
-        await told(rig)
+        await repository.publish()
+        await wait_for_purge(rig)
         assert (await get(rig.http, INDEX, source="127.0.0.6")).status == 200
         old = await get(rig.http, FILE, source="127.0.0.5")
         assert old.status in (404, 503) or not old.whole
         new = await get(rig.http, FILE, source="127.0.0.6")
-        assert new.status == 200 and new.body == shop.files["demo-1.1-py3-none-any.whl"]
+        assert new.status == 200 and new.body == repository.files["demo-1.1-py3-none-any.whl"]
 
-    played(script)
+    run_script(script)
 
 
-def test_a_file_whose_bytes_are_wrong_never_ends_well() -> None:
-    async def script(rig: Rig, shop: ScriptedRepository) -> None:
+def test_a_file_with_wrong_bytes_is_never_delivered_completely() -> None:
+    async def script(rig: Rig, repository: ScriptedRepository) -> None:
         wrong = bytes(700_000)
-        shop.truth.publish("files/demo-1.1-py3-none-any.whl", wrong, 0.0)
-        await told(rig)
+        repository.truth.publish("files/demo-1.1-py3-none-any.whl", wrong, 0.0)
+        await wait_for_purge(rig)
         await get(rig.http, INDEX)
         got = await get(rig.http, FILE)
         assert not (got.status == 200 and got.whole) and len(got.body) < len(wrong)
         assert await rig.logged("code=broken-wrong-digest")
 
-    played(script)
+    run_script(script)
 
 
-def test_each_hostile_request_gets_its_answer_and_harms_nobody() -> None:
+def test_each_hostile_request_gets_an_allowed_status_and_does_no_harm() -> None:
     assert len(CORPUS) >= 150
 
     async def raw(port: int, data: bytes) -> int:
@@ -190,23 +194,23 @@
         finally:
             writer.close()
 
-    async def script(rig: Rig, shop: ScriptedRepository) -> None:
+    async def script(rig: Rig, repository: ScriptedRepository) -> None:
         await get(rig.http, INDEX)
-        odd = []
+        unexpected = []
         for data, statuses in CORPUS:
             status = await raw(rig.http, data)
             if status not in statuses:
-                odd.append((status, statuses, data[:90]))
-        assert not odd, odd
+                unexpected.append((status, statuses, data[:90]))
+        assert not unexpected, unexpected
         assert await raw(rig.http, GOOD) == 200
         assert (await rig.figures())["repo.connections"] <= 1
         assert not any("Traceback" in line for line in rig.lines)
 
-    played(script, header_s=1)
+    run_script(script, header_s=1)
 
 
-def test_slow_headers_idle_connections_and_crowds_are_ended_with_their_code() -> None:
-    async def script(rig: Rig, shop: ScriptedRepository) -> None:
+def test_slow_idle_and_excess_connections_are_closed_with_their_reason_code() -> None:
+    async def script(rig: Rig, repository: ScriptedRepository) -> None:
         slow, writer = await asyncio.open_connection("127.0.0.1", rig.http)
         writer.write(b"GET / HT")
         idle = [await asyncio.open_connection("127.0.0.1", rig.http) for _ in range(3)]
@@ -219,15 +223,15 @@
         for _, each in (*idle, crowd, (slow, writer)):
             each.close()
 
-    played(script, header_s=0.3, idle_s=0.5, each_address=4)
+    run_script(script, header_s=0.3, idle_s=0.5, each_address=4)
 
 
-def test_a_client_that_reads_slowly_is_given_up_and_holds_little() -> None:
-    async def script(rig: Rig, shop: ScriptedRepository) -> None:
+def test_a_client_that_reads_too_slowly_is_disconnected_and_fetches_few_parts() -> None:
+    async def script(rig: Rig, repository: ScriptedRepository) -> None:
         big = bytes(20_000_000)
-        shop.truth.publish("files/demo-4.0.tar.gz", big, 0.0)
-        shop.truth.publish("simple/demo/", page(shop.files | {"demo-4.0.tar.gz": big}), 0.0)
-        await told(rig)
+        repository.truth.publish("files/demo-4.0.tar.gz", big, 0.0)
+        repository.truth.publish("simple/demo/", page(repository.files | {"demo-4.0.tar.gz": big}), 0.0)
+        await wait_for_purge(rig)
         assert (await get(rig.http, INDEX)).status == 200
         _, writer = await asyncio.open_connection("127.0.0.1", rig.http, limit=1024)
         writer.write(b"GET /simple/files/demo-4.0.tar.gz HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -235,7 +239,7 @@
         assert (await rig.figures())["repo.parts"] < 60
         writer.close()
 
-    played(script, slow_s=0.5)
+    run_script(script, slow_s=0.5)
 
 
 def test_every_client_ends_with_a_consistent_set_while_releases_come_and_go() -> None:
@@ -243,7 +247,7 @@
     assert not result["wrong"] and result["sets"] == 24
 
 
-def wheel_of(name: str, version: str, text: str, pad: int) -> bytes:
+def make_wheel(name: str, version: str, text: str, pad: int) -> bytes:
     """Make a wheel that pip takes."""
     out, info = io.BytesIO(), f"{name}-{version}.dist-info"
     files = {
@@ -263,48 +267,50 @@
     return out.getvalue()
 
 
-async def cutting(port: int, after: int) -> tuple[int, list[int]]:
+async def start_cutting_proxy(port: int, after: int) -> tuple[int, list[int]]:
     """Listen, pass on to a port, and cut the first connection that has carried so many bytes."""
     cuts: list[int] = []
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        behind, beyond = await asyncio.open_connection("127.0.0.1", port)
+        gateway_reader, gateway_writer = await asyncio.open_connection("127.0.0.1", port)
 
-        async def up() -> None:
+        async def forward_requests() -> None:
             while data := await reader.read(65_536):
-                beyond.write(data)
-            beyond.close()
+                gateway_writer.write(data)
+            gateway_writer.close()
 
-        task, carried = asyncio.create_task(up()), 0
-        while data := await behind.read(16_384):
-            carried += len(data)
+        task, forwarded_bytes = asyncio.create_task(forward_requests()), 0
+        while data := await gateway_reader.read(16_384):
+            forwarded_bytes += len(data)
             writer.write(data)
-            if carried >= after and not cuts:
-                cuts.append(carried)
+            if forwarded_bytes >= after and not cuts:
+                cuts.append(forwarded_bytes)
                 break
         writer.close()
-        beyond.close()
+        gateway_writer.close()
         task.cancel()
 
     server = await asyncio.start_server(serve, "127.0.0.1", 0)
     return int(server.sockets[0].getsockname()[1]), cuts
 
 
-@pytest.mark.parametrize("swap, cut", [(False, False), (True, False), (False, True)])
-def test_pip_itself_downloads_through_swaps_and_cuts(tmp_path: Path, swap: bool, cut: bool) -> None:
-    async def script(rig: Rig, shop: ScriptedRepository) -> None:
+@pytest.mark.parametrize("has_new_release, is_cut", [(False, False), (True, False), (False, True)])
+def test_pip_downloads_despite_new_releases_and_cut_connections(
+    tmp_path: Path, has_new_release: bool, is_cut: bool
+) -> None:
+    async def script(rig: Rig, repository: ScriptedRepository) -> None:
         def release(number: int) -> None:
             files = {
-                f"alpha-1.{n}-py3-none-any.whl": wheel_of("alpha", f"1.{n}", f"r={number}", 900_000)
+                f"alpha-1.{n}-py3-none-any.whl": make_wheel("alpha", f"1.{n}", f"r={number}", 900_000)
                 for n in range(1, number + 1)
             }
             for name, data in files.items():
-                shop.truth.publish(f"files/{name}", data, 50.0)
-            shop.truth.publish("simple/alpha/", page(files), 50.0)
-            shop.files = files
+                repository.truth.publish(f"files/{name}", data, 50.0)
+            repository.truth.publish("simple/alpha/", page(files), 50.0)
+            repository.files = files
 
         release(1)
-        port, cuts = await cutting(rig.http, 300_000) if cut else (rig.http, [1])
+        port, cuts = await start_cutting_proxy(rig.http, 300_000) if is_cut else (rig.http, [1])
         env = {k: v for k, v in os.environ.items() if not k.startswith("PIP_")} | {
             "PIP_CONFIG_FILE": os.devnull
         }
@@ -315,7 +321,7 @@
         ]  # fmt: skip
         for attempt in range(6):
             process = await asyncio.create_subprocess_exec(*command, env=env, stdout=subprocess.DEVNULL)
-            if swap and attempt == 0:
+            if has_new_release and attempt == 0:
                 await asyncio.sleep(0.35)
                 release(2)
             if await asyncio.wait_for(process.wait(), 60.0) == 0:
@@ -323,11 +329,11 @@
         assert cuts, "a connection was cut in the large file"
         (file,) = tmp_path.iterdir()
         digest = hashlib.sha256(file.read_bytes()).hexdigest()
-        texts = shop.truth.texts.values()
+        texts = repository.truth.texts.values()
         assert digest in {hashlib.sha256(data).hexdigest() for text in texts for _, data in text if data}
         assert any("repo" in line for line in rig.lines)
 
-    played(script)
+    run_script(script)
 
 
 def test_check_plan_and_pull_work_on_a_folder_and_through_a_gateway(tmp_path: Path) -> None:
@@ -350,22 +356,22 @@
     assert run.invoke(main, ["repo", "check", str(tmp_path / "none"), *args]).exit_code == 2
     assert run.invoke(main, ["repo", "check", place, "--index", "simple/none/"]).exit_code == 2
 
-    async def script(rig: Rig, shop: ScriptedRepository) -> None:
+    async def script(rig: Rig, repository: ScriptedRepository) -> None:
         target = tmp_path / "out"
         url = f"http://127.0.0.1:{rig.http}/simple/"
-        half = target / "files" / "demo-1.1-py3-none-any.whl.part"
-        half.parent.mkdir(parents=True)
-        whole = shop.files["demo-1.1-py3-none-any.whl"]
+        partial_file = target / "files" / "demo-1.1-py3-none-any.whl.part"
+        partial_file.parent.mkdir(parents=True)
+        whole = repository.files["demo-1.1-py3-none-any.whl"]
         got = await get(rig.http, INDEX)
         head = await get(rig.http, FILE, method="HEAD")
-        half.write_bytes(whole[:400_000])
-        half.with_name("demo-1.1-py3-none-any.whl.tag").write_text(head.headers["etag"])
+        partial_file.write_bytes(whole[:400_000])
+        partial_file.with_name("demo-1.1-py3-none-any.whl.tag").write_text(head.headers["etag"])
         command = [sys.executable, "-m", "hitchtiller.cli", "repo", "pull", url, str(target), *args]
         pull = await asyncio.create_subprocess_exec(*command, stdout=subprocess.PIPE)
         out, _ = await asyncio.wait_for(pull.communicate(), 60.0)
         assert got.status == 200 and pull.returncode == 0 and json.loads(out)["fetched"] == 3
-        for name, data in shop.files.items():
+        for name, data in repository.files.items():
             assert (target / "files" / name).read_bytes() == data
         assert not list(target.rglob("*.part")) and not list(target.rglob("*.tag"))
 
-    played(script)
+    run_script(script)
