--- a/tests/repo/test_repo_kinds.py
+++ b/tests/repo/test_repo_kinds.py
@@ -1,4 +1,4 @@
-"""Indexes of each kind: what they name, and each malformed one told with its place."""
+"""Indexes of each kind: what they name, and each malformed one message with its place."""
 
 import contextlib
 import gzip
@@ -36,7 +36,7 @@
     return f'<a href="{url}#sha256={digest}" {more}>x</a>'
 
 
-def test_the_simple_index_in_both_forms_names_the_same() -> None:
+def test_the_simple_index_names_the_same_files_in_html_and_json() -> None:
     more = f'data-core-metadata="sha256={B}" data-requires-python="&gt;=3.8"'
     by_html = SIMPLE.parse(PAGE, html(anchor(more=more))).files
     by_json = SIMPLE.parse(PAGE, as_json(file={"core-metadata": {"sha256": B}})).files
@@ -48,7 +48,7 @@
     assert SIMPLE.content_type(PAGE, as_json()).endswith("+json")
 
 
-def test_a_file_tells_its_project() -> None:
+def test_index_paths_follow_from_the_path_of_a_file() -> None:
     assert SIMPLE.index_paths_for("files/Demo_Thing-1.0-py3-none-any.whl") == ["simple/demo-thing/"]
     assert (
         SIMPLE.index_paths_for("files/demo-1.0.tar.gz") == ["simple/demo/"]
@@ -62,7 +62,7 @@
 STANZA = f"Package: x\nFilename: pool/x.deb\nSize: 7\nSHA256: {A}\nDescription: y\n more\n .\n"
 
 
-def test_a_release_names_its_packages_and_those_the_pool() -> None:
+def test_a_release_names_packages_files_which_name_the_pool() -> None:
     signed = (
         "-----BEGIN PGP SIGNED MESSAGE-----\nHash: SHA256\n\n"
         + RELEASE
@@ -175,40 +175,40 @@
 ]
 
 
-def refused(kind: Kind, path: str, body: bytes, told: str) -> None:
+def assert_rejected(kind: Kind, path: str, body: bytes, message: str) -> None:
     with pytest.raises(BadIndex) as error:
         kind.parse(path, body)
-    assert told in str(error.value) and path.split(":")[0] in str(error.value)
+    assert message in str(error.value) and path.split(":")[0] in str(error.value)
 
 
-@pytest.mark.parametrize("text, told", RELEASES)
-def test_a_malformed_release_is_told(text: str, told: str) -> None:
-    refused(DEBIAN, "dists/s/Release", text.encode(), told)
+@pytest.mark.parametrize("text, message", RELEASES)
+def test_a_malformed_release_is_rejected_with_its_reason(text: str, message: str) -> None:
+    assert_rejected(DEBIAN, "dists/s/Release", text.encode(), message)
 
 
-@pytest.mark.parametrize("text, told", PACKAGES)
-def test_a_malformed_packages_file_is_told_with_its_line(text: str, told: str) -> None:
-    refused(DEBIAN, "dists/s/main/Packages", text.encode(), told)
+@pytest.mark.parametrize("text, message", PACKAGES)
+def test_a_malformed_packages_file_is_rejected_with_its_line(text: str, message: str) -> None:
+    assert_rejected(DEBIAN, "dists/s/main/Packages", text.encode(), message)
 
 
-@pytest.mark.parametrize("suffix, body, told", UNPACKED)
-def test_what_can_not_be_unpacked_is_told(suffix: str, body: bytes, told: str) -> None:
-    refused(DEBIAN, f"dists/s/main/Packages{suffix}", body, told)
+@pytest.mark.parametrize("suffix, body, message", UNPACKED)
+def test_a_packages_file_that_cannot_be_unpacked_is_rejected(suffix: str, body: bytes, message: str) -> None:
+    assert_rejected(DEBIAN, f"dists/s/main/Packages{suffix}", body, message)
 
 
-@pytest.mark.parametrize("body, told", PAGES)
-def test_a_malformed_page_is_told(body: bytes, told: str) -> None:
-    refused(SIMPLE, PAGE, body, told)
+@pytest.mark.parametrize("body, message", PAGES)
+def test_a_malformed_page_is_rejected_with_its_reason(body: bytes, message: str) -> None:
+    assert_rejected(SIMPLE, PAGE, body, message)
 
 
-def test_few_bytes_do_not_become_many(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_decompression_bombs_are_rejected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("hitchtiller.repo.kinds.debian.MAX_UNPACKED_BYTES", 10_000)
-    refused(DEBIAN, "dists/s/main/Packages.gz", gzip.compress(b"x" * 1_000_000), "over 10000 bytes")
-    refused(DEBIAN, "dists/s/main/Packages.xz", lzma.compress(b"x" * 1_000_000), "over 10000 bytes")
+    assert_rejected(DEBIAN, "dists/s/main/Packages.gz", gzip.compress(b"x" * 1_000_000), "over 10000 bytes")
+    assert_rejected(DEBIAN, "dists/s/main/Packages.xz", lzma.compress(b"x" * 1_000_000), "over 10000 bytes")
 
 
 @given(st.binary(max_size=400), st.sampled_from(["Packages", "Packages.gz", "Release"]))
-def test_nothing_but_bad_index_comes_of_any_bytes(body: bytes, name: str) -> None:
+def test_arbitrary_bytes_raise_nothing_but_bad_index(body: bytes, name: str) -> None:
     for kind, path in ((SIMPLE, PAGE), (DEBIAN, f"dists/s/{name}")):
         with contextlib.suppress(BadIndex):
             kind.parse(path, body)
