--- a/tests/repo/test_repo_decide.py
+++ b/tests/repo/test_repo_decide.py
@@ -1,4 +1,4 @@
-"""Paths, ranges, conditions, generations, bodies, windows and budgets, decided without I/O."""
+"""Tests of paths, ranges, conditions, generations, bodies, windows, budgets and limits, without I/O."""
 
 import hashlib
 import random
@@ -123,7 +123,7 @@
 
 
 def test_a_range_continues_a_body_only_with_the_same_cache_tag() -> None:
-    """A body broke off that had begun with another release's bytes, and went on with the right ones."""
+    """Guards against a download that starts with another release's bytes and continues with the right ones."""
     known = conditions.Validators("d1", 0, "t1")
     assert known.etag == '"d1.t1"' and conditions.range_applies({"if-range": '"d1.t1"'}, known)
     assert not conditions.range_applies({"if-range": '"d1.t2"'}, known)
@@ -167,7 +167,7 @@
     assert (
         history.permitted("new", "a", 30.0) == NamedFile("a", "2") == history.permitted("stranger", "a", 30.0)
     )
-    assert not history.permitted("new", "b", 30.0), "its index does not name it"
+    assert not history.permitted("new", "b", 30.0), "the client's index does not name the file"
     assert not history.permitted("old", "a", 1021.0) and history.is_outdated("old", 1021.0)
     assert history.permitted("new", "a", 1021.0)
 
@@ -266,7 +266,7 @@
     )
 
 
-# Windows, budgets, admission
+# Windows, budgets and limits
 
 
 def test_a_window_grows_for_a_reading_client_and_requests_nothing_for_a_stalled_one() -> None:
@@ -310,7 +310,7 @@
 
 def test_only_a_files_last_parts_are_hedged() -> None:
     budget, file_budget = Budget(), FileRepeatBudget(10)
-    assert not budget.try_hedge(9, 10, 500.0, file_budget, "c", 0.0), "nothing is usual yet"
+    assert not budget.try_hedge(9, 10, 500.0, file_budget, "c", 0.0), "no wait has been recorded yet"
     budget.record_wait(100.0)
     assert not budget.try_hedge(7, 10, 500.0, file_budget, "c", 0.0) and not budget.try_hedge(
         9, 10, 200.0, file_budget, "c", 0.0
@@ -337,14 +337,14 @@
     for _ in range(20):
         now += 200.0
         background_limit.adjust(100.0, now)
-    assert background_limit.limit == MIN_PARTS, "the loop's lag counts too"
+    assert background_limit.limit == MIN_PARTS, "the lag of the event loop lowers the limit, too"
     assert BackgroundLimit(on=False, open=10**6).admits()
 
 
 def test_connections_are_bounded_in_total_and_by_address() -> None:
     limits = ConnectionLimits(3, 2)
-    assert [limits.enter("a"), limits.enter("a"), limits.enter("a"), limits.enter("b"), limits.enter("c")] == [
-        "", "", "too-many-of-one-address", "", "full",
-    ]  # fmt: skip
+    assert [
+        limits.enter("a"), limits.enter("a"), limits.enter("a"), limits.enter("b"), limits.enter("c"),
+    ] == ["", "", "too-many-of-one-address", "", "full"]  # fmt: skip
     limits.leave("a")
     assert limits.enter("c") == "" and limits.by_address == {"a": 1, "b": 1, "c": 1}
