--- a/tests/repo/test_repo_live.py
+++ b/tests/repo/test_repo_live.py
@@ -1,4 +1,4 @@
-"""The second front in a real process: hostile requests, releases under way, ranges, pip itself."""
+"""Tests of the repositories in a real gateway process: hostile requests, new releases, ranges and pip."""
 
 import asyncio
 import base64
@@ -30,7 +30,7 @@
 def run_script(
     script: Callable[[Rig, ScriptedRepository], Awaitable[None]], store: bool = False, **more: float
 ) -> None:
-    """Run a script on a gateway with a repository that has published one release."""
+    """Run a script against a gateway with a repository that has published one release."""
 
     async def run() -> None:
         rig, truth = Rig(5, 3), RepoTruth()
@@ -54,7 +54,7 @@
 
 
 async def wait_for_purge(rig: Rig) -> None:
-    """Wait until a purge that was published has been told, and caches have dropped what is older."""
+    """Wait until a published purge has reached the gateway and the caches have dropped older copies."""
     await asyncio.sleep(0.8)
 
 
@@ -144,7 +144,7 @@
         held = await get(rig.http, INDEX)
         assert (
             held.status == 503 and "retry-after" in held.headers
-        ), "the old one was purged, the new is not whole"
+        ), "the previous index is purged and files of the new one are missing"
         truth.publish("files/demo-3.0.tar.gz", files["demo-3.0.tar.gz"], 0.0)
         await wait_for_purge(rig)
         assert (await get(rig.http, INDEX)).body == page(files)
@@ -248,7 +248,7 @@
 
 
 def make_wheel(name: str, version: str, text: str, pad: int) -> bytes:
-    """Make a wheel that pip takes."""
+    """Return the bytes of a wheel that pip accepts."""
     out, info = io.BytesIO(), f"{name}-{version}.dist-info"
     files = {
         f"{name}.py": text.encode(),
@@ -268,7 +268,10 @@
 
 
 async def start_cutting_proxy(port: int, after: int) -> tuple[int, list[int]]:
-    """Listen, pass on to a port, and cut the first connection that has carried so many bytes."""
+    """Start a proxy to `port` that cuts the first connection once it has forwarded `after` bytes.
+
+    Returns the proxy's port and a list that holds the bytes forwarded at the cut, once it has happened.
+    """
     cuts: list[int] = []
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
