--- a/tests/repo/hostile.py
+++ b/tests/repo/hostile.py
@@ -1,11 +1,22 @@
-"""Malformed and hostile requests, with the statuses that may answer; 0 is a close without one."""
+"""Malformed and hostile requests with the statuses allowed in response; 0 is a close without a response."""
 
 GOOD = b"GET /simple/simple/demo/ HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
 
 
-def line(target: bytes, method: bytes = b"GET", version: bytes = b"HTTP/1.1", more: bytes = b"") -> bytes:
-    """Write a request."""
-    return method + b" " + target + b" " + version + b"\r\nHost: x\r\nConnection: close\r\n" + more + b"\r\n"
+def request_bytes(
+    target: bytes, method: bytes = b"GET", version: bytes = b"HTTP/1.1", extra_headers: bytes = b""
+) -> bytes:
+    """Return the bytes of a request."""
+    return (
+        method
+        + b" "
+        + target
+        + b" "
+        + version
+        + b"\r\nHost: x\r\nConnection: close\r\n"
+        + extra_headers
+        + b"\r\n"
+    )
 
 
 FILE = b"/simple/files/demo-1.0-py3-none-any.whl"
@@ -50,7 +61,7 @@
     b"/simple/....//x",
     b"/simple/;/../x",
 ]
-NOWHERE = [
+UNKNOWN_PATHS = [
     b"/",
     b"/simple",
     b"/simple/",
@@ -202,13 +213,20 @@
     (b"QUIT\r\n", {0, 400}),
 ]
 CORPUS = [
-    *((line(target), {400}) for target in TRAVERSAL if target not in (b"/simple/....//x", b"/simple/;/../x")),
-    (line(b"/simple/....//x"), {400}),
-    (line(b"/simple/;/../x"), {400}),
-    *((line(target), {404}) for target in NOWHERE),
-    *((line(target), statuses) for target, statuses in TARGETS),
-    *((line(FILE, method), {405, 400}) for method in METHODS),
-    *((line(FILE, more=more), statuses) for more, statuses in HEADERS),
-    *((line(FILE, more=b"Range: " + value + b"\r\n"), {status}) for value, status in RANGES),
+    *(
+        (request_bytes(target), {400})
+        for target in TRAVERSAL
+        if target not in (b"/simple/....//x", b"/simple/;/../x")
+    ),
+    (request_bytes(b"/simple/....//x"), {400}),
+    (request_bytes(b"/simple/;/../x"), {400}),
+    *((request_bytes(target), {404}) for target in UNKNOWN_PATHS),
+    *((request_bytes(target), statuses) for target, statuses in TARGETS),
+    *((request_bytes(FILE, method), {405, 400}) for method in METHODS),
+    *((request_bytes(FILE, extra_headers=more), statuses) for more, statuses in HEADERS),
+    *(
+        (request_bytes(FILE, extra_headers=b"Range: " + value + b"\r\n"), {status})
+        for value, status in RANGES
+    ),
     *RAW,
 ]
