--- a/tests/repo/test_repo_decide.py
+++ b/tests/repo/test_repo_decide.py
@@ -123,7 +123,7 @@
 
 
 def test_a_range_continues_a_body_only_with_the_same_cache_tag() -> None:
-    """Guards against a download that starts with another release's bytes and continues with the right ones."""
+    """Prevents a download from combining the first bytes of one release with the rest of another."""
     known = conditions.Validators("d1", 0, "t1")
     assert known.etag == '"d1.t1"' and conditions.range_applies({"if-range": '"d1.t1"'}, known)
     assert not conditions.range_applies({"if-range": '"d1.t2"'}, known)
