--- a/tests/repo/test_repo_kinds.py
+++ b/tests/repo/test_repo_kinds.py
@@ -1,4 +1,4 @@
-"""Indexes of each kind: what they name, and each malformed one message with its place."""
+"""Tests of the index parsers: the files that an index names, and the errors for malformed indexes."""
 
 import contextlib
 import gzip
