--- a/hitchtiller/repo/service.py
+++ b/hitchtiller/repo/service.py
@@ -70,9 +70,8 @@
     grace_ms: float
     index_bytes: int
     lines: dict[str, IndexHistory] = field(default_factory=dict)
-    indexes_by_path: dict[str, set[str]] = field(
-        default_factory=dict
-    )  # file path to the paths of the indexes that name it
+    # From the path of a file to the paths of the indexes that name it.
+    indexes_by_path: dict[str, set[str]] = field(default_factory=dict)
 
     def history(self, path: str) -> IndexHistory:
         """Return the history of an index, creating it if there is none."""
