--- a/hitchtiller/repo/generations.py
+++ b/hitchtiller/repo/generations.py
@@ -164,7 +164,7 @@
             self.served_to.popitem(last=False)
         return generation
 
-    def permitted(self, client: str, path: str, now_ms: float) -> NamedFile | None:
+    def permitted_file(self, client: str, path: str, now_ms: float) -> NamedFile | None:
         """Return the file as named by the index that the client was served, or None.
 
         An older index remains valid during its grace period for the clients that were served it. A client
--- a/hitchtiller/repo/service.py
+++ b/hitchtiller/repo/service.py
@@ -281,7 +281,7 @@
                     history.serve(client, now_ms())
         named_files: list[NamedFile] = []
         for index in sorted(repo.indexes_by_path.get(path, ())):
-            version = repo.lines[index].permitted(client, path, now_ms())
+            version = repo.lines[index].permitted_file(client, path, now_ms())
             if version and version not in named_files:
                 named_files.append(version)
         return named_files
--- a/tests/repo/test_repo_decide.py
+++ b/tests/repo/test_repo_decide.py
@@ -163,13 +163,15 @@
     history = IndexHistory(1000.0)
     record_and_serve(history, "g1", named_files(a="1", b="1"), 10.0, "old")
     record_and_serve(history, "g2", named_files(a="2", c="2"), 20.0, "new")
-    assert history.permitted("old", "a", 30.0) == NamedFile("a", "1")
+    assert history.permitted_file("old", "a", 30.0) == NamedFile("a", "1")
     assert (
-        history.permitted("new", "a", 30.0) == NamedFile("a", "2") == history.permitted("stranger", "a", 30.0)
+        history.permitted_file("new", "a", 30.0)
+        == NamedFile("a", "2")
+        == history.permitted_file("stranger", "a", 30.0)
     )
-    assert not history.permitted("new", "b", 30.0), "the client's index does not name the file"
-    assert not history.permitted("old", "a", 1021.0) and history.is_outdated("old", 1021.0)
-    assert history.permitted("new", "a", 1021.0)
+    assert not history.permitted_file("new", "b", 30.0), "the client's index does not name the file"
+    assert not history.permitted_file("old", "a", 1021.0) and history.is_outdated("old", 1021.0)
+    assert history.permitted_file("new", "a", 1021.0)
 
 
 def test_a_rollback_makes_an_older_generation_valid_again() -> None:
@@ -179,7 +181,7 @@
     assert history.record_index("g1", {}, 30.0, b"").state is State.RETIRED
     generation = history.serve("c", 30.0)
     assert generation and generation.digest == "g1" and history.rollback_count == 1
-    assert history.permitted("c", "a", 31.0) == NamedFile("a", "1")
+    assert history.permitted_file("c", "a", 31.0) == NamedFile("a", "1")
 
 
 def test_an_older_index_from_a_lagging_cache_is_ignored() -> None:
