--- a/hitchtiller/repo/generations.py
+++ b/hitchtiller/repo/generations.py
@@ -129,7 +129,7 @@
         if generation := self.generations.get(digest):
             generation.checked_ms = now_ms
 
-    def due_for_check(self, now_ms: float) -> Generation | None:
+    def generation_to_check(self, now_ms: float) -> Generation | None:
         """Return the newest generation if its files have to be checked now, else None."""
         generation = self.generations.get(self.newest_digest)
         if generation is None or generation.state is not State.SEEN:
--- a/hitchtiller/repo/service.py
+++ b/hitchtiller/repo/service.py
@@ -222,7 +222,7 @@
         The generation is served only once they do. Of each file only the first part is fetched. Files beyond
         the first MAX_FILES_CHECKED are assumed to exist.
         """
-        generation = history.due_for_check(now_ms())
+        generation = history.generation_to_check(now_ms())
         if generation is None:
             return
         file_request = FileRequest(0, repo.class_name, repo.group, client)
--- a/tests/repo/test_repo_decide.py
+++ b/tests/repo/test_repo_decide.py
@@ -151,10 +151,10 @@
     history = IndexHistory(1000.0)
     record_and_serve(history, "g1", named_files(a="1"), 10.0)
     second = history.record_index("g2", named_files(a="1", b="2"), 20.0, b"")
-    assert second.pending_paths == {"b"} and history.due_for_check(20.0) is second
+    assert second.pending_paths == {"b"} and history.generation_to_check(20.0) is second
     assert history.serve("c", 20.0).digest == "g1" and history.updates_withheld == 1  # type: ignore[union-attr]
     history.mark_missing("g2", 20.0)
-    assert history.due_for_check(100.0) is None and history.due_for_check(600.0) is second
+    assert history.generation_to_check(100.0) is None and history.generation_to_check(600.0) is second
     history.mark_found("g2", "b")
     assert history.serve("c", 30.0).digest == "g2" and history.generations["g1"].state is State.RETIRED  # type: ignore[union-attr]
 
