--- a/hitchtiller/repo/body.py
+++ b/hitchtiller/repo/body.py
@@ -45,7 +45,7 @@
     next_part: int = 0  # number of the part to be released next
     sent_bytes: int = 0  # bytes released so far
     early_parts: dict[int, Part] = field(default_factory=dict)
-    hash: "hashlib._Hash" = field(default_factory=hashlib.sha256)
+    hasher: "hashlib._Hash" = field(default_factory=hashlib.sha256)
     tail: bytearray = field(default_factory=bytearray)
     is_complete: bool = False
     since_ms: int = 0  # of the oldest part
@@ -92,7 +92,7 @@
 
     def _release_part(self, part: Part) -> list[bytes]:
         """Append one part, and return the bytes that need not be held back."""
-        self.hash.update(part.data)
+        self.hasher.update(part.data)
         self.since_ms = min(self.since_ms or part.since_ms, part.since_ms)
         self.next_part += 1
         end = (self.next_part - 1) * self.part_bytes + len(part.data)
@@ -102,7 +102,7 @@
         self.tail += part.data
         if is_short or end == self.size:
             self.is_complete, self.size = True, end
-            if self.digest and self.hash.hexdigest() != self.digest:
+            if self.digest and self.hasher.hexdigest() != self.digest:
                 raise BrokenBodyError("wrong-digest")
             remainder, self.tail = bytes(self.tail), bytearray()
             return [remainder] if remainder else []
--- a/hitchtiller/repo/service.py
+++ b/hitchtiller/repo/service.py
@@ -183,7 +183,9 @@
             except TagChangedError as changed:
                 tag = changed.tag
                 continue
-            self.verified_bodies.put(file_request.key, assembly.tag, assembly.hash.hexdigest(), assembly.size)
+            self.verified_bodies.put(
+                file_request.key, assembly.tag, assembly.hasher.hexdigest(), assembly.size
+            )
             return b"".join(body_chunks), assembly
         raise BrokenBodyError("two-releases")
 
@@ -193,7 +195,7 @@
         if result is None:
             return None
         body, assembly = result
-        history, digest = repo.history(path), assembly.hash.hexdigest()
+        history, digest = repo.history(path), assembly.hasher.hexdigest()
         if digest in history.generations:
             history.record_index(digest, history.generations[digest].files, assembly.since_ms, body)
         else:
@@ -264,7 +266,7 @@
         if result is None:
             return make_refusal(404, "not-found", "there is no such list")
         body, assembly = result
-        validators = Validators(assembly.hash.hexdigest(), assembly.since_ms)
+        validators = Validators(assembly.hasher.hexdigest(), assembly.since_ms)
         return _answer_from_memory(repo.kind.content_type(path, body), body, validators, method, headers)
 
     # Files
@@ -387,7 +389,7 @@
                     break
         if not assembly.is_complete:
             raise BrokenBodyError("cut-short")
-        self.verified_bodies.put(file_request.key, assembly.tag, assembly.hash.hexdigest(), assembly.size)
+        self.verified_bodies.put(file_request.key, assembly.tag, assembly.hasher.hexdigest(), assembly.size)
 
     def _answer_ranges(
         self,
