--- a/hitchtiller/repo/service.py
+++ b/hitchtiller/repo/service.py
@@ -297,8 +297,8 @@
         client: str,
         count_unsent_bytes: Callable[[], int],
     ) -> Reply:
-        permitted = self._permitted_files(repo, path, client)
-        if not permitted:
+        permitted_files = self._permitted_files(repo, path, client)
+        if not permitted_files:
             indexes = repo.indexes_by_path.get(path, set())
             if any(repo.lines[index].is_outdated(client, now_ms()) for index in indexes):
                 return make_refusal(
@@ -306,17 +306,19 @@
                 )
             return make_refusal(404, "not-found", "no index that was given to you names this file")
         file_request = self._file_request(repo, path, client)
-        first = self.fetcher.fetch_with_repeats(
-            file_request, 0, lambda part: self._is_acceptable(file_request.key, part, permitted)
+        first_part = self.fetcher.fetch_with_repeats(
+            file_request, 0, lambda part: self._is_acceptable(file_request.key, part, permitted_files)
         )
-        if first.tag == ABSENT:
+        if first_part.tag == ABSENT:
             return make_refusal(404, "not-there", "the index names it, but it is not there")
-        verified = self.verified_bodies.get(file_request.key, first.tag)
-        named_file = next((n for n in permitted if not verified or n.digest in ("", verified.digest)), None)
+        verified = self.verified_bodies.get(file_request.key, first_part.tag)
+        named_file = next(
+            (n for n in permitted_files if not verified or n.digest in ("", verified.digest)), None
+        )
         if named_file is None:
             return make_refusal(503, "other-release", "a release is being published; come back", 1.0)
         digest = verified.digest if verified else named_file.digest
-        validators = Validators(digest, first.since_ms, first.tag)
+        validators = Validators(digest, first_part.since_ms, first_part.tag)
         content_type = repo.kind.content_type(path, b"")
         common_headers = [("Content-Type", content_type), ("Accept-Ranges", "bytes")]
         if digest:
@@ -328,11 +330,16 @@
                 return make_refusal(412, "precondition")
         is_range = digest and method == "GET" and "range" in headers and range_applies(headers, validators)
         if is_range and verified is None:
-            verified = self._verify_file(file_request, first, named_file)
+            verified = self._verify_file(file_request, first_part, named_file)
         size = verified.size if verified else named_file.size
         if is_range and verified:
             return self._answer_ranges(
-                file_request, first.tag, verified.size, headers["range"], common_headers, count_unsent_bytes
+                file_request,
+                first_part.tag,
+                verified.size,
+                headers["range"],
+                common_headers,
+                count_unsent_bytes,
             )
         length = None if size < 0 else size
         if method == "HEAD":
@@ -341,24 +348,27 @@
         return Reply(
             200,
             common_headers,
-            self._stream_body(file_request, first, assembly, count_unsent_bytes),
+            self._stream_body(file_request, first_part, assembly, count_unsent_bytes),
             length,
             "whole",
         )
 
-    def _is_acceptable(self, key: int, part: Part, permitted: list[NamedFile]) -> bool:
+    def _is_acceptable(self, key: int, part: Part, permitted_files: list[NamedFile]) -> bool:
         """Return whether a first part can belong to a permitted release; if not, the fetch is repeated."""
         verified = self.verified_bodies.get(key, part.tag)
         if part.tag == ABSENT:
             return False
         return any(
-            _could_match(part, named_file, verified.digest if verified else "") for named_file in permitted
+            _could_match(part, named_file, verified.digest if verified else "")
+            for named_file in permitted_files
         )
 
-    def _verify_file(self, file_request: FileRequest, first: Part, named_file: NamedFile) -> VerifiedBody:
+    def _verify_file(
+        self, file_request: FileRequest, first_part: Part, named_file: NamedFile
+    ) -> VerifiedBody:
         """Read a complete file to verify its digest, without sending or keeping its bytes."""
         assembly = Assembly(PART, named_file.digest, named_file.size)
-        for _ in self._stream_body(file_request, first, assembly, lambda: 0):
+        for _ in self._stream_body(file_request, first_part, assembly, lambda: 0):
             pass
         verified = self.verified_bodies.get(file_request.key, assembly.tag)
         assert verified
@@ -367,12 +377,12 @@
     def _stream_body(
         self,
         file_request: FileRequest,
-        first: Part,
+        first_part: Part,
         assembly: Assembly,
         count_unsent_bytes: Callable[[], int],
     ) -> Iterator[bytes]:
         """Yield a complete body as its parts arrive; raise BrokenBodyError if it cannot be completed."""
-        yield from assembly.add_part(0, first)
+        yield from assembly.add_part(0, first_part)
         if not assembly.is_complete:
             part_limit = -(-assembly.size // PART) if assembly.size >= 0 else 1 << 16
             part_count = part_limit if assembly.size >= 0 else -1
