--- a/hitchtiller/repo/service.py
+++ b/hitchtiller/repo/service.py
@@ -73,7 +73,7 @@
     # From the path of a file to the paths of the indexes that name it.
     indexes_by_path: dict[str, set[str]] = field(default_factory=dict)
 
-    def history(self, path: str) -> IndexHistory:
+    def get_history(self, path: str) -> IndexHistory:
         """Return the history of an index, creating it if there is none."""
         if path not in self.lines:
             if len(self.lines) >= MAX_INDEXES:  # read again when it is next requested
@@ -195,7 +195,7 @@
         if result is None:
             return None
         body, assembly = result
-        history, digest = repo.history(path), assembly.hasher.hexdigest()
+        history, digest = repo.get_history(path), assembly.hasher.hexdigest()
         if digest in history.generations:
             history.record_index(digest, history.generations[digest].files, assembly.since_ms, body)
         else:
