--- a/hitchtiller/repo/fetch.py
+++ b/hitchtiller/repo/fetch.py
@@ -197,7 +197,7 @@
         """
         window, own_greenlet = Window(), getcurrent()
         arrived: dict[int, Part | Exception] = {}
-        pending_requests: dict[int, int] = {}  # part number to the requests in flight for it
+        pending_requests: dict[int, int] = {}  # requests in flight for each part number
         requested: deque[int] = deque()
         has_more, is_closed, is_parked, was_starved = True, False, False, False
 
