--- a/hitchtiller/repo/kinds/simple.py
+++ b/hitchtiller/repo/kinds/simple.py
@@ -86,7 +86,7 @@
         return "text/html; charset=utf-8"
 
     def index_paths_for(self, path: str) -> list[str]:
-        """Return the page of the project whose name the file name contains."""
+        """Return the page of the project that a file name belongs to; empty if the name is not valid."""
         name = path.rpartition("/")[2].removesuffix(".metadata")
         try:
             if name.endswith(".whl"):
