--- a/hitchtiller/repo/service.py
+++ b/hitchtiller/repo/service.py
@@ -140,9 +140,9 @@
             return make_refusal(405, "method", "GET and HEAD are taken", Allow="GET, HEAD")
         if headers.get("expect", "100-continue").lower() != "100-continue":
             return make_refusal(417, "expect", "only 100-continue is known")
-        target_path = read_target(target, self.hosts)
-        repo = next((r for r in self.repositories if target_path.path.startswith(r.prefix)), None)
-        path = target_path.path[len(repo.prefix) :] if repo else ""
+        parsed_target = read_target(target, self.hosts)
+        repo = next((r for r in self.repositories if parsed_target.path.startswith(r.prefix)), None)
+        path = parsed_target.path[len(repo.prefix) :] if repo else ""
         if repo is None or not path:
             return make_refusal(404, "not-found", "no repository has this path")
         if repo.kind.is_index(path):
@@ -153,7 +153,7 @@
 
     # Indexes
 
-    def _file_request(self, repo: Repository, path: str, client: str) -> FileRequest:
+    def _make_file_request(self, repo: Repository, path: str, client: str) -> FileRequest:
         return FileRequest(object_key(repo.name, path), repo.class_name, repo.group, client)
 
     def read_whole(
@@ -164,7 +164,7 @@
         Returns None if the file does not exist. Raises BrokenBodyError if the bytes do not match `digest`,
         where one is given, or if the tag changed during each of three reads.
         """
-        file_request, tag = self._file_request(repo, path, client), ""
+        file_request, tag = self._make_file_request(repo, path, client), ""
         for _ in range(3):
             assembly, body_chunks, number = Assembly(PART, digest, tag=tag), list[bytes](), 0
             try:
@@ -305,7 +305,7 @@
                     404, "index-outdated", "your index is of an older release; ask for it again"
                 )
             return make_refusal(404, "not-found", "no index that was given to you names this file")
-        file_request = self._file_request(repo, path, client)
+        file_request = self._make_file_request(repo, path, client)
         first_part = self.fetcher.fetch_with_repeats(
             file_request, 0, lambda part: self._is_acceptable(file_request.key, part, permitted_files)
         )
