--- a/hitchtiller/repo/fetch.py
+++ b/hitchtiller/repo/fetch.py
@@ -1,8 +1,10 @@
-"""Parts by way of the engine: with a deadline, repeated within a budget, in order, within the window.
+"""Fetches the parts of repository files through the engine.
 
-Greenlets of the loop. Each part is a request like any other: the decision module chooses, repeats and
-refuses. Bounds: the window's parts a body; `BackgroundLimit`'s parts in all; what waits for a place waits in
-order, until its deadline.
+Each part is an ordinary client request with a deadline: the decision module chooses servers, retries and
+refuses. On top of that, a part whose request ended without a usable answer is requested again within the
+repeat budget, and parts are delivered in order while several are in flight. Runs in greenlets of the event
+loop. Bounds: for each body, the parts in its window; in total, the parts that `BackgroundLimit` allows.
+Requests above that limit wait in order of arrival, until their deadline.
 """
 
 import random
@@ -16,232 +18,252 @@
 from hitchtiller.engine import Engine
 from hitchtiller.exchange import REFUSED, SERVED, Answer, ClientRequest, Exchange
 from hitchtiller.repo.admission import BackgroundLimit
-from hitchtiller.repo.body import Piece
-from hitchtiller.repo.budget import HEDGE_AFTER, HEDGE_LAST, Budget, FileBudget
+from hitchtiller.repo.body import Part
+from hitchtiller.repo.budget import HEDGE_DELAY_FACTOR, HEDGE_LAST_PARTS, Budget, FileRepeatBudget
 from hitchtiller.repo.window import Window
 from hitchtiller.sched import Scheduler, now_ms
 
-PART = 240_000  # bytes: the most that the platform's objects hold
-PAUSE_MS = 100.0  # before a part is asked for again
-FULL_MS = 20.0  # how often a client that takes nothing is looked at
-ABSENT = "absent"  # the tag of an empty part that says: there is no such file
+PART = 240_000  # bytes: the largest size of an object of the platform
+REPEAT_DELAY_MS = 100.0  # delay before a part is requested again
+CLIENT_POLL_MS = 20.0  # how often the unsent bytes of a client that reads nothing are checked
+ABSENT = "absent"  # tag of an empty part by which a cache reports that the file does not exist
 
 
-class Refused(Exception):
-    """Turned away; `wait_ms` says for how long."""
+class FetchRefusedError(Exception):
+    """The part was refused; `wait_ms` is the time to wait before another request."""
 
     def __init__(self, wait_ms: float) -> None:
-        """Keep the advice."""
+        """Keep the time to wait."""
         super().__init__("refused")
         self.wait_ms = wait_ms
 
 
-class Failed(Exception):
-    """No part came in time, again and again."""
+class FetchFailedError(Exception):
+    """The part did not arrive within its deadline, or its request failed."""
 
 
 @dataclass(slots=True)
-class Source:
-    """Where the parts of one file come from, and for whom."""
+class FileRequest:
+    """What is needed to request the parts of one file: its object, class, group, client and budget."""
 
     key: int
     class_name: str
     group: int
     client: str
-    budget: FileBudget = field(default_factory=FileBudget)
+    budget: FileRepeatBudget = field(default_factory=FileRepeatBudget)
 
 
-def _size(got: Piece | Exception) -> int:
-    return len(got.data) if isinstance(got, Piece) else 0
+def _received_bytes(result: Part | Exception) -> int:
+    return len(result.data) if isinstance(result, Part) else 0
 
 
 class Fetcher:
-    """Asks the engine for parts."""
+    """Requests parts from the engine."""
 
     def __init__(
         self, sched: Scheduler, engine: Engine, give_way: BackgroundLimit, budget: Budget, seed: int
     ) -> None:
-        """Share limits and budget among all bodies."""
+        """Share the limit on background parts and the repeat budget among all bodies."""
         self.sched, self.engine, self.give_way, self.budget = sched, engine, give_way, budget
         self.rng = random.Random(seed)
-        self.queue: deque[greenlet] = deque()  # who waits for a place
-        self.asked = self.came = 0
-        engine.on_final_answer = self._foreground
+        self.waiters: deque[greenlet] = deque()  # greenlets waiting for a slot under the background limit
+        self.asked = self.parts_received = 0
+        engine.on_final_answer = self._on_final_answer
 
-    def _foreground(self, exchange: Exchange, answer: Answer) -> None:
-        """Learn from other classes' answers whether the foreground keeps up."""
+    def _on_final_answer(self, exchange: Exchange, answer: Answer) -> None:
+        """Record for the background limit whether a foreground request was answered within its aim."""
         if exchange.request.background:
             return
-        now, cls = now_ms(), self.engine.router.settings.classes[exchange.request.class_name]
-        in_time = answer.kind == SERVED and now - exchange.taken_ms <= cls.aim_ms
-        self.give_way.foreground(in_time, now)
+        now, class_settings = now_ms(), self.engine.router.settings.classes[exchange.request.class_name]
+        in_time = answer.kind == SERVED and now - exchange.taken_ms <= class_settings.aim_ms
+        self.give_way.record_foreground(in_time, now)
 
     def look(self) -> None:
-        """Let the limit follow the foreground; called a few times a second."""
-        self.give_way.look(self.sched.lag_ms, now_ms())
-        self._next()
+        """Adjust the background limit to the foreground traffic; called a few times a second."""
+        self.give_way.adjust(self.sched.lag_ms, now_ms())
+        self._wake_next()
 
-    def _next(self) -> None:
-        while self.queue and (not self.give_way.on or self.give_way.open < int(self.give_way.limit)):
-            self.sched.wake(self.queue.popleft(), True)
+    def _wake_next(self) -> None:
+        while self.waiters and (not self.give_way.on or self.give_way.open < int(self.give_way.limit)):
+            self.sched.wake(self.waiters.popleft(), True)
             return
 
-    def _enter(self, until_ms: float) -> None:
-        me = getcurrent()
+    def _acquire_slot(self, deadline_ms: float) -> None:
+        own_greenlet = getcurrent()
         while not self.give_way.admits():
-            self.queue.append(me)
-            timer = self.sched.later(max(1.0, until_ms - now_ms()), lambda: self._tired(me))
-            let_in = self.sched.park()
+            self.waiters.append(own_greenlet)
+            timer = self.sched.later(
+                max(1.0, deadline_ms - now_ms()), lambda: self._on_slot_timeout(own_greenlet)
+            )
+            was_admitted = self.sched.park()
             timer.cancel()
-            if not let_in:
-                raise Refused(self.engine.router.settings.max_retry_after_ms)
+            if not was_admitted:
+                raise FetchRefusedError(self.engine.router.settings.max_retry_after_ms)
         self.give_way.open += 1
 
-    def _tired(self, task: greenlet) -> None:
-        if task in self.queue:
-            self.queue.remove(task)
-            self.sched.wake(task, False)
-
-    def one(self, source: Source, number: int) -> Piece:
-        """Get one part, parking this greenlet; Refused or Failed where it does not come."""
-        cls = self.engine.router.settings.classes[source.class_name]
-        begun = now_ms()
-        until = begun + cls.deadline_ms
-        self._enter(until)
+    def _on_slot_timeout(self, waiter: greenlet) -> None:
+        if waiter in self.waiters:
+            self.waiters.remove(waiter)
+            self.sched.wake(waiter, False)
+
+    def fetch(self, file_request: FileRequest, number: int) -> Part:
+        """Fetch one part, parking this greenlet meanwhile.
+
+        Raises FetchRefusedError or FetchFailedError if the part does not arrive.
+        """
+        class_settings = self.engine.router.settings.classes[file_request.class_name]
+        started_ms = now_ms()
+        deadline_ms = started_ms + class_settings.deadline_ms
+        self._acquire_slot(deadline_ms)
         self.asked += 1
         try:
-            answer = self._ask(source, number, until)
+            answer = self._request_part(file_request, number, deadline_ms)
         finally:
             self.give_way.open -= 1
-            self._next()
+            self._wake_next()
         if answer.kind == SERVED:
-            self.came += 1
-            self.budget.came(now_ms() - begun)
-            return Piece(answer.body, answer.tag, answer.since_ms)
+            self.parts_received += 1
+            self.budget.record_wait(now_ms() - started_ms)
+            return Part(answer.body, answer.tag, answer.since_ms)
         if answer.kind == REFUSED:
-            raise Refused(answer.wait_ms)
-        raise Failed
+            raise FetchRefusedError(answer.wait_ms)
+        raise FetchFailedError
 
-    def _ask(self, source: Source, number: int, until: float) -> Answer:
-        me, got = getcurrent(), list[Answer]()
-        parked = False
+    def _request_part(self, file_request: FileRequest, number: int, deadline_ms: float) -> Answer:
+        own_greenlet, answers = getcurrent(), list[Answer]()
+        is_parked = False
 
         def deliver(answer: Answer) -> None:
-            got.append(answer)
-            if parked:
-                self.sched.wake(me)
-
-        name = f"{source.key:016x}"
-        ask = ClientRequest(
-            f"{self.rng.getrandbits(64):016x}", source.class_name, name, source.key, until,
-            part=number, group=source.group, size_kb=PART / 1000.0, background=True,
+            answers.append(answer)
+            if is_parked:
+                self.sched.wake(own_greenlet)
+
+        object_name = f"{file_request.key:016x}"
+        request = ClientRequest(
+            f"{self.rng.getrandbits(64):016x}", file_request.class_name, object_name, file_request.key,
+            deadline_ms, part=number, group=file_request.group, size_kb=PART / 1000.0, background=True,
         )  # fmt: skip
-        exchange = self.engine.take(ask, deliver)
-        if not got:
-            parked = True
+        exchange = self.engine.take(request, deliver)
+        if not answers:
+            is_parked = True
             try:
                 self.sched.park()
             except BaseException:
                 self.engine.leave(exchange)
                 raise
-        return got[0]
+        return answers[0]
 
-    def again(self, source: Source, number: int, fits: Callable[[Piece], bool] = lambda piece: True) -> Piece:
-        """Get one part, repeating within the budget what fails or does not fit.
-
-        The last answer goes up as it is.
+    def fetch_with_repeats(
+        self,
+        file_request: FileRequest,
+        number: int,
+        is_acceptable: Callable[[Part], bool] = lambda part: True,
+    ) -> Part:
+        """Fetch one part, repeating the request within the budget if it fails or the part is not acceptable.
+
+        Once the budget is spent, the last part is returned even if it is not acceptable, or the last error is
+        raised.
         """
-        self.budget.asked(source.budget)
+        self.budget.record_request(file_request.budget)
         while True:
-            wait, error, piece = PAUSE_MS, Exception(), None
+            delay_ms, error, part = REPEAT_DELAY_MS, Exception(), None
             try:
-                piece = self.one(source, number)
-                if fits(piece):
-                    return piece
-            except Refused as refused:
-                wait, error = max(PAUSE_MS, refused.wait_ms), refused
-            except Failed as failed:
+                part = self.fetch(file_request, number)
+                if is_acceptable(part):
+                    return part
+            except FetchRefusedError as refused:
+                delay_ms, error = max(REPEAT_DELAY_MS, refused.wait_ms), refused
+            except FetchFailedError as failed:
                 error = failed
-            if not self.budget.repeat(source.budget, source.client, now_ms()):
-                if piece is None:
+            if not self.budget.try_repeat(file_request.budget, file_request.client, now_ms()):
+                if part is None:
                     raise error
-                return piece
-            self.sched.sleep(wait)
+                return part
+            self.sched.sleep(delay_ms)
 
-    def ordered(
+    def fetch_in_order(
         self,
-        source: Source,
+        file_request: FileRequest,
         numbers: Iterator[int],
-        waiting: Callable[[], int],
-        fits: Callable[[Piece], bool],
-        total: int = -1,
-    ) -> Iterator[tuple[int, Piece]]:
-        """Give parts in the order of their numbers, several under way; closing the iterator ends them.
-
-        `waiting` tells how many bytes wait for the client: while there are many, nothing more is asked for.
-        With a known `total` of parts, the last ones are asked for a second time where they are late.
+        count_unsent_bytes: Callable[[], int],
+        is_acceptable: Callable[[Part], bool],
+        part_count: int = -1,
+    ) -> Iterator[tuple[int, Part]]:
+        """Yield parts in the order of `numbers` while several are in flight.
+
+        `count_unsent_bytes` returns how many bytes wait for the client: while there are many, no further part
+        is requested. If `part_count` is known, the file's last parts are requested a second time when they
+        are late. Closing the iterator discards the parts that are still in flight.
         """
-        window, me = Window(), getcurrent()
-        ready: dict[int, Piece | Exception] = {}
-        out: dict[int, int] = {}  # requests under way for a part
-        order: deque[int] = deque()
-        more, closed, parked, starved = True, False, False, False
+        window, own_greenlet = Window(), getcurrent()
+        arrived: dict[int, Part | Exception] = {}
+        pending_requests: dict[int, int] = {}  # requests in flight for each part number
+        requested: deque[int] = deque()
+        has_more, is_closed, is_parked, was_starved = True, False, False, False
 
         def run(number: int) -> None:
-            nonlocal parked
-            got: Piece | Exception
+            nonlocal is_parked
+            result: Part | Exception
             try:
-                got = self.again(source, number, fits)
-            except (Refused, Failed) as error:
-                got = error
-            out[number] -= 1
-            if closed or number in ready or number not in order:
+                result = self.fetch_with_repeats(file_request, number, is_acceptable)
+            except (FetchRefusedError, FetchFailedError) as error:
+                result = error
+            pending_requests[number] -= 1
+            if is_closed or number in arrived or number not in requested:
                 return
-            if isinstance(got, Exception) and out[number]:
-                return  # its second request may still bring it
-            ready[number] = got
-            if parked:
-                parked = False
-                self.sched.wake(me)
-
-        def late(number: int, begun: float) -> None:
-            if closed or number in ready or number not in order:
+            if isinstance(result, Exception) and pending_requests[number]:
+                return  # the other request for this part may still succeed
+            arrived[number] = result
+            if is_parked:
+                is_parked = False
+                self.sched.wake(own_greenlet)
+
+        def hedge_if_late(number: int, started_ms: float) -> None:
+            if is_closed or number in arrived or number not in requested:
                 return
             now = now_ms()
-            if self.budget.hedge(number, total, now - begun, source.budget, source.client, now):
-                out[number] += 1
+            if self.budget.try_hedge(
+                number, part_count, now - started_ms, file_request.budget, file_request.client, now
+            ):
+                pending_requests[number] += 1
                 self.sched.spawn(run, number)
 
         try:
             while True:
-                while more and window.may_ask(waiting() + sum(map(_size, ready.values()))):
+                while has_more and window.can_request(
+                    count_unsent_bytes() + sum(map(_received_bytes, arrived.values()))
+                ):
                     number = next(numbers, None)
                     if number is None:
-                        more = False
+                        has_more = False
                         break
-                    window.asked()
-                    order.append(number)
-                    out[number] = 1
+                    window.record_request()
+                    requested.append(number)
+                    pending_requests[number] = 1
                     self.sched.spawn(run, number)
-                    if total >= 0 and number >= total - HEDGE_LAST and self.budget.usual_ms:
-                        wait = 1.0 + HEDGE_AFTER * self.budget.usual_ms
-                        self.sched.later(wait, partial(late, number, now_ms()))
-                if not order:
-                    if not more:
+                    if (
+                        part_count >= 0
+                        and number >= part_count - HEDGE_LAST_PARTS
+                        and self.budget.typical_wait_ms
+                    ):
+                        delay_ms = 1.0 + HEDGE_DELAY_FACTOR * self.budget.typical_wait_ms
+                        self.sched.later(delay_ms, partial(hedge_if_late, number, now_ms()))
+                if not requested:
+                    if not has_more:
                         return
-                    self.sched.sleep(FULL_MS)  # the client takes nothing
+                    self.sched.sleep(CLIENT_POLL_MS)  # the client reads nothing
                     continue
-                if order[0] not in ready:
-                    parked = starved = True
+                if requested[0] not in arrived:
+                    is_parked = was_starved = True
                     self.sched.park()
                     continue
-                number = order.popleft()
-                got = ready.pop(number)
-                if isinstance(got, Exception):
-                    window.failed()
-                    raise got
-                window.came(waiting(), len(ready), starved)
-                starved = False
-                yield number, got
+                number = requested.popleft()
+                result = arrived.pop(number)
+                if isinstance(result, Exception):
+                    window.record_failure()
+                    raise result
+                window.record_arrival(count_unsent_bytes(), len(arrived), was_starved)
+                was_starved = False
+                yield number, result
         finally:
-            closed = True
+            is_closed = True
--- a/hitchtiller/repo/generations.py
+++ b/hitchtiller/repo/generations.py
@@ -1,8 +1,11 @@
-"""Releases as generations: which index may be served to whom, and which bytes go with it; no I/O.
-
-One `Line` follows one index (a project's page, a suite's Release). Times are Unix ms. Bounds: KEPT
-generations a line, with what each names; FOLLOWED clients a line, the longest silent forgotten first; a
-forgotten client has the newest served.
+"""Generations of an index: which version is served to which client, and which files belong to it.
+
+A release changes an index and the files that it names, but not atomically. To prevent a client from combining
+an index with files of another release, one `IndexHistory` for each index (a project's page, a suite's
+Release) remembers the recent versions of the index and which version each client was served. Performs no I/O.
+Times are Unix ms. Bounds for each index: MAX_GENERATIONS generations, each with the files that it names, and
+MAX_CLIENTS clients. The client whose last request is oldest is forgotten first and is then treated as having
+been served the current generation.
 """
 
 import math
@@ -11,25 +14,25 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-KEPT = 8
-FOLLOWED = 10_000
-AGAIN_MS = 500.0  # before an unproven generation is looked at again
+MAX_GENERATIONS = 8
+MAX_CLIENTS = 10_000
+RECHECK_MS = 500.0  # delay before missing files of a generation are checked again
 
 
 class State(Enum):
-    """How far a generation is."""
+    """State of a generation."""
 
-    SEEN = "seen"
-    PROVEN = "proven"
-    SERVED = "served"
-    RETIRED = "retired"
+    SEEN = "seen"  # read from upstream; some of its files are not yet known to exist
+    PROVEN = "proven"  # all of its files are known to exist
+    SERVED = "served"  # the generation that clients currently get
+    RETIRED = "retired"  # replaced by another generation; permitted for the grace period
 
 
 @dataclass(frozen=True, slots=True)
 class NamedFile:
     """A file as an index names it.
 
-    SHA-256 in hexadecimal, "" where it gives none; size in bytes, -1 where untold.
+    `digest` is its SHA-256 in hexadecimal, "" if the index gives none; `size` is in bytes, -1 if unknown.
     """
 
     path: str
@@ -39,32 +42,32 @@
 
 @dataclass(slots=True)
 class Generation:
-    """One index, by the digest of its bytes, with what it names."""
+    """One version of an index, identified by the digest of its bytes, with the files that it names."""
 
     digest: str
     files: Mapping[str, NamedFile]
-    since_ms: float  # when the origin gave out these bytes
+    since_ms: float  # when the origin sent these bytes
     state: State = State.SEEN
     served_ms: float = -math.inf
     retired_ms: float = math.inf
     body: bytes = b""
-    wanted: set[str] = field(default_factory=set)  # paths that have to be there before it is proven
-    looked_ms: float = -math.inf
+    pending_paths: set[str] = field(default_factory=set)  # files not yet known to exist
+    checked_ms: float = -math.inf
 
 
-class Line:
-    """The generations of one index, oldest first."""
+class IndexHistory:
+    """The generations of one index in the order in which they were first read."""
 
     def __init__(self, grace_ms: float) -> None:
-        """Permit a generation for `grace_ms` after another was served in its place."""
+        """Permit a generation for `grace_ms` after another one has replaced it."""
         self.grace_ms = grace_ms
-        self.known: OrderedDict[str, Generation] = OrderedDict()
-        self.newest = ""  # the digest that came last from upstream
-        self.current = ""  # the digest that is served
-        self.given: OrderedDict[str, str] = OrderedDict()
-        self.updates_withheld = self.rolled_back = 0
+        self.generations: OrderedDict[str, Generation] = OrderedDict()
+        self.newest_digest = ""  # of the generation that upstream served last
+        self.served_digest = ""  # of the generation that clients currently get
+        self.served_to: OrderedDict[str, str] = OrderedDict()  # client to digest, longest silent first
+        self.updates_withheld = self.rollback_count = 0
 
-    def saw(
+    def record_index(
         self,
         digest: str,
         files: Mapping[str, NamedFile],
@@ -72,100 +75,117 @@
         body: bytes,
         optional: frozenset[str] = frozenset(),
     ) -> Generation:
-        """Hear of an index as it came; gives its generation.
+        """Record an index that was read from upstream, and return its generation.
 
-        One that is older than what is known by its time changes nothing, unless it has the same bytes as a
-        newer one: a cache may lag. A roll-back is an older text given out anew.
+        A generation that the origin sent before the newest known one does not replace it, because a cache
+        may lag behind. Where the same bytes are already recorded with a later time, that time counts. A
+        rollback is an earlier version of the index that the origin sends again: the same bytes with a later
+        time. Files in `optional` need not exist before the generation is served.
         """
-        found = self.known.get(digest)
-        newest = self.known.get(self.newest)
-        if found is None:
-            found = self.known[digest] = Generation(digest, files, since_ms, body=body)
-            before = self.known.get(self.current)
-            had = before.files if before else {}
-            found.wanted = {p for p, named in files.items() if had.get(p) != named and p not in optional}
-            if not found.wanted:
-                found.state = State.PROVEN
-        elif since_ms > found.since_ms:
-            found.since_ms = since_ms
-        if newest is None or found.since_ms >= newest.since_ms:
-            order = list(self.known)
-            if newest and newest is not found and order.index(digest) < order.index(newest.digest):
-                self.rolled_back += 1
-            self.newest = digest
-        self._bound()
-        return found
-
-    def _bound(self) -> None:
-        while len(self.known) > KEPT:
-            old = next((d for d in self.known if d not in (self.newest, self.current)), None)
-            if old is None:
+        generation = self.generations.get(digest)
+        newest_generation = self.generations.get(self.newest_digest)
+        if generation is None:
+            generation = self.generations[digest] = Generation(digest, files, since_ms, body=body)
+            previous = self.generations.get(self.served_digest)
+            previous_files = previous.files if previous else {}
+            generation.pending_paths = {
+                p for p, named in files.items() if previous_files.get(p) != named and p not in optional
+            }
+            if not generation.pending_paths:
+                generation.state = State.PROVEN
+        elif since_ms > generation.since_ms:
+            generation.since_ms = since_ms
+        if newest_generation is None or generation.since_ms >= newest_generation.since_ms:
+            arrival_order = list(self.generations)
+            if (
+                newest_generation
+                and newest_generation is not generation
+                and arrival_order.index(digest) < arrival_order.index(newest_generation.digest)
+            ):
+                self.rollback_count += 1
+            self.newest_digest = digest
+        self._enforce_limit()
+        return generation
+
+    def _enforce_limit(self) -> None:
+        while len(self.generations) > MAX_GENERATIONS:
+            oldest = next(
+                (d for d in self.generations if d not in (self.newest_digest, self.served_digest)), None
+            )
+            if oldest is None:
                 return
-            del self.known[old]
+            del self.generations[oldest]
 
-    def found(self, digest: str, path: str) -> None:
-        """Hear that a file that a generation names is there."""
-        generation = self.known.get(digest)
+    def mark_found(self, digest: str, path: str) -> None:
+        """Record that a file that a generation names exists."""
+        generation = self.generations.get(digest)
         if generation:
-            generation.wanted.discard(path)
-            if not generation.wanted and generation.state is State.SEEN:
+            generation.pending_paths.discard(path)
+            if not generation.pending_paths and generation.state is State.SEEN:
                 generation.state = State.PROVEN
 
-    def missing(self, digest: str, now_ms: float) -> None:
-        """Hear that a file is not there: it is looked for again after a while."""
-        if generation := self.known.get(digest):
-            generation.looked_ms = now_ms
+    def mark_missing(self, digest: str, now_ms: float) -> None:
+        """Record that a file of a generation is missing; its files are checked again after RECHECK_MS."""
+        if generation := self.generations.get(digest):
+            generation.checked_ms = now_ms
 
-    def to_look(self, now_ms: float) -> Generation | None:
-        """Give the newest generation if its files have to be looked for now."""
-        generation = self.known.get(self.newest)
+    def generation_to_check(self, now_ms: float) -> Generation | None:
+        """Return the newest generation if its files have to be checked now, else None."""
+        generation = self.generations.get(self.newest_digest)
         if generation is None or generation.state is not State.SEEN:
             return None
-        return generation if now_ms - generation.looked_ms >= AGAIN_MS else None
+        return generation if now_ms - generation.checked_ms >= RECHECK_MS else None
 
     def serve(self, client: str, now_ms: float) -> Generation | None:
-        """Give the generation whose index a client gets now.
+        """Return the generation whose index the client gets now, and remember it for that client.
 
-        The newest proven one; None if there is none yet.
+        This is the newest generation if all of its files exist, otherwise the one served so far; None if no
+        generation has been complete yet.
         """
-        newest = self.known.get(self.newest)
-        if newest and newest.state is not State.SEEN and self.newest != self.current:
-            before = self.known.get(self.current)
-            if before:
-                before.state, before.retired_ms = State.RETIRED, now_ms
-            self.current = self.newest
-        elif newest and newest.state is State.SEEN:
+        newest_generation = self.generations.get(self.newest_digest)
+        if (
+            newest_generation
+            and newest_generation.state is not State.SEEN
+            and self.newest_digest != self.served_digest
+        ):
+            previous = self.generations.get(self.served_digest)
+            if previous:
+                previous.state, previous.retired_ms = State.RETIRED, now_ms
+            self.served_digest = self.newest_digest
+        elif newest_generation and newest_generation.state is State.SEEN:
             self.updates_withheld += 1
-        generation = self.known.get(self.current)
+        generation = self.generations.get(self.served_digest)
         if generation is None:
             return None
         generation.state, generation.served_ms, generation.retired_ms = State.SERVED, now_ms, math.inf
-        self.given[client] = generation.digest
-        self.given.move_to_end(client)
-        if len(self.given) > FOLLOWED:
-            self.given.popitem(last=False)
+        self.served_to[client] = generation.digest
+        self.served_to.move_to_end(client)
+        if len(self.served_to) > MAX_CLIENTS:
+            self.served_to.popitem(last=False)
         return generation
 
-    def permitted(self, client: str, path: str, now_ms: float) -> NamedFile | None:
-        """Give what a file must be for a client: as the index names it that the client was given.
+    def permitted_file(self, client: str, path: str, now_ms: float) -> NamedFile | None:
+        """Return the file as named by the index that the client was served, or None.
 
-        An older index counts as long as it is permitted, for the clients that were given it. Bytes of another
-        generation, older or newer, are never for a client: it would pair an index with another release's
-        file.
+        An older index remains valid during its grace period for the clients that were served it. A client
+        never gets the bytes of another generation, older or newer: it would combine its index with another
+        release's file.
         """
-        own = self._own(client)
-        return own.files.get(path) if own and self._may(own, now_ms) else None
+        generation = self._generation_for(client)
+        return generation.files.get(path) if generation and self._is_permitted(generation, now_ms) else None
 
-    def _own(self, client: str) -> Generation | None:
-        """Give a client's generation; the one that is served, where it is not known."""
-        return self.known.get(self.given.get(client, self.current)) or self.known.get(self.current)
+    def _generation_for(self, client: str) -> Generation | None:
+        """Return the generation that the client was served; the current one if that is not known."""
+        return self.generations.get(self.served_to.get(client, self.served_digest)) or self.generations.get(
+            self.served_digest
+        )
 
-    def outdated(self, client: str, now_ms: float) -> bool:
-        """Tell whether a client holds an index that is permitted no more."""
-        own = self._own(client)
-        return own is not None and not self._may(own, now_ms)
+    def is_outdated(self, client: str, now_ms: float) -> bool:
+        """Return whether the grace period of the index that the client was served has ended."""
+        generation = self._generation_for(client)
+        return generation is not None and not self._is_permitted(generation, now_ms)
 
-    def _may(self, generation: Generation, now_ms: float) -> bool:
+    def _is_permitted(self, generation: Generation, now_ms: float) -> bool:
         if generation.state is State.RETIRED:
             return now_ms - generation.retired_ms <= self.grace_ms
         return generation.state is State.SERVED
--- a/hitchtiller/repo/ranges.py
+++ b/hitchtiller/repo/ranges.py
@@ -1,53 +1,54 @@
-"""Byte ranges (RFC 9110, 14): which bytes a request wants of a body of known size.
+"""Byte ranges (RFC 9110, section 14): which bytes of a body of known size a request asks for.
 
-Bound: at most MOST ranges, which may not overlap more than once; a header that asks for more is served whole,
-which the standard allows and which costs the attacker what it costs us.
+Bound: at most MAX_RANGES ranges, of which at most one pair of neighbours may overlap. A request for more is
+answered with the complete body, as the RFC allows: receiving it costs an attacker as much as sending it costs
+the gateway.
 """
 
 import re
 from dataclasses import dataclass
 
-MOST = 16
-SPEC = re.compile(r"(\d{1,18})?-(\d{1,18})?\Z")
+MAX_RANGES = 16
+RANGE_SPEC = re.compile(r"(\d{1,18})?-(\d{1,18})?\Z")
 
 
 class Unsatisfiable(Exception):
-    """No range lies within the body: 416."""
+    """No range lies within the body; answered with 416."""
 
 
 @dataclass(frozen=True, slots=True)
 class Span:
-    """Bytes from `first` up to `end`, the end left out."""
+    """Bytes from `first` up to but not including `end`."""
 
     first: int
     end: int
 
     @property
     def size(self) -> int:
-        """Give the number of bytes."""
+        """Return the number of bytes."""
         return self.end - self.first
 
     def content_range(self, size: int) -> str:
-        """Write the Content-Range."""
+        """Return the Content-Range header value."""
         return f"bytes {self.first}-{self.end - 1}/{size}"
 
 
 def read_ranges(header: str, size: int) -> list[Span] | None:
-    """Read a Range header for a body of `size` bytes.
+    """Parse a Range header for a body of `size` bytes.
 
-    None where it is to be passed over (another unit, malformed, too many, overlapping); Unsatisfiable where
-    all of it lies outside.
+    Returns None if the header is to be ignored: another unit, malformed, too many ranges, or more than one
+    overlap. Raises Unsatisfiable if all ranges lie outside the body.
     """
-    unit, sign, text = header.partition("=")
-    if not sign or unit.strip().lower() != "bytes":
+    unit, equals, text = header.partition("=")
+    if not equals or unit.strip().lower() != "bytes":
         return None
     specs = [spec.strip(" \t") for spec in text.split(",")]
     specs = [spec for spec in specs if spec]
-    if not specs or len(specs) > MOST:
+    if not specs or len(specs) > MAX_RANGES:
         return None
     spans: list[Span] = []
     for spec in specs:
-        match = SPEC.match(spec)
+        match = RANGE_SPEC.match(spec)
         if not match or spec == "-":
             return None
         first, last = match.groups()
@@ -66,14 +67,14 @@
     return None if overlaps > 1 else spans
 
 
-def parts_of(span: Span, part_bytes: int) -> list[tuple[int, int, int]]:
-    """Give part number and slice (begin, end) within it for each part that a span needs, in order."""
-    found = []
-    at = span.first
-    while at < span.end:
-        number = at // part_bytes
-        begin = at - number * part_bytes
+def split_into_parts(span: Span, part_bytes: int) -> list[tuple[int, int, int]]:
+    """Return (part number, begin, end) for each part that a span covers; begin and end are in the part."""
+    slices = []
+    offset = span.first
+    while offset < span.end:
+        number = offset // part_bytes
+        begin = offset - number * part_bytes
         end = min(part_bytes, span.end - number * part_bytes)
-        found.append((number, begin, end))
-        at = number * part_bytes + end
-    return found
+        slices.append((number, begin, end))
+        offset = number * part_bytes + end
+    return slices
--- a/hitchtiller/repo/service.py
+++ b/hitchtiller/repo/service.py
@@ -1,7 +1,8 @@
-"""What the repositories answer: a request's method, target and conditions become bytes, or a refusal.
+"""Answers HTTP requests to the package repositories.
 
-Greenlets of the loop; no sockets. Bound: one index at a time in memory for each request that reads one
-(`index_mb`), and the window's parts for bodies.
+Given a request's method, target and headers, `Service` returns the status, the headers and an iterator over
+the body. Runs in greenlets of the event loop and opens no sockets; `hitchtiller.repo.front` does that. Memory
+bound: one index at a time for each request that reads one (`index_mb`), and the parts in the body's window.
 """
 
 import hashlib
@@ -10,49 +11,56 @@
 
 from hitchtiller.engine import Engine
 from hitchtiller.log import logger
-from hitchtiller.repo.body import Assembly, Broken, Piece, Proofs, Proven, Restart
+from hitchtiller.repo.body import (
+    Assembly,
+    BrokenBodyError,
+    Part,
+    TagChangedError,
+    VerifiedBodies,
+    VerifiedBody,
+)
 from hitchtiller.repo.conditions import Validators, range_applies, status
-from hitchtiller.repo.fetch import ABSENT, PART, Failed, Fetcher, Refused, Source
-from hitchtiller.repo.generations import Line, NamedFile
-from hitchtiller.repo.kinds import BadIndex, Kind, Parsed
+from hitchtiller.repo.fetch import ABSENT, PART, Fetcher, FetchFailedError, FetchRefusedError, FileRequest
+from hitchtiller.repo.generations import IndexHistory, NamedFile
+from hitchtiller.repo.kinds import BadIndex, Kind, ParsedIndex
 from hitchtiller.repo.paths import BadTarget, object_key, read_target
-from hitchtiller.repo.ranges import Span, Unsatisfiable, parts_of, read_ranges
+from hitchtiller.repo.ranges import Span, Unsatisfiable, read_ranges, split_into_parts
 from hitchtiller.sched import now_ms
 from hitchtiller.store.purges import Purges
 
-PROVE_MOST = 500  # files of a generation that are looked for before it is served
-PROVE_AT_ONCE = 8
-MOST_LINES = 20_000  # indexes that are followed
-GRACE_MS = 1_000.0  # after a purge was told, until which an older index may still be given
+MAX_FILES_CHECKED = 500  # files of a generation whose presence is checked before it is served
+MAX_CHECKS_AT_ONCE = 8
+MAX_INDEXES = 20_000  # per repository; the index known for longest is forgotten first
+PURGE_GRACE_MS = 1_000.0  # after a purge is reported, an older index may still be served for this long
 
 
 @dataclass(slots=True)
 class Reply:
-    """An answer.
-
-    Status, headers, and its body, piece by piece; `size` is None where it is not known before.
-    """
+    """An HTTP response; `size` is the length of its body, None where that is not known in advance."""
 
     status: int
     headers: list[tuple[str, str]] = field(default_factory=list)
     body: Iterator[bytes] = field(default_factory=lambda: iter(()))
     size: int | None = 0
-    reason: str = ""  # a code for the log and the counters
+    reason: str = ""  # reason code, counted in Service.counts
+
 
+def make_refusal(code: int, reason: str, text: str = "", wait_s: float = 0.0, **headers: str) -> Reply:
+    """Return an error response with a plain-text body.
 
-def refusal(code: int, reason: str, text: str = "", wait_s: float = 0.0, **headers: str) -> Reply:
-    """Make an answer that has no bytes of a file; its text says what was wrong."""
+    `headers` become additional HTTP headers, with each `_` in a name replaced by `-`.
+    """
     data = (text or reason.replace("-", " ")).encode() + b"\n"
-    fields = [("Content-Type", "text/plain; charset=utf-8"), ("Cache-Control", "no-store")]
+    reply_headers = [("Content-Type", "text/plain; charset=utf-8"), ("Cache-Control", "no-store")]
     if wait_s:
-        fields.append(("Retry-After", str(max(1, round(wait_s)))))
-    fields += [(name.replace("_", "-"), value) for name, value in headers.items()]
-    return Reply(code, fields, iter((data,)), len(data), reason)
+        reply_headers.append(("Retry-After", str(max(1, round(wait_s)))))
+    reply_headers += [(name.replace("_", "-"), value) for name, value in headers.items()]
+    return Reply(code, reply_headers, iter((data,)), len(data), reason)
 
 
 @dataclass(slots=True)
 class Repository:
-    """One repository: its kind, where it hangs, and the generations of its indexes."""
+    """One repository: its kind, its URL path prefix, and the generations of its indexes."""
 
     name: str
     kind: Kind
@@ -61,18 +69,19 @@
     group: int
     grace_ms: float
     index_bytes: int
-    lines: dict[str, Line] = field(default_factory=dict)
-    where: dict[str, set[str]] = field(default_factory=dict)  # path: the indexes that name it
+    lines: dict[str, IndexHistory] = field(default_factory=dict)
+    # From the path of a file to the paths of the indexes that name it.
+    indexes_by_path: dict[str, set[str]] = field(default_factory=dict)
 
-    def line(self, path: str) -> Line:
-        """Give an index's line."""
+    def get_history(self, path: str) -> IndexHistory:
+        """Return the history of an index, creating it if there is none."""
         if path not in self.lines:
-            if len(self.lines) >= MOST_LINES:  # the longest known goes; it is learnt again when asked for
-                gone = next(iter(self.lines))
-                del self.lines[gone]
-                for names in self.where.values():
-                    names.discard(gone)
-            self.lines[path] = Line(self.grace_ms)
+            if len(self.lines) >= MAX_INDEXES:  # read again when it is next requested
+                oldest = next(iter(self.lines))
+                del self.lines[oldest]
+                for names in self.indexes_by_path.values():
+                    names.discard(oldest)
+            self.lines[path] = IndexHistory(self.grace_ms)
         return self.lines[path]
 
 
@@ -82,340 +91,428 @@
     def __init__(
         self, engine: Engine, fetcher: Fetcher, repositories: list[Repository], hosts: frozenset[str]
     ) -> None:
-        """Serve these repositories; the longest prefix that fits counts."""
+        """Serve these repositories; the longest matching prefix wins."""
         self.engine, self.fetcher, self.hosts = engine, fetcher, hosts
-        self.repositories = sorted(repositories, key=lambda each: -len(each.prefix))
-        self.proofs = Proofs()
+        self.repositories = sorted(repositories, key=lambda repository: -len(repository.prefix))
+        self.verified_bodies = VerifiedBodies()
         self.counts: dict[str, int] = {}
-        # the decisions forget a purge once caches have dropped; indexes are held for longer
+        # The decision module forgets a purge once the caches have dropped their copies. Indexes are held here
+        # for longer, so the purges are recorded separately.
         self.purges = Purges()
         engine.purge_listeners.append(lambda ban: self.purges.add(ban.key, ban.group, ban.at_ms))
 
     def answer(
-        self, method: str, target: bytes, headers: Mapping[str, str], client: str, waiting: Callable[[], int]
+        self,
+        method: str,
+        target: bytes,
+        headers: Mapping[str, str],
+        client: str,
+        count_unsent_bytes: Callable[[], int],
     ) -> Reply:
-        """Answer a request; `waiting` tells how many bytes its client has not taken yet."""
+        """Answer a request; `count_unsent_bytes` returns how many response bytes wait for the client."""
         try:
-            reply = self._answer(method, target, headers, client, waiting)
+            reply = self._answer(method, target, headers, client, count_unsent_bytes)
         except BadTarget as error:
-            reply = refusal(error.status, "bad-target", str(error))
-        except Refused as error:
-            reply = refusal(503, "refused", "busy; come back", max(1.0, error.wait_ms / 1000.0))
-        except Failed:
-            reply = refusal(504, "failed", "no server answered in time")
+            reply = make_refusal(error.status, "bad-target", str(error))
+        except FetchRefusedError as error:
+            reply = make_refusal(503, "refused", "busy; come back", max(1.0, error.wait_ms / 1000.0))
+        except FetchFailedError:
+            reply = make_refusal(504, "failed", "no server answered in time")
         except BadIndex as error:
-            logger.warning("index not taken: {}", error)
-            reply = refusal(502, "bad-index", str(error))
-        except Broken as error:
-            reply = refusal(503, str(error), "two releases at once; come back", 1.0)
+            logger.warning("invalid index: {}", error)
+            reply = make_refusal(502, "bad-index", str(error))
+        except BrokenBodyError as error:
+            reply = make_refusal(503, str(error), "two releases at once; come back", 1.0)
         self.counts[reply.reason or str(reply.status)] = (
             self.counts.get(reply.reason or str(reply.status), 0) + 1
         )
         return reply
 
     def _answer(
-        self, method: str, target: bytes, headers: Mapping[str, str], client: str, waiting: Callable[[], int]
+        self,
+        method: str,
+        target: bytes,
+        headers: Mapping[str, str],
+        client: str,
+        count_unsent_bytes: Callable[[], int],
     ) -> Reply:
         if method not in ("GET", "HEAD"):
-            return refusal(405, "method", "GET and HEAD are taken", Allow="GET, HEAD")
+            return make_refusal(405, "method", "GET and HEAD are taken", Allow="GET, HEAD")
         if headers.get("expect", "100-continue").lower() != "100-continue":
-            return refusal(417, "expect", "only 100-continue is known")
-        found = read_target(target, self.hosts)
-        repo = next((r for r in self.repositories if found.path.startswith(r.prefix)), None)
-        path = found.path[len(repo.prefix) :] if repo else ""
+            return make_refusal(417, "expect", "only 100-continue is known")
+        parsed_target = read_target(target, self.hosts)
+        repo = next((r for r in self.repositories if parsed_target.path.startswith(r.prefix)), None)
+        path = parsed_target.path[len(repo.prefix) :] if repo else ""
         if repo is None or not path:
-            return refusal(404, "not-found", "no repository has this path")
-        if repo.kind.root(path):
-            return self._index(repo, path, method, headers, client)
-        if repo.kind.listing(path):
-            return self._listing(repo, path, method, headers, client)
-        return self._file(repo, path, method, headers, client, waiting)
+            return make_refusal(404, "not-found", "no repository has this path")
+        if repo.kind.is_index(path):
+            return self._answer_index(repo, path, method, headers, client)
+        if repo.kind.is_listing(path):
+            return self._answer_listing(repo, path, method, headers, client)
+        return self._answer_file(repo, path, method, headers, client, count_unsent_bytes)
 
     # Indexes
 
-    def _source(self, repo: Repository, path: str, client: str) -> Source:
-        return Source(object_key(repo.name, path), repo.class_name, repo.group, client)
+    def _make_file_request(self, repo: Repository, path: str, client: str) -> FileRequest:
+        return FileRequest(object_key(repo.name, path), repo.class_name, repo.group, client)
 
-    def whole(
+    def read_whole(
         self, repo: Repository, path: str, client: str, digest: str = ""
     ) -> tuple[bytes, Assembly] | None:
-        """Read a file whole, of one tag; None if there is none. Its digest must hold, where one is given."""
-        source, tag = self._source(repo, path, client), ""
+        """Read a complete file whose parts all have one tag; return its bytes and the assembly.
+
+        Returns None if the file does not exist. Raises BrokenBodyError if the bytes do not match `digest`,
+        where one is given, or if the tag changed during each of three reads, and BadIndex if the file is
+        larger than `index_mb` allows.
+        """
+        file_request, tag = self._make_file_request(repo, path, client), ""
         for _ in range(3):
-            assembly, pieces, number = Assembly(PART, digest, tag=tag), list[bytes](), 0
+            assembly, body_chunks, number = Assembly(PART, digest, tag=tag), list[bytes](), 0
             try:
-                while not assembly.done:
-                    piece = self.fetcher.again(source, number, assembly.suits)
-                    if piece.tag == ABSENT:
+                while not assembly.is_complete:
+                    part = self.fetcher.fetch_with_repeats(file_request, number, assembly.has_same_tag)
+                    if part.tag == ABSENT:
                         return None
-                    if piece.tag != (assembly.tag or piece.tag):
-                        raise Restart(piece.tag)
-                    pieces += assembly.take(number, piece)
+                    if part.tag != (assembly.tag or part.tag):
+                        raise TagChangedError(part.tag)
+                    body_chunks += assembly.add_part(number, part)
                     number += 1
                     if number * PART > repo.index_bytes:
                         raise BadIndex(
                             f"{path}: over {repo.index_bytes} bytes, which is what index_mb allows"
                         )
-            except Restart as restart:
-                tag = restart.tag
+            except TagChangedError as changed:
+                tag = changed.tag
                 continue
-            self.proofs.put(source.key, assembly.tag, assembly.hash.hexdigest(), assembly.size)
-            return b"".join(pieces), assembly
-        raise Broken("two-releases")
-
-    def _learn(self, repo: Repository, path: str, client: str) -> Line | None:
-        """Read an index as it is now, with what belongs to it; None if there is none."""
-        got = self.whole(repo, path, client)
-        if got is None:
+            self.verified_bodies.put(
+                file_request.key, assembly.tag, assembly.hasher.hexdigest(), assembly.size
+            )
+            return b"".join(body_chunks), assembly
+        raise BrokenBodyError("two-releases")
+
+    def _refresh_index(self, repo: Repository, path: str, client: str) -> IndexHistory | None:
+        """Read the current index and its nested indexes, and record them; None if there is no index."""
+        result = self.read_whole(repo, path, client)
+        if result is None:
             return None
-        body, assembly = got
-        line, digest = repo.line(path), assembly.hash.hexdigest()
-        if digest in line.known:
-            line.saw(digest, line.known[digest].files, assembly.since_ms, body)
+        body, assembly = result
+        history, digest = repo.get_history(path), assembly.hasher.hexdigest()
+        if digest in history.generations:
+            history.record_index(digest, history.generations[digest].files, assembly.since_ms, body)
         else:
-            parsed = self._with_nested(repo, path, repo.kind.parse(path, body), client)
-            line.saw(digest, parsed.files, assembly.since_ms, body, parsed.optional)
-            for name in parsed.files:
-                repo.where.setdefault(name, set()).add(path)
-        self._prove(repo, line, client)
-        return line
-
-    def _with_nested(self, repo: Repository, path: str, parsed: Parsed, client: str) -> Parsed:
-        """Read the further indexes that an index names, each by its digest."""
-        files = dict(parsed.files)
-        for name in parsed.nested:
-            got = self.whole(repo, name, client, parsed.files[name].digest)
-            if got is None:
-                raise Broken("index-before-its-files")
-            files |= repo.kind.parse(name, got[0]).files
-        return Parsed(files, parsed.nested, parsed.optional)
-
-    def _prove(self, repo: Repository, line: Line, client: str) -> None:
-        """Look for the files that are new in the newest generation; it is served only once they are there."""
-        generation = line.to_look(now_ms())
+            parsed_index = self._read_nested(repo, path, repo.kind.parse(path, body), client)
+            history.record_index(digest, parsed_index.files, assembly.since_ms, body, parsed_index.optional)
+            for name in parsed_index.files:
+                repo.indexes_by_path.setdefault(name, set()).add(path)
+        self._check_files(repo, history, client)
+        return history
+
+    def _read_nested(
+        self, repo: Repository, path: str, parsed_index: ParsedIndex, client: str
+    ) -> ParsedIndex:
+        """Read the nested indexes, verify each against its digest, and return the index with their files."""
+        files = dict(parsed_index.files)
+        for name in parsed_index.nested:
+            result = self.read_whole(repo, name, client, parsed_index.files[name].digest)
+            if result is None:
+                raise BrokenBodyError("index-before-its-files")
+            files |= repo.kind.parse(name, result[0]).files
+        return ParsedIndex(files, parsed_index.nested, parsed_index.optional)
+
+    def _check_files(self, repo: Repository, history: IndexHistory, client: str) -> None:
+        """Check that the files that are new in the newest generation exist at the caches.
+
+        The generation is served only once they do. Of each file only the first part is fetched. Files beyond
+        the first MAX_FILES_CHECKED are assumed to exist.
+        """
+        generation = history.generation_to_check(now_ms())
         if generation is None:
             return
-        source = Source(0, repo.class_name, repo.group, client)
-        source.budget.parts = len(generation.wanted)
-        for path in sorted(generation.wanted)[PROVE_MOST:]:
-            line.found(generation.digest, path)
-        for path in sorted(generation.wanted):
-            source.key = object_key(repo.name, path)
-            piece = self.fetcher.one(source, 0)
-            named = generation.files[path]
-            proof = self.proofs.get(source.key, piece.tag)
-            if piece.tag == ABSENT or not _may_be(piece, named, proof.digest if proof else ""):
-                line.missing(generation.digest, now_ms())
+        file_request = FileRequest(0, repo.class_name, repo.group, client)
+        file_request.budget.parts = len(generation.pending_paths)
+        for path in sorted(generation.pending_paths)[MAX_FILES_CHECKED:]:
+            history.mark_found(generation.digest, path)
+        for path in sorted(generation.pending_paths):
+            file_request.key = object_key(repo.name, path)
+            part = self.fetcher.fetch(file_request, 0)
+            named_file = generation.files[path]
+            verified = self.verified_bodies.get(file_request.key, part.tag)
+            if part.tag == ABSENT or not _could_match(part, named_file, verified.digest if verified else ""):
+                history.mark_missing(generation.digest, now_ms())
                 return
-            line.found(generation.digest, path)
+            history.mark_found(generation.digest, path)
 
-    def _index(
+    def _answer_index(
         self, repo: Repository, path: str, method: str, headers: Mapping[str, str], client: str
     ) -> Reply:
-        line = self._learn(repo, path, client)
-        if line is None:
-            return refusal(404, "not-found", "there is no such index")
+        history = self._refresh_index(repo, path, client)
+        if history is None:
+            return make_refusal(404, "not-found", "there is no such index")
         key, now = object_key(repo.name, path), now_ms()
-        generation = line.serve(client, now)
-        purged = self.purges.last(key, repo.group)
-        if generation is None or (generation.since_ms <= purged and now - purged > GRACE_MS):
-            return refusal(503, "release-not-whole", "a release is being published; come back", 1.0)
-        if generation.digest != line.newest and now - purged <= GRACE_MS:
-            logger.info("{}: the release before is given, the newest is not whole", path)
-        known = Validators(generation.digest, int(generation.since_ms))
-        return _plain(repo.kind.content_type(path, generation.body), generation.body, known, method, headers)
-
-    def _listing(
+        generation = history.serve(client, now)
+        purged_ms = self.purges.last(key, repo.group)
+        if generation is None or (generation.since_ms <= purged_ms and now - purged_ms > PURGE_GRACE_MS):
+            return make_refusal(503, "release-not-whole", "a release is being published; come back", 1.0)
+        if generation.digest != history.newest_digest and now - purged_ms <= PURGE_GRACE_MS:
+            logger.info("{}: serving the previous release because files of the newest one are missing", path)
+        validators = Validators(generation.digest, int(generation.since_ms))
+        return _answer_from_memory(
+            repo.kind.content_type(path, generation.body), generation.body, validators, method, headers
+        )
+
+    def _answer_listing(
         self, repo: Repository, path: str, method: str, headers: Mapping[str, str], client: str
     ) -> Reply:
-        got = self.whole(repo, path, client)
-        if got is None:
-            return refusal(404, "not-found", "there is no such list")
-        body, assembly = got
-        known = Validators(assembly.hash.hexdigest(), assembly.since_ms)
-        return _plain(repo.kind.content_type(path, body), body, known, method, headers)
+        result = self.read_whole(repo, path, client)
+        if result is None:
+            return make_refusal(404, "not-found", "there is no such list")
+        body, assembly = result
+        validators = Validators(assembly.hasher.hexdigest(), assembly.since_ms)
+        return _answer_from_memory(repo.kind.content_type(path, body), body, validators, method, headers)
 
     # Files
 
-    def _permitted(self, repo: Repository, path: str, client: str) -> list[NamedFile]:
-        """Give what a file may be for a client, by each index that names it.
+    def _permitted_files(self, repo: Repository, path: str, client: str) -> list[NamedFile]:
+        """Return the distinct versions of a file that the client may get, by the indexes that name it.
 
-        One is read where none is known.
+        Where no known index names the path, the indexes that its path suggests are read first.
         """
-        if path not in repo.where:
-            for root in repo.kind.roots_for(path):
-                line = self._learn(repo, root, client)
-                if line:
-                    line.serve(client, now_ms())
-        named: list[NamedFile] = []
-        for root in sorted(repo.where.get(path, ())):
-            each = repo.lines[root].permitted(client, path, now_ms())
-            if each and each not in named:
-                named.append(each)
-        return named
-
-    def _file(
+        if path not in repo.indexes_by_path:
+            for index in repo.kind.index_paths_for(path):
+                history = self._refresh_index(repo, index, client)
+                if history:
+                    history.serve(client, now_ms())
+        named_files: list[NamedFile] = []
+        for index in sorted(repo.indexes_by_path.get(path, ())):
+            version = repo.lines[index].permitted_file(client, path, now_ms())
+            if version and version not in named_files:
+                named_files.append(version)
+        return named_files
+
+    def _answer_file(
         self,
         repo: Repository,
         path: str,
         method: str,
         headers: Mapping[str, str],
         client: str,
-        waiting: Callable[[], int],
+        count_unsent_bytes: Callable[[], int],
     ) -> Reply:
-        permitted = self._permitted(repo, path, client)
-        if not permitted:
-            roots = repo.where.get(path, set())
-            if any(repo.lines[root].outdated(client, now_ms()) for root in roots):
-                return refusal(404, "index-outdated", "your index is of an older release; ask for it again")
-            return refusal(404, "not-found", "no index that was given to you names this file")
-        source = self._source(repo, path, client)
-        first = self.fetcher.again(source, 0, lambda piece: self._suits(source.key, piece, permitted))
-        if first.tag == ABSENT:
-            return refusal(404, "not-there", "the index names it, but it is not there")
-        proof = self.proofs.get(source.key, first.tag)
-        named = next((n for n in permitted if not proof or n.digest in ("", proof.digest)), None)
-        if named is None:
-            return refusal(503, "other-release", "a release is being published; come back", 1.0)
-        digest = proof.digest if proof else named.digest
-        known = Validators(digest, first.since_ms, first.tag)
-        kind = repo.kind.content_type(path, b"")
-        common = [("Content-Type", kind), ("Accept-Ranges", "bytes")]
+        permitted_files = self._permitted_files(repo, path, client)
+        if not permitted_files:
+            indexes = repo.indexes_by_path.get(path, set())
+            if any(repo.lines[index].is_outdated(client, now_ms()) for index in indexes):
+                return make_refusal(
+                    404, "index-outdated", "your index is of an older release; ask for it again"
+                )
+            return make_refusal(404, "not-found", "no index that was given to you names this file")
+        file_request = self._make_file_request(repo, path, client)
+        first_part = self.fetcher.fetch_with_repeats(
+            file_request, 0, lambda part: self._is_acceptable(file_request.key, part, permitted_files)
+        )
+        if first_part.tag == ABSENT:
+            return make_refusal(404, "not-there", "the index names it, but it is not there")
+        verified = self.verified_bodies.get(file_request.key, first_part.tag)
+        named_file = next(
+            (n for n in permitted_files if not verified or n.digest in ("", verified.digest)), None
+        )
+        if named_file is None:
+            return make_refusal(503, "other-release", "a release is being published; come back", 1.0)
+        digest = verified.digest if verified else named_file.digest
+        validators = Validators(digest, first_part.since_ms, first_part.tag)
+        content_type = repo.kind.content_type(path, b"")
+        common_headers = [("Content-Type", content_type), ("Accept-Ranges", "bytes")]
         if digest:
-            common += [("ETag", known.etag), ("Last-Modified", known.last_modified)]
-            verdict = status(method, headers, known)
-            if verdict == 304:
-                return Reply(304, common, reason="not-modified")
-            if verdict == 412:
-                return refusal(412, "precondition")
-        ranged = digest and method == "GET" and "range" in headers and range_applies(headers, known)
-        if ranged and proof is None:
-            proof = self._read_through(source, first, named)
-        size = proof.size if proof else named.size
-        if ranged and proof:
-            return self._ranges(source, first.tag, proof.size, headers["range"], common, waiting)
-        whole = None if size < 0 else size
+            common_headers += [("ETag", validators.etag), ("Last-Modified", validators.last_modified)]
+            condition_status = status(method, headers, validators)
+            if condition_status == 304:
+                return Reply(304, common_headers, reason="not-modified")
+            if condition_status == 412:
+                return make_refusal(412, "precondition")
+        is_range = digest and method == "GET" and "range" in headers and range_applies(headers, validators)
+        if is_range and verified is None:
+            verified = self._verify_file(file_request, first_part, named_file)
+        size = verified.size if verified else named_file.size
+        if is_range and verified:
+            return self._answer_ranges(
+                file_request,
+                first_part.tag,
+                verified.size,
+                headers["range"],
+                common_headers,
+                count_unsent_bytes,
+            )
+        length = None if size < 0 else size
         if method == "HEAD":
-            return Reply(200, common, iter(()), whole, "head")
+            return Reply(200, common_headers, iter(()), length, "head")
         assembly = Assembly(PART, digest, size)
-        return Reply(200, common, self._stream(source, first, assembly, waiting), whole, "whole")
+        return Reply(
+            200,
+            common_headers,
+            self._stream_body(file_request, first_part, assembly, count_unsent_bytes),
+            length,
+            "whole",
+        )
 
-    def _suits(self, key: int, piece: Piece, permitted: list[NamedFile]) -> bool:
-        """Tell whether a first part can be of a permitted release; others are asked for again for a while."""
-        proof = self.proofs.get(key, piece.tag)
-        if piece.tag == ABSENT:
+    def _is_acceptable(self, key: int, part: Part, permitted_files: list[NamedFile]) -> bool:
+        """Return whether a first part can belong to a permitted release; if not, the fetch is repeated."""
+        verified = self.verified_bodies.get(key, part.tag)
+        if part.tag == ABSENT:
             return False
-        return any(_may_be(piece, named, proof.digest if proof else "") for named in permitted)
+        return any(
+            _could_match(part, named_file, verified.digest if verified else "")
+            for named_file in permitted_files
+        )
 
-    def _read_through(self, source: Source, first: Piece, named: NamedFile) -> Proven:
-        """Read a file once for its digest; nothing of it is sent or held."""
-        assembly = Assembly(PART, named.digest, named.size)
-        for _ in self._stream(source, first, assembly, lambda: 0):
+    def _verify_file(
+        self, file_request: FileRequest, first_part: Part, named_file: NamedFile
+    ) -> VerifiedBody:
+        """Read a complete file to verify its digest, without sending or keeping its bytes."""
+        assembly = Assembly(PART, named_file.digest, named_file.size)
+        for _ in self._stream_body(file_request, first_part, assembly, lambda: 0):
             pass
-        proof = self.proofs.get(source.key, assembly.tag)
-        assert proof
-        return proof
+        verified = self.verified_bodies.get(file_request.key, assembly.tag)
+        assert verified
+        return verified
 
-    def _stream(
-        self, source: Source, first: Piece, assembly: Assembly, waiting: Callable[[], int]
+    def _stream_body(
+        self,
+        file_request: FileRequest,
+        first_part: Part,
+        assembly: Assembly,
+        count_unsent_bytes: Callable[[], int],
     ) -> Iterator[bytes]:
-        """Give a whole body as its parts come; Broken if it can't be ended well."""
-        yield from assembly.take(0, first)
-        if not assembly.done:
-            last = -(-assembly.size // PART) if assembly.size >= 0 else 1 << 16
-            known = last if assembly.size >= 0 else -1
-            parts = self.fetcher.ordered(source, iter(range(1, last)), waiting, assembly.suits, known)
-            for number, piece in parts:
-                yield from assembly.take(number, piece)
-                if assembly.done:
+        """Yield a complete body as its parts arrive; raise BrokenBodyError if it cannot be completed."""
+        yield from assembly.add_part(0, first_part)
+        if not assembly.is_complete:
+            part_limit = -(-assembly.size // PART) if assembly.size >= 0 else 1 << 16
+            part_count = part_limit if assembly.size >= 0 else -1
+            parts = self.fetcher.fetch_in_order(
+                file_request,
+                iter(range(1, part_limit)),
+                count_unsent_bytes,
+                assembly.has_same_tag,
+                part_count,
+            )
+            for number, part in parts:
+                yield from assembly.add_part(number, part)
+                if assembly.is_complete:
                     break
-        if not assembly.done:
-            raise Broken("cut-short")
-        self.proofs.put(source.key, assembly.tag, assembly.hash.hexdigest(), assembly.size)
+        if not assembly.is_complete:
+            raise BrokenBodyError("cut-short")
+        self.verified_bodies.put(file_request.key, assembly.tag, assembly.hasher.hexdigest(), assembly.size)
 
-    def _ranges(
+    def _answer_ranges(
         self,
-        source: Source,
+        file_request: FileRequest,
         tag: str,
         size: int,
         header: str,
-        common: list[tuple[str, str]],
-        waiting: Callable[[], int],
+        common_headers: list[tuple[str, str]],
+        count_unsent_bytes: Callable[[], int],
     ) -> Reply:
         try:
             spans = read_ranges(header, size)
         except Unsatisfiable:
-            return refusal(
+            return make_refusal(
                 416, "range", "no byte of this file is in that range", Content_Range=f"bytes */{size}"
             )
         if spans is None:
             spans = [Span(0, size)]
-            return Reply(200, common, self._spans(source, tag, size, spans, waiting), size, "whole")
+            return Reply(
+                200,
+                common_headers,
+                self._stream_spans(file_request, tag, size, spans, count_unsent_bytes),
+                size,
+                "whole",
+            )
         if len(spans) == 1:
-            fields = [*common, ("Content-Range", spans[0].content_range(size))]
-            return Reply(206, fields, self._spans(source, tag, size, spans, waiting), spans[0].size, "range")
-        boundary = hashlib.sha256(f"{source.key}{header}".encode()).hexdigest()[:24]
-        inner = next(value for name, value in common if name == "Content-Type")
-        heads = [
-            f"\r\n--{boundary}\r\nContent-Type: {inner}\r\n"
+            reply_headers = [*common_headers, ("Content-Range", spans[0].content_range(size))]
+            return Reply(
+                206,
+                reply_headers,
+                self._stream_spans(file_request, tag, size, spans, count_unsent_bytes),
+                spans[0].size,
+                "range",
+            )
+        boundary = hashlib.sha256(f"{file_request.key}{header}".encode()).hexdigest()[:24]
+        content_type = next(value for name, value in common_headers if name == "Content-Type")
+        part_headers = [
+            f"\r\n--{boundary}\r\nContent-Type: {content_type}\r\n"
             f"Content-Range: {span.content_range(size)}\r\n\r\n".encode()
             for span in spans
         ]
-        end = f"\r\n--{boundary}--\r\n".encode()
-        total = sum(len(head) + span.size for head, span in zip(heads, spans, strict=True)) + len(end)
-        fields = [("Content-Type", f"multipart/byteranges; boundary={boundary}")]
-        fields += [(name, value) for name, value in common if name != "Content-Type"]
+        closing_boundary = f"\r\n--{boundary}--\r\n".encode()
+        total_bytes = sum(
+            len(part_header) + span.size for part_header, span in zip(part_headers, spans, strict=True)
+        ) + len(closing_boundary)
+        reply_headers = [("Content-Type", f"multipart/byteranges; boundary={boundary}")]
+        reply_headers += [(name, value) for name, value in common_headers if name != "Content-Type"]
 
         def body() -> Iterator[bytes]:
-            for head, span in zip(heads, spans, strict=True):
-                yield head
-                yield from self._spans(source, tag, size, [span], waiting)
-            yield end
+            for part_header, span in zip(part_headers, spans, strict=True):
+                yield part_header
+                yield from self._stream_spans(file_request, tag, size, [span], count_unsent_bytes)
+            yield closing_boundary
 
-        return Reply(206, fields, body(), total, "ranges")
+        return Reply(206, reply_headers, body(), total_bytes, "ranges")
 
-    def _spans(
-        self, source: Source, tag: str, size: int, spans: list[Span], waiting: Callable[[], int]
+    def _stream_spans(
+        self,
+        file_request: FileRequest,
+        tag: str,
+        size: int,
+        spans: list[Span],
+        count_unsent_bytes: Callable[[], int],
     ) -> Iterator[bytes]:
-        """Give stretches of a proven tag; Broken where a part of another tag came."""
+        """Yield the bytes of `spans` of a verified tag; raise BrokenBodyError if a part has another tag."""
         for span in spans:
-            slices = {number: (begin, end) for number, begin, end in parts_of(span, PART)}
-            parts = self.fetcher.ordered(source, iter(slices), waiting, lambda piece: piece.tag == tag)
-            for number, piece in parts:
+            slices = {number: (begin, end) for number, begin, end in split_into_parts(span, PART)}
+            parts = self.fetcher.fetch_in_order(
+                file_request, iter(slices), count_unsent_bytes, lambda part: part.tag == tag
+            )
+            for number, part in parts:
                 begin, end = slices[number]
-                if piece.tag != tag or len(piece.data) != min(PART, size - number * PART):
-                    raise Broken("two-releases")
-                yield piece.data[begin:end]
-
-
-def _may_be(piece: Piece, named: NamedFile, proven: str) -> bool:
-    """Tell whether a file's first part can be of what an index names."""
-    if proven:
-        return named.digest in ("", proven)
-    if len(piece.data) < PART:  # it is all there is
-        whole = named.size in (-1, len(piece.data))
-        return whole and named.digest in ("", hashlib.sha256(piece.data).hexdigest())
-    return named.size < 0 or named.size >= PART
-
-
-def _plain(kind: str, body: bytes, known: Validators, method: str, headers: Mapping[str, str]) -> Reply:
-    """Answer with a body that is in memory."""
-    common = [
-        ("Content-Type", kind), ("ETag", known.etag), ("Last-Modified", known.last_modified),
-        ("Accept-Ranges", "bytes"), ("Cache-Control", "no-cache"),
+                if part.tag != tag or len(part.data) != min(PART, size - number * PART):
+                    raise BrokenBodyError("two-releases")
+                yield part.data[begin:end]
+
+
+def _could_match(part: Part, named_file: NamedFile, verified_digest: str) -> bool:
+    """Return whether a file's first part can belong to the file that an index names.
+
+    `verified_digest` is the digest already established for the part's tag, "" if there is none. Without one,
+    a digest can be compared only if the first part is the complete file.
+    """
+    if verified_digest:
+        return named_file.digest in ("", verified_digest)
+    if len(part.data) < PART:
+        has_named_size = named_file.size in (-1, len(part.data))
+        return has_named_size and named_file.digest in ("", hashlib.sha256(part.data).hexdigest())
+    return named_file.size < 0 or named_file.size >= PART
+
+
+def _answer_from_memory(
+    content_type: str, body: bytes, validators: Validators, method: str, headers: Mapping[str, str]
+) -> Reply:
+    """Return the response for a body that is in memory: 200, 206, 304, 412 or 416."""
+    common_headers = [
+        ("Content-Type", content_type), ("ETag", validators.etag),
+        ("Last-Modified", validators.last_modified), ("Accept-Ranges", "bytes"),
+        ("Cache-Control", "no-cache"),
     ]  # fmt: skip
-    verdict = status(method, headers, known)
-    if verdict == 304:
-        return Reply(304, common, reason="not-modified")
-    if verdict == 412:
-        return refusal(412, "precondition")
-    if method == "GET" and "range" in headers and range_applies(headers, known):
+    condition_status = status(method, headers, validators)
+    if condition_status == 304:
+        return Reply(304, common_headers, reason="not-modified")
+    if condition_status == 412:
+        return make_refusal(412, "precondition")
+    if method == "GET" and "range" in headers and range_applies(headers, validators):
         try:
             spans = read_ranges(headers["range"], len(body))
         except Unsatisfiable:
-            return refusal(416, "range", "outside", Content_Range=f"bytes */{len(body)}")
+            return make_refusal(416, "range", "outside", Content_Range=f"bytes */{len(body)}")
         if spans and len(spans) == 1:
             part = body[spans[0].first : spans[0].end]
-            fields = [*common, ("Content-Range", spans[0].content_range(len(body)))]
-            return Reply(206, fields, iter((part,)), len(part), "range")
-    return Reply(200, common, iter((body,)) if method == "GET" else iter(()), len(body), "index")
+            reply_headers = [*common_headers, ("Content-Range", spans[0].content_range(len(body)))]
+            return Reply(206, reply_headers, iter((part,)), len(part), "range")
+    return Reply(200, common_headers, iter((body,)) if method == "GET" else iter(()), len(body), "index")
