--- a/hitchtiller/store/tier.py
+++ b/hitchtiller/store/tier.py
@@ -1,8 +1,8 @@
-"""Where the tiers meet the engine: a request is looked up, joined or let through; answers are kept.
+"""Connect the memory and disk tiers to the engine: serve, join or pass on requests; store answers.
 
-The engine asks; this answers by way of the exchange like anybody, and gives all else to the decisions. Costs
-for a request: one fingerprint, two look-ups and one sketch update, about 20 us. Deciding is done by `plan`,
-`join`, `pace` and the admission policies; this carries it out.
+Implements the engine's `Copies` interface. A request that is not answered here goes to the decision module.
+The cost per request is one fingerprint, two look-ups and one sketch update, about 20 us. The decisions are
+made in `plan`, `join`, `pace` and the admission policies; this module carries them out.
 """
 
 import math
@@ -24,12 +24,12 @@
 from hitchtiller.store.sketch import Sketch
 from hitchtiller.store.suspect import Proof
 
-UNDER_WAY_MS = 60_000.0  # by then no copy from before a purge comes from anywhere
-DISK_COUNT = 1  # sightings before this one, from which on a part is written to disk
+UNDER_WAY_MS = 60_000.0  # no copy from before a purge is delivered later than this after it
+DISK_COUNT = 1  # earlier requests for a part from which on it is written to disk
 
 
 class Tier:
-    """The engine's `Copies`."""
+    """The engine's `Copies`: the memory tier, and the disk tier while its folder is open."""
 
     def __init__(
         self,
@@ -40,7 +40,7 @@
         confirm: bool = True,
         steady: Callable[[], float] = steady_ms,
     ) -> None:
-        """Serve from memory; a disk may come later, and may go."""
+        """Start with the memory tier alone; a disk tier can be attached and detached later."""
         self.engine, self.memory, self.proof, self.pace, self.steady = engine, memory, proof, pace, steady
         self.confirms = confirm
         self.purges = Purges()
@@ -50,17 +50,21 @@
         self.disk: Disk | None = None
         self.held: dict[
             int, Copy
-        ] = {}  # by request: a copy that may be confirmed, or serve where nothing else does
+            # by request number: a copy to be confirmed by a server, or to be served if nothing else succeeds
+        ] = {}
         self.hits = {"memory": 0, "disk": 0, "joined": 0, "stale": 0}
         self.confirmed = self.refuted = self.misses = self.slow_link = 0
         self.epoch = proof.epoch
         engine.copies = self
         self._publish()
 
-    # What the engine asks
+    # Calls from the engine
 
     def take(self, exchange: Exchange) -> bool:
-        """Look a request up."""
+        """Serve a request from a copy, make it wait for a fill, or read it from disk.
+
+        Return whether the request was taken over; if not, the engine sends it to a server.
+        """
         ask, now = exchange.request, self.engine.clock.now_ms()
         if not self.plan.keeps(ask.class_name) or ask.dedupe or ask.body:
             return False
@@ -85,18 +89,18 @@
         return self._read(exchange, mark)
 
     def may_send(self, exchange: Exchange) -> bool:
-        """Keep the attempts of a flight within the class's limit."""
+        """Return whether an attempt may be sent under the limit that one fill's leaders share."""
         return self.joins.may_send(exchange.number)
 
     def cap(self, exchange: Exchange, cap_ms: float, now_ms: float) -> float:
-        """What confirms a suspect must be from after the gap."""
+        """Return the age limit for an attempt: what confirms a suspect copy must date from after the gap."""
         copy = self.held.get(exchange.number)
         if not exchange.confirm_tag or copy is None or copy.part.epoch == self.proof.epoch:
             return cap_ms
         return self.plan.cap_ms(now_ms, cap_ms)
 
     def on_result(self, attempt: Attempt, ending: AttemptResult) -> AttemptResult:
-        """Keep what came; give a confirmed copy's bytes to a client that has none."""
+        """Store the received part, and add the body of a confirmed copy for a client that holds none."""
         exchange, now = attempt.exchange, self.engine.clock.now_ms()
         self.check_clock(now)
         if ending.unchanged:
@@ -111,7 +115,7 @@
         return ending
 
     def _kept_on(self, exchange: Exchange, ending: AttemptResult, now: float) -> AttemptResult:
-        """Take KEEP: the client's copy holds, or ours, or both."""
+        """Handle a KEEP answer, which confirms the client's copy, this gateway's copy, or both."""
         copy, ask = self.held.pop(exchange.number, None), exchange.request
         ours = copy is not None and copy.part.tag == ending.tag
         if copy and ours and self.proof.confirms(ending.since_ms, now):
@@ -126,14 +130,15 @@
                     return AttemptResult("done", copy.body, False, ending.tag, ending.load, ending.since_ms)
         if ask.client_tag:
             return ending
-        # guards against serving what was not confirmed: no bytes came, and ours are not proven
+        # Prevents serving an unconfirmed copy: the answer has no body, and the gateway's own copy is not
+        # proven.
         self.refuted += 1
         exchange.confirm_tag = ""
         self._forget(fingerprint(ask.key, ask.part))
         return AttemptResult("err", load=ending.load)
 
     def fallback(self, exchange: Exchange, answer: Answer) -> Answer:
-        """Serve a copy within its grace rather than a refusal or a failure."""
+        """Return a copy within its grace time in place of a refusal or a failure, if there is one."""
         copy = self.held.get(exchange.number)
         if copy is None or self.plan.judge(copy.part, self.engine.clock.now_ms()) not in (
             State.FRESH,
@@ -144,7 +149,7 @@
         return self._answer(exchange, copy)
 
     def over(self, exchange: Exchange, answer: Answer | None) -> None:
-        """End what waits for a request, one way or another."""
+        """Finish the fill that a request led, and pass its outcome on to the requests that waited for it."""
         number = exchange.number
         self.held.pop(number, None)
         self.joins.leave(number)
@@ -163,10 +168,11 @@
                 self._then(then, other, None, False, answer)
 
     def purged(self, ban: PurgeNotice) -> None:
-        """Put a purge in force at once, and make it durable."""
+        """Apply a purge at once, and write it to the purge log."""
         if self.purges.crowded:
             disk = self.disk.space.oldest_ms() if self.disk else math.inf
-            # what is under way may be as old as what a cache holds, and caches drop theirs within seconds
+            # Answers still on their way may be as old as what a cache holds; caches apply a purge within
+            # seconds.
             under_way = self.engine.clock.now_ms() - UNDER_WAY_MS
             self.purges.forget(min(disk, self.memory.oldest_ms(), under_way))
         if self.disk:
@@ -174,35 +180,35 @@
         else:
             self.purges.add(ban.key, ban.group, ban.at_ms)
 
-    # News
+    # News from the event bus
 
     def on_caught_up(self) -> None:
-        """Hear from the bus that there is nothing more to tell."""
+        """Handle the notice that every event so far has been received from the bus."""
         now = self.engine.clock.now_ms()
         if not self.proof.begun:
             self.proof.begin(now, self.steady())
-            self._new_era("the bus is followed")
+            self._new_era("the event bus is followed")
         self.check_clock(now)
         self.proof.follow(now)
         if self.disk:
             self.disk.mark_followed()
 
     def check_clock(self, now: float) -> None:
-        """Notice a step of the wall clock before any age is judged."""
+        """Detect a step of the wall clock; called before the age of any copy is judged."""
         if self.proof.stepped(now, self.steady()):
-            self._new_era("the clock stepped")
+            self._new_era("the wall clock stepped")
 
     def _new_era(self, why: str) -> None:
         if self.proof.epoch != self.epoch:
             self.epoch = self.proof.epoch
-            logger.warning("copies from before are suspect, era {}: {}", self.epoch, why)
+            logger.warning("copies stored earlier are suspect, era {}: {}", self.epoch, why)
             if self.disk:
                 self.disk.mark_epoch()
 
     def attach(self, disk: Disk) -> None:
-        """Take a folder's parts into use, with the purges it knows.
+        """Start using the parts of an opened folder, together with the purges in its log.
 
-        Purges told meanwhile are written to it.
+        Purges received while the folder was not open are written to its log.
         """
         mine, theirs = self.purges, disk.purges
         theirs.raise_floor(mine.floor)
@@ -215,17 +221,22 @@
         if self.proof.adopt(disk.log.kept, self.engine.clock.now_ms()):
             disk.mark_epoch()
         if self.proof.epoch != self.epoch:
-            logger.info("era {}, the folder's was {}", self.proof.epoch, disk.log.kept.epoch)
+            logger.info(
+                "now in era {}; the era of the store folder was {}", self.proof.epoch, disk.log.kept.epoch
+            )
             self.epoch = self.proof.epoch
 
     def detach(self) -> None:
-        """Go on with memory alone."""
+        """Stop using the disk tier; the memory tier goes on alone."""
         self.disk = None
 
-    # Moves
+    # Internal steps
 
     def _hold(self, exchange: Exchange, copy: Copy, state: State, mark: int) -> None:
-        """Remember a copy that can't be served as it is; forget a dead one that a purge forbids."""
+        """Record a copy that can't be served as it is, or drop it if a purge forbids it.
+
+        A recorded copy may be confirmed by a server, or be served if no server can answer.
+        """
         part = copy.part
         if not self.purges.allows(part.key, part.group, part.since_ms):
             self._forget(mark)
@@ -240,7 +251,7 @@
         return Answer(SERVED, b"" if known else copy.body, known, tag, since_ms=copy.part.since_ms)
 
     def _serve(self, exchange: Exchange, copy: Copy, tier: str, unchanged: bool = False) -> bool:
-        """Answer from a copy when the link comes to it; False if that would be too late."""
+        """Answer from a copy as soon as the link is free; return False if that would be too late."""
         now, answer = self.engine.clock.now_ms(), self._answer(exchange, copy, unchanged)
         size = int(len(copy.body) * KNOWN_SHARE) if answer.unchanged else len(copy.body)
         if not self.pace.fits(
@@ -257,7 +268,7 @@
         return True
 
     def _late(self, exchange: Exchange, copy: Copy, answer: Answer) -> None:
-        """Answer after waiting for the link, unless a purge came meanwhile."""
+        """Send an answer that waited for the link, unless its copy is no longer fresh, as after a purge."""
         if exchange.over:
             return
         if self.plan.judge(copy.part, self.engine.clock.now_ms()) is State.FRESH:
@@ -266,7 +277,7 @@
             self.engine.decide(exchange)
 
     def _read(self, exchange: Exchange, mark: int) -> bool:
-        """Read a leader's part from disk, if it may be there."""
+        """Start reading the part of a fill's leader from disk; return False if the disk can't serve it."""
         ask, disk = exchange.request, self.disk
         if disk is None or exchange.number in self.held or mark not in disk:
             return False
@@ -277,7 +288,7 @@
         return True
 
     def _read_back(self, exchange: Exchange, part: Part | None, body: bytes) -> None:
-        """Take what the disk gave: into memory, and to the client if it may be."""
+        """Handle the result of a disk read: store it in memory, and answer the client if it may be served."""
         now = self.engine.clock.now_ms()
         if part and self.plan.fits(part, exchange.request):
             copy, state = Copy(part, body), self.plan.judge(part, now)
@@ -290,16 +301,16 @@
         self.engine.decide(exchange)
 
     def _keep(self, part: Part, body: bytes) -> None:
-        """Keep a part in memory and, if it was asked for before, on disk."""
+        """Store a part in memory and, if it was requested before, on disk."""
         self.memory.put(part.class_name, part, body)
         mark = fingerprint(part.key, part.part)
         if self.disk and mark in self.disk:
-            self.disk.put(part, body)  # what is there is older
+            self.disk.put(part, body)  # the stored record is older
         else:
             self._write(part, body, mark)
 
     def _write(self, part: Part, body: bytes, mark: int) -> None:
-        """Write a copy to disk if it is not there and was asked for before."""
+        """Write a copy to disk if it is not there and the part was requested before."""
         disk = self.disk
         if disk is None or not disk.health.writes or mark in disk or mark in disk.pending:
             return
@@ -318,11 +329,12 @@
     def _then(
         self, then: Then, number: int, copy: Copy | None, unchanged: bool, answer: Answer | None
     ) -> None:
-        """Carry out what comes next for one that waited."""
+        """Carry out the next step of a request that waited for a fill."""
         exchange = self.engine.open.get(number)
         if exchange is None or exchange.over:
             return
-        # guards the waiter's own age bound: the answer may have been young enough only when the leader asked
+        # Enforces the waiter's own age limit: the answer may have been young enough only when the leader
+        # asked.
         good = copy is not None and self.plan.judge(copy.part, self.engine.clock.now_ms()) is State.FRESH
         if then is Then.SERVE and copy and good and self._serve(exchange, copy, "joined", unchanged):
             return
@@ -336,7 +348,7 @@
             self.engine.decide(exchange)
 
     def _publish(self) -> None:
-        """Put the figures where operators read them."""
+        """Register the statistics that operators read."""
         stats = self.engine.stats
         for tier in self.hits:
             stats.counts[f"store.hits.{tier}"] = partial(self.hits.__getitem__, tier)
