--- a/hitchtiller/store/tier.py
+++ b/hitchtiller/store/tier.py
@@ -48,10 +48,8 @@
         self.joins = Joins(engine.router.settings.max_attempts)
         self.sketch = Sketch(1 << 16)
         self.disk: Disk | None = None
-        self.held: dict[
-            int, Copy
-            # by request number: a copy to be confirmed by a server, or to be served if nothing else succeeds
-        ] = {}
+        # By request number: a copy to be confirmed by a server, or to be served if no server can answer.
+        self.held: dict[int, Copy] = {}
         self.hits = {"memory": 0, "disk": 0, "joined": 0, "stale": 0}
         self.confirmed = self.refuted = self.misses = self.slow_link = 0
         self.epoch = proof.epoch
