--- a/hitchtiller/store/tier.py
+++ b/hitchtiller/store/tier.py
@@ -49,7 +49,7 @@
         self.sketch = Sketch(1 << 16)
         self.disk: Disk | None = None
         # By request number: a copy to be confirmed by a server, or to be served if no server can answer.
-        self.held: dict[int, Copy] = {}
+        self.fallback_copies: dict[int, Copy] = {}
         self.hits = {"memory": 0, "disk": 0, "joined": 0, "stale": 0}
         self.confirmed = self.refuted = self.misses = self.slow_link = 0
         self.epoch = proof.epoch
@@ -63,28 +63,30 @@
 
         Return whether the request was taken over; if not, the engine sends it to a server.
         """
-        ask, now = exchange.request, self.engine.clock.now_ms()
-        if not self.plan.keeps(ask.class_name) or ask.dedupe or ask.body:
+        request, now_ms = exchange.request, self.engine.clock.now_ms()
+        if not self.plan.keeps(request.class_name) or request.dedupe or request.body:
             return False
-        self.check_clock(now)
-        mark = fingerprint(ask.key, ask.part)
+        self.check_clock(now_ms)
+        mark = fingerprint(request.key, request.part)
         self.sketch.add(mark)
-        copy = self.memory.get(ask.key, ask.part)
-        if copy and self.plan.fits(copy.part, ask):
-            state = self.plan.judge(copy.part, now)
+        copy = self.memory.get(request.key, request.part)
+        if copy and self.plan.fits(copy.part, request):
+            state = self.plan.judge(copy.part, now_ms)
             if state is State.FRESH:
-                self._write(copy.part, copy.body, mark)
+                self._write_to_disk(copy.part, copy.body, mark)
                 return self._serve(exchange, copy, "memory")
-            self._hold(exchange, copy, state, mark)
+            self._record_fallback(exchange, copy, state, mark)
         else:
-            self.memory.missed(ask.class_name, mark)
-        if self.joins.join(exchange.number, mark, ask.client_tag, self.purges.last(ask.key, ask.group)):
-            wait = self.plan.patience_ms(ask, now)
-            self.engine.clock.later(wait, partial(self._impatient, exchange))
+            self.memory.missed(request.class_name, mark)
+        if self.joins.join(
+            exchange.number, mark, request.client_tag, self.purges.last(request.key, request.group)
+        ):
+            wait_ms = self.plan.patience_ms(request, now_ms)
+            self.engine.clock.later(wait_ms, partial(self._on_join_timeout, exchange))
             return True
         self.misses += 1
-        self.joins.lead(exchange.number, mark, ask.client_tag)
-        return self._read(exchange, mark)
+        self.joins.lead(exchange.number, mark, request.client_tag)
+        return self._start_disk_read(exchange, mark)
 
     def may_send(self, exchange: Exchange) -> bool:
         """Return whether an attempt may be sent under the limit that one fill's leaders share."""
@@ -92,52 +94,52 @@
 
     def cap(self, exchange: Exchange, cap_ms: float, now_ms: float) -> float:
         """Return the age limit for an attempt: what confirms a suspect copy must date from after the gap."""
-        copy = self.held.get(exchange.number)
+        copy = self.fallback_copies.get(exchange.number)
         if not exchange.confirm_tag or copy is None or copy.part.epoch == self.proof.epoch:
             return cap_ms
         return self.plan.cap_ms(now_ms, cap_ms)
 
-    def on_result(self, attempt: Attempt, ending: AttemptResult) -> AttemptResult:
+    def on_result(self, attempt: Attempt, result: AttemptResult) -> AttemptResult:
         """Store the received part, and add the body of a confirmed copy for a client that holds none."""
-        exchange, now = attempt.exchange, self.engine.clock.now_ms()
-        self.check_clock(now)
-        if ending.unchanged:
-            return self._kept_on(exchange, ending, now)
-        held = self.held.pop(exchange.number, None)
-        part = self.plan.keep(exchange.request, ending, now)
-        if held and held.part.tag != ending.tag:
-            self.refuted += held.part.epoch != self.proof.epoch
-            self._forget(fingerprint(held.part.key, held.part.part))
+        exchange, now_ms = attempt.exchange, self.engine.clock.now_ms()
+        self.check_clock(now_ms)
+        if result.unchanged:
+            return self._on_unchanged(exchange, result, now_ms)
+        old_copy = self.fallback_copies.pop(exchange.number, None)
+        part = self.plan.keep(exchange.request, result, now_ms)
+        if old_copy and old_copy.part.tag != result.tag:
+            self.refuted += old_copy.part.epoch != self.proof.epoch
+            self._drop(fingerprint(old_copy.part.key, old_copy.part.part))
         if part:
-            self._keep(part, ending.body)
-        return ending
+            self._store(part, result.body)
+        return result
 
-    def _kept_on(self, exchange: Exchange, ending: AttemptResult, now: float) -> AttemptResult:
+    def _on_unchanged(self, exchange: Exchange, result: AttemptResult, now_ms: float) -> AttemptResult:
         """Handle a KEEP answer, which confirms the client's copy, this gateway's copy, or both."""
-        copy, ask = self.held.pop(exchange.number, None), exchange.request
-        ours = copy is not None and copy.part.tag == ending.tag
-        if copy and ours and self.proof.confirms(ending.since_ms, now):
+        copy, request = self.fallback_copies.pop(exchange.number, None), exchange.request
+        own_copy_matches = copy is not None and copy.part.tag == result.tag
+        if copy and own_copy_matches and self.proof.confirms(result.since_ms, now_ms):
             part = copy.part
-            fresh = Part(
-                part.key, part.part, part.group, part.class_name, ending.since_ms, part.tag, self.proof.epoch
+            confirmed_part = Part(
+                part.key, part.part, part.group, part.class_name, result.since_ms, part.tag, self.proof.epoch
             )
-            if self.plan.judge(fresh, now) is State.FRESH:
+            if self.plan.judge(confirmed_part, now_ms) is State.FRESH:
                 self.confirmed += 1
-                self._keep(fresh, copy.body)
-                if not ask.client_tag:
-                    return AttemptResult("done", copy.body, False, ending.tag, ending.load, ending.since_ms)
-        if ask.client_tag:
-            return ending
+                self._store(confirmed_part, copy.body)
+                if not request.client_tag:
+                    return AttemptResult("done", copy.body, False, result.tag, result.load, result.since_ms)
+        if request.client_tag:
+            return result
         # Prevents serving an unconfirmed copy: the answer has no body, and the gateway's own copy is not
         # proven.
         self.refuted += 1
         exchange.confirm_tag = ""
-        self._forget(fingerprint(ask.key, ask.part))
-        return AttemptResult("err", load=ending.load)
+        self._drop(fingerprint(request.key, request.part))
+        return AttemptResult("err", load=result.load)
 
     def fallback(self, exchange: Exchange, answer: Answer) -> Answer:
         """Return a copy within its grace time in place of a refusal or a failure, if there is one."""
-        copy = self.held.get(exchange.number)
+        copy = self.fallback_copies.get(exchange.number)
         if copy is None or self.plan.judge(copy.part, self.engine.clock.now_ms()) not in (
             State.FRESH,
             State.STALE,
@@ -149,23 +151,29 @@
     def over(self, exchange: Exchange, answer: Answer | None) -> None:
         """Finish the fill that a request led, and pass its outcome on to the requests that waited for it."""
         number = exchange.number
-        self.held.pop(number, None)
+        self.fallback_copies.pop(number, None)
         self.joins.leave(number)
         if answer and answer.kind == SERVED:
             if number not in self.joins.leads:
                 return
-            ask = exchange.request
+            request = exchange.request
             part = Part(
-                ask.key, ask.part, ask.group, ask.class_name, answer.since_ms, answer.tag, self.proof.epoch
+                request.key,
+                request.part,
+                request.group,
+                request.class_name,
+                answer.since_ms,
+                answer.tag,
+                self.proof.epoch,
             )
             copy = Copy(part, answer.body)
-            for then, other in self.joins.served(number, answer.since_ms):
-                self._then(then, other, copy, answer.unchanged, None)
+            for then, waiter_number in self.joins.served(number, answer.since_ms):
+                self._continue_waiter(then, waiter_number, copy, answer.unchanged, None)
         else:
-            for then, other in self.joins.failed(number):
-                self._then(then, other, None, False, answer)
+            for then, waiter_number in self.joins.failed(number):
+                self._continue_waiter(then, waiter_number, None, False, answer)
 
-    def purged(self, ban: PurgeNotice) -> None:
+    def purged(self, notice: PurgeNotice) -> None:
         """Apply a purge at once, and write it to the purge log."""
         if self.purges.crowded:
             disk = self.disk.space.oldest_ms() if self.disk else math.inf
@@ -174,32 +182,32 @@
             under_way = self.engine.clock.now_ms() - UNDER_WAY_MS
             self.purges.forget(min(disk, self.memory.oldest_ms(), under_way))
         if self.disk:
-            self.disk.purge(ban.key, ban.group, ban.at_ms)
+            self.disk.purge(notice.key, notice.group, notice.at_ms)
         else:
-            self.purges.add(ban.key, ban.group, ban.at_ms)
+            self.purges.add(notice.key, notice.group, notice.at_ms)
 
     # News from the event bus
 
     def on_caught_up(self) -> None:
         """Handle the notice that every event so far has been received from the bus."""
-        now = self.engine.clock.now_ms()
+        now_ms = self.engine.clock.now_ms()
         if not self.proof.begun:
-            self.proof.begin(now, self.steady())
-            self._new_era("the event bus is followed")
-        self.check_clock(now)
-        self.proof.follow(now)
+            self.proof.begin(now_ms, self.steady())
+            self._on_epoch_change("the event bus is followed")
+        self.check_clock(now_ms)
+        self.proof.follow(now_ms)
         if self.disk:
             self.disk.mark_followed()
 
-    def check_clock(self, now: float) -> None:
+    def check_clock(self, now_ms: float) -> None:
         """Detect a step of the wall clock; called before the age of any copy is judged."""
-        if self.proof.stepped(now, self.steady()):
-            self._new_era("the wall clock stepped")
+        if self.proof.stepped(now_ms, self.steady()):
+            self._on_epoch_change("the wall clock stepped")
 
-    def _new_era(self, why: str) -> None:
+    def _on_epoch_change(self, reason: str) -> None:
         if self.proof.epoch != self.epoch:
             self.epoch = self.proof.epoch
-            logger.warning("copies stored earlier are suspect, era {}: {}", self.epoch, why)
+            logger.warning("copies stored earlier are suspect, era {}: {}", self.epoch, reason)
             if self.disk:
                 self.disk.mark_epoch()
 
@@ -208,14 +216,14 @@
 
         Purges received while the folder was not open are written to its log.
         """
-        mine, theirs = self.purges, disk.purges
-        theirs.raise_floor(mine.floor)
-        self.disk, self.purges = disk, theirs
-        self.plan = Plan(self.plan.classes, theirs, self.proof)
-        for group, at in mine.groups.items():
-            disk.purge(None, group, at)
-        for key, at in mine.objects.items():
-            disk.purge(key, -1, at)
+        own_purges, disk_purges = self.purges, disk.purges
+        disk_purges.raise_floor(own_purges.floor)
+        self.disk, self.purges = disk, disk_purges
+        self.plan = Plan(self.plan.classes, disk_purges, self.proof)
+        for group, purge_ms in own_purges.groups.items():
+            disk.purge(None, group, purge_ms)
+        for key, purge_ms in own_purges.objects.items():
+            disk.purge(key, -1, purge_ms)
         if self.proof.adopt(disk.log.kept, self.engine.clock.now_ms()):
             disk.mark_epoch()
         if self.proof.epoch != self.epoch:
@@ -230,42 +238,46 @@
 
     # Internal steps
 
-    def _hold(self, exchange: Exchange, copy: Copy, state: State, mark: int) -> None:
+    def _record_fallback(self, exchange: Exchange, copy: Copy, state: State, mark: int) -> None:
         """Record a copy that can't be served as it is, or drop it if a purge forbids it.
 
         A recorded copy may be confirmed by a server, or be served if no server can answer.
         """
         part = copy.part
         if not self.purges.allows(part.key, part.group, part.since_ms):
-            self._forget(mark)
+            self._drop(mark)
         elif state is not State.FRESH:
-            self.held[exchange.number] = copy
+            self.fallback_copies[exchange.number] = copy
             if self.confirms and self.plan.may_confirm(exchange.request):
                 exchange.confirm_tag = part.tag
 
     def _answer(self, exchange: Exchange, copy: Copy, unchanged: bool = False) -> Answer:
         tag = copy.part.tag
-        known = unchanged or (exchange.request.client_tag == tag and bool(tag))
-        return Answer(SERVED, b"" if known else copy.body, known, tag, since_ms=copy.part.since_ms)
+        client_has_it = unchanged or (exchange.request.client_tag == tag and bool(tag))
+        return Answer(
+            SERVED, b"" if client_has_it else copy.body, client_has_it, tag, since_ms=copy.part.since_ms
+        )
 
     def _serve(self, exchange: Exchange, copy: Copy, tier: str, unchanged: bool = False) -> bool:
         """Answer from a copy as soon as the link is free; return False if that would be too late."""
-        now, answer = self.engine.clock.now_ms(), self._answer(exchange, copy, unchanged)
+        now_ms, answer = self.engine.clock.now_ms(), self._answer(exchange, copy, unchanged)
         size = int(len(copy.body) * KNOWN_SHARE) if answer.unchanged else len(copy.body)
         if not self.pace.fits(
-            size, now, self.plan.until_ms(exchange.request, now, self.pace.transfer_ms(size))
+            size, now_ms, self.plan.until_ms(exchange.request, now_ms, self.pace.transfer_ms(size))
         ):
             self.slow_link += 1
             return False
-        begin = self.pace.take(size, now)
+        begin_ms = self.pace.take(size, now_ms)
         self.hits[tier] += 1
-        if begin <= now:
+        if begin_ms <= now_ms:
             self.engine.finish(exchange, answer)
         else:
-            self.engine.clock.later(begin - now, partial(self._late, exchange, copy, answer))
+            self.engine.clock.later(
+                begin_ms - now_ms, partial(self._answer_when_link_is_free, exchange, copy, answer)
+            )
         return True
 
-    def _late(self, exchange: Exchange, copy: Copy, answer: Answer) -> None:
+    def _answer_when_link_is_free(self, exchange: Exchange, copy: Copy, answer: Answer) -> None:
         """Send an answer that waited for the link, unless its copy is no longer fresh, as after a purge."""
         if exchange.over:
             return
@@ -274,40 +286,40 @@
         else:
             self.engine.decide(exchange)
 
-    def _read(self, exchange: Exchange, mark: int) -> bool:
+    def _start_disk_read(self, exchange: Exchange, mark: int) -> bool:
         """Start reading the part of a fill's leader from disk; return False if the disk can't serve it."""
-        ask, disk = exchange.request, self.disk
-        if disk is None or exchange.number in self.held or mark not in disk:
+        request, disk = exchange.request, self.disk
+        if disk is None or exchange.number in self.fallback_copies or mark not in disk:
             return False
-        if not disk.get(ask.key, ask.part, partial(self._read_back, exchange)):
+        if not disk.get(request.key, request.part, partial(self._on_disk_read, exchange)):
             return False
         if not exchange.over and not exchange.decided:  # a thread reads it, and the disk may hang
             self.engine.clock.later(STALL_MS, partial(self.engine.decide, exchange))
         return True
 
-    def _read_back(self, exchange: Exchange, part: Part | None, body: bytes) -> None:
+    def _on_disk_read(self, exchange: Exchange, part: Part | None, body: bytes) -> None:
         """Handle the result of a disk read: store it in memory, and answer the client if it may be served."""
-        now = self.engine.clock.now_ms()
+        now_ms = self.engine.clock.now_ms()
         if part and self.plan.fits(part, exchange.request):
-            copy, state = Copy(part, body), self.plan.judge(part, now)
+            copy, state = Copy(part, body), self.plan.judge(part, now_ms)
             if state is State.FRESH:
                 self.memory.put(part.class_name, part, body)
                 if not (exchange.over or exchange.decided) and self._serve(exchange, copy, "disk"):
                     return
             elif not (exchange.over or exchange.decided):
-                self._hold(exchange, copy, state, fingerprint(part.key, part.part))
+                self._record_fallback(exchange, copy, state, fingerprint(part.key, part.part))
         self.engine.decide(exchange)
 
-    def _keep(self, part: Part, body: bytes) -> None:
+    def _store(self, part: Part, body: bytes) -> None:
         """Store a part in memory and, if it was requested before, on disk."""
         self.memory.put(part.class_name, part, body)
         mark = fingerprint(part.key, part.part)
         if self.disk and mark in self.disk:
             self.disk.put(part, body)  # the stored record is older
         else:
-            self._write(part, body, mark)
+            self._write_to_disk(part, body, mark)
 
-    def _write(self, part: Part, body: bytes, mark: int) -> None:
+    def _write_to_disk(self, part: Part, body: bytes, mark: int) -> None:
         """Write a copy to disk if it is not there and the part was requested before."""
         disk = self.disk
         if disk is None or not disk.health.writes or mark in disk or mark in disk.pending:
@@ -315,16 +327,16 @@
         if self.sketch.count(mark) > DISK_COUNT:
             disk.put(part, body)
 
-    def _forget(self, mark: int) -> None:
+    def _drop(self, mark: int) -> None:
         self.memory.drop(mark)
         if self.disk:
             self.disk.forget(mark)
 
-    def _impatient(self, exchange: Exchange) -> None:
+    def _on_join_timeout(self, exchange: Exchange) -> None:
         if not exchange.over and self.joins.give_up(exchange.number):
             self.engine.decide(exchange)
 
-    def _then(
+    def _continue_waiter(
         self, then: Then, number: int, copy: Copy | None, unchanged: bool, answer: Answer | None
     ) -> None:
         """Carry out the next step of a request that waited for a fill."""
@@ -333,14 +345,14 @@
             return
         # Enforces the waiter's own age limit: the answer may have been young enough only when the leader
         # asked.
-        good = copy is not None and self.plan.judge(copy.part, self.engine.clock.now_ms()) is State.FRESH
-        if then is Then.SERVE and copy and good and self._serve(exchange, copy, "joined", unchanged):
+        is_fresh = copy is not None and self.plan.judge(copy.part, self.engine.clock.now_ms()) is State.FRESH
+        if then is Then.SERVE and copy and is_fresh and self._serve(exchange, copy, "joined", unchanged):
             return
         if then is Then.SHARE:
             self.engine.finish(
                 exchange, answer or Answer(REFUSED, wait_ms=self.engine.router.settings.max_retry_after_ms)
             )
-        elif then is not Then.LEAD or not self._read(
+        elif then is not Then.LEAD or not self._start_disk_read(
             exchange, fingerprint(exchange.request.key, exchange.request.part)
         ):
             self.engine.decide(exchange)
