--- a/hitchtiller/store/tier.py
+++ b/hitchtiller/store/tier.py
@@ -24,8 +24,8 @@
 from hitchtiller.store.sketch import Sketch
 from hitchtiller.store.suspect import Proof
 
-UNDER_WAY_MS = 60_000.0  # no copy from before a purge is delivered later than this after it
-DISK_COUNT = 1  # earlier requests for a part from which on it is written to disk
+MAX_DELIVERY_MS = 60_000.0  # after a purge; no copy from before it is delivered later than this
+DISK_MIN_EARLIER_REQUESTS = 1  # for a part to be written to disk
 
 
 class Tier:
@@ -179,7 +179,7 @@
             disk = self.disk.space.oldest_ms() if self.disk else math.inf
             # Answers still on their way may be as old as what a cache holds; caches apply a purge within
             # seconds.
-            under_way = self.engine.clock.now_ms() - UNDER_WAY_MS
+            under_way = self.engine.clock.now_ms() - MAX_DELIVERY_MS
             self.purges.forget(min(disk, self.memory.oldest_ms(), under_way))
         if self.disk:
             self.disk.purge(notice.key, notice.group, notice.at_ms)
@@ -324,7 +324,7 @@
         disk = self.disk
         if disk is None or not disk.health.writes or mark in disk or mark in disk.pending:
             return
-        if self.sketch.count(mark) > DISK_COUNT:
+        if self.sketch.count(mark) > DISK_MIN_EARLIER_REQUESTS:
             disk.put(part, body)
 
     def _drop(self, mark: int) -> None:
