--- a/hitchtiller/store/tier.py
+++ b/hitchtiller/store/tier.py
@@ -42,7 +42,7 @@
     ) -> None:
         """Start with the memory tier alone; a disk tier can be attached and detached later."""
         self.engine, self.memory, self.proof, self.pace, self.steady = engine, memory, proof, pace, steady
-        self.confirms = confirm
+        self.confirms_suspects = confirm
         self.purges = Purges()
         self.plan = Plan(engine.router.settings.classes, self.purges, proof)
         self.joins = Joins(engine.router.settings.max_attempts)
@@ -248,7 +248,7 @@
             self._drop(mark)
         elif state is not State.FRESH:
             self.fallback_copies[exchange.number] = copy
-            if self.confirms and self.plan.may_confirm(exchange.request):
+            if self.confirms_suspects and self.plan.may_confirm(exchange.request):
                 exchange.confirm_tag = part.tag
 
     def _answer(self, exchange: Exchange, copy: Copy, unchanged: bool = False) -> Answer:
