--- a/hitchtiller/store/disk.py
+++ b/hitchtiller/store/disk.py
@@ -1,9 +1,10 @@
-"""The disk tier: parts appended to segments, found by the index, read back and checked.
+"""The disk tier: parts are appended to segment files, found through the index, read back and checked.
 
-All state is changed in the loop; file calls run as jobs. What is on disk is only ever an offer: each read
-checks both checksums and the key, and the caller judges age, purges and proof. Bounds: `queue_bytes` of
-bodies wait to be written (more are dropped and counted), the index's 21 to 43 bytes a part, and `budget`
-bytes of files.
+All state is changed in the event loop; file calls run as jobs. A part on disk is only a candidate: each read
+checks both checksums and the key, and the caller checks age, purges and proof of freshness.
+
+Bounds: at most `queue_bytes` of bodies wait to be written (more are dropped and counted), the index takes 21
+to 43 bytes a part, and all files together take at most `budget` bytes.
 """
 
 import secrets
@@ -24,18 +25,18 @@
 from hitchtiller.store.suspect import Proof
 
 SLICE = 1 << 15  # index slots copied in one step of a checkpoint: half a megabyte
-STALL_MS = 100.0  # that a read may take before the next ones go to the caches
+STALL_MS = 100.0  # duration of the oldest read from which on new reads go to the caches
 Got = Callable[[fmt.Part | None, bytes], None]
 
 
 def steady_ms() -> float:
-    """Read the clock that never steps."""
+    """Return the monotonic time, which does not follow steps of the wall clock."""
     return time.monotonic() * 1000.0
 
 
 @dataclass(frozen=True, slots=True)
 class Options:
-    """Sizes in bytes, times in milliseconds."""
+    """Settings of the disk tier: sizes in bytes, times in milliseconds."""
 
     budget: int = 1 << 30
     reserve: int = 0
@@ -47,12 +48,12 @@
 
 @dataclass(slots=True)
 class Counts:
-    """What happened, for the figures."""
+    """Counters for the statistics."""
 
     puts: int = 0
     dropped: int = 0
     reads: int = 0
-    glanced: int = 0  # of them without a thread
+    glanced: int = 0  # reads answered from the page cache, without a thread
     torn: int = 0
     checkpoints: int = 0
     syncs: int = 0
@@ -60,7 +61,7 @@
 
 
 class Disk:
-    """One folder's parts; made from what `recover.load` found, by the folder's owner."""
+    """The parts of one folder; created by the folder's owner from the result of `recover.load`."""
 
     def __init__(
         self,
@@ -71,7 +72,7 @@
         proof: Proof,
         steady: Callable[[], float] = steady_ms,
     ) -> None:
-        """Go on from what was found; the old segments are sealed, the next record opens a new one."""
+        """Continue from the recovered state; its segments are sealed, the next record opens a new one."""
         self.files, self.jobs, self.options, self.proof = files, jobs, options, proof
         self.index, self.purges = found.index, found.purges
         self.health, self.counts = Health(), Counts()
@@ -79,31 +80,31 @@
         self.space.segments = found.segments
         self.space.next_id = found.next_id
         self.active: Segment | None = None
-        self.pending: dict[
-            int, int
-        ] = {}  # fingerprints whose newest record is still being written: its place
+        # By fingerprint: the place of the newest record while that record is still being written.
+        self.pending: dict[int, int] = {}
         self.unwritten = 0
         self.log = PurgeLog(files, jobs, self.purges, found.kept, self._failed_write)
         self.checkpoint = found.checkpoint
         for name in found.garbage:
             jobs.submit(WRITE_LANE, partial(files.remove, name), self._written)
-        self.slices: list[bytes] | None = None  # of a checkpoint under way
+        # copied so far for the checkpoint in progress; None if there is none
+        self.slices: list[bytes] | None = None
         self.covered: list[fmt.Covered] = []
         self.closed = False
         self.steady = steady
-        self.waits: dict[int, float] = {}  # reads under way, the oldest first, and when they began
+        self.waits: dict[int, float] = {}  # start times of the reads in progress by read number, oldest first
 
     # Writing
 
     def put(
         self, part: fmt.Part, body: bytes, done: Callable[[bool], None] | None = None, only: int = 0
     ) -> bool:
-        """Append a part.
+        """Append a part to the active segment; return False if it is dropped.
 
-        False if it is dropped. With `only` it takes effect where the index still has that place.
+        With `only`, the new record takes effect only if the index still points to that place.
         """
         size = part.size(len(body))
-        # guards against records of an era that a crash would undo
+        # Prevents records of an epoch that a crash would undo: the next start would use its number again.
         era_known = part.epoch <= self.log.kept.epoch
         if (
             self.closed
@@ -156,7 +157,7 @@
     def _point(self, mark: int, place: int, only: int) -> None:
         if only:
             if not self.index.swap(mark, only, place):
-                return  # a newer record is there, or it was forgotten: the copy is dead where it lies
+                return  # a newer record is there, or the part was dropped: the copy stays as dead bytes
             before = only
         else:
             before = self.index.put(mark, place)
@@ -171,7 +172,7 @@
                 segment.live -= size
 
     def _room(self, size: int) -> Segment | None:
-        """Give the segment for the next record; None while there is no space for another."""
+        """Return the segment for the next record; None while there is no space for another segment."""
         active = self.active
         if active and not self.space.full(active, size):
             return active
@@ -204,7 +205,7 @@
             logger.warning("disk tier {}: {} ({})", self.health.state, self.health.reason, fault)
 
     def sync(self, segment: Segment | None = None) -> None:
-        """Make a segment's bytes durable, the active one's by default."""
+        """Make a segment's bytes durable with an fsync; the active segment by default."""
         segment = segment or self.active
         if segment is None or not self.health.writes or segment.durable >= segment.size:
             return
@@ -222,12 +223,15 @@
     # Reading
 
     def __contains__(self, mark: int) -> bool:
-        """Tell whether a fingerprint has a place that may be read."""
+        """Return whether a part has a record that may be read."""
         place = self.index.get(mark)
         return bool(place) and self.health.reads(unpack_place(place)[0])
 
     def get(self, key: int, number: int, done: Got) -> bool:
-        """Read a part; `done` gets it or None. False at once if it is not here or the readers are busy."""
+        """Read a part and call `done` with it, or with None if it can't be read.
+
+        Return False at once, without a call, if the part is not stored here or the readers are busy.
+        """
         mark = fingerprint(key, number)
         place = self.index.get(mark)
         if not place or self.closed:
@@ -281,18 +285,18 @@
         return True
 
     def stalled(self) -> bool:
-        """Tell whether the folder hangs: the oldest read under way has taken too long."""
+        """Return whether the folder hangs: the oldest read in progress has taken too long."""
         oldest = next(iter(self.waits.values()), None)
         return oldest is not None and self.steady() - oldest > STALL_MS
 
     def forget(self, mark: int) -> None:
-        """Drop a part; its bytes die where they lie."""
+        """Remove a part from the index; its record stays on disk as dead bytes."""
         self._bury(self.index.pop(mark))
 
     # Checkpoints
 
     def begin_checkpoint(self) -> bool:
-        """Start one; False while the index grows, or another is under way."""
+        """Start a checkpoint; return False while the index grows or another checkpoint is in progress."""
         if self.slices is not None or not self.health.writes or not self.index.freeze():
             return False
         self.slices = []
@@ -303,7 +307,10 @@
         return True
 
     def step_checkpoint(self) -> bool:
-        """Copy a slice of the index, or, with the last, write the file; False if none is under way."""
+        """Copy one slice of the index, or write the checkpoint file after the last slice.
+
+        Return False if no checkpoint is in progress.
+        """
         if self.slices is None:
             return False
         piece = self.index.snapshot(len(self.slices) * SLICE, SLICE)
@@ -317,7 +324,7 @@
         name, covered = checkpoint_name(number), self.covered
 
         def run() -> None:
-            for each in synced:  # what it points to is durable before it is
+            for each in synced:  # records are durable before the checkpoint that points to them
                 self.files.sync(each)
             at = 0
             for data in fmt.write_checkpoint(number, covered, slices):
@@ -340,18 +347,18 @@
         return self.jobs.submit(WRITE_LANE, run, ended)
 
     def save(self) -> None:
-        """Make a whole checkpoint now, in steps that follow each other."""
+        """Write a complete checkpoint now."""
         self.sync()
         if self.begin_checkpoint():
             while self.slices is not None:
                 self.step_checkpoint()
 
-    # Purges and proof
+    # Purges and proof of freshness
 
     def purge(
         self, key: int | None, group: int, at_ms: float, durable: Callable[[], None] | None = None
     ) -> None:
-        """Note a purge: in force at once, durable a little later."""
+        """Record a purge: it applies at once; `durable` is called once it is durable in the log."""
         if self.purges.add(key, group, at_ms) and self.health.writes:
             kind = fmt.PURGE_GROUP if key is None else fmt.PURGE_OBJECT
             self.log.add(fmt.LogEntry(kind, self.proof.epoch, int(at_ms), group, key or 0), durable)
@@ -359,31 +366,31 @@
             durable()
 
     def mark_followed(self) -> None:
-        """Write the watermark: behind all purges that were noted before, in the same order."""
+        """Append the watermark to the log, behind all purges that were recorded before it."""
         if self.health.writes and self.proof.begun:
             self.log.add(fmt.LogEntry(fmt.FOLLOWED, self.proof.epoch, int(self.proof.followed_ms)))
 
     def mark_epoch(self, durable: Callable[[], None] | None = None) -> None:
-        """Write the era in force."""
+        """Append the current epoch to the log."""
         if self.health.writes:
             self.log.add(fmt.LogEntry(fmt.ERA, self.proof.epoch, int(self.proof.gap_end_ms)), durable)
 
     def remove(self, segment: Segment) -> None:
-        """Take a segment out of the folder.
+        """Remove a segment and its file.
 
-        What the index still has there is forgotten as it is asked for.
+        Index entries that still point to it are removed when they are next looked up.
         """
         self.space.segments.pop(segment.id, None)
         self.jobs.submit(WRITE_LANE, partial(self.files.remove, segment_name(segment.id)), self._written)
 
     def end(self, reason: str) -> None:
-        """Give the folder up."""
+        """Stop using the folder."""
         self.closed = True
         if self.health.ended(reason):
             logger.info("disk tier {}: {}", OFF, reason)
 
     def figures(self) -> dict[str, int]:
-        """Give the levels that operators read."""
+        """Return the gauges that operators read."""
         return {
             "segments": len(self.space.segments),
             "parts": len(self.index),
