--- a/hitchtiller/store/compact.py
+++ b/hitchtiller/store/compact.py
@@ -108,7 +108,7 @@
         if mark in disk.pending:
             return  # a newer record is on its way: the index will point to that
         self.open += 1
-        if disk.put(part, body, self._copied, only=place):
+        if disk.put(part, body, self._copied, expected_place=place):
             self.records_copied += 1
             self.moved += length
         else:
--- a/hitchtiller/store/disk.py
+++ b/hitchtiller/store/disk.py
@@ -24,9 +24,9 @@
 from hitchtiller.store.space import Segment, Space
 from hitchtiller.store.suspect import Proof
 
-SLICE = 1 << 15  # index slots copied in one step of a checkpoint: half a megabyte
+SLICE_SLOTS = 1 << 15  # index slots copied in one step of a checkpoint: half a megabyte
 STALL_MS = 100.0  # duration of the oldest read from which on new reads go to the caches
-Got = Callable[[fmt.Part | None, bytes], None]
+ReadCallback = Callable[[fmt.Part | None, bytes], None]
 
 
 def steady_ms() -> float:
@@ -82,26 +82,27 @@
         self.active: Segment | None = None
         # By fingerprint: the place of the newest record while that record is still being written.
         self.pending: dict[int, int] = {}
-        self.unwritten = 0
-        self.log = PurgeLog(files, jobs, self.purges, found.kept, self._failed_write)
+        self.unwritten_bytes = 0
+        self.log = PurgeLog(files, jobs, self.purges, found.kept, self._on_write_error)
         self.checkpoint = found.checkpoint
         for name in found.garbage:
-            jobs.submit(WRITE_LANE, partial(files.remove, name), self._written)
+            jobs.submit(WRITE_LANE, partial(files.remove, name), self._on_write_done)
         # copied so far for the checkpoint in progress; None if there is none
-        self.slices: list[bytes] | None = None
-        self.covered: list[fmt.Covered] = []
+        self.checkpoint_slices: list[bytes] | None = None
+        self.covered_segments: list[fmt.Covered] = []
         self.closed = False
         self.steady = steady
-        self.waits: dict[int, float] = {}  # start times of the reads in progress by read number, oldest first
+        # start times of the reads in progress by read number, oldest first
+        self.read_starts_ms: dict[int, float] = {}
 
     # Writing
 
     def put(
-        self, part: fmt.Part, body: bytes, done: Callable[[bool], None] | None = None, only: int = 0
+        self, part: fmt.Part, body: bytes, done: Callable[[bool], None] | None = None, expected_place: int = 0
     ) -> bool:
         """Append a part to the active segment; return False if it is dropped.
 
-        With `only`, the new record takes effect only if the index still points to that place.
+        With `expected_place`, the new record takes effect only if the index still points to that place.
         """
         size = part.size(len(body))
         # Prevents records of an epoch that a crash would undo: the next start would use its number again.
@@ -109,69 +110,71 @@
         if (
             self.closed
             or not (self.health.writes and era_known)
-            or self.unwritten + size > self.options.queue_bytes
+            or self.unwritten_bytes + size > self.options.queue_bytes
         ):
             self.counts.dropped += 1
             return False
-        segment = self._room(size)
+        segment = self._segment_with_room(size)
         if segment is None:
             self.counts.dropped += 1
             return False
-        at, mark = segment.size, fingerprint(part.key, part.part)
-        place = pack_place(segment.id, at, size)
+        offset, mark = segment.size, fingerprint(part.key, part.part)
+        place = pack_place(segment.id, offset, size)
 
         def run() -> None:
-            self.files.write(segment_name(segment.id), at, fmt.write_record(part, body, segment.salt, at))
-
-        def ended(_: object, error: BaseException | None) -> None:
-            self.unwritten -= size
-            newest = self.pending.get(mark) == place
-            if newest:
+            self.files.write(
+                segment_name(segment.id), offset, fmt.write_record(part, body, segment.salt, offset)
+            )
+
+        def on_done(_: object, error: BaseException | None) -> None:
+            self.unwritten_bytes -= size
+            is_newest = self.pending.get(mark) == place
+            if is_newest:
                 del self.pending[mark]
             if error:
                 segment.sealed = True
-                self._failed_write(error)
+                self._on_write_error(error)
             else:
-                segment.written = at + size
+                segment.written = offset + size
                 segment.oldest_ms = min(segment.oldest_ms, float(part.since_ms))
-                self._point(mark, place, only)
+                self._set_place(mark, place, expected_place)
                 self.counts.puts += 1
             if done:
                 done(not error)
 
-        before = self.pending.get(mark, 0)
-        if not only or not before:
+        replaced = self.pending.get(mark, 0)
+        if not expected_place or not replaced:
             self.pending[mark] = place
         segment.size += size
-        self.unwritten += size
-        if not self.jobs.submit(WRITE_LANE, run, ended):
+        self.unwritten_bytes += size
+        if not self.jobs.submit(WRITE_LANE, run, on_done):
             segment.size -= size
-            self.unwritten -= size
+            self.unwritten_bytes -= size
             self.pending.pop(mark, None)
-            if before:
-                self.pending[mark] = before
+            if replaced:
+                self.pending[mark] = replaced
             self.counts.dropped += 1
             return False
         return True
 
-    def _point(self, mark: int, place: int, only: int) -> None:
-        if only:
-            if not self.index.swap(mark, only, place):
+    def _set_place(self, mark: int, place: int, expected_place: int) -> None:
+        if expected_place:
+            if not self.index.swap(mark, expected_place, place):
                 return  # a newer record is there, or the part was dropped: the copy stays as dead bytes
-            before = only
+            replaced = expected_place
         else:
-            before = self.index.put(mark, place)
-        id, _, size = unpack_place(place)
-        self.space.segments[id].live += size
-        self._bury(before)
+            replaced = self.index.put(mark, place)
+        segment_id, _, size = unpack_place(place)
+        self.space.segments[segment_id].live += size
+        self._count_as_dead(replaced)
 
-    def _bury(self, place: int) -> None:
+    def _count_as_dead(self, place: int) -> None:
         if place:
-            id, _, size = unpack_place(place)
-            if segment := self.space.segments.get(id):
+            segment_id, _, size = unpack_place(place)
+            if segment := self.space.segments.get(segment_id):
                 segment.live -= size
 
-    def _room(self, size: int) -> Segment | None:
+    def _segment_with_room(self, size: int) -> Segment | None:
         """Return the segment for the next record; None while there is no space for another segment."""
         active = self.active
         if active and not self.space.full(active, size):
@@ -182,43 +185,43 @@
         self.active = None
         if self.space.used + self.options.segment_bytes > self.options.budget:
             return None
-        fresh = self.space.open(secrets.randbits(64))
-        head = fmt.write_segment_head(fmt.SegmentHead(fresh.id, fresh.salt, 0))
+        segment = self.space.open(secrets.randbits(64))
+        head = fmt.write_segment_head(fmt.SegmentHead(segment.id, segment.salt, 0))
 
         def run() -> None:
-            self.files.write(segment_name(fresh.id), 0, head)
+            self.files.write(segment_name(segment.id), 0, head)
             self.files.sync_folder()
 
-        if not self.jobs.submit(WRITE_LANE, run, self._written):
-            del self.space.segments[fresh.id]
+        if not self.jobs.submit(WRITE_LANE, run, self._on_write_done):
+            del self.space.segments[segment.id]
             return None
-        self.active = fresh
-        return fresh
+        self.active = segment
+        return segment
 
-    def _written(self, _: object, error: BaseException | None) -> None:
+    def _on_write_done(self, _: object, error: BaseException | None) -> None:
         if error:
-            self._failed_write(error)
+            self._on_write_error(error)
 
-    def _failed_write(self, error: BaseException) -> None:
-        fault = error if isinstance(error, OSError) else OSError(5, str(error))
-        if self.health.wrote(fault):
-            logger.warning("disk tier {}: {} ({})", self.health.state, self.health.reason, fault)
+    def _on_write_error(self, error: BaseException) -> None:
+        os_error = error if isinstance(error, OSError) else OSError(5, str(error))
+        if self.health.wrote(os_error):
+            logger.warning("disk tier {}: {} ({})", self.health.state, self.health.reason, os_error)
 
     def sync(self, segment: Segment | None = None) -> None:
         """Make a segment's bytes durable with an fsync; the active segment by default."""
         segment = segment or self.active
         if segment is None or not self.health.writes or segment.durable >= segment.size:
             return
-        upto = segment.size
+        synced_size = segment.size
 
-        def ended(_: object, error: BaseException | None) -> None:
+        def on_done(_: object, error: BaseException | None) -> None:
             if error:
-                self._failed_write(error)
+                self._on_write_error(error)
             else:
-                segment.durable = max(segment.durable, upto)
+                segment.durable = max(segment.durable, synced_size)
                 self.counts.syncs += 1
 
-        self.jobs.submit(WRITE_LANE, partial(self.files.sync, segment_name(segment.id)), ended)
+        self.jobs.submit(WRITE_LANE, partial(self.files.sync, segment_name(segment.id)), on_done)
 
     # Reading
 
@@ -227,33 +230,33 @@
         place = self.index.get(mark)
         return bool(place) and self.health.reads(unpack_place(place)[0])
 
-    def get(self, key: int, number: int, done: Got) -> bool:
+    def get(self, key: int, part_number: int, done: ReadCallback) -> bool:
         """Read a part and call `done` with it, or with None if it can't be read.
 
         Return False at once, without a call, if the part is not stored here or the readers are busy.
         """
-        mark = fingerprint(key, number)
+        mark = fingerprint(key, part_number)
         place = self.index.get(mark)
         if not place or self.closed:
             return False
-        id, at, size = unpack_place(place)
-        segment = self.space.segments.get(id)
+        segment_id, offset, size = unpack_place(place)
+        segment = self.space.segments.get(segment_id)
         if segment is None:
             self.index.pop(mark)
             return False
-        if not self.health.reads(id):
+        if not self.health.reads(segment_id):
             return False
         salt = segment.salt
 
         def run() -> tuple[fmt.Part, bytes]:
-            return fmt.read_record(self.files.read(segment_name(id), at, size), salt, at)
+            return fmt.read_record(self.files.read(segment_name(segment_id), offset, size), salt, offset)
 
-        def ended(result: tuple[fmt.Part, bytes] | None, error: BaseException | None) -> None:
-            if result and (result[0].key, result[0].part) == (key, number):
+        def on_done(result: tuple[fmt.Part, bytes] | None, error: BaseException | None) -> None:
+            if result and (result[0].key, result[0].part) == (key, part_number):
                 done(*result)
                 return
-            if isinstance(error, OSError) and id in self.space.segments:
-                if self.health.read(id, error):
+            if isinstance(error, OSError) and segment_id in self.space.segments:
+                if self.health.read(segment_id, error):
                     logger.warning("disk tier {}: {}", self.health.state, self.health.reason)
             elif isinstance(error, ValueError):
                 self.counts.torn += 1
@@ -263,44 +266,44 @@
 
         if self.stalled():
             return False
-        raw = self.files.glance(segment_name(id), at, size)
-        if raw is not None:  # it is in the page cache: a thread would cost more than the read
+        cached = self.files.glance(segment_name(segment_id), offset, size)
+        if cached is not None:  # it is in the page cache: a thread would cost more than the read
             try:
-                ended(fmt.read_record(raw, salt, at), None)
+                on_done(fmt.read_record(cached, salt, offset), None)
             except ValueError as error:
-                ended(None, error)
+                on_done(None, error)
         else:
-            number_of_read = self.counts.reads
-            self.waits[number_of_read] = self.steady()
+            read_number = self.counts.reads
+            self.read_starts_ms[read_number] = self.steady()
 
-            def back(result: tuple[fmt.Part, bytes] | None, error: BaseException | None) -> None:
-                self.waits.pop(number_of_read, None)
-                ended(result, error)
+            def on_read(result: tuple[fmt.Part, bytes] | None, error: BaseException | None) -> None:
+                self.read_starts_ms.pop(read_number, None)
+                on_done(result, error)
 
-            if not self.jobs.submit(READ_LANE, run, back):
-                del self.waits[number_of_read]
+            if not self.jobs.submit(READ_LANE, run, on_read):
+                del self.read_starts_ms[read_number]
                 return False
         self.counts.reads += 1
-        self.counts.glanced += raw is not None
+        self.counts.glanced += cached is not None
         return True
 
     def stalled(self) -> bool:
         """Return whether the folder hangs: the oldest read in progress has taken too long."""
-        oldest = next(iter(self.waits.values()), None)
+        oldest = next(iter(self.read_starts_ms.values()), None)
         return oldest is not None and self.steady() - oldest > STALL_MS
 
     def forget(self, mark: int) -> None:
         """Remove a part from the index; its record stays on disk as dead bytes."""
-        self._bury(self.index.pop(mark))
+        self._count_as_dead(self.index.pop(mark))
 
     # Checkpoints
 
     def begin_checkpoint(self) -> bool:
         """Start a checkpoint; return False while the index grows or another checkpoint is in progress."""
-        if self.slices is not None or not self.health.writes or not self.index.freeze():
+        if self.checkpoint_slices is not None or not self.health.writes or not self.index.freeze():
             return False
-        self.slices = []
-        self.covered = [
+        self.checkpoint_slices = []
+        self.covered_segments = [
             fmt.Covered(s.id, s.salt, s.written, int(s.oldest_ms) if s.oldest_ms < 1e15 else 1 << 52)
             for s in self.space.segments.values()
         ]
@@ -311,25 +314,25 @@
 
         Return False if no checkpoint is in progress.
         """
-        if self.slices is None:
+        if self.checkpoint_slices is None:
             return False
-        piece = self.index.snapshot(len(self.slices) * SLICE, SLICE)
-        if piece:
-            self.slices.append(piece)
+        slice_bytes = self.index.snapshot(len(self.checkpoint_slices) * SLICE_SLOTS, SLICE_SLOTS)
+        if slice_bytes:
+            self.checkpoint_slices.append(slice_bytes)
             return True
         self.index.thaw()
-        slices, self.slices = self.slices, None
+        slices, self.checkpoint_slices = self.checkpoint_slices, None
         number = self.checkpoint + 1
-        synced = [segment_name(s.id) for s in self.space.segments.values() if s.durable < s.written]
-        name, covered = checkpoint_name(number), self.covered
+        unsynced = [segment_name(s.id) for s in self.space.segments.values() if s.durable < s.written]
+        name, covered = checkpoint_name(number), self.covered_segments
 
         def run() -> None:
-            for each in synced:  # records are durable before the checkpoint that points to them
-                self.files.sync(each)
-            at = 0
+            for unsynced_name in unsynced:  # records are durable before the checkpoint that points to them
+                self.files.sync(unsynced_name)
+            offset = 0
             for data in fmt.write_checkpoint(number, covered, slices):
-                self.files.write(f"{name}.new", at, data)
-                at += len(data)
+                self.files.write(f"{name}.new", offset, data)
+                offset += len(data)
             self.files.sync(f"{name}.new")
             self.files.rename(f"{name}.new", name)
             self.files.sync_folder()
@@ -337,20 +340,20 @@
                 if old < number:
                     self.files.remove(checkpoint_name(old))
 
-        def ended(_: object, error: BaseException | None) -> None:
+        def on_done(_: object, error: BaseException | None) -> None:
             if error:
-                self._failed_write(error)
+                self._on_write_error(error)
             else:
                 self.checkpoint = number
                 self.counts.checkpoints += 1
 
-        return self.jobs.submit(WRITE_LANE, run, ended)
+        return self.jobs.submit(WRITE_LANE, run, on_done)
 
     def save(self) -> None:
         """Write a complete checkpoint now."""
         self.sync()
         if self.begin_checkpoint():
-            while self.slices is not None:
+            while self.checkpoint_slices is not None:
                 self.step_checkpoint()
 
     # Purges and proof of freshness
@@ -381,12 +384,14 @@
         Index entries that still point to it are removed when they are next looked up.
         """
         self.space.segments.pop(segment.id, None)
-        self.jobs.submit(WRITE_LANE, partial(self.files.remove, segment_name(segment.id)), self._written)
+        self.jobs.submit(
+            WRITE_LANE, partial(self.files.remove, segment_name(segment.id)), self._on_write_done
+        )
 
     def end(self, reason: str) -> None:
         """Stop using the folder."""
         self.closed = True
-        if self.health.ended(reason):
+        if self.health.on_done(reason):
             logger.info("disk tier {}: {}", OFF, reason)
 
     def figures(self) -> dict[str, int]:
@@ -396,6 +401,6 @@
             "parts": len(self.index),
             "bytes": self.space.used,
             "dead_bytes": self.space.dead,
-            "queued_bytes": self.unwritten,
+            "queued_bytes": self.unwritten_bytes,
             "state": ("well", "read-only", "off").index(self.health.state),
         }
--- a/hitchtiller/store/keeper.py
+++ b/hitchtiller/store/keeper.py
@@ -118,7 +118,7 @@
         if now - self.synced_ms >= self.options.sync_ms or now < self.synced_ms:
             self.synced_ms = now
             disk.sync()
-        if disk.slices is not None:
+        if disk.checkpoint_slices is not None:
             disk.step_checkpoint()
         elif now - self.checked_ms >= self.options.checkpoint_ms or now < self.checked_ms:
             self.checked_ms = now
