--- a/hitchtiller/store/disk.py
+++ b/hitchtiller/store/disk.py
@@ -391,7 +391,7 @@
     def end(self, reason: str) -> None:
         """Stop using the folder."""
         self.closed = True
-        if self.health.on_done(reason):
+        if self.health.ended(reason):
             logger.info("disk tier {}: {}", OFF, reason)
 
     def figures(self) -> dict[str, int]:
