--- a/hitchtiller/store/compact.py
+++ b/hitchtiller/store/compact.py
@@ -84,7 +84,7 @@
             self.reading = False
             if result is None:
                 fault = error if isinstance(error, OSError) else OSError(5, str(error))
-                self.disk.health.read(victim.id, fault)
+                self.disk.health.on_read_error(victim.id, fault)
                 self.victim = None
                 return
             self.at = result[0]
--- a/hitchtiller/store/disk.py
+++ b/hitchtiller/store/disk.py
@@ -204,7 +204,7 @@
 
     def _on_write_error(self, error: BaseException) -> None:
         os_error = error if isinstance(error, OSError) else OSError(5, str(error))
-        if self.health.wrote(os_error):
+        if self.health.on_write_error(os_error):
             logger.warning("disk tier {}: {} ({})", self.health.state, self.health.reason, os_error)
 
     def sync(self, segment: Segment | None = None) -> None:
@@ -228,7 +228,7 @@
     def __contains__(self, mark: int) -> bool:
         """Return whether a part has a record that may be read."""
         place = self.index.get(mark)
-        return bool(place) and self.health.reads(unpack_place(place)[0])
+        return bool(place) and self.health.can_read(unpack_place(place)[0])
 
     def get(self, key: int, part_number: int, done: ReadCallback) -> bool:
         """Read a part and call `done` with it, or with None if it can't be read.
@@ -244,7 +244,7 @@
         if segment is None:
             self.index.pop(mark)
             return False
-        if not self.health.reads(segment_id):
+        if not self.health.can_read(segment_id):
             return False
         salt = segment.salt
 
@@ -256,7 +256,7 @@
                 done(*result)
                 return
             if isinstance(error, OSError) and segment_id in self.space.segments:
-                if self.health.read(segment_id, error):
+                if self.health.on_read_error(segment_id, error):
                     logger.warning("disk tier {}: {}", self.health.state, self.health.reason)
             elif isinstance(error, ValueError):
                 self.counts.torn += 1
@@ -388,10 +388,10 @@
             WRITE_LANE, partial(self.files.remove, segment_name(segment.id)), self._on_write_done
         )
 
-    def end(self, reason: str) -> None:
+    def close(self, reason: str) -> None:
         """Stop using the folder."""
         self.closed = True
-        if self.health.ended(reason):
+        if self.health.give_up(reason):
             logger.info("disk tier {}: {}", OFF, reason)
 
     def figures(self) -> dict[str, int]:
--- a/hitchtiller/store/health.py
+++ b/hitchtiller/store/health.py
@@ -1,61 +1,64 @@
-"""How far the disk tier still works: it gives itself up step by step, never a step back in one life.
+"""The state of the disk tier: it degrades step by step and never recovers while the process runs.
 
-    WELL -> READ_ONLY (a write, a truncation or an fsync failed) -> OFF (reads fail beyond SPOILT segments, no
-    folder)
+    WELL -> READ_ONLY (a write, truncation or fsync failed) -> OFF (reads failed in
+    MAX_UNREADABLE_SEGMENTS segments, or the folder is gone)
 
-A failed fsync is never trusted afterwards: the kernel may have dropped the pages and report the next one as
-good. A segment with a failed read is not read again.
+After a failed fsync no later one is trusted: the kernel may have dropped the pages, and then reports the next
+fsync as successful. A segment with a failed read is not read again.
 """
 
 import errno
 
 WELL, READ_ONLY, OFF = "well", "read-only", "off"
-SPOILT = 3  # segments with failed reads from which on the folder is given up
-GONE = (errno.ENOENT, errno.ENOTDIR, errno.ESTALE, errno.EBADF, errno.ENODEV)
+MAX_UNREADABLE_SEGMENTS = 3  # from this number on the folder is no longer used
+FOLDER_LOST_ERRNOS = (errno.ENOENT, errno.ENOTDIR, errno.ESTALE, errno.EBADF, errno.ENODEV)
 
 
 class Health:
-    """Takes errors, gives the state."""
+    """The state of the disk tier, derived from the errors of its file calls."""
 
     def __init__(self) -> None:
-        """Start well."""
+        """Start with reads and writes allowed."""
         self.state, self.reason = WELL, ""
-        self.spoilt: set[int] = set()
+        self.unreadable_segments: set[int] = set()
         self.errors: dict[str, int] = {}
 
-    def _count(self, what: str, error: OSError) -> str:
-        name = errno.errorcode.get(error.errno or 0, "EIO")
-        code = f"{what}-{name}"
+    def _count(self, operation: str, error: OSError) -> str:
+        errno_name = errno.errorcode.get(error.errno or 0, "EIO")
+        code = f"{operation}-{errno_name}"
         self.errors[code] = self.errors.get(code, 0) + 1
         return code
 
-    def _step(self, state: str, reason: str) -> bool:
-        order = (WELL, READ_ONLY, OFF)
-        if order.index(state) <= order.index(self.state):
+    def _degrade(self, state: str, reason: str) -> bool:
+        degradation = (WELL, READ_ONLY, OFF)
+        if degradation.index(state) <= degradation.index(self.state):
             return False
         self.state, self.reason = state, reason
         return True
 
-    def wrote(self, error: OSError, what: str = "write") -> bool:
-        """Take a failed write, fsync, rename or unlink; True if the state changed."""
-        code = self._count(what, error)
-        return self._step(OFF if error.errno in GONE else READ_ONLY, code)
+    def on_write_error(self, error: OSError, operation: str = "write") -> bool:
+        """Record a failed write, fsync, rename or unlink; return whether the state changed."""
+        code = self._count(operation, error)
+        return self._degrade(OFF if error.errno in FOLDER_LOST_ERRNOS else READ_ONLY, code)
 
-    def read(self, segment: int, error: OSError) -> bool:
-        """Take a failed read: that segment is left; True if the state changed."""
+    def on_read_error(self, segment: int, error: OSError) -> bool:
+        """Record a failed read; return whether the state changed.
+
+        The segment is not read again.
+        """
         code = self._count("read", error)
-        self.spoilt.add(segment)
-        return self._step(OFF, code) if len(self.spoilt) >= SPOILT else False
+        self.unreadable_segments.add(segment)
+        return self._degrade(OFF, code) if len(self.unreadable_segments) >= MAX_UNREADABLE_SEGMENTS else False
 
-    def ended(self, reason: str) -> bool:
-        """Give the folder up: a successor has it, or it is no store."""
-        return self._step(OFF, reason)
+    def give_up(self, reason: str) -> bool:
+        """Stop using the folder, for example for a successor; return whether the state changed."""
+        return self._degrade(OFF, reason)
 
     @property
     def writes(self) -> bool:
-        """Tell whether anything may be written."""
+        """Return whether the folder may be written."""
         return self.state == WELL
 
-    def reads(self, segment: int) -> bool:
-        """Tell whether a segment may be read."""
-        return self.state != OFF and segment not in self.spoilt
+    def can_read(self, segment: int) -> bool:
+        """Return whether a segment may be read."""
+        return self.state != OFF and segment not in self.unreadable_segments
--- a/hitchtiller/store/keeper.py
+++ b/hitchtiller/store/keeper.py
@@ -137,7 +137,7 @@
         if disk.health.writes:
             disk.mark_followed()
             disk.save()
-        disk.end("left")
+        disk.close("left")
         for lane in (WRITE_LANE, LOG_LANE):
             self._call(lambda: None, lane)
         logger.info("store left: {} parts", len(disk.index))
--- a/tests/store/test_store_decide.py
+++ b/tests/store/test_store_decide.py
@@ -6,7 +6,7 @@
 import pytest
 from tiers import START
 
-from hitchtiller.store.health import OFF, READ_ONLY, SPOILT, WELL, Health
+from hitchtiller.store.health import OFF, READ_ONLY, MAX_UNREADABLE_SEGMENTS, WELL, Health
 from hitchtiller.store.join import Joins, Then
 from hitchtiller.store.pace import Pace
 from hitchtiller.store.purges import Purges
@@ -160,15 +160,23 @@
 
 def test_health_steps_down_and_never_up() -> None:
     health = Health()
-    assert health.writes and health.wrote(OSError(errno.ENOSPC, "full"))
-    assert health.state == READ_ONLY and health.reads(1) and not health.wrote(OSError(errno.EIO, "again"))
-    for segment in range(1, SPOILT):
-        assert not health.read(segment, OSError(errno.EIO, "bad")) and not health.reads(segment)
-    assert health.reads(SPOILT) and health.read(SPOILT, OSError(errno.EIO, "bad"))
-    assert health.state == OFF and not health.reads(99)
-    assert health.errors == {"write-ENOSPC": 1, "write-EIO": 1, "read-EIO": SPOILT}
+    assert health.writes and health.on_write_error(OSError(errno.ENOSPC, "full"))
+    assert (
+        health.state == READ_ONLY
+        and health.can_read(1)
+        and not health.on_write_error(OSError(errno.EIO, "again"))
+    )
+    for segment in range(1, MAX_UNREADABLE_SEGMENTS):
+        assert not health.on_read_error(segment, OSError(errno.EIO, "bad")) and not health.can_read(segment)
+    assert health.can_read(MAX_UNREADABLE_SEGMENTS) and health.on_read_error(
+        MAX_UNREADABLE_SEGMENTS, OSError(errno.EIO, "bad")
+    )
+    assert health.state == OFF and not health.can_read(99)
+    assert health.errors == {"write-ENOSPC": 1, "write-EIO": 1, "read-EIO": MAX_UNREADABLE_SEGMENTS}
     gone = Health()
-    assert gone.state == WELL and gone.wrote(OSError(errno.ENOENT, "no folder")) and gone.state == OFF
+    assert (
+        gone.state == WELL and gone.on_write_error(OSError(errno.ENOENT, "no folder")) and gone.state == OFF
+    )
 
 
 def space(**segments: tuple[int, int]) -> Space:
--- a/tests/store/test_store_disk.py
+++ b/tests/store/test_store_disk.py
@@ -116,7 +116,7 @@
     files = OsFiles(tmp_path / "store")
     disk = opened(files)
     put(disk, 1)
-    disk.health.wrote(OSError(errno.ESTALE, "gone"))
+    disk.health.on_write_error(OSError(errno.ESTALE, "gone"))
     assert disk.health.state == OFF and get(disk, 1) is None
     files.close()
 
@@ -129,7 +129,7 @@
     files.faults["read"] = fail(errno.EIO)  # type: ignore[assignment]
     for key in range(150):
         assert get(disk, key) is None
-    assert disk.health.state == OFF and len(disk.health.spoilt) == 3
+    assert disk.health.state == OFF and len(disk.health.unreadable_segments) == 3
 
 
 def test_a_rotten_byte_costs_its_record_alone() -> None:
