--- a/hitchtiller/store/compact.py
+++ b/hitchtiller/store/compact.py
@@ -96,16 +96,16 @@
             self.reading = False
 
     def _judge(self, victim: Segment, at: int, length: int, part: fmt.Part, body: bytes) -> None:
-        disk, mark = self.disk, fingerprint(part.key, part.part)
+        disk, part_hash = self.disk, fingerprint(part.key, part.part)
         place = pack_place(victim.id, at, length)
-        if disk.index.get(mark) != place:
+        if disk.index.get(part_hash) != place:
             return
         good = disk.purges.allows(part.key, part.group, part.since_ms)
-        if not good or not disk.space.carries(self.wanted(mark), victim, length, self.moved):
-            disk.forget(mark)
+        if not good or not disk.space.carries(self.wanted(part_hash), victim, length, self.moved):
+            disk.forget(part_hash)
             self.let_go += 1
             return
-        if mark in disk.pending:
+        if part_hash in disk.pending:
             return  # a newer record is on its way: the index will point to that
         self.open += 1
         if disk.put(part, body, self._copied, expected_place=place):
--- a/hitchtiller/store/disk.py
+++ b/hitchtiller/store/disk.py
@@ -80,7 +80,7 @@
         self.space.segments = found.segments
         self.space.next_id = found.next_id
         self.active: Segment | None = None
-        # By fingerprint: the place of the newest record while that record is still being written.
+        # By part hash: the place of the newest record while that record is still being written.
         self.pending: dict[int, int] = {}
         self.unwritten_bytes = 0
         self.log = PurgeLog(files, jobs, self.purges, found.kept, self._on_write_error)
@@ -118,7 +118,7 @@
         if segment is None:
             self.counts.dropped += 1
             return False
-        offset, mark = segment.size, fingerprint(part.key, part.part)
+        offset, part_hash = segment.size, fingerprint(part.key, part.part)
         place = pack_place(segment.id, offset, size)
 
         def run() -> None:
@@ -128,42 +128,42 @@
 
         def on_done(_: object, error: BaseException | None) -> None:
             self.unwritten_bytes -= size
-            is_newest = self.pending.get(mark) == place
+            is_newest = self.pending.get(part_hash) == place
             if is_newest:
-                del self.pending[mark]
+                del self.pending[part_hash]
             if error:
                 segment.sealed = True
                 self._on_write_error(error)
             else:
                 segment.written = offset + size
                 segment.oldest_ms = min(segment.oldest_ms, float(part.since_ms))
-                self._set_place(mark, place, expected_place)
+                self._set_place(part_hash, place, expected_place)
                 self.counts.puts += 1
             if done:
                 done(not error)
 
-        replaced = self.pending.get(mark, 0)
+        replaced = self.pending.get(part_hash, 0)
         if not expected_place or not replaced:
-            self.pending[mark] = place
+            self.pending[part_hash] = place
         segment.size += size
         self.unwritten_bytes += size
         if not self.jobs.submit(WRITE_LANE, run, on_done):
             segment.size -= size
             self.unwritten_bytes -= size
-            self.pending.pop(mark, None)
+            self.pending.pop(part_hash, None)
             if replaced:
-                self.pending[mark] = replaced
+                self.pending[part_hash] = replaced
             self.counts.dropped += 1
             return False
         return True
 
-    def _set_place(self, mark: int, place: int, expected_place: int) -> None:
+    def _set_place(self, part_hash: int, place: int, expected_place: int) -> None:
         if expected_place:
-            if not self.index.swap(mark, expected_place, place):
+            if not self.index.swap(part_hash, expected_place, place):
                 return  # a newer record is there, or the part was dropped: the copy stays as dead bytes
             replaced = expected_place
         else:
-            replaced = self.index.put(mark, place)
+            replaced = self.index.put(part_hash, place)
         segment_id, _, size = unpack_place(place)
         self.space.segments[segment_id].live += size
         self._count_as_dead(replaced)
@@ -225,9 +225,9 @@
 
     # Reading
 
-    def __contains__(self, mark: int) -> bool:
+    def __contains__(self, part_hash: int) -> bool:
         """Return whether a part has a record that may be read."""
-        place = self.index.get(mark)
+        place = self.index.get(part_hash)
         return bool(place) and self.health.can_read(unpack_place(place)[0])
 
     def get(self, key: int, part_number: int, done: ReadCallback) -> bool:
@@ -235,14 +235,14 @@
 
         Return False at once, without a call, if the part is not stored here or the readers are busy.
         """
-        mark = fingerprint(key, part_number)
-        place = self.index.get(mark)
+        part_hash = fingerprint(key, part_number)
+        place = self.index.get(part_hash)
         if not place or self.closed:
             return False
         segment_id, offset, size = unpack_place(place)
         segment = self.space.segments.get(segment_id)
         if segment is None:
-            self.index.pop(mark)
+            self.index.pop(part_hash)
             return False
         if not self.health.can_read(segment_id):
             return False
@@ -260,8 +260,8 @@
                     logger.warning("disk tier {}: {}", self.health.state, self.health.reason)
             elif isinstance(error, ValueError):
                 self.counts.torn += 1
-                if self.index.get(mark) == place:
-                    self.forget(mark)
+                if self.index.get(part_hash) == place:
+                    self.forget(part_hash)
             done(None, b"")
 
         if self.stalled():
@@ -292,9 +292,9 @@
         oldest = next(iter(self.read_starts_ms.values()), None)
         return oldest is not None and self.steady() - oldest > STALL_MS
 
-    def forget(self, mark: int) -> None:
+    def forget(self, part_hash: int) -> None:
         """Remove a part from the index; its record stays on disk as dead bytes."""
-        self._count_as_dead(self.index.pop(mark))
+        self._count_as_dead(self.index.pop(part_hash))
 
     # Checkpoints
 
--- a/hitchtiller/store/index.py
+++ b/hitchtiller/store/index.py
@@ -52,26 +52,26 @@
         self.words = memoryview(self.pages).cast("Q")
         self.used = 0
 
-    def find(self, mark: int) -> int:
+    def find(self, part_hash: int) -> int:
         """Give the slot of a fingerprint, or the empty one where it would go."""
-        words, mask, at = self.words, self.mask, mark & self.mask
-        while (there := words[2 * at]) and there != mark:
+        words, mask, at = self.words, self.mask, part_hash & self.mask
+        while (there := words[2 * at]) and there != part_hash:
             at = (at + 1) & mask
         return at
 
-    def put(self, mark: int, place: int) -> int:
+    def put(self, part_hash: int, place: int) -> int:
         """Set a fingerprint's place; gives the one it had, or 0."""
-        at = self.find(mark)
+        at = self.find(part_hash)
         before = self.words[2 * at + 1]
         if not self.words[2 * at]:
-            self.words[2 * at] = mark
+            self.words[2 * at] = part_hash
             self.used += 1
         self.words[2 * at + 1] = place
         return int(before)
 
-    def pop(self, mark: int) -> int:
+    def pop(self, part_hash: int) -> int:
         """Take a fingerprint out and move up what follows it; gives its place, or 0."""
-        words, mask, hole = self.words, self.mask, self.find(mark)
+        words, mask, hole = self.words, self.mask, self.find(part_hash)
         place = int(words[2 * hole + 1])
         if not words[2 * hole]:
             return 0
@@ -115,23 +115,23 @@
         """Give the bytes of both tables, those not yet filled included."""
         return SLOT * (self.table.slots + (self.old.slots if self.old else 0))
 
-    def get(self, mark: int) -> int:
+    def get(self, part_hash: int) -> int:
         """Give a fingerprint's place, or 0."""
         table = self.table
-        place = table.words[2 * table.find(mark) + 1]
-        if not place and (old := self._behind(mark)):
-            place = old.words[2 * old.find(mark) + 1]
+        place = table.words[2 * table.find(part_hash) + 1]
+        if not place and (old := self._behind(part_hash)):
+            place = old.words[2 * old.find(part_hash) + 1]
         return int(place)
 
-    def _behind(self, mark: int) -> Table | None:
+    def _behind(self, part_hash: int) -> Table | None:
         """Give the old table if a fingerprint can still be there.
 
         Not where its home has been passed: a look there would map the pages again that were given back.
         """
         old = self.old
-        return old if old and mark & old.mask < old.slots - self.moved else None
+        return old if old and part_hash & old.mask < old.slots - self.moved else None
 
-    def put(self, mark: int, place: int) -> int:
+    def put(self, part_hash: int, place: int) -> int:
         """Set a place; gives the one that it replaces, or 0."""
         if self.old:
             self._move()
@@ -139,33 +139,33 @@
             self.old, self.moved = self.table, 0
             self.table = Table(2 * self.old.slots)
         if self.frozen:
-            self.frozen.discard(mark)
-        old = self._behind(mark)
-        before = old.pop(mark) if old else 0
-        return self.table.put(mark, place) or before
+            self.frozen.discard(part_hash)
+        old = self._behind(part_hash)
+        before = old.pop(part_hash) if old else 0
+        return self.table.put(part_hash, place) or before
 
-    def pop(self, mark: int) -> int:
+    def pop(self, part_hash: int) -> int:
         """Forget a fingerprint; gives its place, or 0."""
         if self.frozen is not None:  # moving slots up could carry one past the copy, unseen
-            at = self.table.find(mark)
+            at = self.table.find(part_hash)
             place = int(self.table.words[2 * at + 1])
             if place:
                 self.table.words[2 * at + 1] = 0
-                self.frozen.add(mark)
+                self.frozen.add(part_hash)
             return place
         if self.old:
             self._move()
-        old = self._behind(mark)
-        return self.table.pop(mark) or (old.pop(mark) if old else 0)
+        old = self._behind(part_hash)
+        return self.table.pop(part_hash) or (old.pop(part_hash) if old else 0)
 
-    def swap(self, mark: int, old: int, new: int) -> bool:
+    def swap(self, part_hash: int, old: int, new: int) -> bool:
         """Set a new place only where the old one is still in force.
 
         Compaction must not undo a newer write.
         """
-        if self.get(mark) != old:
+        if self.get(part_hash) != old:
             return False
-        self.put(mark, new)
+        self.put(part_hash, new)
         return True
 
     def _move(self) -> None:
@@ -182,9 +182,9 @@
                 self.old = None
                 return
             at = (old.slots - 1 - self.moved) & old.mask
-            mark = old.words[2 * at]
-            if mark:
-                self.table.put(int(mark), old.pop(int(mark)))
+            part_hash = old.words[2 * at]
+            if part_hash:
+                self.table.put(int(part_hash), old.pop(int(part_hash)))
             else:
                 self.moved += 1
                 if self.moved % (DROP // SLOT) == 0 and self.moved < old.slots:
@@ -216,14 +216,14 @@
 
     def thaw(self) -> None:
         """End the copy, and free the slots of what was taken out meanwhile."""
-        marks, self.frozen = self.frozen or set(), None
-        for mark in marks:
-            self.table.pop(mark)
+        part_hashes, self.frozen = self.frozen or set(), None
+        for part_hash in part_hashes:
+            self.table.pop(part_hash)
 
     def load(self, words: memoryview, keep: frozenset[int]) -> None:
         """Take a checkpoint's slots whose segments are still there."""
         shift = OFFSET_BITS + LENGTH_BITS
         pairs = words.cast("Q")
         for at in range(0, len(pairs), 2):
-            if (mark := pairs[at]) and pairs[at + 1] >> shift in keep:
-                self.put(int(mark), int(pairs[at + 1]))
+            if (part_hash := pairs[at]) and pairs[at + 1] >> shift in keep:
+                self.put(int(part_hash), int(pairs[at + 1]))
--- a/hitchtiller/store/join.py
+++ b/hitchtiller/store/join.py
@@ -33,7 +33,7 @@
 class Flight:
     """What is under way for one part."""
 
-    mark: int
+    part_hash: int
     leader: int
     client_tag: str
     waiters: dict[int, Waiter] = field(default_factory=dict)
@@ -51,14 +51,14 @@
         self.waits: dict[int, Flight] = {}
         self.joined = self.promoted = self.impatient = self.spared = 0
 
-    def lead(self, number: int, mark: int, client_tag: str) -> None:
+    def lead(self, number: int, part_hash: int, client_tag: str) -> None:
         """Begin a flight; one that is there goes on without this request, which then is nobody's leader."""
-        if mark not in self.flights:
-            self.flights[mark] = self.leads[number] = Flight(mark, number, client_tag)
+        if part_hash not in self.flights:
+            self.flights[part_hash] = self.leads[number] = Flight(part_hash, number, client_tag)
 
-    def join(self, number: int, mark: int, client_tag: str, after_ms: float) -> bool:
+    def join(self, number: int, part_hash: int, client_tag: str, after_ms: float) -> bool:
         """Wait for a flight; False if there is none, or none whose answer this client could use."""
-        flight = self.flights.get(mark)
+        flight = self.flights.get(part_hash)
         if flight is None or (flight.client_tag and flight.client_tag != client_tag):
             return False  # a leader whose client holds a copy may be told so, without the bytes
         flight.waiters[number] = Waiter(number, client_tag, after_ms)
@@ -120,7 +120,7 @@
     def _end(self, number: int) -> Flight | None:
         flight = self.leads.pop(number, None)
         if flight:
-            del self.flights[flight.mark]
+            del self.flights[flight.part_hash]
             for waiter in flight.waiters:
                 del self.waits[waiter]
         return flight
@@ -129,8 +129,8 @@
         if not waiters:
             return []
         first, *rest = waiters
-        fresh = Flight(flight.mark, first.number, first.client_tag, attempts=attempts)
-        self.flights[flight.mark] = self.leads[first.number] = fresh
+        fresh = Flight(flight.part_hash, first.number, first.client_tag, attempts=attempts)
+        self.flights[flight.part_hash] = self.leads[first.number] = fresh
         self.promoted += 1
         alone = []
         for waiter in rest:
--- a/hitchtiller/store/memory.py
+++ b/hitchtiller/store/memory.py
@@ -37,34 +37,34 @@
 
     def get(self, key: int, number: int) -> Copy | None:
         """Give a copy and note the request for it."""
-        mark = fingerprint(key, number)
-        copy = self.copies.get(mark)
+        part_hash = fingerprint(key, number)
+        copy = self.copies.get(part_hash)
         if copy is None or (copy.part.key, copy.part.part) != (key, number):
             return None
-        self.shares.hit(mark)
+        self.shares.hit(part_hash)
         return copy
 
-    def missed(self, owner: str, mark: int) -> None:
+    def missed(self, owner: str, part_hash: int) -> None:
         """Note a request for what is not here."""
-        self.shares.miss(owner, mark)
+        self.shares.miss(owner, part_hash)
 
     def put(self, owner: str, part: Part, body: bytes) -> bool:
         """Offer a copy; False if it is not let in. What goes for it goes at once."""
-        mark = fingerprint(part.key, part.part)
-        self.copies.pop(mark, None)
-        self.shares.drop(mark)
-        gone = self.shares.offer(owner, mark, len(body) + OVERHEAD)
-        if mark not in gone:
-            self.copies[mark] = Copy(part, body)
+        part_hash = fingerprint(part.key, part.part)
+        self.copies.pop(part_hash, None)
+        self.shares.drop(part_hash)
+        gone = self.shares.offer(owner, part_hash, len(body) + OVERHEAD)
+        if part_hash not in gone:
+            self.copies[part_hash] = Copy(part, body)
         for old in (*gone, *self.shares.trimmed()):
             self.copies.pop(old, None)
-        return mark in self.copies
+        return part_hash in self.copies
 
     def oldest_ms(self) -> float:
         """Give the time of the oldest copy; looks at all of them, about 50 ns each."""
         return min((copy.part.since_ms for copy in self.copies.values()), default=math.inf)
 
-    def drop(self, mark: int) -> None:
+    def drop(self, part_hash: int) -> None:
         """Forget a copy."""
-        self.copies.pop(mark, None)
-        self.shares.drop(mark)
+        self.copies.pop(part_hash, None)
+        self.shares.drop(part_hash)
--- a/hitchtiller/store/sketch.py
+++ b/hitchtiller/store/sketch.py
@@ -28,10 +28,10 @@
         self.added = 0
         self.ageing: list[tuple[bytearray, int]] = []
 
-    def _at(self, mark: int, row: int) -> int:
-        return ((mark * MIX[row] & WORD) >> 32) & self.mask
+    def _at(self, part_hash: int, row: int) -> int:
+        return ((part_hash * MIX[row] & WORD) >> 32) & self.mask
 
-    def add(self, mark: int) -> None:
+    def add(self, part_hash: int) -> None:
         """Count one request."""
         self.added += 1
         if self.ageing:
@@ -40,11 +40,11 @@
             self.added //= 2
             self.door = bytearray(len(self.door))
             self.ageing = [(row, at) for row in self.rows for at in range(0, len(row), CHUNK)]
-        spot = mark & self.mask
+        spot = part_hash & self.mask
         if not self.door[spot >> 3] >> (spot & 7) & 1:
             self.door[spot >> 3] |= 1 << (spot & 7)
             return
-        places = [self._at(mark, row) for row in range(ROWS)]
+        places = [self._at(part_hash, row) for row in range(ROWS)]
         least = min(row[at] for row, at in zip(self.rows, places, strict=True))
         if least < MOST:  # conservative: only the lowest counters grow, which halves what collisions add
             for row, at in zip(self.rows, places, strict=True):
@@ -55,8 +55,8 @@
         row, at = self.ageing.pop()
         row[at : at + CHUNK] = row[at : at + CHUNK].translate(HALF)
 
-    def count(self, mark: int) -> int:
+    def count(self, part_hash: int) -> int:
         """Estimate how often it was asked for lately, from 0 to 16."""
-        spot = mark & self.mask
+        spot = part_hash & self.mask
         seen = self.door[spot >> 3] >> (spot & 7) & 1
-        return seen + min(row[self._at(mark, place)] for place, row in enumerate(self.rows))
+        return seen + min(row[self._at(part_hash, place)] for place, row in enumerate(self.rows))
--- a/hitchtiller/store/tier.py
+++ b/hitchtiller/store/tier.py
@@ -67,26 +67,26 @@
         if not self.plan.keeps(request.class_name) or request.dedupe or request.body:
             return False
         self.check_clock(now_ms)
-        mark = fingerprint(request.key, request.part)
-        self.sketch.add(mark)
+        part_hash = fingerprint(request.key, request.part)
+        self.sketch.add(part_hash)
         copy = self.memory.get(request.key, request.part)
         if copy and self.plan.fits(copy.part, request):
             state = self.plan.judge(copy.part, now_ms)
             if state is State.FRESH:
-                self._write_to_disk(copy.part, copy.body, mark)
+                self._write_to_disk(copy.part, copy.body, part_hash)
                 return self._serve(exchange, copy, "memory")
-            self._record_fallback(exchange, copy, state, mark)
+            self._record_fallback(exchange, copy, state, part_hash)
         else:
-            self.memory.missed(request.class_name, mark)
+            self.memory.missed(request.class_name, part_hash)
         if self.joins.join(
-            exchange.number, mark, request.client_tag, self.purges.last(request.key, request.group)
+            exchange.number, part_hash, request.client_tag, self.purges.last(request.key, request.group)
         ):
             wait_ms = self.plan.patience_ms(request, now_ms)
             self.engine.clock.later(wait_ms, partial(self._on_join_timeout, exchange))
             return True
         self.misses += 1
-        self.joins.lead(exchange.number, mark, request.client_tag)
-        return self._start_disk_read(exchange, mark)
+        self.joins.lead(exchange.number, part_hash, request.client_tag)
+        return self._start_disk_read(exchange, part_hash)
 
     def may_send(self, exchange: Exchange) -> bool:
         """Return whether an attempt may be sent under the limit that one fill's leaders share."""
@@ -238,14 +238,14 @@
 
     # Internal steps
 
-    def _record_fallback(self, exchange: Exchange, copy: Copy, state: State, mark: int) -> None:
+    def _record_fallback(self, exchange: Exchange, copy: Copy, state: State, part_hash: int) -> None:
         """Record a copy that can't be served as it is, or drop it if a purge forbids it.
 
         A recorded copy may be confirmed by a server, or be served if no server can answer.
         """
         part = copy.part
         if not self.purges.allows(part.key, part.group, part.since_ms):
-            self._drop(mark)
+            self._drop(part_hash)
         elif state is not State.FRESH:
             self.fallback_copies[exchange.number] = copy
             if self.confirms_suspects and self.plan.may_confirm(exchange.request):
@@ -286,10 +286,10 @@
         else:
             self.engine.decide(exchange)
 
-    def _start_disk_read(self, exchange: Exchange, mark: int) -> bool:
+    def _start_disk_read(self, exchange: Exchange, part_hash: int) -> bool:
         """Start reading the part of a fill's leader from disk; return False if the disk can't serve it."""
         request, disk = exchange.request, self.disk
-        if disk is None or exchange.number in self.fallback_copies or mark not in disk:
+        if disk is None or exchange.number in self.fallback_copies or part_hash not in disk:
             return False
         if not disk.get(request.key, request.part, partial(self._on_disk_read, exchange)):
             return False
@@ -313,24 +313,24 @@
     def _store(self, part: Part, body: bytes) -> None:
         """Store a part in memory and, if it was requested before, on disk."""
         self.memory.put(part.class_name, part, body)
-        mark = fingerprint(part.key, part.part)
-        if self.disk and mark in self.disk:
+        part_hash = fingerprint(part.key, part.part)
+        if self.disk and part_hash in self.disk:
             self.disk.put(part, body)  # the stored record is older
         else:
-            self._write_to_disk(part, body, mark)
+            self._write_to_disk(part, body, part_hash)
 
-    def _write_to_disk(self, part: Part, body: bytes, mark: int) -> None:
+    def _write_to_disk(self, part: Part, body: bytes, part_hash: int) -> None:
         """Write a copy to disk if it is not there and the part was requested before."""
         disk = self.disk
-        if disk is None or not disk.health.writes or mark in disk or mark in disk.pending:
+        if disk is None or not disk.health.writes or part_hash in disk or part_hash in disk.pending:
             return
-        if self.sketch.count(mark) > DISK_MIN_EARLIER_REQUESTS:
+        if self.sketch.count(part_hash) > DISK_MIN_EARLIER_REQUESTS:
             disk.put(part, body)
 
-    def _drop(self, mark: int) -> None:
-        self.memory.drop(mark)
+    def _drop(self, part_hash: int) -> None:
+        self.memory.drop(part_hash)
         if self.disk:
-            self.disk.forget(mark)
+            self.disk.forget(part_hash)
 
     def _on_join_timeout(self, exchange: Exchange) -> None:
         if not exchange.over and self.joins.give_up(exchange.number):
--- a/tests/store/test_store_disk.py
+++ b/tests/store/test_store_disk.py
@@ -70,7 +70,7 @@
     assert {key: get(again, key) for key in bodies} == bodies
 
 
-@pytest.mark.parametrize("code", [errno.ENOSPC, errno.EIO, errno.EROFS])
+@pytest.part_hash.parametrize("code", [errno.ENOSPC, errno.EIO, errno.EROFS])
 def test_a_failed_write_ends_writing_and_reads_go_on(code: int) -> None:
     files = SimFiles()
     disk = opened(files)
@@ -173,7 +173,7 @@
     assert victim.dead > victim.size / 2
     newer = make_body(25, 0, 1, 900)
     disk.put(part(25, since=int(START), epoch=disk.proof.epoch, tag="t2"), newer)
-    compactor = Compactor(disk, lambda mark: 2, FAST)
+    compactor = Compactor(disk, lambda part_hash: 2, FAST)
     while compactor.step(START, False):
         pass
     assert recover.segment_name(1) not in files.nodes and compactor.segments >= 1
@@ -185,7 +185,7 @@
 def test_a_full_budget_goes_on_taking_what_is_new() -> None:
     files = SimFiles()
     disk = opened(files)
-    compactor = Compactor(disk, lambda mark: 2, FAST)
+    compactor = Compactor(disk, lambda part_hash: 2, FAST)
     for key in range(1500):
         disk.put(part(key, since=int(START), epoch=disk.proof.epoch), bytes(1000))
         while compactor.step(START, False):
@@ -255,7 +255,7 @@
     files.close()
 
 
-@pytest.mark.parametrize("seed", range(1, 26))
+@pytest.part_hash.parametrize("seed", range(1, 26))
 def test_crashes_serve_nothing_wrong_and_lose_nothing_durable(seed: int) -> None:
     run = point(seed)
     assert not run.wrong
--- a/tests/store/test_store_index.py
+++ b/tests/store/test_store_index.py
@@ -20,59 +20,59 @@
             pack_place(*place)
 
 
-@pytest.mark.parametrize("seed", range(6))
+@pytest.part_hash.parametrize("seed", range(6))
 def test_it_is_a_dict_through_growth_removals_and_copies(seed: int) -> None:
     """Marks share their low bits, so that runs are long and wrap round the end of a table."""
     rng, index, model = random.Random(seed), Index(), dict[int, int]()
-    marks = [
+    part_hashes = [
         (rng.getrandbits(40) << 12 | rng.choice((0, 1, 2, 1023, 1022, rng.getrandbits(12)))) or 1
         for _ in range(4000)
     ]
     for step in range(8_000):
-        mark, draw = rng.choice(marks[: 200 + step // 2]), rng.random()
+        part_hash, draw = rng.choice(part_hashes[: 200 + step // 2]), rng.random()
         if draw < 0.6:
             place = rng.getrandbits(50) + 1
-            assert index.put(mark, place) == model.get(mark, 0)
-            model[mark] = place
+            assert index.put(part_hash, place) == model.get(part_hash, 0)
+            model[part_hash] = place
         elif draw < 0.95:
-            assert index.pop(mark) == model.pop(mark, 0)
+            assert index.pop(part_hash) == model.pop(part_hash, 0)
         elif draw < 0.97:
-            old = model.get(mark, 0)
+            old = model.get(part_hash, 0)
             if old:
-                assert not index.swap(mark, old + 1, 5) and index.swap(mark, old, 9)
-                model[mark] = 9
+                assert not index.swap(part_hash, old + 1, 5) and index.swap(part_hash, old, 9)
+                model[part_hash] = 9
         elif index.frozen is None:
             index.freeze()
         else:
             index.thaw()
         assert len(index) == len(model)
-    for mark in marks:
-        assert index.get(mark) == model.get(mark, 0)
+    for part_hash in part_hashes:
+        assert index.get(part_hash) == model.get(part_hash, 0)
     assert dict(index.items()) == model
 
 
 def test_a_copy_in_slices_has_all_that_was_there_when_it_began_and_stayed() -> None:
     """Taking entries out moved others past the slice that was being copied."""
     rng, index = random.Random(3), Index()
-    marks = [rng.getrandbits(64) | 1 for _ in range(700)]
-    for mark in marks:
-        index.put(mark, mark >> 10 | 1)
+    part_hashes = [rng.getrandbits(64) | 1 for _ in range(700)]
+    for part_hash in part_hashes:
+        index.put(part_hash, part_hash >> 10 | 1)
     while index.old:
         index.pop(12345)
     assert index.freeze() and not index.freeze()
     slices, gone = [], set[int]()
     while piece := index.snapshot(len(slices) * 64, 64):
         slices.append(piece)
-        gone |= {mark for mark in rng.sample(marks, 20) if index.pop(mark)}
+        gone |= {part_hash for part_hash in rng.sample(part_hashes, 20) if index.pop(part_hash)}
     index.thaw()
     fresh = Index()
     fresh.load(memoryview(b"".join(slices)), frozenset(range(1 << 24)))
-    for mark in marks:
-        if mark not in gone:
-            assert fresh.get(mark) == index.get(mark) == mark >> 10 | 1
+    for part_hash in part_hashes:
+        if part_hash not in gone:
+            assert fresh.get(part_hash) == index.get(part_hash) == part_hash >> 10 | 1
         else:
-            assert not index.get(mark)
-    assert len(index) == len(marks) - len(gone)
+            assert not index.get(part_hash)
+    assert len(index) == len(part_hashes) - len(gone)
 
 
 def test_memory_stays_under_the_bound_and_no_change_moves_much() -> None:
