--- a/tests/store/test_store_decide.py
+++ b/tests/store/test_store_decide.py
@@ -6,7 +6,7 @@
 import pytest
 from tiers import START
 
-from hitchtiller.store.health import OFF, READ_ONLY, MAX_UNREADABLE_SEGMENTS, WELL, Health
+from hitchtiller.store.health import MAX_UNREADABLE_SEGMENTS, OFF, READ_ONLY, WELL, Health
 from hitchtiller.store.join import Joins, Then
 from hitchtiller.store.pace import Pace
 from hitchtiller.store.purges import Purges
