--- a/hitchtiller/store/admission.py
+++ b/hitchtiller/store/admission.py
@@ -1,9 +1,9 @@
-"""What is kept and what makes room, by bytes: S3-FIFO and W-TinyLFU, beside LRU, LFU and FIFO as yardsticks.
+"""Admission and eviction by bytes: S3-FIFO and W-TinyLFU, with LRU, LFU and FIFO for comparison.
 
-All of them decide without I/O: `hit` notes a request for what is kept, `offer` asks for room and gives what
-has to go (the offered key itself where it is not let in). Costs are constant on average for each call; LFU's
-heap costs a logarithm. The choice between them was made by `hitchtiller store replay`; docs/second-tier.md
-has the table.
+All policies decide without I/O: `hit` records a request for a stored entry; `offer` asks for space and
+returns the keys to evict, which include the offered key if it is not admitted. The amortised cost of a call
+is constant; the heap of LFU makes it logarithmic. docs/second-tier.md has the table of `hitchtiller store
+replay` on which the choice between the policies rests.
 """
 
 import heapq
@@ -15,48 +15,48 @@
 
 
 class Policy(Protocol):
-    """What a bounded set of sized entries asks of a policy; keys are fingerprints."""
+    """Interface of an admission and eviction policy for entries of different sizes; keys are hashes."""
 
     @property
     def used(self) -> int:
-        """Give the bytes kept."""
+        """Return the size of all stored entries in bytes."""
 
     def hit(self, key: int) -> None:
-        """Note a request for an entry that is kept."""
+        """Record a request for a stored entry."""
 
     def miss(self, key: int) -> None:
-        """Note a request for one that is not."""
+        """Record a request for an entry that is not stored."""
 
     def offer(self, key: int, size: int) -> list[int]:
-        """Let an entry in; gives the keys that go for it, its own if it is turned away."""
+        """Offer an entry; return the evicted keys, which include its own if it is not admitted."""
 
     def drop(self, key: int) -> None:
-        """Forget an entry that went for another reason."""
+        """Remove an entry for a reason other than eviction."""
 
     def trim(self, room: int) -> list[int]:
-        """Live with other room from now on; gives what goes for it."""
+        """Change the limit; return the keys that were evicted to meet it."""
 
     def __contains__(self, key: int) -> bool:
-        """Tell whether it is kept."""
+        """Return whether an entry is stored."""
 
 
 class Lru:
-    """Drops what was asked for longest ago."""
+    """Least recently used: evicts the entry whose last request is longest ago."""
 
     def __init__(self, room: int) -> None:
-        """Keep `room` bytes."""
+        """Store at most `max_bytes`."""
         self.room, self.used = room, 0
         self.sizes: OrderedDict[int, int] = OrderedDict()
 
     def hit(self, key: int) -> None:
-        """Move it to the young end."""
+        """Move the entry to the recently used end."""
         self.sizes.move_to_end(key)
 
     def miss(self, key: int) -> None:
-        """Nothing to learn."""
+        """Do nothing: requests for entries that are not stored have no effect."""
 
     def offer(self, key: int, size: int) -> list[int]:
-        """Let everything in that fits at all."""
+        """Admit every entry that is not larger than the limit."""
         if size > self.room:
             return [key]
         self.drop(key)
@@ -70,7 +70,7 @@
         return gone
 
     def trim(self, room: int) -> list[int]:
-        """Live with other room."""
+        """Change the limit and evict down to it."""
         self.room, gone = room, list[int]()
         while self.used > room:
             old, its = self.sizes.popitem(last=False)
@@ -79,28 +79,29 @@
         return gone
 
     def drop(self, key: int) -> None:
-        """Forget one."""
+        """Remove an entry."""
         self.used -= self.sizes.pop(key, 0)
 
     def __contains__(self, key: int) -> bool:
-        """Tell whether it is kept."""
+        """Return whether an entry is stored."""
         return key in self.sizes
 
 
 class Fifo(Lru):
-    """Drops what came first: no admission and no memory of use."""
+    """First in, first out: no admission control, and requests for stored entries have no effect."""
 
     def hit(self, key: int) -> None:
-        """Change nothing."""
+        """Do nothing: a request does not change the order."""
 
 
 class Lfu:
-    """Drops what was asked for least since it came; old favourites stay for ever."""
+    """Least frequently used: counts are never reduced, so once popular entries stay for ever."""
 
     def __init__(self, room: int) -> None:
-        """Keep `room` bytes."""
+        """Store at most `max_bytes`."""
         self.room, self.used, self.clock = room, 0, 0
-        self.entries: dict[int, tuple[int, int, int]] = {}  # size, uses, time of the last
+        # size, number of uses, sequence number of the last use
+        self.entries: dict[int, tuple[int, int, int]] = {}
         self.heap: list[tuple[int, int, int]] = []
 
     def hit(self, key: int) -> None:
@@ -114,10 +115,10 @@
         heapq.heappush(self.heap, (uses, self.clock, key))
 
     def miss(self, key: int) -> None:
-        """Nothing to learn."""
+        """Do nothing: requests for entries that are not stored have no effect."""
 
     def offer(self, key: int, size: int) -> list[int]:
-        """Let everything in that fits at all."""
+        """Admit every entry that is not larger than the limit."""
         if size > self.room:
             return [key]
         self.drop(key)
@@ -132,7 +133,7 @@
         return gone
 
     def trim(self, room: int) -> list[int]:
-        """Live with other room."""
+        """Change the limit and evict down to it."""
         self.room, gone = room, list[int]()
         while self.used > room:
             uses, clock, old = heapq.heappop(self.heap)
@@ -142,25 +143,26 @@
         return gone
 
     def drop(self, key: int) -> None:
-        """Forget one."""
+        """Remove an entry."""
         self.used -= self.entries.pop(key, (0, 0, 0))[0]
 
     def __contains__(self, key: int) -> bool:
-        """Tell whether it is kept."""
+        """Return whether an entry is stored."""
         return key in self.entries
 
 
 class S3Fifo:
-    """A small queue on trial, a main queue for what was asked for again, and ghosts of what failed the trial.
+    """S3-FIFO: a small queue for new entries, a main queue for reused ones, and a ghost queue.
 
-    One-offs cross the small queue only, a tenth of the room, and push out nothing of the main one. Yang et
-    al., 2023.
+    New entries enter the small queue, a tenth of the space; those that are requested again move to the main
+    queue. The ghost queue remembers the keys of those that were not. Entries requested only once therefore
+    evict nothing from the main queue. See Yang et al., 2023.
     """
 
-    SMALL, MOST = 0.1, 3  # share of the room on trial; uses that are counted
+    SMALL, MOST = 0.1, 3  # share of the space for the small queue; uses counted at most
 
     def __init__(self, room: int) -> None:
-        """Keep `room` bytes; ghosts cover as many bytes as are kept, 8 + dict overhead each."""
+        """Store at most `max_bytes`; ghosts for as many bytes again cost 8 bytes plus dict overhead each."""
         self.room, self.used, self.trial = room, 0, 0
         self.small: OrderedDict[int, int] = OrderedDict()
         self.main: OrderedDict[int, int] = OrderedDict()
@@ -169,14 +171,14 @@
         self.uses: dict[int, int] = {}
 
     def hit(self, key: int) -> None:
-        """Count a use; nothing moves until room is needed."""
+        """Count a use; entries move between the queues only when space is needed."""
         self.uses[key] = min(self.MOST, self.uses.get(key, 0) + 1)
 
     def miss(self, key: int) -> None:
-        """Nothing to learn: ghosts are looked at on offers."""
+        """Do nothing: the ghost queue is consulted when an entry is offered."""
 
     def offer(self, key: int, size: int) -> list[int]:
-        """Let it in on trial, or to the main queue if its ghost is remembered."""
+        """Admit an entry to the small queue, or to the main queue if its ghost is remembered."""
         if size > self.room:
             return [key]
         self.drop(key)
@@ -215,14 +217,14 @@
         gone.append(key)
 
     def trim(self, room: int) -> list[int]:
-        """Live with other room."""
+        """Change the limit and evict down to it."""
         self.room, gone = room, list[int]()
         while self.used > room:
             self._evict(gone)
         return gone
 
     def drop(self, key: int) -> None:
-        """Forget one."""
+        """Remove an entry."""
         if key in self.small:
             size = self.small.pop(key)
             self.trial -= size
@@ -234,33 +236,33 @@
         del self.uses[key]
 
     def __contains__(self, key: int) -> bool:
-        """Tell whether it is kept."""
+        """Return whether an entry is stored."""
         return key in self.uses
 
 
 class TinyLfu:
-    """A small window for what is new; the main part lets in only what is asked for more than what would go.
+    """W-TinyLFU: a small window for new entries, and a main part that admits by request frequency.
 
-    Main is a segmented LRU (trial and protected). An entry that is larger than its victim must be wanted more
-    than all of the victims together, so that a large one can't push out many small ones for one request.
-    Einziger et al., 2017.
+    The main part is a segmented LRU (probation and protected). An entry that leaves the window is admitted
+    only if it was requested more often than all entries it would evict together, so that a large entry can't
+    evict many small ones because of one request. See Einziger et al., 2017.
     """
 
     WINDOW, PROTECTED = 0.05, 0.8
 
     def __init__(self, room: int, sketch: Sketch | None = None) -> None:
-        """Keep `room` bytes; the sketch may be shared with others."""
+        """Store at most `max_bytes`; the sketch may be shared with other policies."""
         self.room = room
         self.sketch = sketch or Sketch(max(1 << 12, room >> 14))
         self.window, self.trial, self.kept = (Lru(room) for _ in range(3))
 
     @property
     def used(self) -> int:
-        """Give the bytes kept."""
+        """Return the size of all stored entries in bytes."""
         return self.window.used + self.trial.used + self.kept.used
 
     def hit(self, key: int) -> None:
-        """Count it; what is used again on trial becomes protected."""
+        """Count a use; an entry in probation that is used again becomes protected."""
         self.sketch.add(key)
         for part in (self.window, self.kept):
             if key in part:
@@ -279,11 +281,11 @@
                 break
 
     def miss(self, key: int) -> None:
-        """Count it."""
+        """Count a request."""
         self.sketch.add(key)
 
     def offer(self, key: int, size: int) -> list[int]:
-        """Let it into the window; what leaves the window must be worth more than what makes room for it."""
+        """Admit an entry to the window; entries that leave the window compete with those they would evict."""
         if size > self.room:
             return [key]
         self.drop(key)
@@ -319,31 +321,32 @@
         return victims
 
     def trim(self, room: int) -> list[int]:
-        """Live with other room: trial goes first, the window last."""
+        """Change the limit and evict down to it: first from probation, last from the window."""
         self.room, gone = room, list[int]()
         for part in (self.trial, self.kept, self.window):
             gone += part.trim(max(0, part.used - max(0, self.used - room)))
         return gone
 
     def drop(self, key: int) -> None:
-        """Forget one."""
+        """Remove an entry."""
         for part in (self.window, self.trial, self.kept):
             part.drop(key)
 
     def __contains__(self, key: int) -> bool:
-        """Tell whether it is kept."""
+        """Return whether an entry is stored."""
         return key in self.window or key in self.trial or key in self.kept
 
 
 class Shares:
-    """Gives each owner (a class, or a class at a station) room of its own, so that none can empty another's.
+    """Divides the space between owners (a class, or a class at a station), each with a policy of its own.
 
-    `room` is divided by weight among the owners that have asked for anything so far. Bound: one policy an
-    owner; the number of owners is that of classes times stations.
+    No owner can evict another's entries. The space is divided by weight among the owners that have made
+    requests so far. There is one policy per owner, and the number of owners is that of classes times
+    stations.
     """
 
     def __init__(self, room: int, weights: dict[str, float], make: Callable[[int], Policy]) -> None:
-        """Divide `room` bytes by weight; an owner without a weight has 1."""
+        """Divide `max_bytes` by weight; an owner without a weight has weight 1."""
         self.room, self.weights, self.make = room, weights, make
         self.owners: dict[str, Policy] = {}
         self.of: dict[int, str] = {}
@@ -351,13 +354,13 @@
 
     @property
     def used(self) -> int:
-        """Give the bytes kept for all owners."""
+        """Return the size of the stored entries of all owners in bytes."""
         return sum(policy.used for policy in self.owners.values())
 
     def policy(self, owner: str) -> Policy:
-        """Give an owner's policy.
+        """Return the policy of an owner.
 
-        A new owner makes the others' room smaller at once, which happens once an owner.
+        The first request of an owner creates its policy, which reduces the space of the other owners at once.
         """
         if owner not in self.owners:
             self.owners[owner] = self.make(self.room)
@@ -369,20 +372,20 @@
         return self.owners[owner]
 
     def trimmed(self) -> list[int]:
-        """Give, once, what had to go because the room was divided anew."""
+        """Return the keys evicted by dividing the space anew since the last call."""
         gone, self.gone = self.gone, []
         return gone
 
     def hit(self, key: int) -> None:
-        """Note a request for what is kept."""
+        """Record a request for a stored entry."""
         self.owners[self.of[key]].hit(key)
 
     def miss(self, owner: str, key: int) -> None:
-        """Note a request for what is not."""
+        """Record a request for an entry that is not stored."""
         self.policy(owner).miss(key)
 
     def offer(self, owner: str, key: int, size: int) -> list[int]:
-        """Let an entry in at its owner's cost."""
+        """Offer an entry within the space of its owner; return the evicted keys."""
         before = self.of.get(key)
         if before is not None and before != owner:
             self.drop(key)
@@ -394,17 +397,17 @@
         return gone
 
     def drop(self, key: int) -> None:
-        """Forget an entry."""
+        """Remove an entry."""
         if owner := self.of.pop(key, None):
             self.owners[owner].drop(key)
 
     def __contains__(self, key: int) -> bool:
-        """Tell whether it is kept."""
+        """Return whether an entry is stored."""
         return key in self.of
 
 
 def tiny_lfu(room: int) -> Policy:
-    """Make one with a sketch of its own."""
+    """Create a W-TinyLFU policy with a sketch of its own."""
     return TinyLfu(room)
 
 
