--- a/hitchtiller/store/admission.py
+++ b/hitchtiller/store/admission.py
@@ -60,23 +60,23 @@
         if size > self.room:
             return [key]
         self.drop(key)
-        gone = []
+        evicted = []
         while self.used + size > self.room:
-            old, its = self.sizes.popitem(last=False)
-            self.used -= its
-            gone.append(old)
+            old_key, old_size = self.sizes.popitem(last=False)
+            self.used -= old_size
+            evicted.append(old_key)
         self.sizes[key] = size
         self.used += size
-        return gone
+        return evicted
 
     def trim(self, room: int) -> list[int]:
         """Change the limit and evict down to it."""
-        self.room, gone = room, list[int]()
+        self.room, evicted = room, list[int]()
         while self.used > room:
-            old, its = self.sizes.popitem(last=False)
-            self.used -= its
-            gone.append(old)
-        return gone
+            old_key, old_size = self.sizes.popitem(last=False)
+            self.used -= old_size
+            evicted.append(old_key)
+        return evicted
 
     def drop(self, key: int) -> None:
         """Remove an entry."""
@@ -99,7 +99,7 @@
 
     def __init__(self, room: int) -> None:
         """Store at most `max_bytes`."""
-        self.room, self.used, self.clock = room, 0, 0
+        self.room, self.used, self.sequence = room, 0, 0
         # size, number of uses, sequence number of the last use
         self.entries: dict[int, tuple[int, int, int]] = {}
         self.heap: list[tuple[int, int, int]] = []
@@ -110,9 +110,9 @@
         self._set(key, size, uses + 1)
 
     def _set(self, key: int, size: int, uses: int) -> None:
-        self.clock += 1
-        self.entries[key] = (size, uses, self.clock)
-        heapq.heappush(self.heap, (uses, self.clock, key))
+        self.sequence += 1
+        self.entries[key] = (size, uses, self.sequence)
+        heapq.heappush(self.heap, (uses, self.sequence, key))
 
     def miss(self, key: int) -> None:
         """Do nothing: requests for entries that are not stored have no effect."""
@@ -122,25 +122,25 @@
         if size > self.room:
             return [key]
         self.drop(key)
-        gone = []
+        evicted = []
         while self.used + size > self.room:
-            uses, clock, old = heapq.heappop(self.heap)
-            if self.entries.get(old, (0, 0, 0))[1:] == (uses, clock):
-                self.drop(old)
-                gone.append(old)
+            uses, sequence, old_key = heapq.heappop(self.heap)
+            if self.entries.get(old_key, (0, 0, 0))[1:] == (uses, sequence):
+                self.drop(old_key)
+                evicted.append(old_key)
         self._set(key, size, 1)
         self.used += size
-        return gone
+        return evicted
 
     def trim(self, room: int) -> list[int]:
         """Change the limit and evict down to it."""
-        self.room, gone = room, list[int]()
+        self.room, evicted = room, list[int]()
         while self.used > room:
-            uses, clock, old = heapq.heappop(self.heap)
-            if self.entries.get(old, (0, 0, 0))[1:] == (uses, clock):
-                self.drop(old)
-                gone.append(old)
-        return gone
+            uses, sequence, old_key = heapq.heappop(self.heap)
+            if self.entries.get(old_key, (0, 0, 0))[1:] == (uses, sequence):
+                self.drop(old_key)
+                evicted.append(old_key)
+        return evicted
 
     def drop(self, key: int) -> None:
         """Remove an entry."""
@@ -159,20 +159,20 @@
     evict nothing from the main queue. See Yang et al., 2023.
     """
 
-    SMALL, MOST = 0.1, 3  # share of the space for the small queue; uses counted at most
+    SMALL_SHARE, MAX_USES = 0.1, 3  # of the space, for the small queue; uses counted per entry
 
     def __init__(self, room: int) -> None:
         """Store at most `max_bytes`; ghosts for as many bytes again cost 8 bytes plus dict overhead each."""
-        self.room, self.used, self.trial = room, 0, 0
+        self.room, self.used, self.small_bytes = room, 0, 0
         self.small: OrderedDict[int, int] = OrderedDict()
         self.main: OrderedDict[int, int] = OrderedDict()
         self.ghosts: OrderedDict[int, int] = OrderedDict()
-        self.ghostly = 0
+        self.ghost_bytes = 0
         self.uses: dict[int, int] = {}
 
     def hit(self, key: int) -> None:
         """Count a use; entries move between the queues only when space is needed."""
-        self.uses[key] = min(self.MOST, self.uses.get(key, 0) + 1)
+        self.uses[key] = min(self.MAX_USES, self.uses.get(key, 0) + 1)
 
     def miss(self, key: int) -> None:
         """Do nothing: the ghost queue is consulted when an entry is offered."""
@@ -182,30 +182,30 @@
         if size > self.room:
             return [key]
         self.drop(key)
-        gone: list[int] = []
-        known = self.ghosts.pop(key, None)
-        if known is not None:
-            self.ghostly -= known
+        evicted: list[int] = []
+        ghost_size = self.ghosts.pop(key, None)
+        if ghost_size is not None:
+            self.ghost_bytes -= ghost_size
         while self.used + size > self.room:
-            self._evict(gone)
-        queue = self.small if known is None else self.main
+            self._evict(evicted)
+        queue = self.small if ghost_size is None else self.main
         queue[key] = size
-        self.trial += size if known is None else 0
+        self.small_bytes += size if ghost_size is None else 0
         self.used += size
         self.uses[key] = 0
-        return gone
+        return evicted
 
-    def _evict(self, gone: list[int]) -> None:
-        if self.small and (self.trial > self.room * self.SMALL or not self.main):
+    def _evict(self, evicted: list[int]) -> None:
+        if self.small and (self.small_bytes > self.room * self.SMALL_SHARE or not self.main):
             key, size = self.small.popitem(last=False)
-            self.trial -= size
+            self.small_bytes -= size
             if self.uses[key] > 0:
                 self.main[key], self.uses[key] = size, 0
                 return
             self.ghosts[key] = size
-            self.ghostly += size
-            while self.ghostly > self.room:
-                self.ghostly -= self.ghosts.popitem(last=False)[1]
+            self.ghost_bytes += size
+            while self.ghost_bytes > self.room:
+                self.ghost_bytes -= self.ghosts.popitem(last=False)[1]
         else:
             key, size = self.main.popitem(last=False)
             if self.uses[key] > 0:
@@ -214,20 +214,20 @@
                 return
         self.used -= size
         del self.uses[key]
-        gone.append(key)
+        evicted.append(key)
 
     def trim(self, room: int) -> list[int]:
         """Change the limit and evict down to it."""
-        self.room, gone = room, list[int]()
+        self.room, evicted = room, list[int]()
         while self.used > room:
-            self._evict(gone)
-        return gone
+            self._evict(evicted)
+        return evicted
 
     def drop(self, key: int) -> None:
         """Remove an entry."""
         if key in self.small:
             size = self.small.pop(key)
-            self.trial -= size
+            self.small_bytes -= size
         elif key in self.main:
             size = self.main.pop(key)
         else:
@@ -248,36 +248,36 @@
     evict many small ones because of one request. See Einziger et al., 2017.
     """
 
-    WINDOW, PROTECTED = 0.05, 0.8
+    WINDOW_SHARE, PROTECTED_SHARE = 0.05, 0.8  # of the space; of the main part
 
     def __init__(self, room: int, sketch: Sketch | None = None) -> None:
         """Store at most `max_bytes`; the sketch may be shared with other policies."""
         self.room = room
         self.sketch = sketch or Sketch(max(1 << 12, room >> 14))
-        self.window, self.trial, self.kept = (Lru(room) for _ in range(3))
+        self.window, self.probation, self.protected = (Lru(room) for _ in range(3))
 
     @property
     def used(self) -> int:
         """Return the size of all stored entries in bytes."""
-        return self.window.used + self.trial.used + self.kept.used
+        return self.window.used + self.probation.used + self.protected.used
 
     def hit(self, key: int) -> None:
         """Count a use; an entry in probation that is used again becomes protected."""
         self.sketch.add(key)
-        for part in (self.window, self.kept):
-            if key in part:
-                part.hit(key)
+        for segment in (self.window, self.protected):
+            if key in segment:
+                segment.hit(key)
                 return
-        size = self.trial.sizes[key]
-        self.trial.drop(key)
-        self.kept.sizes[key] = size
-        self.kept.used += size
-        while self.kept.used > self.PROTECTED * (self.room - self.window.used):
-            old, its = self.kept.sizes.popitem(last=False)
-            self.kept.used -= its
-            self.trial.sizes[old] = its
-            self.trial.used += its
-            if old == key:
+        size = self.probation.sizes[key]
+        self.probation.drop(key)
+        self.protected.sizes[key] = size
+        self.protected.used += size
+        while self.protected.used > self.PROTECTED_SHARE * (self.room - self.window.used):
+            old_key, old_size = self.protected.sizes.popitem(last=False)
+            self.protected.used -= old_size
+            self.probation.sizes[old_key] = old_size
+            self.probation.used += old_size
+            if old_key == key:
                 break
 
     def miss(self, key: int) -> None:
@@ -289,52 +289,54 @@
         if size > self.room:
             return [key]
         self.drop(key)
-        gone: list[int] = []
+        evicted: list[int] = []
         self.window.sizes[key] = size
         self.window.used += size
-        while self.window.used > self.WINDOW * self.room and self.window.sizes:
-            candidate, its = self.window.sizes.popitem(last=False)
-            self.window.used -= its
-            gone += self._enter(candidate, its)
-        return gone
-
-    def _enter(self, key: int, size: int) -> list[int]:
-        need = self.trial.used + self.kept.used + size - int((1.0 - self.WINDOW) * self.room)
+        while self.window.used > self.WINDOW_SHARE * self.room and self.window.sizes:
+            candidate, candidate_size = self.window.sizes.popitem(last=False)
+            self.window.used -= candidate_size
+            evicted += self._admit_to_main(candidate, candidate_size)
+        return evicted
+
+    def _admit_to_main(self, key: int, size: int) -> list[int]:
+        bytes_to_free = (
+            self.probation.used + self.protected.used + size - int((1.0 - self.WINDOW_SHARE) * self.room)
+        )
         victims: list[int] = []
-        wanted, cost = self.sketch.count(key), 0
-        for part in (self.trial, self.kept):
-            for old, its in part.sizes.items():
-                if need <= 0:
+        requests, victim_requests = self.sketch.count(key), 0
+        for segment in (self.probation, self.protected):
+            for old_key, old_size in segment.sizes.items():
+                if bytes_to_free <= 0:
                     break
-                victims.append(old)
-                need -= its
-                cost += self.sketch.count(old)
-                if cost >= wanted:
+                victims.append(old_key)
+                bytes_to_free -= old_size
+                victim_requests += self.sketch.count(old_key)
+                if victim_requests >= requests:
                     return [key]
-        if need > 0:
+        if bytes_to_free > 0:
             return [key]
-        for old in victims:
-            self.trial.drop(old)
-            self.kept.drop(old)
-        self.trial.sizes[key] = size
-        self.trial.used += size
+        for old_key in victims:
+            self.probation.drop(old_key)
+            self.protected.drop(old_key)
+        self.probation.sizes[key] = size
+        self.probation.used += size
         return victims
 
     def trim(self, room: int) -> list[int]:
         """Change the limit and evict down to it: first from probation, last from the window."""
-        self.room, gone = room, list[int]()
-        for part in (self.trial, self.kept, self.window):
-            gone += part.trim(max(0, part.used - max(0, self.used - room)))
-        return gone
+        self.room, evicted = room, list[int]()
+        for segment in (self.probation, self.protected, self.window):
+            evicted += segment.trim(max(0, segment.used - max(0, self.used - room)))
+        return evicted
 
     def drop(self, key: int) -> None:
         """Remove an entry."""
-        for part in (self.window, self.trial, self.kept):
-            part.drop(key)
+        for segment in (self.window, self.probation, self.protected):
+            segment.drop(key)
 
     def __contains__(self, key: int) -> bool:
         """Return whether an entry is stored."""
-        return key in self.window or key in self.trial or key in self.kept
+        return key in self.window or key in self.probation or key in self.protected
 
 
 class Shares:
@@ -345,12 +347,12 @@
     stations.
     """
 
-    def __init__(self, room: int, weights: dict[str, float], make: Callable[[int], Policy]) -> None:
+    def __init__(self, room: int, weights: dict[str, float], make_policy: Callable[[int], Policy]) -> None:
         """Divide `max_bytes` by weight; an owner without a weight has weight 1."""
-        self.room, self.weights, self.make = room, weights, make
+        self.room, self.weights, self.make_policy = room, weights, make_policy
         self.owners: dict[str, Policy] = {}
-        self.of: dict[int, str] = {}
-        self.gone: list[int] = []
+        self.owner_of: dict[int, str] = {}
+        self.evicted: list[int] = []
 
     @property
     def used(self) -> int:
@@ -363,22 +365,22 @@
         The first request of an owner creates its policy, which reduces the space of the other owners at once.
         """
         if owner not in self.owners:
-            self.owners[owner] = self.make(self.room)
+            self.owners[owner] = self.make_policy(self.room)
             total = sum(self.weights.get(name, 1.0) for name in self.owners) or 1.0
             for name, policy in self.owners.items():
-                self.gone += policy.trim(int(self.room * self.weights.get(name, 1.0) / total))
-            for old in self.gone:
-                self.of.pop(old, None)
+                self.evicted += policy.trim(int(self.room * self.weights.get(name, 1.0) / total))
+            for old_key in self.evicted:
+                self.owner_of.pop(old_key, None)
         return self.owners[owner]
 
     def trimmed(self) -> list[int]:
         """Return the keys evicted by dividing the space anew since the last call."""
-        gone, self.gone = self.gone, []
-        return gone
+        evicted, self.evicted = self.evicted, []
+        return evicted
 
     def hit(self, key: int) -> None:
         """Record a request for a stored entry."""
-        self.owners[self.of[key]].hit(key)
+        self.owners[self.owner_of[key]].hit(key)
 
     def miss(self, owner: str, key: int) -> None:
         """Record a request for an entry that is not stored."""
@@ -386,31 +388,31 @@
 
     def offer(self, owner: str, key: int, size: int) -> list[int]:
         """Offer an entry within the space of its owner; return the evicted keys."""
-        before = self.of.get(key)
+        before = self.owner_of.get(key)
         if before is not None and before != owner:
             self.drop(key)
-        gone = self.policy(owner).offer(key, size)
-        if key not in gone:
-            self.of[key] = owner
-        for old in gone:
-            self.of.pop(old, None)
-        return gone
+        evicted = self.policy(owner).offer(key, size)
+        if key not in evicted:
+            self.owner_of[key] = owner
+        for old_key in evicted:
+            self.owner_of.pop(old_key, None)
+        return evicted
 
     def drop(self, key: int) -> None:
         """Remove an entry."""
-        if owner := self.of.pop(key, None):
+        if owner := self.owner_of.pop(key, None):
             self.owners[owner].drop(key)
 
     def __contains__(self, key: int) -> bool:
         """Return whether an entry is stored."""
-        return key in self.of
+        return key in self.owner_of
 
 
-def tiny_lfu(room: int) -> Policy:
+def make_tiny_lfu(room: int) -> Policy:
     """Create a W-TinyLFU policy with a sketch of its own."""
     return TinyLfu(room)
 
 
 POLICIES: dict[str, Callable[[int], Policy]] = {
-    "tinylfu": tiny_lfu, "s3fifo": S3Fifo, "lru": Lru, "lfu": Lfu, "fifo": Fifo,
+    "tinylfu": make_tiny_lfu, "s3fifo": S3Fifo, "lru": Lru, "lfu": Lfu, "fifo": Fifo,
 }  # fmt: skip
--- a/tests/store/test_store_admission.py
+++ b/tests/store/test_store_admission.py
@@ -19,8 +19,8 @@
         key = int(rng.paretovariate(0.6))
         if step == 10_000:
             room = 4_000
-            for gone in policy.trim(room):
-                del held[gone]
+            for evicted in policy.trim(room):
+                del held[evicted]
         if key in policy:
             assert key in held
             policy.hit(key)
@@ -31,10 +31,10 @@
         else:
             size = rng.randrange(1, 3_000)
             policy.miss(key)
-            gone = policy.offer(key, size)
+            evicted = policy.offer(key, size)
             held[key] = size
-            assert len(gone) == len(set(gone))
-            for old in gone:
+            assert len(evicted) == len(set(evicted))
+            for old in evicted:
                 del held[old]
         assert policy.used == sum(held.values()) <= room
     assert all(key in policy for key in held)
@@ -95,7 +95,7 @@
     assert len(memory.copies) == 100
     memory.put("lookups", part(500), bytes(1000))
     assert len(memory.copies) <= 51 and memory.used <= memory.room
-    assert set(memory.copies) == set(memory.shares.of)
+    assert set(memory.copies) == set(memory.shares.owner_of)
 
 
 def test_the_sketch_counts_ages_and_passes_over_one_offs() -> None:
