--- a/hitchtiller/store/admission.py
+++ b/hitchtiller/store/admission.py
@@ -33,7 +33,7 @@
     def drop(self, key: int) -> None:
         """Remove an entry for a reason other than eviction."""
 
-    def trim(self, room: int) -> list[int]:
+    def resize(self, max_bytes: int) -> list[int]:
         """Change the limit; return the keys that were evicted to meet it."""
 
     def __contains__(self, key: int) -> bool:
@@ -43,9 +43,9 @@
 class Lru:
     """Least recently used: evicts the entry whose last request is longest ago."""
 
-    def __init__(self, room: int) -> None:
+    def __init__(self, max_bytes: int) -> None:
         """Store at most `max_bytes`."""
-        self.room, self.used = room, 0
+        self.max_bytes, self.used = max_bytes, 0
         self.sizes: OrderedDict[int, int] = OrderedDict()
 
     def hit(self, key: int) -> None:
@@ -57,11 +57,11 @@
 
     def offer(self, key: int, size: int) -> list[int]:
         """Admit every entry that is not larger than the limit."""
-        if size > self.room:
+        if size > self.max_bytes:
             return [key]
         self.drop(key)
         evicted = []
-        while self.used + size > self.room:
+        while self.used + size > self.max_bytes:
             old_key, old_size = self.sizes.popitem(last=False)
             self.used -= old_size
             evicted.append(old_key)
@@ -69,10 +69,10 @@
         self.used += size
         return evicted
 
-    def trim(self, room: int) -> list[int]:
+    def resize(self, max_bytes: int) -> list[int]:
         """Change the limit and evict down to it."""
-        self.room, evicted = room, list[int]()
-        while self.used > room:
+        self.max_bytes, evicted = max_bytes, list[int]()
+        while self.used > max_bytes:
             old_key, old_size = self.sizes.popitem(last=False)
             self.used -= old_size
             evicted.append(old_key)
@@ -97,9 +97,9 @@
 class Lfu:
     """Least frequently used: counts are never reduced, so once popular entries stay for ever."""
 
-    def __init__(self, room: int) -> None:
+    def __init__(self, max_bytes: int) -> None:
         """Store at most `max_bytes`."""
-        self.room, self.used, self.sequence = room, 0, 0
+        self.max_bytes, self.used, self.sequence = max_bytes, 0, 0
         # size, number of uses, sequence number of the last use
         self.entries: dict[int, tuple[int, int, int]] = {}
         self.heap: list[tuple[int, int, int]] = []
@@ -119,11 +119,11 @@
 
     def offer(self, key: int, size: int) -> list[int]:
         """Admit every entry that is not larger than the limit."""
-        if size > self.room:
+        if size > self.max_bytes:
             return [key]
         self.drop(key)
         evicted = []
-        while self.used + size > self.room:
+        while self.used + size > self.max_bytes:
             uses, sequence, old_key = heapq.heappop(self.heap)
             if self.entries.get(old_key, (0, 0, 0))[1:] == (uses, sequence):
                 self.drop(old_key)
@@ -132,10 +132,10 @@
         self.used += size
         return evicted
 
-    def trim(self, room: int) -> list[int]:
+    def resize(self, max_bytes: int) -> list[int]:
         """Change the limit and evict down to it."""
-        self.room, evicted = room, list[int]()
-        while self.used > room:
+        self.max_bytes, evicted = max_bytes, list[int]()
+        while self.used > max_bytes:
             uses, sequence, old_key = heapq.heappop(self.heap)
             if self.entries.get(old_key, (0, 0, 0))[1:] == (uses, sequence):
                 self.drop(old_key)
@@ -161,9 +161,9 @@
 
     SMALL_SHARE, MAX_USES = 0.1, 3  # of the space, for the small queue; uses counted per entry
 
-    def __init__(self, room: int) -> None:
+    def __init__(self, max_bytes: int) -> None:
         """Store at most `max_bytes`; ghosts for as many bytes again cost 8 bytes plus dict overhead each."""
-        self.room, self.used, self.small_bytes = room, 0, 0
+        self.max_bytes, self.used, self.small_bytes = max_bytes, 0, 0
         self.small: OrderedDict[int, int] = OrderedDict()
         self.main: OrderedDict[int, int] = OrderedDict()
         self.ghosts: OrderedDict[int, int] = OrderedDict()
@@ -179,14 +179,14 @@
 
     def offer(self, key: int, size: int) -> list[int]:
         """Admit an entry to the small queue, or to the main queue if its ghost is remembered."""
-        if size > self.room:
+        if size > self.max_bytes:
             return [key]
         self.drop(key)
         evicted: list[int] = []
         ghost_size = self.ghosts.pop(key, None)
         if ghost_size is not None:
             self.ghost_bytes -= ghost_size
-        while self.used + size > self.room:
+        while self.used + size > self.max_bytes:
             self._evict(evicted)
         queue = self.small if ghost_size is None else self.main
         queue[key] = size
@@ -196,7 +196,7 @@
         return evicted
 
     def _evict(self, evicted: list[int]) -> None:
-        if self.small and (self.small_bytes > self.room * self.SMALL_SHARE or not self.main):
+        if self.small and (self.small_bytes > self.max_bytes * self.SMALL_SHARE or not self.main):
             key, size = self.small.popitem(last=False)
             self.small_bytes -= size
             if self.uses[key] > 0:
@@ -204,7 +204,7 @@
                 return
             self.ghosts[key] = size
             self.ghost_bytes += size
-            while self.ghost_bytes > self.room:
+            while self.ghost_bytes > self.max_bytes:
                 self.ghost_bytes -= self.ghosts.popitem(last=False)[1]
         else:
             key, size = self.main.popitem(last=False)
@@ -216,10 +216,10 @@
         del self.uses[key]
         evicted.append(key)
 
-    def trim(self, room: int) -> list[int]:
+    def resize(self, max_bytes: int) -> list[int]:
         """Change the limit and evict down to it."""
-        self.room, evicted = room, list[int]()
-        while self.used > room:
+        self.max_bytes, evicted = max_bytes, list[int]()
+        while self.used > max_bytes:
             self._evict(evicted)
         return evicted
 
@@ -250,11 +250,11 @@
 
     WINDOW_SHARE, PROTECTED_SHARE = 0.05, 0.8  # of the space; of the main part
 
-    def __init__(self, room: int, sketch: Sketch | None = None) -> None:
+    def __init__(self, max_bytes: int, sketch: Sketch | None = None) -> None:
         """Store at most `max_bytes`; the sketch may be shared with other policies."""
-        self.room = room
-        self.sketch = sketch or Sketch(max(1 << 12, room >> 14))
-        self.window, self.probation, self.protected = (Lru(room) for _ in range(3))
+        self.max_bytes = max_bytes
+        self.sketch = sketch or Sketch(max(1 << 12, max_bytes >> 14))
+        self.window, self.probation, self.protected = (Lru(max_bytes) for _ in range(3))
 
     @property
     def used(self) -> int:
@@ -272,7 +272,7 @@
         self.probation.drop(key)
         self.protected.sizes[key] = size
         self.protected.used += size
-        while self.protected.used > self.PROTECTED_SHARE * (self.room - self.window.used):
+        while self.protected.used > self.PROTECTED_SHARE * (self.max_bytes - self.window.used):
             old_key, old_size = self.protected.sizes.popitem(last=False)
             self.protected.used -= old_size
             self.probation.sizes[old_key] = old_size
@@ -286,13 +286,13 @@
 
     def offer(self, key: int, size: int) -> list[int]:
         """Admit an entry to the window; entries that leave the window compete with those they would evict."""
-        if size > self.room:
+        if size > self.max_bytes:
             return [key]
         self.drop(key)
         evicted: list[int] = []
         self.window.sizes[key] = size
         self.window.used += size
-        while self.window.used > self.WINDOW_SHARE * self.room and self.window.sizes:
+        while self.window.used > self.WINDOW_SHARE * self.max_bytes and self.window.sizes:
             candidate, candidate_size = self.window.sizes.popitem(last=False)
             self.window.used -= candidate_size
             evicted += self._admit_to_main(candidate, candidate_size)
@@ -300,7 +300,7 @@
 
     def _admit_to_main(self, key: int, size: int) -> list[int]:
         bytes_to_free = (
-            self.probation.used + self.protected.used + size - int((1.0 - self.WINDOW_SHARE) * self.room)
+            self.probation.used + self.protected.used + size - int((1.0 - self.WINDOW_SHARE) * self.max_bytes)
         )
         victims: list[int] = []
         requests, victim_requests = self.sketch.count(key), 0
@@ -322,11 +322,11 @@
         self.probation.used += size
         return victims
 
-    def trim(self, room: int) -> list[int]:
+    def resize(self, max_bytes: int) -> list[int]:
         """Change the limit and evict down to it: first from probation, last from the window."""
-        self.room, evicted = room, list[int]()
+        self.max_bytes, evicted = max_bytes, list[int]()
         for segment in (self.probation, self.protected, self.window):
-            evicted += segment.trim(max(0, segment.used - max(0, self.used - room)))
+            evicted += segment.resize(max(0, segment.used - max(0, self.used - max_bytes)))
         return evicted
 
     def drop(self, key: int) -> None:
@@ -347,9 +347,11 @@
     stations.
     """
 
-    def __init__(self, room: int, weights: dict[str, float], make_policy: Callable[[int], Policy]) -> None:
+    def __init__(
+        self, max_bytes: int, weights: dict[str, float], make_policy: Callable[[int], Policy]
+    ) -> None:
         """Divide `max_bytes` by weight; an owner without a weight has weight 1."""
-        self.room, self.weights, self.make_policy = room, weights, make_policy
+        self.max_bytes, self.weights, self.make_policy = max_bytes, weights, make_policy
         self.owners: dict[str, Policy] = {}
         self.owner_of: dict[int, str] = {}
         self.evicted: list[int] = []
@@ -365,15 +367,15 @@
         The first request of an owner creates its policy, which reduces the space of the other owners at once.
         """
         if owner not in self.owners:
-            self.owners[owner] = self.make_policy(self.room)
+            self.owners[owner] = self.make_policy(self.max_bytes)
             total = sum(self.weights.get(name, 1.0) for name in self.owners) or 1.0
             for name, policy in self.owners.items():
-                self.evicted += policy.trim(int(self.room * self.weights.get(name, 1.0) / total))
+                self.evicted += policy.resize(int(self.max_bytes * self.weights.get(name, 1.0) / total))
             for old_key in self.evicted:
                 self.owner_of.pop(old_key, None)
         return self.owners[owner]
 
-    def trimmed(self) -> list[int]:
+    def take_evicted(self) -> list[int]:
         """Return the keys evicted by dividing the space anew since the last call."""
         evicted, self.evicted = self.evicted, []
         return evicted
@@ -408,9 +410,9 @@
         return key in self.owner_of
 
 
-def make_tiny_lfu(room: int) -> Policy:
+def make_tiny_lfu(max_bytes: int) -> Policy:
     """Create a W-TinyLFU policy with a sketch of its own."""
-    return TinyLfu(room)
+    return TinyLfu(max_bytes)
 
 
 POLICIES: dict[str, Callable[[int], Policy]] = {
--- a/hitchtiller/store/memory.py
+++ b/hitchtiller/store/memory.py
@@ -10,7 +10,9 @@
 from hitchtiller.store.format import Part
 from hitchtiller.store.index import fingerprint
 
-OVERHEAD = 600  # bytes that a kept part costs beside its body, as measured: objects, table entries, policy
+OVERHEAD_BYTES = (
+    600  # bytes that a kept part costs beside its body, as measured: objects, table entries, policy
+)
 
 
 @dataclass(slots=True)
@@ -24,11 +26,13 @@
 class Memory:
     """Copies by fingerprint; `owner` is the class, or the class at a station."""
 
-    def __init__(self, room: int, weights: dict[str, float] | None = None, policy: str = "s3fifo") -> None:
+    def __init__(
+        self, max_bytes: int, weights: dict[str, float] | None = None, policy: str = "s3fifo"
+    ) -> None:
         """Hold `room` bytes, OVERHEAD a part included."""
-        self.room = room
+        self.max_bytes = max_bytes
         self.copies: dict[int, Copy] = {}
-        self.shares = Shares(room, weights or {}, POLICIES[policy])
+        self.shares = Shares(max_bytes, weights or {}, POLICIES[policy])
 
     @property
     def used(self) -> int:
@@ -53,10 +57,10 @@
         part_hash = fingerprint(part.key, part.part)
         self.copies.pop(part_hash, None)
         self.shares.drop(part_hash)
-        gone = self.shares.offer(owner, part_hash, len(body) + OVERHEAD)
+        gone = self.shares.offer(owner, part_hash, len(body) + OVERHEAD_BYTES)
         if part_hash not in gone:
             self.copies[part_hash] = Copy(part, body)
-        for old in (*gone, *self.shares.trimmed()):
+        for old in (*gone, *self.shares.take_evicted()):
             self.copies.pop(old, None)
         return part_hash in self.copies
 
--- a/tests/store/test_store_admission.py
+++ b/tests/store/test_store_admission.py
@@ -7,19 +7,19 @@
 
 from hitchtiller.cli.replay import draw, play, read_trace
 from hitchtiller.store.admission import POLICIES, S3Fifo, Shares, TinyLfu
-from hitchtiller.store.memory import OVERHEAD, Memory
+from hitchtiller.store.memory import OVERHEAD_BYTES, Memory
 from hitchtiller.store.sketch import MOST, Sketch
 
 
 @pytest.part_hash.parametrize("name", POLICIES)
 def test_a_policy_never_holds_more_than_its_room_and_tells_all_that_goes(name: str) -> None:
-    rng, room = random.Random(5), 10_000
-    policy, held = POLICIES[name](room), dict[int, int]()
+    rng, max_bytes = random.Random(5), 10_000
+    policy, held = POLICIES[name](max_bytes), dict[int, int]()
     for step in range(20_000):
         key = int(rng.paretovariate(0.6))
         if step == 10_000:
-            room = 4_000
-            for evicted in policy.trim(room):
+            max_bytes = 4_000
+            for evicted in policy.resize(max_bytes):
                 del held[evicted]
         if key in policy:
             assert key in held
@@ -36,9 +36,9 @@
             assert len(evicted) == len(set(evicted))
             for old in evicted:
                 del held[old]
-        assert policy.used == sum(held.values()) <= room
+        assert policy.used == sum(held.values()) <= max_bytes
     assert all(key in policy for key in held)
-    assert policy.offer(1 << 50, room + 1) == [1 << 50]
+    assert policy.offer(1 << 50, max_bytes + 1) == [1 << 50]
 
 
 def test_a_scan_costs_the_chosen_policy_at_most_3_points_and_lru_more() -> None:
@@ -82,19 +82,19 @@
         shares.offer("files", key, 1_000)
     assert sum(key in shares for key in range(50)) == 50
     assert shares.owners["files"].used <= 75_000
-    shares.trimmed()
+    shares.take_evicted()
     for key in range(100, 400):
         shares.offer("lookups", key, 1_000)
     assert shares.owners["lookups"].used <= 25_000 and shares.owners["files"].used > 70_000
 
 
 def test_a_new_owner_takes_room_from_the_others_and_memory_lets_go_of_it() -> None:
-    memory = Memory(100 * (1000 + OVERHEAD))
+    memory = Memory(100 * (1000 + OVERHEAD_BYTES))
     for key in range(100):
         memory.put("files", part(key), bytes(1000))
     assert len(memory.copies) == 100
     memory.put("lookups", part(500), bytes(1000))
-    assert len(memory.copies) <= 51 and memory.used <= memory.room
+    assert len(memory.copies) <= 51 and memory.used <= memory.max_bytes
     assert set(memory.copies) == set(memory.shares.owner_of)
 
 
