--- a/tests/store/test_store_admission.py
+++ b/tests/store/test_store_admission.py
@@ -11,7 +11,7 @@
 from hitchtiller.store.sketch import MOST, Sketch
 
 
-@pytest.part_hash.parametrize("name", POLICIES)
+@pytest.mark.parametrize("name", POLICIES)
 def test_a_policy_never_holds_more_than_its_room_and_tells_all_that_goes(name: str) -> None:
     rng, max_bytes = random.Random(5), 10_000
     policy, held = POLICIES[name](max_bytes), dict[int, int]()
--- a/tests/store/test_store_decide.py
+++ b/tests/store/test_store_decide.py
@@ -25,7 +25,7 @@
     assert proof.epoch == 3 and proof.proven(3, START - 9_000.0, START)
 
 
-@pytest.part_hash.parametrize("followed", [0.0, START - 6_100.0, START + 50.0])
+@pytest.mark.parametrize("followed", [0.0, START - 6_100.0, START + 50.0])
 def test_a_gap_or_a_clock_that_went_back_makes_all_copies_suspect(followed: float) -> None:
     proof = begun(SavedProof(3, followed, 1.0))
     assert proof.epoch == 4 and not proof.proven(3, START - 9_000.0, START)
@@ -45,7 +45,7 @@
     assert proof.cap_ms(START + 100.0) == 100.0 and proof.cap_ms(START - 5.0) == 1.0
 
 
-@pytest.part_hash.parametrize("step", [-3_600_000.0, -1_500.0, 1_500.0, 3_600_000.0])
+@pytest.mark.parametrize("step", [-3_600_000.0, -1_500.0, 1_500.0, 3_600_000.0])
 def test_a_step_of_the_clock_raises_the_era_and_drift_does_not(step: float) -> None:
     proof = begun(SavedProof(3, START, 1.0))
     for second in range(1, 20):
--- a/tests/store/test_store_disk.py
+++ b/tests/store/test_store_disk.py
@@ -70,7 +70,7 @@
     assert {key: get(again, key) for key in bodies} == bodies
 
 
-@pytest.part_hash.parametrize("code", [errno.ENOSPC, errno.EIO, errno.EROFS])
+@pytest.mark.parametrize("code", [errno.ENOSPC, errno.EIO, errno.EROFS])
 def test_a_failed_write_ends_writing_and_reads_go_on(code: int) -> None:
     files = SimFiles()
     disk = opened(files)
@@ -255,7 +255,7 @@
     files.close()
 
 
-@pytest.part_hash.parametrize("seed", range(1, 26))
+@pytest.mark.parametrize("seed", range(1, 26))
 def test_crashes_serve_nothing_wrong_and_lose_nothing_durable(seed: int) -> None:
     run = point(seed)
     assert not run.wrong
--- a/tests/store/test_store_index.py
+++ b/tests/store/test_store_index.py
@@ -20,7 +20,7 @@
             pack_place(*place)
 
 
-@pytest.part_hash.parametrize("seed", range(6))
+@pytest.mark.parametrize("seed", range(6))
 def test_it_is_a_dict_through_growth_removals_and_copies(seed: int) -> None:
     """Marks share their low bits, so that runs are long and wrap round the end of a table."""
     rng, index, model = random.Random(seed), Index(), dict[int, int]()
--- a/tests/store/test_store_tier.py
+++ b/tests/store/test_store_tier.py
@@ -32,14 +32,14 @@
     assert len(tiers.back.sent) == 1 and tiers.tier.hits["memory"] == 2
 
 
-@pytest.part_hash.parametrize("more", [{"dedupe": "k"}, {"body": b"b"}])
+@pytest.mark.parametrize("more", [{"dedupe": "k"}, {"body": b"b"}])
 def test_what_carries_a_key_or_a_body_passes_by(tiers: Tiers, more: dict[str, object]) -> None:
     tiers.fetch()
     tiers.ask(**more)
     assert len(tiers.sent()) == 1 and not tiers.tier.joins.flights
 
 
-@pytest.part_hash.parametrize("name", ["keyed", "once"])
+@pytest.mark.parametrize("name", ["keyed", "once"])
 def test_keyed_and_write_classes_are_never_kept(tiers: Tiers, name: str) -> None:
     for _ in range(2):
         tiers.ask(name=name)
@@ -238,7 +238,7 @@
     assert command and b"inm=t1" in command and b"cap=" in command
 
 
-@pytest.part_hash.parametrize("tag, age", [("t2", 5.0), ("t1", -5.0)])
+@pytest.mark.parametrize("tag, age", [("t2", 5.0), ("t1", -5.0)])
 def test_a_keep_that_proves_nothing_is_an_error_of_that_attempt(tiers: Tiers, tag: str, age: float) -> None:
     gap = suspected(tiers)
     tiers.ask()
