--- a/hitchtiller/store/memory.py
+++ b/hitchtiller/store/memory.py
@@ -1,6 +1,6 @@
-"""The memory tier.
+"""The memory tier: parts with their bodies, up to a limit in bytes.
 
-Parts with their bodies, bounded in bytes by an admission policy with a share for each owner.
+An admission policy decides what is stored, and gives each owner a share of the space.
 """
 
 import math
@@ -10,37 +10,35 @@
 from hitchtiller.store.format import Part
 from hitchtiller.store.index import fingerprint
 
-OVERHEAD_BYTES = (
-    600  # bytes that a kept part costs beside its body, as measured: objects, table entries, policy
-)
+OVERHEAD_BYTES = 600  # per stored part, beside its body: objects, table entries, policy
 
 
 @dataclass(slots=True)
 class Copy:
-    """A kept part with its bytes."""
+    """A stored part with its body."""
 
     part: Part
     body: bytes
 
 
 class Memory:
-    """Copies by fingerprint; `owner` is the class, or the class at a station."""
+    """Stored copies by part hash; `owner` is the class, or the class at a station."""
 
     def __init__(
         self, max_bytes: int, weights: dict[str, float] | None = None, policy: str = "s3fifo"
     ) -> None:
-        """Hold `room` bytes, OVERHEAD a part included."""
+        """Store at most `max_bytes`, counting OVERHEAD_BYTES for each part."""
         self.max_bytes = max_bytes
         self.copies: dict[int, Copy] = {}
         self.shares = Shares(max_bytes, weights or {}, POLICIES[policy])
 
     @property
     def used(self) -> int:
-        """Give the bytes held."""
+        """Return the size of all copies in bytes, overhead included."""
         return self.shares.used
 
     def get(self, key: int, number: int) -> Copy | None:
-        """Give a copy and note the request for it."""
+        """Return a copy and record the request for it; None if there is none."""
         part_hash = fingerprint(key, number)
         copy = self.copies.get(part_hash)
         if copy is None or (copy.part.key, copy.part.part) != (key, number):
@@ -49,11 +47,11 @@
         return copy
 
     def missed(self, owner: str, part_hash: int) -> None:
-        """Note a request for what is not here."""
+        """Record a request for a part that is not stored."""
         self.shares.miss(owner, part_hash)
 
     def put(self, owner: str, part: Part, body: bytes) -> bool:
-        """Offer a copy; False if it is not let in. What goes for it goes at once."""
+        """Offer a copy and remove what it evicts; return whether it was admitted."""
         part_hash = fingerprint(part.key, part.part)
         self.copies.pop(part_hash, None)
         self.shares.drop(part_hash)
@@ -65,10 +63,10 @@
         return part_hash in self.copies
 
     def oldest_ms(self) -> float:
-        """Give the time of the oldest copy; looks at all of them, about 50 ns each."""
+        """Return the time of the oldest copy; this looks at every copy, at about 50 ns each."""
         return min((copy.part.since_ms for copy in self.copies.values()), default=math.inf)
 
     def drop(self, part_hash: int) -> None:
-        """Forget a copy."""
+        """Remove a copy."""
         self.copies.pop(part_hash, None)
         self.shares.drop(part_hash)
