--- a/hitchtiller/store/memory.py
+++ b/hitchtiller/store/memory.py
@@ -37,16 +37,16 @@
         """Return the size of all copies in bytes, overhead included."""
         return self.shares.used
 
-    def get(self, key: int, number: int) -> Copy | None:
+    def get(self, key: int, part_number: int) -> Copy | None:
         """Return a copy and record the request for it; None if there is none."""
-        part_hash = fingerprint(key, number)
+        part_hash = fingerprint(key, part_number)
         copy = self.copies.get(part_hash)
-        if copy is None or (copy.part.key, copy.part.part) != (key, number):
+        if copy is None or (copy.part.key, copy.part.part) != (key, part_number):
             return None
         self.shares.hit(part_hash)
         return copy
 
-    def missed(self, owner: str, part_hash: int) -> None:
+    def record_miss(self, owner: str, part_hash: int) -> None:
         """Record a request for a part that is not stored."""
         self.shares.miss(owner, part_hash)
 
@@ -55,11 +55,11 @@
         part_hash = fingerprint(part.key, part.part)
         self.copies.pop(part_hash, None)
         self.shares.drop(part_hash)
-        gone = self.shares.offer(owner, part_hash, len(body) + OVERHEAD_BYTES)
-        if part_hash not in gone:
+        evicted = self.shares.offer(owner, part_hash, len(body) + OVERHEAD_BYTES)
+        if part_hash not in evicted:
             self.copies[part_hash] = Copy(part, body)
-        for old in (*gone, *self.shares.take_evicted()):
-            self.copies.pop(old, None)
+        for evicted_hash in (*evicted, *self.shares.take_evicted()):
+            self.copies.pop(evicted_hash, None)
         return part_hash in self.copies
 
     def oldest_ms(self) -> float:
--- a/hitchtiller/store/tier.py
+++ b/hitchtiller/store/tier.py
@@ -77,7 +77,7 @@
                 return self._serve(exchange, copy, "memory")
             self._record_fallback(exchange, copy, state, part_hash)
         else:
-            self.memory.missed(request.class_name, part_hash)
+            self.memory.record_miss(request.class_name, part_hash)
         if self.joins.join(
             exchange.number, part_hash, request.client_tag, self.purges.last(request.key, request.group)
         ):
