--- a/hitchtiller/store/recover.py
+++ b/hitchtiller/store/recover.py
@@ -1,7 +1,8 @@
-"""What a folder holds at a start: the last whole checkpoint, the tails behind it, and the purge log.
+"""Recovery: read a folder's last intact checkpoint, the records written after it, and the purge log.
 
-Cost: with a checkpoint about 2 us a kept part, and one read a record for what was written since; without one,
-one read of READ_AHEAD bytes a record of all segments. Runs on a worker thread; nothing is written here.
+With a checkpoint this takes about 2 us per stored part, and one read per record written since the checkpoint;
+without one it takes one read of READ_AHEAD_BYTES per record in all segments. Runs on a worker thread and
+writes nothing.
 """
 
 import math
@@ -22,42 +23,42 @@
 
 
 def segment_name(id: int) -> str:
-    """Name a segment's file."""
+    """Return the file name of a segment."""
     return f"{SEGMENT}{id:08d}"
 
 
 def checkpoint_name(number: int) -> str:
-    """Name a checkpoint's file."""
+    """Return the file name of a checkpoint."""
     return f"{CHECKPOINT}{number:08d}"
 
 
 def numbered(names: list[str], prefix: str) -> list[int]:
-    """Give the numbers of the files of a kind, lowest first; names that are not ours are passed over."""
+    """Return the numbers of the files with a prefix, in ascending order; other names are skipped."""
     ends = [name.removeprefix(prefix) for name in names if name.startswith(prefix)]
     return sorted(int(end) for end in ends if end.isdecimal())
 
 
 @dataclass(slots=True)
 class Recovered:
-    """A folder's state; `notes` say in words what did not hold."""
+    """The recovered state of a folder; `notes` describe in words what could not be read."""
 
     index: Index = field(default_factory=Index)
     segments: dict[int, Segment] = field(default_factory=dict)
     purges: Purges = field(default_factory=Purges)
     kept: SavedProof = field(default_factory=SavedProof)
-    checkpoint: int = 0  # its number; 0: none was used
-    scanned: int = 0  # records read one by one
-    next_id: int = 1  # above all numbers that were ever in a checkpoint or the folder
-    garbage: list[str] = field(default_factory=list)  # files whose head was never whole
+    checkpoint: int = 0  # number of the checkpoint; 0: none was used
+    scanned: int = 0  # number of records that were read one by one
+    next_id: int = 1  # above every segment number that a checkpoint or the folder has ever held
+    garbage: list[str] = field(default_factory=list)  # segment files without a valid head
     notes: list[str] = field(default_factory=list)
 
 
 def records(
     files: Files, segment: Segment, start: int, end: int, note: Callable[[str], None]
 ) -> Iterator[tuple[int, int, fmt.Part]]:
-    """Give offset, length and part of each record.
+    """Yield the offset, length and part of each record.
 
-    What does not hold is passed over to the next that does.
+    Bytes that are not a valid record are skipped up to the next valid one.
     """
     name, at = segment_name(segment.id), start
     while at + fmt.RECORD_HEAD.size <= end:
@@ -68,18 +69,21 @@
             found = _resync(files, segment, at + fmt.ALIGN, end)
             if found is None:
                 return
-            note(f"{name}: bytes {at} to {found} hold no record")
+            note(f"{name}: no valid record in bytes {at} to {found}")
             at = found
             continue
         length = fmt.aligned(begin + body)
         if at + begin + body > end:
-            return  # its body was never written whole
+            return  # its body was never completely written
         yield at, length, part
         at += length
 
 
 def _resync(files: Files, segment: Segment, at: int, end: int) -> int | None:
-    """Look for the next head that holds; the salt keeps what lies in bodies from passing for one."""
+    """Return the offset of the next valid record head, or None.
+
+    The salt prevents bytes inside a body from passing as a head.
+    """
     name = segment_name(segment.id)
     while at < end:
         chunk = files.read(name, at, SCAN + READ_AHEAD)
@@ -98,13 +102,13 @@
 
 
 def read_segments(files: Files, state: Recovered) -> dict[int, tuple[Segment, int]]:
-    """Give the segments whose head holds, with the lengths of their files."""
+    """Return the segments with a valid head, with the lengths of their files."""
     found: dict[int, tuple[Segment, int]] = {}
     for id in numbered(files.names(), SEGMENT):
         try:
             head = fmt.read_segment_head(files.read(segment_name(id), 0, fmt.ALIGN))
             if head.id != id:
-                raise fmt.BadBytes(f"it says it is segment {head.id}")
+                raise fmt.BadBytes(f"the head names segment {head.id}")
             found[id] = (Segment(id, head.salt, sealed=True), files.size(segment_name(id)))
         except fmt.BadBytes as error:
             state.notes.append(f"{segment_name(id)}: {error}")
@@ -115,7 +119,7 @@
 
 
 def read_purges(files: Files, state: Recovered) -> bool:
-    """Read the purge log into the state; False if there is none that holds."""
+    """Read the purge log into the state; return False if there is no valid log."""
     try:
         data = files.read(LOG, 0, files.size(LOG))
         _, entries, _ = fmt.read_log(data)
@@ -155,7 +159,10 @@
 def load(
     files: Files, use_checkpoint: bool = True, tick: Callable[[int], None] = lambda n: None
 ) -> Recovered:
-    """Read a folder; OSError if it can't be read. `tick` hears of each segment done."""
+    """Read a folder and return its state; `tick` is called with the number of each segment that was read.
+
+    Raises OSError if the folder can't be read.
+    """
     state = Recovered()
     logged = read_purges(files, state)
     found = read_segments(files, state)
@@ -163,8 +170,8 @@
     if use_checkpoint and logged:
         covered, slots = _checkpoint(files, state)
         if slots is not None:
-            # guards against a number that was used again: a segment made since is not the one that was
-            # covered
+            # Prevents taking a reused number for the segment that the checkpoint covered: a segment created
+            # since has another salt.
             state.next_id = max(state.next_id, *(id + 1 for id in covered), 1)
             covered = {id: c for id, c in covered.items() if id in found and found[id][0].salt == c.salt}
             keep = frozenset(covered)
@@ -186,8 +193,8 @@
             eras = max(eras, part.epoch)
         tick(id)
     if not logged:
-        # guards against a lost log: which purges were told is not known, so every copy there is must be asked
-        # about
+        # Prevents serving purged copies after the log was lost: which purges were received is unknown, so a
+        # server must confirm every copy.
         state.kept = SavedProof(epoch=eras, followed_ms=0.0, gap_end_ms=math.inf if state.segments else 0.0)
     for _, place in state.index.items():
         id, _, length = unpack_place(place)
