--- a/hitchtiller/store/disk.py
+++ b/hitchtiller/store/disk.py
@@ -20,7 +20,13 @@
 from hitchtiller.store.index import fingerprint, pack_place, unpack_place
 from hitchtiller.store.jobs import READ_LANE, WRITE_LANE, Jobs
 from hitchtiller.store.log import PurgeLog
-from hitchtiller.store.recover import CHECKPOINT, Recovered, checkpoint_name, numbered, segment_name
+from hitchtiller.store.recover import (
+    CHECKPOINT_PREFIX,
+    Recovered,
+    checkpoint_name,
+    file_numbers,
+    segment_name,
+)
 from hitchtiller.store.space import Segment, Space
 from hitchtiller.store.suspect import Proof
 
@@ -85,7 +91,7 @@
         self.unwritten_bytes = 0
         self.log = PurgeLog(files, jobs, self.purges, found.kept, self._on_write_error)
         self.checkpoint = found.checkpoint
-        for name in found.garbage:
+        for name in found.headless_files:
             jobs.submit(WRITE_LANE, partial(files.remove, name), self._on_write_done)
         # copied so far for the checkpoint in progress; None if there is none
         self.checkpoint_slices: list[bytes] | None = None
@@ -336,7 +342,7 @@
             self.files.sync(f"{name}.new")
             self.files.rename(f"{name}.new", name)
             self.files.sync_folder()
-            for old in numbered(self.files.names(), CHECKPOINT):
+            for old in file_numbers(self.files.names(), CHECKPOINT_PREFIX):
                 if old < number:
                     self.files.remove(checkpoint_name(old))
 
--- a/hitchtiller/store/log.py
+++ b/hitchtiller/store/log.py
@@ -12,7 +12,7 @@
 from hitchtiller.store.files import Files
 from hitchtiller.store.jobs import LOG_LANE, Jobs
 from hitchtiller.store.purges import Purges
-from hitchtiller.store.recover import LOG, LOG_NEW
+from hitchtiller.store.recover import LOG, LOG_TEMP_NAME
 from hitchtiller.store.suspect import SavedProof
 
 GROWN = 1 << 20
@@ -59,10 +59,10 @@
 
         def run() -> None:
             if anew:
-                self.files.remove(LOG_NEW)
-                self.files.write(LOG_NEW, 0, data)
-                self.files.sync(LOG_NEW)
-                self.files.rename(LOG_NEW, LOG)
+                self.files.remove(LOG_TEMP_NAME)
+                self.files.write(LOG_TEMP_NAME, 0, data)
+                self.files.sync(LOG_TEMP_NAME)
+                self.files.rename(LOG_TEMP_NAME, LOG)
                 self.files.sync_folder()
             else:
                 self.files.write(LOG, start, data)
--- a/hitchtiller/store/recover.py
+++ b/hitchtiller/store/recover.py
@@ -16,26 +16,26 @@
 from hitchtiller.store.space import Segment
 from hitchtiller.store.suspect import SavedProof
 
-LOG, LOG_NEW = "purges.log", "purges.new"
-SEGMENT, CHECKPOINT = "segment-", "checkpoint-"
-READ_AHEAD = fmt.RECORD_HEAD.size + 2 * fmt.MOST_TEXT
-SCAN = 1 << 20
+LOG, LOG_TEMP_NAME = "purges.log", "purges.new"
+SEGMENT, CHECKPOINT_PREFIX = "segment-", "checkpoint-"
+READ_AHEAD_BYTES = fmt.RECORD_HEAD.size + 2 * fmt.MOST_TEXT
+SCAN_BYTES = 1 << 20
 
 
-def segment_name(id: int) -> str:
+def segment_name(segment_id: int) -> str:
     """Return the file name of a segment."""
-    return f"{SEGMENT}{id:08d}"
+    return f"{SEGMENT}{segment_id:08d}"
 
 
 def checkpoint_name(number: int) -> str:
     """Return the file name of a checkpoint."""
-    return f"{CHECKPOINT}{number:08d}"
+    return f"{CHECKPOINT_PREFIX}{number:08d}"
 
 
-def numbered(names: list[str], prefix: str) -> list[int]:
+def file_numbers(names: list[str], prefix: str) -> list[int]:
     """Return the numbers of the files with a prefix, in ascending order; other names are skipped."""
-    ends = [name.removeprefix(prefix) for name in names if name.startswith(prefix)]
-    return sorted(int(end) for end in ends if end.isdecimal())
+    suffixes = [name.removeprefix(prefix) for name in names if name.startswith(prefix)]
+    return sorted(int(suffix) for suffix in suffixes if suffix.isdecimal())
 
 
 @dataclass(slots=True)
@@ -49,72 +49,77 @@
     checkpoint: int = 0  # number of the checkpoint; 0: none was used
     scanned: int = 0  # number of records that were read one by one
     next_id: int = 1  # above every segment number that a checkpoint or the folder has ever held
-    garbage: list[str] = field(default_factory=list)  # segment files without a valid head
+    headless_files: list[str] = field(default_factory=list)  # segment files without a valid head
     notes: list[str] = field(default_factory=list)
 
 
 def records(
-    files: Files, segment: Segment, start: int, end: int, note: Callable[[str], None]
+    files: Files, segment: Segment, start: int, end: int, on_bad_bytes: Callable[[str], None]
 ) -> Iterator[tuple[int, int, fmt.Part]]:
     """Yield the offset, length and part of each record.
 
     Bytes that are not a valid record are skipped up to the next valid one.
     """
-    name, at = segment_name(segment.id), start
-    while at + fmt.RECORD_HEAD.size <= end:
-        data = files.read(name, at, READ_AHEAD)
+    name, offset = segment_name(segment.id), start
+    while offset + fmt.RECORD_HEAD.size <= end:
+        data = files.read(name, offset, READ_AHEAD_BYTES)
         try:
-            part, begin, body = fmt.read_record_head(data, segment.salt, at)
+            part, body_start, body_size = fmt.read_record_head(data, segment.salt, offset)
         except (fmt.BadBytes, UnicodeDecodeError):
-            found = _resync(files, segment, at + fmt.ALIGN, end)
+            found = _find_next_record(files, segment, offset + fmt.ALIGN, end)
             if found is None:
                 return
-            note(f"{name}: no valid record in bytes {at} to {found}")
-            at = found
+            on_bad_bytes(f"{name}: no valid record in bytes {offset} to {found}")
+            offset = found
             continue
-        length = fmt.aligned(begin + body)
-        if at + begin + body > end:
+        length = fmt.aligned(body_start + body_size)
+        if offset + body_start + body_size > end:
             return  # its body was never completely written
-        yield at, length, part
-        at += length
+        yield offset, length, part
+        offset += length
 
 
-def _resync(files: Files, segment: Segment, at: int, end: int) -> int | None:
+def _find_next_record(files: Files, segment: Segment, offset: int, end: int) -> int | None:
     """Return the offset of the next valid record head, or None.
 
     The salt prevents bytes inside a body from passing as a head.
     """
     name = segment_name(segment.id)
-    while at < end:
-        chunk = files.read(name, at, SCAN + READ_AHEAD)
-        place = chunk.find(fmt.RECORD_MAGIC)
-        while 0 <= place < SCAN:
-            if place % fmt.ALIGN == 0:
+    while offset < end:
+        chunk = files.read(name, offset, SCAN_BYTES + READ_AHEAD_BYTES)
+        position = chunk.find(fmt.RECORD_MAGIC)
+        while 0 <= position < SCAN_BYTES:
+            if position % fmt.ALIGN == 0:
                 try:
-                    fmt.read_record_head(chunk[place : place + READ_AHEAD], segment.salt, at + place)
+                    fmt.read_record_head(
+                        chunk[position : position + READ_AHEAD_BYTES], segment.salt, offset + position
+                    )
                 except (fmt.BadBytes, UnicodeDecodeError):
                     pass
                 else:
-                    return at + place
-            place = chunk.find(fmt.RECORD_MAGIC, place + 1)
-        at += SCAN
+                    return offset + position
+            position = chunk.find(fmt.RECORD_MAGIC, position + 1)
+        offset += SCAN_BYTES
     return None
 
 
 def read_segments(files: Files, state: Recovered) -> dict[int, tuple[Segment, int]]:
     """Return the segments with a valid head, with the lengths of their files."""
     found: dict[int, tuple[Segment, int]] = {}
-    for id in numbered(files.names(), SEGMENT):
+    for segment_id in file_numbers(files.names(), SEGMENT):
         try:
-            head = fmt.read_segment_head(files.read(segment_name(id), 0, fmt.ALIGN))
-            if head.id != id:
+            head = fmt.read_segment_head(files.read(segment_name(segment_id), 0, fmt.ALIGN))
+            if head.id != segment_id:
                 raise fmt.BadBytes(f"the head names segment {head.id}")
-            found[id] = (Segment(id, head.salt, sealed=True), files.size(segment_name(id)))
+            found[segment_id] = (
+                Segment(segment_id, head.salt, sealed=True),
+                files.size(segment_name(segment_id)),
+            )
         except fmt.BadBytes as error:
-            state.notes.append(f"{segment_name(id)}: {error}")
+            state.notes.append(f"{segment_name(segment_id)}: {error}")
             if not isinstance(error, fmt.OtherVersion):
-                state.garbage.append(segment_name(id))
-        state.next_id = max(state.next_id, id + 1)
+                state.headless_files.append(segment_name(segment_id))
+        state.next_id = max(state.next_id, segment_id + 1)
     return found
 
 
@@ -127,23 +132,23 @@
         if not isinstance(error, FileNotFoundError):
             state.notes.append(f"{LOG}: {error}")
         return False
-    epoch, followed, gap_end = 0, 0.0, 0.0
+    epoch, followed_ms, gap_end_ms = 0, 0.0, 0.0
     for entry in entries:
         if entry.kind == fmt.ERA:
-            epoch, gap_end = entry.epoch, float(entry.at_ms)
+            epoch, gap_end_ms = entry.epoch, float(entry.at_ms)
         elif entry.kind == fmt.FOLLOWED:
-            followed = float(entry.at_ms)
+            followed_ms = float(entry.at_ms)
         elif entry.kind == fmt.FLOOR:
             state.purges.raise_floor(float(entry.at_ms))
         else:
             key = entry.key if entry.kind == fmt.PURGE_OBJECT else None
             state.purges.add(key, entry.group, float(entry.at_ms))
-    state.kept = SavedProof(epoch, followed, gap_end)
+    state.kept = SavedProof(epoch, followed_ms, gap_end_ms)
     return True
 
 
-def _checkpoint(files: Files, state: Recovered) -> tuple[dict[int, fmt.Covered], memoryview | None]:
-    for number in reversed(numbered(files.names(), CHECKPOINT)):
+def _read_checkpoint(files: Files, state: Recovered) -> tuple[dict[int, fmt.Covered], memoryview | None]:
+    for number in reversed(file_numbers(files.names(), CHECKPOINT_PREFIX)):
         name = checkpoint_name(number)
         try:
             data = files.read(name, 0, files.size(name))
@@ -152,51 +157,57 @@
             state.notes.append(f"{name}: {error}")
             continue
         state.checkpoint = number
-        return {each.id: each for each in covered}, slots
+        return {segment.id: segment for segment in covered}, slots
     return {}, None
 
 
 def load(
-    files: Files, use_checkpoint: bool = True, tick: Callable[[int], None] = lambda n: None
+    files: Files, use_checkpoint: bool = True, on_segment_read: Callable[[int], None] = lambda n: None
 ) -> Recovered:
-    """Read a folder and return its state; `tick` is called with the number of each segment that was read.
+    """Read a folder and return its state.
 
-    Raises OSError if the folder can't be read.
+    `on_segment_read` is called with the number of each segment. Raises OSError if the folder can't be read.
     """
     state = Recovered()
-    logged = read_purges(files, state)
+    has_log = read_purges(files, state)
     found = read_segments(files, state)
     covered: dict[int, fmt.Covered] = {}
-    if use_checkpoint and logged:
-        covered, slots = _checkpoint(files, state)
+    if use_checkpoint and has_log:
+        covered, slots = _read_checkpoint(files, state)
         if slots is not None:
             # Prevents taking a reused number for the segment that the checkpoint covered: a segment created
             # since has another salt.
-            state.next_id = max(state.next_id, *(id + 1 for id in covered), 1)
-            covered = {id: c for id, c in covered.items() if id in found and found[id][0].salt == c.salt}
-            keep = frozenset(covered)
+            state.next_id = max(state.next_id, *(segment_id + 1 for segment_id in covered), 1)
+            covered = {
+                segment_id: c
+                for segment_id, c in covered.items()
+                if segment_id in found and found[segment_id][0].salt == c.salt
+            }
+            kept_segments = frozenset(covered)
             state.index = Index(len(slots) // SLOT * 3 // 4)
-            state.index.load(slots, keep)
-    eras = 0
-    for id, (segment, size) in found.items():
-        state.segments[id] = segment
+            state.index.load(slots, kept_segments)
+    max_epoch = 0
+    for segment_id, (segment, size) in found.items():
+        state.segments[segment_id] = segment
         start = fmt.ALIGN
-        if id in covered:
-            start = covered[id].end
-            segment.oldest_ms = covered[id].oldest_ms
+        if segment_id in covered:
+            start = covered[segment_id].end
+            segment.oldest_ms = covered[segment_id].oldest_ms
         segment.size = segment.written = max(start, size)
-        segment.durable = covered[id].end if id in covered else 0
-        for at, length, part in records(files, segment, start, size, state.notes.append):
+        segment.durable = covered[segment_id].end if segment_id in covered else 0
+        for offset, length, part in records(files, segment, start, size, state.notes.append):
             state.scanned += 1
-            state.index.put(fingerprint(part.key, part.part), pack_place(id, at, length))
+            state.index.put(fingerprint(part.key, part.part), pack_place(segment_id, offset, length))
             segment.oldest_ms = min(segment.oldest_ms, float(part.since_ms))
-            eras = max(eras, part.epoch)
-        tick(id)
-    if not logged:
+            max_epoch = max(max_epoch, part.epoch)
+        on_segment_read(segment_id)
+    if not has_log:
         # Prevents serving purged copies after the log was lost: which purges were received is unknown, so a
         # server must confirm every copy.
-        state.kept = SavedProof(epoch=eras, followed_ms=0.0, gap_end_ms=math.inf if state.segments else 0.0)
+        state.kept = SavedProof(
+            epoch=max_epoch, followed_ms=0.0, gap_end_ms=math.inf if state.segments else 0.0
+        )
     for _, place in state.index.items():
-        id, _, length = unpack_place(place)
-        state.segments[id].live += length
+        segment_id, _, length = unpack_place(place)
+        state.segments[segment_id].live += length
     return state
