--- a/hitchtiller/store/compact.py
+++ b/hitchtiller/store/compact.py
@@ -1,8 +1,8 @@
-"""Compaction: what is wanted of a victim segment is carried over, then its file goes; a chunk at a time.
+"""Compaction: live parts of a victim segment are copied to the active one, then the victim is removed.
 
-A part is carried over with its own era and time: moving it proves nothing. It takes effect only where the
-index still points at the old place, so a newer record is never undone. Cost: each step reads at most CHUNK
-bytes, by the rate that clients leave.
+A copied part keeps its epoch and time, because copying it proves nothing about its freshness. The copy takes
+effect only if the index still points to the old place, so it never replaces a newer record. Each step reads
+at most CHUNK_BYTES, within a rate that gives way to clients.
 """
 
 from collections.abc import Callable
@@ -18,21 +18,21 @@
 
 
 class Compactor:
-    """Works on one segment at a time."""
+    """Compacts one segment at a time."""
 
     def __init__(self, disk: Disk, wanted: Callable[[int], int], rate: Rate) -> None:
-        """Carry over what `wanted` (an estimate of requests for a fingerprint) says is warm."""
+        """Copy the parts that are requested often; `wanted` estimates the requests for a part hash."""
         self.disk, self.wanted, self.rate = disk, wanted, rate
         self.victim: Segment | None = None
         self.at = 0
         self.reading = False
-        self.open = 0  # copies being written
-        self.moved = 0  # bytes of the victim written again
+        self.open = 0  # copies that are being written
+        self.moved = 0  # bytes of the victim that were copied
         self.failed = False
         self.segments = self.records_copied = self.let_go = 0
 
     def step(self, now_ms: float, busy: bool) -> bool:
-        """Do a little; False if there is nothing to do now."""
+        """Do one step; return False if there is nothing to do now."""
         disk = self.disk
         if not disk.health.writes or disk.closed:
             return False
@@ -45,7 +45,7 @@
             self.begin(victim)
         assert self.victim
         if self.at >= self.victim.written:
-            if self.failed:  # its parts could not be written elsewhere: it stays
+            if self.failed:  # some parts could not be copied, so the segment stays
                 self.victim = None
                 return False
             self._finish(self.victim)
@@ -56,7 +56,7 @@
         return True
 
     def begin(self, victim: Segment) -> None:
-        """Start on a segment, which must be sealed."""
+        """Start compacting a segment, which must be sealed."""
         self.victim, self.at, self.failed, self.moved = victim, fmt.ALIGN, False, 0
 
     def _read(self, victim: Segment) -> None:
@@ -64,7 +64,7 @@
         files = self.disk.files
 
         def run() -> tuple[int, list[tuple[int, int, fmt.Part, bytes]]]:
-            """Read whole records from `start` on; bodies are checked, what does not hold is left behind."""
+            """Read whole records from `start` on; records whose body is not valid are left out."""
             found, at = list[tuple[int, int, fmt.Part, bytes]](), start
             for at, length, _ in records(files, victim, start, victim.written, lambda text: None):
                 try:
@@ -106,7 +106,7 @@
             self.let_go += 1
             return
         if part_hash in disk.pending:
-            return  # a newer record is on its way: the index will point to that
+            return  # a newer record is being written, and the index will point to it
         self.open += 1
         if disk.put(part, body, self._copied, expected_place=place):
             self.records_copied += 1
@@ -120,7 +120,7 @@
         self.failed = self.failed or not whole
 
     def _finish(self, victim: Segment) -> None:
-        """Remove the file once the copies are durable: the write lane keeps this order."""
+        """Remove the file once the copies are durable, which the order of the write lane ensures."""
         self.disk.sync()
         self.disk.remove(victim)
         self.segments += 1
