--- a/hitchtiller/store/index.py
+++ b/hitchtiller/store/index.py
@@ -1,10 +1,12 @@
-"""Where each kept part lies: open addressing in two arrays, grown a few slots at a time.
+"""The index of the disk tier: where each stored part lies; a hash table with open addressing.
 
-Bound: 16 bytes a slot, at most three quarters of the slots full, so 21.4 to 42.7 bytes a part between two
-growths; a growth holds the old table beside the new one until all has moved, but gives the old one's pages
-back as it goes. A look-up reads two slots on average. No call moves more than MOVE slots, so none stalls the
-loop; a table's pages are the kernel's zeroed ones, so making one costs nothing until it is filled. Lost parts
-leave no tombstones: the slots behind are moved up.
+The table is an array of 16-byte slots. At most three quarters of them are in use, so that the index takes
+21.4 to 42.7 bytes a part. While a table grows, the old one exists beside the new one until all its entries
+have moved, but its pages are returned to the system as it empties. A look-up reads two slots on average.
+
+No call moves more than MOVE_SLOTS slots, so none blocks the event loop for long. The pages of a new table are
+zeroed by the kernel at their first use, so creating one costs nothing until it is filled. Removed entries
+leave no tombstones: the entries behind them move up.
 """
 
 import mmap
@@ -13,28 +15,32 @@
 
 import xxhash
 
-SLOT = 16  # bytes: fingerprint, place
+SLOT = 16  # bytes: part hash, place
 FULL = 0.75
-MOVE = 64  # slots of the old table that each change moves while a growth goes on
+MOVE = 64  # slots of the old table that each change moves while the table grows
 FIRST = 1 << 10
-DROP = 1 << 20  # bytes of the old table that are given back at once
-SEGMENT_BITS, OFFSET_BITS, LENGTH_BITS = 24, 22, 13  # units of 64 bytes: files to 256 MiB, records to 512 KiB
+DROP = 1 << 20  # bytes of the old table that are returned to the system at once
+# bits; offset and length in units of 64 bytes: files up to 256 MiB, records up to 512 KiB
+SEGMENT_BITS, OFFSET_BITS, LENGTH_BITS = 24, 22, 13
 
 
 def fingerprint(key: int, part: int) -> int:
-    """Hash an object's part to 64 bits, never 0 (an empty slot); equal ones are told apart by the record."""
+    """Return the 64-bit hash of an object's part; never 0, which marks an empty slot.
+
+    Parts with equal hashes are told apart by the key in the record.
+    """
     return xxhash.xxh3_64_intdigest(key.to_bytes(8, "little") + part.to_bytes(4, "little")) or 1
 
 
 def pack_place(segment: int, offset: int, length: int) -> int:
-    """Pack a place: segment number, byte offset and record length, both multiples of 64."""
+    """Pack a segment number, a byte offset and a record length; both of these are multiples of 64."""
     if segment >> SEGMENT_BITS or offset >> 6 >> OFFSET_BITS or length >> 6 >> LENGTH_BITS:
         raise ValueError(f"place {segment}, {offset}, {length} is out of bounds")
     return (segment << OFFSET_BITS | offset >> 6) << LENGTH_BITS | length >> 6
 
 
 def unpack_place(place: int) -> tuple[int, int, int]:
-    """Give the segment, the offset and the length of a packed place."""
+    """Return the segment number, the offset and the length of a packed place."""
     length = (place & (1 << LENGTH_BITS) - 1) << 6
     rest = place >> LENGTH_BITS
     return rest >> OFFSET_BITS, (rest & (1 << OFFSET_BITS) - 1) << 6, length
@@ -47,20 +53,21 @@
         """Map zeroed pages."""
         self.slots, self.mask = slots, slots - 1
         self.pages = mmap.mmap(-1, max(mmap.PAGESIZE, slots * SLOT))
-        if hasattr(mmap, "MADV_NOHUGEPAGE"):  # a huge one is zeroed at its first touch: 64 took 35 ms
+        # the kernel zeroes a huge page at its first use: 64 of them took 35 ms
+        if hasattr(mmap, "MADV_NOHUGEPAGE"):
             self.pages.madvise(mmap.MADV_NOHUGEPAGE)
         self.words = memoryview(self.pages).cast("Q")
         self.used = 0
 
     def find(self, part_hash: int) -> int:
-        """Give the slot of a fingerprint, or the empty one where it would go."""
+        """Return the slot of a part hash, or the empty slot where it would be inserted."""
         words, mask, at = self.words, self.mask, part_hash & self.mask
         while (there := words[2 * at]) and there != part_hash:
             at = (at + 1) & mask
         return at
 
     def put(self, part_hash: int, place: int) -> int:
-        """Set a fingerprint's place; gives the one it had, or 0."""
+        """Set the place of a part hash; return its previous place, or 0."""
         at = self.find(part_hash)
         before = self.words[2 * at + 1]
         if not self.words[2 * at]:
@@ -70,7 +77,7 @@
         return int(before)
 
     def pop(self, part_hash: int) -> int:
-        """Take a fingerprint out and move up what follows it; gives its place, or 0."""
+        """Remove a part hash and move up the entries behind it; return its place, or 0."""
         words, mask, hole = self.words, self.mask, self.find(part_hash)
         place = int(words[2 * hole + 1])
         if not words[2 * hole]:
@@ -81,7 +88,7 @@
             there = words[2 * at]
             if not there:
                 break
-            if (at - there) & mask >= (at - hole) & mask:  # its home is not behind the hole
+            if (at - there) & mask >= (at - hole) & mask:  # its home slot is not behind the hole
                 words[2 * hole], words[2 * hole + 1] = there, words[2 * at + 1]
                 hole = at
         words[2 * hole] = words[2 * hole + 1] = 0
@@ -89,34 +96,34 @@
         return place
 
     def close(self) -> None:
-        """Give the pages back."""
+        """Unmap the pages."""
         self.words.release()
         self.pages.close()
 
 
 class Index:
-    """Fingerprints to places; the caller compares the record's own key with what it wanted."""
+    """Maps part hashes to places; the caller compares the key in the record with the one requested."""
 
     def __init__(self, expected: int = 0) -> None:
-        """Start with room for this many parts."""
+        """Start with space for the expected number of parts."""
         slots = FIRST
         while slots * FULL < expected:
             slots *= 2
         self.table, self.moved = Table(slots), 0
         self.old: Table | None = None
-        self.frozen: set[int] | None = None  # what was taken out while a checkpoint copies the slots
+        self.frozen: set[int] | None = None  # removed while a checkpoint copies the slots
 
     def __len__(self) -> int:
-        """Count the parts."""
+        """Return the number of parts."""
         return self.table.used + (self.old.used if self.old else 0) - len(self.frozen or ())
 
     @property
     def room(self) -> int:
-        """Give the bytes of both tables, those not yet filled included."""
+        """Return the size of both tables in bytes, empty slots included."""
         return SLOT * (self.table.slots + (self.old.slots if self.old else 0))
 
     def get(self, part_hash: int) -> int:
-        """Give a fingerprint's place, or 0."""
+        """Return the place of a part hash, or 0."""
         table = self.table
         place = table.words[2 * table.find(part_hash) + 1]
         if not place and (old := self._behind(part_hash)):
@@ -124,15 +131,16 @@
         return int(place)
 
     def _behind(self, part_hash: int) -> Table | None:
-        """Give the old table if a fingerprint can still be there.
+        """Return the old table if a part hash can still be in it, else None.
 
-        Not where its home has been passed: a look there would map the pages again that were given back.
+        A part hash whose home slot has already been emptied is not in it, and looking for it there would map
+        pages again that were returned to the system.
         """
         old = self.old
         return old if old and part_hash & old.mask < old.slots - self.moved else None
 
     def put(self, part_hash: int, place: int) -> int:
-        """Set a place; gives the one that it replaces, or 0."""
+        """Set the place of a part hash; return the place that it replaces, or 0."""
         if self.old:
             self._move()
         elif self.table.used >= self.table.slots * FULL and self.frozen is None:
@@ -145,8 +153,9 @@
         return self.table.put(part_hash, place) or before
 
     def pop(self, part_hash: int) -> int:
-        """Forget a fingerprint; gives its place, or 0."""
-        if self.frozen is not None:  # moving slots up could carry one past the copy, unseen
+        """Remove a part hash; return its place, or 0."""
+        # moving entries up could carry one past the copy's position, so that the copy would miss it
+        if self.frozen is not None:
             at = self.table.find(part_hash)
             place = int(self.table.words[2 * at + 1])
             if place:
@@ -159,9 +168,9 @@
         return self.table.pop(part_hash) or (old.pop(part_hash) if old else 0)
 
     def swap(self, part_hash: int, old: int, new: int) -> bool:
-        """Set a new place only where the old one is still in force.
+        """Set a new place if the old one is still current; return whether it was set.
 
-        Compaction must not undo a newer write.
+        Keeps compaction from replacing a newer record.
         """
         if self.get(part_hash) != old:
             return False
@@ -169,15 +178,15 @@
         return True
 
     def _move(self) -> None:
-        """Move some slots of the old table; those left there are still found."""
+        """Move some slots of the old table to the new one; entries still in the old table are found there."""
         old = self.old
         if old is None:
             return
-        # backwards: taking an entry out moves up only what follows it, so nothing passes the mark unseen,
-        # but a run that wraps round the end; `used` tells when all has gone
+        # Backwards: removing an entry moves up only the entries behind it, so none passes the current slot
+        # unseen, except in a run that wraps round the end; `used` tells when all entries have moved.
         for _ in range(MOVE):
             if not old.used:
-                # unmapping it took 10 ms at four million slots; the call gives the interpreter lock away
+                # Unmapping took 10 ms at four million slots; the call releases the interpreter lock.
                 threading.Thread(target=old.close, daemon=True).start()
                 self.old = None
                 return
@@ -193,7 +202,7 @@
                         old.pages.madvise(mmap.MADV_DONTNEED, start, DROP)
 
     def items(self) -> Iterator[tuple[int, int]]:
-        """Give all fingerprints with their places; nothing may be changed meanwhile."""
+        """Yield all part hashes with their places; the index must not change meanwhile."""
         for table in (self.table, self.old):
             if table:
                 for at in range(table.slots):
@@ -201,9 +210,9 @@
                         yield int(table.words[2 * at]), int(place)
 
     def freeze(self) -> bool:
-        """Begin a copy of the slots.
+        """Begin a copy of the slots; return False while the table grows or another copy is in progress.
 
-        False while a growth goes on. What is taken out meanwhile keeps its slot.
+        Until `thaw`, removed part hashes keep their slots.
         """
         if self.old or self.frozen is not None:
             return False
@@ -211,17 +220,17 @@
         return True
 
     def snapshot(self, at: int, slots: int) -> bytes:
-        """Copy a stretch of slots; nothing past the end. What was put since `freeze` may be in it or not."""
+        """Return a copy of a range of slots, empty past the end; later changes may be in it or not."""
         return bytes(self.table.words[2 * at : 2 * (at + slots)])
 
     def thaw(self) -> None:
-        """End the copy, and free the slots of what was taken out meanwhile."""
+        """End the copy, and free the slots of the part hashes removed meanwhile."""
         part_hashes, self.frozen = self.frozen or set(), None
         for part_hash in part_hashes:
             self.table.pop(part_hash)
 
     def load(self, words: memoryview, keep: frozenset[int]) -> None:
-        """Take a checkpoint's slots whose segments are still there."""
+        """Insert the slots of a checkpoint whose segments still exist."""
         shift = OFFSET_BITS + LENGTH_BITS
         pairs = words.cast("Q")
         for at in range(0, len(pairs), 2):
