--- a/hitchtiller/store/keeper.py
+++ b/hitchtiller/store/keeper.py
@@ -126,7 +126,7 @@
                 self.changes = disk.counts.puts
         busy = len(self.tier.engine.open) >= BUSY_OPEN
         until = time.monotonic() + STEP_MS / 1000.0
-        while compactor.step(now, busy) and not compactor.reading and not compactor.open:
+        while compactor.step(now, busy) and not compactor.reading and not compactor.copies_in_progress:
             if time.monotonic() > until:
                 break
 
--- a/tests/store/test_store_disk.py
+++ b/tests/store/test_store_disk.py
@@ -176,7 +176,7 @@
     compactor = Compactor(disk, lambda part_hash: 2, FAST)
     while compactor.step(START, False):
         pass
-    assert recover.segment_name(1) not in files.nodes and compactor.segments >= 1
+    assert recover.segment_name(1) not in files.nodes and compactor.segments_done >= 1
     assert get(disk, 25) == newer and all(get(disk, key) == bodies[key] for key in (20, 21, 24, 26, 27))
     assert all(get(disk, key) is None for key in range(20))
     assert len(recover.load(files).index) == len(disk.index)
