--- a/hitchtiller/store/disk.py
+++ b/hitchtiller/store/disk.py
@@ -165,7 +165,7 @@
 
     def _set_place(self, part_hash: int, place: int, expected_place: int) -> None:
         if expected_place:
-            if not self.index.swap(part_hash, expected_place, place):
+            if not self.index.compare_and_set(part_hash, expected_place, place):
                 return  # a newer record is there, or the part was dropped: the copy stays as dead bytes
             replaced = expected_place
         else:
--- a/hitchtiller/store/recover.py
+++ b/hitchtiller/store/recover.py
@@ -11,7 +11,7 @@
 
 from hitchtiller.store import format as fmt
 from hitchtiller.store.files import Files
-from hitchtiller.store.index import SLOT, Index, fingerprint, pack_place, unpack_place
+from hitchtiller.store.index import SLOT_BYTES, Index, fingerprint, pack_place, unpack_place
 from hitchtiller.store.purges import Purges
 from hitchtiller.store.space import Segment
 from hitchtiller.store.suspect import SavedProof
@@ -184,7 +184,7 @@
                 if segment_id in found and found[segment_id][0].salt == c.salt
             }
             kept_segments = frozenset(covered)
-            state.index = Index(len(slots) // SLOT * 3 // 4)
+            state.index = Index(len(slots) // SLOT_BYTES * 3 // 4)
             state.index.load(slots, kept_segments)
     max_epoch = 0
     for segment_id, (segment, size) in found.items():
--- a/tests/store/test_store_index.py
+++ b/tests/store/test_store_index.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hitchtiller.store.index import FULL, SLOT, Index, pack_place, unpack_place
+from hitchtiller.store.index import MAX_FILL, SLOT_BYTES, Index, pack_place, unpack_place
 
 
 @given(st.integers(1, 2**24 - 1), st.integers(0, 2**22 - 1), st.integers(0, 2**13 - 1))
@@ -39,9 +39,11 @@
         elif draw < 0.97:
             old = model.get(part_hash, 0)
             if old:
-                assert not index.swap(part_hash, old + 1, 5) and index.swap(part_hash, old, 9)
+                assert not index.compare_and_set(part_hash, old + 1, 5) and index.compare_and_set(
+                    part_hash, old, 9
+                )
                 model[part_hash] = 9
-        elif index.frozen is None:
+        elif index.removed_while_frozen is None:
             index.freeze()
         else:
             index.thaw()
@@ -57,7 +59,7 @@
     part_hashes = [rng.getrandbits(64) | 1 for _ in range(700)]
     for part_hash in part_hashes:
         index.put(part_hash, part_hash >> 10 | 1)
-    while index.old:
+    while index.old_table:
         index.pop(12345)
     assert index.freeze() and not index.freeze()
     slices, gone = [], set[int]()
@@ -78,9 +80,9 @@
 def test_memory_stays_under_the_bound_and_no_change_moves_much() -> None:
     index = Index()
     for number in range(1, 100_000):
-        used = index.old.used if index.old else 0
+        used = index.old_table.used if index.old_table else 0
         index.put(number * 0x9E3779B97F4A7C15 & (1 << 64) - 1 or 1, number)
-        moved = used - (index.old.used if index.old else 0)
-        assert moved <= 64 or index.old is None
-        if not index.old and number > 2000:
-            assert SLOT / FULL - 1 <= index.room / len(index) <= 43
+        moved = used - (index.old_table.used if index.old_table else 0)
+        assert moved <= 64 or index.old_table is None
+        if not index.old_table and number > 2000:
+            assert SLOT_BYTES / MAX_FILL - 1 <= index.room / len(index) <= 43
