--- a/hitchtiller/store/suspect.py
+++ b/hitchtiller/store/suspect.py
@@ -1,48 +1,49 @@
-"""Which kept copies are proven and which are suspect: eras, the watermark, gaps and clocks that step.
-
-A gateway that was away does not know which purges it missed, and bus numbers begin anew at every start. So
-the store keeps a watermark (up to when it had followed the bus, durably) and an era, a number that each
-record carries. After a gap the era is raised: copies of older eras are suspect until a cache has confirmed
-their tag under a bound on age that ends after the gap. The new era is durable before anything is served or
-the watermark moves on, so a crash in between finds the same gap again.
-
-    proven --gap, clock step--> suspect --confirmed, since after the gap--> proven (kept anew in the era in
-    force)
-                                suspect --another tag--> gone
+"""Which stored copies are proven fresh and which are suspect: epochs, the watermark, gaps and clock steps.
+
+A gateway that was away does not know which purges it missed, and the numbers of the event bus begin anew at
+each of its starts. The store therefore keeps a watermark (the time up to which it had durably followed the
+bus) and an epoch, a number that every record carries. After a gap the epoch is raised. Copies of older epochs
+are then suspect until a cache confirms their tag under an age limit that excludes the time before the end of
+the gap. The new epoch is made durable before a copy is served or the watermark moves on, so a start after a
+crash in between finds the same gap again.
+
+    proven --gap, clock step--> suspect --confirmed, since after the gap--> proven (stored again in the
+    current epoch)
+                                suspect --another tag--> removed
 """
 
 from dataclasses import dataclass
 
-LAG_MS = 2_000.0  # from a purge until the bus has it: seen were 31 to 310 ms
-STEP_MS = 1_000.0  # by which the wall clock may leave the steady one before it counts as a step
-FUTURE_MS = 2_000.0  # by which a copy's time may lie ahead: the origin's clock is not ours
+LAG_MS = 2_000.0  # longest delay from a purge to its event on the bus; 31 to 310 ms were observed
+STEP_MS = 1_000.0  # smallest change of the wall clock against the monotonic clock that counts as a step
+FUTURE_MS = 2_000.0  # that a copy's time may lie ahead of the own clock, as the origin's clock differs
 
 
 @dataclass(frozen=True, slots=True)
 class SavedProof:
-    """What was durable when the process ended."""
+    """The state of the proof that was durable when the process ended."""
 
     epoch: int = 0
-    followed_ms: float = 0.0  # 0: never followed
-    gap_end_ms: float = 0.0  # copies of older eras must be confirmed from after this
+    followed_ms: float = 0.0  # 0: never followed the bus
+    gap_end_ms: float = 0.0  # confirmations of copies of older epochs must date from after this
 
 
 class Proof:
-    """Decides which copies are proven; it is told of the bus and of both clocks."""
+    """Decides which copies are proven fresh, from events of the bus and from both clocks."""
 
     def __init__(self, kept: SavedProof, replay_ms: float, lag_ms: float = LAG_MS) -> None:
-        """Start from what was kept; a start is told the purges of the last `replay_ms` again."""
+        """Start from the saved state; at a start the bus repeats the purges of the last `replay_ms`."""
         self.epoch, self.followed_ms, self.gap_end_ms = kept.epoch, kept.followed_ms, kept.gap_end_ms
         self.replay_ms, self.lag_ms = replay_ms, lag_ms
-        self.begun = False  # nothing is proven before the bus has told all there was
-        self.begun_ms = 0.0  # purges from `replay_ms` before this on are known
-        self.offset_ms: float | None = None  # wall clock less steady clock
+        self.begun = False  # nothing is proven before the bus has been caught up with
+        self.begun_ms = 0.0  # all purges from `replay_ms` before this time on are known
+        self.offset_ms: float | None = None  # wall clock minus monotonic clock
         self.steps = 0
 
     def begin(self, now_ms: float, steady_ms: float) -> bool:
-        """Hear that the bus has told all there was.
+        """Handle the first time that every event so far has been received from the bus.
 
-        True if a gap raised the era, which must be made durable.
+        Return whether the epoch has to be made durable, as when a gap raised it.
         """
         self.offset_ms = now_ms - steady_ms
         self.begun, self.begun_ms = True, now_ms
@@ -52,12 +53,13 @@
         return gap or self.epoch == 1
 
     def adopt(self, kept: SavedProof, now_ms: float) -> bool:
-        """Take over what a folder kept, read only now; True if the era has to be made durable there.
+        """Take over the saved state of a folder that was opened after the bus had been caught up with.
 
-        The bus has been followed since `begun_ms`, so only what lies before that can have been missed. Of two
-        eras the later holds: copies of the other are asked about once, which is rare and safe.
+        Return whether the epoch must be made durable in the folder. The bus has been followed since
+        `begun_ms`, so only purges from before that can have been missed. The later of the two epochs is used;
+        copies of the other must be confirmed once, which is rare and safe.
         """
-        if kept == SavedProof():  # nothing was ever kept there, so nothing is in doubt
+        if kept == SavedProof():  # nothing was ever stored there, so nothing is in doubt
             return True
         gap = (
             not kept.followed_ms
@@ -78,9 +80,9 @@
         self.gap_end_ms = now_ms
 
     def stepped(self, now_ms: float, steady_ms: float) -> bool:
-        """Compare the two clocks; True if the wall clock stepped since the last look and the era was raised.
+        """Compare the two clocks; return whether the wall clock stepped since the last call.
 
-        Small drifts are followed. Ask before any copy's age is judged.
+        A step raises the epoch; small drifts are followed. Must be called before the age of a copy is judged.
         """
         if not self.begun or self.offset_ms is None:
             return False
@@ -94,21 +96,21 @@
         return stepped
 
     def follow(self, now_ms: float) -> None:
-        """Hear that the bus has nothing more to tell.
+        """Move the watermark on: every event so far has been received from the bus.
 
-        The watermark stays behind by what a purge may take to it.
+        The watermark stays behind the current time by the longest delay of a purge on its way to the bus.
         """
         if self.begun:
             self.followed_ms = max(self.followed_ms, now_ms - self.lag_ms)
 
     def proven(self, epoch: int, since_ms: float, now_ms: float) -> bool:
-        """Tell whether a copy of this era may be served without asking, as far as missed purges go."""
+        """Return whether a copy of this epoch can't have missed a purge, so that it needs no confirmation."""
         return self.begun and epoch == self.epoch and since_ms <= now_ms + FUTURE_MS
 
     def confirms(self, since_ms: float, now_ms: float) -> bool:
-        """Tell whether a confirmation with this time is from after the gap."""
+        """Return whether a confirmation with this time dates from after the gap."""
         return self.begun and self.gap_end_ms <= since_ms <= now_ms + FUTURE_MS
 
     def cap_ms(self, now_ms: float) -> float:
-        """Give the oldest that a confirming copy may be; at least 1."""
+        """Return the greatest age that a confirming copy may have; at least 1."""
         return max(1.0, now_ms - self.gap_end_ms)
