--- a/hitchtiller/store/tier.py
+++ b/hitchtiller/store/tier.py
@@ -201,7 +201,7 @@
 
     def check_clock(self, now_ms: float) -> None:
         """Detect a step of the wall clock; called before the age of any copy is judged."""
-        if self.proof.stepped(now_ms, self.steady()):
+        if self.proof.check_clock_step(now_ms, self.steady()):
             self._on_epoch_change("the wall clock stepped")
 
     def _on_epoch_change(self, reason: str) -> None:
--- a/tests/store/test_store_decide.py
+++ b/tests/store/test_store_decide.py
@@ -49,8 +49,8 @@
 def test_a_step_of_the_clock_raises_the_era_and_drift_does_not(step: float) -> None:
     proof = begun(SavedProof(3, START, 1.0))
     for second in range(1, 20):
-        assert not proof.stepped(START + 1010.0 * second, 1000.0 * second)
-    assert proof.stepped(START + 1010.0 * 20 + step, 20_000.0)
+        assert not proof.check_clock_step(START + 1010.0 * second, 1000.0 * second)
+    assert proof.check_clock_step(START + 1010.0 * 20 + step, 20_000.0)
     assert proof.epoch == 4 and not proof.proven(3, START, START + 20_000.0)
     assert proof.followed_ms <= START + 20_200.0 + step
 
--- a/tests/store/test_store_disk.py
+++ b/tests/store/test_store_disk.py
@@ -299,8 +299,8 @@
         disk = self.run.disk
         assert disk
         old = disk.proof.epoch
-        disk.proof.offset_ms = (disk.proof.offset_ms or 0.0) - ms
-        assert disk.proof.stepped(self.run.model.now, self.run.model.now)
+        disk.proof.wall_offset_ms = (disk.proof.wall_offset_ms or 0.0) - ms
+        assert disk.proof.check_clock_step(self.run.model.now, self.run.model.now)
         disk.mark_epoch()
         assert not disk.proof.proven(old, self.run.model.now, self.run.model.now)
 
