--- a/hitchtiller/store/disk.py
+++ b/hitchtiller/store/disk.py
@@ -35,7 +35,7 @@
 ReadCallback = Callable[[fmt.Part | None, bytes], None]
 
 
-def steady_ms() -> float:
+def monotonic_ms() -> float:
     """Return the monotonic time, which does not follow steps of the wall clock."""
     return time.monotonic() * 1000.0
 
@@ -76,7 +76,7 @@
         options: Options,
         found: Recovered,
         proof: Proof,
-        steady: Callable[[], float] = steady_ms,
+        monotonic_clock: Callable[[], float] = monotonic_ms,
     ) -> None:
         """Continue from the recovered state; its segments are sealed, the next record opens a new one."""
         self.files, self.jobs, self.options, self.proof = files, jobs, options, proof
@@ -97,7 +97,7 @@
         self.checkpoint_slices: list[bytes] | None = None
         self.covered_segments: list[fmt.Covered] = []
         self.closed = False
-        self.steady = steady
+        self.monotonic_clock = monotonic_clock
         # start times of the reads in progress by read number, oldest first
         self.read_starts_ms: dict[int, float] = {}
 
@@ -280,7 +280,7 @@
                 on_done(None, error)
         else:
             read_number = self.counts.reads
-            self.read_starts_ms[read_number] = self.steady()
+            self.read_starts_ms[read_number] = self.monotonic_clock()
 
             def on_read(result: tuple[fmt.Part, bytes] | None, error: BaseException | None) -> None:
                 self.read_starts_ms.pop(read_number, None)
@@ -296,7 +296,7 @@
     def stalled(self) -> bool:
         """Return whether the folder hangs: the oldest read in progress has taken too long."""
         oldest = next(iter(self.read_starts_ms.values()), None)
-        return oldest is not None and self.steady() - oldest > STALL_MS
+        return oldest is not None and self.monotonic_clock() - oldest > STALL_MS
 
     def forget(self, part_hash: int) -> None:
         """Remove a part from the index; its record stays on disk as dead bytes."""
--- a/hitchtiller/store/suspect.py
+++ b/hitchtiller/store/suspect.py
@@ -42,12 +42,12 @@
         self.wall_offset_ms: float | None = None  # wall clock minus monotonic clock
         self.clock_steps = 0
 
-    def begin(self, now_ms: float, steady_ms: float) -> bool:
+    def begin(self, now_ms: float, monotonic_ms: float) -> bool:
         """Handle the first time that every event so far has been received from the bus.
 
         Return whether the epoch has to be made durable, as when a gap raised it.
         """
-        self.wall_offset_ms = now_ms - steady_ms
+        self.wall_offset_ms = now_ms - monotonic_ms
         self.begun, self.begun_ms = True, now_ms
         gap = not self.followed_ms or now_ms < self.followed_ms or now_ms - self.replay_ms > self.followed_ms
         if gap or not self.epoch:
@@ -81,14 +81,14 @@
         self.epoch += 1
         self.gap_end_ms = now_ms
 
-    def check_clock_step(self, now_ms: float, steady_ms: float) -> bool:
+    def check_clock_step(self, now_ms: float, monotonic_ms: float) -> bool:
         """Compare the two clocks; return whether the wall clock stepped since the last call.
 
         A step raises the epoch; small drifts are followed. Must be called before the age of a copy is judged.
         """
         if not self.begun or self.wall_offset_ms is None:
             return False
-        offset_now_ms = now_ms - steady_ms
+        offset_now_ms = now_ms - monotonic_ms
         has_stepped = abs(offset_now_ms - self.wall_offset_ms) > MIN_CLOCK_STEP_MS
         self.wall_offset_ms = offset_now_ms
         if has_stepped:
--- a/hitchtiller/store/tier.py
+++ b/hitchtiller/store/tier.py
@@ -13,7 +13,7 @@
 from hitchtiller.exchange import REFUSED, SERVED, Answer, Attempt, AttemptResult, Exchange
 from hitchtiller.log import logger
 from hitchtiller.news import PurgeNotice
-from hitchtiller.store.disk import STALL_MS, Disk, steady_ms
+from hitchtiller.store.disk import STALL_MS, Disk, monotonic_ms
 from hitchtiller.store.format import Part
 from hitchtiller.store.index import fingerprint
 from hitchtiller.store.join import Joins, Then
@@ -38,10 +38,16 @@
         proof: Proof,
         pace: Pace,
         confirm: bool = True,
-        steady: Callable[[], float] = steady_ms,
+        monotonic_clock: Callable[[], float] = monotonic_ms,
     ) -> None:
         """Start with the memory tier alone; a disk tier can be attached and detached later."""
-        self.engine, self.memory, self.proof, self.pace, self.steady = engine, memory, proof, pace, steady
+        self.engine, self.memory, self.proof, self.pace, self.monotonic_clock = (
+            engine,
+            memory,
+            proof,
+            pace,
+            monotonic_clock,
+        )
         self.confirms_suspects = confirm
         self.purges = Purges()
         self.plan = Plan(engine.router.settings.classes, self.purges, proof)
@@ -192,7 +198,7 @@
         """Handle the notice that every event so far has been received from the bus."""
         now_ms = self.engine.clock.now_ms()
         if not self.proof.begun:
-            self.proof.begin(now_ms, self.steady())
+            self.proof.begin(now_ms, self.monotonic_clock())
             self._on_epoch_change("the event bus is followed")
         self.check_clock(now_ms)
         self.proof.follow(now_ms)
@@ -201,7 +207,7 @@
 
     def check_clock(self, now_ms: float) -> None:
         """Detect a step of the wall clock; called before the age of any copy is judged."""
-        if self.proof.check_clock_step(now_ms, self.steady()):
+        if self.proof.check_clock_step(now_ms, self.monotonic_clock()):
             self._on_epoch_change("the wall clock stepped")
 
     def _on_epoch_change(self, reason: str) -> None:
--- a/tests/store/tiers.py
+++ b/tests/store/tiers.py
@@ -47,7 +47,7 @@
             Memory(memory),
             self.proof,
             Pace(link, link),
-            steady=lambda: self.clock.now + self.drift,
+            monotonic_clock=lambda: self.clock.now + self.drift,
         )
         self.answers: dict[int, Answer] = {}
         self.ids = 0
