--- a/hitchtiller/store/keeper.py
+++ b/hitchtiller/store/keeper.py
@@ -1,8 +1,8 @@
-"""Opens the folder, keeps the disk tier going, and gives the folder up in order: one owner at a time.
+"""Opens the store folder, runs the disk tier on it and releases it in order; a folder has one owner.
 
-A greenlet of the loop; whatever touches the folder runs as a job, so a folder that stalls holds up nothing
-but itself. States: waiting for the lock, loading, serving, leaving. A successor (an upgrade) gets the lock
-when this process lets go, and serves from memory until then.
+Runs as a greenlet of the event loop. All calls that touch the folder run as jobs, so a folder that hangs
+delays nothing else. The states are: waiting for the lock, loading, serving, releasing. A successor process
+(an upgrade) gets the lock when this process releases it, and serves from memory until then.
 """
 
 import time
@@ -26,13 +26,13 @@
 from hitchtiller.store.tier import Tier
 
 TICK_MS = 20.0
-LOCK_MS, AGAIN_MS = 200.0, 5_000.0  # how often the lock, and a folder that failed, is tried
-STEP_MS = 2.0  # of the loop that one tick may take
-BUSY_OPEN = 8  # open requests from which on compaction gives way
+LOCK_MS, AGAIN_MS = 200.0, 5_000.0  # delay between two tries for the lock, and for a folder that failed
+STEP_MS = 2.0  # of the event loop, that compaction may take in one tick
+BUSY_OPEN = 8  # open requests from which on compaction slows down
 
 
 class Keeper:
-    """One folder for one tier."""
+    """Manages the store folder of one tier."""
 
     def __init__(
         self,
@@ -45,7 +45,7 @@
         rate: Rate,
         open_files: Callable[[Path], OsFiles] = OsFiles,
     ) -> None:
-        """Look after a folder; nothing is opened before `run`."""
+        """Prepare to manage a folder; nothing is opened before `run`."""
         self.sched, self.tier, self.front, self.folder = sched, tier, front, folder
         self.options, self.jobs, self.rate, self.open_files = options, jobs, rate, open_files
         self.files: OsFiles | None = None
@@ -55,7 +55,7 @@
         self.changes = 0
 
     def run(self) -> None:
-        """Open, serve and leave, again and again."""
+        """Open, serve and release the folder, over and over."""
         while True:
             wait = self._serve() if self._wanted() else LOCK_MS
             self.sched.sleep(wait)
@@ -64,7 +64,7 @@
         return not self.front.leave.superseded and self.tier.proof.begun
 
     def _call(self, run: Callable[[], Any], lane: str = LOG_LANE) -> Any:
-        """Run a call off the loop and wait for it in this greenlet; its error is raised here."""
+        """Run a call outside the event loop and wait for it in this greenlet; raise its error here."""
         me = getcurrent()
         while not self.jobs.submit(lane, run, lambda result, error: self.sched.wake(me, (result, error))):
             self.sched.sleep(TICK_MS)
@@ -81,7 +81,7 @@
         return None
 
     def _serve(self) -> float:
-        """Own the folder while this process serves; gives how long to wait before trying again."""
+        """Own the folder while this process serves; return the delay before the next try."""
         try:
             files = self._call(self._open)
             if files is None:
@@ -90,7 +90,7 @@
             begun = time.monotonic()
             found = self._call(partial(recover.load, files))
         except (OSError, ValueError) as error:
-            logger.warning("store {} can't be opened: {}", self.folder, error)
+            logger.warning("cannot open the store folder {}: {}", self.folder, error)
             self._close()
             return AGAIN_MS
         for note in found.notes:
@@ -111,7 +111,7 @@
         return AGAIN_MS if disk.health.state == OFF else LOCK_MS
 
     def tick(self, now: float) -> None:
-        """Do what is due: fsync, a slice of a checkpoint, some compaction."""
+        """Do the work that is due: an fsync, a slice of a checkpoint, some compaction."""
         disk, compactor = self.disk, self.compactor
         if disk is None or compactor is None:
             return
@@ -131,9 +131,9 @@
                 break
 
     def _leave(self, disk: Disk) -> None:
-        """Write a checkpoint, wait for what is queued, and let go of the folder."""
+        """Wait for queued records, write a checkpoint, and release the folder."""
         self.tier.detach()
-        self._call(lambda: None, WRITE_LANE)  # what is queued belongs into the checkpoint
+        self._call(lambda: None, WRITE_LANE)  # queued records belong in the checkpoint
         if disk.health.writes:
             disk.mark_followed()
             disk.save()
@@ -150,10 +150,10 @@
             self.files = None
 
     def finish(self) -> None:
-        """End the threads at the end of the process; what is queued is written, within 1.5 s."""
+        """Write what is queued and end the threads, within 1.5 s; called at the end of the process."""
         disk = self.disk
         if disk and not disk.closed and disk.health.writes:
-            self.jobs.settle(0.5)  # what is queued belongs into the checkpoint
+            self.jobs.settle(0.5)  # queued records belong in the checkpoint
             disk.mark_followed()
             disk.save()
         self.jobs.close(1.0)
