--- a/hitchtiller/store/keeper.py
+++ b/hitchtiller/store/keeper.py
@@ -26,9 +26,9 @@
 from hitchtiller.store.tier import Tier
 
 TICK_MS = 20.0
-LOCK_MS, AGAIN_MS = 200.0, 5_000.0  # delay between two tries for the lock, and for a folder that failed
-STEP_MS = 2.0  # of the event loop, that compaction may take in one tick
-BUSY_OPEN = 8  # open requests from which on compaction slows down
+LOCK_RETRY_MS, FAILURE_RETRY_MS = 200.0, 5_000.0  # between tries
+COMPACTION_TICK_MS = 2.0  # of the event loop per tick, at most
+BUSY_OPEN_REQUESTS = 8  # open requests from which on compaction slows down
 
 
 class Keeper:
@@ -51,99 +51,101 @@
         self.files: OsFiles | None = None
         self.disk: Disk | None = None
         self.compactor: Compactor | None = None
-        self.synced_ms = self.checked_ms = 0.0
-        self.changes = 0
+        self.last_sync_ms = self.last_checkpoint_ms = 0.0
+        self.checkpointed_puts = 0
 
     def run(self) -> None:
         """Open, serve and release the folder, over and over."""
         while True:
-            wait = self._serve() if self._wanted() else LOCK_MS
-            self.sched.sleep(wait)
+            retry_ms = self._own_folder() if self._may_own_folder() else LOCK_RETRY_MS
+            self.sched.sleep(retry_ms)
 
-    def _wanted(self) -> bool:
+    def _may_own_folder(self) -> bool:
         return not self.front.leave.superseded and self.tier.proof.begun
 
-    def _call(self, run: Callable[[], Any], lane: str = LOG_LANE) -> Any:
+    def _run_job(self, run: Callable[[], Any], lane: str = LOG_LANE) -> Any:
         """Run a call outside the event loop and wait for it in this greenlet; raise its error here."""
-        me = getcurrent()
-        while not self.jobs.submit(lane, run, lambda result, error: self.sched.wake(me, (result, error))):
+        current = getcurrent()
+        while not self.jobs.submit(
+            lane, run, lambda result, error: self.sched.wake(current, (result, error))
+        ):
             self.sched.sleep(TICK_MS)
         result, error = self.sched.park()
         if error:
             raise error
         return result
 
-    def _open(self) -> OsFiles | None:
+    def _lock_folder(self) -> OsFiles | None:
         files = self.open_files(self.folder)
         if files.lock():
             return files
         files.close()
         return None
 
-    def _serve(self) -> float:
+    def _own_folder(self) -> float:
         """Own the folder while this process serves; return the delay before the next try."""
         try:
-            files = self._call(self._open)
+            files = self._run_job(self._lock_folder)
             if files is None:
-                return LOCK_MS
+                return LOCK_RETRY_MS
             self.files = files
-            begun = time.monotonic()
-            found = self._call(partial(recover.load, files))
+            start_s = time.monotonic()
+            recovered = self._run_job(partial(recover.load, files))
         except (OSError, ValueError) as error:
             logger.warning("cannot open the store folder {}: {}", self.folder, error)
-            self._close()
-            return AGAIN_MS
-        for note in found.notes:
+            self._close_files()
+            return FAILURE_RETRY_MS
+        for note in recovered.notes:
             logger.warning("store: {}", note)
-        took = (time.monotonic() - begun) * 1000.0
-        disk = self.disk = Disk(files, self.jobs, self.options, found, self.tier.proof)
+        load_ms = (time.monotonic() - start_s) * 1000.0
+        disk = self.disk = Disk(files, self.jobs, self.options, recovered, self.tier.proof)
         self.compactor = Compactor(disk, self.tier.sketch.count, self.rate)
         self.tier.attach(disk)
         logger.info(
             "store open: {} parts in {} segments, checkpoint {}, {} records read, {:.0f} ms",
-            len(disk.index), len(disk.space.segments), found.checkpoint, found.scanned, took,
+            len(disk.index), len(disk.space.segments), recovered.checkpoint, recovered.scanned, load_ms,
         )  # fmt: skip
-        self.synced_ms = self.checked_ms = now_ms()
-        while self._wanted() and disk.health.state != OFF:
+        self.last_sync_ms = self.last_checkpoint_ms = now_ms()
+        while self._may_own_folder() and disk.health.state != OFF:
             self.tick(now_ms())
             self.sched.sleep(TICK_MS)
-        self._leave(disk)
-        return AGAIN_MS if disk.health.state == OFF else LOCK_MS
+        self._release_folder(disk)
+        return FAILURE_RETRY_MS if disk.health.state == OFF else LOCK_RETRY_MS
 
     def tick(self, now: float) -> None:
         """Do the work that is due: an fsync, a slice of a checkpoint, some compaction."""
         disk, compactor = self.disk, self.compactor
         if disk is None or compactor is None:
             return
-        if now - self.synced_ms >= self.options.sync_ms or now < self.synced_ms:
-            self.synced_ms = now
+        if now - self.last_sync_ms >= self.options.sync_ms or now < self.last_sync_ms:
+            self.last_sync_ms = now
             disk.sync()
         if disk.checkpoint_slices is not None:
             disk.step_checkpoint()
-        elif now - self.checked_ms >= self.options.checkpoint_ms or now < self.checked_ms:
-            self.checked_ms = now
-            if disk.counts.puts != self.changes and disk.begin_checkpoint():
-                self.changes = disk.counts.puts
-        busy = len(self.tier.engine.open) >= BUSY_OPEN
-        until = time.monotonic() + STEP_MS / 1000.0
+        elif now - self.last_checkpoint_ms >= self.options.checkpoint_ms or now < self.last_checkpoint_ms:
+            self.last_checkpoint_ms = now
+            if disk.counts.puts != self.checkpointed_puts and disk.begin_checkpoint():
+                self.checkpointed_puts = disk.counts.puts
+        busy = len(self.tier.engine.open) >= BUSY_OPEN_REQUESTS
+        deadline_s = time.monotonic() + COMPACTION_TICK_MS / 1000.0
         while compactor.step(now, busy) and not compactor.reading and not compactor.copies_in_progress:
-            if time.monotonic() > until:
+            if time.monotonic() > deadline_s:
                 break
 
-    def _leave(self, disk: Disk) -> None:
+    def _release_folder(self, disk: Disk) -> None:
         """Wait for queued records, write a checkpoint, and release the folder."""
         self.tier.detach()
-        self._call(lambda: None, WRITE_LANE)  # queued records belong in the checkpoint
+        self._run_job(lambda: None, WRITE_LANE)  # queued records belong in the checkpoint
         if disk.health.writes:
             disk.mark_followed()
             disk.save()
         disk.close("left")
         for lane in (WRITE_LANE, LOG_LANE):
-            self._call(lambda: None, lane)
+            self._run_job(lambda: None, lane)
         logger.info("store left: {} parts", len(disk.index))
-        self._close()
+        self._close_files()
 
-    def _close(self) -> None:
+    def _close_files(self) -> None:
         self.disk = self.compactor = None
         if self.files:
             self.files.close()
@@ -157,4 +159,4 @@
             disk.mark_followed()
             disk.save()
         self.jobs.close(1.0)
-        self._close()
+        self._close_files()
