--- a/hitchtiller/store/format.py
+++ b/hitchtiller/store/format.py
@@ -1,8 +1,8 @@
-"""The bytes of the store's files, read and written without I/O; docs/second-tier.md gives each field.
+"""The byte layouts of the store's files, without I/O; docs/second-tier.md describes each field.
 
-Guards against torn, reordered and rotten bytes: everything that is read carries a CRC-32C, seeded with what
-only the file's own writer knows (its salt) and with the place it stands at. A record that lies inside a body,
-or that was left by an earlier use of the same place, can't pass for one of this file.
+Detects torn, reordered and corrupted bytes: everything that is read carries a CRC-32C whose seed is made of
+the file's salt, known only to its writer, and of the offset. A record inside a body, or one left by an
+earlier use of the same offset, therefore can't pass for a record of this file.
 """
 
 import struct
@@ -14,31 +14,28 @@
 VERSION = 1
 ALIGN = 64  # every record begins at a multiple of this
 SEGMENT_MAGIC, RECORD_MAGIC, LOG_MAGIC, CHECK_MAGIC = b"HTSG", b"HTRC", b"HTLG", b"HTCP"
-SEGMENT_HEAD = struct.Struct("<4sBxxxQQQI")  # magic, version, id, salt, made ms, crc
+SEGMENT_HEAD = struct.Struct("<4sBxxxQQQI")  # magic, version, id, salt, created ms, crc
 RECORD_HEAD = struct.Struct("<4sBBBBIIQIiqIII")
 # magic, version, kind, class length, tag length, body length, epoch, key, part, group, since, size, body crc,
 # head crc
 PART = 1  # the only kind of record so far
-MOST_BODY, MOST_TEXT = 262_144, 128  # bytes
+MOST_BODY, MOST_TEXT = 262_144, 128  # bytes: a body; a class name or a tag
 LOG_ENTRY = struct.Struct("<BxxxIqqQI")  # kind, epoch, time ms, group, key, crc
 PURGE_OBJECT, PURGE_GROUP, FOLLOWED, ERA, FLOOR = 1, 2, 3, 4, 5
 LOG_KINDS = (PURGE_OBJECT, PURGE_GROUP, FOLLOWED, ERA, FLOOR)
 
 
 class BadBytes(ValueError):
-    """What was read is no such thing, or not whole; the text says what did not hold."""
+    """Bytes that are not of the expected kind, or not complete; the text names the failed check."""
 
 
 class OtherVersion(BadBytes):
-    """What was read is whole, and of a version that this program can't read."""
+    """Valid bytes of a version that this program can't read."""
 
 
 @dataclass(frozen=True, slots=True)
 class Part:
-    """One kept part of an object, without its body.
-
-    Times in Unix ms, `size` in bytes as the client counts it.
-    """
+    """One stored part of an object, without its body; times are in Unix ms."""
 
     key: int
     part: int
@@ -49,13 +46,13 @@
     epoch: int
 
     def size(self, body: int) -> int:
-        """Give the bytes that its record takes on disk with a body of this length."""
+        """Return the size of the record on disk in bytes, for a body of this length."""
         return aligned(RECORD_HEAD.size + len(self.class_name.encode()) + len(self.tag.encode()) + body)
 
 
 @dataclass(frozen=True, slots=True)
 class SegmentHead:
-    """What a segment's first bytes say."""
+    """The head of a segment file."""
 
     id: int
     salt: int
@@ -64,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogEntry:
-    """One line of the purge log: a purge, a watermark, a new era or a floor under all copies' times."""
+    """An entry of the purge log: a purge, a watermark, an epoch, or a floor under the time of every copy."""
 
     kind: int
     epoch: int
@@ -74,46 +71,46 @@
 
 
 def aligned(size: int) -> int:
-    """Round up to where the next record may begin."""
+    """Round a size up to where the next record may begin."""
     return -(-size // ALIGN) * ALIGN
 
 
 def crc(seed: int, data: bytes | memoryview) -> int:
-    """CRC-32C of data, begun from what its writer and its place give."""
+    """Return the CRC-32C of data with a seed made of the salt and the offset."""
     return int(google_crc32c.extend(seed & 0xFFFFFFFF, bytes(data)))
 
 
 def place_seed(salt: int, offset: int) -> int:
-    """Give the seed for what stands at an offset of a file with this salt."""
+    """Return the checksum seed for an offset of a file with this salt."""
     return (salt ^ (salt >> 32) ^ (offset * 0x9E3779B1)) & 0xFFFFFFFF
 
 
 def write_segment_head(head: SegmentHead) -> bytes:
-    """Write a segment's first ALIGN bytes."""
+    """Return a segment's first ALIGN bytes."""
     bare = SEGMENT_HEAD.pack(SEGMENT_MAGIC, VERSION, head.id, head.salt, head.made_ms, 0)[:-4]
     return (bare + struct.pack("<I", crc(0, bare))).ljust(ALIGN, b"\0")
 
 
 def read_segment_head(data: bytes) -> SegmentHead:
-    """Read a segment's first bytes.
+    """Parse a segment's first bytes.
 
-    BadBytes if they are none, or of a version that this program can't read.
+    Raises BadBytes if they are not a segment head, or of a version that this program can't read.
     """
     if len(data) < SEGMENT_HEAD.size:
-        raise BadBytes(f"segment head of {len(data)} bytes")
+        raise BadBytes(f"segment head is only {len(data)} bytes long")
     magic, version, id, salt, made, check = SEGMENT_HEAD.unpack_from(data)
     if magic != SEGMENT_MAGIC or check != crc(0, data[: SEGMENT_HEAD.size - 4]):
-        raise BadBytes("no segment head")
+        raise BadBytes("not a segment head")
     if version != VERSION:
-        raise OtherVersion(f"segment of version {version}; this program reads {VERSION}")
+        raise OtherVersion(f"segment has version {version}; this program reads version {VERSION}")
     return SegmentHead(id, salt, made)
 
 
 def write_record(part: Part, body: bytes, salt: int, offset: int) -> bytes:
-    """Write a part's record for one place in one segment, padded to ALIGN."""
+    """Return a part's record for one place in one segment, padded to ALIGN."""
     name, tag = part.class_name.encode(), part.tag.encode()
     if len(body) > MOST_BODY or len(name) > MOST_TEXT or len(tag) > MOST_TEXT:
-        raise BadBytes("body, class or tag too long for a record")
+        raise BadBytes("body, class or tag is too long for a record")
     seed = place_seed(salt, offset)
     head = RECORD_HEAD.pack(
         RECORD_MAGIC, VERSION, PART, len(name), len(tag), len(body), part.epoch, part.key, part.part,
@@ -126,34 +123,37 @@
 
 
 def read_record_head(data: bytes | memoryview, salt: int, offset: int) -> tuple[Part, int, int]:
-    """Read a record's head: the part, where its body begins, and its length; BadBytes if it does not hold."""
+    """Parse a record's head; return the part, where its body begins, and the body's length.
+
+    Raises BadBytes if the head is not valid.
+    """
     if len(data) < RECORD_HEAD.size:
-        raise BadBytes("record cut short")
+        raise BadBytes("record is truncated")
     fields = RECORD_HEAD.unpack_from(data)
     magic, version, kind, name_size, tag_size, body_size, epoch, key, part, group, since = fields[:11]
     if magic != RECORD_MAGIC or version != VERSION or kind != PART:
-        raise BadBytes("no record")
+        raise BadBytes("not a record")
     start = RECORD_HEAD.size + name_size + tag_size
     if body_size > MOST_BODY or name_size > MOST_TEXT or tag_size > MOST_TEXT or len(data) < start:
-        raise BadBytes("record head out of bounds")
+        raise BadBytes("length in the record head is out of bounds")
     texts = bytes(data[RECORD_HEAD.size : start])
     if fields[13] != crc(place_seed(salt, offset), bytes(data[: RECORD_HEAD.size - 4]) + texts):
-        raise BadBytes("record head's checksum does not hold")
+        raise BadBytes("checksum of the record head does not match")
     name, tag = texts[:name_size].decode(), texts[name_size:].decode()
     return Part(key, part, group, name, since, tag, epoch), start, body_size
 
 
 def read_record(data: bytes | memoryview, salt: int, offset: int) -> tuple[Part, bytes]:
-    """Read a whole record; BadBytes unless both of its checksums hold."""
+    """Parse a whole record; raises BadBytes unless both of its checksums match."""
     part, start, size = read_record_head(data, salt, offset)
     body = bytes(data[start : start + size])
     if len(body) != size or RECORD_HEAD.unpack_from(data)[12] != crc(place_seed(salt, offset), body):
-        raise BadBytes("body's checksum does not hold")
+        raise BadBytes("checksum of the body does not match")
     return part, body
 
 
 def write_log_head(salt: int) -> bytes:
-    """Write the purge log's first bytes."""
+    """Return the purge log's first bytes."""
     bare = LOG_MAGIC + bytes([VERSION, 0, 0, 0]) + struct.pack("<Q", salt)
     return bare + struct.pack("<I", crc(0, bare))
 
@@ -162,21 +162,21 @@
 
 
 def write_log_entry(entry: LogEntry, salt: int, offset: int) -> bytes:
-    """Write one line of the log for its place."""
+    """Return one entry of the log for its offset."""
     bare = LOG_ENTRY.pack(entry.kind, entry.epoch, entry.at_ms, entry.group, entry.key, 0)[:-4]
     return bare + struct.pack("<I", crc(place_seed(salt, offset), bare))
 
 
 def read_log(data: bytes) -> tuple[int, list[LogEntry], int]:
-    """Read a log: its salt, its entries up to the first that does not hold, and where that stands.
+    """Parse a log; return its salt, its entries up to the first invalid one, and the offset of that one.
 
-    What follows a torn entry is never taken: it was not durable when the process ended.
+    Nothing behind a torn entry is used, because it was not durable when the process ended.
     """
     if len(data) < LOG_HEAD or data[:4] != LOG_MAGIC or data[4] != VERSION:
-        raise BadBytes("no purge log, or one of another version")
+        raise BadBytes("not a purge log, or of another version")
     (salt,) = struct.unpack_from("<Q", data, 8)
     if data[:LOG_HEAD] != write_log_head(salt):
-        raise BadBytes("purge log's head does not hold")
+        raise BadBytes("checksum of the purge log's head does not match")
     entries: list[LogEntry] = []
     at = LOG_HEAD
     while at + LOG_ENTRY.size <= len(data):
@@ -191,7 +191,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Covered:
-    """A segment as a checkpoint knew it: up to which byte its records are in the checkpoint's index."""
+    """A segment covered by a checkpoint: the checkpoint's index has its records up to the byte `end`."""
 
     id: int
     salt: int
@@ -204,7 +204,7 @@
 
 
 def write_checkpoint(number: int, segments: list[Covered], slots: list[bytes]) -> Iterator[bytes]:
-    """Write a checkpoint piece by piece: head, segments, the index's slots, a checksum over all."""
+    """Yield a checkpoint in pieces: head, segments, slots of the index, and a checksum over all."""
     pieces = [CHECK_HEAD.pack(CHECK_MAGIC, VERSION, number, len(segments), sum(map(len, slots)))]
     pieces += [COVERED.pack(s.id, s.salt, s.end, s.oldest_ms) for s in segments]
     check = 0
@@ -215,14 +215,17 @@
 
 
 def read_checkpoint(data: bytes) -> tuple[int, list[Covered], memoryview]:
-    """Read a checkpoint: its number, its segments, its index's slots; BadBytes unless all of it holds."""
+    """Parse a checkpoint; return its number, its segments and the slots of its index.
+
+    Raises BadBytes unless all of it is valid.
+    """
     if len(data) < CHECK_HEAD.size + 4:
-        raise BadBytes("checkpoint cut short")
+        raise BadBytes("checkpoint is truncated")
     magic, version, number, count, size = CHECK_HEAD.unpack_from(data)
     start = CHECK_HEAD.size + count * COVERED.size
     if magic != CHECK_MAGIC or version != VERSION or len(data) != start + size + 4:
-        raise BadBytes("no checkpoint, or one of another version or length")
+        raise BadBytes("not a checkpoint, or of another version or length")
     if struct.unpack_from("<I", data, start + size)[0] != crc(0, memoryview(data)[: start + size]):
-        raise BadBytes("checkpoint's checksum does not hold")
+        raise BadBytes("checksum of the checkpoint does not match")
     segments = [Covered(*COVERED.unpack_from(data, CHECK_HEAD.size + i * COVERED.size)) for i in range(count)]
     return number, segments, memoryview(data)[start : start + size]
