--- a/hitchtiller/store/disk.py
+++ b/hitchtiller/store/disk.py
@@ -95,7 +95,7 @@
             jobs.submit(WRITE_LANE, partial(files.remove, name), self._on_write_done)
         # copied so far for the checkpoint in progress; None if there is none
         self.checkpoint_slices: list[bytes] | None = None
-        self.covered_segments: list[fmt.Covered] = []
+        self.covered_segments: list[fmt.CoveredSegment] = []
         self.closed = False
         self.monotonic_clock = monotonic_clock
         # start times of the reads in progress by read number, oldest first
@@ -310,7 +310,7 @@
             return False
         self.checkpoint_slices = []
         self.covered_segments = [
-            fmt.Covered(s.id, s.salt, s.written, int(s.oldest_ms) if s.oldest_ms < 1e15 else 1 << 52)
+            fmt.CoveredSegment(s.id, s.salt, s.written, int(s.oldest_ms) if s.oldest_ms < 1e15 else 1 << 52)
             for s in self.space.segments.values()
         ]
         return True
@@ -382,7 +382,7 @@
     def mark_epoch(self, durable: Callable[[], None] | None = None) -> None:
         """Append the current epoch to the log."""
         if self.health.writes:
-            self.log.add(fmt.LogEntry(fmt.ERA, self.proof.epoch, int(self.proof.gap_end_ms)), durable)
+            self.log.add(fmt.LogEntry(fmt.EPOCH, self.proof.epoch, int(self.proof.gap_end_ms)), durable)
 
     def remove(self, segment: Segment) -> None:
         """Remove a segment and its file.
--- a/hitchtiller/store/format.py
+++ b/hitchtiller/store/format.py
@@ -13,23 +13,23 @@
 
 VERSION = 1
 ALIGN = 64  # every record begins at a multiple of this
-SEGMENT_MAGIC, RECORD_MAGIC, LOG_MAGIC, CHECK_MAGIC = b"HTSG", b"HTRC", b"HTLG", b"HTCP"
+SEGMENT_MAGIC, RECORD_MAGIC, LOG_MAGIC, CHECKPOINT_MAGIC = b"HTSG", b"HTRC", b"HTLG", b"HTCP"
 SEGMENT_HEAD = struct.Struct("<4sBxxxQQQI")  # magic, version, id, salt, created ms, crc
 RECORD_HEAD = struct.Struct("<4sBBBBIIQIiqIII")
 # magic, version, kind, class length, tag length, body length, epoch, key, part, group, since, size, body crc,
 # head crc
 PART = 1  # the only kind of record so far
-MOST_BODY, MOST_TEXT = 262_144, 128  # bytes: a body; a class name or a tag
+MAX_BODY_BYTES, MAX_TEXT_BYTES = 262_144, 128  # of a body; of a class name or a tag
 LOG_ENTRY = struct.Struct("<BxxxIqqQI")  # kind, epoch, time ms, group, key, crc
-PURGE_OBJECT, PURGE_GROUP, FOLLOWED, ERA, FLOOR = 1, 2, 3, 4, 5
-LOG_KINDS = (PURGE_OBJECT, PURGE_GROUP, FOLLOWED, ERA, FLOOR)
+PURGE_OBJECT, PURGE_GROUP, FOLLOWED, EPOCH, FLOOR = 1, 2, 3, 4, 5
+LOG_KINDS = (PURGE_OBJECT, PURGE_GROUP, FOLLOWED, EPOCH, FLOOR)
 
 
 class BadBytes(ValueError):
     """Bytes that are not of the expected kind, or not complete; the text names the failed check."""
 
 
-class OtherVersion(BadBytes):
+class UnsupportedVersionError(BadBytes):
     """Valid bytes of a version that this program can't read."""
 
 
@@ -56,7 +56,7 @@
 
     id: int
     salt: int
-    made_ms: int
+    created_ms: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -87,8 +87,8 @@
 
 def write_segment_head(head: SegmentHead) -> bytes:
     """Return a segment's first ALIGN bytes."""
-    bare = SEGMENT_HEAD.pack(SEGMENT_MAGIC, VERSION, head.id, head.salt, head.made_ms, 0)[:-4]
-    return (bare + struct.pack("<I", crc(0, bare))).ljust(ALIGN, b"\0")
+    content = SEGMENT_HEAD.pack(SEGMENT_MAGIC, VERSION, head.id, head.salt, head.created_ms, 0)[:-4]
+    return (content + struct.pack("<I", crc(0, content))).ljust(ALIGN, b"\0")
 
 
 def read_segment_head(data: bytes) -> SegmentHead:
@@ -98,27 +98,29 @@
     """
     if len(data) < SEGMENT_HEAD.size:
         raise BadBytes(f"segment head is only {len(data)} bytes long")
-    magic, version, id, salt, made, check = SEGMENT_HEAD.unpack_from(data)
-    if magic != SEGMENT_MAGIC or check != crc(0, data[: SEGMENT_HEAD.size - 4]):
+    magic, version, id, salt, created_ms, checksum = SEGMENT_HEAD.unpack_from(data)
+    if magic != SEGMENT_MAGIC or checksum != crc(0, data[: SEGMENT_HEAD.size - 4]):
         raise BadBytes("not a segment head")
     if version != VERSION:
-        raise OtherVersion(f"segment has version {version}; this program reads version {VERSION}")
-    return SegmentHead(id, salt, made)
+        raise UnsupportedVersionError(f"segment has version {version}; this program reads version {VERSION}")
+    return SegmentHead(id, salt, created_ms)
 
 
 def write_record(part: Part, body: bytes, salt: int, offset: int) -> bytes:
     """Return a part's record for one place in one segment, padded to ALIGN."""
     name, tag = part.class_name.encode(), part.tag.encode()
-    if len(body) > MOST_BODY or len(name) > MOST_TEXT or len(tag) > MOST_TEXT:
+    if len(body) > MAX_BODY_BYTES or len(name) > MAX_TEXT_BYTES or len(tag) > MAX_TEXT_BYTES:
         raise BadBytes("body, class or tag is too long for a record")
     seed = place_seed(salt, offset)
     head = RECORD_HEAD.pack(
         RECORD_MAGIC, VERSION, PART, len(name), len(tag), len(body), part.epoch, part.key, part.part,
         part.group, part.since_ms, 0, crc(seed, body), 0,
     )[:-4] + name + tag  # fmt: skip
-    bare = len(name) + len(tag)
-    check = struct.pack("<I", crc(seed, head))
-    data = b"".join((head[: RECORD_HEAD.size - 4], check, head[len(head) - bare :] if bare else b"", body))
+    texts_size = len(name) + len(tag)
+    checksum = struct.pack("<I", crc(seed, head))
+    data = b"".join(
+        (head[: RECORD_HEAD.size - 4], checksum, head[len(head) - texts_size :] if texts_size else b"", body)
+    )
     return data.ljust(aligned(len(data)), b"\0")
 
 
@@ -130,17 +132,22 @@
     if len(data) < RECORD_HEAD.size:
         raise BadBytes("record is truncated")
     fields = RECORD_HEAD.unpack_from(data)
-    magic, version, kind, name_size, tag_size, body_size, epoch, key, part, group, since = fields[:11]
+    magic, version, kind, name_size, tag_size, body_size, epoch, key, part, group, since_ms = fields[:11]
     if magic != RECORD_MAGIC or version != VERSION or kind != PART:
         raise BadBytes("not a record")
     start = RECORD_HEAD.size + name_size + tag_size
-    if body_size > MOST_BODY or name_size > MOST_TEXT or tag_size > MOST_TEXT or len(data) < start:
+    if (
+        body_size > MAX_BODY_BYTES
+        or name_size > MAX_TEXT_BYTES
+        or tag_size > MAX_TEXT_BYTES
+        or len(data) < start
+    ):
         raise BadBytes("length in the record head is out of bounds")
     texts = bytes(data[RECORD_HEAD.size : start])
     if fields[13] != crc(place_seed(salt, offset), bytes(data[: RECORD_HEAD.size - 4]) + texts):
         raise BadBytes("checksum of the record head does not match")
     name, tag = texts[:name_size].decode(), texts[name_size:].decode()
-    return Part(key, part, group, name, since, tag, epoch), start, body_size
+    return Part(key, part, group, name, since_ms, tag, epoch), start, body_size
 
 
 def read_record(data: bytes | memoryview, salt: int, offset: int) -> tuple[Part, bytes]:
@@ -154,17 +161,17 @@
 
 def write_log_head(salt: int) -> bytes:
     """Return the purge log's first bytes."""
-    bare = LOG_MAGIC + bytes([VERSION, 0, 0, 0]) + struct.pack("<Q", salt)
-    return bare + struct.pack("<I", crc(0, bare))
+    content = LOG_MAGIC + bytes([VERSION, 0, 0, 0]) + struct.pack("<Q", salt)
+    return content + struct.pack("<I", crc(0, content))
 
 
-LOG_HEAD = len(write_log_head(0))
+LOG_HEAD_BYTES = len(write_log_head(0))
 
 
 def write_log_entry(entry: LogEntry, salt: int, offset: int) -> bytes:
     """Return one entry of the log for its offset."""
-    bare = LOG_ENTRY.pack(entry.kind, entry.epoch, entry.at_ms, entry.group, entry.key, 0)[:-4]
-    return bare + struct.pack("<I", crc(place_seed(salt, offset), bare))
+    content = LOG_ENTRY.pack(entry.kind, entry.epoch, entry.at_ms, entry.group, entry.key, 0)[:-4]
+    return content + struct.pack("<I", crc(place_seed(salt, offset), content))
 
 
 def read_log(data: bytes) -> tuple[int, list[LogEntry], int]:
@@ -172,25 +179,25 @@
 
     Nothing behind a torn entry is used, because it was not durable when the process ended.
     """
-    if len(data) < LOG_HEAD or data[:4] != LOG_MAGIC or data[4] != VERSION:
+    if len(data) < LOG_HEAD_BYTES or data[:4] != LOG_MAGIC or data[4] != VERSION:
         raise BadBytes("not a purge log, or of another version")
     (salt,) = struct.unpack_from("<Q", data, 8)
-    if data[:LOG_HEAD] != write_log_head(salt):
+    if data[:LOG_HEAD_BYTES] != write_log_head(salt):
         raise BadBytes("checksum of the purge log's head does not match")
     entries: list[LogEntry] = []
-    at = LOG_HEAD
-    while at + LOG_ENTRY.size <= len(data):
-        kind, epoch, when, group, key, check = LOG_ENTRY.unpack_from(data, at)
-        bare = data[at : at + LOG_ENTRY.size - 4]
-        if kind not in LOG_KINDS or check != crc(place_seed(salt, at), bare):
+    offset = LOG_HEAD_BYTES
+    while offset + LOG_ENTRY.size <= len(data):
+        kind, epoch, at_ms, group, key, checksum = LOG_ENTRY.unpack_from(data, offset)
+        content = data[offset : offset + LOG_ENTRY.size - 4]
+        if kind not in LOG_KINDS or checksum != crc(place_seed(salt, offset), content):
             break
-        entries.append(LogEntry(kind, epoch, when, group, key))
-        at += LOG_ENTRY.size
-    return salt, entries, at
+        entries.append(LogEntry(kind, epoch, at_ms, group, key))
+        offset += LOG_ENTRY.size
+    return salt, entries, offset
 
 
 @dataclass(frozen=True, slots=True)
-class Covered:
+class CoveredSegment:
     """A segment covered by a checkpoint: the checkpoint's index has its records up to the byte `end`."""
 
     id: int
@@ -199,33 +206,36 @@
     oldest_ms: int
 
 
-COVERED = struct.Struct("<QQQq")
-CHECK_HEAD = struct.Struct("<4sBxxxQQQ")  # magic, version, number, segments, index bytes
+COVERED_SEGMENT = struct.Struct("<QQQq")
+CHECKPOINT_HEAD = struct.Struct("<4sBxxxQQQ")  # magic, version, number, segments, index bytes
 
 
-def write_checkpoint(number: int, segments: list[Covered], slots: list[bytes]) -> Iterator[bytes]:
+def write_checkpoint(number: int, segments: list[CoveredSegment], slots: list[bytes]) -> Iterator[bytes]:
     """Yield a checkpoint in pieces: head, segments, slots of the index, and a checksum over all."""
-    pieces = [CHECK_HEAD.pack(CHECK_MAGIC, VERSION, number, len(segments), sum(map(len, slots)))]
-    pieces += [COVERED.pack(s.id, s.salt, s.end, s.oldest_ms) for s in segments]
-    check = 0
+    pieces = [CHECKPOINT_HEAD.pack(CHECKPOINT_MAGIC, VERSION, number, len(segments), sum(map(len, slots)))]
+    pieces += [COVERED_SEGMENT.pack(s.id, s.salt, s.end, s.oldest_ms) for s in segments]
+    checksum = 0
     for piece in (*pieces, *slots):
-        check = crc(check, piece)
+        checksum = crc(checksum, piece)
         yield piece
-    yield struct.pack("<I", check)
+    yield struct.pack("<I", checksum)
 
 
-def read_checkpoint(data: bytes) -> tuple[int, list[Covered], memoryview]:
+def read_checkpoint(data: bytes) -> tuple[int, list[CoveredSegment], memoryview]:
     """Parse a checkpoint; return its number, its segments and the slots of its index.
 
     Raises BadBytes unless all of it is valid.
     """
-    if len(data) < CHECK_HEAD.size + 4:
+    if len(data) < CHECKPOINT_HEAD.size + 4:
         raise BadBytes("checkpoint is truncated")
-    magic, version, number, count, size = CHECK_HEAD.unpack_from(data)
-    start = CHECK_HEAD.size + count * COVERED.size
-    if magic != CHECK_MAGIC or version != VERSION or len(data) != start + size + 4:
+    magic, version, number, count, size = CHECKPOINT_HEAD.unpack_from(data)
+    start = CHECKPOINT_HEAD.size + count * COVERED_SEGMENT.size
+    if magic != CHECKPOINT_MAGIC or version != VERSION or len(data) != start + size + 4:
         raise BadBytes("not a checkpoint, or of another version or length")
     if struct.unpack_from("<I", data, start + size)[0] != crc(0, memoryview(data)[: start + size]):
         raise BadBytes("checksum of the checkpoint does not match")
-    segments = [Covered(*COVERED.unpack_from(data, CHECK_HEAD.size + i * COVERED.size)) for i in range(count)]
+    segments = [
+        CoveredSegment(*COVERED_SEGMENT.unpack_from(data, CHECKPOINT_HEAD.size + i * COVERED_SEGMENT.size))
+        for i in range(count)
+    ]
     return number, segments, memoryview(data)[start : start + size]
--- a/hitchtiller/store/log.py
+++ b/hitchtiller/store/log.py
@@ -44,7 +44,7 @@
         batch, self.waiting = self.waiting, []
         anew = self.fresh or self.end - self.base > GROWN
         if anew:
-            self.salt, self.end = secrets.randbits(64), fmt.LOG_HEAD
+            self.salt, self.end = secrets.randbits(64), fmt.LOG_HEAD_BYTES
             entries = [*self.in_force(), *(entry for entry, _ in batch)]
         else:
             entries = [entry for entry, _ in batch]
@@ -90,7 +90,7 @@
         The era and watermark are those that were durable: newer ones are in `waiting` and follow.
         """
         epoch, followed, gap = self.kept.epoch, self.kept.followed_ms, self.kept.gap_end_ms
-        entries = [fmt.LogEntry(fmt.ERA, epoch, int(min(gap, MOST_MS)))] if epoch else []
+        entries = [fmt.LogEntry(fmt.EPOCH, epoch, int(min(gap, MOST_MS)))] if epoch else []
         if self.purges.floor > 0:
             entries.append(fmt.LogEntry(fmt.FLOOR, epoch, int(self.purges.floor)))
         entries += [
@@ -105,7 +105,7 @@
 
     def _note(self, entry: fmt.LogEntry) -> None:
         """Keep in mind what is durable now."""
-        if entry.kind == fmt.ERA:
+        if entry.kind == fmt.EPOCH:
             self.kept = replace(self.kept, epoch=entry.epoch, gap_end_ms=float(entry.at_ms))
         elif entry.kind == fmt.FOLLOWED:
             self.kept = replace(self.kept, followed_ms=float(entry.at_ms))
--- a/hitchtiller/store/plan.py
+++ b/hitchtiller/store/plan.py
@@ -10,7 +10,7 @@
 
 from hitchtiller import interface as api
 from hitchtiller.exchange import AttemptResult, ClientRequest
-from hitchtiller.store.format import MOST_BODY, MOST_TEXT, Part
+from hitchtiller.store.format import MAX_BODY_BYTES, MAX_TEXT_BYTES, Part
 from hitchtiller.store.purges import Purges
 from hitchtiller.store.suspect import Proof
 
@@ -70,7 +70,11 @@
             or not ending.since_ms
         ):
             return None
-        if len(ending.body) > MOST_BODY or len(ending.tag.encode()) > MOST_TEXT or ask.group > 0xFFFF:
+        if (
+            len(ending.body) > MAX_BODY_BYTES
+            or len(ending.tag.encode()) > MAX_TEXT_BYTES
+            or ask.group > 0xFFFF
+        ):
             return None
         part = Part(
             ask.key, ask.part, ask.group, ask.class_name, ending.since_ms, ending.tag, self.proof.epoch
--- a/hitchtiller/store/recover.py
+++ b/hitchtiller/store/recover.py
@@ -18,7 +18,7 @@
 
 LOG, LOG_TEMP_NAME = "purges.log", "purges.new"
 SEGMENT, CHECKPOINT_PREFIX = "segment-", "checkpoint-"
-READ_AHEAD_BYTES = fmt.RECORD_HEAD.size + 2 * fmt.MOST_TEXT
+READ_AHEAD_BYTES = fmt.RECORD_HEAD.size + 2 * fmt.MAX_TEXT_BYTES
 SCAN_BYTES = 1 << 20
 
 
@@ -117,7 +117,7 @@
             )
         except fmt.BadBytes as error:
             state.notes.append(f"{segment_name(segment_id)}: {error}")
-            if not isinstance(error, fmt.OtherVersion):
+            if not isinstance(error, fmt.UnsupportedVersionError):
                 state.headless_files.append(segment_name(segment_id))
         state.next_id = max(state.next_id, segment_id + 1)
     return found
@@ -134,7 +134,7 @@
         return False
     epoch, followed_ms, gap_end_ms = 0, 0.0, 0.0
     for entry in entries:
-        if entry.kind == fmt.ERA:
+        if entry.kind == fmt.EPOCH:
             epoch, gap_end_ms = entry.epoch, float(entry.at_ms)
         elif entry.kind == fmt.FOLLOWED:
             followed_ms = float(entry.at_ms)
@@ -147,7 +147,9 @@
     return True
 
 
-def _read_checkpoint(files: Files, state: Recovered) -> tuple[dict[int, fmt.Covered], memoryview | None]:
+def _read_checkpoint(
+    files: Files, state: Recovered
+) -> tuple[dict[int, fmt.CoveredSegment], memoryview | None]:
     for number in reversed(file_numbers(files.names(), CHECKPOINT_PREFIX)):
         name = checkpoint_name(number)
         try:
@@ -171,7 +173,7 @@
     state = Recovered()
     has_log = read_purges(files, state)
     found = read_segments(files, state)
-    covered: dict[int, fmt.Covered] = {}
+    covered: dict[int, fmt.CoveredSegment] = {}
     if use_checkpoint and has_log:
         covered, slots = _read_checkpoint(files, state)
         if slots is not None:
--- a/tests/store/test_store_format.py
+++ b/tests/store/test_store_format.py
@@ -52,7 +52,7 @@
         data += fmt.write_log_entry(entry, 9, len(data))
     assert fmt.read_log(data) == (9, entries, len(data))
     torn = bytearray(data)
-    torn[fmt.LOG_HEAD + 2 * fmt.LOG_ENTRY.size + 5] ^= 1
+    torn[fmt.LOG_HEAD_BYTES + 2 * fmt.LOG_ENTRY.size + 5] ^= 1
     assert fmt.read_log(bytes(torn))[1] == entries[:2]
     with pytest.raises(fmt.BadBytes):
         fmt.read_log(b"\0" + data[1:])
@@ -60,7 +60,7 @@
 
 @given(st.integers(0, 300), st.integers(1, 255))
 def test_a_checkpoint_holds_whole_or_not_at_all(at: int, flip: int) -> None:
-    segments = [fmt.Covered(3, 5, 640, 12), fmt.Covered(4, 6, 64, 1 << 52)]
+    segments = [fmt.CoveredSegment(3, 5, 640, 12), fmt.CoveredSegment(4, 6, 64, 1 << 52)]
     data = b"".join(fmt.write_checkpoint(7, segments, [b"a" * 64, b"b" * 128]))
     number, read, slots = fmt.read_checkpoint(data)
     assert (number, read, bytes(slots)) == (7, segments, b"a" * 64 + b"b" * 128)
@@ -77,5 +77,5 @@
     head[4] = 9
     bare = bytes(head[: fmt.SEGMENT_HEAD.size - 4])
     head[len(bare) : len(bare) + 4] = fmt.crc(0, bare).to_bytes(4, "little")
-    with pytest.raises(fmt.OtherVersion):
+    with pytest.raises(fmt.UnsupportedVersionError):
         fmt.read_segment_head(bytes(head))
