--- a/hitchtiller/store/join.py
+++ b/hitchtiller/store/join.py
@@ -1,7 +1,8 @@
-"""Requests for the same part share what is under way: one leads, others wait; decided without I/O.
+"""Requests for the same part share one fill: one request leads, the others wait. Decided without I/O.
 
-Bound: one flight a part wanted, one entry a request. The attempts of all leaders of a flight together stay
-within the class's limit for one request, so that a failing object is not asked for as often as it is wanted.
+There is one flight per part being filled, and one entry per request. The attempts of all leaders of a flight
+together stay within the class's limit for one request, so that a failing object is not requested from the
+servers as often as clients request it.
 """
 
 from dataclasses import dataclass, field
@@ -11,27 +12,24 @@
 class Then(Enum):
     """What a waiting request does next."""
 
-    SERVE = "serve"  # with what the leader got
-    LEAD = "lead"  # in the leader's place
-    SHARE = "share"  # the leader's refusal or failure
-    ALONE = "alone"  # by itself
+    SERVE = "serve"  # is served the leader's answer
+    LEAD = "lead"  # continues in the leader's place
+    SHARE = "share"  # gets the leader's refusal or failure
+    ALONE = "alone"  # continues by itself
 
 
 @dataclass(slots=True)
 class Waiter:
-    """A request that waits.
-
-    `client_tag` is the tag its client holds, `seq` how many purges had been told when it came.
-    """
+    """A request that waits; `client_tag` is the tag that its client holds."""
 
     number: int
     client_tag: str
-    after_ms: float  # a copy must be from after this: the purges known when it came
+    after_ms: float  # a copy must date from after this: the last purge known when the request came
 
 
 @dataclass(slots=True)
 class Flight:
-    """What is under way for one part."""
+    """A fill in progress for one part."""
 
     part_hash: int
     leader: int
@@ -41,10 +39,10 @@
 
 
 class Joins:
-    """All flights, by part and by leader."""
+    """All flights, by part, by leader and by waiter."""
 
     def __init__(self, max_attempts: int) -> None:
-        """Let the leaders of one flight make this many attempts together."""
+        """Allow the leaders of one flight this many attempts together."""
         self.max_attempts = max_attempts
         self.flights: dict[int, Flight] = {}
         self.leads: dict[int, Flight] = {}
@@ -52,22 +50,25 @@
         self.joined = self.promoted = self.impatient = self.spared = 0
 
     def lead(self, number: int, part_hash: int, client_tag: str) -> None:
-        """Begin a flight; one that is there goes on without this request, which then is nobody's leader."""
+        """Begin a flight led by a request.
+
+        If the part has a flight already, that one continues and this request leads none.
+        """
         if part_hash not in self.flights:
             self.flights[part_hash] = self.leads[number] = Flight(part_hash, number, client_tag)
 
     def join(self, number: int, part_hash: int, client_tag: str, after_ms: float) -> bool:
-        """Wait for a flight; False if there is none, or none whose answer this client could use."""
+        """Wait for a flight; return False if there is none whose answer this client could use."""
         flight = self.flights.get(part_hash)
         if flight is None or (flight.client_tag and flight.client_tag != client_tag):
-            return False  # a leader whose client holds a copy may be told so, without the bytes
+            return False  # a leader whose client holds a copy may get an answer without the body
         flight.waiters[number] = Waiter(number, client_tag, after_ms)
         self.waits[number] = flight
         self.joined += 1
         return True
 
     def may_send(self, number: int) -> bool:
-        """Count an attempt of a leader; False past the limit of the flight."""
+        """Count an attempt of a leader; return False if the limit of the flight is reached."""
         flight = self.leads.get(number)
         if flight is None:
             return True
@@ -78,7 +79,7 @@
         return True
 
     def give_up(self, number: int) -> bool:
-        """Take a request that has waited too long out; True if it was waiting."""
+        """Stop a request from waiting because it has waited too long; return whether it was waiting."""
         flight = self.waits.pop(number, None)
         if flight is None:
             return False
@@ -87,14 +88,15 @@
         return True
 
     def leave(self, number: int) -> None:
-        """Forget a waiter whose client left or whose time is over."""
+        """Remove a waiter whose client left or whose time is over."""
         if flight := self.waits.pop(number, None):
             del flight.waiters[number]
 
     def served(self, number: int, since_ms: float) -> list[tuple[Then, int]]:
-        """End a leader's flight with an answer; a copy from before a waiter's purges is not for that waiter.
+        """End a leader's flight with an answer; return the next step of each waiter.
 
-        Those go on as a flight of their own, led by the first of them.
+        A copy from before a purge known to a waiter is not served to that waiter. Such waiters continue as a
+        flight of their own, led by the first of them.
         """
         flight = self._end(number)
         if flight is None:
@@ -104,10 +106,10 @@
         return [(Then.SERVE, waiter.number) for waiter in good] + self._again(flight, rest, 0)
 
     def failed(self, number: int) -> list[tuple[Then, int]]:
-        """End a leader's flight without an answer, whether it failed or its client or its time ended.
+        """End a leader's flight without an answer: it failed, its client left, or its time is over.
 
-        The first waiter leads on with the attempts that the flight has left; with none left all share the
-        end.
+        Return the next step of each waiter. The first one leads on with the attempts that the flight has
+        left; if none are left, all waiters share the outcome.
         """
         flight = self._end(number)
         if flight is None:
