--- a/hitchtiller/store/tier.py
+++ b/hitchtiller/store/tier.py
@@ -16,7 +16,7 @@
 from hitchtiller.store.disk import STALL_MS, Disk, monotonic_ms
 from hitchtiller.store.format import Part
 from hitchtiller.store.index import fingerprint
-from hitchtiller.store.join import Joins, Then
+from hitchtiller.store.join import Joins, NextStep
 from hitchtiller.store.memory import Copy, Memory
 from hitchtiller.store.pace import Pace
 from hitchtiller.store.plan import KNOWN_SHARE, Plan, State
@@ -160,7 +160,7 @@
         self.fallback_copies.pop(number, None)
         self.joins.leave(number)
         if answer and answer.kind == SERVED:
-            if number not in self.joins.leads:
+            if number not in self.joins.flights_by_leader:
                 return
             request = exchange.request
             part = Part(
@@ -173,11 +173,11 @@
                 self.proof.epoch,
             )
             copy = Copy(part, answer.body)
-            for then, waiter_number in self.joins.served(number, answer.since_ms):
-                self._continue_waiter(then, waiter_number, copy, answer.unchanged, None)
+            for next_step, waiter_number in self.joins.end_served(number, answer.since_ms):
+                self._continue_waiter(next_step, waiter_number, copy, answer.unchanged, None)
         else:
-            for then, waiter_number in self.joins.failed(number):
-                self._continue_waiter(then, waiter_number, None, False, answer)
+            for next_step, waiter_number in self.joins.end_failed(number):
+                self._continue_waiter(next_step, waiter_number, None, False, answer)
 
     def purged(self, notice: PurgeNotice) -> None:
         """Apply a purge at once, and write it to the purge log."""
@@ -343,7 +343,7 @@
             self.engine.decide(exchange)
 
     def _continue_waiter(
-        self, then: Then, number: int, copy: Copy | None, unchanged: bool, answer: Answer | None
+        self, next_step: NextStep, number: int, copy: Copy | None, unchanged: bool, answer: Answer | None
     ) -> None:
         """Carry out the next step of a request that waited for a fill."""
         exchange = self.engine.open.get(number)
@@ -352,13 +352,18 @@
         # Enforces the waiter's own age limit: the answer may have been young enough only when the leader
         # asked.
         is_fresh = copy is not None and self.plan.judge(copy.part, self.engine.clock.now_ms()) is State.FRESH
-        if then is Then.SERVE and copy and is_fresh and self._serve(exchange, copy, "joined", unchanged):
+        if (
+            next_step is NextStep.SERVE
+            and copy
+            and is_fresh
+            and self._serve(exchange, copy, "joined", unchanged)
+        ):
             return
-        if then is Then.SHARE:
+        if next_step is NextStep.SHARE:
             self.engine.finish(
                 exchange, answer or Answer(REFUSED, wait_ms=self.engine.router.settings.max_retry_after_ms)
             )
-        elif then is not Then.LEAD or not self._start_disk_read(
+        elif next_step is not NextStep.LEAD or not self._start_disk_read(
             exchange, fingerprint(exchange.request.key, exchange.request.part)
         ):
             self.engine.decide(exchange)
--- a/tests/store/test_store_decide.py
+++ b/tests/store/test_store_decide.py
@@ -7,7 +7,7 @@
 from tiers import START
 
 from hitchtiller.store.health import MAX_UNREADABLE_SEGMENTS, OFF, READ_ONLY, WELL, Health
-from hitchtiller.store.join import Joins, Then
+from hitchtiller.store.join import Joins, NextStep
 from hitchtiller.store.pace import Pace
 from hitchtiller.store.purges import Purges
 from hitchtiller.store.space import Rate, Segment, Space
@@ -109,8 +109,8 @@
     assert not joins.join(1, 77, "", -math.inf)
     joins.lead(1, 77, "")
     assert joins.join(2, 77, "", -math.inf) and joins.join(3, 77, "x", -math.inf)
-    assert joins.served(1, 100.0) == [(Then.SERVE, 2), (Then.SERVE, 3)]
-    assert not (joins.flights or joins.leads or joins.waits)
+    assert joins.end_served(1, 100.0) == [(NextStep.SERVE, 2), (NextStep.SERVE, 3)]
+    assert not (joins.flights or joins.flights_by_leader or joins.flights_by_waiter)
 
 
 def test_a_leader_whose_client_holds_a_copy_is_joined_only_by_its_likes() -> None:
@@ -124,8 +124,8 @@
     joins.lead(1, 77, "")
     for number, purged in ((2, -math.inf), (3, 150.0), (4, 150.0)):
         joins.join(number, 77, "", purged)
-    assert joins.served(1, 120.0) == [(Then.SERVE, 2), (Then.LEAD, 3)]
-    assert joins.waits.keys() == {4} and joins.served(3, 160.0) == [(Then.SERVE, 4)]
+    assert joins.end_served(1, 120.0) == [(NextStep.SERVE, 2), (NextStep.LEAD, 3)]
+    assert joins.flights_by_waiter.keys() == {4} and joins.end_served(3, 160.0) == [(NextStep.SERVE, 4)]
 
 
 def test_leaders_of_one_flight_share_the_attempts_of_one_request() -> None:
@@ -134,9 +134,9 @@
     for number in (2, 3):
         joins.join(number, 77, "", -math.inf)
     assert joins.may_send(1) and joins.may_send(1)
-    assert joins.failed(1) == [(Then.LEAD, 2)]
+    assert joins.end_failed(1) == [(NextStep.LEAD, 2)]
     assert joins.may_send(2) and not joins.may_send(2)
-    assert joins.failed(2) == [(Then.SHARE, 3)] and joins.spared == 1
+    assert joins.end_failed(2) == [(NextStep.SHARE, 3)] and joins.spared == 1
     assert joins.may_send(99), "who leads no flight is not bound by one"
 
 
@@ -147,7 +147,7 @@
         joins.join(number, 77, "", -math.inf)
     assert joins.give_up(2) and not joins.give_up(2)
     joins.leave(3)
-    assert joins.served(1, 1.0) == [] and joins.impatient == 1
+    assert joins.end_served(1, 1.0) == [] and joins.impatient == 1
 
 
 def test_the_link_serves_one_after_the_other() -> None:
