--- a/hitchtiller/store/join.py
+++ b/hitchtiller/store/join.py
@@ -24,7 +24,7 @@
 
     request_number: int
     client_tag: str
-    min_since_ms: float  # a copy must be from after this: the last purge known when the request came
+    newer_than_ms: float  # a copy must be from after this: the last purge known when the request came
 
 
 @dataclass(slots=True)
@@ -59,12 +59,12 @@
                 part_hash, request_number, client_tag
             )
 
-    def join(self, request_number: int, part_hash: int, client_tag: str, min_since_ms: float) -> bool:
+    def join(self, request_number: int, part_hash: int, client_tag: str, newer_than_ms: float) -> bool:
         """Wait for a flight; return False if there is none whose answer this client could use."""
         flight = self.flights.get(part_hash)
         if flight is None or (flight.client_tag and flight.client_tag != client_tag):
             return False  # a leader whose client holds a copy may get an answer without the body
-        flight.waiters[request_number] = Waiter(request_number, client_tag, min_since_ms)
+        flight.waiters[request_number] = Waiter(request_number, client_tag, newer_than_ms)
         self.flights_by_waiter[request_number] = flight
         self.joined += 1
         return True
@@ -103,8 +103,8 @@
         flight = self._end_flight(request_number)
         if flight is None:
             return []
-        servable = [waiter for waiter in flight.waiters.values() if since_ms > waiter.min_since_ms]
-        too_early = [waiter for waiter in flight.waiters.values() if since_ms <= waiter.min_since_ms]
+        servable = [waiter for waiter in flight.waiters.values() if since_ms > waiter.newer_than_ms]
+        too_early = [waiter for waiter in flight.waiters.values() if since_ms <= waiter.newer_than_ms]
         return [(NextStep.SERVE, waiter.request_number) for waiter in servable] + self._start_next_flight(
             flight, too_early, 0
         )
