--- a/hitchtiller/store/tier.py
+++ b/hitchtiller/store/tier.py
@@ -19,7 +19,7 @@
 from hitchtiller.store.join import Joins, NextStep
 from hitchtiller.store.memory import Copy, Memory
 from hitchtiller.store.pace import Pace
-from hitchtiller.store.plan import KNOWN_SHARE, Plan, State
+from hitchtiller.store.plan import UNCHANGED_COST_SHARE, CopyRules, CopyState
 from hitchtiller.store.purges import Purges
 from hitchtiller.store.sketch import Sketch
 from hitchtiller.store.suspect import Proof
@@ -50,7 +50,7 @@
         )
         self.confirms_suspects = confirm
         self.purges = Purges()
-        self.plan = Plan(engine.router.settings.classes, self.purges, proof)
+        self.rules = CopyRules(engine.router.settings.classes, self.purges, proof)
         self.joins = Joins(engine.router.settings.max_attempts)
         self.sketch = Sketch(1 << 16)
         self.disk: Disk | None = None
@@ -70,15 +70,15 @@
         Return whether the request was taken over; if not, the engine sends it to a server.
         """
         request, now_ms = exchange.request, self.engine.clock.now_ms()
-        if not self.plan.keeps(request.class_name) or request.dedupe or request.body:
+        if not self.rules.is_cacheable(request.class_name) or request.dedupe or request.body:
             return False
         self.check_clock(now_ms)
         part_hash = fingerprint(request.key, request.part)
         self.sketch.add(part_hash)
         copy = self.memory.get(request.key, request.part)
-        if copy and self.plan.fits(copy.part, request):
-            state = self.plan.judge(copy.part, now_ms)
-            if state is State.FRESH:
+        if copy and self.rules.matches(copy.part, request):
+            state = self.rules.copy_state(copy.part, now_ms)
+            if state is CopyState.FRESH:
                 self._write_to_disk(copy.part, copy.body, part_hash)
                 return self._serve(exchange, copy, "memory")
             self._record_fallback(exchange, copy, state, part_hash)
@@ -87,7 +87,7 @@
         if self.joins.join(
             exchange.number, part_hash, request.client_tag, self.purges.last(request.key, request.group)
         ):
-            wait_ms = self.plan.patience_ms(request, now_ms)
+            wait_ms = self.rules.max_join_wait_ms(request, now_ms)
             self.engine.clock.later(wait_ms, partial(self._on_join_timeout, exchange))
             return True
         self.misses += 1
@@ -103,7 +103,7 @@
         copy = self.fallback_copies.get(exchange.number)
         if not exchange.confirm_tag or copy is None or copy.part.epoch == self.proof.epoch:
             return cap_ms
-        return self.plan.cap_ms(now_ms, cap_ms)
+        return self.rules.cap_ms(now_ms, cap_ms)
 
     def on_result(self, attempt: Attempt, result: AttemptResult) -> AttemptResult:
         """Store the received part, and add the body of a confirmed copy for a client that holds none."""
@@ -112,7 +112,7 @@
         if result.unchanged:
             return self._on_unchanged(exchange, result, now_ms)
         old_copy = self.fallback_copies.pop(exchange.number, None)
-        part = self.plan.keep(exchange.request, result, now_ms)
+        part = self.rules.part_to_store(exchange.request, result, now_ms)
         if old_copy and old_copy.part.tag != result.tag:
             self.refuted += old_copy.part.epoch != self.proof.epoch
             self._drop(fingerprint(old_copy.part.key, old_copy.part.part))
@@ -129,7 +129,7 @@
             confirmed_part = Part(
                 part.key, part.part, part.group, part.class_name, result.since_ms, part.tag, self.proof.epoch
             )
-            if self.plan.judge(confirmed_part, now_ms) is State.FRESH:
+            if self.rules.copy_state(confirmed_part, now_ms) is CopyState.FRESH:
                 self.confirmed += 1
                 self._store(confirmed_part, copy.body)
                 if not request.client_tag:
@@ -146,9 +146,9 @@
     def fallback(self, exchange: Exchange, answer: Answer) -> Answer:
         """Return a copy within its grace time in place of a refusal or a failure, if there is one."""
         copy = self.fallback_copies.get(exchange.number)
-        if copy is None or self.plan.judge(copy.part, self.engine.clock.now_ms()) not in (
-            State.FRESH,
-            State.STALE,
+        if copy is None or self.rules.copy_state(copy.part, self.engine.clock.now_ms()) not in (
+            CopyState.FRESH,
+            CopyState.STALE,
         ):
             return answer
         self.hits["stale"] += 1
@@ -225,7 +225,7 @@
         own_purges, disk_purges = self.purges, disk.purges
         disk_purges.raise_floor(own_purges.floor)
         self.disk, self.purges = disk, disk_purges
-        self.plan = Plan(self.plan.classes, disk_purges, self.proof)
+        self.rules = CopyRules(self.rules.classes, disk_purges, self.proof)
         for group, purge_ms in own_purges.groups.items():
             disk.purge(None, group, purge_ms)
         for key, purge_ms in own_purges.objects.items():
@@ -244,7 +244,7 @@
 
     # Internal steps
 
-    def _record_fallback(self, exchange: Exchange, copy: Copy, state: State, part_hash: int) -> None:
+    def _record_fallback(self, exchange: Exchange, copy: Copy, state: CopyState, part_hash: int) -> None:
         """Record a copy that can't be served as it is, or drop it if a purge forbids it.
 
         A recorded copy may be confirmed by a server, or be served if no server can answer.
@@ -252,9 +252,9 @@
         part = copy.part
         if not self.purges.allows(part.key, part.group, part.since_ms):
             self._drop(part_hash)
-        elif state is not State.FRESH:
+        elif state is not CopyState.FRESH:
             self.fallback_copies[exchange.number] = copy
-            if self.confirms_suspects and self.plan.may_confirm(exchange.request):
+            if self.confirms_suspects and self.rules.may_confirm(exchange.request):
                 exchange.confirm_tag = part.tag
 
     def _answer(self, exchange: Exchange, copy: Copy, unchanged: bool = False) -> Answer:
@@ -267,9 +267,9 @@
     def _serve(self, exchange: Exchange, copy: Copy, tier: str, unchanged: bool = False) -> bool:
         """Answer from a copy as soon as the link is free; return False if that would be too late."""
         now_ms, answer = self.engine.clock.now_ms(), self._answer(exchange, copy, unchanged)
-        size = int(len(copy.body) * KNOWN_SHARE) if answer.unchanged else len(copy.body)
+        size = int(len(copy.body) * UNCHANGED_COST_SHARE) if answer.unchanged else len(copy.body)
         if not self.pace.fits(
-            size, now_ms, self.plan.until_ms(exchange.request, now_ms, self.pace.transfer_ms(size))
+            size, now_ms, self.rules.answer_deadline_ms(exchange.request, now_ms, self.pace.transfer_ms(size))
         ):
             self.slow_link += 1
             return False
@@ -287,7 +287,7 @@
         """Send an answer that waited for the link, unless its copy is no longer fresh, as after a purge."""
         if exchange.over:
             return
-        if self.plan.judge(copy.part, self.engine.clock.now_ms()) is State.FRESH:
+        if self.rules.copy_state(copy.part, self.engine.clock.now_ms()) is CopyState.FRESH:
             self.engine.finish(exchange, answer)
         else:
             self.engine.decide(exchange)
@@ -306,9 +306,9 @@
     def _on_disk_read(self, exchange: Exchange, part: Part | None, body: bytes) -> None:
         """Handle the result of a disk read: store it in memory, and answer the client if it may be served."""
         now_ms = self.engine.clock.now_ms()
-        if part and self.plan.fits(part, exchange.request):
-            copy, state = Copy(part, body), self.plan.judge(part, now_ms)
-            if state is State.FRESH:
+        if part and self.rules.matches(part, exchange.request):
+            copy, state = Copy(part, body), self.rules.copy_state(part, now_ms)
+            if state is CopyState.FRESH:
                 self.memory.put(part.class_name, part, body)
                 if not (exchange.over or exchange.decided) and self._serve(exchange, copy, "disk"):
                     return
@@ -351,7 +351,10 @@
             return
         # Enforces the waiter's own age limit: the answer may have been young enough only when the leader
         # asked.
-        is_fresh = copy is not None and self.plan.judge(copy.part, self.engine.clock.now_ms()) is State.FRESH
+        is_fresh = (
+            copy is not None
+            and self.rules.copy_state(copy.part, self.engine.clock.now_ms()) is CopyState.FRESH
+        )
         if (
             next_step is NextStep.SERVE
             and copy
