--- a/hitchtiller/store/compact.py
+++ b/hitchtiller/store/compact.py
@@ -101,7 +101,7 @@
         if disk.index.get(part_hash) != place:
             return
         allowed = disk.purges.allows(part.key, part.group, part.since_ms)
-        if not allowed or not disk.space.carries(
+        if not allowed or not disk.space.should_copy(
             self.count_requests(part_hash), victim, length, self.copied_bytes
         ):
             disk.forget(part_hash)
--- a/hitchtiller/store/disk.py
+++ b/hitchtiller/store/disk.py
@@ -183,7 +183,7 @@
     def _segment_with_room(self, size: int) -> Segment | None:
         """Return the segment for the next record; None while there is no space for another segment."""
         active = self.active
-        if active and not self.space.full(active, size):
+        if active and not self.space.needs_new_segment(active, size):
             return active
         if active:
             active.sealed = True
--- a/tests/store/test_store_decide.py
+++ b/tests/store/test_store_decide.py
@@ -191,16 +191,16 @@
     assert space(s1=(100, 90), s2=(100, 40), s3=(100, 10)).victim().id == 3  # type: ignore[union-attr]
     assert space(s1=(100, 90), s2=(100, 60)).victim() is None
     full = space(**{f"s{n}": (100, 90) for n in range(1, 9)})
-    assert full.pressed() and full.victim().id == 1  # type: ignore[union-attr]
+    assert full.is_short_of_space() and full.victim().id == 1  # type: ignore[union-attr]
 
 
 def test_at_most_half_of_a_victim_is_carried_where_space_is_short() -> None:
     full = space(**{f"s{n}": (100, 100) for n in range(1, 9)})
     victim = full.segments[1]
-    assert full.carries(5, victim, 30, 0) and not full.carries(5, victim, 30, 30)
-    assert not full.carries(1, victim, 30, 0)
+    assert full.should_copy(5, victim, 30, 0) and not full.should_copy(5, victim, 30, 30)
+    assert not full.should_copy(1, victim, 30, 0)
     calm = space(s1=(100, 10))
-    assert calm.carries(0, calm.segments[1], 10, 0)
+    assert calm.should_copy(0, calm.segments[1], 10, 0)
 
 
 def test_compaction_gives_way_to_clients() -> None:
