--- a/hitchtiller/store/pace.py
+++ b/hitchtiller/store/pace.py
@@ -1,31 +1,31 @@
-"""The gateway's own link as answers from its copies use it: who goes when, and whether waiting is worth it.
+"""The gateway's own link, as used by answers from copies: when each is sent, and whether it is in time.
 
-Bound: constant space and time. An answer begins once the link is free of those before it, in the order of
-answers; one transfer takes at least its bytes at `flow`. The figures are the configuration's flow_bytes_per_s
-and link_bytes_per_s.
+Takes constant space and time. An answer begins when the link is free of the answers before it. A transfer
+takes at least the time of its bytes at the bandwidth of one flow. The bandwidths are flow_bytes_per_s and
+link_bytes_per_s of the configuration.
 """
 
 import math
 
 
 class Pace:
-    """A link as a queue of transfers; bytes a second, 0 for no bound."""
+    """A link as a queue of transfers; bandwidths in bytes per second, 0 for no limit."""
 
     def __init__(self, flow: float, link: float) -> None:
-        """Take the configuration's figures."""
+        """Set the bandwidths of one flow and of the link."""
         self.flow, self.link = flow or math.inf, link or math.inf
         self.free_ms = 0.0
 
     def transfer_ms(self, size: int) -> float:
-        """Give how long a transfer takes by itself."""
+        """Return the duration of a transfer on an idle link."""
         return size * 1000.0 / min(self.flow, self.link)
 
     def take(self, size: int, now_ms: float) -> float:
-        """Take the link for a transfer; gives when it begins."""
+        """Reserve the link for a transfer; return when it begins."""
         begin = max(now_ms, self.free_ms)
         self.free_ms = begin + size * 1000.0 / self.link
         return begin
 
     def fits(self, size: int, now_ms: float, until_ms: float) -> bool:
-        """Tell whether the transfer would be over in time."""
+        """Return whether a transfer would be complete in time."""
         return max(now_ms, self.free_ms) + self.transfer_ms(size) <= until_ms
