--- a/hitchtiller/store/sketch.py
+++ b/hitchtiller/store/sketch.py
@@ -1,12 +1,12 @@
-"""How often each object was asked for lately, in a few bits: a count-min sketch behind a doorkeeper.
+"""Estimates how often each object was requested lately: a count-min sketch behind a doorkeeper.
 
-Bound: `width` bytes for each of ROWS rows and `width` bits of doorkeeper, whatever the number of objects. An
-estimate is never too low by more than what ageing took, and too high only by collisions. Ageing halves all
-counters after `sample` additions, CHUNK bytes a call, so that no call stalls the loop.
+Takes `width` bytes for each of ROW_COUNT rows and `width` bits for the doorkeeper, whatever the number of
+objects. An estimate is too low only by what ageing took, and too high only by hash collisions. Ageing halves
+all counters after `sample` additions, AGEING_CHUNK_BYTES per call, so that no call delays the event loop.
 """
 
 ROWS = 4
-MOST = 15  # counts saturate: what is asked for more often is kept anyhow
+MOST = 15  # counts saturate: an object that is requested more often is stored anyway
 CHUNK = 1 << 16
 HALF = bytes(n >> 1 for n in range(256))
 MIX = (0x9E3779B97F4A7C15, 0xC2B2AE3D27D4EB4F, 0x165667B19E3779F9, 0xD6E8FEB86659FD93)
@@ -14,13 +14,13 @@
 
 
 class Sketch:
-    """Counts fingerprints approximately.
+    """Counts part hashes approximately.
 
-    A first sighting sets only a bit, so one-offs don't fill counters.
+    The first request sets only a bit of the doorkeeper, so that objects requested once fill no counters.
     """
 
     def __init__(self, width: int = 1 << 16, sample: int = 0) -> None:
-        """Hold `width` counters a row (rounded up to a power of two); age after `sample` additions."""
+        """Hold `width` counters a row, rounded up to a power of two, and age after `sample` additions."""
         size = 1 << max(6, (width - 1).bit_length())
         self.mask, self.sample = size - 1, sample or 8 * size
         self.rows = [bytearray(size) for _ in range(ROWS)]
@@ -46,7 +46,8 @@
             return
         places = [self._at(part_hash, row) for row in range(ROWS)]
         least = min(row[at] for row, at in zip(self.rows, places, strict=True))
-        if least < MOST:  # conservative: only the lowest counters grow, which halves what collisions add
+        # conservative update: only the lowest counters grow, which halves the error from collisions
+        if least < MOST:
             for row, at in zip(self.rows, places, strict=True):
                 if row[at] == least:
                     row[at] = least + 1
@@ -56,7 +57,7 @@
         row[at : at + CHUNK] = row[at : at + CHUNK].translate(HALF)
 
     def count(self, part_hash: int) -> int:
-        """Estimate how often it was asked for lately, from 0 to 16."""
+        """Return an estimate of the number of recent requests, from 0 to 16."""
         spot = part_hash & self.mask
         seen = self.door[spot >> 3] >> (spot & 7) & 1
         return seen + min(row[self._at(part_hash, place)] for place, row in enumerate(self.rows))
