--- a/hitchtiller/store/log.py
+++ b/hitchtiller/store/log.py
@@ -1,7 +1,8 @@
-"""The purge log: durable before a purge is acknowledged inside, group commit, rewritten when it has grown.
+"""The purge log: entries become durable by group commit, and the file is rewritten when it has grown.
 
-One write and one fsync are under way at most; what comes meanwhile goes with the next. Bound: GROWN bytes of
-file beyond what the purges in force need.
+A purge is durable before its `durable` callback is called. At most one write with its fsync is in progress;
+entries added meanwhile go with the next one. The file grows by at most GROWTH_BYTES beyond what the purges in
+force need.
 """
 
 import secrets
@@ -20,25 +21,25 @@
 
 
 class PurgeLog:
-    """Appends entries; `failed` hears of the first error, after which nothing is written any more."""
+    """Appends entries to the log; `failed` is called with the first error, and no more is written."""
 
     def __init__(
         self, files: Files, jobs: Jobs, purges: Purges, kept: SavedProof, failed: Callable[[OSError], None]
     ) -> None:
-        """Begin with a new file of what is in force: a torn end of the old one is left behind that way."""
+        """Begin a new file with the entries in force, which leaves a torn end of the old one behind."""
         self.files, self.jobs, self.purges, self.kept, self.failed = files, jobs, purges, kept, failed
         self.salt, self.end, self.base = 0, 0, 0
         self.waiting: list[tuple[fmt.LogEntry, Callable[[], None] | None]] = []
         self.busy = self.broken = False
-        self.fresh = True  # the next write makes the file anew
+        self.fresh = True  # the next write replaces the file
 
     def add(self, entry: fmt.LogEntry, durable: Callable[[], None] | None = None) -> None:
-        """Append an entry; `durable` is called once an fsync has covered it, and never if that fails."""
+        """Append an entry; `durable` is called after an fsync has covered it, and never if that fails."""
         self.waiting.append((entry, durable))
         self.go()
 
     def go(self) -> None:
-        """Write what waits, unless a write is under way."""
+        """Write the waiting entries, unless a write is in progress."""
         if self.busy or self.broken or not self.waiting:
             return
         batch, self.waiting = self.waiting, []
@@ -80,14 +81,14 @@
                     durable()
             self.go()
 
-        if not self.jobs.submit(LOG_LANE, run, done):  # one is under way at most, so this is a closed pool
+        if not self.jobs.submit(LOG_LANE, run, done):  # at most one job is in progress, so the pool is closed
             self.busy = False
             self.broken = True
 
     def in_force(self) -> list[fmt.LogEntry]:
-        """Give all that has to be known after a start, without what waits.
+        """Return the entries that the next start needs, without those that wait to be written.
 
-        The era and watermark are those that were durable: newer ones are in `waiting` and follow.
+        The epoch and the watermark are the durable ones; newer ones are in `waiting` and follow.
         """
         epoch, followed, gap = self.kept.epoch, self.kept.followed_ms, self.kept.gap_end_ms
         entries = [fmt.LogEntry(fmt.EPOCH, epoch, int(min(gap, MOST_MS)))] if epoch else []
@@ -104,7 +105,7 @@
         return entries
 
     def _note(self, entry: fmt.LogEntry) -> None:
-        """Keep in mind what is durable now."""
+        """Record the epoch or the watermark of an entry that has become durable."""
         if entry.kind == fmt.EPOCH:
             self.kept = replace(self.kept, epoch=entry.epoch, gap_end_ms=float(entry.at_ms))
         elif entry.kind == fmt.FOLLOWED:
