--- a/hitchtiller/store/purges.py
+++ b/hitchtiller/store/purges.py
@@ -11,36 +11,36 @@
 class Purges:
     """The time of the last purge for each object and group, in Unix ms of the origin's clock."""
 
-    def __init__(self, most: int = 100_000) -> None:
+    def __init__(self, max_objects: int = 100_000) -> None:
         """Keep at most `max_objects` purged objects by key."""
-        self.most = most
+        self.max_objects = max_objects
         self.objects: dict[int, float] = {}
         self.groups: dict[int, float] = {}
         self.floor = -math.inf
-        self.floors = 0  # how often the limit was reached
+        self.floor_raises = 0  # how often the limit was reached
 
     def add(self, key: int | None, group: int, at_ms: float) -> bool:
         """Record a purge of an object or, without a key, of a group; return False if it adds nothing new."""
-        table, name = (self.groups, group) if key is None else (self.objects, key)
-        if at_ms <= max(self.floor, table.get(name, -math.inf)):
+        table, key_or_group = (self.groups, group) if key is None else (self.objects, key)
+        if at_ms <= max(self.floor, table.get(key_or_group, -math.inf)):
             return False
-        table[name] = at_ms
-        if len(self.objects) > self.most:
-            self.raise_floor(sorted(self.objects.values())[self.most // 2])
-            self.floors += 1
+        table[key_or_group] = at_ms
+        if len(self.objects) > self.max_objects:
+            self.raise_floor(sorted(self.objects.values())[self.max_objects // 2])
+            self.floor_raises += 1
         return True
 
     @property
-    def crowded(self) -> bool:
+    def is_nearly_full(self) -> bool:
         """Return whether the limit is near, so that purges which concern no copy should be forgotten."""
-        return len(self.objects) > 0.9 * self.most
+        return len(self.objects) > 0.9 * self.max_objects
 
     def raise_floor(self, at_ms: float) -> None:
         """Forbid every copy from before a time, and forget the purges that this covers."""
         self.floor = max(self.floor, at_ms)
         for table in (self.objects, self.groups):
-            for name in [name for name, at in table.items() if at <= self.floor]:
-                del table[name]
+            for key_or_group in [key_or_group for key_or_group, at in table.items() if at <= self.floor]:
+                del table[key_or_group]
 
     def last(self, key: int, group: int) -> float:
         """Return the time of the last purge; a copy of exactly that time is older than the purge."""
@@ -54,6 +54,6 @@
         """Forget the purges that are older than every stored copy; return their number."""
         before = len(self.objects) + len(self.groups)
         for table in (self.objects, self.groups):
-            for name in [name for name, at in table.items() if at < oldest_ms]:
-                del table[name]
+            for key_or_group in [key_or_group for key_or_group, at in table.items() if at < oldest_ms]:
+                del table[key_or_group]
         return before - len(self.objects) - len(self.groups)
--- a/hitchtiller/store/tier.py
+++ b/hitchtiller/store/tier.py
@@ -181,7 +181,7 @@
 
     def purged(self, notice: PurgeNotice) -> None:
         """Apply a purge at once, and write it to the purge log."""
-        if self.purges.crowded:
+        if self.purges.is_nearly_full:
             disk = self.disk.space.oldest_ms() if self.disk else math.inf
             # Answers still on their way may be as old as what a cache holds; caches apply a purge within
             # seconds.
--- a/tests/store/test_store_decide.py
+++ b/tests/store/test_store_decide.py
@@ -94,13 +94,13 @@
 
 
 def test_too_many_purges_become_a_floor_that_forbids_more_and_never_less() -> None:
-    purges = Purges(most=100)
+    purges = Purges(max_objects=100)
     for number in range(500):
         purges.add(number, -1, float(number))
         assert len(purges.objects) <= 100
     for number in range(500):
         assert not purges.allows(number, -1, float(number))
-    assert purges.allows(499, -1, 500.0) and purges.floors
+    assert purges.allows(499, -1, 500.0) and purges.floor_raises
     assert purges.forget(480.0) > 0 and not purges.allows(490, -1, 490.0)
 
 
--- a/tests/store/test_store_tier.py
+++ b/tests/store/test_store_tier.py
@@ -350,7 +350,7 @@
 
 def test_many_purges_forget_only_what_no_copy_needs() -> None:
     tiers = Tiers()
-    tiers.tier.purges.most = 100
+    tiers.tier.purges.max_objects = 100
     tiers.fetch(1)
     tiers.wait(10.0)
     tiers.purge(1)
