--- a/hitchtiller/store/pace.py
+++ b/hitchtiller/store/pace.py
@@ -11,21 +11,24 @@
 class Pace:
     """A link as a queue of transfers; bandwidths in bytes per second, 0 for no limit."""
 
-    def __init__(self, flow: float, link: float) -> None:
+    def __init__(self, flow_bytes_per_s: float, link_bytes_per_s: float) -> None:
         """Set the bandwidths of one flow and of the link."""
-        self.flow, self.link = flow or math.inf, link or math.inf
+        self.flow_bytes_per_s, self.link_bytes_per_s = (
+            flow_bytes_per_s or math.inf,
+            link_bytes_per_s or math.inf,
+        )
         self.free_ms = 0.0
 
     def transfer_ms(self, size: int) -> float:
         """Return the duration of a transfer on an idle link."""
-        return size * 1000.0 / min(self.flow, self.link)
+        return size * 1000.0 / min(self.flow_bytes_per_s, self.link_bytes_per_s)
 
-    def take(self, size: int, now_ms: float) -> float:
+    def reserve(self, size: int, now_ms: float) -> float:
         """Reserve the link for a transfer; return when it begins."""
-        begin = max(now_ms, self.free_ms)
-        self.free_ms = begin + size * 1000.0 / self.link
-        return begin
+        begin_ms = max(now_ms, self.free_ms)
+        self.free_ms = begin_ms + size * 1000.0 / self.link_bytes_per_s
+        return begin_ms
 
-    def fits(self, size: int, now_ms: float, until_ms: float) -> bool:
+    def is_in_time(self, size: int, now_ms: float, deadline_ms: float) -> bool:
         """Return whether a transfer would be complete in time."""
-        return max(now_ms, self.free_ms) + self.transfer_ms(size) <= until_ms
+        return max(now_ms, self.free_ms) + self.transfer_ms(size) <= deadline_ms
--- a/hitchtiller/store/tier.py
+++ b/hitchtiller/store/tier.py
@@ -268,12 +268,12 @@
         """Answer from a copy as soon as the link is free; return False if that would be too late."""
         now_ms, answer = self.engine.clock.now_ms(), self._answer(exchange, copy, unchanged)
         size = int(len(copy.body) * UNCHANGED_COST_SHARE) if answer.unchanged else len(copy.body)
-        if not self.pace.fits(
+        if not self.pace.is_in_time(
             size, now_ms, self.rules.answer_deadline_ms(exchange.request, now_ms, self.pace.transfer_ms(size))
         ):
             self.slow_link += 1
             return False
-        begin_ms = self.pace.take(size, now_ms)
+        begin_ms = self.pace.reserve(size, now_ms)
         self.hits[tier] += 1
         if begin_ms <= now_ms:
             self.engine.finish(exchange, answer)
--- a/tests/store/test_store_decide.py
+++ b/tests/store/test_store_decide.py
@@ -152,10 +152,10 @@
 
 def test_the_link_serves_one_after_the_other() -> None:
     pace = Pace(1000.0, 2000.0)
-    assert pace.take(1000, 0.0) == 0.0 and pace.take(1000, 0.0) == 500.0
-    assert pace.fits(500, 0.0, 1500.0) and not pace.fits(500, 0.0, 1499.0)
-    assert pace.take(1, 5000.0) == 5000.0
-    assert Pace(0.0, 0.0).fits(1 << 40, 0.0, 0.0)
+    assert pace.reserve(1000, 0.0) == 0.0 and pace.reserve(1000, 0.0) == 500.0
+    assert pace.is_in_time(500, 0.0, 1500.0) and not pace.is_in_time(500, 0.0, 1499.0)
+    assert pace.reserve(1, 5000.0) == 5000.0
+    assert Pace(0.0, 0.0).is_in_time(1 << 40, 0.0, 0.0)
 
 
 def test_health_steps_down_and_never_up() -> None:
