--- a/hitchtiller/store/sketch.py
+++ b/hitchtiller/store/sketch.py
@@ -5,12 +5,12 @@
 all counters after `sample` additions, AGEING_CHUNK_BYTES per call, so that no call delays the event loop.
 """
 
-ROWS = 4
-MOST = 15  # counts saturate: an object that is requested more often is stored anyway
-CHUNK = 1 << 16
-HALF = bytes(n >> 1 for n in range(256))
-MIX = (0x9E3779B97F4A7C15, 0xC2B2AE3D27D4EB4F, 0x165667B19E3779F9, 0xD6E8FEB86659FD93)
-WORD = (1 << 64) - 1
+ROW_COUNT = 4
+MAX_COUNT = 15  # counts saturate: an object that is requested more often is stored anyway
+AGEING_CHUNK_BYTES = 1 << 16
+HALVED = bytes(n >> 1 for n in range(256))
+ROW_FACTORS = (0x9E3779B97F4A7C15, 0xC2B2AE3D27D4EB4F, 0x165667B19E3779F9, 0xD6E8FEB86659FD93)
+MASK_64_BITS = (1 << 64) - 1
 
 
 class Sketch:
@@ -21,43 +21,49 @@
 
     def __init__(self, width: int = 1 << 16, sample: int = 0) -> None:
         """Hold `width` counters a row, rounded up to a power of two, and age after `sample` additions."""
-        size = 1 << max(6, (width - 1).bit_length())
-        self.mask, self.sample = size - 1, sample or 8 * size
-        self.rows = [bytearray(size) for _ in range(ROWS)]
-        self.door = bytearray(size >> 3)
-        self.added = 0
+        counters = 1 << max(6, (width - 1).bit_length())
+        self.mask, self.sample = counters - 1, sample or 8 * counters
+        self.rows = [bytearray(counters) for _ in range(ROW_COUNT)]
+        self.doorkeeper = bytearray(counters >> 3)
+        self.additions = 0
         self.ageing: list[tuple[bytearray, int]] = []
 
-    def _at(self, part_hash: int, row: int) -> int:
-        return ((part_hash * MIX[row] & WORD) >> 32) & self.mask
+    def _column(self, part_hash: int, row: int) -> int:
+        return ((part_hash * ROW_FACTORS[row] & MASK_64_BITS) >> 32) & self.mask
 
     def add(self, part_hash: int) -> None:
         """Count one request."""
-        self.added += 1
+        self.additions += 1
         if self.ageing:
             self._age()
-        elif self.added >= self.sample:
-            self.added //= 2
-            self.door = bytearray(len(self.door))
-            self.ageing = [(row, at) for row in self.rows for at in range(0, len(row), CHUNK)]
-        spot = part_hash & self.mask
-        if not self.door[spot >> 3] >> (spot & 7) & 1:
-            self.door[spot >> 3] |= 1 << (spot & 7)
+        elif self.additions >= self.sample:
+            self.additions //= 2
+            self.doorkeeper = bytearray(len(self.doorkeeper))
+            self.ageing = [
+                (row, column) for row in self.rows for column in range(0, len(row), AGEING_CHUNK_BYTES)
+            ]
+        bit = part_hash & self.mask
+        if not self.doorkeeper[bit >> 3] >> (bit & 7) & 1:
+            self.doorkeeper[bit >> 3] |= 1 << (bit & 7)
             return
-        places = [self._at(part_hash, row) for row in range(ROWS)]
-        least = min(row[at] for row, at in zip(self.rows, places, strict=True))
+        columns = [self._column(part_hash, row) for row in range(ROW_COUNT)]
+        lowest = min(row[column] for row, column in zip(self.rows, columns, strict=True))
         # conservative update: only the lowest counters grow, which halves the error from collisions
-        if least < MOST:
-            for row, at in zip(self.rows, places, strict=True):
-                if row[at] == least:
-                    row[at] = least + 1
+        if lowest < MAX_COUNT:
+            for row, column in zip(self.rows, columns, strict=True):
+                if row[column] == lowest:
+                    row[column] = lowest + 1
 
     def _age(self) -> None:
-        row, at = self.ageing.pop()
-        row[at : at + CHUNK] = row[at : at + CHUNK].translate(HALF)
+        row, column = self.ageing.pop()
+        row[column : column + AGEING_CHUNK_BYTES] = row[column : column + AGEING_CHUNK_BYTES].translate(
+            HALVED
+        )
 
     def count(self, part_hash: int) -> int:
         """Return an estimate of the number of recent requests, from 0 to 16."""
-        spot = part_hash & self.mask
-        seen = self.door[spot >> 3] >> (spot & 7) & 1
-        return seen + min(row[self._at(part_hash, place)] for place, row in enumerate(self.rows))
+        bit = part_hash & self.mask
+        doorkeeper_bit = self.doorkeeper[bit >> 3] >> (bit & 7) & 1
+        return doorkeeper_bit + min(
+            row[self._column(part_hash, row_number)] for row_number, row in enumerate(self.rows)
+        )
--- a/tests/store/test_store_admission.py
+++ b/tests/store/test_store_admission.py
@@ -8,7 +8,7 @@
 from hitchtiller.cli.replay import draw, play, read_trace
 from hitchtiller.store.admission import POLICIES, S3Fifo, Shares, TinyLfu
 from hitchtiller.store.memory import OVERHEAD_BYTES, Memory
-from hitchtiller.store.sketch import MOST, Sketch
+from hitchtiller.store.sketch import MAX_COUNT, Sketch
 
 
 @pytest.mark.parametrize("name", POLICIES)
@@ -103,7 +103,7 @@
     rng = random.Random(1)
     for _ in range(10):
         sketch.add(7)
-    assert 9 <= sketch.count(7) <= MOST + 1
+    assert 9 <= sketch.count(7) <= MAX_COUNT + 1
     for _ in range(3_000):
         sketch.add(rng.getrandbits(64))
     unseen = [sketch.count(rng.getrandbits(64)) for _ in range(2_000)]
