--- a/hitchtiller/store/log.py
+++ b/hitchtiller/store/log.py
@@ -16,50 +16,50 @@
 from hitchtiller.store.recover import LOG, LOG_TEMP_NAME
 from hitchtiller.store.suspect import SavedProof
 
-GROWN = 1 << 20
-MOST_MS = 1 << 52
+GROWTH_BYTES = 1 << 20
+MAX_TIME_MS = 1 << 52
 
 
 class PurgeLog:
-    """Appends entries to the log; `failed` is called with the first error, and no more is written."""
+    """Appends entries to the log; `on_error` is called with the first error, and no more is written."""
 
     def __init__(
-        self, files: Files, jobs: Jobs, purges: Purges, kept: SavedProof, failed: Callable[[OSError], None]
+        self, files: Files, jobs: Jobs, purges: Purges, kept: SavedProof, on_error: Callable[[OSError], None]
     ) -> None:
         """Begin a new file with the entries in force, which leaves a torn end of the old one behind."""
-        self.files, self.jobs, self.purges, self.kept, self.failed = files, jobs, purges, kept, failed
-        self.salt, self.end, self.base = 0, 0, 0
-        self.waiting: list[tuple[fmt.LogEntry, Callable[[], None] | None]] = []
-        self.busy = self.broken = False
-        self.fresh = True  # the next write replaces the file
+        self.files, self.jobs, self.purges, self.kept, self.on_error = files, jobs, purges, kept, on_error
+        self.salt, self.end, self.base_end = 0, 0, 0
+        self.pending: list[tuple[fmt.LogEntry, Callable[[], None] | None]] = []
+        self.writing = self.failed = False
+        self.needs_rewrite = True  # the next write replaces the file
 
     def add(self, entry: fmt.LogEntry, durable: Callable[[], None] | None = None) -> None:
         """Append an entry; `durable` is called after an fsync has covered it, and never if that fails."""
-        self.waiting.append((entry, durable))
-        self.go()
+        self.pending.append((entry, durable))
+        self.write_pending()
 
-    def go(self) -> None:
+    def write_pending(self) -> None:
         """Write the waiting entries, unless a write is in progress."""
-        if self.busy or self.broken or not self.waiting:
+        if self.writing or self.failed or not self.pending:
             return
-        batch, self.waiting = self.waiting, []
-        anew = self.fresh or self.end - self.base > GROWN
-        if anew:
+        batch, self.pending = self.pending, []
+        rewrite = self.needs_rewrite or self.end - self.base_end > GROWTH_BYTES
+        if rewrite:
             self.salt, self.end = secrets.randbits(64), fmt.LOG_HEAD_BYTES
             entries = [*self.in_force(), *(entry for entry, _ in batch)]
         else:
             entries = [entry for entry, _ in batch]
-        start, pieces = self.end, list[bytes]()
+        start, entry_bytes = self.end, list[bytes]()
         for entry in entries:
-            pieces.append(fmt.write_log_entry(entry, self.salt, self.end))
+            entry_bytes.append(fmt.write_log_entry(entry, self.salt, self.end))
             self.end += fmt.LOG_ENTRY.size
-        data = b"".join(pieces)
-        if anew:
-            data, start, self.base = fmt.write_log_head(self.salt) + data, 0, self.end
-        self.busy, self.fresh = True, False
+        data = b"".join(entry_bytes)
+        if rewrite:
+            data, start, self.base_end = fmt.write_log_head(self.salt) + data, 0, self.end
+        self.writing, self.needs_rewrite = True, False
 
         def run() -> None:
-            if anew:
+            if rewrite:
                 self.files.remove(LOG_TEMP_NAME)
                 self.files.write(LOG_TEMP_NAME, 0, data)
                 self.files.sync(LOG_TEMP_NAME)
@@ -70,41 +70,43 @@
                 self.files.sync(LOG)
 
         def done(_: object, error: BaseException | None) -> None:
-            self.busy = False
+            self.writing = False
             if error:
-                self.broken = True
-                self.failed(error if isinstance(error, OSError) else OSError(str(error)))
+                self.failed = True
+                self.on_error(error if isinstance(error, OSError) else OSError(str(error)))
                 return
             for entry, durable in batch:
-                self._note(entry)
+                self._record_durable(entry)
                 if durable:
                     durable()
-            self.go()
+            self.write_pending()
 
         if not self.jobs.submit(LOG_LANE, run, done):  # at most one job is in progress, so the pool is closed
-            self.busy = False
-            self.broken = True
+            self.writing = False
+            self.failed = True
 
     def in_force(self) -> list[fmt.LogEntry]:
         """Return the entries that the next start needs, without those that wait to be written.
 
-        The epoch and the watermark are the durable ones; newer ones are in `waiting` and follow.
+        The epoch and the watermark are the durable ones; newer ones are in `pending` and follow.
         """
-        epoch, followed, gap = self.kept.epoch, self.kept.followed_ms, self.kept.gap_end_ms
-        entries = [fmt.LogEntry(fmt.EPOCH, epoch, int(min(gap, MOST_MS)))] if epoch else []
+        epoch, followed_ms, gap_end_ms = self.kept.epoch, self.kept.followed_ms, self.kept.gap_end_ms
+        entries = [fmt.LogEntry(fmt.EPOCH, epoch, int(min(gap_end_ms, MAX_TIME_MS)))] if epoch else []
         if self.purges.floor > 0:
             entries.append(fmt.LogEntry(fmt.FLOOR, epoch, int(self.purges.floor)))
         entries += [
-            fmt.LogEntry(fmt.PURGE_GROUP, epoch, int(at), group) for group, at in self.purges.groups.items()
+            fmt.LogEntry(fmt.PURGE_GROUP, epoch, int(at_ms), group)
+            for group, at_ms in self.purges.groups.items()
         ]
         entries += [
-            fmt.LogEntry(fmt.PURGE_OBJECT, epoch, int(at), -1, key) for key, at in self.purges.objects.items()
+            fmt.LogEntry(fmt.PURGE_OBJECT, epoch, int(at_ms), -1, key)
+            for key, at_ms in self.purges.objects.items()
         ]
-        if followed:
-            entries.append(fmt.LogEntry(fmt.FOLLOWED, epoch, int(followed)))
+        if followed_ms:
+            entries.append(fmt.LogEntry(fmt.FOLLOWED, epoch, int(followed_ms)))
         return entries
 
-    def _note(self, entry: fmt.LogEntry) -> None:
+    def _record_durable(self, entry: fmt.LogEntry) -> None:
         """Record the epoch or the watermark of an entry that has become durable."""
         if entry.kind == fmt.EPOCH:
             self.kept = replace(self.kept, epoch=entry.epoch, gap_end_ms=float(entry.at_ms))
