--- a/hitchtiller/store/files.py
+++ b/hitchtiller/store/files.py
@@ -1,7 +1,7 @@
-"""One folder's files as an object: the real one here, one that tears and loses in `standins/files.py`.
+"""The files of one folder; `standins/files.py` has a version that tears and loses writes.
 
-All calls may block and may raise OSError; they are made on worker threads. A short write is an error, never
-silent.
+All calls except `glance` may block, and all may raise OSError; they are made on worker threads. A short write
+is an error and never goes unnoticed.
 """
 
 import errno
@@ -19,46 +19,46 @@
 
 
 class Files(Protocol):
-    """What the store asks of a folder; names hold no separators."""
+    """The file operations that the store needs of a folder; names contain no separators."""
 
     def names(self) -> list[str]:
-        """Give the names of all files."""
+        """Return the names of all files."""
 
     def size(self, name: str) -> int:
-        """Give a file's length."""
+        """Return the length of a file in bytes."""
 
     def read(self, name: str, offset: int, size: int) -> bytes:
-        """Read up to `size` bytes; fewer only at the file's end."""
+        """Read up to `size` bytes; fewer only at the end of the file."""
 
     def glance(self, name: str, offset: int, size: int) -> bytes | None:
-        """Read `size` bytes if that needs no waiting at all, else None; may be called in the loop."""
+        """Read `size` bytes if no waiting is needed, else return None; may be called in the event loop."""
 
     def write(self, name: str, offset: int, data: bytes) -> None:
-        """Write all of it, making the file if it is not there.
+        """Write all of `data`, and create the file if it does not exist.
 
-        What has returned may still be lost until `sync`.
+        What was written may be lost until `sync` has returned.
         """
 
     def sync(self, name: str) -> None:
-        """Make a file's bytes durable."""
+        """Make the content of a file durable."""
 
     def sync_folder(self) -> None:
-        """Make the names durable."""
+        """Make the creation, renaming and removal of files durable."""
 
     def rename(self, old: str, new: str) -> None:
-        """Give a file another name, replacing what has it."""
+        """Rename a file, and replace a file that has the new name."""
 
     def remove(self, name: str) -> None:
-        """Remove a file; one that is not there is no error."""
+        """Remove a file; it is not an error if it does not exist."""
 
 
 class OsFiles:
-    """A folder of the machine's; descriptors are kept open up to MOST_OPEN and shared by threads."""
+    """A folder of the operating system; up to MAX_OPEN_FILES descriptors stay open, shared by all threads."""
 
     def __init__(self, folder: Path) -> None:
-        """Open the folder, making it if need be.
+        """Open the folder, and create it if needed.
 
-        It is followed by descriptor, so a moved one stays the same.
+        The folder is accessed through its descriptor, so that it stays the same one if it is moved.
         """
         folder.mkdir(parents=True, exist_ok=True)
         self.path = folder
@@ -66,14 +66,14 @@
         self.guard = threading.Lock()
         self.fds: OrderedDict[str, int] = OrderedDict()
         self.users: dict[int, int] = {}
-        self.stale: set[int] = set()  # given up while in use
+        self.stale: set[int] = set()  # no longer kept open, but still in use
         self.doomed: list[int] = []  # to be closed
         self.locked = -1
 
     def lock(self) -> bool:
-        """Become the folder's one owner.
+        """Become the only owner of the folder; return False while another process owns it.
 
-        False while another process is. The kernel lets go at the process's end.
+        The kernel releases the lock at the end of the process.
         """
         if self.locked < 0:
             fd = os.open(LOCK, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600, dir_fd=self.folder)
@@ -88,14 +88,14 @@
         return True
 
     def unlock(self) -> None:
-        """Let another process own the folder."""
+        """Release the folder for another process."""
         if self.locked >= 0:
             os.close(self.locked)
             self.locked = -1
 
     @contextmanager
     def _open(self, name: str, create: bool = False) -> Iterator[int]:
-        """Use a file's descriptor; the guard is never held across a call that may wait."""
+        """Yield the descriptor of a file; `guard` is never held during a call that may block."""
         fd = self._take(name)
         if fd < 0:
             flags = os.O_RDWR | os.O_CLOEXEC | os.O_NOFOLLOW | (os.O_CREAT if create else 0)
@@ -103,7 +103,7 @@
             with self.guard:
                 fd = self.fds.setdefault(name, fresh)
                 self.users[fd] = self.users.get(fd, 0) + 1
-                if fd != fresh:  # another thread was quicker
+                if fd != fresh:  # another thread has opened it meanwhile
                     self.doomed.append(fresh)
                 while len(self.fds) > MOST_OPEN:
                     self._retire(next(iter(self.fds)))
@@ -128,7 +128,10 @@
                 self._doom(fd)
 
     def _retire(self, name: str) -> None:
-        """Give a descriptor up; a read under way keeps it open: its number must not become another file's."""
+        """Stop keeping a descriptor open; it is closed when no call uses it any more.
+
+        Closing it during a read could give its number to another file.
+        """
         fd = self.fds.pop(name, -1)
         if fd >= 0:
             self.stale.add(fd)
@@ -141,17 +144,17 @@
         self.doomed.append(fd)
 
     def _bury(self) -> None:
-        """Close what was given up; on a worker, since closing may wait."""
+        """Close retired descriptors; on a worker thread, since closing may block."""
         while self.doomed:
             with suppress(IndexError):
                 os.close(self.doomed.pop())
 
     def names(self) -> list[str]:
-        """Give the names of all files."""
+        """Return the names of all files."""
         return [name for name in os.listdir(self.folder) if name != LOCK]
 
     def size(self, name: str) -> int:
-        """Give a file's length."""
+        """Return the length of a file in bytes."""
         return os.stat(name, dir_fd=self.folder, follow_symlinks=False).st_size
 
     def read(self, name: str, offset: int, size: int) -> bytes:
@@ -160,7 +163,7 @@
             data = os.pread(fd, size, offset)
             if len(data) == size:
                 return data
-            pieces = [data]  # guards against a read that a signal cut: short means the end only
+            pieces = [data]  # a signal may cut a read short; only an empty read means the end of the file
             got = len(data)
             while data and got < size:
                 data = os.pread(fd, size - got, offset + got)
@@ -169,7 +172,7 @@
         return b"".join(pieces)
 
     def glance(self, name: str, offset: int, size: int) -> bytes | None:
-        """Read from the page cache alone; an open file is needed, since opening may wait for the disk."""
+        """Read from the page cache alone, and only from an open file, since opening may wait for the disk."""
         fd = self._take(name)
         if fd < 0:
             return None
@@ -183,7 +186,7 @@
         return bytes(data) if whole else None
 
     def write(self, name: str, offset: int, data: bytes) -> None:
-        """Write all of it."""
+        """Write all of `data`, and create the file if it does not exist."""
         with self._open(name, create=True) as fd:
             view = memoryview(data)
             while view:
@@ -193,16 +196,16 @@
                 view, offset = view[done:], offset + done
 
     def sync(self, name: str) -> None:
-        """Make a file's bytes durable."""
+        """Make the content of a file durable."""
         with self._open(name) as fd:
             os.fsync(fd)
 
     def sync_folder(self) -> None:
-        """Make the names durable."""
+        """Make the creation, renaming and removal of files durable."""
         os.fsync(self.folder)
 
     def rename(self, old: str, new: str) -> None:
-        """Give a file another name."""
+        """Rename a file."""
         with self.guard:
             self._retire(old)
             self._retire(new)
@@ -218,7 +221,7 @@
             os.unlink(name, dir_fd=self.folder)
 
     def close(self) -> None:
-        """Close all, the lock last."""
+        """Close all descriptors, the lock last."""
         with self.guard:
             for name in list(self.fds):
                 self._retire(name)
