--- a/hitchtiller/store/jobs.py
+++ b/hitchtiller/store/jobs.py
@@ -1,8 +1,8 @@
-"""File calls off the loop: a few threads with bounded queues, and a descriptor that wakes the loop.
+"""Runs file calls outside the event loop, on a few threads with bounded queues.
 
-Each lane is one queue: `write` and `log` have one thread each, so that their calls keep their order; `read`
-has several. A full queue says no at once. Results are handed over in the loop, in the order in which calls
-ended.
+Each lane is one queue. `write` and `log` have one thread each, so that their calls keep their order; `read`
+has several. A call for a full queue is refused at once. A descriptor wakes the loop, which delivers the
+results in the order in which the calls ended.
 """
 
 import contextlib
@@ -18,22 +18,22 @@
 from hitchtiller.wake import Wakeup
 
 READ_LANE, WRITE_LANE, LOG_LANE = "read", "write", "log"
-AT_ONCE = 4  # results handed over in one turn of the loop
-Done = Callable[[Any, BaseException | None], None]
+MAX_RESULTS_PER_TURN = 4  # results delivered in one turn of the event loop
+JobCallback = Callable[[Any, BaseException | None], None]
 
 
 class Jobs(Protocol):
-    """Where the store's file calls run."""
+    """Runs the store's file calls."""
 
-    def submit(self, lane: str, run: Callable[[], Any], done: Done) -> bool:
-        """Run a call; `done` hears of its result or its error, in the loop. False: the lane is full."""
+    def submit(self, lane: str, run: Callable[[], Any], done: JobCallback) -> bool:
+        """Submit a call; `done` is called in the loop with its result or error. False if the lane is full."""
 
 
 class InlineJobs:
-    """Runs each call at once: for tools and tests."""
+    """Runs each call at once in the caller, for tools and tests."""
 
-    def submit(self, lane: str, run: Callable[[], Any], done: Done) -> bool:
-        """Run it here."""
+    def submit(self, lane: str, run: Callable[[], Any], done: JobCallback) -> bool:
+        """Run the call and deliver its result."""
         try:
             result = run()
         except (OSError, ValueError) as error:
@@ -44,37 +44,38 @@
 
 
 class ThreadJobs:
-    """Worker threads beside one scheduler.
+    """Worker threads for one scheduler.
 
-    Only `submit` and `done` touch the store's state, both in the loop.
+    The store's state is changed only by `submit` and `done`, which both run in the event loop.
     """
 
     def __init__(self, sched: Scheduler, readers: int = 2, depth: int = 64) -> None:
-        """Start the threads; each lane holds at most `depth` calls."""
+        """Start the threads; the queue of each lane holds at most `depth` calls."""
         self.sched = sched
-        self.queues: dict[str, queue.Queue[tuple[Callable[[], Any], Done] | None]] = {}
-        self.results: deque[tuple[str, Done, Any, BaseException | None]] = deque()
-        self.open = dict.fromkeys((READ_LANE, WRITE_LANE, LOG_LANE), 0)  # submitted and not handed over
-        self.wakeup = Wakeup()  # no pipe: on the fleet's platform only sockets are sure to be led
-        self.ear = self.wakeup.fileno()
+        self.queues: dict[str, queue.Queue[tuple[Callable[[], Any], JobCallback] | None]] = {}
+        self.results: deque[tuple[str, JobCallback, Any, BaseException | None]] = deque()
+        # calls submitted whose results have not been delivered
+        self.undelivered = dict.fromkeys((READ_LANE, WRITE_LANE, LOG_LANE), 0)
+        self.wakeup = Wakeup()  # no pipe: on the fleet's platform only sockets are certain to be supported
+        self.wakeup_fd = self.wakeup.fileno()
         self.threads: list[threading.Thread] = []
-        for lane, many in ((READ_LANE, readers), (WRITE_LANE, 1), (LOG_LANE, 1)):
+        for lane, thread_count in ((READ_LANE, readers), (WRITE_LANE, 1), (LOG_LANE, 1)):
             self.queues[lane] = queue.Queue(depth)
-            for number in range(many):
+            for number in range(thread_count):
                 thread = threading.Thread(
                     target=self._work, args=(lane,), name=f"{lane}-{number}", daemon=True
                 )
                 thread.start()
                 self.threads.append(thread)
-        sched.spawn(self._hear)
+        sched.spawn(self._deliver_results)
 
-    def submit(self, lane: str, run: Callable[[], Any], done: Done) -> bool:
-        """Queue a call; False if its lane is full."""
+    def submit(self, lane: str, run: Callable[[], Any], done: JobCallback) -> bool:
+        """Queue a call; return False if its lane is full."""
         try:
             self.queues[lane].put_nowait((run, done))
         except queue.Full:
             return False
-        self.open[lane] += 1
+        self.undelivered[lane] += 1
         return True
 
     def _work(self, lane: str) -> None:
@@ -83,51 +84,51 @@
             result, error = None, None
             try:
                 result = run()
-            except Exception as fault:  # noqa: BLE001  it is the loop's to judge
-                error = fault
+            except Exception as caught:  # noqa: BLE001  the loop handles it
+                error = caught
             self.results.append((lane, done, result, error))
-            self.wakeup.poke()  # full: the loop has been told already
+            self.wakeup.poke()  # if it is full, the loop has been woken already
 
-    def _hear(self) -> None:
-        while self.ear >= 0:
-            self.sched.wait(self.ear, READ)
-            if self.ear < 0:
+    def _deliver_results(self) -> None:
+        while self.wakeup_fd >= 0:
+            self.sched.wait(self.wakeup_fd, READ)
+            if self.wakeup_fd < 0:
                 return
             self.wakeup.drain()
             while self.results:
-                self.drain(AT_ONCE)
-                if self.results:  # guards the loop after a stall, when all that waited ends at once
+                self.drain(MAX_RESULTS_PER_TURN)
+                if self.results:  # prevents a long turn after a stall, when all waiting calls end at once
                     self.sched.pause()
 
-    def drain(self, most: int = 1 << 30) -> None:
-        """Hand over what has ended; a fault in one hand-over ends that one alone."""
-        for _ in range(most):
+    def drain(self, max_results: int = 1 << 30) -> None:
+        """Deliver the results of ended calls; an error in one delivery does not affect the others."""
+        for _ in range(max_results):
             if not self.results:
                 return
             lane, done, result, error = self.results.popleft()
-            self.open[lane] -= 1
+            self.undelivered[lane] -= 1
             try:
                 done(result, error)
-            except Exception:  # noqa: BLE001  one copy's fault must not stop the others
-                logger.exception("a result of the store's could not be taken")
+            except Exception:  # noqa: BLE001  one copy's error must not stop the others
+                logger.exception("the result of a store job could not be delivered")
 
-    def settle(self, patience_s: float) -> None:
-        """Wait, outside the loop, until the queues are empty and what ended is handed over."""
-        until = time.monotonic() + patience_s
-        while time.monotonic() < until and (self.results or any(self.open.values())):
+    def wait_until_idle(self, timeout_s: float) -> None:
+        """Wait, outside the event loop, until the queues are empty and all results are delivered."""
+        deadline_s = time.monotonic() + timeout_s
+        while time.monotonic() < deadline_s and (self.results or any(self.undelivered.values())):
             self.drain()
             time.sleep(0.001)
 
-    def close(self, patience_s: float = 1.0) -> bool:
-        """End the threads once their queues are empty; False if one is stuck in a call past the patience."""
+    def close(self, timeout_s: float = 1.0) -> bool:
+        """End the threads when their queues are empty; return False if one is busy after the timeout."""
         for lane, lane_queue in self.queues.items():
             for _ in range(sum(thread.name.startswith(lane) for thread in self.threads)):
                 with contextlib.suppress(queue.Full):
                     lane_queue.put_nowait(None)
         for thread in self.threads:
-            thread.join(patience_s / len(self.threads))
+            thread.join(timeout_s / len(self.threads))
         self.drain()
-        self.sched.forget(self.ear)
-        self.ear = -1
+        self.sched.forget(self.wakeup_fd)
+        self.wakeup_fd = -1
         self.wakeup.close()
         return not any(thread.is_alive() for thread in self.threads)
--- a/hitchtiller/store/keeper.py
+++ b/hitchtiller/store/keeper.py
@@ -155,7 +155,7 @@
         """Write what is queued and end the threads, within 1.5 s; called at the end of the process."""
         disk = self.disk
         if disk and not disk.closed and disk.health.writes:
-            self.jobs.settle(0.5)  # queued records belong in the checkpoint
+            self.jobs.wait_until_idle(0.5)  # queued records belong in the checkpoint
             disk.mark_followed()
             disk.save()
         self.jobs.close(1.0)
