--- a/hitchtiller/store/files.py
+++ b/hitchtiller/store/files.py
@@ -15,7 +15,7 @@
 from typing import Protocol
 
 LOCK = "lock"
-MOST_OPEN = 64  # descriptors kept open
+MAX_OPEN_FILES = 64  # descriptors kept open
 
 
 class Files(Protocol):
@@ -63,19 +63,19 @@
         folder.mkdir(parents=True, exist_ok=True)
         self.path = folder
         self.folder = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
-        self.guard = threading.Lock()
+        self.fds_lock = threading.Lock()
         self.fds: OrderedDict[str, int] = OrderedDict()
-        self.users: dict[int, int] = {}
-        self.stale: set[int] = set()  # no longer kept open, but still in use
-        self.doomed: list[int] = []  # to be closed
-        self.locked = -1
+        self.use_counts: dict[int, int] = {}
+        self.retired_fds: set[int] = set()  # no longer kept open, but still in use
+        self.fds_to_close: list[int] = []  # to be closed
+        self.lock_fd = -1
 
     def lock(self) -> bool:
         """Become the only owner of the folder; return False while another process owns it.
 
         The kernel releases the lock at the end of the process.
         """
-        if self.locked < 0:
+        if self.lock_fd < 0:
             fd = os.open(LOCK, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600, dir_fd=self.folder)
             try:
                 fcntl.flock(fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -84,48 +84,48 @@
                 if error.errno in (errno.EWOULDBLOCK, errno.EACCES):
                     return False
                 raise
-            self.locked = fd
+            self.lock_fd = fd
         return True
 
     def unlock(self) -> None:
         """Release the folder for another process."""
-        if self.locked >= 0:
-            os.close(self.locked)
-            self.locked = -1
+        if self.lock_fd >= 0:
+            os.close(self.lock_fd)
+            self.lock_fd = -1
 
     @contextmanager
     def _open(self, name: str, create: bool = False) -> Iterator[int]:
-        """Yield the descriptor of a file; `guard` is never held during a call that may block."""
-        fd = self._take(name)
+        """Yield the descriptor of a file; `fds_lock` is never held during a call that may block."""
+        fd = self._acquire(name)
         if fd < 0:
             flags = os.O_RDWR | os.O_CLOEXEC | os.O_NOFOLLOW | (os.O_CREAT if create else 0)
-            fresh = os.open(name, flags, 0o600, dir_fd=self.folder)
-            with self.guard:
-                fd = self.fds.setdefault(name, fresh)
-                self.users[fd] = self.users.get(fd, 0) + 1
-                if fd != fresh:  # another thread has opened it meanwhile
-                    self.doomed.append(fresh)
-                while len(self.fds) > MOST_OPEN:
+            new_fd = os.open(name, flags, 0o600, dir_fd=self.folder)
+            with self.fds_lock:
+                fd = self.fds.setdefault(name, new_fd)
+                self.use_counts[fd] = self.use_counts.get(fd, 0) + 1
+                if fd != new_fd:  # another thread has opened it meanwhile
+                    self.fds_to_close.append(new_fd)
+                while len(self.fds) > MAX_OPEN_FILES:
                     self._retire(next(iter(self.fds)))
         try:
             yield fd
         finally:
-            self._leave(fd)
-            self._bury()
+            self._release(fd)
+            self._close_scheduled()
 
-    def _take(self, name: str) -> int:
-        with self.guard:
+    def _acquire(self, name: str) -> int:
+        with self.fds_lock:
             fd = self.fds.get(name, -1)
             if fd >= 0:
                 self.fds.move_to_end(name)
-                self.users[fd] = self.users.get(fd, 0) + 1
+                self.use_counts[fd] = self.use_counts.get(fd, 0) + 1
             return fd
 
-    def _leave(self, fd: int) -> None:
-        with self.guard:
-            self.users[fd] -= 1
-            if not self.users[fd] and fd in self.stale:
-                self._doom(fd)
+    def _release(self, fd: int) -> None:
+        with self.fds_lock:
+            self.use_counts[fd] -= 1
+            if not self.use_counts[fd] and fd in self.retired_fds:
+                self._schedule_close(fd)
 
     def _retire(self, name: str) -> None:
         """Stop keeping a descriptor open; it is closed when no call uses it any more.
@@ -134,20 +134,20 @@
         """
         fd = self.fds.pop(name, -1)
         if fd >= 0:
-            self.stale.add(fd)
-            if not self.users.get(fd):
-                self._doom(fd)
+            self.retired_fds.add(fd)
+            if not self.use_counts.get(fd):
+                self._schedule_close(fd)
 
-    def _doom(self, fd: int) -> None:
-        self.stale.discard(fd)
-        self.users.pop(fd, None)
-        self.doomed.append(fd)
+    def _schedule_close(self, fd: int) -> None:
+        self.retired_fds.discard(fd)
+        self.use_counts.pop(fd, None)
+        self.fds_to_close.append(fd)
 
-    def _bury(self) -> None:
+    def _close_scheduled(self) -> None:
         """Close retired descriptors; on a worker thread, since closing may block."""
-        while self.doomed:
+        while self.fds_to_close:
             with suppress(IndexError):
-                os.close(self.doomed.pop())
+                os.close(self.fds_to_close.pop())
 
     def names(self) -> list[str]:
         """Return the names of all files."""
@@ -164,36 +164,36 @@
             if len(data) == size:
                 return data
             pieces = [data]  # a signal may cut a read short; only an empty read means the end of the file
-            got = len(data)
-            while data and got < size:
-                data = os.pread(fd, size - got, offset + got)
+            size_read = len(data)
+            while data and size_read < size:
+                data = os.pread(fd, size - size_read, offset + size_read)
                 pieces.append(data)
-                got += len(data)
+                size_read += len(data)
         return b"".join(pieces)
 
     def glance(self, name: str, offset: int, size: int) -> bytes | None:
         """Read from the page cache alone, and only from an open file, since opening may wait for the disk."""
-        fd = self._take(name)
+        fd = self._acquire(name)
         if fd < 0:
             return None
         data = bytearray(size)
         try:
-            whole = os.preadv(fd, [data], offset, os.RWF_NOWAIT) == size
+            is_complete = os.preadv(fd, [data], offset, os.RWF_NOWAIT) == size
         except OSError:  # not cached, or a file system that can't tell
-            whole = False
+            is_complete = False
         finally:
-            self._leave(fd)
-        return bytes(data) if whole else None
+            self._release(fd)
+        return bytes(data) if is_complete else None
 
     def write(self, name: str, offset: int, data: bytes) -> None:
         """Write all of `data`, and create the file if it does not exist."""
         with self._open(name, create=True) as fd:
             view = memoryview(data)
             while view:
-                done = os.pwrite(fd, view, offset)
-                if not done:
+                written = os.pwrite(fd, view, offset)
+                if not written:
                     raise OSError(errno.EIO, "nothing was written")
-                view, offset = view[done:], offset + done
+                view, offset = view[written:], offset + written
 
     def sync(self, name: str) -> None:
         """Make the content of a file durable."""
@@ -206,25 +206,25 @@
 
     def rename(self, old: str, new: str) -> None:
         """Rename a file."""
-        with self.guard:
+        with self.fds_lock:
             self._retire(old)
             self._retire(new)
-        self._bury()
+        self._close_scheduled()
         os.rename(old, new, src_dir_fd=self.folder, dst_dir_fd=self.folder)
 
     def remove(self, name: str) -> None:
         """Remove a file."""
-        with self.guard:
+        with self.fds_lock:
             self._retire(name)
-        self._bury()
+        self._close_scheduled()
         with suppress(FileNotFoundError):
             os.unlink(name, dir_fd=self.folder)
 
     def close(self) -> None:
         """Close all descriptors, the lock last."""
-        with self.guard:
+        with self.fds_lock:
             for name in list(self.fds):
                 self._retire(name)
-        self._bury()
+        self._close_scheduled()
         os.close(self.folder)
         self.unlock()
