--- a/hitchtiller/store/__init__.py
+++ b/hitchtiller/store/__init__.py
@@ -1,1 +1,1 @@
-"""Copies of the gateway's own, in memory and on disk: see docs/second-tier.md."""
+"""The gateway's own copies, in memory and on disk; see docs/second-tier.md."""
