--- a/hitchtiller/store/light.py
+++ b/hitchtiller/store/light.py
@@ -1,8 +1,8 @@
 """The memory tier alone, for the platform's gateway: no disk, no threads, no operators' file.
 
-`python -m hitchtiller --memory-tier`. Bound: 1.1 MB of imports, and of copies a tenth of the memory limit,
-MOST_MB at the most: two versions that live side by side have to fit the limit together, copies included.
-Where the limit is too small for that, this module is not imported.
+Used by `python -m hitchtiller --memory-tier`. Its imports take 1.1 MB, and its copies a tenth of the memory
+limit but at most MAX_MB, because two versions that run side by side, with their copies, have to fit into the
+limit together. Where the limit is too small for that, this module is not imported.
 """
 
 from collections.abc import Callable
@@ -17,21 +17,21 @@
 if TYPE_CHECKING:
     from hitchtiller.__main__ import Gateway
 
-SHARE, MOST_MB = 0.1, 16.0
+MAX_MEMORY_SHARE, MAX_MB = 0.1, 16.0
 
 
-def room_mb(memory_mb: float) -> float:
-    """Give the megabytes of copies for a memory limit."""
-    return min(MOST_MB, SHARE * memory_mb)
+def memory_tier_mb(memory_mb: float) -> float:
+    """Return the size of the memory tier in megabytes for a memory limit."""
+    return min(MAX_MB, MAX_MEMORY_SHARE * memory_mb)
 
 
 def join(gateway: "Gateway") -> Callable[[], None]:
-    """Join the memory tier to a gateway; suspects are forgotten, not asked about."""
+    """Add the memory tier to a gateway; suspect copies are not confirmed by a server."""
     config = gateway.config
-    size = room_mb(config.memory_mb)
+    size_mb = memory_tier_mb(config.memory_mb)
     proof = Proof(SavedProof(), config.settings.purge_done_ms)
     pace = Pace(config.flow_bytes_per_s, config.link_bytes_per_s)
-    tier = Tier(gateway.engine, Memory(int(size * 1e6)), proof, pace, confirm=False)
+    tier = Tier(gateway.engine, Memory(int(size_mb * 1e6)), proof, pace, confirm=False)
     gateway.bus.on_caught_up = tier.on_caught_up
-    logger.info("memory tier of {:.1f} MB", size)
+    logger.info("memory tier of {:.1f} MB", size_mb)
     return lambda: None
--- a/tests/store/test_store_live.py
+++ b/tests/store/test_store_live.py
@@ -11,7 +11,7 @@
 from click.testing import CliRunner
 
 from hitchtiller.cli.main import main
-from hitchtiller.store.light import room_mb
+from hitchtiller.store.light import memory_tier_mb
 from standins import kills
 from standins.rig import REPLAY_MS, ROOT, Rig
 from standins.truth import now_ms
@@ -211,7 +211,7 @@
 
 
 def test_the_platforms_gateway_has_the_memory_tier_where_its_limit_leaves_room() -> None:
-    assert room_mb(80) == 8.0 and room_mb(2048) == 16.0
+    assert memory_tier_mb(80) == 8.0 and memory_tier_mb(2048) == 16.0
 
     async def script(rig: Rig) -> None:
         await rig.kill()
