--- a/hitchtiller/store/disk.py
+++ b/hitchtiller/store/disk.py
@@ -120,7 +120,7 @@
         ):
             self.counts.dropped += 1
             return False
-        segment = self._segment_with_room(size)
+        segment = self._segment_for_record(size)
         if segment is None:
             self.counts.dropped += 1
             return False
@@ -180,7 +180,7 @@
             if segment := self.space.segments.get(segment_id):
                 segment.live -= size
 
-    def _segment_with_room(self, size: int) -> Segment | None:
+    def _segment_for_record(self, size: int) -> Segment | None:
         """Return the segment for the next record; None while there is no space for another segment."""
         active = self.active
         if active and not self.space.needs_new_segment(active, size):
