--- a/hitchtiller/store/tier.py
+++ b/hitchtiller/store/tier.py
@@ -1,7 +1,7 @@
 """Connect the memory and disk tiers to the engine: serve, join or pass on requests; store answers.
 
 Implements the engine's `Copies` interface. A request that is not answered here goes to the decision module.
-The cost per request is one fingerprint, two look-ups and one sketch update, about 20 us. The decisions are
+The cost per request is one hash, two look-ups and one sketch update, about 20 us. The decisions are
 made in `plan`, `join`, `pace` and the admission policies; this module carries them out.
 """
 
