--- a/hitchtiller/store/tier.py
+++ b/hitchtiller/store/tier.py
@@ -182,11 +182,11 @@
     def purged(self, notice: PurgeNotice) -> None:
         """Apply a purge at once, and write it to the purge log."""
         if self.purges.is_nearly_full:
-            disk = self.disk.space.oldest_ms() if self.disk else math.inf
+            oldest_on_disk_ms = self.disk.space.oldest_ms() if self.disk else math.inf
             # Answers still on their way may be as old as what a cache holds; caches apply a purge within
             # seconds.
-            under_way = self.engine.clock.now_ms() - MAX_DELIVERY_MS
-            self.purges.forget(min(disk, self.memory.oldest_ms(), under_way))
+            oldest_in_delivery_ms = self.engine.clock.now_ms() - MAX_DELIVERY_MS
+            self.purges.forget(min(oldest_on_disk_ms, self.memory.oldest_ms(), oldest_in_delivery_ms))
         if self.disk:
             self.disk.purge(notice.key, notice.group, notice.at_ms)
         else:
