--- a/tests/store/test_store_admission.py
+++ b/tests/store/test_store_admission.py
@@ -12,7 +12,7 @@
 
 
 @pytest.mark.parametrize("name", POLICIES)
-def test_a_policy_never_holds_more_than_its_room_and_tells_all_that_goes(name: str) -> None:
+def test_a_policy_stays_within_its_limit_and_returns_every_evicted_key(name: str) -> None:
     rng, max_bytes = random.Random(5), 10_000
     policy, held = POLICIES[name](max_bytes), dict[int, int]()
     for step in range(20_000):
@@ -51,7 +51,7 @@
     assert lost["s3fifo"] < lost["lru"]
 
 
-def test_what_failed_its_trial_and_comes_again_is_let_into_the_main_queue() -> None:
+def test_an_entry_evicted_from_the_small_queue_enters_the_main_queue_when_offered_again() -> None:
     policy = S3Fifo(1000)
     for key in range(10):
         policy.offer(key, 100)
@@ -60,7 +60,7 @@
     assert 0 in policy.main
 
 
-def test_a_large_entry_does_not_push_out_many_small_ones_for_one_request() -> None:
+def test_a_large_entry_does_not_evict_many_small_ones_for_one_request() -> None:
     policy = TinyLfu(10_000, Sketch(1024))
     for key in range(1, 101):
         for _ in range(3):
@@ -73,7 +73,7 @@
     assert sum(key in policy for key in range(1, 101)) >= kept - 6
 
 
-def test_one_owner_can_not_empty_anothers_share() -> None:
+def test_one_owner_can_not_evict_anothers_entries() -> None:
     shares = Shares(100_000, {"files": 3.0, "lookups": 1.0}, POLICIES["s3fifo"])
     for key in range(50):
         shares.offer("lookups", key, 400)
@@ -88,7 +88,7 @@
     assert shares.owners["lookups"].used <= 25_000 and shares.owners["files"].used > 70_000
 
 
-def test_a_new_owner_takes_room_from_the_others_and_memory_lets_go_of_it() -> None:
+def test_a_new_owner_reduces_the_others_space_and_memory_drops_their_copies() -> None:
     memory = Memory(100 * (1000 + OVERHEAD_BYTES))
     for key in range(100):
         memory.put("files", part(key), bytes(1000))
@@ -98,7 +98,7 @@
     assert set(memory.copies) == set(memory.shares.owner_of)
 
 
-def test_the_sketch_counts_ages_and_passes_over_one_offs() -> None:
+def test_the_sketch_counts_ages_and_ignores_keys_seen_once() -> None:
     sketch = Sketch(1 << 12, sample=20_000)
     rng = random.Random(1)
     for _ in range(10):
@@ -113,7 +113,7 @@
     assert sketch.count(7) <= 8
 
 
-def test_a_trace_that_is_none_names_its_line(tmp_path: object) -> None:
+def test_an_invalid_trace_is_reported_with_its_line(tmp_path: object) -> None:
     file = tmp_path / "trace"  # type: ignore[operator]
     file.write_text("# sizes\nab 10\nab ten\n")
     with pytest.raises(ValueError, match=r"trace:3: 'ab ten' is not KEY SIZE"):
