--- a/tests/store/test_store_decide.py
+++ b/tests/store/test_store_decide.py
@@ -20,7 +20,7 @@
     return proof
 
 
-def test_a_short_absence_is_covered_by_what_the_bus_tells_again() -> None:
+def test_a_short_absence_is_covered_by_the_purges_that_the_bus_repeats() -> None:
     proof = begun(SavedProof(3, START - 5_900.0, 1.0))
     assert proof.epoch == 3 and proof.proven(3, START - 9_000.0, START)
 
@@ -32,7 +32,7 @@
     assert proof.proven(4, START, START)
 
 
-def test_nothing_is_proven_before_the_bus_has_told_all() -> None:
+def test_nothing_is_proven_before_the_bus_is_caught_up_with() -> None:
     proof = Proof(SavedProof(3, START, 1.0), 6000.0)
     assert not proof.proven(3, START, START) and not proof.confirms(START, START)
 
@@ -46,7 +46,7 @@
 
 
 @pytest.mark.parametrize("step", [-3_600_000.0, -1_500.0, 1_500.0, 3_600_000.0])
-def test_a_step_of_the_clock_raises_the_era_and_drift_does_not(step: float) -> None:
+def test_a_step_of_the_clock_raises_the_epoch_and_drift_does_not(step: float) -> None:
     proof = begun(SavedProof(3, START, 1.0))
     for second in range(1, 20):
         assert not proof.check_clock_step(START + 1010.0 * second, 1000.0 * second)
@@ -63,12 +63,12 @@
     assert proof.followed_ms == START + 500.0
 
 
-def test_a_copy_from_ahead_of_the_clock_is_never_fresh() -> None:
+def test_a_copy_from_the_future_is_never_proven() -> None:
     proof = begun(SavedProof(3, START, 1.0))
     assert not proof.proven(3, START + 3_000.0, START)
 
 
-def test_a_folder_read_late_is_judged_by_when_the_bus_was_first_followed() -> None:
+def test_a_folder_opened_late_is_judged_by_when_the_bus_was_first_followed() -> None:
     proof = Proof(SavedProof(), 6000.0, 500.0)
     proof.begin(START, 0.0)
     assert not proof.adopt(SavedProof(7, START - 5_000.0, 5.0), START + 60_000.0)
@@ -79,13 +79,13 @@
     assert late.epoch == 8 and late.gap_end_ms == START + 60_000.0
 
 
-def test_the_later_of_two_eras_holds() -> None:
+def test_the_later_of_two_epochs_is_used() -> None:
     proof = begun(SavedProof(9, START, 1.0))
     assert proof.adopt(SavedProof(4, START, 2.0), START)
     assert proof.epoch == 9 and not proof.proven(4, START, START)
 
 
-def test_a_purge_forbids_what_is_as_old_as_itself() -> None:
+def test_a_purge_forbids_copies_of_exactly_its_own_time() -> None:
     purges = Purges()
     assert purges.add(5, 2, 100.0) and not purges.add(5, 2, 90.0)
     assert not purges.allows(5, 2, 100.0) and purges.allows(5, 2, 101.0)
@@ -104,7 +104,7 @@
     assert purges.forget(480.0) > 0 and not purges.allows(490, -1, 490.0)
 
 
-def test_one_leads_and_the_others_wait_for_it() -> None:
+def test_one_request_leads_and_the_others_wait_for_it() -> None:
     joins = Joins(3)
     assert not joins.join(1, 77, "", -math.inf)
     joins.lead(1, 77, "")
@@ -113,13 +113,13 @@
     assert not (joins.flights or joins.flights_by_leader or joins.flights_by_waiter)
 
 
-def test_a_leader_whose_client_holds_a_copy_is_joined_only_by_its_likes() -> None:
+def test_a_leader_whose_client_holds_a_copy_is_joined_only_by_requests_with_the_same_tag() -> None:
     joins = Joins(3)
     joins.lead(1, 77, "t1")
     assert not joins.join(2, 77, "", -math.inf) and joins.join(3, 77, "t1", -math.inf)
 
 
-def test_a_purge_between_leader_and_joiner_parts_them() -> None:
+def test_a_purge_between_leader_and_waiter_separates_them() -> None:
     joins = Joins(3)
     joins.lead(1, 77, "")
     for number, purged in ((2, -math.inf), (3, 150.0), (4, 150.0)):
@@ -140,7 +140,7 @@
     assert joins.may_send(99), "who leads no flight is not bound by one"
 
 
-def test_a_waiter_that_leaves_or_gives_up_is_forgotten() -> None:
+def test_a_waiter_that_leaves_or_gives_up_is_removed() -> None:
     joins = Joins(3)
     joins.lead(1, 77, "")
     for number in (2, 3):
@@ -150,7 +150,7 @@
     assert joins.end_served(1, 1.0) == [] and joins.impatient == 1
 
 
-def test_the_link_serves_one_after_the_other() -> None:
+def test_the_link_sends_answers_one_after_the_other() -> None:
     pace = Pace(1000.0, 2000.0)
     assert pace.reserve(1000, 0.0) == 0.0 and pace.reserve(1000, 0.0) == 500.0
     assert pace.is_in_time(500, 0.0, 1500.0) and not pace.is_in_time(500, 0.0, 1499.0)
@@ -158,7 +158,7 @@
     assert Pace(0.0, 0.0).is_in_time(1 << 40, 0.0, 0.0)
 
 
-def test_health_steps_down_and_never_up() -> None:
+def test_health_degrades_and_never_recovers() -> None:
     health = Health()
     assert health.writes and health.on_write_error(OSError(errno.ENOSPC, "full"))
     assert (
@@ -187,14 +187,14 @@
     return made
 
 
-def test_the_deadest_segment_goes_first_and_the_oldest_only_for_want_of_space() -> None:
+def test_the_segment_with_most_dead_bytes_goes_first_and_the_oldest_only_if_space_is_short() -> None:
     assert space(s1=(100, 90), s2=(100, 40), s3=(100, 10)).victim().id == 3  # type: ignore[union-attr]
     assert space(s1=(100, 90), s2=(100, 60)).victim() is None
     full = space(**{f"s{n}": (100, 90) for n in range(1, 9)})
     assert full.is_short_of_space() and full.victim().id == 1  # type: ignore[union-attr]
 
 
-def test_at_most_half_of_a_victim_is_carried_where_space_is_short() -> None:
+def test_at_most_half_of_a_victim_is_copied_where_space_is_short() -> None:
     full = space(**{f"s{n}": (100, 100) for n in range(1, 9)})
     victim = full.segments[1]
     assert full.should_copy(5, victim, 30, 0) and not full.should_copy(5, victim, 30, 30)
