--- a/tests/store/test_store_disk.py
+++ b/tests/store/test_store_disk.py
@@ -53,7 +53,7 @@
     return lambda name: OSError(code, "planned") if only in name else None
 
 
-def test_what_was_put_is_read_and_a_start_finds_it_with_and_without_a_checkpoint() -> None:
+def test_stored_parts_are_read_and_recovered_with_and_without_a_checkpoint() -> None:
     files = SimFiles()
     disk = opened(files)
     bodies = {key: put(disk, key) for key in range(60)}
@@ -71,7 +71,7 @@
 
 
 @pytest.mark.parametrize("code", [errno.ENOSPC, errno.EIO, errno.EROFS])
-def test_a_failed_write_ends_writing_and_reads_go_on(code: int) -> None:
+def test_a_failed_write_stops_writes_but_not_reads(code: int) -> None:
     files = SimFiles()
     disk = opened(files)
     body = put(disk, 1)
@@ -83,7 +83,7 @@
     assert len(recover.load(files).index) == 1
 
 
-def test_a_failed_fsync_is_never_trusted_afterwards() -> None:
+def test_after_a_failed_fsync_no_later_one_is_trusted() -> None:
     files = SimFiles()
     disk = opened(files)
     put(disk, 1)
@@ -95,7 +95,7 @@
     assert disk.active and disk.active.durable == 0, "a later fsync that succeeds proves nothing"
 
 
-def test_after_a_failed_log_the_watermark_stands_still_and_the_next_start_finds_the_gap() -> None:
+def test_after_a_failed_log_write_the_watermark_stops_and_the_next_start_finds_the_gap() -> None:
     files = SimFiles()
     disk = opened(files)
     put(disk, 1)
@@ -121,7 +121,7 @@
     files.close()
 
 
-def test_segments_that_can_not_be_read_are_left_and_three_end_the_tier() -> None:
+def test_unreadable_segments_are_not_read_again_and_three_switch_the_tier_off() -> None:
     files = SimFiles()
     disk = opened(files)
     for key in range(150):
@@ -132,7 +132,7 @@
     assert disk.health.state == OFF and len(disk.health.unreadable_segments) == 3
 
 
-def test_a_rotten_byte_costs_its_record_alone() -> None:
+def test_a_corrupted_byte_loses_only_its_record() -> None:
     files = SimFiles()
     disk = opened(files)
     bodies = {key: put(disk, key) for key in range(10)}
@@ -161,7 +161,7 @@
     assert not index.get(fingerprint(666, 0)) and index.get(fingerprint(2, 0))
 
 
-def test_compaction_carries_what_is_wanted_and_never_undoes_a_newer_record() -> None:
+def test_compaction_copies_live_parts_and_never_replaces_a_newer_record() -> None:
     files = SimFiles()
     disk = opened(files)
     bodies = {key: put(disk, key) for key in range(28)}
@@ -182,7 +182,7 @@
     assert len(recover.load(files).index) == len(disk.index)
 
 
-def test_a_full_budget_goes_on_taking_what_is_new() -> None:
+def test_new_parts_are_stored_when_the_budget_is_used_up() -> None:
     files = SimFiles()
     disk = opened(files)
     compactor = Compactor(disk, lambda part_hash: 2, FAST)
@@ -195,7 +195,7 @@
     assert not disk.counts.dropped
 
 
-def test_a_number_that_was_used_before_is_never_used_again_while_a_checkpoint_names_it() -> None:
+def test_a_segment_number_is_not_reused_while_a_checkpoint_names_it() -> None:
     """A new segment of an old number was scanned only from where the old one had ended."""
     files = SimFiles()
     disk = opened(files)
@@ -220,7 +220,7 @@
     assert again.proof.epoch == epoch + 1 and get(again, 1) is not None
 
 
-def test_records_wait_until_their_era_is_durable() -> None:
+def test_records_are_refused_until_their_epoch_is_durable() -> None:
     """A crash would have given the same era to the next life, with this life's records in it."""
     files = SimFiles()
     found = recover.load(files)
@@ -231,7 +231,7 @@
     assert disk.put(part(1, epoch=disk.proof.epoch), b"x")
 
 
-def test_one_owner_at_a_time(tmp_path: Path) -> None:
+def test_a_folder_has_one_owner_at_a_time(tmp_path: Path) -> None:
     first, second = OsFiles(tmp_path), OsFiles(tmp_path)
     assert first.lock() and not second.lock()
     first.close()
@@ -239,7 +239,7 @@
     second.close()
 
 
-def test_files_of_the_machine_read_write_and_rename(tmp_path: Path) -> None:
+def test_real_files_are_read_written_and_renamed(tmp_path: Path) -> None:
     files = OsFiles(tmp_path)
     for number in range(100):  # more than are kept open
         files.write(f"f{number}", 3, b"abc")
@@ -256,13 +256,13 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 26))
-def test_crashes_serve_nothing_wrong_and_lose_nothing_durable(seed: int) -> None:
+def test_after_crashes_nothing_wrong_is_served_and_nothing_durable_is_lost(seed: int) -> None:
     run = point(seed)
     assert not run.wrong
     assert run.counts["proven"] + run.counts["suspect or dead"] > 20
 
 
-def test_the_judge_of_crashes_notices_trust_without_proof(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_crash_test_notices_copies_served_without_proof(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Proof, "proven", lambda *_: True)
     assert any("old" in line for seed in range(1, 15) for line in point(seed).wrong)
 
