--- a/tests/store/test_store_format.py
+++ b/tests/store/test_store_format.py
@@ -27,7 +27,7 @@
 
 
 @given(st.data())
-def test_any_changed_byte_is_noticed(data: st.DataObject) -> None:
+def test_any_changed_byte_is_detected(data: st.DataObject) -> None:
     raw = fmt.write_record(part(), b"body" * 50, 77, 64)
     used = fmt.RECORD_HEAD.size + len("small") + len("t1") + 200
     at, flip = data.draw(st.integers(0, used - 1)), data.draw(st.integers(1, 255))
@@ -37,7 +37,7 @@
         fmt.read_record(bytes(torn), 77, 64)
 
 
-def test_a_record_holds_only_at_its_place_and_in_its_file() -> None:
+def test_a_record_is_valid_only_at_its_offset_and_in_its_file() -> None:
     """A record inside a body, or of an earlier use of a file, must not pass for one."""
     raw = fmt.write_record(part(), b"x", 77, 64)
     for salt, offset in ((78, 64), (77, 128)):
@@ -45,7 +45,7 @@
             fmt.read_record(raw, salt, offset)
 
 
-def test_a_log_is_read_up_to_what_was_torn_and_no_further() -> None:
+def test_a_log_is_read_up_to_the_first_torn_entry() -> None:
     entries = [fmt.LogEntry(fmt.PURGE_OBJECT, 1, 1000 + n, 2, n) for n in range(5)]
     data = fmt.write_log_head(9)
     for entry in entries:
@@ -59,7 +59,7 @@
 
 
 @given(st.integers(0, 300), st.integers(1, 255))
-def test_a_checkpoint_holds_whole_or_not_at_all(at: int, flip: int) -> None:
+def test_a_checkpoint_is_valid_as_a_whole_or_not_at_all(at: int, flip: int) -> None:
     segments = [fmt.CoveredSegment(3, 5, 640, 12), fmt.CoveredSegment(4, 6, 64, 1 << 52)]
     data = b"".join(fmt.write_checkpoint(7, segments, [b"a" * 64, b"b" * 128]))
     number, read, slots = fmt.read_checkpoint(data)
@@ -72,7 +72,7 @@
         fmt.read_checkpoint(data[: at % len(data)])
 
 
-def test_another_version_is_told_apart_from_no_segment() -> None:
+def test_another_version_is_distinguished_from_bytes_that_are_no_segment() -> None:
     head = bytearray(fmt.write_segment_head(fmt.SegmentHead(1, 2, 3)))
     head[4] = 9
     bare = bytes(head[: fmt.SEGMENT_HEAD.size - 4])
