--- a/tests/store/test_store_index.py
+++ b/tests/store/test_store_index.py
@@ -21,7 +21,7 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_it_is_a_dict_through_growth_removals_and_copies(seed: int) -> None:
+def test_the_index_matches_a_dict_through_growth_removals_and_copies(seed: int) -> None:
     """Marks share their low bits, so that runs are long and wrap round the end of a table."""
     rng, index, model = random.Random(seed), Index(), dict[int, int]()
     part_hashes = [
@@ -53,7 +53,7 @@
     assert dict(index.items()) == model
 
 
-def test_a_copy_in_slices_has_all_that_was_there_when_it_began_and_stayed() -> None:
+def test_a_copy_in_slices_has_every_entry_that_existed_throughout() -> None:
     """Taking entries out moved others past the slice that was being copied."""
     rng, index = random.Random(3), Index()
     part_hashes = [rng.getrandbits(64) | 1 for _ in range(700)]
@@ -77,7 +77,7 @@
     assert len(index) == len(part_hashes) - len(gone)
 
 
-def test_memory_stays_under_the_bound_and_no_change_moves_much() -> None:
+def test_memory_stays_within_its_limit_and_no_change_moves_many_slots() -> None:
     index = Index()
     for number in range(1, 100_000):
         used = index.old_table.used if index.old_table else 0
