--- a/tests/store/test_store_live.py
+++ b/tests/store/test_store_live.py
@@ -45,7 +45,7 @@
     terminal.close()
 
 
-def test_killed_at_random_moments_it_serves_nothing_torn_or_old() -> None:
+def test_a_gateway_killed_at_random_moments_serves_nothing_torn_or_old() -> None:
     """Eight kills with fixed seeds; `python -m standins.kills` has hundreds."""
 
     async def lanes() -> list[dict[str, object]]:
@@ -56,7 +56,7 @@
     assert sum(int(str(result["served"])) for result in results) > 100
 
 
-def test_the_judge_of_kills_notices_a_gateway_that_ignores_purges() -> None:
+def test_the_kill_test_notices_a_gateway_that_ignores_purges() -> None:
     """The same rig with a bus that tells nobody of purges while the truth has them."""
 
     async def script() -> list[str]:
@@ -97,7 +97,7 @@
     played(script)
 
 
-def test_after_a_long_absence_copies_are_confirmed_and_what_was_purged_is_not_served() -> None:
+def test_after_a_long_absence_copies_are_confirmed_and_purged_ones_are_not_served() -> None:
     async def script(rig: Rig) -> None:
         await rig.logged("store open")
         for _ in range(2):
@@ -117,7 +117,7 @@
     played(script)
 
 
-def test_a_new_version_takes_the_folder_over_when_the_old_one_lets_go() -> None:
+def test_a_new_version_takes_the_folder_over_when_the_old_one_releases_it() -> None:
     async def script(rig: Rig) -> None:
         await rig.logged("store open")
         for _ in range(2):
@@ -151,7 +151,7 @@
     played(script)
 
 
-def test_the_platforms_gateway_imports_nothing_of_this() -> None:
+def test_the_platforms_gateway_does_not_import_the_store() -> None:
     """Two versions have to fit 32 MB."""
     code = (
         "import sys, hitchtiller.__main__\n"
@@ -163,7 +163,7 @@
     assert done.stdout.strip() == "[]"
 
 
-def test_serve_refuses_a_bad_file_and_a_share_for_no_class(tmp_path: Path) -> None:
+def test_serve_refuses_a_bad_file_and_a_share_for_an_unknown_class(tmp_path: Path) -> None:
     file = tmp_path / "gateway.hcl"
     env = {"BALANCER_CONFIG": str(ROOT / "examples" / "config.json")}
     for text, told in (
@@ -176,7 +176,7 @@
         assert done.returncode == 2 and told in done.stderr
 
 
-def test_the_demo_serves_and_shows_the_way() -> None:
+def test_the_demo_serves_and_shows_how_each_request_was_answered() -> None:
     done = CliRunner().invoke(main, ["demo", "--json"])
     assert done.exit_code == 0, done.output
     rows = json.loads(done.output)["requests"]
@@ -210,7 +210,7 @@
     assert bad.exit_code == 1 and json.loads(bad.output)["bad"] == 1
 
 
-def test_the_platforms_gateway_has_the_memory_tier_where_its_limit_leaves_room() -> None:
+def test_the_platforms_gateway_has_the_memory_tier_if_its_limit_leaves_room() -> None:
     assert memory_tier_mb(80) == 8.0 and memory_tier_mb(2048) == 16.0
 
     async def script(rig: Rig) -> None:
@@ -232,7 +232,7 @@
     played(script)
 
 
-def test_the_platforms_gateway_refuses_what_it_does_not_know() -> None:
+def test_the_platforms_gateway_refuses_unknown_options() -> None:
     command = [sys.executable, "-m", "hitchtiller", "--memory"]
     done = subprocess.run(command, capture_output=True, text=True, cwd=ROOT)
     assert done.returncode == 2 and "there is --memory-tier" in done.stderr
