--- a/tests/store/test_store_tier.py
+++ b/tests/store/test_store_tier.py
@@ -33,27 +33,27 @@
 
 
 @pytest.mark.parametrize("more", [{"dedupe": "k"}, {"body": b"b"}])
-def test_what_carries_a_key_or_a_body_passes_by(tiers: Tiers, more: dict[str, object]) -> None:
+def test_requests_with_a_dedupe_key_or_a_body_bypass_the_tiers(tiers: Tiers, more: dict[str, object]) -> None:
     tiers.fetch()
     tiers.ask(**more)
     assert len(tiers.sent()) == 1 and not tiers.tier.joins.flights
 
 
 @pytest.mark.parametrize("name", ["keyed", "once"])
-def test_keyed_and_write_classes_are_never_kept(tiers: Tiers, name: str) -> None:
+def test_answers_of_keyed_and_write_classes_are_never_stored(tiers: Tiers, name: str) -> None:
     for _ in range(2):
         tiers.ask(name=name)
         tiers.serve(tiers.sent()[-1])
     assert len(tiers.back.sent) == 2 and not tiers.tier.memory.copies
 
 
-def test_a_copy_of_one_class_is_not_one_of_another(tiers: Tiers) -> None:
+def test_a_copy_is_not_served_to_another_class(tiers: Tiers) -> None:
     tiers.fetch(name="small")
     tiers.ask(name="big")
     assert len(tiers.sent()) == 1
 
 
-def test_age_counts_from_the_origin_and_within_grace_a_copy_stands_in_for_a_failure(
+def test_age_counts_from_the_origin_and_a_copy_within_grace_replaces_a_failure(
     tiers: Tiers,
 ) -> None:
     tiers.fetch(name="brief", since=START - 900.0)
@@ -74,7 +74,7 @@
     assert kinds(tiers)[4] in (FAILED, REFUSED), "past its grace it is not served"
 
 
-def test_a_copy_past_its_fresh_time_is_renewed_without_bytes(tiers: Tiers) -> None:
+def test_a_copy_past_its_fresh_time_is_renewed_without_a_body(tiers: Tiers) -> None:
     tiers.fetch(name="brief")
     tiers.wait(1_200.0)
     tiers.ask(name="brief")
@@ -85,7 +85,7 @@
     assert kinds(tiers)[3] == SERVED and not tiers.sent()
 
 
-def test_a_purge_ends_a_copy_at_once_by_object_and_by_group(tiers: Tiers) -> None:
+def test_a_purge_of_an_object_or_a_group_removes_a_copy_at_once(tiers: Tiers) -> None:
     for key, purge in ((1, (1, -1)), (2, (None, 5))):
         tiers.ask(key, group=5)
         tiers.serve(tiers.sent()[-1])
@@ -96,7 +96,7 @@
         tiers.serve(tiers.sent()[0], b"new")
 
 
-def test_a_fill_begun_before_a_purge_is_never_kept_as_newer(tiers: Tiers) -> None:
+def test_the_result_of_a_fill_begun_before_a_purge_is_not_stored(tiers: Tiers) -> None:
     exchange = tiers.ask()
     tiers.wait(50.0)
     tiers.purge()
@@ -106,7 +106,7 @@
     assert len(tiers.sent()) == 1
 
 
-def test_one_that_waited_is_not_served_a_copy_that_was_only_young_enough_for_the_leader(tiers: Tiers) -> None:
+def test_a_waiter_is_not_served_a_copy_that_was_young_enough_only_for_the_leader(tiers: Tiers) -> None:
     """It was lost on split+mass: 20 s of age held when the leader asked, and not when the waiter did."""
     tiers.ask(name="brief")
     tiers.wait(100.0)
@@ -119,7 +119,7 @@
     assert tiers.answers[2].kind == SERVED
 
 
-def test_requests_under_way_share_one_attempt(tiers: Tiers) -> None:
+def test_concurrent_requests_share_one_attempt(tiers: Tiers) -> None:
     for have in ("", "", "t1"):
         tiers.ask(client_tag=have)
     assert len(tiers.back.sent) == 1
@@ -128,7 +128,7 @@
     assert tiers.answers[3].unchanged and tiers.tier.hits["joined"] == 2
 
 
-def test_a_joiner_takes_over_when_the_leaders_client_leaves(tiers: Tiers) -> None:
+def test_a_waiter_takes_over_when_the_leaders_client_leaves(tiers: Tiers) -> None:
     leader = tiers.ask()
     tiers.ask()
     tiers.engine.leave(leader)
@@ -137,7 +137,7 @@
     assert kinds(tiers) == {2: SERVED}
 
 
-def test_a_joiner_takes_over_when_the_leaders_time_is_over(tiers: Tiers) -> None:
+def test_a_waiter_takes_over_when_the_leaders_time_is_over(tiers: Tiers) -> None:
     tiers.ask(life=200.0)
     tiers.ask(life=2_000.0)
     tiers.wait(201.0)
@@ -145,7 +145,7 @@
     assert tiers.sent()[0].exchange.number == 2
 
 
-def test_a_joiner_that_has_waited_too_long_goes_its_own_way(tiers: Tiers) -> None:
+def test_a_waiter_that_waits_too_long_sends_its_own_attempt(tiers: Tiers) -> None:
     tiers.ask(life=2_900.0)
     tiers.ask(life=100.0)
     tiers.wait(41.0)
@@ -166,7 +166,7 @@
     assert all(answer.kind in (REFUSED, FAILED) for answer in tiers.answers.values())
 
 
-def test_a_purge_between_leader_and_joiner_keeps_the_older_copy_from_the_joiner(tiers: Tiers) -> None:
+def test_a_copy_from_before_a_purge_is_not_served_to_a_waiter_that_came_after_it(tiers: Tiers) -> None:
     tiers.ask()
     tiers.wait(10.0)
     tiers.purge()
@@ -178,7 +178,7 @@
     assert tiers.answers[2].body == b"new"
 
 
-def test_the_link_paces_hits_and_what_would_be_late_goes_to_the_caches() -> None:
+def test_hits_wait_for_the_link_and_late_ones_go_to_the_caches() -> None:
     tiers = Tiers(link=1_000.0)  # bytes a second: 100 bytes take 100 ms
     tiers.fetch()
     for _ in range(5):
@@ -189,7 +189,7 @@
     assert len(tiers.answers) == 3
 
 
-def test_a_purge_while_an_answer_waits_for_the_link_is_kept() -> None:
+def test_a_purge_while_an_answer_waits_for_the_link_is_applied() -> None:
     tiers = Tiers(link=1_000.0)
     tiers.fetch()
     for _ in range(2):
@@ -200,7 +200,7 @@
     assert 3 not in tiers.answers and tiers.sent()[0].exchange.number == 3
 
 
-def test_nothing_is_kept_before_the_bus_has_told_all_there_was() -> None:
+def test_nothing_is_stored_before_the_bus_is_caught_up_with() -> None:
     tiers = Tiers(heard=False)
     tiers.fetch()
     assert not tiers.tier.memory.copies
@@ -230,7 +230,7 @@
     assert kinds(tiers)[3] == SERVED and not tiers.sent()
 
 
-def test_the_tag_goes_with_the_command_and_an_unasked_keep_is_an_error(tiers: Tiers) -> None:
+def test_the_pull_command_carries_the_tag_and_the_age_limit(tiers: Tiers) -> None:
     suspected(tiers)
     tiers.ask()
     (attempt,) = tiers.sent()
@@ -239,7 +239,7 @@
 
 
 @pytest.mark.parametrize("tag, age", [("t2", 5.0), ("t1", -5.0)])
-def test_a_keep_that_proves_nothing_is_an_error_of_that_attempt(tiers: Tiers, tag: str, age: float) -> None:
+def test_a_keep_answer_that_confirms_nothing_fails_the_attempt(tiers: Tiers, tag: str, age: float) -> None:
     gap = suspected(tiers)
     tiers.ask()
     (attempt,) = tiers.sent()
@@ -251,7 +251,7 @@
     assert tiers.answers[2].body == b"new"
 
 
-def test_other_bytes_refute_a_suspect(tiers: Tiers) -> None:
+def test_a_different_body_refutes_a_suspect(tiers: Tiers) -> None:
     suspected(tiers)
     tiers.ask()
     tiers.serve(tiers.sent()[0], b"new", "t2")
@@ -259,7 +259,7 @@
     assert tiers.answers[2].body == tiers.answers[3].body == b"new" and tiers.tier.refuted == 1
 
 
-def test_a_clients_own_tag_is_not_replaced_but_its_keep_proves_ours_too(tiers: Tiers) -> None:
+def test_a_clients_tag_is_not_replaced_and_its_keep_answer_confirms_the_own_copy(tiers: Tiers) -> None:
     gap = suspected(tiers)
     exchange = tiers.ask(client_tag="t1")
     assert not exchange.confirm_tag
@@ -272,7 +272,7 @@
 # Disk
 
 
-def test_what_is_asked_for_twice_is_written_and_read_back_after_a_start() -> None:
+def test_a_part_requested_twice_is_written_and_read_after_a_restart() -> None:
     files, tiers = SimFiles(), Tiers()
     tiers.disk(files)
     for key in (1, 2):
@@ -292,7 +292,7 @@
     assert again.tier.hits["memory"] == 1
 
 
-def test_after_a_gap_a_part_on_disk_is_asked_about_and_a_purge_that_was_told_is_kept() -> None:
+def test_after_a_gap_a_part_on_disk_is_confirmed_and_a_received_purge_still_applies() -> None:
     files, tiers = SimFiles(), Tiers()
     disk = tiers.disk(files)
     for key in (1, 2):
@@ -312,14 +312,14 @@
     assert not other.confirm_tag, "a purged copy is not even asked about"
 
 
-def test_purges_told_while_the_folder_was_closed_are_written_when_it_opens() -> None:
+def test_purges_received_while_the_folder_was_closed_are_written_when_it_opens() -> None:
     files, tiers = SimFiles(), Tiers()
     tiers.purge(9, at=START + 1.0)
     tiers.disk(files)
     assert recover.load(files).purges.objects == {9: START + 1.0}
 
 
-def test_a_part_that_can_not_be_read_goes_to_the_caches_and_its_joiners_with_it() -> None:
+def test_an_unreadable_part_and_its_waiters_are_served_by_the_caches() -> None:
     files, tiers = SimFiles(), Tiers()
     found = recover.load(files)
     held: list[object] = []
@@ -348,7 +348,7 @@
     assert [kinds(tiers)[n] for n in (3, 4, 5)] == [SERVED] * 3
 
 
-def test_many_purges_forget_only_what_no_copy_needs() -> None:
+def test_many_purges_are_forgotten_only_if_no_copy_needs_them() -> None:
     tiers = Tiers()
     tiers.tier.purges.max_objects = 100
     tiers.fetch(1)
@@ -362,7 +362,7 @@
     assert len(tiers.sent()) == 1, "its copy is older than its purge, whatever was forgotten"
 
 
-def test_figures_are_published(tiers: Tiers) -> None:
+def test_statistics_are_published(tiers: Tiers) -> None:
     tiers.fetch()
     tiers.ask()
     lines = tiers.engine.stats.lines()
