--- a/tests/store/test_store_admission.py
+++ b/tests/store/test_store_admission.py
@@ -1,4 +1,4 @@
-"""Admission and eviction: bounds by bytes, resistance to scans, shares."""
+"""Admission and eviction: limits in bytes, resistance to scans, shares of owners."""
 
 import random
 
