--- a/tests/store/test_store_decide.py
+++ b/tests/store/test_store_decide.py
@@ -1,4 +1,4 @@
-"""Eras, purges, flights, space and health, decided without I/O."""
+"""Epochs, purges, flights, disk space and health, decided without I/O."""
 
 import errno
 import math
@@ -137,7 +137,7 @@
     assert joins.end_failed(1) == [(NextStep.LEAD, 2)]
     assert joins.may_send(2) and not joins.may_send(2)
     assert joins.end_failed(2) == [(NextStep.SHARE, 3)] and joins.spared == 1
-    assert joins.may_send(99), "who leads no flight is not bound by one"
+    assert joins.may_send(99), "a request that leads no flight has no limit here"
 
 
 def test_a_waiter_that_leaves_or_gives_up_is_removed() -> None:
@@ -209,4 +209,4 @@
     assert rate.take(500, 500.0, False)
     assert not rate.take(500, 1000.0, True) and not rate.take(500, 4000.0, True)
     assert rate.take(500, 6000.0, True)
-    assert not rate.take(500, 1000.0, False), "a step back earns nothing"
+    assert not rate.take(500, 1000.0, False), "a backward step of the clock adds no tokens"
