--- a/tests/store/test_store_format.py
+++ b/tests/store/test_store_format.py
@@ -1,4 +1,4 @@
-"""The store's bytes: what was written is read, and nothing else is."""
+"""The byte layouts of the store: what was written is read, and nothing else is accepted."""
 
 import pytest
 from hypothesis import given
@@ -38,7 +38,7 @@
 
 
 def test_a_record_is_valid_only_at_its_offset_and_in_its_file() -> None:
-    """A record inside a body, or of an earlier use of a file, must not pass for one."""
+    """A record inside a body, or one left by an earlier use of a file, must not be accepted."""
     raw = fmt.write_record(part(), b"x", 77, 64)
     for salt, offset in ((78, 64), (77, 128)):
         with pytest.raises(fmt.BadBytes):
