--- a/tests/store/test_store_live.py
+++ b/tests/store/test_store_live.py
@@ -1,4 +1,4 @@
-"""The tiers in real processes among stand-ins: kills, orderly restarts, upgrades, the command line."""
+"""The tiers in real processes among stand-ins: kills, orderly restarts, upgrades, and the command line."""
 
 import asyncio
 import json
@@ -18,7 +18,7 @@
 
 
 def played(script: Callable[[Rig], Awaitable[None]], **disk: float) -> Rig:
-    """Run a script on a rig with both tiers; whatever clients saw must be right."""
+    """Run a script on a rig with both tiers, and check that clients saw nothing wrong."""
 
     async def run() -> Rig:
         rig = Rig(5)
@@ -46,7 +46,7 @@
 
 
 def test_a_gateway_killed_at_random_moments_serves_nothing_torn_or_old() -> None:
-    """Eight kills with fixed seeds; `python -m standins.kills` has hundreds."""
+    """Eight kills with fixed seeds; `python -m standins.kills` runs hundreds."""
 
     async def lanes() -> list[dict[str, object]]:
         return list(await asyncio.gather(*(kills.play(seed, 2) for seed in (100, 300, 400, 500))))
@@ -57,7 +57,7 @@
 
 
 def test_the_kill_test_notices_a_gateway_that_ignores_purges() -> None:
-    """The same rig with a bus that tells nobody of purges while the truth has them."""
+    """The same rig with a bus that does not send a purge which the truth contains."""
 
     async def script() -> list[str]:
         rig = Rig(5)
@@ -68,7 +68,7 @@
             await rig.logged("store open")
             await ask_all(rig, range(1, 6))
             rig.truth.purge(3, -1, now_ms())
-            rig.bus.told += 1  # never told
+            rig.bus.told += 1  # the purge is never sent
             await asyncio.sleep(1.2)
             await ask_all(rig, range(1, 6))
         finally:
@@ -126,7 +126,8 @@
         await rig.launch()
         assert old
         await rig.logged("store open")
-        async with asyncio.timeout(10.0):  # another pipe than the new one's: its line may be read later
+        # the old process has a pipe of its own, so its line may be read later
+        async with asyncio.timeout(10.0):
             while not (left := [line for line in log if "store left" in line]):
                 await asyncio.sleep(0.01)
         assert "store left: 30 parts" in left[0]
@@ -152,7 +153,7 @@
 
 
 def test_the_platforms_gateway_does_not_import_the_store() -> None:
-    """Two versions have to fit 32 MB."""
+    """Two versions have to fit into 32 MB together."""
     code = (
         "import sys, hitchtiller.__main__\n"
         "new = {'click', 'rich', 'msgspec', 'hcl2', 'lark', 'xxhash', 'google_crc32c', 'numpy'}\n"
@@ -181,7 +182,7 @@
     assert done.exit_code == 0, done.output
     rows = json.loads(done.output)["requests"]
     assert rows[0]["way"].startswith("station cache") and rows[4]["way"] == "memory"
-    assert rows[6]["way"].startswith("station cache"), "it was purged"
+    assert rows[6]["way"].startswith("station cache"), "the object was purged"
 
 
 def test_the_store_tools_show_verify_compact_and_export(tmp_path: Path) -> None:
@@ -191,7 +192,7 @@
     args = ["store", "bench", str(folder), "--parts", "300", "--kb", "4", "--seconds", "0.05", "--json"]
     measured = json.loads(run.invoke(main, args).output)
     assert measured["parts"] == 300 and measured["scanned_with_checkpoint"] == 0
-    assert run.invoke(main, args).exit_code == 2, "it is not empty any more"
+    assert run.invoke(main, args).exit_code == 2, "the folder is no longer empty"
     shown = json.loads(run.invoke(main, ["store", "inspect", str(folder), "--json"]).output)
     assert shown["parts"] == 300 and shown["segments"] == 1
     assert run.invoke(main, ["store", "verify", str(folder)]).exit_code == 0
@@ -223,7 +224,7 @@
         rig.memory_mb = 512
         await rig.launch()
         assert any("memory tier of 16.0 MB" in line for line in rig.lines)
-        await asyncio.sleep(0.4)  # the bus has to tell all there was
+        await asyncio.sleep(0.4)  # until the gateway has caught up with the bus
         for _ in range(2):
             await ask_all(rig, range(1, 11))
         figures = await rig.figures()
