--- a/tests/store/tiers.py
+++ b/tests/store/tiers.py
@@ -1,4 +1,4 @@
-"""The shared helper of the store's tests: an engine with tiers, a clock and a back of the test's own."""
+"""Shared helper of the store's tests: an engine with tiers, on a simulated clock and back end."""
 
 import random
 from dataclasses import replace
@@ -29,7 +29,7 @@
 
 
 class Tiers:
-    """One gateway's engine and tiers; time stands still until it is moved."""
+    """One gateway's engine and tiers; time passes only when the test moves it."""
 
     def __init__(
         self, memory: int = 1_000_000, link: float = 0.0, heard: bool = True, **changes: Any
@@ -40,7 +40,7 @@
         self.engine = Engine(Router(settings, 7), self.clock, self.back, lambda peer, note: None)
         members = tuple(ListedServer(m, ("127.0.0.1", 1)) for m in FLEET)
         self.engine.news(Topology(members, whole=True))
-        self.drift = 0.0  # by which the steady clock has left the other
+        self.drift = 0.0  # of the monotonic clock against the wall clock
         self.proof = Proof(SavedProof(), 6000.0, 500.0)
         self.tier = Tier(
             self.engine,
@@ -55,7 +55,7 @@
             self.tier.on_caught_up()
 
     def ask(self, key: int = 42, name: str = "small", life: float = 2900.0, **more: Any) -> Exchange:
-        """Take a request; its answer will be found under its number."""
+        """Send a request to the engine; its answer is stored under its number."""
         self.ids += 1
         ask = ClientRequest(
             f"{self.ids:016x}", name, f"{key:016x}", key, self.clock.now + life, size_kb=50.0, **more
@@ -69,29 +69,29 @@
         return self.engine.take(ask, deliver)
 
     def sent(self) -> list[Attempt]:
-        """Give the attempts that went to servers and are still out."""
+        """Return the attempts that were sent to servers and have not ended."""
         return [attempt for attempt in self.back.sent if not attempt.ended]
 
     def serve(
         self, attempt: Attempt, body: bytes = b"x" * 100, tag: str = "t1", since: float | None = None
     ) -> None:
-        """End an attempt with bytes."""
+        """End an attempt with a body."""
         given = int(self.clock.now if since is None else since)
         attempt.written = True
         attempt.end(AttemptResult("done", body, False, tag, since_ms=given))
 
     def keep(self, attempt: Attempt, tag: str, since: float) -> None:
-        """End an attempt with KEEP."""
+        """End an attempt with a KEEP answer."""
         attempt.written = True
         attempt.end(AttemptResult("done", b"", True, tag, since_ms=int(since)))
 
     def fetch(self, key: int = 42, name: str = "small", **how: Any) -> None:
-        """Have one object kept, by way of a server."""
+        """Request one object and serve it, so that it is stored."""
         self.ask(key, name)
         self.serve(self.sent()[-1], **how)
 
     def purge(self, key: int | None = 42, group: int = -1, at: float | None = None) -> None:
-        """Tell of a purge."""
+        """Deliver a purge to the engine."""
         self.engine.news(PurgeNotice(key, group, self.clock.now if at is None else at))
 
     def wait(self, ms: float) -> None:
@@ -99,12 +99,12 @@
         self.clock.move(self.clock.now + ms)
 
     def step(self, ms: float) -> None:
-        """Let the wall clock step, which the steady clock does not follow."""
+        """Let the wall clock step but not the monotonic clock."""
         self.clock.now += ms
         self.drift -= ms
 
     def disk(self, files: Files | None = None, options: Options = SMALL) -> Disk:
-        """Attach a folder."""
+        """Attach a disk tier with a folder."""
         files = files or SimFiles(random.Random(1))
         disk = Disk(files, InlineJobs(), options, recover.load(files), self.proof)
         self.tier.attach(disk)
@@ -112,6 +112,6 @@
 
 
 def part(key: int = 1, number: int = 0, since: int = 1000, epoch: int = 1, **more: Any) -> Part:
-    """Make a part's description."""
+    """Create a part."""
     fields = {"group": 3, "class_name": "small", "tag": "t1"} | more
     return Part(key, number, since_ms=since, epoch=epoch, **fields)
