--- a/tests/store/test_store_disk.py
+++ b/tests/store/test_store_disk.py
@@ -1,4 +1,4 @@
-"""The disk tier on a folder that fails by plan, and through crashes, against a plain model."""
+"""The disk tier on a folder with planned errors, and through crashes, compared with a plain model."""
 
 import errno
 import random
@@ -138,12 +138,12 @@
     bodies = {key: put(disk, key) for key in range(10)}
     disk.sync()
     name = recover.segment_name(1)
-    files.nodes[name].durable[64 + 1200] ^= 1  # in the first record's body or the second's head
+    files.nodes[name].durable[64 + 1200] ^= 1  # in the body of the first record or the head of the second
     wrong = [key for key in bodies if get(disk, key) is None]
     assert len(wrong) == 1 and disk.counts.torn == 1
     found = recover.load(files)
     assert len(found.index) in (9, 10)
-    files.nodes[name].durable[64] ^= 1  # the first head: the scan goes on behind it
+    files.nodes[name].durable[64] ^= 1  # the first head: the scan continues behind it
     assert len(recover.load(files).index) >= 8
 
 
@@ -156,7 +156,7 @@
     files.nodes[recover.segment_name(1)].content()
     node = files.nodes[recover.segment_name(1)]
     node.durable, node.waiting = node.content(), []
-    node.durable[64] ^= 1  # the outer head does not hold any more
+    node.durable[64] ^= 1  # the outer head is no longer valid
     index = recover.load(files).index
     assert not index.get(fingerprint(666, 0)) and index.get(fingerprint(2, 0))
 
@@ -167,7 +167,7 @@
     bodies = {key: put(disk, key) for key in range(28)}
     for key in range(20):
         disk.forget(fingerprint(key, 0))
-    for key in (100, 101, 102):  # the first segment is full then, and sealed
+    for key in (100, 101, 102):  # fills the first segment, which is then sealed
         put(disk, key)
     victim = disk.space.segments[1]
     assert victim.dead > victim.size / 2
@@ -196,7 +196,7 @@
 
 
 def test_a_segment_number_is_not_reused_while_a_checkpoint_names_it() -> None:
-    """A new segment of an old number was scanned only from where the old one had ended."""
+    """Guards against lost records: with a reused number a scan began only where the old segment ended."""
     files = SimFiles()
     disk = opened(files)
     for key in range(20):
@@ -221,7 +221,7 @@
 
 
 def test_records_are_refused_until_their_epoch_is_durable() -> None:
-    """A crash would have given the same era to the next life, with this life's records in it."""
+    """Guards against a crash after which the next start uses the same epoch while old records carry it."""
     files = SimFiles()
     found = recover.load(files)
     disk = Disk(files, InlineJobs(), SMALL, found, Proof(found.kept, 6000.0))
@@ -241,7 +241,7 @@
 
 def test_real_files_are_read_written_and_renamed(tmp_path: Path) -> None:
     files = OsFiles(tmp_path)
-    for number in range(100):  # more than are kept open
+    for number in range(100):  # more than the number of descriptors kept open
         files.write(f"f{number}", 3, b"abc")
     assert files.read("f0", 0, 100) == b"\0\0\0abc" and files.read("f0", 3, 2) == b"ab"
     files.rename("f0", "f1")
@@ -268,7 +268,7 @@
 
 
 class Machine(RuleBasedStateMachine):
-    """Put, get, purge, crash, recover and clock steps against the crash rig's plain model."""
+    """Puts, gets, purges, crashes, recoveries and clock steps against the model of the crash test."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -277,7 +277,7 @@
 
     @rule(steps=st.integers(1, 30), at=st.integers(1, 200))
     def live(self, steps: int, at: int) -> None:
-        """Work, and maybe crash in the middle of a call."""
+        """Work, and possibly crash in the middle of a call."""
         self.run.files.crash_at = self.run.files.calls + at
         try:
             self.run.live(steps)
@@ -288,14 +288,14 @@
 
     @rule()
     def cut(self) -> None:
-        """Stop between two calls."""
+        """Crash between two calls."""
         self.run.crash()
         self.run.judge()
 
     @rule(ms=st.sampled_from([-100_000.0, -3_000.0, 3_000.0, 100_000.0]))
     @precondition(lambda self: self.run.disk is not None)
     def step(self, ms: float) -> None:
-        """Let the wall clock step while the steady one stands; nothing from before may be proven any more."""
+        """Let the wall clock step but not the monotonic clock; no earlier copy may be proven afterwards."""
         disk = self.run.disk
         assert disk
         old = disk.proof.epoch
@@ -306,7 +306,7 @@
 
     @invariant()
     def right(self) -> None:
-        """Nothing was served wrongly or lost."""
+        """Check that nothing wrong was served and nothing durable was lost."""
         assert not self.run.wrong
 
 
