--- a/tests/store/test_store_index.py
+++ b/tests/store/test_store_index.py
@@ -1,4 +1,4 @@
-"""The index against a dict, through growth, removals and copies for checkpoints."""
+"""The index compared with a dict, through growth, removals and copies for checkpoints."""
 
 import random
 
@@ -22,7 +22,7 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_the_index_matches_a_dict_through_growth_removals_and_copies(seed: int) -> None:
-    """Marks share their low bits, so that runs are long and wrap round the end of a table."""
+    """Hashes share their low bits, so that runs are long and wrap round the end of a table."""
     rng, index, model = random.Random(seed), Index(), dict[int, int]()
     part_hashes = [
         (rng.getrandbits(40) << 12 | rng.choice((0, 1, 2, 1023, 1022, rng.getrandbits(12)))) or 1
@@ -54,7 +54,7 @@
 
 
 def test_a_copy_in_slices_has_every_entry_that_existed_throughout() -> None:
-    """Taking entries out moved others past the slice that was being copied."""
+    """Guards against a copy that misses entries: removals moved others past the slice being copied."""
     rng, index = random.Random(3), Index()
     part_hashes = [rng.getrandbits(64) | 1 for _ in range(700)]
     for part_hash in part_hashes:
