--- a/tests/store/test_store_tier.py
+++ b/tests/store/test_store_tier.py
@@ -1,4 +1,4 @@
-"""The tiers behind an engine: hits, joins, purges, suspects, clocks, and ends of all kinds."""
+"""The tiers behind an engine: hits, joined requests, purges, suspects, clocks, and outcomes of all kinds."""
 
 import random
 
@@ -71,7 +71,7 @@
     tiers.ask(name="brief")
     while sent := tiers.sent():
         sent[-1].end(AttemptResult("err"))
-    assert kinds(tiers)[4] in (FAILED, REFUSED), "past its grace it is not served"
+    assert kinds(tiers)[4] in (FAILED, REFUSED), "past its grace the copy is not served"
 
 
 def test_a_copy_past_its_fresh_time_is_renewed_without_a_body(tiers: Tiers) -> None:
@@ -107,14 +107,17 @@
 
 
 def test_a_waiter_is_not_served_a_copy_that_was_young_enough_only_for_the_leader(tiers: Tiers) -> None:
-    """It was lost on split+mass: 20 s of age held when the leader asked, and not when the waiter did."""
+    """Guards against a lost request, as on split+mass: a copy met the age limit only when the leader asked.
+
+    Its age of 20 s was within the limit then, but not any more when the waiter asked.
+    """
     tiers.ask(name="brief")
     tiers.wait(100.0)
     tiers.ask(name="brief")
     (leader,) = tiers.sent()
     tiers.serve(leader, since=START - 950.0)
     assert tiers.answers[1].kind == SERVED and 2 not in tiers.answers
-    (own,) = tiers.sent()  # the waiter's own attempt, with its own bound
+    (own,) = tiers.sent()  # the waiter's own attempt, with its own age limit
     tiers.serve(own)
     assert tiers.answers[2].kind == SERVED
 
@@ -172,18 +175,18 @@
     tiers.purge()
     tiers.ask()
     tiers.serve(tiers.sent()[0], since=START + 5.0)
-    assert kinds(tiers) == {1: SERVED}, "the leader was sent before it was told"
+    assert kinds(tiers) == {1: SERVED}, "the leader's attempt was sent before the purge was received"
     assert tiers.sent()[0].exchange.number == 2
     tiers.serve(tiers.sent()[0], b"new", since=tiers.clock.now + 1.0)
     assert tiers.answers[2].body == b"new"
 
 
 def test_hits_wait_for_the_link_and_late_ones_go_to_the_caches() -> None:
-    tiers = Tiers(link=1_000.0)  # bytes a second: 100 bytes take 100 ms
+    tiers = Tiers(link=1_000.0)  # bytes per second: 100 bytes take 100 ms
     tiers.fetch()
     for _ in range(5):
         tiers.ask()
-    assert len(tiers.answers) == 2, "one at once, the next when the link is free"
+    assert len(tiers.answers) == 2, "one hit is served at once, the next when the link is free"
     assert len(tiers.sent()) >= 1 and tiers.tier.slow_link >= 1
     tiers.wait(100.0)
     assert len(tiers.answers) == 3
@@ -210,7 +213,7 @@
 
 
 def suspected(tiers: Tiers) -> float:
-    """Have a copy made suspect by a step of the clock; gives when the gap ended."""
+    """Store a copy and make it suspect by a step of the clock; return when the gap ended."""
     tiers.fetch()
     tiers.step(5_000.0)
     return tiers.clock.now
@@ -277,7 +280,7 @@
     tiers.disk(files)
     for key in (1, 2):
         tiers.fetch(key)
-    assert len(recover.load(files).index) == 0, "one-offs are not written"
+    assert len(recover.load(files).index) == 0, "parts requested once are not written"
     tiers.ask(1)
     assert tiers.tier.hits["memory"] == 1 and len(recover.load(files).index) == 1
     tiers.wait(1000.0)
@@ -309,7 +312,7 @@
     exchange = again.ask(1)
     assert exchange.confirm_tag == "t1" and again.proof.epoch > 1
     other = again.ask(2)
-    assert not other.confirm_tag, "a purged copy is not even asked about"
+    assert not other.confirm_tag, "no server is asked to confirm a purged copy"
 
 
 def test_purges_received_while_the_folder_was_closed_are_written_when_it_opens() -> None:
@@ -359,7 +362,7 @@
         tiers.wait(1000.0)
         tiers.purge(rng.getrandbits(40))
     tiers.ask(1)
-    assert len(tiers.sent()) == 1, "its copy is older than its purge, whatever was forgotten"
+    assert len(tiers.sent()) == 1, "the copy is older than the purge, whatever was forgotten"
 
 
 def test_statistics_are_published(tiers: Tiers) -> None:
