--- a/tests/store/test_store_decide.py
+++ b/tests/store/test_store_decide.py
@@ -14,20 +14,20 @@
 from hitchtiller.store.suspect import Proof, SavedProof
 
 
-def begun(kept: SavedProof, now: float = START, replay: float = 6000.0) -> Proof:
-    proof = Proof(kept, replay, 500.0)
+def started_proof(saved: SavedProof, now: float = START, replay: float = 6000.0) -> Proof:
+    proof = Proof(saved, replay, 500.0)
     proof.begin(now, 0.0)
     return proof
 
 
 def test_a_short_absence_is_covered_by_the_purges_that_the_bus_repeats() -> None:
-    proof = begun(SavedProof(3, START - 5_900.0, 1.0))
+    proof = started_proof(SavedProof(3, START - 5_900.0, 1.0))
     assert proof.epoch == 3 and proof.proven(3, START - 9_000.0, START)
 
 
 @pytest.mark.parametrize("followed", [0.0, START - 6_100.0, START + 50.0])
 def test_a_gap_or_a_clock_that_went_back_makes_all_copies_suspect(followed: float) -> None:
-    proof = begun(SavedProof(3, followed, 1.0))
+    proof = started_proof(SavedProof(3, followed, 1.0))
     assert proof.epoch == 4 and not proof.proven(3, START - 9_000.0, START)
     assert proof.proven(4, START, START)
 
@@ -38,7 +38,7 @@
 
 
 def test_a_confirmation_must_be_from_after_the_gap() -> None:
-    proof = begun(SavedProof())
+    proof = started_proof(SavedProof())
     assert not proof.confirms(START - 1.0, START + 100.0)
     assert proof.confirms(START + 1.0, START + 100.0)
     assert not proof.confirms(START + 10_000.0, START + 100.0)
@@ -47,7 +47,7 @@
 
 @pytest.mark.parametrize("step", [-3_600_000.0, -1_500.0, 1_500.0, 3_600_000.0])
 def test_a_step_of_the_clock_raises_the_epoch_and_drift_does_not(step: float) -> None:
-    proof = begun(SavedProof(3, START, 1.0))
+    proof = started_proof(SavedProof(3, START, 1.0))
     for second in range(1, 20):
         assert not proof.check_clock_step(START + 1010.0 * second, 1000.0 * second)
     assert proof.check_clock_step(START + 1010.0 * 20 + step, 20_000.0)
@@ -56,7 +56,7 @@
 
 
 def test_the_watermark_lags_and_never_goes_back() -> None:
-    proof = begun(SavedProof())
+    proof = started_proof(SavedProof())
     proof.follow(START + 1000.0)
     assert proof.followed_ms == START + 500.0
     proof.follow(START + 800.0)
@@ -64,7 +64,7 @@
 
 
 def test_a_copy_from_the_future_is_never_proven() -> None:
-    proof = begun(SavedProof(3, START, 1.0))
+    proof = started_proof(SavedProof(3, START, 1.0))
     assert not proof.proven(3, START + 3_000.0, START)
 
 
@@ -80,7 +80,7 @@
 
 
 def test_the_later_of_two_epochs_is_used() -> None:
-    proof = begun(SavedProof(9, START, 1.0))
+    proof = started_proof(SavedProof(9, START, 1.0))
     assert proof.adopt(SavedProof(4, START, 2.0), START)
     assert proof.epoch == 9 and not proof.proven(4, START, START)
 
