--- a/tests/store/test_store_disk.py
+++ b/tests/store/test_store_disk.py
@@ -27,7 +27,7 @@
 FAST = Rate(1e12, 1e12, 1e12)
 
 
-def opened(files: SimFiles | OsFiles, now: float = START, options: Options = SMALL) -> Disk:
+def open_disk(files: SimFiles | OsFiles, now: float = START, options: Options = SMALL) -> Disk:
     found = recover.load(files)
     proof = Proof(found.kept, 6000.0, 500.0)
     disk = Disk(files, InlineJobs(), options, found, proof)
@@ -55,7 +55,7 @@
 
 def test_stored_parts_are_read_and_recovered_with_and_without_a_checkpoint() -> None:
     files = SimFiles()
-    disk = opened(files)
+    disk = open_disk(files)
     bodies = {key: put(disk, key) for key in range(60)}
     disk.save()
     bodies |= {key: put(disk, key) for key in range(60, 70)}
@@ -66,14 +66,14 @@
         assert sum(s.live for s in found.segments.values()) == sum(
             s.live for s in disk.space.segments.values()
         )
-    again = opened(files)
-    assert {key: get(again, key) for key in bodies} == bodies
+    reopened = open_disk(files)
+    assert {key: get(reopened, key) for key in bodies} == bodies
 
 
 @pytest.mark.parametrize("code", [errno.ENOSPC, errno.EIO, errno.EROFS])
 def test_a_failed_write_stops_writes_but_not_reads(code: int) -> None:
     files = SimFiles()
-    disk = opened(files)
+    disk = open_disk(files)
     body = put(disk, 1)
     files.faults["write"] = fail(code, "segment")  # type: ignore[assignment]
     disk.put(part(2, epoch=disk.proof.epoch), b"x")
@@ -85,7 +85,7 @@
 
 def test_after_a_failed_fsync_no_later_one_is_trusted() -> None:
     files = SimFiles()
-    disk = opened(files)
+    disk = open_disk(files)
     put(disk, 1)
     files.faults["sync"] = fail(errno.EIO, "segment")  # type: ignore[assignment]
     disk.sync()
@@ -97,24 +97,26 @@
 
 def test_after_a_failed_log_write_the_watermark_stops_and_the_next_start_finds_the_gap() -> None:
     files = SimFiles()
-    disk = opened(files)
+    disk = open_disk(files)
     put(disk, 1)
     disk.proof.follow(START + 1000.0)
     disk.mark_followed()
     files.faults["sync"] = fail(errno.EIO, "purges")  # type: ignore[assignment]
-    told: list[bool] = []
-    disk.purge(1, 3, START + 2000.0, lambda: told.append(True))
+    called: list[bool] = []
+    disk.purge(1, 3, START + 2000.0, lambda: called.append(True))
     del files.faults["sync"]
     disk.proof.follow(START + 60_000.0)
     disk.mark_followed()
-    assert not told and not disk.health.writes
-    again = opened(files, START + 61_000.0)
-    assert again.proof.epoch == disk.proof.epoch + 1 and not again.proof.proven(1, START, START + 61_000.0)
+    assert not called and not disk.health.writes
+    reopened = open_disk(files, START + 61_000.0)
+    assert reopened.proof.epoch == disk.proof.epoch + 1 and not reopened.proof.proven(
+        1, START, START + 61_000.0
+    )
 
 
 def test_a_folder_that_is_gone_switches_the_tier_off(tmp_path: Path) -> None:
     files = OsFiles(tmp_path / "store")
-    disk = opened(files)
+    disk = open_disk(files)
     put(disk, 1)
     disk.health.on_write_error(OSError(errno.ESTALE, "gone"))
     assert disk.health.state == OFF and get(disk, 1) is None
@@ -123,7 +125,7 @@
 
 def test_unreadable_segments_are_not_read_again_and_three_switch_the_tier_off() -> None:
     files = SimFiles()
-    disk = opened(files)
+    disk = open_disk(files)
     for key in range(150):
         put(disk, key)
     files.faults["read"] = fail(errno.EIO)  # type: ignore[assignment]
@@ -134,7 +136,7 @@
 
 def test_a_corrupted_byte_loses_only_its_record() -> None:
     files = SimFiles()
-    disk = opened(files)
+    disk = open_disk(files)
     bodies = {key: put(disk, key) for key in range(10)}
     disk.sync()
     name = recover.segment_name(1)
@@ -149,7 +151,7 @@
 
 def test_a_record_within_a_body_is_never_found_by_a_scan() -> None:
     files = SimFiles()
-    disk = opened(files)
+    disk = open_disk(files)
     inner = fmt.write_record(part(666, epoch=1), b"planted", disk.space.next_id, 64).ljust(4096, b"\0")
     disk.put(part(1, epoch=disk.proof.epoch), b"\0" * 3 + inner)
     put(disk, 2)
@@ -163,7 +165,7 @@
 
 def test_compaction_copies_live_parts_and_never_replaces_a_newer_record() -> None:
     files = SimFiles()
-    disk = opened(files)
+    disk = open_disk(files)
     bodies = {key: put(disk, key) for key in range(28)}
     for key in range(20):
         disk.forget(fingerprint(key, 0))
@@ -184,7 +186,7 @@
 
 def test_new_parts_are_stored_when_the_budget_is_used_up() -> None:
     files = SimFiles()
-    disk = opened(files)
+    disk = open_disk(files)
     compactor = Compactor(disk, lambda part_hash: 2, FAST)
     for key in range(1500):
         disk.put(part(key, since=int(START), epoch=disk.proof.epoch), bytes(1000))
@@ -198,26 +200,26 @@
 def test_a_segment_number_is_not_reused_while_a_checkpoint_names_it() -> None:
     """Guards against lost records: with a reused number a scan began only where the old segment ended."""
     files = SimFiles()
-    disk = opened(files)
+    disk = open_disk(files)
     for key in range(20):
         put(disk, key)
     disk.save()
     disk.remove(disk.space.segments[1])
-    again = opened(files)
-    put(again, 77, 300)
-    assert again.active and again.active.id == 2
+    reopened = open_disk(files)
+    put(reopened, 77, 300)
+    assert reopened.active and reopened.active.id == 2
     assert recover.load(files).index.get(fingerprint(77, 0))
 
 
 def test_a_lost_log_makes_every_copy_suspect() -> None:
     files = SimFiles()
-    disk = opened(files)
+    disk = open_disk(files)
     put(disk, 1)
     disk.sync()
     epoch = disk.proof.epoch
     files.remove(recover.LOG)
-    again = opened(files, START + 10.0)
-    assert again.proof.epoch == epoch + 1 and get(again, 1) is not None
+    reopened = open_disk(files, START + 10.0)
+    assert reopened.proof.epoch == epoch + 1 and get(reopened, 1) is not None
 
 
 def test_records_are_refused_until_their_epoch_is_durable() -> None:
@@ -287,7 +289,7 @@
         self.run.files.crash_at = 0
 
     @rule()
-    def cut(self) -> None:
+    def crash(self) -> None:
         """Crash between two calls."""
         self.run.crash()
         self.run.judge()
@@ -305,7 +307,7 @@
         assert not disk.proof.proven(old, self.run.model.now, self.run.model.now)
 
     @invariant()
-    def right(self) -> None:
+    def check(self) -> None:
         """Check that nothing wrong was served and nothing durable was lost."""
         assert not self.run.wrong
 
