--- a/tests/store/test_store_index.py
+++ b/tests/store/test_store_index.py
@@ -62,19 +62,19 @@
     while index.old_table:
         index.pop(12345)
     assert index.freeze() and not index.freeze()
-    slices, gone = [], set[int]()
+    slices, removed = [], set[int]()
     while piece := index.snapshot(len(slices) * 64, 64):
         slices.append(piece)
-        gone |= {part_hash for part_hash in rng.sample(part_hashes, 20) if index.pop(part_hash)}
+        removed |= {part_hash for part_hash in rng.sample(part_hashes, 20) if index.pop(part_hash)}
     index.thaw()
-    fresh = Index()
-    fresh.load(memoryview(b"".join(slices)), frozenset(range(1 << 24)))
+    loaded = Index()
+    loaded.load(memoryview(b"".join(slices)), frozenset(range(1 << 24)))
     for part_hash in part_hashes:
-        if part_hash not in gone:
-            assert fresh.get(part_hash) == index.get(part_hash) == part_hash >> 10 | 1
+        if part_hash not in removed:
+            assert loaded.get(part_hash) == index.get(part_hash) == part_hash >> 10 | 1
         else:
             assert not index.get(part_hash)
-    assert len(index) == len(part_hashes) - len(gone)
+    assert len(index) == len(part_hashes) - len(removed)
 
 
 def test_memory_stays_within_its_limit_and_no_change_moves_many_slots() -> None:
