--- a/tests/store/test_store_live.py
+++ b/tests/store/test_store_live.py
@@ -17,7 +17,7 @@
 from standins.truth import now_ms
 
 
-def played(script: Callable[[Rig], Awaitable[None]], **disk: float) -> Rig:
+def play_script(script: Callable[[Rig], Awaitable[None]], **disk: float) -> Rig:
     """Run a script on a rig with both tiers, and check that clients saw nothing wrong."""
 
     async def run() -> Rig:
@@ -94,7 +94,7 @@
         figures = await rig.figures()
         assert figures["store.hits.disk"] == 39 and sum(server.pulls for server in rig.caches) == pulls
 
-    played(script)
+    play_script(script)
 
 
 def test_after_a_long_absence_copies_are_confirmed_and_purged_ones_are_not_served() -> None:
@@ -114,7 +114,7 @@
         assert figures["store.confirmed"] == 18 == sum(server.kept for server in rig.caches) - kept
         assert figures["store.refuted"] == 2 and figures["store.hits.disk"] == 0
 
-    played(script)
+    play_script(script)
 
 
 def test_a_new_version_takes_the_folder_over_when_the_old_one_releases_it() -> None:
@@ -135,7 +135,7 @@
         assert (await rig.figures())["store.hits.disk"] == 30
         assert await asyncio.wait_for(old.wait(), 10.0) == 0
 
-    played(script)
+    play_script(script)
 
 
 def test_logs_as_json_have_bound_fields() -> None:
@@ -149,7 +149,7 @@
         line = json.loads(await rig.expect('"side":"client"'))
         assert line["node"] == "n0" and line["code"] == "eof" and line["level"] == "INFO"
 
-    played(script)
+    play_script(script)
 
 
 def test_the_platforms_gateway_does_not_import_the_store() -> None:
@@ -167,14 +167,14 @@
 def test_serve_refuses_a_bad_file_and_a_share_for_an_unknown_class(tmp_path: Path) -> None:
     file = tmp_path / "gateway.hcl"
     env = {"BALANCER_CONFIG": str(ROOT / "examples" / "config.json")}
-    for text, told in (
+    for text, message in (
         ("stor { }", "did you mean 'store'?"),
         ('store {\n share "nope" { }\n}', "'nope', which is no"),
     ):
         file.write_text(text)
         command = [sys.executable, "-m", "hitchtiller.cli", "serve", "--file", str(file)]
         done = subprocess.run(command, capture_output=True, text=True, cwd=ROOT, env=env)
-        assert done.returncode == 2 and told in done.stderr
+        assert done.returncode == 2 and message in done.stderr
 
 
 def test_the_demo_serves_and_shows_how_each_request_was_answered() -> None:
@@ -230,7 +230,7 @@
         figures = await rig.figures()
         assert figures["store.hits.memory"] == 10 and "store.disk.puts" in figures
 
-    played(script)
+    play_script(script)
 
 
 def test_the_platforms_gateway_refuses_unknown_options() -> None:
