--- a/tests/store/test_store_tier.py
+++ b/tests/store/test_store_tier.py
@@ -123,8 +123,8 @@
 
 
 def test_concurrent_requests_share_one_attempt(tiers: Tiers) -> None:
-    for have in ("", "", "t1"):
-        tiers.ask(client_tag=have)
+    for tag in ("", "", "t1"):
+        tiers.ask(client_tag=tag)
     assert len(tiers.back.sent) == 1
     tiers.serve(tiers.sent()[0])
     assert [tiers.answers[n].body for n in (1, 2)] == [b"x" * 100] * 2
@@ -141,16 +141,16 @@
 
 
 def test_a_waiter_takes_over_when_the_leaders_time_is_over(tiers: Tiers) -> None:
-    tiers.ask(life=200.0)
-    tiers.ask(life=2_000.0)
+    tiers.ask(lifetime_ms=200.0)
+    tiers.ask(lifetime_ms=2_000.0)
     tiers.wait(201.0)
     assert kinds(tiers)[1] in (REFUSED, FAILED) and 2 not in tiers.answers
     assert tiers.sent()[0].exchange.number == 2
 
 
 def test_a_waiter_that_waits_too_long_sends_its_own_attempt(tiers: Tiers) -> None:
-    tiers.ask(life=2_900.0)
-    tiers.ask(life=100.0)
+    tiers.ask(lifetime_ms=2_900.0)
+    tiers.ask(lifetime_ms=100.0)
     tiers.wait(41.0)
     assert {attempt.exchange.number for attempt in tiers.sent()} == {1, 2}
     tiers.serve(tiers.sent()[1])
@@ -204,7 +204,7 @@
 
 
 def test_nothing_is_stored_before_the_bus_is_caught_up_with() -> None:
-    tiers = Tiers(heard=False)
+    tiers = Tiers(caught_up=False)
     tiers.fetch()
     assert not tiers.tier.memory.copies
 
@@ -212,7 +212,7 @@
 # Suspects
 
 
-def suspected(tiers: Tiers) -> float:
+def make_suspect(tiers: Tiers) -> float:
     """Store a copy and make it suspect by a step of the clock; return when the gap ended."""
     tiers.fetch()
     tiers.step(5_000.0)
@@ -220,7 +220,7 @@
 
 
 def test_a_step_of_the_clock_makes_a_copy_suspect_and_a_confirmation_proves_it(tiers: Tiers) -> None:
-    gap = suspected(tiers)
+    gap = make_suspect(tiers)
     exchange = tiers.ask()
     (attempt,) = tiers.sent()
     assert exchange.confirm_tag == "t1"
@@ -234,7 +234,7 @@
 
 
 def test_the_pull_command_carries_the_tag_and_the_age_limit(tiers: Tiers) -> None:
-    suspected(tiers)
+    make_suspect(tiers)
     tiers.ask()
     (attempt,) = tiers.sent()
     command = PullJob(attempt).command()
@@ -243,19 +243,19 @@
 
 @pytest.mark.parametrize("tag, age", [("t2", 5.0), ("t1", -5.0)])
 def test_a_keep_answer_that_confirms_nothing_fails_the_attempt(tiers: Tiers, tag: str, age: float) -> None:
-    gap = suspected(tiers)
+    gap = make_suspect(tiers)
     tiers.ask()
     (attempt,) = tiers.sent()
     tiers.keep(attempt, tag, gap + age)
     assert 2 not in tiers.answers and tiers.tier.refuted == 1 and not tiers.tier.memory.copies
-    (again,) = tiers.sent()
-    assert not again.exchange.confirm_tag
-    tiers.serve(again, b"new", "t3")
+    (retry,) = tiers.sent()
+    assert not retry.exchange.confirm_tag
+    tiers.serve(retry, b"new", "t3")
     assert tiers.answers[2].body == b"new"
 
 
 def test_a_different_body_refutes_a_suspect(tiers: Tiers) -> None:
-    suspected(tiers)
+    make_suspect(tiers)
     tiers.ask()
     tiers.serve(tiers.sent()[0], b"new", "t2")
     tiers.ask()
@@ -263,7 +263,7 @@
 
 
 def test_a_clients_tag_is_not_replaced_and_its_keep_answer_confirms_the_own_copy(tiers: Tiers) -> None:
-    gap = suspected(tiers)
+    gap = make_suspect(tiers)
     exchange = tiers.ask(client_tag="t1")
     assert not exchange.confirm_tag
     tiers.keep(tiers.sent()[0], "t1", gap + 1.0)
@@ -285,14 +285,14 @@
     assert tiers.tier.hits["memory"] == 1 and len(recover.load(files).index) == 1
     tiers.wait(1000.0)
     tiers.tier.on_caught_up()
-    again = Tiers(heard=False)
-    again.clock.now = tiers.clock.now + 100.0
-    again.tier.on_caught_up()
-    again.disk(files)
-    again.ask(1)
-    assert again.answers[1].body == b"x" * 100 and again.tier.hits["disk"] == 1
-    again.ask(1)
-    assert again.tier.hits["memory"] == 1
+    restarted = Tiers(caught_up=False)
+    restarted.clock.now = tiers.clock.now + 100.0
+    restarted.tier.on_caught_up()
+    restarted.disk(files)
+    restarted.ask(1)
+    assert restarted.answers[1].body == b"x" * 100 and restarted.tier.hits["disk"] == 1
+    restarted.ask(1)
+    assert restarted.tier.hits["memory"] == 1
 
 
 def test_after_a_gap_a_part_on_disk_is_confirmed_and_a_received_purge_still_applies() -> None:
@@ -305,13 +305,13 @@
     assert len(disk.index) == 2
     tiers.wait(5.0)
     tiers.purge(2)
-    again = Tiers(heard=False)
-    again.clock.now = START + 3_600_000.0
-    again.tier.on_caught_up()
-    again.disk(files)
-    exchange = again.ask(1)
-    assert exchange.confirm_tag == "t1" and again.proof.epoch > 1
-    other = again.ask(2)
+    restarted = Tiers(caught_up=False)
+    restarted.clock.now = START + 3_600_000.0
+    restarted.tier.on_caught_up()
+    restarted.disk(files)
+    exchange = restarted.ask(1)
+    assert exchange.confirm_tag == "t1" and restarted.proof.epoch > 1
+    other = restarted.ask(2)
     assert not other.confirm_tag, "no server is asked to confirm a purged copy"
 
 
@@ -325,12 +325,12 @@
 def test_an_unreadable_part_and_its_waiters_are_served_by_the_caches() -> None:
     files, tiers = SimFiles(), Tiers()
     found = recover.load(files)
-    held: list[object] = []
+    pending_reads: list[object] = []
 
     class Slow(InlineJobs):
         def submit(self, lane, run, done):  # type: ignore[no-untyped-def]
             if lane == "read":
-                held.append(done)
+                pending_reads.append(done)
                 return True
             return super().submit(lane, run, done)
 
@@ -344,8 +344,8 @@
     before = len(tiers.back.sent)
     for _ in range(3):
         tiers.ask(1)
-    assert len(held) == 1 and len(tiers.back.sent) == before
-    held[0](None, OSError(5, "planned"))  # type: ignore[operator]
+    assert len(pending_reads) == 1 and len(tiers.back.sent) == before
+    pending_reads[0](None, OSError(5, "planned"))  # type: ignore[operator]
     assert len(tiers.sent()) == 1
     tiers.serve(tiers.sent()[0])
     assert [kinds(tiers)[n] for n in (3, 4, 5)] == [SERVED] * 3
--- a/tests/store/tiers.py
+++ b/tests/store/tiers.py
@@ -32,7 +32,7 @@
     """One gateway's engine and tiers; time passes only when the test moves it."""
 
     def __init__(
-        self, memory: int = 1_000_000, link: float = 0.0, heard: bool = True, **changes: Any
+        self, memory: int = 1_000_000, link: float = 0.0, caught_up: bool = True, **changes: Any
     ) -> None:
         self.clock, self.back = Later(), Back()
         self.clock.now = START
@@ -40,33 +40,39 @@
         self.engine = Engine(Router(settings, 7), self.clock, self.back, lambda peer, note: None)
         members = tuple(ListedServer(m, ("127.0.0.1", 1)) for m in FLEET)
         self.engine.news(Topology(members, whole=True))
-        self.drift = 0.0  # of the monotonic clock against the wall clock
+        self.monotonic_drift_ms = 0.0  # of the monotonic clock against the wall clock
         self.proof = Proof(SavedProof(), 6000.0, 500.0)
         self.tier = Tier(
             self.engine,
             Memory(memory),
             self.proof,
             Pace(link, link),
-            monotonic_clock=lambda: self.clock.now + self.drift,
+            monotonic_clock=lambda: self.clock.now + self.monotonic_drift_ms,
         )
         self.answers: dict[int, Answer] = {}
-        self.ids = 0
-        if heard:
+        self.request_count = 0
+        if caught_up:
             self.tier.on_caught_up()
 
-    def ask(self, key: int = 42, name: str = "small", life: float = 2900.0, **more: Any) -> Exchange:
+    def ask(self, key: int = 42, name: str = "small", lifetime_ms: float = 2900.0, **more: Any) -> Exchange:
         """Send a request to the engine; its answer is stored under its number."""
-        self.ids += 1
-        ask = ClientRequest(
-            f"{self.ids:016x}", name, f"{key:016x}", key, self.clock.now + life, size_kb=50.0, **more
+        self.request_count += 1
+        request = ClientRequest(
+            f"{self.request_count:016x}",
+            name,
+            f"{key:016x}",
+            key,
+            self.clock.now + lifetime_ms,
+            size_kb=50.0,
+            **more,
         )
-        number = self.ids
+        number = self.request_count
 
         def deliver(answer: Answer) -> None:
             assert number not in self.answers, "a second answer"
             self.answers[number] = answer
 
-        return self.engine.take(ask, deliver)
+        return self.engine.take(request, deliver)
 
     def sent(self) -> list[Attempt]:
         """Return the attempts that were sent to servers and have not ended."""
@@ -76,9 +82,9 @@
         self, attempt: Attempt, body: bytes = b"x" * 100, tag: str = "t1", since: float | None = None
     ) -> None:
         """End an attempt with a body."""
-        given = int(self.clock.now if since is None else since)
+        since_ms = int(self.clock.now if since is None else since)
         attempt.written = True
-        attempt.end(AttemptResult("done", body, False, tag, since_ms=given))
+        attempt.end(AttemptResult("done", body, False, tag, since_ms=since_ms))
 
     def keep(self, attempt: Attempt, tag: str, since: float) -> None:
         """End an attempt with a KEEP answer."""
@@ -94,14 +100,14 @@
         """Deliver a purge to the engine."""
         self.engine.news(PurgeNotice(key, group, self.clock.now if at is None else at))
 
-    def wait(self, ms: float) -> None:
+    def wait(self, duration_ms: float) -> None:
         """Let time pass."""
-        self.clock.move(self.clock.now + ms)
+        self.clock.move(self.clock.now + duration_ms)
 
-    def step(self, ms: float) -> None:
+    def step(self, step_ms: float) -> None:
         """Let the wall clock step but not the monotonic clock."""
-        self.clock.now += ms
-        self.drift -= ms
+        self.clock.now += step_ms
+        self.monotonic_drift_ms -= step_ms
 
     def disk(self, files: Files | None = None, options: Options = SMALL) -> Disk:
         """Attach a disk tier with a folder."""
