--- a/hitchtiller/store/recover.py
+++ b/hitchtiller/store/recover.py
@@ -69,7 +69,7 @@
             found = _find_next_record(files, segment, offset + fmt.ALIGN, end)
             if found is None:
                 return
-            on_bad_bytes(f"{name}: no valid record in bytes {offset} to {found}")
+            on_bad_bytes(f"{name}: bytes {offset} to {found} contain no valid record")
             offset = found
             continue
         length = fmt.aligned(body_start + body_size)
