--- a/hitchtiller/store/files.py
+++ b/hitchtiller/store/files.py
@@ -67,7 +67,7 @@
         self.fds: OrderedDict[str, int] = OrderedDict()
         self.use_counts: dict[int, int] = {}
         self.retired_fds: set[int] = set()  # no longer kept open, but still in use
-        self.fds_to_close: list[int] = []  # to be closed
+        self.fds_to_close: list[int] = []
         self.lock_fd = -1
 
     def lock(self) -> bool:
