--- a/hitchtiller/store/plan.py
+++ b/hitchtiller/store/plan.py
@@ -15,7 +15,7 @@
 from hitchtiller.store.suspect import Proof
 
 UNCHANGED_COST_SHARE = 0.05  # cost of an answer without a body, as a share of the transfer of its copy
-# that a request waits for another's answer at most: a share of its time, and in all
+# longest wait for another request's answer: share of the remaining time, and in all
 MAX_JOIN_SHARE, MAX_JOIN_MS = 0.4, 1_000.0
 
 
