--- a/hitchtiller/store/disk.py
+++ b/hitchtiller/store/disk.py
@@ -270,7 +270,7 @@
                     self.forget(part_hash)
             done(None, b"")
 
-        if self.stalled():
+        if self.is_stalled():
             return False
         cached = self.files.glance(segment_name(segment_id), offset, size)
         if cached is not None:  # it is in the page cache: a thread would cost more than the read
@@ -293,7 +293,7 @@
         self.counts.glanced += cached is not None
         return True
 
-    def stalled(self) -> bool:
+    def is_stalled(self) -> bool:
         """Return whether the folder hangs: the oldest read in progress has taken too long."""
         oldest = next(iter(self.read_starts_ms.values()), None)
         return oldest is not None and self.monotonic_clock() - oldest > STALL_MS
