--- a/hitchtiller/store/health.py
+++ b/hitchtiller/store/health.py
@@ -1,6 +1,6 @@
 """The state of the disk tier: it degrades step by step and never recovers while the process runs.
 
-    WELL -> READ_ONLY (a write, truncation or fsync failed) -> OFF (reads failed in
+    HEALTHY -> READ_ONLY (a write, truncation or fsync failed) -> OFF (reads failed in
     MAX_UNREADABLE_SEGMENTS segments, or the folder is gone)
 
 After a failed fsync no later one is trusted: the kernel may have dropped the pages, and then reports the next
@@ -9,7 +9,7 @@
 
 import errno
 
-WELL, READ_ONLY, OFF = "well", "read-only", "off"
+HEALTHY, READ_ONLY, OFF = "well", "read-only", "off"
 MAX_UNREADABLE_SEGMENTS = 3  # from this number on the folder is no longer used
 FOLDER_LOST_ERRNOS = (errno.ENOENT, errno.ENOTDIR, errno.ESTALE, errno.EBADF, errno.ENODEV)
 
@@ -19,7 +19,7 @@
 
     def __init__(self) -> None:
         """Start with reads and writes allowed."""
-        self.state, self.reason = WELL, ""
+        self.state, self.reason = HEALTHY, ""
         self.unreadable_segments: set[int] = set()
         self.errors: dict[str, int] = {}
 
@@ -30,7 +30,7 @@
         return code
 
     def _degrade(self, state: str, reason: str) -> bool:
-        degradation = (WELL, READ_ONLY, OFF)
+        degradation = (HEALTHY, READ_ONLY, OFF)
         if degradation.index(state) <= degradation.index(self.state):
             return False
         self.state, self.reason = state, reason
@@ -57,7 +57,7 @@
     @property
     def writes(self) -> bool:
         """Return whether the folder may be written."""
-        return self.state == WELL
+        return self.state == HEALTHY
 
     def can_read(self, segment: int) -> bool:
         """Return whether a segment may be read."""
--- a/tests/store/test_store_decide.py
+++ b/tests/store/test_store_decide.py
@@ -6,7 +6,7 @@
 import pytest
 from tiers import START
 
-from hitchtiller.store.health import MAX_UNREADABLE_SEGMENTS, OFF, READ_ONLY, WELL, Health
+from hitchtiller.store.health import HEALTHY, MAX_UNREADABLE_SEGMENTS, OFF, READ_ONLY, Health
 from hitchtiller.store.join import Joins, NextStep
 from hitchtiller.store.pace import Pace
 from hitchtiller.store.purges import Purges
@@ -175,7 +175,9 @@
     assert health.errors == {"write-ENOSPC": 1, "write-EIO": 1, "read-EIO": MAX_UNREADABLE_SEGMENTS}
     gone = Health()
     assert (
-        gone.state == WELL and gone.on_write_error(OSError(errno.ENOENT, "no folder")) and gone.state == OFF
+        gone.state == HEALTHY
+        and gone.on_write_error(OSError(errno.ENOENT, "no folder"))
+        and gone.state == OFF
     )
 
 
