--- a/hitchtiller/store/admission.py
+++ b/hitchtiller/store/admission.py
@@ -390,8 +390,8 @@
 
     def offer(self, owner: str, key: int, size: int) -> list[int]:
         """Offer an entry within the space of its owner; return the evicted keys."""
-        before = self.owner_of.get(key)
-        if before is not None and before != owner:
+        previous_owner = self.owner_of.get(key)
+        if previous_owner is not None and previous_owner != owner:
             self.drop(key)
         evicted = self.policy(owner).offer(key, size)
         if key not in evicted:
