--- a/hitchtiller/store/files.py
+++ b/hitchtiller/store/files.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from typing import Protocol
 
-LOCK = "lock"
+LOCK_NAME = "lock"
 MAX_OPEN_FILES = 64  # descriptors kept open
 
 
@@ -76,7 +76,7 @@
         The kernel releases the lock at the end of the process.
         """
         if self.lock_fd < 0:
-            fd = os.open(LOCK, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600, dir_fd=self.folder)
+            fd = os.open(LOCK_NAME, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600, dir_fd=self.folder)
             try:
                 fcntl.flock(fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
             except OSError as error:
@@ -151,7 +151,7 @@
 
     def names(self) -> list[str]:
         """Return the names of all files."""
-        return [name for name in os.listdir(self.folder) if name != LOCK]
+        return [name for name in os.listdir(self.folder) if name != LOCK_NAME]
 
     def size(self, name: str) -> int:
         """Return the length of a file in bytes."""
