--- a/hitchtiller/store/jobs.py
+++ b/hitchtiller/store/jobs.py
@@ -63,7 +63,7 @@
             self.queues[lane] = queue.Queue(depth)
             for number in range(thread_count):
                 thread = threading.Thread(
-                    target=self._work, args=(lane,), name=f"{lane}-{number}", daemon=True
+                    target=self._run_lane, args=(lane,), name=f"{lane}-{number}", daemon=True
                 )
                 thread.start()
                 self.threads.append(thread)
@@ -78,7 +78,7 @@
         self.undelivered[lane] += 1
         return True
 
-    def _work(self, lane: str) -> None:
+    def _run_lane(self, lane: str) -> None:
         while (job := self.queues[lane].get()) is not None:
             run, done = job
             result, error = None, None
