--- a/hitchtiller/store/purges.py
+++ b/hitchtiller/store/purges.py
@@ -39,7 +39,9 @@
         """Forbid every copy from before a time, and forget the purges that this covers."""
         self.floor = max(self.floor, at_ms)
         for table in (self.objects, self.groups):
-            for key_or_group in [key_or_group for key_or_group, at in table.items() if at <= self.floor]:
+            for key_or_group in [
+                key_or_group for key_or_group, purge_ms in table.items() if purge_ms <= self.floor
+            ]:
                 del table[key_or_group]
 
     def last(self, key: int, group: int) -> float:
@@ -52,8 +54,10 @@
 
     def forget(self, oldest_ms: float) -> int:
         """Forget the purges that are older than every stored copy; return their number."""
-        before = len(self.objects) + len(self.groups)
+        count_before = len(self.objects) + len(self.groups)
         for table in (self.objects, self.groups):
-            for key_or_group in [key_or_group for key_or_group, at in table.items() if at < oldest_ms]:
+            for key_or_group in [
+                key_or_group for key_or_group, purge_ms in table.items() if purge_ms < oldest_ms
+            ]:
                 del table[key_or_group]
-        return before - len(self.objects) - len(self.groups)
+        return count_before - len(self.objects) - len(self.groups)
