--- a/hitchtiller/store/recover.py
+++ b/hitchtiller/store/recover.py
@@ -66,11 +66,11 @@
         try:
             part, body_start, body_size = fmt.read_record_head(data, segment.salt, offset)
         except (fmt.BadBytes, UnicodeDecodeError):
-            found = _find_next_record(files, segment, offset + fmt.ALIGN, end)
-            if found is None:
+            next_offset = _find_next_record(files, segment, offset + fmt.ALIGN, end)
+            if next_offset is None:
                 return
-            on_bad_bytes(f"{name}: bytes {offset} to {found} contain no valid record")
-            offset = found
+            on_bad_bytes(f"{name}: bytes {offset} to {next_offset} contain no valid record")
+            offset = next_offset
             continue
         length = fmt.aligned(body_start + body_size)
         if offset + body_start + body_size > end:
@@ -105,13 +105,13 @@
 
 def read_segments(files: Files, state: Recovered) -> dict[int, tuple[Segment, int]]:
     """Return the segments with a valid head, with the lengths of their files."""
-    found: dict[int, tuple[Segment, int]] = {}
+    segments_found: dict[int, tuple[Segment, int]] = {}
     for segment_id in file_numbers(files.names(), SEGMENT):
         try:
             head = fmt.read_segment_head(files.read(segment_name(segment_id), 0, fmt.ALIGN))
             if head.id != segment_id:
                 raise fmt.BadBytes(f"the head names segment {head.id}")
-            found[segment_id] = (
+            segments_found[segment_id] = (
                 Segment(segment_id, head.salt, sealed=True),
                 files.size(segment_name(segment_id)),
             )
@@ -120,7 +120,7 @@
             if not isinstance(error, fmt.UnsupportedVersionError):
                 state.headless_files.append(segment_name(segment_id))
         state.next_id = max(state.next_id, segment_id + 1)
-    return found
+    return segments_found
 
 
 def read_purges(files: Files, state: Recovered) -> bool:
@@ -172,7 +172,7 @@
     """
     state = Recovered()
     has_log = read_purges(files, state)
-    found = read_segments(files, state)
+    segments_found = read_segments(files, state)
     covered: dict[int, fmt.CoveredSegment] = {}
     if use_checkpoint and has_log:
         covered, slots = _read_checkpoint(files, state)
@@ -181,15 +181,15 @@
             # since has another salt.
             state.next_id = max(state.next_id, *(segment_id + 1 for segment_id in covered), 1)
             covered = {
-                segment_id: c
-                for segment_id, c in covered.items()
-                if segment_id in found and found[segment_id][0].salt == c.salt
+                segment_id: covered_segment
+                for segment_id, covered_segment in covered.items()
+                if segment_id in segments_found and segments_found[segment_id][0].salt == covered_segment.salt
             }
             kept_segments = frozenset(covered)
             state.index = Index(len(slots) // SLOT_BYTES * 3 // 4)
             state.index.load(slots, kept_segments)
     max_epoch = 0
-    for segment_id, (segment, size) in found.items():
+    for segment_id, (segment, size) in segments_found.items():
         state.segments[segment_id] = segment
         start = fmt.ALIGN
         if segment_id in covered:
