--- a/hitchtiller/store/suspect.py
+++ b/hitchtiller/store/suspect.py
@@ -49,10 +49,12 @@
         """
         self.wall_offset_ms = now_ms - monotonic_ms
         self.begun, self.begun_ms = True, now_ms
-        gap = not self.followed_ms or now_ms < self.followed_ms or now_ms - self.replay_ms > self.followed_ms
-        if gap or not self.epoch:
+        has_gap = (
+            not self.followed_ms or now_ms < self.followed_ms or now_ms - self.replay_ms > self.followed_ms
+        )
+        if has_gap or not self.epoch:
             self._raise_epoch(now_ms)
-        return gap or self.epoch == 1
+        return has_gap or self.epoch == 1
 
     def adopt(self, saved: SavedProof, now_ms: float) -> bool:
         """Take over the saved state of a folder that was opened after the bus had been caught up with.
@@ -63,7 +65,7 @@
         """
         if saved == SavedProof():  # nothing was ever stored there, so nothing is in doubt
             return True
-        gap = (
+        has_gap = (
             not saved.followed_ms
             or saved.followed_ms > now_ms
             or saved.followed_ms < self.begun_ms - self.replay_ms
@@ -71,9 +73,9 @@
         self.epoch = max(self.epoch, saved.epoch)
         self.gap_end_ms = max(self.gap_end_ms if self.epoch > saved.epoch else 0.0, saved.gap_end_ms)
         self.followed_ms = (
-            max(self.followed_ms, saved.followed_ms) if self.begun and not gap else saved.followed_ms
+            max(self.followed_ms, saved.followed_ms) if self.begun and not has_gap else saved.followed_ms
         )
-        if self.begun and gap:
+        if self.begun and has_gap:
             self._raise_epoch(now_ms)
         return self.epoch != saved.epoch
 
