--- a/hitchtiller/store/admission.py
+++ b/hitchtiller/store/admission.py
@@ -1,9 +1,9 @@
-"""What is kept and what makes room, by bytes: S3-FIFO and W-TinyLFU, beside LRU, LFU and FIFO as yardsticks.
+"""Admission and eviction by bytes: S3-FIFO and W-TinyLFU, with LRU, LFU and FIFO for comparison.
 
-All of them decide without I/O: `hit` notes a request for what is kept, `offer` asks for room and gives what
-has to go (the offered key itself where it is not let in). Costs are constant on average for each call; LFU's
-heap costs a logarithm. The choice between them was made by `hitchtiller store replay`; docs/second-tier.md
-has the table.
+All policies decide without I/O: `hit` records a request for a stored entry; `offer` asks for space and
+returns the keys to evict, which include the offered key if it is not admitted. The amortised cost of a call
+is constant; the heap of LFU makes it logarithmic. docs/second-tier.md has the table of `hitchtiller store
+replay` on which the choice between the policies rests.
 """
 
 import heapq
@@ -15,92 +15,93 @@
 
 
 class Policy(Protocol):
-    """What a bounded set of sized entries asks of a policy; keys are fingerprints."""
+    """Interface of an admission and eviction policy for entries of different sizes; keys are hashes."""
 
     @property
     def used(self) -> int:
-        """Give the bytes kept."""
+        """Return the size of all stored entries in bytes."""
 
     def hit(self, key: int) -> None:
-        """Note a request for an entry that is kept."""
+        """Record a request for a stored entry."""
 
     def miss(self, key: int) -> None:
-        """Note a request for one that is not."""
+        """Record a request for an entry that is not stored."""
 
     def offer(self, key: int, size: int) -> list[int]:
-        """Let an entry in; gives the keys that go for it, its own if it is turned away."""
+        """Offer an entry; return the evicted keys, which include its own if it is not admitted."""
 
     def drop(self, key: int) -> None:
-        """Forget an entry that went for another reason."""
+        """Remove an entry for a reason other than eviction."""
 
-    def trim(self, room: int) -> list[int]:
-        """Live with other room from now on; gives what goes for it."""
+    def resize(self, max_bytes: int) -> list[int]:
+        """Change the limit; return the keys that were evicted to meet it."""
 
     def __contains__(self, key: int) -> bool:
-        """Tell whether it is kept."""
+        """Return whether an entry is stored."""
 
 
 class Lru:
-    """Drops what was asked for longest ago."""
+    """Least recently used: evicts the entry whose last request is longest ago."""
 
-    def __init__(self, room: int) -> None:
-        """Keep `room` bytes."""
-        self.room, self.used = room, 0
+    def __init__(self, max_bytes: int) -> None:
+        """Store at most `max_bytes`."""
+        self.max_bytes, self.used = max_bytes, 0
         self.sizes: OrderedDict[int, int] = OrderedDict()
 
     def hit(self, key: int) -> None:
-        """Move it to the young end."""
+        """Move the entry to the recently used end."""
         self.sizes.move_to_end(key)
 
     def miss(self, key: int) -> None:
-        """Nothing to learn."""
+        """Do nothing: requests for entries that are not stored have no effect."""
 
     def offer(self, key: int, size: int) -> list[int]:
-        """Let everything in that fits at all."""
-        if size > self.room:
+        """Admit every entry that is not larger than the limit."""
+        if size > self.max_bytes:
             return [key]
         self.drop(key)
-        gone = []
-        while self.used + size > self.room:
-            old, its = self.sizes.popitem(last=False)
-            self.used -= its
-            gone.append(old)
+        evicted = []
+        while self.used + size > self.max_bytes:
+            old_key, old_size = self.sizes.popitem(last=False)
+            self.used -= old_size
+            evicted.append(old_key)
         self.sizes[key] = size
         self.used += size
-        return gone
+        return evicted
 
-    def trim(self, room: int) -> list[int]:
-        """Live with other room."""
-        self.room, gone = room, list[int]()
-        while self.used > room:
-            old, its = self.sizes.popitem(last=False)
-            self.used -= its
-            gone.append(old)
-        return gone
+    def resize(self, max_bytes: int) -> list[int]:
+        """Change the limit and evict down to it."""
+        self.max_bytes, evicted = max_bytes, list[int]()
+        while self.used > max_bytes:
+            old_key, old_size = self.sizes.popitem(last=False)
+            self.used -= old_size
+            evicted.append(old_key)
+        return evicted
 
     def drop(self, key: int) -> None:
-        """Forget one."""
+        """Remove an entry."""
         self.used -= self.sizes.pop(key, 0)
 
     def __contains__(self, key: int) -> bool:
-        """Tell whether it is kept."""
+        """Return whether an entry is stored."""
         return key in self.sizes
 
 
 class Fifo(Lru):
-    """Drops what came first: no admission and no memory of use."""
+    """First in, first out: no admission control, and requests for stored entries have no effect."""
 
     def hit(self, key: int) -> None:
-        """Change nothing."""
+        """Do nothing: a request does not change the order."""
 
 
 class Lfu:
-    """Drops what was asked for least since it came; old favourites stay for ever."""
+    """Least frequently used: counts are never reduced, so once popular entries stay for ever."""
 
-    def __init__(self, room: int) -> None:
-        """Keep `room` bytes."""
-        self.room, self.used, self.clock = room, 0, 0
-        self.entries: dict[int, tuple[int, int, int]] = {}  # size, uses, time of the last
+    def __init__(self, max_bytes: int) -> None:
+        """Store at most `max_bytes`."""
+        self.max_bytes, self.used, self.sequence = max_bytes, 0, 0
+        # size, number of uses, sequence number of the last use
+        self.entries: dict[int, tuple[int, int, int]] = {}
         self.heap: list[tuple[int, int, int]] = []
 
     def hit(self, key: int) -> None:
@@ -109,101 +110,102 @@
         self._set(key, size, uses + 1)
 
     def _set(self, key: int, size: int, uses: int) -> None:
-        self.clock += 1
-        self.entries[key] = (size, uses, self.clock)
-        heapq.heappush(self.heap, (uses, self.clock, key))
+        self.sequence += 1
+        self.entries[key] = (size, uses, self.sequence)
+        heapq.heappush(self.heap, (uses, self.sequence, key))
 
     def miss(self, key: int) -> None:
-        """Nothing to learn."""
+        """Do nothing: requests for entries that are not stored have no effect."""
 
     def offer(self, key: int, size: int) -> list[int]:
-        """Let everything in that fits at all."""
-        if size > self.room:
+        """Admit every entry that is not larger than the limit."""
+        if size > self.max_bytes:
             return [key]
         self.drop(key)
-        gone = []
-        while self.used + size > self.room:
-            uses, clock, old = heapq.heappop(self.heap)
-            if self.entries.get(old, (0, 0, 0))[1:] == (uses, clock):
-                self.drop(old)
-                gone.append(old)
+        evicted = []
+        while self.used + size > self.max_bytes:
+            uses, sequence, old_key = heapq.heappop(self.heap)
+            if self.entries.get(old_key, (0, 0, 0))[1:] == (uses, sequence):
+                self.drop(old_key)
+                evicted.append(old_key)
         self._set(key, size, 1)
         self.used += size
-        return gone
-
-    def trim(self, room: int) -> list[int]:
-        """Live with other room."""
-        self.room, gone = room, list[int]()
-        while self.used > room:
-            uses, clock, old = heapq.heappop(self.heap)
-            if self.entries.get(old, (0, 0, 0))[1:] == (uses, clock):
-                self.drop(old)
-                gone.append(old)
-        return gone
+        return evicted
+
+    def resize(self, max_bytes: int) -> list[int]:
+        """Change the limit and evict down to it."""
+        self.max_bytes, evicted = max_bytes, list[int]()
+        while self.used > max_bytes:
+            uses, sequence, old_key = heapq.heappop(self.heap)
+            if self.entries.get(old_key, (0, 0, 0))[1:] == (uses, sequence):
+                self.drop(old_key)
+                evicted.append(old_key)
+        return evicted
 
     def drop(self, key: int) -> None:
-        """Forget one."""
+        """Remove an entry."""
         self.used -= self.entries.pop(key, (0, 0, 0))[0]
 
     def __contains__(self, key: int) -> bool:
-        """Tell whether it is kept."""
+        """Return whether an entry is stored."""
         return key in self.entries
 
 
 class S3Fifo:
-    """A small queue on trial, a main queue for what was asked for again, and ghosts of what failed the trial.
+    """S3-FIFO: a small queue for new entries, a main queue for reused ones, and a ghost queue.
 
-    One-offs cross the small queue only, a tenth of the room, and push out nothing of the main one. Yang et
-    al., 2023.
+    New entries enter the small queue, a tenth of the space; those that are requested again move to the main
+    queue. The ghost queue remembers the keys of those that were not. Entries requested only once therefore
+    evict nothing from the main queue. See Yang et al., 2023.
     """
 
-    SMALL, MOST = 0.1, 3  # share of the room on trial; uses that are counted
+    SMALL_SHARE, MAX_USES = 0.1, 3  # of the space, for the small queue; uses counted per entry
 
-    def __init__(self, room: int) -> None:
-        """Keep `room` bytes; ghosts cover as many bytes as are kept, 8 + dict overhead each."""
-        self.room, self.used, self.trial = room, 0, 0
+    def __init__(self, max_bytes: int) -> None:
+        """Store at most `max_bytes`; ghosts for as many bytes again cost 8 bytes plus dict overhead each."""
+        self.max_bytes, self.used, self.small_bytes = max_bytes, 0, 0
         self.small: OrderedDict[int, int] = OrderedDict()
         self.main: OrderedDict[int, int] = OrderedDict()
         self.ghosts: OrderedDict[int, int] = OrderedDict()
-        self.ghostly = 0
+        self.ghost_bytes = 0
         self.uses: dict[int, int] = {}
 
     def hit(self, key: int) -> None:
-        """Count a use; nothing moves until room is needed."""
-        self.uses[key] = min(self.MOST, self.uses.get(key, 0) + 1)
+        """Count a use; entries move between the queues only when space is needed."""
+        self.uses[key] = min(self.MAX_USES, self.uses.get(key, 0) + 1)
 
     def miss(self, key: int) -> None:
-        """Nothing to learn: ghosts are looked at on offers."""
+        """Do nothing: the ghost queue is consulted when an entry is offered."""
 
     def offer(self, key: int, size: int) -> list[int]:
-        """Let it in on trial, or to the main queue if its ghost is remembered."""
-        if size > self.room:
+        """Admit an entry to the small queue, or to the main queue if its ghost is remembered."""
+        if size > self.max_bytes:
             return [key]
         self.drop(key)
-        gone: list[int] = []
-        known = self.ghosts.pop(key, None)
-        if known is not None:
-            self.ghostly -= known
-        while self.used + size > self.room:
-            self._evict(gone)
-        queue = self.small if known is None else self.main
+        evicted: list[int] = []
+        ghost_size = self.ghosts.pop(key, None)
+        if ghost_size is not None:
+            self.ghost_bytes -= ghost_size
+        while self.used + size > self.max_bytes:
+            self._evict(evicted)
+        queue = self.small if ghost_size is None else self.main
         queue[key] = size
-        self.trial += size if known is None else 0
+        self.small_bytes += size if ghost_size is None else 0
         self.used += size
         self.uses[key] = 0
-        return gone
+        return evicted
 
-    def _evict(self, gone: list[int]) -> None:
-        if self.small and (self.trial > self.room * self.SMALL or not self.main):
+    def _evict(self, evicted: list[int]) -> None:
+        if self.small and (self.small_bytes > self.max_bytes * self.SMALL_SHARE or not self.main):
             key, size = self.small.popitem(last=False)
-            self.trial -= size
+            self.small_bytes -= size
             if self.uses[key] > 0:
                 self.main[key], self.uses[key] = size, 0
                 return
             self.ghosts[key] = size
-            self.ghostly += size
-            while self.ghostly > self.room:
-                self.ghostly -= self.ghosts.popitem(last=False)[1]
+            self.ghost_bytes += size
+            while self.ghost_bytes > self.max_bytes:
+                self.ghost_bytes -= self.ghosts.popitem(last=False)[1]
         else:
             key, size = self.main.popitem(last=False)
             if self.uses[key] > 0:
@@ -212,20 +214,20 @@
                 return
         self.used -= size
         del self.uses[key]
-        gone.append(key)
+        evicted.append(key)
 
-    def trim(self, room: int) -> list[int]:
-        """Live with other room."""
-        self.room, gone = room, list[int]()
-        while self.used > room:
-            self._evict(gone)
-        return gone
+    def resize(self, max_bytes: int) -> list[int]:
+        """Change the limit and evict down to it."""
+        self.max_bytes, evicted = max_bytes, list[int]()
+        while self.used > max_bytes:
+            self._evict(evicted)
+        return evicted
 
     def drop(self, key: int) -> None:
-        """Forget one."""
+        """Remove an entry."""
         if key in self.small:
             size = self.small.pop(key)
-            self.trial -= size
+            self.small_bytes -= size
         elif key in self.main:
             size = self.main.pop(key)
         else:
@@ -234,180 +236,185 @@
         del self.uses[key]
 
     def __contains__(self, key: int) -> bool:
-        """Tell whether it is kept."""
+        """Return whether an entry is stored."""
         return key in self.uses
 
 
 class TinyLfu:
-    """A small window for what is new; the main part lets in only what is asked for more than what would go.
+    """W-TinyLFU: a small window for new entries, and a main part that admits by request frequency.
 
-    Main is a segmented LRU (trial and protected). An entry that is larger than its victim must be wanted more
-    than all of the victims together, so that a large one can't push out many small ones for one request.
-    Einziger et al., 2017.
+    The main part is a segmented LRU (probation and protected). An entry that leaves the window is admitted
+    only if it was requested more often than all entries it would evict together, so that a large entry can't
+    evict many small ones because of one request. See Einziger et al., 2017.
     """
 
-    WINDOW, PROTECTED = 0.05, 0.8
+    WINDOW_SHARE, PROTECTED_SHARE = 0.05, 0.8  # of the space; of the main part
 
-    def __init__(self, room: int, sketch: Sketch | None = None) -> None:
-        """Keep `room` bytes; the sketch may be shared with others."""
-        self.room = room
-        self.sketch = sketch or Sketch(max(1 << 12, room >> 14))
-        self.window, self.trial, self.kept = (Lru(room) for _ in range(3))
+    def __init__(self, max_bytes: int, sketch: Sketch | None = None) -> None:
+        """Store at most `max_bytes`; the sketch may be shared with other policies."""
+        self.max_bytes = max_bytes
+        self.sketch = sketch or Sketch(max(1 << 12, max_bytes >> 14))
+        self.window, self.probation, self.protected = (Lru(max_bytes) for _ in range(3))
 
     @property
     def used(self) -> int:
-        """Give the bytes kept."""
-        return self.window.used + self.trial.used + self.kept.used
+        """Return the size of all stored entries in bytes."""
+        return self.window.used + self.probation.used + self.protected.used
 
     def hit(self, key: int) -> None:
-        """Count it; what is used again on trial becomes protected."""
+        """Count a use; an entry in probation that is used again becomes protected."""
         self.sketch.add(key)
-        for part in (self.window, self.kept):
-            if key in part:
-                part.hit(key)
+        for segment in (self.window, self.protected):
+            if key in segment:
+                segment.hit(key)
                 return
-        size = self.trial.sizes[key]
-        self.trial.drop(key)
-        self.kept.sizes[key] = size
-        self.kept.used += size
-        while self.kept.used > self.PROTECTED * (self.room - self.window.used):
-            old, its = self.kept.sizes.popitem(last=False)
-            self.kept.used -= its
-            self.trial.sizes[old] = its
-            self.trial.used += its
-            if old == key:
+        size = self.probation.sizes[key]
+        self.probation.drop(key)
+        self.protected.sizes[key] = size
+        self.protected.used += size
+        while self.protected.used > self.PROTECTED_SHARE * (self.max_bytes - self.window.used):
+            old_key, old_size = self.protected.sizes.popitem(last=False)
+            self.protected.used -= old_size
+            self.probation.sizes[old_key] = old_size
+            self.probation.used += old_size
+            if old_key == key:
                 break
 
     def miss(self, key: int) -> None:
-        """Count it."""
+        """Count a request."""
         self.sketch.add(key)
 
     def offer(self, key: int, size: int) -> list[int]:
-        """Let it into the window; what leaves the window must be worth more than what makes room for it."""
-        if size > self.room:
+        """Admit an entry to the window; entries that leave the window compete with those they would evict."""
+        if size > self.max_bytes:
             return [key]
         self.drop(key)
-        gone: list[int] = []
+        evicted: list[int] = []
         self.window.sizes[key] = size
         self.window.used += size
-        while self.window.used > self.WINDOW * self.room and self.window.sizes:
-            candidate, its = self.window.sizes.popitem(last=False)
-            self.window.used -= its
-            gone += self._enter(candidate, its)
-        return gone
-
-    def _enter(self, key: int, size: int) -> list[int]:
-        need = self.trial.used + self.kept.used + size - int((1.0 - self.WINDOW) * self.room)
+        while self.window.used > self.WINDOW_SHARE * self.max_bytes and self.window.sizes:
+            candidate, candidate_size = self.window.sizes.popitem(last=False)
+            self.window.used -= candidate_size
+            evicted += self._admit_to_main(candidate, candidate_size)
+        return evicted
+
+    def _admit_to_main(self, key: int, size: int) -> list[int]:
+        bytes_to_free = (
+            self.probation.used + self.protected.used + size - int((1.0 - self.WINDOW_SHARE) * self.max_bytes)
+        )
         victims: list[int] = []
-        wanted, cost = self.sketch.count(key), 0
-        for part in (self.trial, self.kept):
-            for old, its in part.sizes.items():
-                if need <= 0:
+        requests, victim_requests = self.sketch.count(key), 0
+        for segment in (self.probation, self.protected):
+            for old_key, old_size in segment.sizes.items():
+                if bytes_to_free <= 0:
                     break
-                victims.append(old)
-                need -= its
-                cost += self.sketch.count(old)
-                if cost >= wanted:
+                victims.append(old_key)
+                bytes_to_free -= old_size
+                victim_requests += self.sketch.count(old_key)
+                if victim_requests >= requests:
                     return [key]
-        if need > 0:
+        if bytes_to_free > 0:
             return [key]
-        for old in victims:
-            self.trial.drop(old)
-            self.kept.drop(old)
-        self.trial.sizes[key] = size
-        self.trial.used += size
+        for old_key in victims:
+            self.probation.drop(old_key)
+            self.protected.drop(old_key)
+        self.probation.sizes[key] = size
+        self.probation.used += size
         return victims
 
-    def trim(self, room: int) -> list[int]:
-        """Live with other room: trial goes first, the window last."""
-        self.room, gone = room, list[int]()
-        for part in (self.trial, self.kept, self.window):
-            gone += part.trim(max(0, part.used - max(0, self.used - room)))
-        return gone
+    def resize(self, max_bytes: int) -> list[int]:
+        """Change the limit and evict down to it: first from probation, last from the window."""
+        self.max_bytes, evicted = max_bytes, list[int]()
+        for segment in (self.probation, self.protected, self.window):
+            evicted += segment.resize(max(0, segment.used - max(0, self.used - max_bytes)))
+        return evicted
 
     def drop(self, key: int) -> None:
-        """Forget one."""
-        for part in (self.window, self.trial, self.kept):
-            part.drop(key)
+        """Remove an entry."""
+        for segment in (self.window, self.probation, self.protected):
+            segment.drop(key)
 
     def __contains__(self, key: int) -> bool:
-        """Tell whether it is kept."""
-        return key in self.window or key in self.trial or key in self.kept
+        """Return whether an entry is stored."""
+        return key in self.window or key in self.probation or key in self.protected
 
 
 class Shares:
-    """Gives each owner (a class, or a class at a station) room of its own, so that none can empty another's.
+    """Divides the space between owners (a class, or a class at a station), each with a policy of its own.
 
-    `room` is divided by weight among the owners that have asked for anything so far. Bound: one policy an
-    owner; the number of owners is that of classes times stations.
+    No owner can evict another's entries. The space is divided by weight among the owners that have made
+    requests so far. There is one policy per owner, and the number of owners is that of classes times
+    stations.
     """
 
-    def __init__(self, room: int, weights: dict[str, float], make: Callable[[int], Policy]) -> None:
-        """Divide `room` bytes by weight; an owner without a weight has 1."""
-        self.room, self.weights, self.make = room, weights, make
+    def __init__(
+        self, max_bytes: int, weights: dict[str, float], make_policy: Callable[[int], Policy]
+    ) -> None:
+        """Divide `max_bytes` by weight; an owner without a weight has weight 1."""
+        self.max_bytes, self.weights, self.make_policy = max_bytes, weights, make_policy
         self.owners: dict[str, Policy] = {}
-        self.of: dict[int, str] = {}
-        self.gone: list[int] = []
+        self.owner_of: dict[int, str] = {}
+        self.evicted: list[int] = []
 
     @property
     def used(self) -> int:
-        """Give the bytes kept for all owners."""
+        """Return the size of the stored entries of all owners in bytes."""
         return sum(policy.used for policy in self.owners.values())
 
     def policy(self, owner: str) -> Policy:
-        """Give an owner's policy.
+        """Return the policy of an owner.
 
-        A new owner makes the others' room smaller at once, which happens once an owner.
+        The first request of an owner creates its policy, which reduces the space of the other owners at once.
         """
         if owner not in self.owners:
-            self.owners[owner] = self.make(self.room)
+            self.owners[owner] = self.make_policy(self.max_bytes)
             total = sum(self.weights.get(name, 1.0) for name in self.owners) or 1.0
             for name, policy in self.owners.items():
-                self.gone += policy.trim(int(self.room * self.weights.get(name, 1.0) / total))
-            for old in self.gone:
-                self.of.pop(old, None)
+                self.evicted += policy.resize(int(self.max_bytes * self.weights.get(name, 1.0) / total))
+            for old_key in self.evicted:
+                self.owner_of.pop(old_key, None)
         return self.owners[owner]
 
-    def trimmed(self) -> list[int]:
-        """Give, once, what had to go because the room was divided anew."""
-        gone, self.gone = self.gone, []
-        return gone
+    def take_evicted(self) -> list[int]:
+        """Return the keys evicted by dividing the space anew since the last call."""
+        evicted, self.evicted = self.evicted, []
+        return evicted
 
     def hit(self, key: int) -> None:
-        """Note a request for what is kept."""
-        self.owners[self.of[key]].hit(key)
+        """Record a request for a stored entry."""
+        self.owners[self.owner_of[key]].hit(key)
 
     def miss(self, owner: str, key: int) -> None:
-        """Note a request for what is not."""
+        """Record a request for an entry that is not stored."""
         self.policy(owner).miss(key)
 
     def offer(self, owner: str, key: int, size: int) -> list[int]:
-        """Let an entry in at its owner's cost."""
-        before = self.of.get(key)
-        if before is not None and before != owner:
+        """Offer an entry within the space of its owner; return the evicted keys."""
+        previous_owner = self.owner_of.get(key)
+        if previous_owner is not None and previous_owner != owner:
             self.drop(key)
-        gone = self.policy(owner).offer(key, size)
-        if key not in gone:
-            self.of[key] = owner
-        for old in gone:
-            self.of.pop(old, None)
-        return gone
+        evicted = self.policy(owner).offer(key, size)
+        if key not in evicted:
+            self.owner_of[key] = owner
+        for old_key in evicted:
+            self.owner_of.pop(old_key, None)
+        return evicted
 
     def drop(self, key: int) -> None:
-        """Forget an entry."""
-        if owner := self.of.pop(key, None):
+        """Remove an entry."""
+        if owner := self.owner_of.pop(key, None):
             self.owners[owner].drop(key)
 
     def __contains__(self, key: int) -> bool:
-        """Tell whether it is kept."""
-        return key in self.of
+        """Return whether an entry is stored."""
+        return key in self.owner_of
 
 
-def tiny_lfu(room: int) -> Policy:
-    """Make one with a sketch of its own."""
-    return TinyLfu(room)
+def make_tiny_lfu(max_bytes: int) -> Policy:
+    """Create a W-TinyLFU policy with a sketch of its own."""
+    return TinyLfu(max_bytes)
 
 
 POLICIES: dict[str, Callable[[int], Policy]] = {
-    "tinylfu": tiny_lfu, "s3fifo": S3Fifo, "lru": Lru, "lfu": Lfu, "fifo": Fifo,
+    "tinylfu": make_tiny_lfu, "s3fifo": S3Fifo, "lru": Lru, "lfu": Lfu, "fifo": Fifo,
 }  # fmt: skip
--- a/hitchtiller/store/compact.py
+++ b/hitchtiller/store/compact.py
@@ -1,8 +1,8 @@
-"""Compaction: what is wanted of a victim segment is carried over, then its file goes; a chunk at a time.
+"""Compaction: live parts of a victim segment are copied to the active one, then the victim is removed.
 
-A part is carried over with its own era and time: moving it proves nothing. It takes effect only where the
-index still points at the old place, so a newer record is never undone. Cost: each step reads at most CHUNK
-bytes, by the rate that clients leave.
+A copied part keeps its epoch and time, because copying it proves nothing about its freshness. The copy takes
+effect only if the index still points to the old place, so it never replaces a newer record. Each step reads
+at most CHUNK_BYTES, within a rate that gives way to clients.
 """
 
 from collections.abc import Callable
@@ -14,29 +14,29 @@
 from hitchtiller.store.recover import records, segment_name
 from hitchtiller.store.space import Rate, Segment
 
-CHUNK = 1 << 20
+CHUNK_BYTES = 1 << 20
 
 
 class Compactor:
-    """Works on one segment at a time."""
+    """Compacts one segment at a time."""
 
-    def __init__(self, disk: Disk, wanted: Callable[[int], int], rate: Rate) -> None:
-        """Carry over what `wanted` (an estimate of requests for a fingerprint) says is warm."""
-        self.disk, self.wanted, self.rate = disk, wanted, rate
+    def __init__(self, disk: Disk, count_requests: Callable[[int], int], rate: Rate) -> None:
+        """Copy the parts that are often requested, as estimated by `count_requests` from a part hash."""
+        self.disk, self.count_requests, self.rate = disk, count_requests, rate
         self.victim: Segment | None = None
-        self.at = 0
+        self.offset = 0
         self.reading = False
-        self.open = 0  # copies being written
-        self.moved = 0  # bytes of the victim written again
-        self.failed = False
-        self.segments = self.records_copied = self.let_go = 0
+        self.copies_in_progress = 0
+        self.copied_bytes = 0  # of the victim
+        self.copy_failed = False
+        self.segments_done = self.records_copied = self.records_dropped = 0
 
     def step(self, now_ms: float, busy: bool) -> bool:
-        """Do a little; False if there is nothing to do now."""
+        """Do one step; return False if there is nothing to do now."""
         disk = self.disk
         if not disk.health.writes or disk.closed:
             return False
-        if self.reading or self.open:
+        if self.reading or self.copies_in_progress:
             return True
         if self.victim is None:
             victim = disk.space.victim()
@@ -44,84 +44,86 @@
                 return False
             self.begin(victim)
         assert self.victim
-        if self.at >= self.victim.written:
-            if self.failed:  # its parts could not be written elsewhere: it stays
+        if self.offset >= self.victim.written:
+            if self.copy_failed:  # some parts could not be copied, so the segment stays
                 self.victim = None
                 return False
             self._finish(self.victim)
             return True
-        if not self.rate.take(min(CHUNK, self.victim.written - self.at), now_ms, busy):
+        if not self.rate.take(min(CHUNK_BYTES, self.victim.written - self.offset), now_ms, busy):
             return False
         self._read(self.victim)
         return True
 
     def begin(self, victim: Segment) -> None:
-        """Start on a segment, which must be sealed."""
-        self.victim, self.at, self.failed, self.moved = victim, fmt.ALIGN, False, 0
+        """Start compacting a segment, which must be sealed."""
+        self.victim, self.offset, self.copy_failed, self.copied_bytes = victim, fmt.ALIGN, False, 0
 
     def _read(self, victim: Segment) -> None:
-        start = self.at
+        start = self.offset
         files = self.disk.files
 
         def run() -> tuple[int, list[tuple[int, int, fmt.Part, bytes]]]:
-            """Read whole records from `start` on; bodies are checked, what does not hold is left behind."""
-            found, at = list[tuple[int, int, fmt.Part, bytes]](), start
-            for at, length, _ in records(files, victim, start, victim.written, lambda text: None):
+            """Read whole records from `start` on; records whose body is not valid are left out."""
+            records_found, offset = list[tuple[int, int, fmt.Part, bytes]](), start
+            for offset, length, _ in records(files, victim, start, victim.written, lambda text: None):
                 try:
-                    data = files.read(segment_name(victim.id), at, length)
-                    part, body = fmt.read_record(data, victim.salt, at)
-                    found.append((at, length, part, body))
+                    data = files.read(segment_name(victim.id), offset, length)
+                    part, body = fmt.read_record(data, victim.salt, offset)
+                    records_found.append((offset, length, part, body))
                 except fmt.BadBytes:
                     pass
-                at += length
-                if at - start >= CHUNK:
-                    return at, found
-            return victim.written, found
+                offset += length
+                if offset - start >= CHUNK_BYTES:
+                    return offset, records_found
+            return victim.written, records_found
 
-        def done(
+        def on_read(
             result: tuple[int, list[tuple[int, int, fmt.Part, bytes]]] | None, error: BaseException | None
         ) -> None:
             self.reading = False
             if result is None:
-                fault = error if isinstance(error, OSError) else OSError(5, str(error))
-                self.disk.health.read(victim.id, fault)
+                os_error = error if isinstance(error, OSError) else OSError(5, str(error))
+                self.disk.health.on_read_error(victim.id, os_error)
                 self.victim = None
                 return
-            self.at = result[0]
+            self.offset = result[0]
             for record in result[1]:
-                self._judge(victim, *record)
+                self._handle_record(victim, *record)
 
         self.reading = True
-        if not self.disk.jobs.submit(READ_LANE, run, done):
+        if not self.disk.jobs.submit(READ_LANE, run, on_read):
             self.reading = False
 
-    def _judge(self, victim: Segment, at: int, length: int, part: fmt.Part, body: bytes) -> None:
-        disk, mark = self.disk, fingerprint(part.key, part.part)
-        place = pack_place(victim.id, at, length)
-        if disk.index.get(mark) != place:
+    def _handle_record(self, victim: Segment, offset: int, length: int, part: fmt.Part, body: bytes) -> None:
+        disk, part_hash = self.disk, fingerprint(part.key, part.part)
+        place = pack_place(victim.id, offset, length)
+        if disk.index.get(part_hash) != place:
             return
-        good = disk.purges.allows(part.key, part.group, part.since_ms)
-        if not good or not disk.space.carries(self.wanted(mark), victim, length, self.moved):
-            disk.forget(mark)
-            self.let_go += 1
+        allowed = disk.purges.allows(part.key, part.group, part.since_ms)
+        if not allowed or not disk.space.should_copy(
+            self.count_requests(part_hash), victim, length, self.copied_bytes
+        ):
+            disk.forget(part_hash)
+            self.records_dropped += 1
             return
-        if mark in disk.pending:
-            return  # a newer record is on its way: the index will point to that
-        self.open += 1
-        if disk.put(part, body, self._copied, only=place):
+        if part_hash in disk.pending:
+            return  # a newer record is being written, and the index will point to it
+        self.copies_in_progress += 1
+        if disk.put(part, body, self._on_copy_written, expected_place=place):
             self.records_copied += 1
-            self.moved += length
+            self.copied_bytes += length
         else:
-            self.open -= 1
-            self.failed = True
+            self.copies_in_progress -= 1
+            self.copy_failed = True
 
-    def _copied(self, whole: bool) -> None:
-        self.open -= 1
-        self.failed = self.failed or not whole
+    def _on_copy_written(self, ok: bool) -> None:
+        self.copies_in_progress -= 1
+        self.copy_failed = self.copy_failed or not ok
 
     def _finish(self, victim: Segment) -> None:
-        """Remove the file once the copies are durable: the write lane keeps this order."""
+        """Remove the file once the copies are durable, which the order of the write lane ensures."""
         self.disk.sync()
         self.disk.remove(victim)
-        self.segments += 1
+        self.segments_done += 1
         self.victim = None
--- a/hitchtiller/store/index.py
+++ b/hitchtiller/store/index.py
@@ -1,10 +1,13 @@
-"""Where each kept part lies: open addressing in two arrays, grown a few slots at a time.
+"""The index of the disk tier: where each stored part lies; a hash table with open addressing.
 
-Bound: 16 bytes a slot, at most three quarters of the slots full, so 21.4 to 42.7 bytes a part between two
-growths; a growth holds the old table beside the new one until all has moved, but gives the old one's pages
-back as it goes. A look-up reads two slots on average. No call moves more than MOVE slots, so none stalls the
-loop; a table's pages are the kernel's zeroed ones, so making one costs nothing until it is filled. Lost parts
-leave no tombstones: the slots behind are moved up.
+The table is an array of 16-byte slots. At most three quarters of them are in use, so that the index takes
+21.4 to 42.7 bytes a part between two growths. While a table grows, the old one exists beside the new one
+until all its entries have moved, but its pages are returned to the system as it empties. A look-up reads two
+slots on average.
+
+No call moves more than MOVE_SLOTS slots, so none blocks the event loop for long. The pages of a new table are
+zeroed by the kernel at their first use, so creating one costs nothing until it is filled. Removed entries
+leave no tombstones: the entries behind them move up.
 """
 
 import mmap
@@ -13,31 +16,35 @@
 
 import xxhash
 
-SLOT = 16  # bytes: fingerprint, place
-FULL = 0.75
-MOVE = 64  # slots of the old table that each change moves while a growth goes on
-FIRST = 1 << 10
-DROP = 1 << 20  # bytes of the old table that are given back at once
-SEGMENT_BITS, OFFSET_BITS, LENGTH_BITS = 24, 22, 13  # units of 64 bytes: files to 256 MiB, records to 512 KiB
+SLOT_BYTES = 16  # part hash, place
+MAX_FILL = 0.75  # share of the slots in use
+MOVE_SLOTS = 64  # slots of the old table that each change moves while the table grows
+MIN_SLOTS = 1 << 10
+RELEASE_BYTES = 1 << 20  # of the old table, returned to the system at once
+# bits; offset and length in units of 64 bytes: files up to 256 MiB, records up to 512 KiB
+SEGMENT_BITS, OFFSET_BITS, LENGTH_BITS = 24, 22, 13
 
 
 def fingerprint(key: int, part: int) -> int:
-    """Hash an object's part to 64 bits, never 0 (an empty slot); equal ones are told apart by the record."""
+    """Return the 64-bit hash of an object's part; never 0, which marks an empty slot.
+
+    Parts with equal hashes are told apart by the key in the record.
+    """
     return xxhash.xxh3_64_intdigest(key.to_bytes(8, "little") + part.to_bytes(4, "little")) or 1
 
 
 def pack_place(segment: int, offset: int, length: int) -> int:
-    """Pack a place: segment number, byte offset and record length, both multiples of 64."""
+    """Pack a segment number, a byte offset and a record length; both of these are multiples of 64."""
     if segment >> SEGMENT_BITS or offset >> 6 >> OFFSET_BITS or length >> 6 >> LENGTH_BITS:
         raise ValueError(f"place {segment}, {offset}, {length} is out of bounds")
     return (segment << OFFSET_BITS | offset >> 6) << LENGTH_BITS | length >> 6
 
 
 def unpack_place(place: int) -> tuple[int, int, int]:
-    """Give the segment, the offset and the length of a packed place."""
+    """Return the segment number, the offset and the length of a packed place."""
     length = (place & (1 << LENGTH_BITS) - 1) << 6
-    rest = place >> LENGTH_BITS
-    return rest >> OFFSET_BITS, (rest & (1 << OFFSET_BITS) - 1) << 6, length
+    segment_and_offset = place >> LENGTH_BITS
+    return segment_and_offset >> OFFSET_BITS, (segment_and_offset & (1 << OFFSET_BITS) - 1) << 6, length
 
 
 class Table:
@@ -46,184 +53,191 @@
     def __init__(self, slots: int) -> None:
         """Map zeroed pages."""
         self.slots, self.mask = slots, slots - 1
-        self.pages = mmap.mmap(-1, max(mmap.PAGESIZE, slots * SLOT))
-        if hasattr(mmap, "MADV_NOHUGEPAGE"):  # a huge one is zeroed at its first touch: 64 took 35 ms
+        self.pages = mmap.mmap(-1, max(mmap.PAGESIZE, slots * SLOT_BYTES))
+        # Avoids huge pages: the kernel zeroes each at its first use, which took 35 ms for 64 of them.
+        if hasattr(mmap, "MADV_NOHUGEPAGE"):
             self.pages.madvise(mmap.MADV_NOHUGEPAGE)
         self.words = memoryview(self.pages).cast("Q")
         self.used = 0
 
-    def find(self, mark: int) -> int:
-        """Give the slot of a fingerprint, or the empty one where it would go."""
-        words, mask, at = self.words, self.mask, mark & self.mask
-        while (there := words[2 * at]) and there != mark:
-            at = (at + 1) & mask
-        return at
-
-    def put(self, mark: int, place: int) -> int:
-        """Set a fingerprint's place; gives the one it had, or 0."""
-        at = self.find(mark)
-        before = self.words[2 * at + 1]
-        if not self.words[2 * at]:
-            self.words[2 * at] = mark
+    def find(self, part_hash: int) -> int:
+        """Return the slot of a part hash, or the empty slot where it would be inserted."""
+        words, mask, slot = self.words, self.mask, part_hash & self.mask
+        while (stored := words[2 * slot]) and stored != part_hash:
+            slot = (slot + 1) & mask
+        return slot
+
+    def put(self, part_hash: int, place: int) -> int:
+        """Set the place of a part hash; return its previous place, or 0."""
+        slot = self.find(part_hash)
+        replaced = self.words[2 * slot + 1]
+        if not self.words[2 * slot]:
+            self.words[2 * slot] = part_hash
             self.used += 1
-        self.words[2 * at + 1] = place
-        return int(before)
+        self.words[2 * slot + 1] = place
+        return int(replaced)
 
-    def pop(self, mark: int) -> int:
-        """Take a fingerprint out and move up what follows it; gives its place, or 0."""
-        words, mask, hole = self.words, self.mask, self.find(mark)
+    def pop(self, part_hash: int) -> int:
+        """Remove a part hash and move up the entries behind it; return its place, or 0."""
+        words, mask, hole = self.words, self.mask, self.find(part_hash)
         place = int(words[2 * hole + 1])
         if not words[2 * hole]:
             return 0
-        at = hole
+        slot = hole
         while True:
-            at = (at + 1) & mask
-            there = words[2 * at]
-            if not there:
+            slot = (slot + 1) & mask
+            stored = words[2 * slot]
+            if not stored:
                 break
-            if (at - there) & mask >= (at - hole) & mask:  # its home is not behind the hole
-                words[2 * hole], words[2 * hole + 1] = there, words[2 * at + 1]
-                hole = at
+            if (slot - stored) & mask >= (slot - hole) & mask:  # its home slot is not behind the hole
+                words[2 * hole], words[2 * hole + 1] = stored, words[2 * slot + 1]
+                hole = slot
         words[2 * hole] = words[2 * hole + 1] = 0
         self.used -= 1
         return place
 
     def close(self) -> None:
-        """Give the pages back."""
+        """Unmap the pages."""
         self.words.release()
         self.pages.close()
 
 
 class Index:
-    """Fingerprints to places; the caller compares the record's own key with what it wanted."""
+    """Maps part hashes to places; the caller compares the key in the record with the one requested."""
 
-    def __init__(self, expected: int = 0) -> None:
-        """Start with room for this many parts."""
-        slots = FIRST
-        while slots * FULL < expected:
+    def __init__(self, expected_parts: int = 0) -> None:
+        """Start with space for the expected number of parts."""
+        slots = MIN_SLOTS
+        while slots * MAX_FILL < expected_parts:
             slots *= 2
-        self.table, self.moved = Table(slots), 0
-        self.old: Table | None = None
-        self.frozen: set[int] | None = None  # what was taken out while a checkpoint copies the slots
+        self.table, self.emptied_slots = Table(slots), 0
+        self.old_table: Table | None = None
+        self.removed_while_frozen: set[int] | None = None  # by a checkpoint that copies the slots
 
     def __len__(self) -> int:
-        """Count the parts."""
-        return self.table.used + (self.old.used if self.old else 0) - len(self.frozen or ())
+        """Return the number of parts."""
+        return (
+            self.table.used
+            + (self.old_table.used if self.old_table else 0)
+            - len(self.removed_while_frozen or ())
+        )
 
     @property
     def room(self) -> int:
-        """Give the bytes of both tables, those not yet filled included."""
-        return SLOT * (self.table.slots + (self.old.slots if self.old else 0))
+        """Return the size of both tables in bytes, empty slots included."""
+        return SLOT_BYTES * (self.table.slots + (self.old_table.slots if self.old_table else 0))
 
-    def get(self, mark: int) -> int:
-        """Give a fingerprint's place, or 0."""
+    def get(self, part_hash: int) -> int:
+        """Return the place of a part hash, or 0."""
         table = self.table
-        place = table.words[2 * table.find(mark) + 1]
-        if not place and (old := self._behind(mark)):
-            place = old.words[2 * old.find(mark) + 1]
+        place = table.words[2 * table.find(part_hash) + 1]
+        if not place and (old := self._old_table_of(part_hash)):
+            place = old.words[2 * old.find(part_hash) + 1]
         return int(place)
 
-    def _behind(self, mark: int) -> Table | None:
-        """Give the old table if a fingerprint can still be there.
+    def _old_table_of(self, part_hash: int) -> Table | None:
+        """Return the old table if a part hash can still be in it, else None.
 
-        Not where its home has been passed: a look there would map the pages again that were given back.
+        A part hash whose home slot has already been emptied is not in it, and looking for it there would map
+        pages again that were returned to the system.
         """
-        old = self.old
-        return old if old and mark & old.mask < old.slots - self.moved else None
-
-    def put(self, mark: int, place: int) -> int:
-        """Set a place; gives the one that it replaces, or 0."""
-        if self.old:
-            self._move()
-        elif self.table.used >= self.table.slots * FULL and self.frozen is None:
-            self.old, self.moved = self.table, 0
-            self.table = Table(2 * self.old.slots)
-        if self.frozen:
-            self.frozen.discard(mark)
-        old = self._behind(mark)
-        before = old.pop(mark) if old else 0
-        return self.table.put(mark, place) or before
-
-    def pop(self, mark: int) -> int:
-        """Forget a fingerprint; gives its place, or 0."""
-        if self.frozen is not None:  # moving slots up could carry one past the copy, unseen
-            at = self.table.find(mark)
-            place = int(self.table.words[2 * at + 1])
+        old = self.old_table
+        return old if old and part_hash & old.mask < old.slots - self.emptied_slots else None
+
+    def put(self, part_hash: int, place: int) -> int:
+        """Set the place of a part hash; return the place that it replaces, or 0."""
+        if self.old_table:
+            self._move_entries()
+        elif self.table.used >= self.table.slots * MAX_FILL and self.removed_while_frozen is None:
+            self.old_table, self.emptied_slots = self.table, 0
+            self.table = Table(2 * self.old_table.slots)
+        if self.removed_while_frozen:
+            self.removed_while_frozen.discard(part_hash)
+        old = self._old_table_of(part_hash)
+        replaced = old.pop(part_hash) if old else 0
+        return self.table.put(part_hash, place) or replaced
+
+    def pop(self, part_hash: int) -> int:
+        """Remove a part hash; return its place, or 0."""
+        # moving entries up could carry one past the copy's position, so that the copy would miss it
+        if self.removed_while_frozen is not None:
+            slot = self.table.find(part_hash)
+            place = int(self.table.words[2 * slot + 1])
             if place:
-                self.table.words[2 * at + 1] = 0
-                self.frozen.add(mark)
+                self.table.words[2 * slot + 1] = 0
+                self.removed_while_frozen.add(part_hash)
             return place
-        if self.old:
-            self._move()
-        old = self._behind(mark)
-        return self.table.pop(mark) or (old.pop(mark) if old else 0)
+        if self.old_table:
+            self._move_entries()
+        old = self._old_table_of(part_hash)
+        return self.table.pop(part_hash) or (old.pop(part_hash) if old else 0)
 
-    def swap(self, mark: int, old: int, new: int) -> bool:
-        """Set a new place only where the old one is still in force.
+    def compare_and_set(self, part_hash: int, old: int, new: int) -> bool:
+        """Set a new place if the old one is still current; return whether it was set.
 
-        Compaction must not undo a newer write.
+        Keeps compaction from replacing a newer record.
         """
-        if self.get(mark) != old:
+        if self.get(part_hash) != old:
             return False
-        self.put(mark, new)
+        self.put(part_hash, new)
         return True
 
-    def _move(self) -> None:
-        """Move some slots of the old table; those left there are still found."""
-        old = self.old
+    def _move_entries(self) -> None:
+        """Move some slots of the old table to the new one; entries still in the old table are found there."""
+        old = self.old_table
         if old is None:
             return
-        # backwards: taking an entry out moves up only what follows it, so nothing passes the mark unseen,
-        # but a run that wraps round the end; `used` tells when all has gone
-        for _ in range(MOVE):
+        # Backwards: removing an entry moves up only the entries behind it, so none passes the current slot
+        # unseen, except in a run that wraps round the end; `used` tells when all entries have moved.
+        for _ in range(MOVE_SLOTS):
             if not old.used:
-                # unmapping it took 10 ms at four million slots; the call gives the interpreter lock away
+                # Unmapping took 10 ms at four million slots; the call releases the interpreter lock.
                 threading.Thread(target=old.close, daemon=True).start()
-                self.old = None
+                self.old_table = None
                 return
-            at = (old.slots - 1 - self.moved) & old.mask
-            mark = old.words[2 * at]
-            if mark:
-                self.table.put(int(mark), old.pop(int(mark)))
+            slot = (old.slots - 1 - self.emptied_slots) & old.mask
+            part_hash = old.words[2 * slot]
+            if part_hash:
+                self.table.put(int(part_hash), old.pop(int(part_hash)))
             else:
-                self.moved += 1
-                if self.moved % (DROP // SLOT) == 0 and self.moved < old.slots:
-                    start = (old.slots - self.moved) * SLOT
+                self.emptied_slots += 1
+                if self.emptied_slots % (RELEASE_BYTES // SLOT_BYTES) == 0 and self.emptied_slots < old.slots:
+                    start = (old.slots - self.emptied_slots) * SLOT_BYTES
                     if start % mmap.PAGESIZE == 0:
-                        old.pages.madvise(mmap.MADV_DONTNEED, start, DROP)
+                        old.pages.madvise(mmap.MADV_DONTNEED, start, RELEASE_BYTES)
 
     def items(self) -> Iterator[tuple[int, int]]:
-        """Give all fingerprints with their places; nothing may be changed meanwhile."""
-        for table in (self.table, self.old):
+        """Yield all part hashes with their places; the index must not change meanwhile."""
+        for table in (self.table, self.old_table):
             if table:
-                for at in range(table.slots):
-                    if place := table.words[2 * at + 1]:
-                        yield int(table.words[2 * at]), int(place)
+                for slot in range(table.slots):
+                    if place := table.words[2 * slot + 1]:
+                        yield int(table.words[2 * slot]), int(place)
 
     def freeze(self) -> bool:
-        """Begin a copy of the slots.
+        """Begin a copy of the slots; return False while the table grows or another copy is in progress.
 
-        False while a growth goes on. What is taken out meanwhile keeps its slot.
+        Until `thaw`, removed part hashes keep their slots.
         """
-        if self.old or self.frozen is not None:
+        if self.old_table or self.removed_while_frozen is not None:
             return False
-        self.frozen = set()
+        self.removed_while_frozen = set()
         return True
 
-    def snapshot(self, at: int, slots: int) -> bytes:
-        """Copy a stretch of slots; nothing past the end. What was put since `freeze` may be in it or not."""
-        return bytes(self.table.words[2 * at : 2 * (at + slots)])
+    def snapshot(self, start: int, slots: int) -> bytes:
+        """Return a copy of a range of slots, empty past the end; later changes may be in it or not."""
+        return bytes(self.table.words[2 * start : 2 * (start + slots)])
 
     def thaw(self) -> None:
-        """End the copy, and free the slots of what was taken out meanwhile."""
-        marks, self.frozen = self.frozen or set(), None
-        for mark in marks:
-            self.table.pop(mark)
+        """End the copy, and free the slots of the part hashes removed meanwhile."""
+        part_hashes, self.removed_while_frozen = self.removed_while_frozen or set(), None
+        for part_hash in part_hashes:
+            self.table.pop(part_hash)
 
-    def load(self, words: memoryview, keep: frozenset[int]) -> None:
-        """Take a checkpoint's slots whose segments are still there."""
+    def load(self, words: memoryview, kept_segments: frozenset[int]) -> None:
+        """Insert the slots of a checkpoint whose segments still exist."""
         shift = OFFSET_BITS + LENGTH_BITS
         pairs = words.cast("Q")
-        for at in range(0, len(pairs), 2):
-            if (mark := pairs[at]) and pairs[at + 1] >> shift in keep:
-                self.put(int(mark), int(pairs[at + 1]))
+        for word in range(0, len(pairs), 2):
+            if (part_hash := pairs[word]) and pairs[word + 1] >> shift in kept_segments:
+                self.put(int(part_hash), int(pairs[word + 1]))
--- a/hitchtiller/store/memory.py
+++ b/hitchtiller/store/memory.py
@@ -1,6 +1,6 @@
-"""The memory tier.
+"""The memory tier: parts with their bodies, up to a limit in bytes.
 
-Parts with their bodies, bounded in bytes by an admission policy with a share for each owner.
+An admission policy decides what is stored, and gives each owner a share of the space.
 """
 
 import math
@@ -10,61 +10,63 @@
 from hitchtiller.store.format import Part
 from hitchtiller.store.index import fingerprint
 
-OVERHEAD = 600  # bytes that a kept part costs beside its body, as measured: objects, table entries, policy
+OVERHEAD_BYTES = 600  # per stored part, beside its body: objects, table entries, policy
 
 
 @dataclass(slots=True)
 class Copy:
-    """A kept part with its bytes."""
+    """A stored part with its body."""
 
     part: Part
     body: bytes
 
 
 class Memory:
-    """Copies by fingerprint; `owner` is the class, or the class at a station."""
+    """Stored copies by part hash; `owner` is the class, or the class at a station."""
 
-    def __init__(self, room: int, weights: dict[str, float] | None = None, policy: str = "s3fifo") -> None:
-        """Hold `room` bytes, OVERHEAD a part included."""
-        self.room = room
+    def __init__(
+        self, max_bytes: int, weights: dict[str, float] | None = None, policy: str = "s3fifo"
+    ) -> None:
+        """Store at most `max_bytes`, counting OVERHEAD_BYTES for each part."""
+        self.max_bytes = max_bytes
         self.copies: dict[int, Copy] = {}
-        self.shares = Shares(room, weights or {}, POLICIES[policy])
+        self.shares = Shares(max_bytes, weights or {}, POLICIES[policy])
 
     @property
     def used(self) -> int:
-        """Give the bytes held."""
+        """Return the size of all copies in bytes, overhead included."""
         return self.shares.used
 
-    def get(self, key: int, number: int) -> Copy | None:
-        """Give a copy and note the request for it."""
-        mark = fingerprint(key, number)
-        copy = self.copies.get(mark)
-        if copy is None or (copy.part.key, copy.part.part) != (key, number):
+    def get(self, key: int, part_number: int) -> Copy | None:
+        """Return a copy and record the request for it; None if there is none."""
+        part_hash = fingerprint(key, part_number)
+        copy = self.copies.get(part_hash)
+        if copy is None or (copy.part.key, copy.part.part) != (key, part_number):
             return None
-        self.shares.hit(mark)
+        self.shares.hit(part_hash)
         return copy
 
-    def missed(self, owner: str, mark: int) -> None:
-        """Note a request for what is not here."""
-        self.shares.miss(owner, mark)
+    def record_miss(self, owner: str, part_hash: int) -> None:
+        """Record a request for a part that is not stored."""
+        self.shares.miss(owner, part_hash)
 
     def put(self, owner: str, part: Part, body: bytes) -> bool:
-        """Offer a copy; False if it is not let in. What goes for it goes at once."""
-        mark = fingerprint(part.key, part.part)
-        self.copies.pop(mark, None)
-        self.shares.drop(mark)
-        gone = self.shares.offer(owner, mark, len(body) + OVERHEAD)
-        if mark not in gone:
-            self.copies[mark] = Copy(part, body)
-        for old in (*gone, *self.shares.trimmed()):
-            self.copies.pop(old, None)
-        return mark in self.copies
+        """Offer a copy and remove what it evicts; return whether it was admitted."""
+        part_hash = fingerprint(part.key, part.part)
+        self.copies.pop(part_hash, None)
+        self.shares.drop(part_hash)
+        evicted = self.shares.offer(owner, part_hash, len(body) + OVERHEAD_BYTES)
+        if part_hash not in evicted:
+            self.copies[part_hash] = Copy(part, body)
+        for evicted_hash in (*evicted, *self.shares.take_evicted()):
+            self.copies.pop(evicted_hash, None)
+        return part_hash in self.copies
 
     def oldest_ms(self) -> float:
-        """Give the time of the oldest copy; looks at all of them, about 50 ns each."""
+        """Return the time of the oldest copy; this looks at every copy, at about 50 ns each."""
         return min((copy.part.since_ms for copy in self.copies.values()), default=math.inf)
 
-    def drop(self, mark: int) -> None:
-        """Forget a copy."""
-        self.copies.pop(mark, None)
-        self.shares.drop(mark)
+    def drop(self, part_hash: int) -> None:
+        """Remove a copy."""
+        self.copies.pop(part_hash, None)
+        self.shares.drop(part_hash)
--- a/hitchtiller/store/suspect.py
+++ b/hitchtiller/store/suspect.py
@@ -1,114 +1,120 @@
-"""Which kept copies are proven and which are suspect: eras, the watermark, gaps and clocks that step.
-
-A gateway that was away does not know which purges it missed, and bus numbers begin anew at every start. So
-the store keeps a watermark (up to when it had followed the bus, durably) and an era, a number that each
-record carries. After a gap the era is raised: copies of older eras are suspect until a cache has confirmed
-their tag under a bound on age that ends after the gap. The new era is durable before anything is served or
-the watermark moves on, so a crash in between finds the same gap again.
-
-    proven --gap, clock step--> suspect --confirmed, since after the gap--> proven (kept anew in the era in
-    force)
-                                suspect --another tag--> gone
+"""Which stored copies are proven fresh and which are suspect: epochs, the watermark, gaps and clock steps.
+
+A gateway that was away does not know which purges it missed, and the numbers of the event bus begin anew at
+each of its starts. The store therefore keeps a watermark (the time up to which it had durably followed the
+bus) and an epoch, a number that every record carries. After a gap the epoch is raised. Copies of older epochs
+are then suspect until a cache confirms their tag under an age limit that excludes the time before the end of
+the gap. The new epoch is made durable before a copy is served or the watermark moves on, so a start after a
+crash in between finds the same gap again.
+
+    proven --gap, clock step--> suspect --confirmed, since after the gap--> proven (stored again in the
+    current epoch)
+                                suspect --another tag--> removed
 """
 
 from dataclasses import dataclass
 
-LAG_MS = 2_000.0  # from a purge until the bus has it: seen were 31 to 310 ms
-STEP_MS = 1_000.0  # by which the wall clock may leave the steady one before it counts as a step
-FUTURE_MS = 2_000.0  # by which a copy's time may lie ahead: the origin's clock is not ours
+MAX_PURGE_LAG_MS = 2_000.0  # longest delay from a purge to its event on the bus; 31 to 310 ms were observed
+MIN_CLOCK_STEP_MS = (
+    1_000.0  # smallest change of the wall clock against the monotonic clock that counts as a step
+)
+MAX_AHEAD_MS = 2_000.0  # that a copy's time may lie ahead of the own clock, as the origin's clock differs
 
 
 @dataclass(frozen=True, slots=True)
 class SavedProof:
-    """What was durable when the process ended."""
+    """The state of the proof that was durable when the process ended."""
 
     epoch: int = 0
-    followed_ms: float = 0.0  # 0: never followed
-    gap_end_ms: float = 0.0  # copies of older eras must be confirmed from after this
+    followed_ms: float = 0.0  # 0: never followed the bus
+    gap_end_ms: float = 0.0  # confirmations of copies of older epochs must date from after this
 
 
 class Proof:
-    """Decides which copies are proven; it is told of the bus and of both clocks."""
+    """Decides which copies are proven fresh, from events of the bus and from both clocks."""
 
-    def __init__(self, kept: SavedProof, replay_ms: float, lag_ms: float = LAG_MS) -> None:
-        """Start from what was kept; a start is told the purges of the last `replay_ms` again."""
-        self.epoch, self.followed_ms, self.gap_end_ms = kept.epoch, kept.followed_ms, kept.gap_end_ms
+    def __init__(self, saved: SavedProof, replay_ms: float, lag_ms: float = MAX_PURGE_LAG_MS) -> None:
+        """Start from the saved state; at a start the bus repeats the purges of the last `replay_ms`."""
+        self.epoch, self.followed_ms, self.gap_end_ms = saved.epoch, saved.followed_ms, saved.gap_end_ms
         self.replay_ms, self.lag_ms = replay_ms, lag_ms
-        self.begun = False  # nothing is proven before the bus has told all there was
-        self.begun_ms = 0.0  # purges from `replay_ms` before this on are known
-        self.offset_ms: float | None = None  # wall clock less steady clock
-        self.steps = 0
+        self.begun = False  # nothing is proven before the bus has been caught up with
+        self.begun_ms = 0.0  # all purges from `replay_ms` before this time on are known
+        self.wall_offset_ms: float | None = None  # wall clock minus monotonic clock
+        self.clock_steps = 0
 
-    def begin(self, now_ms: float, steady_ms: float) -> bool:
-        """Hear that the bus has told all there was.
+    def begin(self, now_ms: float, monotonic_ms: float) -> bool:
+        """Handle the first time that every event so far has been received from the bus.
 
-        True if a gap raised the era, which must be made durable.
+        Return whether the epoch has to be made durable, as when a gap raised it.
         """
-        self.offset_ms = now_ms - steady_ms
+        self.wall_offset_ms = now_ms - monotonic_ms
         self.begun, self.begun_ms = True, now_ms
-        gap = not self.followed_ms or now_ms < self.followed_ms or now_ms - self.replay_ms > self.followed_ms
-        if gap or not self.epoch:
-            self._raise(now_ms)
-        return gap or self.epoch == 1
+        has_gap = (
+            not self.followed_ms or now_ms < self.followed_ms or now_ms - self.replay_ms > self.followed_ms
+        )
+        if has_gap or not self.epoch:
+            self._raise_epoch(now_ms)
+        return has_gap or self.epoch == 1
 
-    def adopt(self, kept: SavedProof, now_ms: float) -> bool:
-        """Take over what a folder kept, read only now; True if the era has to be made durable there.
+    def adopt(self, saved: SavedProof, now_ms: float) -> bool:
+        """Take over the saved state of a folder that was opened after the bus had been caught up with.
 
-        The bus has been followed since `begun_ms`, so only what lies before that can have been missed. Of two
-        eras the later holds: copies of the other are asked about once, which is rare and safe.
+        Return whether the epoch must be made durable in the folder. The bus has been followed since
+        `begun_ms`, so only purges from before that can have been missed. The later of the two epochs is used;
+        copies of the other must be confirmed once, which is rare and safe.
         """
-        if kept == SavedProof():  # nothing was ever kept there, so nothing is in doubt
+        if saved == SavedProof():  # nothing was ever stored there, so nothing is in doubt
             return True
-        gap = (
-            not kept.followed_ms
-            or kept.followed_ms > now_ms
-            or kept.followed_ms < self.begun_ms - self.replay_ms
+        has_gap = (
+            not saved.followed_ms
+            or saved.followed_ms > now_ms
+            or saved.followed_ms < self.begun_ms - self.replay_ms
         )
-        self.epoch = max(self.epoch, kept.epoch)
-        self.gap_end_ms = max(self.gap_end_ms if self.epoch > kept.epoch else 0.0, kept.gap_end_ms)
+        self.epoch = max(self.epoch, saved.epoch)
+        self.gap_end_ms = max(self.gap_end_ms if self.epoch > saved.epoch else 0.0, saved.gap_end_ms)
         self.followed_ms = (
-            max(self.followed_ms, kept.followed_ms) if self.begun and not gap else kept.followed_ms
+            max(self.followed_ms, saved.followed_ms) if self.begun and not has_gap else saved.followed_ms
         )
-        if self.begun and gap:
-            self._raise(now_ms)
-        return self.epoch != kept.epoch
+        if self.begun and has_gap:
+            self._raise_epoch(now_ms)
+        return self.epoch != saved.epoch
 
-    def _raise(self, now_ms: float) -> None:
+    def _raise_epoch(self, now_ms: float) -> None:
         self.epoch += 1
         self.gap_end_ms = now_ms
 
-    def stepped(self, now_ms: float, steady_ms: float) -> bool:
-        """Compare the two clocks; True if the wall clock stepped since the last look and the era was raised.
+    def check_clock_step(self, now_ms: float, monotonic_ms: float) -> bool:
+        """Compare the two clocks; return whether the wall clock stepped since the last call.
 
-        Small drifts are followed. Ask before any copy's age is judged.
+        A step raises the epoch; small drifts are followed. Must be called before the age of a copy is judged.
         """
-        if not self.begun or self.offset_ms is None:
+        if not self.begun or self.wall_offset_ms is None:
             return False
-        offset = now_ms - steady_ms
-        stepped = abs(offset - self.offset_ms) > STEP_MS
-        self.offset_ms = offset
-        if stepped:
-            self.steps += 1
-            self._raise(now_ms)
+        offset_now_ms = now_ms - monotonic_ms
+        has_stepped = abs(offset_now_ms - self.wall_offset_ms) > MIN_CLOCK_STEP_MS
+        self.wall_offset_ms = offset_now_ms
+        if has_stepped:
+            self.clock_steps += 1
+            self._raise_epoch(now_ms)
             self.followed_ms = min(self.followed_ms, now_ms - self.lag_ms)
-        return stepped
+        return has_stepped
 
     def follow(self, now_ms: float) -> None:
-        """Hear that the bus has nothing more to tell.
+        """Move the watermark on: every event so far has been received from the bus.
 
-        The watermark stays behind by what a purge may take to it.
+        The watermark stays behind the current time by the longest delay of a purge on its way to the bus.
         """
         if self.begun:
             self.followed_ms = max(self.followed_ms, now_ms - self.lag_ms)
 
     def proven(self, epoch: int, since_ms: float, now_ms: float) -> bool:
-        """Tell whether a copy of this era may be served without asking, as far as missed purges go."""
-        return self.begun and epoch == self.epoch and since_ms <= now_ms + FUTURE_MS
+        """Return whether a copy of this epoch can't have missed a purge, so that it needs no confirmation."""
+        return self.begun and epoch == self.epoch and since_ms <= now_ms + MAX_AHEAD_MS
 
     def confirms(self, since_ms: float, now_ms: float) -> bool:
-        """Tell whether a confirmation with this time is from after the gap."""
-        return self.begun and self.gap_end_ms <= since_ms <= now_ms + FUTURE_MS
+        """Return whether a confirmation with this time dates from after the gap."""
+        return self.begun and self.gap_end_ms <= since_ms <= now_ms + MAX_AHEAD_MS
 
     def cap_ms(self, now_ms: float) -> float:
-        """Give the oldest that a confirming copy may be; at least 1."""
+        """Return the greatest age that a confirming copy may have; at least 1."""
         return max(1.0, now_ms - self.gap_end_ms)
--- a/tests/store/test_store_disk.py
+++ b/tests/store/test_store_disk.py
@@ -1,4 +1,4 @@
-"""The disk tier on a folder that fails by plan, and through crashes, against a plain model."""
+"""The disk tier on a folder with planned errors, and through crashes, compared with a plain model."""
 
 import errno
 import random
@@ -27,7 +27,7 @@
 FAST = Rate(1e12, 1e12, 1e12)
 
 
-def opened(files: SimFiles | OsFiles, now: float = START, options: Options = SMALL) -> Disk:
+def open_disk(files: SimFiles | OsFiles, now: float = START, options: Options = SMALL) -> Disk:
     found = recover.load(files)
     proof = Proof(found.kept, 6000.0, 500.0)
     disk = Disk(files, InlineJobs(), options, found, proof)
@@ -53,9 +53,9 @@
     return lambda name: OSError(code, "planned") if only in name else None
 
 
-def test_what_was_put_is_read_and_a_start_finds_it_with_and_without_a_checkpoint() -> None:
+def test_stored_parts_are_read_and_recovered_with_and_without_a_checkpoint() -> None:
     files = SimFiles()
-    disk = opened(files)
+    disk = open_disk(files)
     bodies = {key: put(disk, key) for key in range(60)}
     disk.save()
     bodies |= {key: put(disk, key) for key in range(60, 70)}
@@ -66,14 +66,14 @@
         assert sum(s.live for s in found.segments.values()) == sum(
             s.live for s in disk.space.segments.values()
         )
-    again = opened(files)
-    assert {key: get(again, key) for key in bodies} == bodies
+    reopened = open_disk(files)
+    assert {key: get(reopened, key) for key in bodies} == bodies
 
 
 @pytest.mark.parametrize("code", [errno.ENOSPC, errno.EIO, errno.EROFS])
-def test_a_failed_write_ends_writing_and_reads_go_on(code: int) -> None:
+def test_a_failed_write_stops_writes_but_not_reads(code: int) -> None:
     files = SimFiles()
-    disk = opened(files)
+    disk = open_disk(files)
     body = put(disk, 1)
     files.faults["write"] = fail(code, "segment")  # type: ignore[assignment]
     disk.put(part(2, epoch=disk.proof.epoch), b"x")
@@ -83,9 +83,9 @@
     assert len(recover.load(files).index) == 1
 
 
-def test_a_failed_fsync_is_never_trusted_afterwards() -> None:
+def test_after_a_failed_fsync_no_later_one_is_trusted() -> None:
     files = SimFiles()
-    disk = opened(files)
+    disk = open_disk(files)
     put(disk, 1)
     files.faults["sync"] = fail(errno.EIO, "segment")  # type: ignore[assignment]
     disk.sync()
@@ -95,97 +95,99 @@
     assert disk.active and disk.active.durable == 0, "a later fsync that succeeds proves nothing"
 
 
-def test_after_a_failed_log_the_watermark_stands_still_and_the_next_start_finds_the_gap() -> None:
+def test_after_a_failed_log_write_the_watermark_stops_and_the_next_start_finds_the_gap() -> None:
     files = SimFiles()
-    disk = opened(files)
+    disk = open_disk(files)
     put(disk, 1)
     disk.proof.follow(START + 1000.0)
     disk.mark_followed()
     files.faults["sync"] = fail(errno.EIO, "purges")  # type: ignore[assignment]
-    told: list[bool] = []
-    disk.purge(1, 3, START + 2000.0, lambda: told.append(True))
+    called: list[bool] = []
+    disk.purge(1, 3, START + 2000.0, lambda: called.append(True))
     del files.faults["sync"]
     disk.proof.follow(START + 60_000.0)
     disk.mark_followed()
-    assert not told and not disk.health.writes
-    again = opened(files, START + 61_000.0)
-    assert again.proof.epoch == disk.proof.epoch + 1 and not again.proof.proven(1, START, START + 61_000.0)
+    assert not called and not disk.health.writes
+    reopened = open_disk(files, START + 61_000.0)
+    assert reopened.proof.epoch == disk.proof.epoch + 1 and not reopened.proof.proven(
+        1, START, START + 61_000.0
+    )
 
 
 def test_a_folder_that_is_gone_switches_the_tier_off(tmp_path: Path) -> None:
     files = OsFiles(tmp_path / "store")
-    disk = opened(files)
+    disk = open_disk(files)
     put(disk, 1)
-    disk.health.wrote(OSError(errno.ESTALE, "gone"))
+    disk.health.on_write_error(OSError(errno.ESTALE, "gone"))
     assert disk.health.state == OFF and get(disk, 1) is None
     files.close()
 
 
-def test_segments_that_can_not_be_read_are_left_and_three_end_the_tier() -> None:
+def test_unreadable_segments_are_not_read_again_and_three_switch_the_tier_off() -> None:
     files = SimFiles()
-    disk = opened(files)
+    disk = open_disk(files)
     for key in range(150):
         put(disk, key)
     files.faults["read"] = fail(errno.EIO)  # type: ignore[assignment]
     for key in range(150):
         assert get(disk, key) is None
-    assert disk.health.state == OFF and len(disk.health.spoilt) == 3
+    assert disk.health.state == OFF and len(disk.health.unreadable_segments) == 3
 
 
-def test_a_rotten_byte_costs_its_record_alone() -> None:
+def test_a_corrupted_byte_loses_only_its_record() -> None:
     files = SimFiles()
-    disk = opened(files)
+    disk = open_disk(files)
     bodies = {key: put(disk, key) for key in range(10)}
     disk.sync()
     name = recover.segment_name(1)
-    files.nodes[name].durable[64 + 1200] ^= 1  # in the first record's body or the second's head
+    files.nodes[name].durable[64 + 1200] ^= 1  # in the body of the first record or the head of the second
     wrong = [key for key in bodies if get(disk, key) is None]
     assert len(wrong) == 1 and disk.counts.torn == 1
     found = recover.load(files)
     assert len(found.index) in (9, 10)
-    files.nodes[name].durable[64] ^= 1  # the first head: the scan goes on behind it
+    files.nodes[name].durable[64] ^= 1  # the first head: the scan continues behind it
     assert len(recover.load(files).index) >= 8
 
 
 def test_a_record_within_a_body_is_never_found_by_a_scan() -> None:
     files = SimFiles()
-    disk = opened(files)
+    disk = open_disk(files)
     inner = fmt.write_record(part(666, epoch=1), b"planted", disk.space.next_id, 64).ljust(4096, b"\0")
     disk.put(part(1, epoch=disk.proof.epoch), b"\0" * 3 + inner)
     put(disk, 2)
     files.nodes[recover.segment_name(1)].content()
     node = files.nodes[recover.segment_name(1)]
     node.durable, node.waiting = node.content(), []
-    node.durable[64] ^= 1  # the outer head does not hold any more
+    node.durable[64] ^= 1  # the outer head is no longer valid
     index = recover.load(files).index
     assert not index.get(fingerprint(666, 0)) and index.get(fingerprint(2, 0))
 
 
-def test_compaction_carries_what_is_wanted_and_never_undoes_a_newer_record() -> None:
+def test_compaction_copies_live_parts_and_never_replaces_a_newer_record() -> None:
     files = SimFiles()
-    disk = opened(files)
+    disk = open_disk(files)
     bodies = {key: put(disk, key) for key in range(28)}
     for key in range(20):
         disk.forget(fingerprint(key, 0))
-    for key in (100, 101, 102):  # the first segment is full then, and sealed
+    for key in (100, 101, 102):  # fills the first segment, which is then sealed
         put(disk, key)
     victim = disk.space.segments[1]
     assert victim.dead > victim.size / 2
     newer = make_body(25, 0, 1, 900)
     disk.put(part(25, since=int(START), epoch=disk.proof.epoch, tag="t2"), newer)
-    compactor = Compactor(disk, lambda mark: 2, FAST)
+    compactor = Compactor(disk, lambda part_hash: 2, FAST)
     while compactor.step(START, False):
         pass
-    assert recover.segment_name(1) not in files.nodes and compactor.segments >= 1
+    assert recover.segment_name(1) not in files.nodes and compactor.segments_done >= 1
     assert get(disk, 25) == newer and all(get(disk, key) == bodies[key] for key in (20, 21, 24, 26, 27))
     assert all(get(disk, key) is None for key in range(20))
     assert len(recover.load(files).index) == len(disk.index)
 
 
-def test_a_full_budget_goes_on_taking_what_is_new() -> None:
+def test_new_parts_are_stored_when_the_budget_is_used_up() -> None:
     files = SimFiles()
-    disk = opened(files)
-    compactor = Compactor(disk, lambda mark: 2, FAST)
+    disk = open_disk(files)
+    compactor = Compactor(disk, lambda part_hash: 2, FAST)
     for key in range(1500):
         disk.put(part(key, since=int(START), epoch=disk.proof.epoch), bytes(1000))
         while compactor.step(START, False):
@@ -195,33 +197,33 @@
     assert not disk.counts.dropped
 
 
-def test_a_number_that_was_used_before_is_never_used_again_while_a_checkpoint_names_it() -> None:
-    """A new segment of an old number was scanned only from where the old one had ended."""
+def test_a_segment_number_is_not_reused_while_a_checkpoint_names_it() -> None:
+    """Guards against lost records: with a reused number a scan began only where the old segment ended."""
     files = SimFiles()
-    disk = opened(files)
+    disk = open_disk(files)
     for key in range(20):
         put(disk, key)
     disk.save()
     disk.remove(disk.space.segments[1])
-    again = opened(files)
-    put(again, 77, 300)
-    assert again.active and again.active.id == 2
+    reopened = open_disk(files)
+    put(reopened, 77, 300)
+    assert reopened.active and reopened.active.id == 2
     assert recover.load(files).index.get(fingerprint(77, 0))
 
 
 def test_a_lost_log_makes_every_copy_suspect() -> None:
     files = SimFiles()
-    disk = opened(files)
+    disk = open_disk(files)
     put(disk, 1)
     disk.sync()
     epoch = disk.proof.epoch
     files.remove(recover.LOG)
-    again = opened(files, START + 10.0)
-    assert again.proof.epoch == epoch + 1 and get(again, 1) is not None
+    reopened = open_disk(files, START + 10.0)
+    assert reopened.proof.epoch == epoch + 1 and get(reopened, 1) is not None
 
 
-def test_records_wait_until_their_era_is_durable() -> None:
-    """A crash would have given the same era to the next life, with this life's records in it."""
+def test_records_are_refused_until_their_epoch_is_durable() -> None:
+    """Guards against a crash after which the next start uses the same epoch while old records carry it."""
     files = SimFiles()
     found = recover.load(files)
     disk = Disk(files, InlineJobs(), SMALL, found, Proof(found.kept, 6000.0))
@@ -231,7 +233,7 @@
     assert disk.put(part(1, epoch=disk.proof.epoch), b"x")
 
 
-def test_one_owner_at_a_time(tmp_path: Path) -> None:
+def test_a_folder_has_one_owner_at_a_time(tmp_path: Path) -> None:
     first, second = OsFiles(tmp_path), OsFiles(tmp_path)
     assert first.lock() and not second.lock()
     first.close()
@@ -239,9 +241,9 @@
     second.close()
 
 
-def test_files_of_the_machine_read_write_and_rename(tmp_path: Path) -> None:
+def test_real_files_are_read_written_and_renamed(tmp_path: Path) -> None:
     files = OsFiles(tmp_path)
-    for number in range(100):  # more than are kept open
+    for number in range(100):  # more than the number of descriptors kept open
         files.write(f"f{number}", 3, b"abc")
     assert files.read("f0", 0, 100) == b"\0\0\0abc" and files.read("f0", 3, 2) == b"ab"
     files.rename("f0", "f1")
@@ -256,19 +258,19 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 26))
-def test_crashes_serve_nothing_wrong_and_lose_nothing_durable(seed: int) -> None:
+def test_after_crashes_nothing_wrong_is_served_and_nothing_durable_is_lost(seed: int) -> None:
     run = point(seed)
     assert not run.wrong
     assert run.counts["proven"] + run.counts["suspect or dead"] > 20
 
 
-def test_the_judge_of_crashes_notices_trust_without_proof(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_crash_test_notices_copies_served_without_proof(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Proof, "proven", lambda *_: True)
     assert any("old" in line for seed in range(1, 15) for line in point(seed).wrong)
 
 
 class Machine(RuleBasedStateMachine):
-    """Put, get, purge, crash, recover and clock steps against the crash rig's plain model."""
+    """Puts, gets, purges, crashes, recoveries and clock steps against the model of the crash test."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -277,7 +279,7 @@
 
     @rule(steps=st.integers(1, 30), at=st.integers(1, 200))
     def live(self, steps: int, at: int) -> None:
-        """Work, and maybe crash in the middle of a call."""
+        """Work, and possibly crash in the middle of a call."""
         self.run.files.crash_at = self.run.files.calls + at
         try:
             self.run.live(steps)
@@ -287,26 +289,26 @@
         self.run.files.crash_at = 0
 
     @rule()
-    def cut(self) -> None:
-        """Stop between two calls."""
+    def crash(self) -> None:
+        """Crash between two calls."""
         self.run.crash()
         self.run.judge()
 
     @rule(ms=st.sampled_from([-100_000.0, -3_000.0, 3_000.0, 100_000.0]))
     @precondition(lambda self: self.run.disk is not None)
     def step(self, ms: float) -> None:
-        """Let the wall clock step while the steady one stands; nothing from before may be proven any more."""
+        """Let the wall clock step but not the monotonic clock; no earlier copy may be proven afterwards."""
         disk = self.run.disk
         assert disk
         old = disk.proof.epoch
-        disk.proof.offset_ms = (disk.proof.offset_ms or 0.0) - ms
-        assert disk.proof.stepped(self.run.model.now, self.run.model.now)
+        disk.proof.wall_offset_ms = (disk.proof.wall_offset_ms or 0.0) - ms
+        assert disk.proof.check_clock_step(self.run.model.now, self.run.model.now)
         disk.mark_epoch()
         assert not disk.proof.proven(old, self.run.model.now, self.run.model.now)
 
     @invariant()
-    def right(self) -> None:
-        """Nothing was served wrongly or lost."""
+    def check(self) -> None:
+        """Check that nothing wrong was served and nothing durable was lost."""
         assert not self.run.wrong
 
 
--- a/tests/store/test_store_live.py
+++ b/tests/store/test_store_live.py
@@ -1,4 +1,4 @@
-"""The tiers in real processes among stand-ins: kills, orderly restarts, upgrades, the command line."""
+"""The tiers in real processes among stand-ins: kills, orderly restarts, upgrades, and the command line."""
 
 import asyncio
 import json
@@ -11,14 +11,14 @@
 from click.testing import CliRunner
 
 from hitchtiller.cli.main import main
-from hitchtiller.store.light import room_mb
+from hitchtiller.store.light import memory_tier_mb
 from standins import kills
 from standins.rig import REPLAY_MS, ROOT, Rig
 from standins.truth import now_ms
 
 
-def played(script: Callable[[Rig], Awaitable[None]], **disk: float) -> Rig:
-    """Run a script on a rig with both tiers; whatever clients saw must be right."""
+def play_script(script: Callable[[Rig], Awaitable[None]], **disk: float) -> Rig:
+    """Run a script on a rig with both tiers, and check that clients saw nothing wrong."""
 
     async def run() -> Rig:
         rig = Rig(5)
@@ -45,8 +45,8 @@
     terminal.close()
 
 
-def test_killed_at_random_moments_it_serves_nothing_torn_or_old() -> None:
-    """Eight kills with fixed seeds; `python -m standins.kills` has hundreds."""
+def test_a_gateway_killed_at_random_moments_serves_nothing_torn_or_old() -> None:
+    """Eight kills with fixed seeds; `python -m standins.kills` runs hundreds."""
 
     async def lanes() -> list[dict[str, object]]:
         return list(await asyncio.gather(*(kills.play(seed, 2) for seed in (100, 300, 400, 500))))
@@ -56,8 +56,8 @@
     assert sum(int(str(result["served"])) for result in results) > 100
 
 
-def test_the_judge_of_kills_notices_a_gateway_that_ignores_purges() -> None:
-    """The same rig with a bus that tells nobody of purges while the truth has them."""
+def test_the_kill_test_notices_a_gateway_that_ignores_purges() -> None:
+    """The same rig with a bus that does not send a purge which the truth contains."""
 
     async def script() -> list[str]:
         rig = Rig(5)
@@ -68,7 +68,7 @@
             await rig.logged("store open")
             await ask_all(rig, range(1, 6))
             rig.truth.purge(3, -1, now_ms())
-            rig.bus.told += 1  # never told
+            rig.bus.told += 1  # the purge is never sent
             await asyncio.sleep(1.2)
             await ask_all(rig, range(1, 6))
         finally:
@@ -94,10 +94,10 @@
         figures = await rig.figures()
         assert figures["store.hits.disk"] == 39 and sum(server.pulls for server in rig.caches) == pulls
 
-    played(script)
+    play_script(script)
 
 
-def test_after_a_long_absence_copies_are_confirmed_and_what_was_purged_is_not_served() -> None:
+def test_after_a_long_absence_copies_are_confirmed_and_purged_ones_are_not_served() -> None:
     async def script(rig: Rig) -> None:
         await rig.logged("store open")
         for _ in range(2):
@@ -114,10 +114,10 @@
         assert figures["store.confirmed"] == 18 == sum(server.kept for server in rig.caches) - kept
         assert figures["store.refuted"] == 2 and figures["store.hits.disk"] == 0
 
-    played(script)
+    play_script(script)
 
 
-def test_a_new_version_takes_the_folder_over_when_the_old_one_lets_go() -> None:
+def test_a_new_version_takes_the_folder_over_when_the_old_one_releases_it() -> None:
     async def script(rig: Rig) -> None:
         await rig.logged("store open")
         for _ in range(2):
@@ -126,7 +126,8 @@
         await rig.launch()
         assert old
         await rig.logged("store open")
-        async with asyncio.timeout(10.0):  # another pipe than the new one's: its line may be read later
+        # the old process has a pipe of its own, so its line may be read later
+        async with asyncio.timeout(10.0):
             while not (left := [line for line in log if "store left" in line]):
                 await asyncio.sleep(0.01)
         assert "store left: 30 parts" in left[0]
@@ -134,7 +135,7 @@
         assert (await rig.figures())["store.hits.disk"] == 30
         assert await asyncio.wait_for(old.wait(), 10.0) == 0
 
-    played(script)
+    play_script(script)
 
 
 def test_logs_as_json_have_bound_fields() -> None:
@@ -148,11 +149,11 @@
         line = json.loads(await rig.expect('"side":"client"'))
         assert line["node"] == "n0" and line["code"] == "eof" and line["level"] == "INFO"
 
-    played(script)
+    play_script(script)
 
 
-def test_the_platforms_gateway_imports_nothing_of_this() -> None:
-    """Two versions have to fit 32 MB."""
+def test_the_platforms_gateway_does_not_import_the_store() -> None:
+    """Two versions have to fit into 32 MB together."""
     code = (
         "import sys, hitchtiller.__main__\n"
         "new = {'click', 'rich', 'msgspec', 'hcl2', 'lark', 'xxhash', 'google_crc32c', 'numpy'}\n"
@@ -163,25 +164,25 @@
     assert done.stdout.strip() == "[]"
 
 
-def test_serve_refuses_a_bad_file_and_a_share_for_no_class(tmp_path: Path) -> None:
+def test_serve_refuses_a_bad_file_and_a_share_for_an_unknown_class(tmp_path: Path) -> None:
     file = tmp_path / "gateway.hcl"
     env = {"BALANCER_CONFIG": str(ROOT / "examples" / "config.json")}
-    for text, told in (
+    for text, message in (
         ("stor { }", "did you mean 'store'?"),
         ('store {\n share "nope" { }\n}', "'nope', which is no"),
     ):
         file.write_text(text)
         command = [sys.executable, "-m", "hitchtiller.cli", "serve", "--file", str(file)]
         done = subprocess.run(command, capture_output=True, text=True, cwd=ROOT, env=env)
-        assert done.returncode == 2 and told in done.stderr
+        assert done.returncode == 2 and message in done.stderr
 
 
-def test_the_demo_serves_and_shows_the_way() -> None:
+def test_the_demo_serves_and_shows_how_each_request_was_answered() -> None:
     done = CliRunner().invoke(main, ["demo", "--json"])
     assert done.exit_code == 0, done.output
     rows = json.loads(done.output)["requests"]
     assert rows[0]["way"].startswith("station cache") and rows[4]["way"] == "memory"
-    assert rows[6]["way"].startswith("station cache"), "it was purged"
+    assert rows[6]["way"].startswith("station cache"), "the object was purged"
 
 
 def test_the_store_tools_show_verify_compact_and_export(tmp_path: Path) -> None:
@@ -191,7 +192,7 @@
     args = ["store", "bench", str(folder), "--parts", "300", "--kb", "4", "--seconds", "0.05", "--json"]
     measured = json.loads(run.invoke(main, args).output)
     assert measured["parts"] == 300 and measured["scanned_with_checkpoint"] == 0
-    assert run.invoke(main, args).exit_code == 2, "it is not empty any more"
+    assert run.invoke(main, args).exit_code == 2, "the folder is no longer empty"
     shown = json.loads(run.invoke(main, ["store", "inspect", str(folder), "--json"]).output)
     assert shown["parts"] == 300 and shown["segments"] == 1
     assert run.invoke(main, ["store", "verify", str(folder)]).exit_code == 0
@@ -210,8 +211,8 @@
     assert bad.exit_code == 1 and json.loads(bad.output)["bad"] == 1
 
 
-def test_the_platforms_gateway_has_the_memory_tier_where_its_limit_leaves_room() -> None:
-    assert room_mb(80) == 8.0 and room_mb(2048) == 16.0
+def test_the_platforms_gateway_has_the_memory_tier_if_its_limit_leaves_room() -> None:
+    assert memory_tier_mb(80) == 8.0 and memory_tier_mb(2048) == 16.0
 
     async def script(rig: Rig) -> None:
         await rig.kill()
@@ -223,16 +224,16 @@
         rig.memory_mb = 512
         await rig.launch()
         assert any("memory tier of 16.0 MB" in line for line in rig.lines)
-        await asyncio.sleep(0.4)  # the bus has to tell all there was
+        await asyncio.sleep(0.4)  # until the gateway has caught up with the bus
         for _ in range(2):
             await ask_all(rig, range(1, 11))
         figures = await rig.figures()
         assert figures["store.hits.memory"] == 10 and "store.disk.puts" in figures
 
-    played(script)
+    play_script(script)
 
 
-def test_the_platforms_gateway_refuses_what_it_does_not_know() -> None:
+def test_the_platforms_gateway_refuses_unknown_options() -> None:
     command = [sys.executable, "-m", "hitchtiller", "--memory"]
     done = subprocess.run(command, capture_output=True, text=True, cwd=ROOT)
     assert done.returncode == 2 and "there is --memory-tier" in done.stderr
--- a/tests/store/test_store_tier.py
+++ b/tests/store/test_store_tier.py
@@ -1,4 +1,4 @@
-"""The tiers behind an engine: hits, joins, purges, suspects, clocks, and ends of all kinds."""
+"""The tiers behind an engine: hits, joined requests, purges, suspects, clocks, and outcomes of all kinds."""
 
 import random
 
@@ -33,27 +33,27 @@
 
 
 @pytest.mark.parametrize("more", [{"dedupe": "k"}, {"body": b"b"}])
-def test_what_carries_a_key_or_a_body_passes_by(tiers: Tiers, more: dict[str, object]) -> None:
+def test_requests_with_a_dedupe_key_or_a_body_bypass_the_tiers(tiers: Tiers, more: dict[str, object]) -> None:
     tiers.fetch()
     tiers.ask(**more)
     assert len(tiers.sent()) == 1 and not tiers.tier.joins.flights
 
 
 @pytest.mark.parametrize("name", ["keyed", "once"])
-def test_keyed_and_write_classes_are_never_kept(tiers: Tiers, name: str) -> None:
+def test_answers_of_keyed_and_write_classes_are_never_stored(tiers: Tiers, name: str) -> None:
     for _ in range(2):
         tiers.ask(name=name)
         tiers.serve(tiers.sent()[-1])
     assert len(tiers.back.sent) == 2 and not tiers.tier.memory.copies
 
 
-def test_a_copy_of_one_class_is_not_one_of_another(tiers: Tiers) -> None:
+def test_a_copy_is_not_served_to_another_class(tiers: Tiers) -> None:
     tiers.fetch(name="small")
     tiers.ask(name="big")
     assert len(tiers.sent()) == 1
 
 
-def test_age_counts_from_the_origin_and_within_grace_a_copy_stands_in_for_a_failure(
+def test_age_counts_from_the_origin_and_a_copy_within_grace_replaces_a_failure(
     tiers: Tiers,
 ) -> None:
     tiers.fetch(name="brief", since=START - 900.0)
@@ -71,10 +71,10 @@
     tiers.ask(name="brief")
     while sent := tiers.sent():
         sent[-1].end(AttemptResult("err"))
-    assert kinds(tiers)[4] in (FAILED, REFUSED), "past its grace it is not served"
+    assert kinds(tiers)[4] in (FAILED, REFUSED), "past its grace the copy is not served"
 
 
-def test_a_copy_past_its_fresh_time_is_renewed_without_bytes(tiers: Tiers) -> None:
+def test_a_copy_past_its_fresh_time_is_renewed_without_a_body(tiers: Tiers) -> None:
     tiers.fetch(name="brief")
     tiers.wait(1_200.0)
     tiers.ask(name="brief")
@@ -85,7 +85,7 @@
     assert kinds(tiers)[3] == SERVED and not tiers.sent()
 
 
-def test_a_purge_ends_a_copy_at_once_by_object_and_by_group(tiers: Tiers) -> None:
+def test_a_purge_of_an_object_or_a_group_removes_a_copy_at_once(tiers: Tiers) -> None:
     for key, purge in ((1, (1, -1)), (2, (None, 5))):
         tiers.ask(key, group=5)
         tiers.serve(tiers.sent()[-1])
@@ -96,7 +96,7 @@
         tiers.serve(tiers.sent()[0], b"new")
 
 
-def test_a_fill_begun_before_a_purge_is_never_kept_as_newer(tiers: Tiers) -> None:
+def test_the_result_of_a_fill_begun_before_a_purge_is_not_stored(tiers: Tiers) -> None:
     exchange = tiers.ask()
     tiers.wait(50.0)
     tiers.purge()
@@ -106,29 +106,32 @@
     assert len(tiers.sent()) == 1
 
 
-def test_one_that_waited_is_not_served_a_copy_that_was_only_young_enough_for_the_leader(tiers: Tiers) -> None:
-    """It was lost on split+mass: 20 s of age held when the leader asked, and not when the waiter did."""
+def test_a_waiter_is_not_served_a_copy_that_was_young_enough_only_for_the_leader(tiers: Tiers) -> None:
+    """Guards against a lost request, as on split+mass: a copy met the age limit only when the leader asked.
+
+    Its age of 20 s was within the limit then, but not any more when the waiter asked.
+    """
     tiers.ask(name="brief")
     tiers.wait(100.0)
     tiers.ask(name="brief")
     (leader,) = tiers.sent()
     tiers.serve(leader, since=START - 950.0)
     assert tiers.answers[1].kind == SERVED and 2 not in tiers.answers
-    (own,) = tiers.sent()  # the waiter's own attempt, with its own bound
+    (own,) = tiers.sent()  # the waiter's own attempt, with its own age limit
     tiers.serve(own)
     assert tiers.answers[2].kind == SERVED
 
 
-def test_requests_under_way_share_one_attempt(tiers: Tiers) -> None:
-    for have in ("", "", "t1"):
-        tiers.ask(client_tag=have)
+def test_concurrent_requests_share_one_attempt(tiers: Tiers) -> None:
+    for tag in ("", "", "t1"):
+        tiers.ask(client_tag=tag)
     assert len(tiers.back.sent) == 1
     tiers.serve(tiers.sent()[0])
     assert [tiers.answers[n].body for n in (1, 2)] == [b"x" * 100] * 2
     assert tiers.answers[3].unchanged and tiers.tier.hits["joined"] == 2
 
 
-def test_a_joiner_takes_over_when_the_leaders_client_leaves(tiers: Tiers) -> None:
+def test_a_waiter_takes_over_when_the_leaders_client_leaves(tiers: Tiers) -> None:
     leader = tiers.ask()
     tiers.ask()
     tiers.engine.leave(leader)
@@ -137,17 +140,17 @@
     assert kinds(tiers) == {2: SERVED}
 
 
-def test_a_joiner_takes_over_when_the_leaders_time_is_over(tiers: Tiers) -> None:
-    tiers.ask(life=200.0)
-    tiers.ask(life=2_000.0)
+def test_a_waiter_takes_over_when_the_leaders_time_is_over(tiers: Tiers) -> None:
+    tiers.ask(lifetime_ms=200.0)
+    tiers.ask(lifetime_ms=2_000.0)
     tiers.wait(201.0)
     assert kinds(tiers)[1] in (REFUSED, FAILED) and 2 not in tiers.answers
     assert tiers.sent()[0].exchange.number == 2
 
 
-def test_a_joiner_that_has_waited_too_long_goes_its_own_way(tiers: Tiers) -> None:
-    tiers.ask(life=2_900.0)
-    tiers.ask(life=100.0)
+def test_a_waiter_that_waits_too_long_sends_its_own_attempt(tiers: Tiers) -> None:
+    tiers.ask(lifetime_ms=2_900.0)
+    tiers.ask(lifetime_ms=100.0)
     tiers.wait(41.0)
     assert {attempt.exchange.number for attempt in tiers.sent()} == {1, 2}
     tiers.serve(tiers.sent()[1])
@@ -166,30 +169,30 @@
     assert all(answer.kind in (REFUSED, FAILED) for answer in tiers.answers.values())
 
 
-def test_a_purge_between_leader_and_joiner_keeps_the_older_copy_from_the_joiner(tiers: Tiers) -> None:
+def test_a_copy_from_before_a_purge_is_not_served_to_a_waiter_that_came_after_it(tiers: Tiers) -> None:
     tiers.ask()
     tiers.wait(10.0)
     tiers.purge()
     tiers.ask()
     tiers.serve(tiers.sent()[0], since=START + 5.0)
-    assert kinds(tiers) == {1: SERVED}, "the leader was sent before it was told"
+    assert kinds(tiers) == {1: SERVED}, "the leader's attempt was sent before the purge was received"
     assert tiers.sent()[0].exchange.number == 2
     tiers.serve(tiers.sent()[0], b"new", since=tiers.clock.now + 1.0)
     assert tiers.answers[2].body == b"new"
 
 
-def test_the_link_paces_hits_and_what_would_be_late_goes_to_the_caches() -> None:
-    tiers = Tiers(link=1_000.0)  # bytes a second: 100 bytes take 100 ms
+def test_hits_wait_for_the_link_and_late_ones_go_to_the_caches() -> None:
+    tiers = Tiers(link=1_000.0)  # bytes per second: 100 bytes take 100 ms
     tiers.fetch()
     for _ in range(5):
         tiers.ask()
-    assert len(tiers.answers) == 2, "one at once, the next when the link is free"
+    assert len(tiers.answers) == 2, "one hit is served at once, the next when the link is free"
     assert len(tiers.sent()) >= 1 and tiers.tier.slow_link >= 1
     tiers.wait(100.0)
     assert len(tiers.answers) == 3
 
 
-def test_a_purge_while_an_answer_waits_for_the_link_is_kept() -> None:
+def test_a_purge_while_an_answer_waits_for_the_link_is_applied() -> None:
     tiers = Tiers(link=1_000.0)
     tiers.fetch()
     for _ in range(2):
@@ -200,8 +203,8 @@
     assert 3 not in tiers.answers and tiers.sent()[0].exchange.number == 3
 
 
-def test_nothing_is_kept_before_the_bus_has_told_all_there_was() -> None:
-    tiers = Tiers(heard=False)
+def test_nothing_is_stored_before_the_bus_is_caught_up_with() -> None:
+    tiers = Tiers(caught_up=False)
     tiers.fetch()
     assert not tiers.tier.memory.copies
 
@@ -209,15 +212,15 @@
 # Suspects
 
 
-def suspected(tiers: Tiers) -> float:
-    """Have a copy made suspect by a step of the clock; gives when the gap ended."""
+def make_suspect(tiers: Tiers) -> float:
+    """Store a copy and make it suspect by a step of the clock; return when the gap ended."""
     tiers.fetch()
     tiers.step(5_000.0)
     return tiers.clock.now
 
 
 def test_a_step_of_the_clock_makes_a_copy_suspect_and_a_confirmation_proves_it(tiers: Tiers) -> None:
-    gap = suspected(tiers)
+    gap = make_suspect(tiers)
     exchange = tiers.ask()
     (attempt,) = tiers.sent()
     assert exchange.confirm_tag == "t1"
@@ -230,8 +233,8 @@
     assert kinds(tiers)[3] == SERVED and not tiers.sent()
 
 
-def test_the_tag_goes_with_the_command_and_an_unasked_keep_is_an_error(tiers: Tiers) -> None:
-    suspected(tiers)
+def test_the_pull_command_carries_the_tag_and_the_age_limit(tiers: Tiers) -> None:
+    make_suspect(tiers)
     tiers.ask()
     (attempt,) = tiers.sent()
     command = PullJob(attempt).command()
@@ -239,28 +242,28 @@
 
 
 @pytest.mark.parametrize("tag, age", [("t2", 5.0), ("t1", -5.0)])
-def test_a_keep_that_proves_nothing_is_an_error_of_that_attempt(tiers: Tiers, tag: str, age: float) -> None:
-    gap = suspected(tiers)
+def test_a_keep_answer_that_confirms_nothing_fails_the_attempt(tiers: Tiers, tag: str, age: float) -> None:
+    gap = make_suspect(tiers)
     tiers.ask()
     (attempt,) = tiers.sent()
     tiers.keep(attempt, tag, gap + age)
     assert 2 not in tiers.answers and tiers.tier.refuted == 1 and not tiers.tier.memory.copies
-    (again,) = tiers.sent()
-    assert not again.exchange.confirm_tag
-    tiers.serve(again, b"new", "t3")
+    (retry,) = tiers.sent()
+    assert not retry.exchange.confirm_tag
+    tiers.serve(retry, b"new", "t3")
     assert tiers.answers[2].body == b"new"
 
 
-def test_other_bytes_refute_a_suspect(tiers: Tiers) -> None:
-    suspected(tiers)
+def test_a_different_body_refutes_a_suspect(tiers: Tiers) -> None:
+    make_suspect(tiers)
     tiers.ask()
     tiers.serve(tiers.sent()[0], b"new", "t2")
     tiers.ask()
     assert tiers.answers[2].body == tiers.answers[3].body == b"new" and tiers.tier.refuted == 1
 
 
-def test_a_clients_own_tag_is_not_replaced_but_its_keep_proves_ours_too(tiers: Tiers) -> None:
-    gap = suspected(tiers)
+def test_a_clients_tag_is_not_replaced_and_its_keep_answer_confirms_the_own_copy(tiers: Tiers) -> None:
+    gap = make_suspect(tiers)
     exchange = tiers.ask(client_tag="t1")
     assert not exchange.confirm_tag
     tiers.keep(tiers.sent()[0], "t1", gap + 1.0)
@@ -272,27 +275,27 @@
 # Disk
 
 
-def test_what_is_asked_for_twice_is_written_and_read_back_after_a_start() -> None:
+def test_a_part_requested_twice_is_written_and_read_after_a_restart() -> None:
     files, tiers = SimFiles(), Tiers()
     tiers.disk(files)
     for key in (1, 2):
         tiers.fetch(key)
-    assert len(recover.load(files).index) == 0, "one-offs are not written"
+    assert len(recover.load(files).index) == 0, "parts requested once are not written"
     tiers.ask(1)
     assert tiers.tier.hits["memory"] == 1 and len(recover.load(files).index) == 1
     tiers.wait(1000.0)
     tiers.tier.on_caught_up()
-    again = Tiers(heard=False)
-    again.clock.now = tiers.clock.now + 100.0
-    again.tier.on_caught_up()
-    again.disk(files)
-    again.ask(1)
-    assert again.answers[1].body == b"x" * 100 and again.tier.hits["disk"] == 1
-    again.ask(1)
-    assert again.tier.hits["memory"] == 1
+    restarted = Tiers(caught_up=False)
+    restarted.clock.now = tiers.clock.now + 100.0
+    restarted.tier.on_caught_up()
+    restarted.disk(files)
+    restarted.ask(1)
+    assert restarted.answers[1].body == b"x" * 100 and restarted.tier.hits["disk"] == 1
+    restarted.ask(1)
+    assert restarted.tier.hits["memory"] == 1
 
 
-def test_after_a_gap_a_part_on_disk_is_asked_about_and_a_purge_that_was_told_is_kept() -> None:
+def test_after_a_gap_a_part_on_disk_is_confirmed_and_a_received_purge_still_applies() -> None:
     files, tiers = SimFiles(), Tiers()
     disk = tiers.disk(files)
     for key in (1, 2):
@@ -302,32 +305,32 @@
     assert len(disk.index) == 2
     tiers.wait(5.0)
     tiers.purge(2)
-    again = Tiers(heard=False)
-    again.clock.now = START + 3_600_000.0
-    again.tier.on_caught_up()
-    again.disk(files)
-    exchange = again.ask(1)
-    assert exchange.confirm_tag == "t1" and again.proof.epoch > 1
-    other = again.ask(2)
-    assert not other.confirm_tag, "a purged copy is not even asked about"
+    restarted = Tiers(caught_up=False)
+    restarted.clock.now = START + 3_600_000.0
+    restarted.tier.on_caught_up()
+    restarted.disk(files)
+    exchange = restarted.ask(1)
+    assert exchange.confirm_tag == "t1" and restarted.proof.epoch > 1
+    other = restarted.ask(2)
+    assert not other.confirm_tag, "no server is asked to confirm a purged copy"
 
 
-def test_purges_told_while_the_folder_was_closed_are_written_when_it_opens() -> None:
+def test_purges_received_while_the_folder_was_closed_are_written_when_it_opens() -> None:
     files, tiers = SimFiles(), Tiers()
     tiers.purge(9, at=START + 1.0)
     tiers.disk(files)
     assert recover.load(files).purges.objects == {9: START + 1.0}
 
 
-def test_a_part_that_can_not_be_read_goes_to_the_caches_and_its_joiners_with_it() -> None:
+def test_an_unreadable_part_and_its_waiters_are_served_by_the_caches() -> None:
     files, tiers = SimFiles(), Tiers()
     found = recover.load(files)
-    held: list[object] = []
+    pending_reads: list[object] = []
 
     class Slow(InlineJobs):
         def submit(self, lane, run, done):  # type: ignore[no-untyped-def]
             if lane == "read":
-                held.append(done)
+                pending_reads.append(done)
                 return True
             return super().submit(lane, run, done)
 
@@ -341,16 +344,16 @@
     before = len(tiers.back.sent)
     for _ in range(3):
         tiers.ask(1)
-    assert len(held) == 1 and len(tiers.back.sent) == before
-    held[0](None, OSError(5, "planned"))  # type: ignore[operator]
+    assert len(pending_reads) == 1 and len(tiers.back.sent) == before
+    pending_reads[0](None, OSError(5, "planned"))  # type: ignore[operator]
     assert len(tiers.sent()) == 1
     tiers.serve(tiers.sent()[0])
     assert [kinds(tiers)[n] for n in (3, 4, 5)] == [SERVED] * 3
 
 
-def test_many_purges_forget_only_what_no_copy_needs() -> None:
+def test_many_purges_are_forgotten_only_if_no_copy_needs_them() -> None:
     tiers = Tiers()
-    tiers.tier.purges.most = 100
+    tiers.tier.purges.max_objects = 100
     tiers.fetch(1)
     tiers.wait(10.0)
     tiers.purge(1)
@@ -359,10 +362,10 @@
         tiers.wait(1000.0)
         tiers.purge(rng.getrandbits(40))
     tiers.ask(1)
-    assert len(tiers.sent()) == 1, "its copy is older than its purge, whatever was forgotten"
+    assert len(tiers.sent()) == 1, "the copy is older than the purge, whatever was forgotten"
 
 
-def test_figures_are_published(tiers: Tiers) -> None:
+def test_statistics_are_published(tiers: Tiers) -> None:
     tiers.fetch()
     tiers.ask()
     lines = tiers.engine.stats.lines()
