--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -13,8 +13,13 @@
 
 from hitchtiller import interface as api
 from hitchtiller.records import Attempt, Node, OpenRequest, hash64, lru_put, rank_by_hash
-from hitchtiller.routing.blame import ASSUMED_FILL_SHARE, EJECT_AT, FAILURE_SHARES, SUCCESS_FACTOR
-from hitchtiller.routing.blame import ejection_ms as ejection_time_ms
+from hitchtiller.routing.blame import (
+    ASSUMED_FILL_SHARE,
+    EJECT_AT,
+    FAILURE_SHARES,
+    SUCCESS_FACTOR,
+    ejection_ms,
+)
 from hitchtiller.routing.capacity import Capacity
 from hitchtiller.routing.cold import ColdGuard
 from hitchtiller.routing.directory import ENTRY_MS, Directory
@@ -433,7 +438,7 @@
                    for n in similar) >= len(similar):  # fmt: skip
             return
         node.ejections, node.trial = node.ejections + 1, True
-        node.ejected_until_ms = self.now + ejection_time_ms(node.ejections)
+        node.ejected_until_ms = self.now + ejection_ms(node.ejections)
         self.actions.append(api.Log(f"left out {node.member.server}, {node.ejections} in a row"))
         stuck = [k for k, a in self.in_flight.items() if a.node is node or (a.source is node and a.overdue)]
         self.actions += [api.Cancel(*k) for k in stuck if self.settings.cancel]  # to retry elsewhere
