--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -71,13 +71,15 @@
         self.retry_tokens = MAX_RETRY_TOKENS  # retries that may be sent now
         self.handlers: dict[type, Callable[[Any], object]] = {api.Request: self.on_request,
             api.Outcome: self.on_outcome, api.TimerDue: self.on_timer, api.PeerMessage: self.on_peer,
-            api.Members: self.on_members, api.Purged: self.on_purged, api.StreamBegun: lambda e: None,
-            api.Probed: lambda e: None, api.ClientLeft: self.on_client_left}  # fmt: skip
+            api.Members: self.on_members, api.Purged: self.on_purged, api.StreamBegun: lambda event: None,
+            api.Probed: lambda event: None, api.ClientLeft: self.on_client_left}  # fmt: skip
         self.zone_number = zone = settings.zones.index(settings.my_zone)
         self.hub_zone = settings.zones[settings.hub_of[zone]] if settings.hub_of else ""
-        link = settings.link_kb_per_s[zone] if settings.link_kb_per_s else 0.0
-        self.link = link / (settings.flow_kb_per_s or math.inf) or 8.0  # transfers that it carries at once
-        self.link_known = link > 0.0 and settings.flow_kb_per_s > 0.0  # stated in the settings
+        link_kb_per_s = settings.link_kb_per_s[zone] if settings.link_kb_per_s else 0.0
+        self.link_transfers = (
+            link_kb_per_s / (settings.flow_kb_per_s or math.inf) or 8.0
+        )  # transfers that it carries at once
+        self.link_known = link_kb_per_s > 0.0 and settings.flow_kb_per_s > 0.0  # stated in the settings
         self.cold_guard = ColdGuard(settings)
         self.leases, self.lease_waiters = OriginLeases(settings, ORIGIN_FILLS), list[OpenRequest]()
 
@@ -104,8 +106,13 @@
                 continue
             node.update(member, self.now)
         self.nodes = {name: n for name, n in self.nodes.items() if n.member.state != "DELETED"}
-        zone, upper = self.settings.my_zone, (self.settings.parent_kind, self.settings.origin_kind, None)
-        self.caches = [n for n in self.nodes.values() if n.member.zone == zone and n.member.kind not in upper]
+        zone, upstream_kinds = (
+            self.settings.my_zone,
+            (self.settings.parent_kind, self.settings.origin_kind, None),
+        )
+        self.caches = [
+            n for n in self.nodes.values() if n.member.zone == zone and n.member.kind not in upstream_kinds
+        ]
         self.parents = [n for n in self.nodes.values() if n.member.kind == self.settings.parent_kind]
         self.origins = [n for n in self.nodes.values() if n.member.kind == self.settings.origin_kind]
         for name, capacities in self.capacity_model.estimate(n.member for n in self.nodes.values()).items():
@@ -121,42 +128,59 @@
         """Return whether a cold server's debt is paid off, so that it may get one more attempt."""
         return self.cold_guard.admits(node, self.now, max(self.mean.values()), self.serving_share())
 
-    def max_age_ms(self, req: OpenRequest, stage: str) -> float:
+    def max_age_ms(self, request: OpenRequest, stage: str) -> float:
         """Return the largest age of a copy that will do, 0 for any; adds grace where no fill would follow."""
-        fresh = req.spec.fresh_ms + (req.spec.grace_ms if stage == "only" else 0.0)
-        age = min(fresh or math.inf, max(1.0, self.now - self.purges.latest(req.event.key, req.event.group)))
-        return 0.0 if age == math.inf else age
-
-    def may_send(self, req: OpenRequest, node: Node) -> bool:
+        fresh_ms = request.request_class.fresh_ms + (
+            request.request_class.grace_ms if stage == "only" else 0.0
+        )
+        age_ms = min(
+            fresh_ms or math.inf,
+            max(1.0, self.now - self.purges.latest(request.event.key, request.event.group)),
+        )
+        return 0.0 if age_ms == math.inf else age_ms
+
+    def may_send(self, request: OpenRequest, node: Node) -> bool:
         """Deadline and effects guards: no send past the deadline, none that could repeat an effect."""
-        if req.in_flight or req.tries >= self.settings.max_attempts or self.now >= req.event.deadline_ms:
+        if (
+            request.in_flight
+            or request.attempt_count >= self.settings.max_attempts
+            or self.now >= request.event.deadline_ms
+        ):
             return False
-        return self.may_repeat(req, node)
+        return self.may_repeat(request, node)
 
-    def may_repeat(self, req: OpenRequest, node: Node) -> bool:
+    def may_repeat(self, request: OpenRequest, node: Node) -> bool:
         """Effects guard, also at the first byte: the window starts at the first attempt that may have run."""
-        spec = req.spec
-        if req.first_run is None or spec.effect == "repeatable":
+        request_class = request.request_class
+        if request.first_run is None or request_class.effect == "repeatable":
             return True
-        within = self.now < req.first_run[0] + spec.repeat_window_ms - WINDOW_MARGIN_MS
-        return spec.effect == "by_key" and within and same_scope(spec, req.first_run[1].member, node.member)
+        in_window = self.now < request.first_run[0] + request_class.repeat_window_ms - WINDOW_MARGIN_MS
+        return (
+            request_class.effect == "by_key"
+            and in_window
+            and same_scope(request_class, request.first_run[1].member, node.member)
+        )
 
     def recheck_send(self, id: int, number: int, now_ms: float) -> float | None:
         """Apply the guards again at an attempt's first byte; return its age bound, or None to stop it."""
-        req, attempt, self.now = self.open_requests.get(id), self.in_flight.get((id, number)), now_ms
-        if not req or not attempt or now_ms >= req.event.deadline_ms:
+        request, attempt, self.now = self.open_requests.get(id), self.in_flight.get((id, number)), now_ms
+        if not request or not attempt or now_ms >= request.event.deadline_ms:
             return None
-        if attempt.from_origin and not self.leases.covers(req.event.deadline_ms, now_ms):
+        if attempt.from_origin and not self.leases.covers(request.event.deadline_ms, now_ms):
             return None
         serving = attempt.node.member.state == "SERVING" and attempt.source.member.state == "SERVING"
-        return self.max_age_ms(req, attempt.stage) if serving and self.may_repeat(req, attempt.node) else None
+        return (
+            self.max_age_ms(request, attempt.stage)
+            if serving and self.may_repeat(request, attempt.node)
+            else None
+        )
 
     def usable(self, node: Node) -> bool:
         """Return whether a server may be picked: serving, and not ejected or on trial with an attempt out."""
         return (node.member.state == "SERVING" and self.now >= node.ejected_until_ms
                 and not (node.trial and node.in_flight))  # fmt: skip
 
-    def rank(self, hashed: int) -> tuple[list[Node], list[Node]]:
+    def rank_servers(self, hashed: int) -> tuple[list[Node], list[Node]]:
         """Rank the zone's caches, and the parents, by rendezvous hash; remembered until the list changes."""
         ranking = self.rankings.get(hashed)
         if ranking is None:
@@ -164,137 +188,189 @@
             lru_put(self.rankings, hashed, ranking, MAX_TABLE_ENTRIES)
         return ranking
 
-    def pick_cache(self, req: OpenRequest, width: int) -> tuple[Node | None, bool]:
+    def pick_cache(self, request: OpenRequest, width: int) -> tuple[Node | None, bool]:
         """Pick a cache, an ejected one rather than none; also return whether a copy may be at another one."""
-        ranking = self.rank(req.object_hash)[0]
-        serving = [n for n in ranking if n.member.state == "SERVING" and n not in req.avoid]
+        ranking = self.rank_servers(request.object_hash)[0]
+        serving = [n for n in ranking if n.member.state == "SERVING" and n not in request.avoid]
         admitted = [n for n in serving if self.admits(n)]
         eligible = [n for n in admitted if self.usable(n)] or admitted
         if not eligible:
             return None, False
         node = min(eligible[:width], key=lambda n: n.load_ms / n.capacity)
-        if not self.in_time(req, node):  # try the rest of the zone before refusing
-            node = min(eligible, key=lambda n: (n.load_ms + req.work_ms) * n.pace.now(self.now) / n.capacity)
+        if not self.in_time(request, node):  # try the rest of the zone before refusing
+            node = min(
+                eligible, key=lambda n: (n.load_ms + request.work_ms) * n.pace.now(self.now) / n.capacity
+            )
         elsewhere = width > 1 or node is not ranking[0] or self.now < node.joined_ms + PLACEMENT_CHANGE_MS
-        return node, elsewhere and not req.spec.write and self.settings.siblings != "none"
+        return node, elsewhere and not request.request_class.write and self.settings.siblings != "none"
 
-    def gateways(self) -> float:
+    def serving_gateways(self) -> float:
         """Return this zone's gateways in service; used to estimate loads, never for a guard's share."""
         return max(1.0, self.cold_guard.in_zone * self.serving_share())
 
-    def in_time(self, req: OpenRequest, node: Node, with_overdue: bool = True) -> bool:
+    def in_time(self, request: OpenRequest, node: Node, with_overdue: bool = True) -> bool:
         """Return whether a request can meet its aim under the load, counted with or without overdue work."""
         total = sum(n.attempts if with_overdue else n.attempts - n.overdue for n in self.caches)
         own = node.attempts if with_overdue else node.attempts - node.overdue
-        others = (self.gateways() - 1.0) * total  # the other gateways have as many on average
+        others = (self.serving_gateways() - 1.0) * total  # the other gateways have as many on average
         load = others / self.zone_capacity + (1 + own) / node.capacity
-        return self.meets(req, load if req.spec.write else max(load, node.pace.significant_stretch(self.now)))
+        return self.meets_aim(
+            request,
+            load if request.request_class.write else max(load, node.pace.significant_stretch(self.now)),
+        )
 
-    def meets(self, req: OpenRequest, load: float) -> bool:
+    def meets_aim(self, request: OpenRequest, load: float) -> bool:
         """Return whether sending stays within the aim when a load on the link stretches it."""
-        work_ms = req.work_ms * (1.0 if req.known else UNKNOWN_SIZE_FACTOR)
-        aim_ms = req.spec.aim_ms + req.spec.aim_stretch * work_ms  # a load below 1 stretches nothing
+        work_ms = request.work_ms * (1.0 if request.size_known else UNKNOWN_SIZE_FACTOR)
+        aim_ms = (
+            request.request_class.aim_ms + request.request_class.aim_stretch * work_ms
+        )  # a load below 1 stretches nothing
         return work_ms * load < (aim_ms if load < 1.0 else MAX_AIM_SHARE * aim_ms)
 
-    def pick_source(self, req: OpenRequest) -> Node | None:
+    def pick_source(self, request: OpenRequest) -> Node | None:
         """Pick where a miss is filled from: the hashed hub parent, another hashed parent, or the origin."""
-        parents = [n for n in self.rank(req.object_hash)[1] if self.usable(n) and n not in req.avoid]
+        parents = [
+            n for n in self.rank_servers(request.object_hash)[1] if self.usable(n) and n not in request.avoid
+        ]
         for node in [n for n in parents if n.member.zone == self.hub_zone][:1] + parents:
-            if not req.spec.write and self.admits(node):
+            if not request.request_class.write and self.admits(node):
                 return node
-        if not req.spec.write and not self.leases.may_begin(req.event.deadline_ms, self.now):
+        if not request.request_class.write and not self.leases.may_begin(request.event.deadline_ms, self.now):
             self.actions += [api.SendNote(peer, note) for peer, note in self.leases.request_lease(self.now)]
-            req.lacks_lease = True
+            request.lacks_lease = True
             return None
         return next(iter(self.origins), None)
 
-    def count_request(self, req: OpenRequest) -> int:
+    def count_request(self, request: OpenRequest) -> int:
         """Count a request for its object; set its keep rank and return how many caches should share it."""
-        requests = self.popularity.count(req.item, self.now)
-        req.keep_rank = keep_rank(requests)
+        requests = self.popularity.count(request.item, self.now)
+        request.keep_rank = keep_rank(requests)
         mean_capacity = self.zone_capacity / max(1, len(self.caches)) or 1.0
-        load_share = requests * req.work_ms * self.gateways() / DECAY_MS / mean_capacity
+        load_share = requests * request.work_ms * self.serving_gateways() / DECAY_MS / mean_capacity
         return caches_for(requests, load_share)
 
     def on_request(self, event: api.Request) -> None:
         """Handle a client's request: send its first attempt."""
-        spec = self.settings.classes[event.class_name]
-        work_ms, known = self.sizes.estimate(event)
+        request_class = self.settings.classes[event.class_name]
+        work_ms, size_known = self.sizes.estimate(event)
         hashed = hash64(event.key, event.part)
-        item, home = (event.key, event.part), self.home_of(hashed)
-        req = OpenRequest(event, spec, work_ms, known, item, hashed, home, self.rng.random())
-        self.open_requests[event.id] = req
+        item, home_number = (event.key, event.part), self.home_of(hashed)
+        request = OpenRequest(
+            event, request_class, work_ms, size_known, item, hashed, home_number, self.rng.random()
+        )
+        self.open_requests[event.id] = request
         self.retry_tokens = min(MAX_RETRY_TOKENS, self.retry_tokens + RETRY_TOKENS_PER_REQUEST)
-        self.route(req, self.count_request(req))
+        self.route(request, self.count_request(request))
 
-    def route(self, req: OpenRequest, width: int) -> None:
+    def route(self, request: OpenRequest, width: int) -> None:
         """Send to the picked cache: a look-up if a copy may be elsewhere, else an attempt with its fill."""
-        node, look_up = self.pick_cache(req, width)
+        node, look_up = self.pick_cache(request, width)
         if node is None:  # bypass the caches where allowed and the link has room, or all fills are late
-            direct = len(self.in_flight) - sum(n.attempts for n in self.caches)
-            fits = req.spec.write or self.meets(req, (1 + self.gateways() * direct) / self.link)
-            upstream = self.pick_source(req) if self.settings.direct and fits else None
-            self.send(req, upstream, upstream, "fill")
-        elif not self.in_time(req, node):  # without the overdue ones, a hit may be in time
-            self.send(req, node if self.in_time(req, node, with_overdue=False) else None, node, "only")
-        elif look_up and req.tries + 2 < self.settings.max_attempts:
-            self.send(req, node, node, "look")
+            direct_count = len(self.in_flight) - sum(n.attempts for n in self.caches)
+            fits = request.request_class.write or self.meets_aim(
+                request, (1 + self.serving_gateways() * direct_count) / self.link_transfers
+            )
+            upstream = self.pick_source(request) if self.settings.direct and fits else None
+            self.send(request, upstream, upstream, "fill")
+        elif not self.in_time(request, node):  # without the overdue ones, a hit may be in time
+            self.send(
+                request, node if self.in_time(request, node, with_overdue=False) else None, node, "only"
+            )
+        elif look_up and request.attempt_count + 2 < self.settings.max_attempts:
+            self.send(request, node, node, "look")
         else:
-            source = self.pick_source(req)
-            if req.spec.write or (source and source.fill_limit.unlimited and self.may_ask_fill(req, source)):
-                return self.send(req, node, source, "fill")
-            stage = "check" if source and self.may_ask_fill(req, source) else "only"  # while fills are late,
-            self.send(req, node, node, stage)  # hits stay prompt, and the fill limit learns from fills alone
-
-    def may_ask_fill(self, req: OpenRequest, source: Node) -> bool:
+            source = self.pick_source(request)
+            if request.request_class.write or (
+                source and source.fill_limit.unlimited and self.may_ask_fill(request, source)
+            ):
+                return self.send(request, node, source, "fill")
+            stage = (
+                "check" if source and self.may_ask_fill(request, source) else "only"
+            )  # while fills are late,
+            self.send(
+                request, node, node, stage
+            )  # hits stay prompt, and the fill limit learns from fills alone
+
+    def may_ask_fill(self, request: OpenRequest, source: Node) -> bool:
         """Return whether a source may be asked for a fill now that can end in time on the zone's link."""
-        load = (1 + self.gateways() * sum(a.stage == "fill" for a in self.in_flight.values())) / self.link
-        if self.link_known and req.work_ms * load > req.event.deadline_ms - self.now:
+        load = (
+            1 + self.serving_gateways() * sum(a.stage == "fill" for a in self.in_flight.values())
+        ) / self.link_transfers
+        if self.link_known and request.work_ms * load > request.event.deadline_ms - self.now:
             return False
-        return source.fill_limit.admits(req.work_ms, max(self.mean.values()), req.admission_draw)
+        return source.fill_limit.admits(request.work_ms, max(self.mean.values()), request.admission_draw)
 
-    def send(self, req: OpenRequest, node: Node | None, source: Node | None, stage: str) -> None:
+    def send(self, request: OpenRequest, node: Node | None, source: Node | None, stage: str) -> None:
         """Apply the guards, then send; a request that may not be sent is given up at once."""
         servers = [n for n in (node, source) if n and n.member.state == "SERVING"]  # drain guard, both ends
-        if not node or not source or len(servers) < 2 or not self.may_send(req, node):
-            return self.give_up(req)
-        aim_ms = req.spec.aim_ms + req.spec.aim_stretch * req.work_ms
-        if not req.tries:  # a first attempt that times out was slow; later ones had less time
-            aim_ms = min(aim_ms, req.event.deadline_ms - self.now - WINDOW_MARGIN_MS)
-        attempt = Attempt(node, source, stage, self.now, req.work_ms, aim_ms)
-        self.in_flight[req.event.id, req.tries] = attempt
+        if not node or not source or len(servers) < 2 or not self.may_send(request, node):
+            return self.give_up(request)
+        aim_ms = request.request_class.aim_ms + request.request_class.aim_stretch * request.work_ms
+        if not request.attempt_count:  # a first attempt that times out was slow; later ones had less time
+            aim_ms = min(aim_ms, request.event.deadline_ms - self.now - WINDOW_MARGIN_MS)
+        attempt = Attempt(node, source, stage, self.now, request.work_ms, aim_ms)
+        self.in_flight[request.event.id, request.attempt_count] = attempt
         attempt.adjust_load(1)
-        attempt.from_origin = source.member.kind == self.settings.origin_kind and not req.spec.write
+        attempt.from_origin = (
+            source.member.kind == self.settings.origin_kind and not request.request_class.write
+        )
         if attempt.from_origin:
             self.leases.begin(self.now)
         for server in servers[: 1 + (source is not node)]:
-            server.debt_ms += self.mean[req.spec.name]
-        req.tries, req.in_flight = req.tries + 1, True
-        rank, left = 0 if req.spec.write else req.keep_rank, req.event.deadline_ms - self.now
-        pair = (node.member.server, source.member.server)
-        how = (self.settings.joins, stage == "sibling", stage == "fill")  # join, held_only, renew
-        late = OVERDUE_AFTER[0] + OVERDUE_AFTER[1] * req.work_ms  # when a missing answer is a bad sign
+            server.debt_ms += self.mean[request.request_class.name]
+        request.attempt_count, request.in_flight = request.attempt_count + 1, True
+        copy_rank, remaining_ms = (
+            0 if request.request_class.write else request.keep_rank,
+            request.event.deadline_ms - self.now,
+        )
+        server_names = (node.member.server, source.member.server)
+        fill_flags = (self.settings.joins, stage == "sibling", stage == "fill")  # join, held_only, renew
+        overdue_after_ms = (
+            OVERDUE_AFTER[0] + OVERDUE_AFTER[1] * request.work_ms
+        )  # when a missing answer is a bad sign
         if source is not node:  # it may wait for its source, and a thin link carries nothing else meanwhile
-            late = max(SILENT_FILL_AFTER[0] * aim_ms, SILENT_FILL_AFTER[1] * req.spec.deadline_ms)
-        self.actions.append(api.Get(req.event.id, *pair, left, rank, self.max_age_ms(req, stage), *how, late))
-
-    def give_up(self, req: OpenRequest) -> None:
+            overdue_after_ms = max(
+                SILENT_FILL_AFTER[0] * aim_ms, SILENT_FILL_AFTER[1] * request.request_class.deadline_ms
+            )
+        self.actions.append(
+            api.Get(
+                request.event.id,
+                *server_names,
+                remaining_ms,
+                copy_rank,
+                self.max_age_ms(request, stage),
+                *fill_flags,
+                overdue_after_ms,
+            )
+        )
+
+    def give_up(self, request: OpenRequest) -> None:
         """Answer finally, at once; effects guard: refuse only where the client may safely retry."""
-        if req.in_flight or self.wait_for_lease(req) or self.open_requests.pop(req.event.id, None) is None:
+        if (
+            request.in_flight
+            or self.wait_for_lease(request)
+            or self.open_requests.pop(request.event.id, None) is None
+        ):
             return
-        spec, delay_ms = req.spec, MEAN_RETRY_AFTER_MS * (0.5 + self.rng.random())
+        request_class, delay_ms = request.request_class, MEAN_RETRY_AFTER_MS * (0.5 + self.rng.random())
         wait_ms = min(delay_ms, self.settings.max_retry_after_ms) if self.settings.retry_after else 0.0
-        retry_is_safe = req.first_run is None or repeats_anywhere(spec)
-        self.actions.append(api.Refuse(req.event.id, wait_ms) if retry_is_safe else api.Fail(req.event.id))
+        may_client_retry = request.first_run is None or repeats_anywhere(request_class)
+        self.actions.append(
+            api.Refuse(request.event.id, wait_ms) if may_client_retry else api.Fail(request.event.id)
+        )
 
-    def wait_for_lease(self, req: OpenRequest) -> bool:
+    def wait_for_lease(self, request: OpenRequest) -> bool:
         """Reroute a request that only lacked a lease, or have it wait for one, once; return if it did."""
-        ready = req.lacks_lease and self.leases.may_begin(req.event.deadline_ms, self.now)
-        if not req.lacks_lease or req.waited_for_lease or not (ready or self.leases.pending_request):
+        lease_ready = request.lacks_lease and self.leases.may_begin(request.event.deadline_ms, self.now)
+        if (
+            not request.lacks_lease
+            or request.waited_for_lease
+            or not (lease_ready or self.leases.pending_request)
+        ):
             return False
-        req.waited_for_lease = True
-        self.lease_waiters.append(req)
-        if ready:
+        request.waited_for_lease = True
+        self.lease_waiters.append(request)
+        if lease_ready:
             self.on_lease_messages([])
         return True
 
@@ -303,106 +379,122 @@
         self.actions += [api.SendNote(peer, note) for peer, note in messages]
         if not self.leases.pending_request:
             waiters, self.lease_waiters = self.lease_waiters, []
-            for r in waiters:
-                if r.event.id in self.open_requests and self.leases.may_begin(r.event.deadline_ms, self.now):
-                    self.route(r, 1)
+            for request in waiters:
+                if request.event.id in self.open_requests and self.leases.may_begin(
+                    request.event.deadline_ms, self.now
+                ):
+                    self.route(request, 1)
                 else:
-                    self.give_up(r)
+                    self.give_up(request)
 
     def on_outcome(self, event: api.Outcome) -> None:
         """Record an attempt's end, then finish the request or send its next attempt."""
-        attempt, req = self.in_flight.pop((event.id, event.attempt), None), self.open_requests.get(event.id)
+        attempt, request = (
+            self.in_flight.pop((event.id, event.attempt), None),
+            self.open_requests.get(event.id),
+        )
         if attempt:
             attempt.adjust_load(-1)
             if attempt.from_origin:
                 self.leases.end(self.now)
             attempt.node.overdue -= attempt.overdue
-            self.update_health(req, attempt, event)
-        if not attempt or not req:
+            self.update_health(request, attempt, event)
+        if not attempt or not request:
             return
-        req.in_flight = False
-        if event.status not in NEVER_RAN and req.first_run is None:
-            req.first_run = (attempt.sent_ms, attempt.node)
+        request.in_flight = False
+        if event.status not in NEVER_RAN and request.first_run is None:
+            request.first_run = (attempt.sent_ms, attempt.node)
         if event.closed:
             del self.open_requests[event.id]
             if event.status == "done":
-                self.sizes.learn(req.event, event, not req.spec.write, attempt.node.pace.now(self.now))
-                self.served(req, attempt.node)
-        elif self.now >= req.event.deadline_ms - 1.0:
-            self.give_up(req)
+                self.sizes.learn(
+                    request.event, event, not request.request_class.write, attempt.node.pace.now(self.now)
+                )
+                self.served(request, attempt.node)
+        elif self.now >= request.event.deadline_ms - 1.0:
+            self.give_up(request)
         else:
-            self.send_next_attempt(req, attempt, event.status)
+            self.send_next_attempt(request, attempt, event.status)
 
-    def served(self, req: OpenRequest, node: Node) -> None:
+    def served(self, request: OpenRequest, node: Node) -> None:
         """Report a kept copy to the home gateway, no more often than its directory entry needs."""
-        last_server, reported_ms = self.reported.get(req.item, ("", 0.0))
+        last_server, reported_ms = self.reported.get(request.item, ("", 0.0))
         due = last_server != node.member.server or self.now - reported_ms > ENTRY_MS / 2
-        in_own_zone = node.member.zone == self.settings.my_zone and not req.spec.write
+        in_own_zone = node.member.zone == self.settings.my_zone and not request.request_class.write
         if due and in_own_zone and self.settings.siblings != "none":
-            lru_put(self.reported, req.item, (node.member.server, self.now), MAX_TABLE_ENTRIES)
-            self.post(req.home, api.PeerNote("kept", *req.item, node.member.server, max(0, req.event.group)))
+            lru_put(self.reported, request.item, (node.member.server, self.now), MAX_TABLE_ENTRIES)
+            self.send_note(
+                request.home_number,
+                api.PeerNote("kept", *request.item, node.member.server, max(0, request.event.group)),
+            )
 
-    def send_next_attempt(self, req: OpenRequest, attempt: Attempt, status: str) -> None:
+    def send_next_attempt(self, request: OpenRequest, attempt: Attempt, status: str) -> None:
         """Send the next attempt: after a miss to where a copy may be, after a failure within the budget."""
         if status == "enoent" and attempt.stage == "look":
-            req.missed_cache = attempt.node
-            self.ask_home(req, attempt.node.member.server)
+            request.missed_cache = attempt.node
+            self.ask_home(request, attempt.node.member.server)
         elif status == "enoent" and attempt.stage == "check":
-            req.missed_cache = attempt.node
-            self.fill_missed_cache(req, None)
+            request.missed_cache = attempt.node
+            self.fill_missed_cache(request, None)
         elif status == "enoent" and attempt.stage == "sibling":
-            self.post(req.home, api.PeerNote("lacks", *req.item, attempt.source.member.server))
-            self.fill_missed_cache(req, None)
-        elif self.retry_tokens < 1.0 or attempt.stage == "only" or len(req.error_attempts) >= MAX_ERRORS:
-            self.give_up(req)
+            self.send_note(
+                request.home_number, api.PeerNote("lacks", *request.item, attempt.source.member.server)
+            )
+            self.fill_missed_cache(request, None)
+        elif self.retry_tokens < 1.0 or attempt.stage == "only" or len(request.error_attempts) >= MAX_ERRORS:
+            self.give_up(request)
         else:
             link_failed = status in LINK_FAILURES  # not the source's fault; a reset may concern one link only
             self.retry_tokens -= LINK_RETRY_COST if link_failed else 1.0
-            if link_failed and (status != "econnreset" or req.tries > 1):
-                req.avoid.append(attempt.node)
+            if link_failed and (status != "econnreset" or request.attempt_count > 1):
+                request.avoid.append(attempt.node)
             if link_failed:
-                return self.route(req, 1)
-            source_failed = attempt.source in (attempt.node, *req.avoid)  # else only the source changes
-            req.avoid.append(attempt.node if source_failed else attempt.source)
-            self.route(req, 1)
+                return self.route(request, 1)
+            source_failed = attempt.source in (attempt.node, *request.avoid)  # else only the source changes
+            request.avoid.append(attempt.node if source_failed else attempt.source)
+            self.route(request, 1)
 
-    def fill_missed_cache(self, req: OpenRequest, sibling: Node | None) -> None:
+    def fill_missed_cache(self, request: OpenRequest, sibling: Node | None) -> None:
         """Fill the cache whose look-up missed: from a usable warm sibling, else from above."""
-        node = req.missed_cache
-        if node is None or node in req.avoid or not (self.usable(node) and self.admits(node)):
-            self.route(req, 1)
+        node = request.missed_cache
+        if node is None or node in request.avoid or not (self.usable(node) and self.admits(node)):
+            self.route(request, 1)
         elif sibling and sibling is not node and self.may_fill_from(sibling, self.settings.my_zone):
-            self.send(req, node, sibling, "sibling")
+            self.send(request, node, sibling, "sibling")
         else:
-            source = self.pick_source(req)
-            self.send(req, node, source if source and self.may_ask_fill(req, source) else None, "fill")
+            source = self.pick_source(request)
+            self.send(
+                request, node, source if source and self.may_ask_fill(request, source) else None, "fill"
+            )
 
     def on_client_left(self, event: api.ClientLeft) -> None:
         """Drop a request whose client left, also where it waits for its home gateway."""
-        req = self.open_requests.pop(event.id, None)
-        if req and event.id in (waiting_ids := self.waiting_for_home.get(req.item, [])):
+        request = self.open_requests.pop(event.id, None)
+        if request and event.id in (waiting_ids := self.waiting_for_home.get(request.item, [])):
             waiting_ids.remove(event.id)
             if not waiting_ids:
-                del self.waiting_for_home[req.item]
+                del self.waiting_for_home[request.item]
 
-    def update_health(self, req: OpenRequest | None, attempt: Attempt, event: api.Outcome) -> None:
+    def update_health(self, request: OpenRequest | None, attempt: Attempt, event: api.Outcome) -> None:
         """Score failures: `err` in full only if another attempt is served, a broken link only once."""
         node, source = attempt.node, attempt.source
         if event.status == "busy" or (event.status == "done" and self.now - attempt.sent_ms > attempt.aim_ms):
             self.record_missed_aim(attempt)
         elif event.status == "done" and source is not node:
             source.fill_limit.grow()
-        if event.status == "done" and event.note == 1 and req and req.known and event.whole:
-            node.pace.record(self.now, event.latency_ms / req.work_ms)
+        if event.status == "done" and event.note == 1 and request and request.size_known and event.whole:
+            node.pace.record(self.now, event.latency_ms / request.work_ms)
         if event.status in ("done", "enoent"):
             self.record_success(node)
-            unknown = self.settings.notes == "none" and event.status == "done"
-            if source is not node and (event.note in (2, 3) or unknown):
-                self.record_success(source, SUCCESS_FACTOR**ASSUMED_FILL_SHARE if unknown else SUCCESS_FACTOR)
-            for failed in req.error_attempts if req and event.status == "done" else ():
+            fill_unknown = self.settings.notes == "none" and event.status == "done"
+            if source is not node and (event.note in (2, 3) or fill_unknown):
+                self.record_success(
+                    source, SUCCESS_FACTOR**ASSUMED_FILL_SHARE if fill_unknown else SUCCESS_FACTOR
+                )
+            for failed in request.error_attempts if request and event.status == "done" else ():
                 self.attribute_failure(failed, "err")
-        elif event.status == "err" and req:
-            req.error_attempts += (attempt,)  # a bad request must not get good servers ejected
+        elif event.status == "err" and request:
+            request.error_attempts += (attempt,)  # a bad request must not get good servers ejected
             self.attribute_failure(attempt, "doubt")
         elif event.status in FAILURE_SHARES and not (
                 event.status == "econnreset" and attempt.sent_ms <= node.reset_ms):  # fmt: skip
@@ -440,8 +532,14 @@
         node.ejections, node.trial = node.ejections + 1, True
         node.ejected_until_ms = self.now + ejection_ms(node.ejections)
         self.actions.append(api.Log(f"left out {node.member.server}, {node.ejections} in a row"))
-        stuck = [k for k, a in self.in_flight.items() if a.node is node or (a.source is node and a.overdue)]
-        self.actions += [api.Cancel(*k) for k in stuck if self.settings.cancel]  # to retry elsewhere
+        stuck = [
+            attempt_id
+            for attempt_id, attempt in self.in_flight.items()
+            if attempt.node is node or (attempt.source is node and attempt.overdue)
+        ]
+        self.actions += [
+            api.Cancel(*attempt_id) for attempt_id in stuck if self.settings.cancel
+        ]  # to retry elsewhere
 
     def fails_alike(self, other: Node, node: Node) -> bool:
         """Return whether another serving server shares causes of failure: also a parent, or of its zone."""
@@ -462,18 +560,23 @@
         if not attempt.overdue and age_ms > OVERDUE_AFTER[0] + OVERDUE_AFTER[1] * attempt.work_ms:
             attempt.overdue = True
             node.overdue += 1
-            bad = source if node.answered_ms > attempt.sent_ms else node
-            self.add_failure(bad, FAILURE_SHARES["silence" if bad.answered_ms <= attempt.sent_ms else "slow"])
+            failed_node = source if node.answered_ms > attempt.sent_ms else node
+            self.add_failure(
+                failed_node,
+                FAILURE_SHARES["silence" if failed_node.answered_ms <= attempt.sent_ms else "slow"],
+            )
 
     def on_timer(self, event: api.TimerDue) -> None:
         """Check for overdue attempts and drop old purges; poll discovery; stop waiting for a home gateway."""
         if event.token == "watch":
             self.actions.append(api.Watch())
         elif event.token != "sweep":
-            req = self.open_requests.get(int(event.token)) if event.token.isdecimal() else None
-            if req and req.event.id in self.waiting_for_home.get(req.item, []):  # not of an older wait
-                self.silent_homes[req.home] = self.now + ASK_AGAIN_MS
-                self.resume_waiting(req.item, None)
+            request = self.open_requests.get(int(event.token)) if event.token.isdecimal() else None
+            if request and request.event.id in self.waiting_for_home.get(
+                request.item, []
+            ):  # not of an older wait
+                self.silent_homes[request.home_number] = self.now + ASK_AGAIN_MS
+                self.resume_waiting(request.item, None)
         else:
             self.actions.append(api.SetTimer(SWEEP_MS, "sweep"))
             on_time, self.last_sweep_ms = self.now - self.last_sweep_ms < 4.0 * SWEEP_MS, self.now
@@ -482,17 +585,24 @@
             self.on_lease_messages(self.leases.tick(self.now))
             self.purges.forget_until(self.now - self.settings.purge_done_ms - WINDOW_MARGIN_MS)
 
-    def ask_home(self, req: OpenRequest, cache: str) -> None:
+    def ask_home(self, request: OpenRequest, cache: str) -> None:
         """Ask the home gateway for a holder and wait a small share of the aim; not near the deadline."""
-        wait, left = HOME_WAIT_SHARE * req.spec.aim_ms, req.event.deadline_ms - self.now
-        if req.home == self.settings.my_number:
-            self.fill_missed_cache(req, self.candidate(req.item, self.settings.my_zone, cache))
-        elif not self.settings.peers or self.now < self.silent_homes.get(req.home, 0.0) or left < 3.0 * wait:
-            self.fill_missed_cache(req, None)
+        wait_ms, remaining_ms = (
+            HOME_WAIT_SHARE * request.request_class.aim_ms,
+            request.event.deadline_ms - self.now,
+        )
+        if request.home_number == self.settings.my_number:
+            self.fill_missed_cache(request, self.candidate(request.item, self.settings.my_zone, cache))
+        elif (
+            not self.settings.peers
+            or self.now < self.silent_homes.get(request.home_number, 0.0)
+            or remaining_ms < 3.0 * wait_ms
+        ):
+            self.fill_missed_cache(request, None)
         else:
-            self.waiting_for_home.setdefault(req.item, []).append(req.event.id)
-            self.post(req.home, api.PeerNote("ask", *req.item, cache, self.zone_number))
-            self.actions.append(api.SetTimer(wait, str(req.event.id)))
+            self.waiting_for_home.setdefault(request.item, []).append(request.event.id)
+            self.send_note(request.home_number, api.PeerNote("ask", *request.item, cache, self.zone_number))
+            self.actions.append(api.SetTimer(wait_ms, str(request.event.id)))
 
     def resume_waiting(self, item: tuple[int, int], sibling: Node | None) -> None:
         """Continue the requests that waited for a home gateway."""
@@ -517,7 +627,7 @@
                 return node
         return None
 
-    def post(self, peer: int, note: api.PeerNote) -> None:
+    def send_note(self, peer: int, note: api.PeerNote) -> None:
         """Send a note to a peer; one to this gateway itself is handled at once."""
         if peer == self.settings.my_number:
             self.on_peer(api.PeerMessage(peer, note))
@@ -532,7 +642,9 @@
         item, node = (note.key, note.part), self.nodes.get(note.server)
         if note.kind == "ask" and note.number < len(zones):
             holder = self.candidate(item, zones[note.number], note.server)
-            self.post(event.sender, api.PeerNote("holder", *item, holder.member.server if holder else ""))
+            self.send_note(
+                event.sender, api.PeerNote("holder", *item, holder.member.server if holder else "")
+            )
         elif note.kind == "holder":
             self.resume_waiting(item, node)
         elif note.kind == "lacks":
--- a/hitchtiller/records.py
+++ b/hitchtiller/records.py
@@ -104,14 +104,14 @@
     """A client's request that has no final answer yet."""
 
     event: Request
-    spec: ClassSettings  # of its request class
+    request_class: ClassSettings  # of its request class
     work_ms: float  # time to send its bytes at full rate
-    known: bool  # `work_ms` comes from its own size, not only from its class's mean
+    size_known: bool  # `work_ms` comes from its own size, not only from its class's mean
     item: tuple[int, int]  # object and part
     object_hash: int
-    home: int  # number of the gateway that keeps its directory entry
+    home_number: int  # number of the gateway that keeps its directory entry
     admission_draw: float = 0.0  # from [0, 1), for limited sources; the same for all its attempts
-    tries: int = 0  # attempts sent so far
+    attempt_count: int = 0  # attempts sent so far
     in_flight: bool = False  # an attempt is in flight
     keep_rank: int = 1  # rank at which a cache keeps the copy
     avoid: list[Node] = field(default_factory=list)  # caches and sources at which an attempt failed
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -286,7 +286,9 @@
         actions = bench.end(look_up, "enoent")
         timers.append(next(action for action in actions if isinstance(action, api.SetTimer)))
         if id == 1:  # the home gateway answers, so the wait ends; its timer is still pending
-            answer = api.PeerMessage(bench.router.open_requests[1].home, api.PeerNote("holder", 9, 0, ""))
+            answer = api.PeerMessage(
+                bench.router.open_requests[1].home_number, api.PeerNote("holder", 9, 0, "")
+            )
             assert gets(bench.give(answer))
     assert bench.give(api.TimerDue(timers[0].token)) == []
     assert [get.id for get in gets(bench.give(api.TimerDue(timers[1].token)))] == [2]
@@ -386,12 +388,12 @@
     bench.give(api.Members(FLEET, whole=True), 1.0)
     for id in range(6):
         bench.ask(id, key=id, name="big", size_kb=400.0)
-    req = next(iter(bench.router.open_requests.values()))
+    request = next(iter(bench.router.open_requests.values()))
     node = bench.router.nodes["c0"]
     bench.router.serving_share = lambda: 1.0
-    assert not bench.router.in_time(req, node)
+    assert not bench.router.in_time(request, node)
     bench.router.serving_share = lambda: 0.1
-    assert bench.router.in_time(req, node)
+    assert bench.router.in_time(request, node)
 
 
 def test_a_fill_that_waits_for_its_source_is_no_sign_of_a_stuck_connection(bench: Bench) -> None:
