--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -69,10 +69,17 @@
         self.capacity_model, self.mean = Capacity(settings), self.sizes.mean  # mean work by class
         self.last_sweep_ms = math.inf  # last check for overdue attempts
         self.retry_tokens = MAX_RETRY_TOKENS  # retries that may be sent now
-        self.handlers: dict[type, Callable[[Any], object]] = {api.Request: self.on_request,
-            api.Outcome: self.on_outcome, api.TimerDue: self.on_timer, api.PeerMessage: self.on_peer,
-            api.Members: self.on_members, api.Purged: self.on_purged, api.StreamBegun: lambda event: None,
-            api.Probed: lambda event: None, api.ClientLeft: self.on_client_left}  # fmt: skip
+        self.handlers: dict[type, Callable[[Any], object]] = {
+            api.Request: self.on_request,
+            api.Outcome: self.on_outcome,
+            api.TimerDue: self.on_timer,
+            api.PeerMessage: self.on_peer,
+            api.Members: self.on_members,
+            api.Purged: self.on_purged,
+            api.StreamBegun: lambda event: None,
+            api.Probed: lambda event: None,
+            api.ClientLeft: self.on_client_left,
+        }
         self.zone_number = zone = settings.zones.index(settings.my_zone)
         self.hub_zone = settings.zones[settings.hub_of[zone]] if settings.hub_of else ""
         link_kb_per_s = settings.link_kb_per_s[zone] if settings.link_kb_per_s else 0.0
@@ -177,8 +184,11 @@
 
     def usable(self, node: Node) -> bool:
         """Return whether a server may be picked: serving, and not ejected or on trial with an attempt out."""
-        return (node.member.state == "SERVING" and self.now >= node.ejected_until_ms
-                and not (node.trial and node.in_flight))  # fmt: skip
+        return (
+            node.member.state == "SERVING"
+            and self.now >= node.ejected_until_ms
+            and not (node.trial and node.in_flight)
+        )
 
     def rank_servers(self, hashed: int) -> tuple[list[Node], list[Node]]:
         """Rank the zone's caches, and the parents, by rendezvous hash; remembered until the list changes."""
@@ -497,7 +507,8 @@
             request.error_attempts += (attempt,)  # a bad request must not get good servers ejected
             self.attribute_failure(attempt, "doubt")
         elif event.status in FAILURE_SHARES and not (
-                event.status == "econnreset" and attempt.sent_ms <= node.reset_ms):  # fmt: skip
+            event.status == "econnreset" and attempt.sent_ms <= node.reset_ms
+        ):
             node.reset_ms = self.now if event.status == "econnreset" else node.reset_ms
             if event.status == "econnrefused" and not event.silent:  # its process ended: cold when back
                 node.refused_ms = self.now
@@ -522,12 +533,16 @@
     def add_failure(self, node: Node, share: float) -> None:
         """Raise a server's score; eject it, unless similar servers fail too: then the cause is shared."""
         node.failure_score += (1.0 - node.failure_score) * share
-        if (node.failure_score < EJECT_AT or self.now < node.ejected_until_ms
-                or node.member.kind == self.settings.origin_kind):  # fmt: skip
+        if (
+            node.failure_score < EJECT_AT
+            or self.now < node.ejected_until_ms
+            or node.member.kind == self.settings.origin_kind
+        ):
             return
         similar = [n for n in self.nodes.values() if n is not node and self.fails_alike(n, node)]
-        if 2 * sum(self.now < n.ejected_until_ms or n.failure_score > EJECT_AT / 2
-                   for n in similar) >= len(similar):  # fmt: skip
+        if 2 * sum(self.now < n.ejected_until_ms or n.failure_score > EJECT_AT / 2 for n in similar) >= len(
+            similar
+        ):
             return
         node.ejections, node.trial = node.ejections + 1, True
         node.ejected_until_ms = self.now + ejection_ms(node.ejections)
