--- a/hitchtiller/records.py
+++ b/hitchtiller/records.py
@@ -40,19 +40,19 @@
     joined_ms: float  # when it last started or returned to service; minus infinity: long ago
     capacity: float = 1.0  # simultaneous transfers at full rate: the likely number
     safe_capacity: float = 1.0  # lower bound of the capacity, used by the guards
-    debt_ms: float = 0.0  # cold guard: work sent beyond what its rate has paid off
+    debt_ms: float = 0.0  # work sent to it while cold (recently started) that its rate has not paid off yet
     debt_at_ms: float = 0.0  # when the debt was last updated
     load_ms: float = 0.0  # work of this gateway's attempts in flight at it, also as a source
     in_flight: int = 0  # number of this gateway's attempts in flight at it, also as a source
     attempts: int = 0  # of these, the ones sent to it itself
     overdue: int = 0  # of `attempts`, the overdue ones
-    failure_score: float = 0.0  # from 0 to 1, see routing/blame.py
+    failure_score: float = 0.0  # from 0 to 1: failures raise it, answers lower it; see routing/blame.py
     ejected_until_ms: float = 0.0  # not picked until then
     ejections: int = 0  # in a row
-    reset_ms: float = -1.0  # when a reset connection to it was last scored
+    reset_ms: float = -1.0  # when the reset of a connection to it last raised its failure score
     refused_ms: float = 0.0  # when it refused a connection: cold when it returns; 0: not since its start
     fill_limit: FillLimit = field(default_factory=FillLimit)  # on fills requested from it as a source
-    pace: Pace = field(default_factory=Pace)  # stretch of its answers
+    pace: Pace = field(default_factory=Pace)  # time of its answers over that of their bytes at full rate
     trial: bool = False  # used again after an ejection, with one attempt at a time
 
     def update(self, member: Member, now_ms: float) -> None:
@@ -76,9 +76,15 @@
 class Attempt:
     """One attempt, sent to `node`; a miss is filled from `source`, or not at all if that is `node` itself.
 
-    `stage` says what it is for: `look` is a look-up that may be followed by a fill from a sibling; `check` is
-    one that comes before a limited fill from above; `sibling` and `fill` are fills from a sibling and from
-    above; `only` is a look-up that no fill follows.
+    `stage` says what the attempt is for. A look-up asks a cache only for a copy that it holds.
+
+    - `look` is a look-up; after a miss the cache is filled from a sibling (another cache that holds a copy),
+      or else from above, which is a parent or the origin.
+    - `check` is a look-up that comes first while the fills from above are limited; after a miss such
+      a fill follows.
+    - `only` is a look-up that no fill follows.
+    - `sibling` is a fill from a sibling.
+    - `fill` is a fill from above, a write, or an attempt that bypasses the caches.
     """
 
     node: Node
@@ -86,7 +92,7 @@
     stage: str
     sent_ms: float
     work_ms: float
-    aim_ms: float  # time from `sent_ms` within which its answer earns the full worth
+    aim_ms: float  # its aim: the time from `sent_ms` within which its answer earns the full worth
     overdue: bool = False  # its answer has taken too long
     missed_aim: bool = False  # `aim_ms` has passed, or the server refused it as busy
     from_origin: bool = False  # a fill at the origin, whose number is bounded over all gateways
@@ -104,13 +110,13 @@
     """A client's request that has no final answer yet."""
 
     event: Request
-    request_class: ClassSettings  # of its request class
+    request_class: ClassSettings  # settings of its request class
     work_ms: float  # time to send its bytes at full rate
     size_known: bool  # `work_ms` comes from its own size, not only from its class's mean
     item: tuple[int, int]  # object and part
     object_hash: int
-    home_number: int  # number of the gateway that keeps its directory entry
-    admission_draw: float = 0.0  # from [0, 1), for limited sources; the same for all its attempts
+    home_number: int  # number of the home gateway, whose directory lists the caches that hold the object
+    admission_draw: float = 0.0  # random, from [0, 1), for limited sources; the same for all its attempts
     attempt_count: int = 0  # attempts sent so far
     in_flight: bool = False  # an attempt is in flight
     keep_rank: int = 1  # rank at which a cache keeps the copy
@@ -119,4 +125,4 @@
     missed_cache: Node | None = None  # the cache whose look-up found no copy
     first_run: tuple[float, Node] | None = None  # when and where the first attempt went that may have run
     lacks_lease: bool = False  # its miss can only be filled from the origin, under a lease
-    waited_for_lease: bool = False  # at most once
+    waited_for_lease: bool = False  # it waits at most once
