--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -1,9 +1,20 @@
 """Decides to which server a gateway sends each request, and where a cache's miss is filled from.
 
-The scheme (dbDCM): a rendezvous hash picks one cache, or two or three for frequently requested objects. A
-hash over the gateways' numbers picks an object's home gateway, whose directory lists caches that may hold it.
-A look-up that misses asks the home gateway and is filled from one listed sibling; without one, from
-the hub parent that the hash picks, then from the one picked among all parents, then from the origin."""
+A `Router` holds the decisions of one gateway. It is passed events and returns actions; it reads no clock and
+does no input or output.
+
+The scheme (dbDCM): a rendezvous hash of the object picks one cache of the zone, or two or three for
+frequently requested objects. A hash over the gateways' numbers picks an object's home gateway, whose
+directory lists the caches that may hold the object. A look-up, which asks a cache only for a copy that it
+holds, asks the home gateway after a miss. The cache is then filled from one sibling, which is another cache
+that the directory lists. Without one, it is filled from the parent of the hub zone that the hash ranks first,
+then from the one that it ranks first among all parents, then from the origin.
+
+Terms. The work of a request is the time to send its bytes at full rate. Its aim is the time within which its
+answer earns the full worth, and its deadline is the time until which its client waits. A cold server has
+started recently and gets only a limited rate of work until it is warm. An ejected server has failed too often
+and is not picked for a while.
+"""
 
 import math
 from collections.abc import Callable
@@ -29,19 +40,33 @@
 from hitchtiller.routing.purges import PurgeLog
 from hitchtiller.routing.sizes import Sizes
 
+# Placement and the directory
 MAX_TABLE_ENTRIES = 4096  # per table; more cost memory, fewer forget rarely requested objects
 PLACEMENT_CHANGE_MS = 15_000.0  # a new cache is looked up first: longer costs look-ups, shorter costs fills
 HOME_WAIT_SHARE = 0.08  # of the aim, for the home gateway's answer: longer is slow, shorter misses siblings
 ASK_AGAIN_MS = 500.0  # wait before a silent home gateway, or discovery, is asked again
+
+# Guards
 ORIGIN_FILLS = 24  # simultaneous fills from the origin, of all gateways together: its link is thin
 WINDOW_MARGIN_MS = 100.0  # kept from the end of a time window, for clock differences and network delay
+
+# Server health
 MAX_ERRORS = 3  # `err` answers until the request itself is taken to be at fault; more add load
-OVERDUE_AFTER, SWEEP_MS = (400.0, 2.0), 50.0  # overdue after ms + factor * work; check interval
-SILENT_FILL_AFTER = 2.0, 0.5  # of aim, of deadline: a fill silent beyond both has a stuck connection
-RETRY_TOKENS_PER_REQUEST, MAX_RETRY_TOKENS = 0.2, 20.0  # retry budget: more rescue requests but add load
-LINK_FAILURES, LINK_RETRY_COST = ("econnreset", "econnrefused", "etimedout"), 0.25  # a break can hit many
+# An attempt is overdue after the first number of ms plus the second times its work; time between checks.
+OVERDUE_AFTER, SWEEP_MS = (400.0, 2.0), 50.0
+# A fill that is silent for longer than this multiple of its aim, and longer than this share of its class's
+# deadline, has a stuck connection.
+SILENT_FILL_AFTER = 2.0, 0.5
+
+# Retries and refusals
+# The retry budget: each request adds to it, each retry takes from it. More rescue requests, but add load.
+RETRY_TOKENS_PER_REQUEST, MAX_RETRY_TOKENS = 0.2, 20.0
+# A retry after a broken link costs less than a token, since one break can end many attempts.
+LINK_FAILURES, LINK_RETRY_COST = ("econnreset", "econnrefused", "etimedout"), 0.25
 MEAN_RETRY_AFTER_MS = 400.0  # mean time that a refused client is told to wait
-MAX_AIM_SHARE, UNKNOWN_SIZE_FACTOR = 0.65, 0.6  # shed above this share of the aim; median size / mean
+# Under load, a request is refused if it would take more than this share of its aim; the second number is the
+# median size over the mean size, for requests whose size is unknown.
+MAX_AIM_SHARE, UNKNOWN_SIZE_FACTOR = 0.65, 0.6
 
 NEVER_RAN = ("busy", "econnrefused", "skipped", "enoent")  # statuses that prove that an attempt did not run
 
@@ -52,17 +77,23 @@
     def __init__(self, settings: api.Settings, seed: int) -> None:
         """Start from the settings alone, with no server known."""
         self.settings, self.rng = settings, Random(seed)
-        self.now, self.actions = 0.0, list[api.Action]()  # time of the event in hand, and actions so far
+        self.now, self.actions = 0.0, list[api.Action]()  # time of the event, actions decided so far
         self.nodes, self.caches, self.parents = dict[str, Node](), list[Node](), list[Node]()
         self.origins, self.zone_capacity = list[Node](), 0.0  # sum over the zone's caches
+        # open requests by id; attempts in flight by id of the request and number of the attempt
         self.open_requests, self.in_flight = dict[int, OpenRequest](), dict[tuple[int, int], Attempt]()
         self.popularity = Popularity()
         self.directory = Directory()  # the slice that this gateway keeps as a home gateway
-        self.reported: dict[tuple[int, int], tuple[str, float]] = {}  # last cache reported, and when
-        self.waiting_for_home: dict[tuple[int, int], list[int]] = {}  # ids of requests
-        self.home_of: Callable[[int], int] = lambda hashed: hashed % settings.group_size  # set by membership
-        self.serving_share: Callable[[], float] = lambda: 1.0  # of all gateways, by membership
-        self.silent_homes: dict[int, float] = {}  # gateways that did not answer; asked again from then on
+        # by object and part: the cache that was last reported to the home gateway as a holder, and when
+        self.reported: dict[tuple[int, int], tuple[str, float]] = {}
+        # by object and part: ids of the requests that wait for the home gateway's answer
+        self.waiting_for_home: dict[tuple[int, int], list[int]] = {}
+        # number of an object's home gateway, by the object's hash; membership replaces this function
+        self.home_of: Callable[[int], int] = lambda hashed: hashed % settings.group_size
+        # share of all gateways that are in service; membership replaces this function
+        self.serving_share: Callable[[], float] = lambda: 1.0
+        # numbers of the home gateways that did not answer, with the time from which they are asked again
+        self.silent_homes: dict[int, float] = {}
         self.purges = PurgeLog()
         self.rankings: dict[int, tuple[list[Node], list[Node]]] = {}  # caches and parents, by object hash
         self.sizes = Sizes(settings)
@@ -83,10 +114,9 @@
         self.zone_number = zone = settings.zones.index(settings.my_zone)
         self.hub_zone = settings.zones[settings.hub_of[zone]] if settings.hub_of else ""
         link_kb_per_s = settings.link_kb_per_s[zone] if settings.link_kb_per_s else 0.0
-        self.link_transfers = (
-            link_kb_per_s / (settings.flow_kb_per_s or math.inf) or 8.0
-        )  # transfers that it carries at once
-        self.link_known = link_kb_per_s > 0.0 and settings.flow_kb_per_s > 0.0  # stated in the settings
+        # transfers that the zone's link carries at once, and whether the settings state it
+        self.link_transfers = link_kb_per_s / (settings.flow_kb_per_s or math.inf) or 8.0
+        self.link_known = link_kb_per_s > 0.0 and settings.flow_kb_per_s > 0.0
         self.cold_guard = ColdGuard(settings)
         self.leases, self.lease_waiters = OriginLeases(settings, ORIGIN_FILLS), list[OpenRequest]()
 
@@ -96,8 +126,13 @@
         self.handlers[type(event)](event)
         return self.actions
 
+    # Server list
+
     def on_members(self, event: api.Members) -> None:
-        """Update the known servers; those that a whole list lacks are removed."""
+        """Update the known servers from a server list, or from changes of it.
+
+        A server that a whole list lacks is removed.
+        """
         if not self.nodes:
             self.leases.start(self.now)
             self.actions.append(api.SetTimer(SWEEP_MS, "sweep"))
@@ -127,16 +162,29 @@
         self.zone_capacity = sum(n.capacity for n in self.caches)
         self.rankings.clear()
 
+    # Guards: rules that no attempt may break, whatever the load
+
     def cold_rate(self, node: Node) -> float:
-        """Cold guard: work per ms to add to a server that started lately, besides one attempt in advance."""
+        """Cold guard: return the work per ms that this gateway may add to a server, infinite if it is warm.
+
+        A server that started recently may get one attempt in advance of this rate.
+        """
         return self.cold_guard.rate_of(node, self.now, max(self.mean.values()), self.serving_share())
 
     def admits(self, node: Node) -> bool:
-        """Return whether a cold server's debt is paid off, so that it may get one more attempt."""
+        """Cold guard: return whether a server may get one more attempt.
+
+        Each attempt adds the mean work of its class to a cold server's debt, and the rate pays it off with
+        time. A server may get an attempt once its debt is paid off.
+        """
         return self.cold_guard.admits(node, self.now, max(self.mean.values()), self.serving_share())
 
     def max_age_ms(self, request: OpenRequest, stage: str) -> float:
-        """Return the largest age of a copy that will do, 0 for any; adds grace where no fill would follow."""
+        """Return the largest age of a copy that will do, or 0 if any age will.
+
+        A copy must be younger than the latest purge of its object or group, and no older than the time for
+        which its class is fresh. Where no fill would follow, the grace time of the class is added.
+        """
         fresh_ms = request.request_class.fresh_ms + (
             request.request_class.grace_ms if stage == "only" else 0.0
         )
@@ -147,7 +195,10 @@
         return 0.0 if age_ms == math.inf else age_ms
 
     def may_send(self, request: OpenRequest, node: Node) -> bool:
-        """Deadline and effects guards: no send past the deadline, none that could repeat an effect."""
+        """Deadline and effects guards: return whether an attempt may be sent now.
+
+        None is sent past the deadline, and none that could repeat an effect.
+        """
         if (
             request.in_flight
             or request.attempt_count >= self.settings.max_attempts
@@ -157,7 +208,12 @@
         return self.may_repeat(request, node)
 
     def may_repeat(self, request: OpenRequest, node: Node) -> bool:
-        """Effects guard, also at the first byte: the window starts at the first attempt that may have run."""
+        """Effects guard: return whether an attempt at this server is safe after the earlier attempts.
+
+        It is checked before the send and again at the first byte. An effect that is known by its key may be
+        repeated at servers that know the key, within the repeat window, which starts at the first attempt
+        that may have run.
+        """
         request_class = request.request_class
         if request.first_run is None or request_class.effect == "repeatable":
             return True
@@ -169,7 +225,10 @@
         )
 
     def recheck_send(self, id: int, number: int, now_ms: float) -> float | None:
-        """Apply the guards again at an attempt's first byte; return its age bound, or None to stop it."""
+        """Apply the guards again at an attempt's first byte.
+
+        Return the largest age of a copy that will do then, or None to stop the attempt.
+        """
         request, attempt, self.now = self.open_requests.get(id), self.in_flight.get((id, number)), now_ms
         if not request or not attempt or now_ms >= request.event.deadline_ms:
             return None
@@ -182,8 +241,13 @@
             else None
         )
 
+    # Picking servers
+
     def usable(self, node: Node) -> bool:
-        """Return whether a server may be picked: serving, and not ejected or on trial with an attempt out."""
+        """Return whether a server may be picked: it is in service and not ejected.
+
+        After an ejection a server is on trial, and is not picked while an attempt at it is in flight.
+        """
         return (
             node.member.state == "SERVING"
             and self.now >= node.ejected_until_ms
@@ -191,7 +255,10 @@
         )
 
     def rank_servers(self, hashed: int) -> tuple[list[Node], list[Node]]:
-        """Rank the zone's caches, and the parents, by rendezvous hash; remembered until the list changes."""
+        """Rank the zone's caches, and the parents, by rendezvous hash with an object's hash.
+
+        Rankings are remembered until the server list changes.
+        """
         ranking = self.rankings.get(hashed)
         if ranking is None:
             ranking = (rank_by_hash(hashed, self.caches), rank_by_hash(hashed, self.parents))
@@ -199,7 +266,11 @@
         return ranking
 
     def pick_cache(self, request: OpenRequest, width: int) -> tuple[Node | None, bool]:
-        """Pick a cache, an ejected one rather than none; also return whether a copy may be at another one."""
+        """Pick the least loaded of the first `width` caches in the object's ranking.
+
+        Return it, or None, and whether a copy may be at another cache, so that a look-up should come first.
+        An ejected cache is picked rather than none.
+        """
         ranking = self.rank_servers(request.object_hash)[0]
         serving = [n for n in ranking if n.member.state == "SERVING" and n not in request.avoid]
         admitted = [n for n in serving if self.admits(n)]
@@ -207,7 +278,7 @@
         if not eligible:
             return None, False
         node = min(eligible[:width], key=lambda n: n.load_ms / n.capacity)
-        if not self.in_time(request, node):  # try the rest of the zone before refusing
+        if not self.in_time(request, node):  # try the other caches of the zone before refusing
             node = min(
                 eligible, key=lambda n: (n.load_ms + request.work_ms) * n.pace.now(self.now) / n.capacity
             )
@@ -215,14 +286,21 @@
         return node, elsewhere and not request.request_class.write and self.settings.siblings != "none"
 
     def serving_gateways(self) -> float:
-        """Return this zone's gateways in service; used to estimate loads, never for a guard's share."""
+        """Return the number of this zone's gateways in service.
+
+        It only serves to estimate loads. A guard's share must not depend on it.
+        """
         return max(1.0, self.cold_guard.in_zone * self.serving_share())
 
     def in_time(self, request: OpenRequest, node: Node, with_overdue: bool = True) -> bool:
-        """Return whether a request can meet its aim under the load, counted with or without overdue work."""
+        """Return whether a cache can answer a request within its aim under the present load.
+
+        The load is counted with or without the attempts that are overdue.
+        """
         total = sum(n.attempts if with_overdue else n.attempts - n.overdue for n in self.caches)
         own = node.attempts if with_overdue else node.attempts - node.overdue
-        others = (self.serving_gateways() - 1.0) * total  # the other gateways have as many on average
+        # Each of the zone's other gateways is assumed to have as many attempts in flight as this one.
+        others = (self.serving_gateways() - 1.0) * total
         load = others / self.zone_capacity + (1 + own) / node.capacity
         return self.meets_aim(
             request,
@@ -230,15 +308,21 @@
         )
 
     def meets_aim(self, request: OpenRequest, load: float) -> bool:
-        """Return whether sending stays within the aim when a load on the link stretches it."""
+        """Return whether sending stays within the aim when a load on the link stretches it.
+
+        A load below 1 leaves room on the link and stretches nothing, so the whole aim is available.
+        """
         work_ms = request.work_ms * (1.0 if request.size_known else UNKNOWN_SIZE_FACTOR)
-        aim_ms = (
-            request.request_class.aim_ms + request.request_class.aim_stretch * work_ms
-        )  # a load below 1 stretches nothing
+        aim_ms = request.request_class.aim_ms + request.request_class.aim_stretch * work_ms
         return work_ms * load < (aim_ms if load < 1.0 else MAX_AIM_SHARE * aim_ms)
 
     def pick_source(self, request: OpenRequest) -> Node | None:
-        """Pick where a miss is filled from: the hashed hub parent, another hashed parent, or the origin."""
+        """Pick the server from which a miss is filled, or None.
+
+        It is the parent of the hub zone that the hash ranks first, else the first one among all parents, else
+        the origin. Writes run at the origin. A fill from the origin needs a lease, which bounds such fills
+        over all gateways; without a lease one is requested.
+        """
         parents = [
             n for n in self.rank_servers(request.object_hash)[1] if self.usable(n) and n not in request.avoid
         ]
@@ -251,8 +335,13 @@
             return None
         return next(iter(self.origins), None)
 
+    # Sending requests and answering them
+
     def count_request(self, request: OpenRequest) -> int:
-        """Count a request for its object; set its keep rank and return how many caches should share it."""
+        """Count a request for its object, and return how many caches should share the object.
+
+        Also set the rank at which a cache keeps the copy.
+        """
         requests = self.popularity.count(request.item, self.now)
         request.keep_rank = keep_rank(requests)
         mean_capacity = self.zone_capacity / max(1, len(self.caches)) or 1.0
@@ -273,16 +362,23 @@
         self.route(request, self.count_request(request))
 
     def route(self, request: OpenRequest, width: int) -> None:
-        """Send to the picked cache: a look-up if a copy may be elsewhere, else an attempt with its fill."""
+        """Send a request to the picked cache, or past the caches if none can be picked.
+
+        The attempt is a look-up if a copy may be at another cache or fills have to be limited, else the cache
+        fills a miss from the picked source.
+        """
         node, look_up = self.pick_cache(request, width)
-        if node is None:  # bypass the caches where allowed and the link has room, or all fills are late
+        if node is None:
+            # Bypass the caches where the settings allow it. Without room on the zone's link, all fills over
+            # it would be late.
             direct_count = len(self.in_flight) - sum(n.attempts for n in self.caches)
             fits = request.request_class.write or self.meets_aim(
                 request, (1 + self.serving_gateways() * direct_count) / self.link_transfers
             )
             upstream = self.pick_source(request) if self.settings.direct and fits else None
             self.send(request, upstream, upstream, "fill")
-        elif not self.in_time(request, node):  # without the overdue ones, a hit may be in time
+        elif not self.in_time(request, node):
+            # Even where fills are stuck, a held copy may be in time, so overdue attempts don't count here.
             self.send(
                 request, node if self.in_time(request, node, with_overdue=False) else None, node, "only"
             )
@@ -294,15 +390,17 @@
                 source and source.fill_limit.unlimited and self.may_ask_fill(request, source)
             ):
                 return self.send(request, node, source, "fill")
-            stage = (
-                "check" if source and self.may_ask_fill(request, source) else "only"
-            )  # while fills are late,
-            self.send(
-                request, node, node, stage
-            )  # hits stay prompt, and the fill limit learns from fills alone
+            # While fills are late, a look-up keeps answers from held copies prompt. The source's answers are
+            # then fills alone, so that its fill limit learns only from fills.
+            stage = "check" if source and self.may_ask_fill(request, source) else "only"
+            self.send(request, node, node, stage)
 
     def may_ask_fill(self, request: OpenRequest, source: Node) -> bool:
-        """Return whether a source may be asked for a fill now that can end in time on the zone's link."""
+        """Return whether a source may be asked for a fill now.
+
+        The fill must be able to end before the deadline on the zone's link. It must also be within the
+        source's fill limit, which falls while fills miss their aim.
+        """
         load = (
             1 + self.serving_gateways() * sum(a.stage == "fill" for a in self.in_flight.values())
         ) / self.link_transfers
@@ -311,12 +409,19 @@
         return source.fill_limit.admits(request.work_ms, max(self.mean.values()), request.admission_draw)
 
     def send(self, request: OpenRequest, node: Node | None, source: Node | None, stage: str) -> None:
-        """Apply the guards, then send; a request that may not be sent is given up at once."""
-        servers = [n for n in (node, source) if n and n.member.state == "SERVING"]  # drain guard, both ends
+        """Apply the guards, then send an attempt; a request that may not be sent is given up at once.
+
+        `stage` says what the attempt is for: `look` and `check` are look-ups that a fill may follow, `only`
+        is a look-up that no fill follows, `sibling` is a fill from a sibling, and `fill` is one from above.
+        """
+        # Drain guard: the cache and its source must both be in service.
+        servers = [n for n in (node, source) if n and n.member.state == "SERVING"]
         if not node or not source or len(servers) < 2 or not self.may_send(request, node):
             return self.give_up(request)
         aim_ms = request.request_class.aim_ms + request.request_class.aim_stretch * request.work_ms
-        if not request.attempt_count:  # a first attempt that times out was slow; later ones had less time
+        if not request.attempt_count:
+            # The aim of a first attempt ends before the deadline, so that one that times out counts as slow.
+            # Later attempts had less time, so that a time-out says nothing about the source.
             aim_ms = min(aim_ms, request.event.deadline_ms - self.now - WINDOW_MARGIN_MS)
         attempt = Attempt(node, source, stage, self.now, request.work_ms, aim_ms)
         self.in_flight[request.event.id, request.attempt_count] = attempt
@@ -335,10 +440,10 @@
         )
         server_names = (node.member.server, source.member.server)
         fill_flags = (self.settings.joins, stage == "sibling", stage == "fill")  # join, held_only, renew
-        overdue_after_ms = (
-            OVERDUE_AFTER[0] + OVERDUE_AFTER[1] * request.work_ms
-        )  # when a missing answer is a bad sign
-        if source is not node:  # it may wait for its source, and a thin link carries nothing else meanwhile
+        # A missing answer counts as a failure after this time.
+        overdue_after_ms = OVERDUE_AFTER[0] + OVERDUE_AFTER[1] * request.work_ms
+        if source is not node:
+            # The cache may wait for its source, and a thin link carries nothing else meanwhile.
             overdue_after_ms = max(
                 SILENT_FILL_AFTER[0] * aim_ms, SILENT_FILL_AFTER[1] * request.request_class.deadline_ms
             )
@@ -355,7 +460,10 @@
         )
 
     def give_up(self, request: OpenRequest) -> None:
-        """Answer finally, at once; effects guard: refuse only where the client may safely retry."""
+        """Answer a request finally, at once, unless it has an attempt in flight or waits for a lease.
+
+        Effects guard: it is refused only where the client may safely retry, else it fails.
+        """
         if (
             request.in_flight
             or self.wait_for_lease(request)
@@ -370,7 +478,10 @@
         )
 
     def wait_for_lease(self, request: OpenRequest) -> bool:
-        """Reroute a request that only lacked a lease, or have it wait for one, once; return if it did."""
+        """Reroute a request that only lacked a lease, or have it wait for one, at most once.
+
+        Return whether it was rerouted or waits.
+        """
         lease_ready = request.lacks_lease and self.leases.may_begin(request.event.deadline_ms, self.now)
         if (
             not request.lacks_lease
@@ -385,7 +496,11 @@
         return True
 
     def on_lease_messages(self, messages: Messages) -> None:
-        """Send lease notes; once no lease request is pending, resume the requests that waited for it."""
+        """Send notes about leases, and resume the requests that waited for a lease.
+
+        Once no lease request is pending, those that a lease now covers are routed, and the others are given
+        up.
+        """
         self.actions += [api.SendNote(peer, note) for peer, note in messages]
         if not self.leases.pending_request:
             waiters, self.lease_waiters = self.lease_waiters, []
@@ -397,6 +512,8 @@
                 else:
                     self.give_up(request)
 
+    # After an attempt
+
     def on_outcome(self, event: api.Outcome) -> None:
         """Record an attempt's end, then finish the request or send its next attempt."""
         attempt, request = (
@@ -427,7 +544,7 @@
             self.send_next_attempt(request, attempt, event.status)
 
     def served(self, request: OpenRequest, node: Node) -> None:
-        """Report a kept copy to the home gateway, no more often than its directory entry needs."""
+        """Report a cache that keeps a copy to the home gateway, no more often than its entry needs."""
         last_server, reported_ms = self.reported.get(request.item, ("", 0.0))
         due = last_server != node.member.server or self.now - reported_ms > ENTRY_MS / 2
         in_own_zone = node.member.zone == self.settings.my_zone and not request.request_class.write
@@ -439,7 +556,11 @@
             )
 
     def send_next_attempt(self, request: OpenRequest, attempt: Attempt, status: str) -> None:
-        """Send the next attempt: after a miss to where a copy may be, after a failure within the budget."""
+        """Send the next attempt, or give the request up.
+
+        After a look-up that missed, the next attempt goes where a copy may be. After a failure it needs a
+        token of the retry budget.
+        """
         if status == "enoent" and attempt.stage == "look":
             request.missed_cache = attempt.node
             self.ask_home(request, attempt.node.member.server)
@@ -454,18 +575,24 @@
         elif self.retry_tokens < 1.0 or attempt.stage == "only" or len(request.error_attempts) >= MAX_ERRORS:
             self.give_up(request)
         else:
-            link_failed = status in LINK_FAILURES  # not the source's fault; a reset may concern one link only
+            # A broken link is not the source's fault. A first reset may concern one connection only, so the
+            # request may go to the same cache again.
+            link_failed = status in LINK_FAILURES
             self.retry_tokens -= LINK_RETRY_COST if link_failed else 1.0
             if link_failed and (status != "econnreset" or request.attempt_count > 1):
                 request.avoid.append(attempt.node)
             if link_failed:
                 return self.route(request, 1)
-            source_failed = attempt.source in (attempt.node, *request.avoid)  # else only the source changes
+            # Another source is tried first, and another cache only after that.
+            source_failed = attempt.source in (attempt.node, *request.avoid)
             request.avoid.append(attempt.node if source_failed else attempt.source)
             self.route(request, 1)
 
     def fill_missed_cache(self, request: OpenRequest, sibling: Node | None) -> None:
-        """Fill the cache whose look-up missed: from a usable warm sibling, else from above."""
+        """Fill the cache whose look-up missed.
+
+        It is filled from the sibling if that is usable and warm, else from a parent or the origin.
+        """
         node = request.missed_cache
         if node is None or node in request.avoid or not (self.usable(node) and self.admits(node)):
             self.route(request, 1)
@@ -485,8 +612,15 @@
             if not waiting_ids:
                 del self.waiting_for_home[request.item]
 
+    # Server health
+
     def update_health(self, request: OpenRequest | None, attempt: Attempt, event: api.Outcome) -> None:
-        """Score failures: `err` in full only if another attempt is served, a broken link only once."""
+        """Update the failure scores, fill limit and pace of an attempt's cache and source after its end.
+
+        The pace is how much longer a cache's answers take than their bytes at full rate. An `err` answer
+        counts in full only if another attempt of its request is served, as the request itself may be at
+        fault. The reset of a connection counts once, however many attempts it ended.
+        """
         node, source = attempt.node, attempt.source
         if event.status == "busy" or (event.status == "done" and self.now - attempt.sent_ms > attempt.aim_ms):
             self.record_missed_aim(attempt)
@@ -510,12 +644,17 @@
             event.status == "econnreset" and attempt.sent_ms <= node.reset_ms
         ):
             node.reset_ms = self.now if event.status == "econnreset" else node.reset_ms
-            if event.status == "econnrefused" and not event.silent:  # its process ended: cold when back
+            if event.status == "econnrefused" and not event.silent:
+                # The server's process has ended, so the server is cold when it returns.
                 node.refused_ms = self.now
             self.attribute_failure(attempt, event.status)
 
     def attribute_failure(self, attempt: Attempt, status: str) -> None:
-        """Score a failure that came quickly, on cache and source, more on the one with the worse score."""
+        """Score a failure that came quickly, on a cache and its source.
+
+        The one whose failure score is higher gets the larger share. A failed connection counts on the cache
+        alone.
+        """
         node, source = attempt.node, attempt.source
         node.answered_ms = self.now
         node_only = source is node or status.startswith("econn")
@@ -531,7 +670,11 @@
             node.trial, node.failure_score, node.ejections = False, EJECT_AT / 2, max(0, node.ejections - 1)
 
     def add_failure(self, node: Node, share: float) -> None:
-        """Raise a server's score; eject it, unless similar servers fail too: then the cause is shared."""
+        """Raise a server's failure score, and eject the server if the score is too high.
+
+        It is not ejected if at least half of the similar servers fail too, as the cause is then shared, nor
+        if there are none. The origin is never ejected.
+        """
         node.failure_score += (1.0 - node.failure_score) * share
         if (
             node.failure_score < EJECT_AT
@@ -540,35 +683,41 @@
         ):
             return
         similar = [n for n in self.nodes.values() if n is not node and self.fails_alike(n, node)]
-        if 2 * sum(self.now < n.ejected_until_ms or n.failure_score > EJECT_AT / 2 for n in similar) >= len(
-            similar
-        ):
+        if 2 * sum(
+            self.now < other.ejected_until_ms or other.failure_score > EJECT_AT / 2 for other in similar
+        ) >= len(similar):
             return
         node.ejections, node.trial = node.ejections + 1, True
         node.ejected_until_ms = self.now + ejection_ms(node.ejections)
         self.actions.append(api.Log(f"left out {node.member.server}, {node.ejections} in a row"))
+        # Cancel the attempts that are stuck at the server, so that their requests are retried elsewhere.
         stuck = [
             attempt_id
             for attempt_id, attempt in self.in_flight.items()
             if attempt.node is node or (attempt.source is node and attempt.overdue)
         ]
-        self.actions += [
-            api.Cancel(*attempt_id) for attempt_id in stuck if self.settings.cancel
-        ]  # to retry elsewhere
+        self.actions += [api.Cancel(*attempt_id) for attempt_id in stuck if self.settings.cancel]
 
     def fails_alike(self, other: Node, node: Node) -> bool:
-        """Return whether another serving server shares causes of failure: also a parent, or of its zone."""
+        """Return whether another server is in service and shares causes of failure with this one.
+
+        For a parent these are the other parents, for a cache the servers of its zone.
+        """
         similar = other in self.parents if node in self.parents else other.member.zone == node.member.zone
         return similar and other.member.state == "SERVING"
 
     def record_missed_aim(self, attempt: Attempt) -> None:
-        """Lower a source's fill limit, once for each fill that missed its aim or was turned away."""
+        """Lower a source's fill limit, once for each fill that missed its aim or was refused."""
         if not attempt.missed_aim and attempt.source is not attempt.node:
             attempt.source.fill_limit.shrink()
         attempt.missed_aim = True
 
     def check_overdue(self, attempt: Attempt) -> None:
-        """Score an overdue attempt, against its source if its cache has answered anything since."""
+        """Score an attempt once it is overdue.
+
+        It counts against the source if the cache has answered anything since the attempt was sent, else
+        against the cache.
+        """
         node, source, age_ms = attempt.node, attempt.source, self.now - attempt.sent_ms
         if age_ms > attempt.aim_ms:
             self.record_missed_aim(attempt)
@@ -581,27 +730,38 @@
                 FAILURE_SHARES["silence" if failed_node.answered_ms <= attempt.sent_ms else "slow"],
             )
 
+    # Timers
+
     def on_timer(self, event: api.TimerDue) -> None:
-        """Check for overdue attempts and drop old purges; poll discovery; stop waiting for a home gateway."""
+        """Handle a timer; its token says which one it is.
+
+        `sweep` checks for overdue attempts and drops old purges, `watch` asks discovery again, and the id of
+        a request ends its wait for a home gateway.
+        """
         if event.token == "watch":
             self.actions.append(api.Watch())
         elif event.token != "sweep":
             request = self.open_requests.get(int(event.token)) if event.token.isdecimal() else None
-            if request and request.event.id in self.waiting_for_home.get(
-                request.item, []
-            ):  # not of an older wait
+            # The timer may belong to an older wait, which an answer has ended.
+            if request and request.event.id in self.waiting_for_home.get(request.item, []):
                 self.silent_homes[request.home_number] = self.now + ASK_AGAIN_MS
                 self.resume_waiting(request.item, None)
         else:
             self.actions.append(api.SetTimer(SWEEP_MS, "sweep"))
             on_time, self.last_sweep_ms = self.now - self.last_sweep_ms < 4.0 * SWEEP_MS, self.now
-            for attempt in list(self.in_flight.values()) if on_time else ():  # else this process lagged:
-                self.check_overdue(attempt)  # answers may be unread, and good servers would be ejected
+            # If this process itself lagged, answers may still be unread, and good servers would be ejected.
+            for attempt in list(self.in_flight.values()) if on_time else ():
+                self.check_overdue(attempt)
             self.on_lease_messages(self.leases.tick(self.now))
             self.purges.forget_until(self.now - self.settings.purge_done_ms - WINDOW_MARGIN_MS)
 
+    # Directory of copies, and notes between gateways
+
     def ask_home(self, request: OpenRequest, cache: str) -> None:
-        """Ask the home gateway for a holder and wait a small share of the aim; not near the deadline."""
+        """Ask the home gateway for a cache that holds the object, and wait a small share of the aim.
+
+        It is not asked near the deadline, nor for a while after it did not answer.
+        """
         wait_ms, remaining_ms = (
             HOME_WAIT_SHARE * request.request_class.aim_ms,
             request.event.deadline_ms - self.now,
@@ -626,12 +786,15 @@
                 self.fill_missed_cache(self.open_requests[id], sibling)
 
     def may_fill_from(self, node: Node, zone: str) -> bool:
-        """Return whether a zone's caches may fill from this one: allowed, usable and warm."""
+        """Return whether the caches of a zone may be filled from this one: allowed, usable and warm."""
         allowed = self.settings.siblings == "any" or node.member.zone == zone
         return allowed and self.usable(node) and self.cold_rate(node) == math.inf
 
     def candidate(self, item: tuple[int, int], zone: str, excluded: str) -> Node | None:
-        """Return the next listed holder, round robin; entries from before a purge or restart are dropped."""
+        """Return the next cache that the directory lists as a holder, round robin, or None.
+
+        Entries from before a purge of the object or a restart of the cache are dropped.
+        """
         purged_ms = self.purges.latest(item[0], self.directory.group(item))
         for server, listed_ms in self.directory.holders(item, purged_ms, self.now):
             node = self.nodes.get(server)
@@ -643,14 +806,18 @@
         return None
 
     def send_note(self, peer: int, note: api.PeerNote) -> None:
-        """Send a note to a peer; one to this gateway itself is handled at once."""
+        """Send a note to another gateway; one to this gateway itself is handled at once."""
         if peer == self.settings.my_number:
             self.on_peer(api.PeerMessage(peer, note))
         elif self.settings.peers:
             self.actions.append(api.SendNote(peer, note))
 
     def on_peer(self, event: api.PeerMessage) -> None:
-        """Handle a query, its answer, or news that a cache keeps or lacks an object."""
+        """Handle a note from another gateway.
+
+        It is about a lease, asks which cache holds an object, answers that, or reports that a cache keeps or
+        lacks an object.
+        """
         if isinstance(event.note, api.LeaseNote):
             return self.on_lease_messages(self.leases.receive(event.sender, event.note, self.now))
         note, zones = event.note, self.settings.zones
