--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -89,7 +89,7 @@
         # by object and part: ids of the requests that wait for the home gateway's answer
         self.waiting_for_home: dict[tuple[int, int], list[int]] = {}
         # number of an object's home gateway, by the object's hash; membership replaces this function
-        self.home_of: Callable[[int], int] = lambda hashed: hashed % settings.group_size
+        self.home_of: Callable[[int], int] = lambda object_hash: object_hash % settings.group_size
         # share of all gateways that are in service; membership replaces this function
         self.serving_share: Callable[[], float] = lambda: 1.0
         # numbers of the home gateways that did not answer, with the time from which they are asked again
@@ -224,12 +224,16 @@
             and same_scope(request_class, request.first_run[1].member, node.member)
         )
 
-    def recheck_send(self, id: int, number: int, now_ms: float) -> float | None:
+    def recheck_send(self, id: int, attempt_number: int, now_ms: float) -> float | None:
         """Apply the guards again at an attempt's first byte.
 
         Return the largest age of a copy that will do then, or None to stop the attempt.
         """
-        request, attempt, self.now = self.open_requests.get(id), self.in_flight.get((id, number)), now_ms
+        request, attempt, self.now = (
+            self.open_requests.get(id),
+            self.in_flight.get((id, attempt_number)),
+            now_ms,
+        )
         if not request or not attempt or now_ms >= request.event.deadline_ms:
             return None
         if attempt.from_origin and not self.leases.covers(request.event.deadline_ms, now_ms):
@@ -254,15 +258,15 @@
             and not (node.trial and node.in_flight)
         )
 
-    def rank_servers(self, hashed: int) -> tuple[list[Node], list[Node]]:
+    def rank_servers(self, object_hash: int) -> tuple[list[Node], list[Node]]:
         """Rank the zone's caches, and the parents, by rendezvous hash with an object's hash.
 
         Rankings are remembered until the server list changes.
         """
-        ranking = self.rankings.get(hashed)
+        ranking = self.rankings.get(object_hash)
         if ranking is None:
-            ranking = (rank_by_hash(hashed, self.caches), rank_by_hash(hashed, self.parents))
-            lru_put(self.rankings, hashed, ranking, MAX_TABLE_ENTRIES)
+            ranking = (rank_by_hash(object_hash, self.caches), rank_by_hash(object_hash, self.parents))
+            lru_put(self.rankings, object_hash, ranking, MAX_TABLE_ENTRIES)
         return ranking
 
     def pick_cache(self, request: OpenRequest, width: int) -> tuple[Node | None, bool]:
@@ -352,10 +356,10 @@
         """Handle a client's request: send its first attempt."""
         request_class = self.settings.classes[event.class_name]
         work_ms, size_known = self.sizes.estimate(event)
-        hashed = hash64(event.key, event.part)
-        item, home_number = (event.key, event.part), self.home_of(hashed)
+        object_hash = hash64(event.key, event.part)
+        item, home_number = (event.key, event.part), self.home_of(object_hash)
         request = OpenRequest(
-            event, request_class, work_ms, size_known, item, hashed, home_number, self.rng.random()
+            event, request_class, work_ms, size_known, item, object_hash, home_number, self.rng.random()
         )
         self.open_requests[event.id] = request
         self.retry_tokens = min(MAX_RETRY_TOKENS, self.retry_tokens + RETRY_TOKENS_PER_REQUEST)
@@ -703,8 +707,8 @@
 
         For a parent these are the other parents, for a cache the servers of its zone.
         """
-        similar = other in self.parents if node in self.parents else other.member.zone == node.member.zone
-        return similar and other.member.state == "SERVING"
+        is_similar = other in self.parents if node in self.parents else other.member.zone == node.member.zone
+        return is_similar and other.member.state == "SERVING"
 
     def record_missed_aim(self, attempt: Attempt) -> None:
         """Lower a source's fill limit, once for each fill that missed its aim or was refused."""
@@ -757,7 +761,7 @@
 
     # Directory of copies, and notes between gateways
 
-    def ask_home(self, request: OpenRequest, cache: str) -> None:
+    def ask_home(self, request: OpenRequest, cache_name: str) -> None:
         """Ask the home gateway for a cache that holds the object, and wait a small share of the aim.
 
         It is not asked near the deadline, nor for a while after it did not answer.
@@ -767,7 +771,7 @@
             request.event.deadline_ms - self.now,
         )
         if request.home_number == self.settings.my_number:
-            self.fill_missed_cache(request, self.candidate(request.item, self.settings.my_zone, cache))
+            self.fill_missed_cache(request, self.candidate(request.item, self.settings.my_zone, cache_name))
         elif (
             not self.settings.peers
             or self.now < self.silent_homes.get(request.home_number, 0.0)
@@ -776,7 +780,9 @@
             self.fill_missed_cache(request, None)
         else:
             self.waiting_for_home.setdefault(request.item, []).append(request.event.id)
-            self.send_note(request.home_number, api.PeerNote("ask", *request.item, cache, self.zone_number))
+            self.send_note(
+                request.home_number, api.PeerNote("ask", *request.item, cache_name, self.zone_number)
+            )
             self.actions.append(api.SetTimer(wait_ms, str(request.event.id)))
 
     def resume_waiting(self, item: tuple[int, int], sibling: Node | None) -> None:
--- a/hitchtiller/records.py
+++ b/hitchtiller/records.py
@@ -65,10 +65,10 @@
         self.member = member
 
 
-def rank_by_hash(hashed: int, nodes: Iterable[Node]) -> list[Node]:
+def rank_by_hash(object_hash: int, nodes: Iterable[Node]) -> list[Node]:
     """Return the servers ranked by rendezvous hash, weighted by their capacity."""
     return sorted(
-        nodes, key=lambda n: -math.log((combine_hashes(hashed, n.salt) + 1) / (1 << 64)) / n.capacity
+        nodes, key=lambda n: -math.log((combine_hashes(object_hash, n.salt) + 1) / (1 << 64)) / n.capacity
     )
 
 
