--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -771,7 +771,7 @@
             request.event.deadline_ms - self.now,
         )
         if request.home_number == self.settings.my_number:
-            self.fill_missed_cache(request, self.candidate(request.item, self.settings.my_zone, cache_name))
+            self.fill_missed_cache(request, self.next_holder(request.item, self.settings.my_zone, cache_name))
         elif (
             not self.settings.peers
             or self.now < self.silent_homes.get(request.home_number, 0.0)
@@ -796,7 +796,7 @@
         allowed = self.settings.siblings == "any" or node.member.zone == zone
         return allowed and self.usable(node) and self.cold_rate(node) == math.inf
 
-    def candidate(self, item: tuple[int, int], zone: str, excluded: str) -> Node | None:
+    def next_holder(self, item: tuple[int, int], zone: str, excluded: str) -> Node | None:
         """Return the next cache that the directory lists as a holder, round robin, or None.
 
         Entries from before a purge of the object or a restart of the cache are dropped.
@@ -829,7 +829,7 @@
         note, zones = event.note, self.settings.zones
         item, node = (note.key, note.part), self.nodes.get(note.server)
         if note.kind == "ask" and note.number < len(zones):
-            holder = self.candidate(item, zones[note.number], note.server)
+            holder = self.next_holder(item, zones[note.number], note.server)
             self.send_note(
                 event.sender, api.PeerNote("holder", *item, holder.member.server if holder else "")
             )
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -67,16 +67,16 @@
 def test_siblings_by_location_are_only_those_of_the_same_zone(bench: Bench) -> None:
     bench = Bench(siblings="location")
     bench.give(api.PeerMessage(0, api.PeerNote("kept", 9, 0, "d0")), 1.0)
-    assert bench.router.candidate((9, 0), "z1", "c0") is None
-    assert bench.router.candidate((9, 0), "z2", "") is not None
+    assert bench.router.next_holder((9, 0), "z1", "c0") is None
+    assert bench.router.next_holder((9, 0), "z2", "") is not None
 
 
 def test_old_directory_entries_and_those_of_restarted_servers_are_dropped(bench: Bench) -> None:
     bench.give(api.PeerMessage(0, api.PeerNote("kept", 9, 0, "d0")), 1.0)
     bench.give(api.PeerMessage(0, api.PeerNote("kept", 8, 0, "c1")), 11_000.0)
-    assert bench.router.candidate((9, 0), "z1", "c0") is None
+    assert bench.router.next_holder((9, 0), "z1", "c0") is None
     bench.give(api.Members((replace(FLEET[1], started_ms=11_500.0),)), 11_500.0)
-    assert bench.router.candidate((8, 0), "z1", "c0") is None
+    assert bench.router.next_holder((8, 0), "z1", "c0") is None
 
 
 def test_a_directory_query_is_answered_with_one_note(bench: Bench) -> None:
@@ -270,7 +270,7 @@
         bench.give(api.Members((replace(FLEET[0], server=f"new-{number}", state="DELETED"),)))
     bench.give(api.Members(tuple(m for m in FLEET if m.server != get.server), whole=True))
     assert len(bench.router.nodes) == len(FLEET) - 1
-    assert bench.router.candidate((9, 0), "z1", "") is None
+    assert bench.router.next_holder((9, 0), "z1", "") is None
     bench.give(api.StreamBegun(1, 0, get.server))
     bench.give(api.PeerMessage(0, api.PeerNote("lacks", 9, 0, get.server)))
     bench.end(get, "econnreset")
@@ -298,7 +298,7 @@
     bench = Bench(cold_ms=0.0)
     bench.give(api.PeerMessage(0, api.PeerNote("kept", 8, 0, "c1")), 11_000.0)
     bench.give(api.Members((replace(FLEET[1], started_ms=11_500.0),)), 11_500.0)
-    assert bench.router.candidate((8, 0), "z1", "c0") is None
+    assert bench.router.next_holder((8, 0), "z1", "c0") is None
 
 
 def test_an_ageing_copy_is_renewed_in_the_background_and_grace_applies_where_no_fill_would_follow() -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -214,9 +214,9 @@
 def test_entries_from_before_a_purge_are_not_used() -> None:
     bench = Bench()
     bench.give(api.PeerMessage(0, api.PeerNote("kept", 9, 0, "d0", 4)), 100.0)
-    assert bench.router.candidate((9, 0), "z1", "c0")
+    assert bench.router.next_holder((9, 0), "z1", "c0")
     bench.give(api.Purged(None, 4, 10.0), 200.0)
-    assert bench.router.candidate((9, 0), "z1", "c0") is None
+    assert bench.router.next_holder((9, 0), "z1", "c0") is None
 
 
 def test_a_cold_parent_is_shared_by_few_of_many_gateways_and_not_starved() -> None:
