--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -247,7 +247,7 @@
 
     # Picking servers
 
-    def usable(self, node: Node) -> bool:
+    def is_usable(self, node: Node) -> bool:
         """Return whether a server may be picked: it is in service and not ejected.
 
         After an ejection a server is on trial, and is not picked while an attempt at it is in flight.
@@ -278,7 +278,7 @@
         ranking = self.rank_servers(request.object_hash)[0]
         serving = [n for n in ranking if n.member.state == "SERVING" and n not in request.avoid]
         admitted = [n for n in serving if self.admits(n)]
-        eligible = [n for n in admitted if self.usable(n)] or admitted
+        eligible = [n for n in admitted if self.is_usable(n)] or admitted
         if not eligible:
             return None, False
         node = min(eligible[:width], key=lambda n: n.load_ms / n.capacity)
@@ -328,7 +328,9 @@
         over all gateways; without a lease one is requested.
         """
         parents = [
-            n for n in self.rank_servers(request.object_hash)[1] if self.usable(n) and n not in request.avoid
+            n
+            for n in self.rank_servers(request.object_hash)[1]
+            if self.is_usable(n) and n not in request.avoid
         ]
         for node in [n for n in parents if n.member.zone == self.hub_zone][:1] + parents:
             if not request.request_class.write and self.admits(node):
@@ -598,7 +600,7 @@
         It is filled from the sibling if that is usable and warm, else from a parent or the origin.
         """
         node = request.missed_cache
-        if node is None or node in request.avoid or not (self.usable(node) and self.admits(node)):
+        if node is None or node in request.avoid or not (self.is_usable(node) and self.admits(node)):
             self.route(request, 1)
         elif sibling and sibling is not node and self.may_fill_from(sibling, self.settings.my_zone):
             self.send(request, node, sibling, "sibling")
@@ -794,7 +796,7 @@
     def may_fill_from(self, node: Node, zone: str) -> bool:
         """Return whether the caches of a zone may be filled from this one: allowed, usable and warm."""
         allowed = self.settings.siblings == "any" or node.member.zone == zone
-        return allowed and self.usable(node) and self.cold_rate(node) == math.inf
+        return allowed and self.is_usable(node) and self.cold_rate(node) == math.inf
 
     def next_holder(self, item: tuple[int, int], zone: str, excluded: str) -> Node | None:
         """Return the next cache that the directory lists as a holder, round robin, or None.
--- a/hitchtiller/engine.py
+++ b/hitchtiller/engine.py
@@ -118,7 +118,7 @@
         self.stats.levels = {
             "in_flight": lambda: len(self.open),
             "station_caches_known": lambda: len(router.nodes),
-            "station_caches_excluded": lambda: sum(not router.usable(n) for n in router.nodes.values()),
+            "station_caches_excluded": lambda: sum(not router.is_usable(n) for n in router.nodes.values()),
         }
         if not router.leases.fixed_fills:
             self.stats.levels["origin_fills"] = lambda: router.leases.fills_in_flight
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -186,7 +186,7 @@
         node.failure_score, node.ejected_until_ms, node.trial = 0.9, self.clock.now + 60_000.0, True
         self.holdouts.disable("c0")
         self.holdouts.enable("c0")
-        self.assertTrue(self.engine.router.usable(self.engine.router.nodes["c0"]))
+        self.assertTrue(self.engine.router.is_usable(self.engine.router.nodes["c0"]))
 
     def test_unknown_ids_and_the_origin_are_rejected_but_deleted_servers_are_not(self) -> None:
         for call in (self.holdouts.disable, self.holdouts.enable):
