--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -255,7 +255,7 @@
         return (
             node.member.state == "SERVING"
             and self.now >= node.ejected_until_ms
-            and not (node.trial and node.in_flight)
+            and not (node.on_trial and node.in_flight)
         )
 
     def rank_servers(self, object_hash: int) -> tuple[list[Node], list[Node]]:
@@ -672,8 +672,12 @@
         """Lower the failure score of a server that answered."""
         node.failure_score *= factor
         node.answered_ms = self.now
-        if node.trial:
-            node.trial, node.failure_score, node.ejections = False, EJECT_AT / 2, max(0, node.ejections - 1)
+        if node.on_trial:
+            node.on_trial, node.failure_score, node.ejections = (
+                False,
+                EJECT_AT / 2,
+                max(0, node.ejections - 1),
+            )
 
     def add_failure(self, node: Node, share: float) -> None:
         """Raise a server's failure score, and eject the server if the score is too high.
@@ -693,7 +697,7 @@
             self.now < other.ejected_until_ms or other.failure_score > EJECT_AT / 2 for other in similar
         ) >= len(similar):
             return
-        node.ejections, node.trial = node.ejections + 1, True
+        node.ejections, node.on_trial = node.ejections + 1, True
         node.ejected_until_ms = self.now + ejection_ms(node.ejections)
         self.actions.append(api.Log(f"left out {node.member.server}, {node.ejections} in a row"))
         # Cancel the attempts that are stuck at the server, so that their requests are retried elsewhere.
--- a/hitchtiller/records.py
+++ b/hitchtiller/records.py
@@ -53,7 +53,7 @@
     refused_ms: float = 0.0  # when it refused a connection: cold when it returns; 0: not since its start
     fill_limit: FillLimit = field(default_factory=FillLimit)  # on fills requested from it as a source
     pace: Pace = field(default_factory=Pace)  # time of its answers over that of their bytes at full rate
-    trial: bool = False  # used again after an ejection, with one attempt at a time
+    on_trial: bool = False  # used again after an ejection, with one attempt at a time
 
     def update(self, member: Member, now_ms: float) -> None:
         """Apply its new list entry; a start or a return to service clears its failures and cold debt."""
@@ -61,7 +61,7 @@
         if restarted or self.member.state != "SERVING":
             self.refused_ms = 0.0 if restarted else self.refused_ms
             self.failure_score = self.ejected_until_ms = self.debt_ms = 0.0
-            self.joined_ms, self.trial = now_ms, False
+            self.joined_ms, self.on_trial = now_ms, False
         self.member = member
 
 
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -183,7 +183,7 @@
 
     def test_an_earlier_failure_score_does_not_outlast_a_hold_out(self) -> None:
         node = self.engine.router.nodes["c0"]
-        node.failure_score, node.ejected_until_ms, node.trial = 0.9, self.clock.now + 60_000.0, True
+        node.failure_score, node.ejected_until_ms, node.on_trial = 0.9, self.clock.now + 60_000.0, True
         self.holdouts.disable("c0")
         self.holdouts.enable("c0")
         self.assertTrue(self.engine.router.is_usable(self.engine.router.nodes["c0"]))
