--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -749,7 +749,7 @@
         a request ends its wait for a home gateway.
         """
         if event.token == "watch":
-            self.actions.append(api.Watch())
+            self.actions.append(api.WatchDiscovery())
         elif event.token != "sweep":
             request = self.open_requests.get(int(event.token)) if event.token.isdecimal() else None
             # The timer may belong to an older wait, which an answer has ended.
--- a/hitchtiller/engine.py
+++ b/hitchtiller/engine.py
@@ -297,7 +297,7 @@
                 self.back.probe(action.server, partial(self.on_probe_result, action.server, begun_ms))
             case api.Log():
                 logger.info("{}", action.text)
-            case api.Watch():
+            case api.WatchDiscovery():
                 pass  # the bus sends changes without being asked
 
     def on_probe_result(self, server: str, begun_ms: float, status: str, load: dict[str, float]) -> None:
--- a/hitchtiller/interface.py
+++ b/hitchtiller/interface.py
@@ -278,10 +278,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Watch:
+class WatchDiscovery:
     """Ask discovery for changes of the list."""
 
     on: bool = True
 
 
-Action = Get | Cancel | Refuse | Fail | SetTimer | Probe | SendNote | Log | Watch
+Action = Get | Cancel | Refuse | Fail | SetTimer | Probe | SendNote | Log | WatchDiscovery
--- a/hitchtiller/wirehost.py
+++ b/hitchtiller/wirehost.py
@@ -97,7 +97,7 @@
     api.Probe: ("check", lambda a: {"cache": a.server}),
     api.SendNote: ("signal", lambda a: {"neighbour_id": a.peer, "body": pack(a.note).hex()}),
     api.Log: ("emit", lambda a: {"message": a.text}),
-    api.Watch: ("track", lambda a: {"want": a.on}),
+    api.WatchDiscovery: ("track", lambda a: {"want": a.on}),
 }
 
 
