--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -811,9 +811,9 @@
         for server, listed_ms in self.directory.holders(item, purged_ms, self.now):
             node = self.nodes.get(server)
             if node is None or listed_ms <= node.joined_ms:
-                self.directory.drop(item, server)
+                self.directory.remove_holder(item, server)
             elif server != excluded and self.may_fill_from(node, zone):
-                self.directory.name(item, server)
+                self.directory.move_to_end(item, server)
                 return node
         return None
 
@@ -842,7 +842,7 @@
         elif note.kind == "holder":
             self.resume_waiting(item, node)
         elif note.kind == "lacks":
-            self.directory.drop(item, note.server)
+            self.directory.remove_holder(item, note.server)
         elif note.kind == "kept" and node is not None:
             self.directory.add(item, note.number, note.server, self.now)
 
--- a/hitchtiller/routing/directory.py
+++ b/hitchtiller/routing/directory.py
@@ -39,7 +39,7 @@
         lru_put(entry.holders, server, now_ms, MAX_HOLDERS)
         lru_put(self.entries, item, entry, MAX_ENTRIES)
 
-    def drop(self, item: Item, server: str) -> None:
+    def remove_holder(self, item: Item, server: str) -> None:
         """Remove a cache from an object's entry."""
         if entry := self.entries.get(item):
             entry.holders.pop(server, None)
@@ -57,11 +57,11 @@
         entry = self.entries.get(item)
         for server, listed_ms in list(entry.holders.items()) if entry else ():
             if listed_ms <= max(purged_ms, now_ms - ENTRY_MS):
-                self.drop(item, server)
+                self.remove_holder(item, server)
             else:
                 yield server, listed_ms
 
-    def name(self, item: Item, server: str) -> None:
+    def move_to_end(self, item: Item, server: str) -> None:
         """Move a cache that is returned as a holder to the end of the rotation."""
         holders = self.entries[item].holders
         holders[server] = holders.pop(server)
