--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -26,7 +26,7 @@
 from hitchtiller.records import Attempt, Node, OpenRequest, hash64, lru_put, rank_by_hash
 from hitchtiller.routing.blame import (
     ASSUMED_FILL_SHARE,
-    EJECT_AT,
+    EJECTION_SCORE,
     FAILURE_SHARES,
     SUCCESS_FACTOR,
     ejection_ms,
@@ -675,7 +675,7 @@
         if node.on_trial:
             node.on_trial, node.failure_score, node.ejections = (
                 False,
-                EJECT_AT / 2,
+                EJECTION_SCORE / 2,
                 max(0, node.ejections - 1),
             )
 
@@ -687,14 +687,14 @@
         """
         node.failure_score += (1.0 - node.failure_score) * share
         if (
-            node.failure_score < EJECT_AT
+            node.failure_score < EJECTION_SCORE
             or self.now < node.ejected_until_ms
             or node.member.kind == self.settings.origin_kind
         ):
             return
         similar = [n for n in self.nodes.values() if n is not node and self.fails_alike(n, node)]
         if 2 * sum(
-            self.now < other.ejected_until_ms or other.failure_score > EJECT_AT / 2 for other in similar
+            self.now < other.ejected_until_ms or other.failure_score > EJECTION_SCORE / 2 for other in similar
         ) >= len(similar):
             return
         node.ejections, node.on_trial = node.ejections + 1, True
--- a/hitchtiller/routing/blame.py
+++ b/hitchtiller/routing/blame.py
@@ -16,7 +16,7 @@
 }
 SUCCESS_FACTOR = 0.8
 ASSUMED_FILL_SHARE = 0.3  # of answers that do not state whether they were fills
-EJECT_AT = 0.55
+EJECTION_SCORE = 0.55
 MIN_EJECTION_MS, MAX_EJECTION_MS = 1_500.0, 12_000.0
 
 
