--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -33,7 +33,7 @@
 )
 from hitchtiller.routing.capacity import Capacity
 from hitchtiller.routing.cold import ColdGuard
-from hitchtiller.routing.directory import ENTRY_MS, Directory
+from hitchtiller.routing.directory import ENTRY_TTL_MS, Directory
 from hitchtiller.routing.effects import repeats_anywhere, same_scope
 from hitchtiller.routing.leases import Messages, OriginLeases
 from hitchtiller.routing.popularity import DECAY_MS, Popularity, caches_for, keep_rank
@@ -552,7 +552,7 @@
     def served(self, request: OpenRequest, node: Node) -> None:
         """Report a cache that keeps a copy to the home gateway, no more often than its entry needs."""
         last_server, reported_ms = self.reported.get(request.item, ("", 0.0))
-        due = last_server != node.member.server or self.now - reported_ms > ENTRY_MS / 2
+        due = last_server != node.member.server or self.now - reported_ms > ENTRY_TTL_MS / 2
         in_own_zone = node.member.zone == self.settings.my_zone and not request.request_class.write
         if due and in_own_zone and self.settings.siblings != "none":
             lru_put(self.reported, request.item, (node.member.server, self.now), MAX_TABLE_ENTRIES)
--- a/hitchtiller/routing/directory.py
+++ b/hitchtiller/routing/directory.py
@@ -13,7 +13,7 @@
 from hitchtiller.records import lru_put
 
 MAX_ENTRIES, MAX_HOLDERS = 4096, 4  # more cost memory; fewer lose rarely requested objects
-ENTRY_MS = 10_000.0  # age from which a listed cache is no longer assumed to hold the object
+ENTRY_TTL_MS = 10_000.0  # age from which a listed cache is no longer assumed to hold the object
 Item = tuple[int, int]  # object key and part number
 
 
@@ -56,7 +56,7 @@
         """
         entry = self.entries.get(item)
         for server, listed_ms in list(entry.holders.items()) if entry else ():
-            if listed_ms <= max(purged_ms, now_ms - ENTRY_MS):
+            if listed_ms <= max(purged_ms, now_ms - ENTRY_TTL_MS):
                 self.remove_holder(item, server)
             else:
                 yield server, listed_ms
