--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -169,7 +169,7 @@
 
         A server that started recently may get one attempt in advance of this rate.
         """
-        return self.cold_guard.rate_of(node, self.now, max(self.mean.values()), self.serving_share())
+        return self.cold_guard.work_rate_for(node, self.now, max(self.mean.values()), self.serving_share())
 
     def admits(self, node: Node) -> bool:
         """Cold guard: return whether a server may get one more attempt.
@@ -294,7 +294,7 @@
 
         It only serves to estimate loads. A guard's share must not depend on it.
         """
-        return max(1.0, self.cold_guard.in_zone * self.serving_share())
+        return max(1.0, self.cold_guard.gateways_in_zone * self.serving_share())
 
     def in_time(self, request: OpenRequest, node: Node, with_overdue: bool = True) -> bool:
         """Return whether a cache can answer a request within its aim under the present load.
--- a/hitchtiller/routing/cold.py
+++ b/hitchtiller/routing/cold.py
@@ -37,18 +37,18 @@
         s = settings
         zone_gateways = s.gateways_in_zone[s.zones.index(s.my_zone)] if s.gateways_in_zone else s.group_size
         self.parent_kind, self.origin_kind = s.parent_kind, s.origin_kind
-        self.fall_ms, self.fleet_size, self.own_number, self.in_zone = (
+        self.fall_ms, self.fleet_size, self.own_number, self.gateways_in_zone = (
             s.fall_ms,
             s.group_size,
             s.my_number,
             max(1, zone_gateways),
         )
         self.limits = {  # share at the start, ramp, fall multiple, gateways that may use it
-            False: (s.cold_share, s.cold_ms, s.fall_multiple, self.in_zone),
+            False: (s.cold_share, s.cold_ms, s.fall_multiple, self.gateways_in_zone),
             True: (s.parent_cold_share, s.parent_cold_ms, s.parent_fall_multiple, s.group_size),
         }
 
-    def rate_of(self, node: Node, now_ms: float, mean_ms: float, serving_share: float) -> float:
+    def work_rate_for(self, node: Node, now_ms: float, mean_ms: float, serving_share: float) -> float:
         """Return `rate` for a listed server, since its start or since it refused a connection.
 
         A refused connection shows that the server's process was gone.
@@ -57,7 +57,7 @@
         if node.member.kind == self.origin_kind or not cold_since_ms:
             return math.inf
         is_parent = node.member.kind == self.parent_kind
-        return self.rate(
+        return self.work_rate(
             is_parent, now_ms - cold_since_ms, node.safe_capacity, node.salt, mean_ms, serving_share
         )
 
@@ -65,12 +65,12 @@
         """Return whether a cold server may get one more call: the work sent to it before is paid off."""
         if not node.member.started_ms and not node.refused_ms:
             return True
-        rate, elapsed_ms = self.rate_of(node, now_ms, mean_ms, serving_share), now_ms - node.debt_at_ms
+        rate, elapsed_ms = self.work_rate_for(node, now_ms, mean_ms, serving_share), now_ms - node.debt_at_ms
         node.debt_at_ms = now_ms
         node.debt_ms = 0.0 if rate == math.inf else max(0.0, node.debt_ms - rate * elapsed_ms)
         return rate > 0.0 and node.debt_ms <= 0.0
 
-    def rate(
+    def work_rate(
         self,
         is_parent: bool,
         age_ms: float,
