--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -436,7 +436,7 @@
             source.member.kind == self.settings.origin_kind and not request.request_class.write
         )
         if attempt.from_origin:
-            self.leases.begin(self.now)
+            self.leases.record_fill_start(self.now)
         for server in servers[: 1 + (source is not node)]:
             server.debt_ms += self.mean[request.request_class.name]
         request.attempt_count, request.in_flight = request.attempt_count + 1, True
@@ -529,7 +529,7 @@
         if attempt:
             attempt.adjust_load(-1)
             if attempt.from_origin:
-                self.leases.end(self.now)
+                self.leases.record_fill_end(self.now)
             attempt.node.overdue -= attempt.overdue
             self.update_health(request, attempt, event)
         if not attempt or not request:
--- a/hitchtiller/engine.py
+++ b/hitchtiller/engine.py
@@ -122,8 +122,8 @@
         }
         if not router.leases.fixed_fills:
             self.stats.levels["origin_fills"] = lambda: router.leases.fills_in_flight
-            self.stats.counts["origin_leases_granted"] = lambda: router.leases.granted
-            self.stats.counts["origin_leases_denied"] = lambda: router.leases.denied
+            self.stats.counts["origin_leases_granted"] = lambda: router.leases.grants_received
+            self.stats.counts["origin_leases_denied"] = lambda: router.leases.denials_received
 
     # Client side
 
--- a/hitchtiller/routing/leases.py
+++ b/hitchtiller/routing/leases.py
@@ -96,7 +96,7 @@
         # earliest time of the next request; latest clock reading
         self.next_request_ms = self.latest_clock_ms = 0.0
         self.fills_in_flight = 0  # fills at the origin
-        self.granted = self.denied = 0
+        self.grants_received = self.denials_received = 0
 
     @property
     def owns_permit(self) -> bool:
@@ -126,13 +126,13 @@
         self.latest_clock_ms = now_ms
         return self.held_lease is not None and deadline_ms <= self.held_lease.expires_ms
 
-    def begin(self, now_ms: float) -> None:
+    def record_fill_start(self, now_ms: float) -> None:
         """Record that a fill was sent."""
         self.fills_in_flight += 1
         if self.held_lease:
             self.held_lease.last_used_ms = now_ms
 
-    def end(self, now_ms: float) -> None:
+    def record_fill_end(self, now_ms: float) -> None:
         """Record that a fill has ended."""
         self.fills_in_flight -= 1
         if self.held_lease:
@@ -181,7 +181,7 @@
                 return self._accept_grant(sender, note, now_ms)
             case LeaseKind.DENIAL:
                 if self._answers_pending(sender, note):
-                    self.denied += 1
+                    self.denials_received += 1
                     self._back_off(note.wait_ms, now_ms)
         return []
 
@@ -218,7 +218,7 @@
     # As a holder
 
     def _new_lease(self, owner: int, requested_ms: float) -> HeldLease:
-        self.granted += 1
+        self.grants_received += 1
         return HeldLease(owner, self.sequence, requested_ms + self.term_ms - CLOCK_MARGIN_MS, requested_ms)
 
     def _answers_pending(self, sender: int, note: LeaseNote) -> bool:
--- a/tests/routing/test_routing_leases.py
+++ b/tests/routing/test_routing_leases.py
@@ -51,7 +51,7 @@
         gateway = OriginLeases(replace(BASE, group_size=size), ORIGIN_FILLS)
         fills = 0
         while gateway.may_begin(START_MS, 0.0):
-            gateway.begin(0.0)
+            gateway.record_fill_start(0.0)
             fills += 1
         assert fills == ORIGIN_FILLS // size
         assert gateway.request_lease(0.0) == []
@@ -64,9 +64,9 @@
     expires_ms = START_MS + holder.term_ms - CLOCK_MARGIN_MS
     assert holder.may_begin(expires_ms, START_MS + 1.0)
     assert not holder.may_begin(expires_ms + 1.0, START_MS + 1.0)
-    holder.begin(START_MS + 1.0)
+    holder.record_fill_start(START_MS + 1.0)
     assert not holder.may_begin(START_MS + 5_000.0, START_MS + 2.0)
-    holder.end(START_MS + 3.0)
+    holder.record_fill_end(START_MS + 3.0)
     assert holder.may_begin(START_MS + 5_000.0, START_MS + 4.0)
 
 
@@ -172,9 +172,9 @@
 def test_a_lease_with_a_fill_in_flight_is_not_returned() -> None:
     holder = make_leases(100)
     grant_lease(holder)
-    holder.begin(START_MS + 1.0)
+    holder.record_fill_start(START_MS + 1.0)
     assert holder.tick(START_MS + 3.0 * IDLE_MS) == []
-    holder.end(START_MS + 4.0 * IDLE_MS)
+    holder.record_fill_end(START_MS + 4.0 * IDLE_MS)
     assert len(holder.tick(START_MS + 5.0 * IDLE_MS)) == 1
 
 
