--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -284,7 +284,7 @@
         node = min(eligible[:width], key=lambda n: n.load_ms / n.capacity)
         if not self.in_time(request, node):  # try the other caches of the zone before refusing
             node = min(
-                eligible, key=lambda n: (n.load_ms + request.work_ms) * n.pace.now(self.now) / n.capacity
+                eligible, key=lambda n: (n.load_ms + request.work_ms) * n.pace.current(self.now) / n.capacity
             )
         elsewhere = width > 1 or node is not ranking[0] or self.now < node.joined_ms + PLACEMENT_CHANGE_MS
         return node, elsewhere and not request.request_class.write and self.settings.siblings != "none"
@@ -541,7 +541,7 @@
             del self.open_requests[event.id]
             if event.status == "done":
                 self.sizes.learn(
-                    request.event, event, not request.request_class.write, attempt.node.pace.now(self.now)
+                    request.event, event, not request.request_class.write, attempt.node.pace.current(self.now)
                 )
                 self.served(request, attempt.node)
         elif self.now >= request.event.deadline_ms - 1.0:
--- a/hitchtiller/routing/pace.py
+++ b/hitchtiller/routing/pace.py
@@ -28,17 +28,17 @@
         """Create a record of a server at full pace."""
         self.excess, self.updated_ms = 0.0, 0.0  # the stretch above 1, as last recorded
 
-    def now(self, now_ms: float) -> float:
+    def current(self, now_ms: float) -> float:
         """Return the stretch to expect."""
         return 1.0 + self.excess * math.exp((self.updated_ms - now_ms) / DECAY_MS) if self.excess else 1.0
 
     def significant_stretch(self, now_ms: float) -> float:
         """Return the stretch if it is significant, else 0: at full pace there may be no load."""
-        stretch = self.now(now_ms)
+        stretch = self.current(now_ms)
         return stretch if stretch > SIGNIFICANT_STRETCH else 0.0
 
     def record(self, now_ms: float, stretch: float) -> None:
         """Record an answer's stretch: its time over its sending time at full pace."""
-        old_excess = self.now(now_ms) - 1.0
+        old_excess = self.current(now_ms) - 1.0
         self.excess = old_excess + SAMPLE_WEIGHT * (min(MAX_STRETCH, max(1.0, stretch)) - 1.0 - old_excess)
         self.updated_ms = now_ms
--- a/tests/routing/test_routing_pace.py
+++ b/tests/routing/test_routing_pace.py
@@ -13,11 +13,11 @@
 
 def test_the_stretch_follows_the_answers_and_decays() -> None:
     pace = Pace()
-    assert pace.now(0.0) == 1.0
+    assert pace.current(0.0) == 1.0
     for n in range(12):
         pace.record(float(n), 9.0)
-    assert 8.0 < pace.now(12.0) <= 9.0
-    assert pace.now(12.0 + 5 * DECAY_MS) < 1.1
+    assert 8.0 < pace.current(12.0) <= 9.0
+    assert pace.current(12.0 + 5 * DECAY_MS) < 1.1
 
 
 @given(st.lists(st.tuples(st.floats(0.0, 1e7), st.floats(-9.0, 1e6)), max_size=50))
@@ -26,7 +26,7 @@
     for delay_ms, stretch in answers:
         now += delay_ms
         pace.record(now, stretch)
-    assert 1.0 <= pace.now(now) <= MAX_STRETCH
+    assert 1.0 <= pace.current(now) <= MAX_STRETCH
 
 
 def serve_requests(bench: Bench, server: str, took_ms: float, note: int = 1) -> None:
@@ -67,7 +67,7 @@
 def test_a_slow_fill_does_not_change_the_stretch_of_its_cache() -> None:
     bench = Bench(notes="all")
     serve_requests(bench, "c0", 1500.0, note=2)
-    assert bench.router.nodes["c0"].pace.now(bench.now) == 1.0
+    assert bench.router.nodes["c0"].pace.current(bench.now) == 1.0
 
 
 def test_answers_of_a_slow_cache_do_not_lengthen_sending_times() -> None:
