--- a/hitchtiller/routing/effects.py
+++ b/hitchtiller/routing/effects.py
@@ -60,11 +60,11 @@
     def __init__(self, classes: Mapping[str, ClassSettings]) -> None:
         """Create a record in which no keyed request has been sent."""
         self.classes = {name: cls for name, cls in classes.items() if cls.effect == "by_key"}
-        self.doubts: dict[tuple[str, str], UnconfirmedEffect] = {}
+        self.unconfirmed: dict[tuple[str, str], UnconfirmedEffect] = {}
 
     def may_begin(self, class_name: str, key: str, member: Member, now_ms: float) -> bool:
         """Return whether an attempt may be sent to a server now."""
-        unconfirmed = self.doubts.get((class_name, key))
+        unconfirmed = self.unconfirmed.get((class_name, key))
         if unconfirmed is None:
             return True
         return same_scope(self.classes[class_name], unconfirmed, member) and not self.window_passed(
@@ -75,38 +75,40 @@
         """Record that an attempt's first byte is being sent."""
         if class_name not in self.classes or not key:
             return
-        unconfirmed = self.doubts.get((class_name, key))
+        unconfirmed = self.unconfirmed.get((class_name, key))
         if unconfirmed is None:
             self._forget(now_ms)
-            unconfirmed = self.doubts[class_name, key] = UnconfirmedEffect(now_ms, member.zone, member.cell)
+            unconfirmed = self.unconfirmed[class_name, key] = UnconfirmedEffect(
+                now_ms, member.zone, member.cell
+            )
         unconfirmed.attempts += 1
 
     def never_ran(self, class_name: str, key: str) -> None:
         """Record proof that one of the attempts that were sent did not run."""
-        if unconfirmed := self.doubts.get((class_name, key)):
+        if unconfirmed := self.unconfirmed.get((class_name, key)):
             unconfirmed.attempts -= 1
             if not unconfirmed.attempts:
-                del self.doubts[class_name, key]
+                del self.unconfirmed[class_name, key]
 
     def window_passed(self, class_name: str, key: str, now_ms: float) -> bool:
         """Return whether the window of what may have run has passed, so that nothing more may be sent."""
-        unconfirmed = self.doubts.get((class_name, key))
+        unconfirmed = self.unconfirmed.get((class_name, key))
         return unconfirmed is not None and (
             now_ms >= unconfirmed.first_sent_ms + self.classes[class_name].repeat_window_ms - MARGIN_MS
         )
 
     def retry_is_safe(self, class_name: str, key: str, now_ms: float) -> bool:
         """Return whether a client may be told that it can retry safely."""
-        if (class_name, key) not in self.doubts:
+        if (class_name, key) not in self.unconfirmed:
             return True
         return self.classes[class_name].key_scope == "all" and not self.window_passed(class_name, key, now_ms)
 
     def _forget(self, now_ms: float) -> None:
         """Remove expired keys, and the oldest if the table is full; keys are ordered by their windows."""
-        while self.doubts:
-            oldest, unconfirmed = next(iter(self.doubts.items()))
+        while self.unconfirmed:
+            oldest, unconfirmed = next(iter(self.unconfirmed.items()))
             cls = self.classes[oldest[0]]
             expires_ms = unconfirmed.first_sent_ms + cls.repeat_window_ms + RETRY_DEADLINES * cls.deadline_ms
-            if len(self.doubts) < MAX_KEYS and now_ms < expires_ms:
+            if len(self.unconfirmed) < MAX_KEYS and now_ms < expires_ms:
                 return
-            del self.doubts[oldest]
+            del self.unconfirmed[oldest]
--- a/tests/ends/test_ends_effects.py
+++ b/tests/ends/test_ends_effects.py
@@ -58,10 +58,10 @@
     def test_keys_are_forgotten_after_their_last_possible_retry_and_at_a_bound(self) -> None:
         effects = self.effects()
         effects.begin("pay", "k2", HERE, 100.0 + 1000.0 + 4.0 * 3000.0)
-        self.assertEqual(list(effects.doubts), [("pay", "k2")])
+        self.assertEqual(list(effects.unconfirmed), [("pay", "k2")])
         for number in range(MAX_KEYS + 5):
             effects.begin("pay", f"n{number}", HERE, 14_000.0)
-        self.assertEqual(len(effects.doubts), MAX_KEYS)
+        self.assertEqual(len(effects.unconfirmed), MAX_KEYS)
 
 
 class FirstByte(unittest.TestCase):
