--- a/hitchtiller/routing/effects.py
+++ b/hitchtiller/routing/effects.py
@@ -18,7 +18,9 @@
 
 MAX_KEYS = 4096
 RETRY_DEADLINES = 4.0  # deadlines during which a client may retry with its key
-MARGIN_MS = 100.0  # subtracted from the window for clock differences and the transit time to the server
+WINDOW_MARGIN_MS = (
+    100.0  # subtracted from the window for clock differences and the transit time to the server
+)
 
 
 @dataclass(slots=True)
@@ -94,7 +96,7 @@
         """Return whether the window of what may have run has passed, so that nothing more may be sent."""
         unconfirmed = self.unconfirmed.get((class_name, key))
         return unconfirmed is not None and (
-            now_ms >= unconfirmed.first_sent_ms + self.classes[class_name].repeat_window_ms - MARGIN_MS
+            now_ms >= unconfirmed.first_sent_ms + self.classes[class_name].repeat_window_ms - WINDOW_MARGIN_MS
         )
 
     def retry_is_safe(self, class_name: str, key: str, now_ms: float) -> bool:
--- a/tests/ends/test_ends_effects.py
+++ b/tests/ends/test_ends_effects.py
@@ -11,7 +11,7 @@
 
 from hitchtiller import interface as api
 from hitchtiller.codec import frames
-from hitchtiller.routing.effects import MARGIN_MS, MAX_KEYS, Effects
+from hitchtiller.routing.effects import MAX_KEYS, WINDOW_MARGIN_MS, Effects
 
 ZONE_SCOPED = api.ClassSettings(
     "pay", 800.0, 3000.0, effect="by_key", key_scope="zone", repeat_window_ms=1000.0, write=True
@@ -29,7 +29,7 @@
     def test_the_window_starts_with_the_first_attempt_of_the_key(self) -> None:
         effects = self.effects()
         effects.begin("pay", "k1", HERE, 900.0)
-        last = 100.0 + 1000.0 - MARGIN_MS
+        last = 100.0 + 1000.0 - WINDOW_MARGIN_MS
         self.assertTrue(effects.may_begin("pay", "k1", HERE, last - 1.0))
         self.assertFalse(effects.may_begin("pay", "k1", HERE, last))
         self.assertTrue(effects.may_begin("pay", "k2", HERE, last), "another key is another effect")
