--- a/hitchtiller/back/jobs.py
+++ b/hitchtiller/back/jobs.py
@@ -83,7 +83,7 @@
         attempt = self.attempt
         limits = attempt.authorize(attempt)
         if limits is None:
-            attempt.drop("skipped")
+            attempt.abort("skipped")
             return None
         attempt.written = True
         self.due_ms = now_ms() + attempt.get.overdue_ms if attempt.get.overdue_ms else math.inf
--- a/hitchtiller/back/upstreams.py
+++ b/hitchtiller/back/upstreams.py
@@ -171,7 +171,7 @@
             return
         pool = self.pools.get(attempt.get.server)
         if pool is None:
-            attempt.drop("skipped")
+            attempt.abort("skipped")
             return
         attempt.back_end_handle = (pool, PullJob(attempt))
         pool.submit(attempt.back_end_handle[1])
--- a/hitchtiller/engine.py
+++ b/hitchtiller/engine.py
@@ -316,7 +316,7 @@
             timer = self.clock.later(get.timeout_ms, partial(self.cancel, attempt, "etimedout"))
             attempt.cancel_timer = timer.cancel
         if withheld:
-            attempt.drop("skipped")  # never written, so it can't have run
+            attempt.abort("skipped")  # never written, so it can't have run
         else:
             self.back.send(attempt)
 
@@ -351,7 +351,7 @@
         """Give up an attempt and end it with `status`."""
         if not attempt.ended:
             self.back.cancel(attempt)
-            attempt.drop(status)
+            attempt.abort(status)
 
     def on_attempt_end(self, attempt: Attempt, result: AttemptResult) -> None:
         """Handle the end of an attempt; the first served one becomes the final answer."""
--- a/hitchtiller/exchange.py
+++ b/hitchtiller/exchange.py
@@ -107,7 +107,7 @@
         self.cancel_timer = self.back_end_handle = None
         self.on_end(self, result)
 
-    def drop(self, status: str) -> None:
+    def abort(self, status: str) -> None:
         """End with a status, or with `skipped` if it was never written and so can't have run."""
         self.end(AttemptResult(status if self.written else "skipped"))
 
--- a/tests/ends/test_ends_links.py
+++ b/tests/ends/test_ends_links.py
@@ -207,7 +207,7 @@
         (link,) = self.pool.links
         link.round_trip_ms = 60.0
         self.back.cancel(first)
-        first.drop("ecanceled")
+        first.abort("ecanceled")
         self.assertGreater(exchange.blocked_until_ms, now_ms() + 30.0)
         second, _ = self.make_attempt()
         second.exchange = exchange
@@ -243,7 +243,7 @@
         first, exchange = self.make_attempt()
         exchange.blocked_until_ms = now_ms() + 20.0
         self.back.send(first)
-        first.drop("ecanceled")
+        first.abort("ecanceled")
         self.assertEqual(self.ended, ["skipped"], "it never ran")
         self.wait_until(lambda: now_ms() > exchange.blocked_until_ms + 5.0)
         self.assertEqual(self.pool.links, [])
