--- a/hitchtiller/back/link.py
+++ b/hitchtiller/back/link.py
@@ -216,7 +216,7 @@
             # In a long turn the gateway may not have read yet that a client has left: poll once before
             # sending its request.
             if not has_polled and self.sched.is_lagging():
-                self.sched.look()
+                self.sched.poll_again()
                 has_polled = True
                 continue
             has_polled = False
--- a/hitchtiller/front/client.py
+++ b/hitchtiller/front/client.py
@@ -86,7 +86,7 @@
                 data = self.stream.read()
                 # Left-over data was there at an earlier poll already: its deadlines count from that one.
                 if was_drained:
-                    self.arrived_ms = self.front.sched.arrival_ms
+                    self.arrived_ms = self.front.sched.earliest_arrival_ms
                 # After a long turn the end of the stream may already follow the requests in the socket
                 # buffer: requests of a client that has disconnected are not started.
                 if now_ms() - self.arrived_ms > LAG_LIMIT_MS and self.stream.drained and self.stream.at_end():
--- a/hitchtiller/front/server.py
+++ b/hitchtiller/front/server.py
@@ -82,7 +82,7 @@
         """Stop listening; accept what is in the kernel's queue first, unless another process does."""
         if self.accepting:
             self._accept_pending()
-        self.sched.forget(self.listener.fileno())
+        self.sched.unregister(self.listener.fileno())
         self.listener.close()
 
     def accepts_request(self, arrived_ms: float) -> bool:
--- a/hitchtiller/sched.py
+++ b/hitchtiller/sched.py
@@ -65,11 +65,11 @@
         self.runnable: deque[tuple[greenlet, Any]] = deque()
         self.timers: list[tuple[float, int, Timer]] = []
         self.timer_order = count()
-        self.urgent: set[greenlet] = set()  # run before all others of a turn
+        self.urgent_tasks: set[greenlet] = set()  # run before all others of a turn
         self.hub: greenlet = getcurrent()
         self.stopped = False
         # when the loop last polled, and the earliest time at which the data found then may have arrived
-        self.last_poll_ms = self.arrival_ms = now_ms()
+        self.last_poll_ms = self.earliest_arrival_ms = now_ms()
         self.lag_ms = 0.0  # longest turn since a reader last reset it
         self.resumed_ms = 0.0  # when the process last resumed after a stall
         self.signal_calls: deque[Callable[[], object]] = deque()  # from signal handlers, not started yet
@@ -84,11 +84,11 @@
             except Exception:  # noqa: BLE001  a fault in one connection must not end the others
                 logger.exception("a background task failed")
             finally:
-                self.urgent.discard(task)
+                self.urgent_tasks.discard(task)
 
         task = greenlet(guarded, parent=self.hub)
         if urgent:
-            self.urgent.add(task)
+            self.urgent_tasks.add(task)
         self.wake(task)
         return task
 
@@ -100,7 +100,7 @@
 
     def wake(self, task: greenlet, value: Any = None) -> None:
         """Resume a parked greenlet in this turn of the loop; `park` returns `value` to it."""
-        if task in self.urgent:  # keeps operators' calls responsive in a loop full of client work
+        if task in self.urgent_tasks:  # keeps operators' calls responsive in a loop full of client work
             self.runnable.appendleft((task, value))
         else:
             self.runnable.append((task, value))
@@ -118,7 +118,7 @@
         """Return whether much data may have arrived since the last poll."""
         return now_ms() - self.last_poll_ms > LAG_LIMIT_MS
 
-    def look(self) -> None:
+    def poll_again(self) -> None:
         """Let the loop poll again, and let the greenlets run whose events have come."""
         self.pause()
 
@@ -165,7 +165,7 @@
         if task is not None:
             self.wake(task, value)  # still registered: most tasks wait for the same event again
 
-    def forget(self, fd: int) -> None:
+    def unregister(self, fd: int) -> None:
         """Wake the tasks that wait for a descriptor and unregister it; called before it is closed."""
         for event in list(self.waiters.get(fd, ())):
             self._wake_waiter(fd, event, True)
@@ -177,7 +177,7 @@
         """Run the loop in the calling greenlet until `stopped` is set."""
         self.hub = getcurrent()
         while not self.stopped:
-            self.turn()
+            self.run_once()
 
     def call_from_signal(self, call: Callable[[], object]) -> None:
         """Run `call` in its own greenlet at the next turn; called by signal handlers, outside any task.
@@ -193,7 +193,7 @@
             self.is_polling = False  # a second signal in this turn must not raise outside the try
             raise PollInterrupted
 
-    def turn(self) -> None:
+    def run_once(self) -> None:
         """Run one round: wait for the first event or timer, then run all that is due or runnable."""
         timeout_ms = None
         if self.runnable:
@@ -222,7 +222,9 @@
         previous_poll_ms, self.last_poll_ms = self.last_poll_ms, now_ms()
         if previous_poll_ms and self.last_poll_ms - previous_poll_ms > MIN_STALL_MS:
             self.resumed_ms = self.last_poll_ms
-        self.arrival_ms = self.last_poll_ms if turn_start_s - poll_start_s > 0.001 else previous_poll_ms
+        self.earliest_arrival_ms = (
+            self.last_poll_ms if turn_start_s - poll_start_s > 0.001 else previous_poll_ms
+        )
         for fd, mask in ready_events:
             failed = mask & ~(READ | WRITE)
             woken = False
@@ -427,6 +429,6 @@
         self.keep(0)
         self.code = code
         self.discard()
-        self.sched.forget(self.fd)
+        self.sched.unregister(self.fd)
         self.sock.close()
         Stream.opened -= 1
--- a/hitchtiller/store/jobs.py
+++ b/hitchtiller/store/jobs.py
@@ -128,7 +128,7 @@
         for thread in self.threads:
             thread.join(timeout_s / len(self.threads))
         self.drain()
-        self.sched.forget(self.wakeup_fd)
+        self.sched.unregister(self.wakeup_fd)
         self.wakeup_fd = -1
         self.wakeup.close()
         return not any(thread.is_alive() for thread in self.threads)
--- a/tests/ends/sides.py
+++ b/tests/ends/sides.py
@@ -27,7 +27,7 @@
         if done():
             return True
         sched.later(1.0, lambda: None)
-        sched.turn()
+        sched.run_once()
     return False
 
 
@@ -139,7 +139,7 @@
         self.client_socket.sendall(frames.head(frames.GIVE_UP, 1, 0))
         last_activity_ms = self.client.last_activity_ms
         self.wait_until(lambda: self.client.last_activity_ms > last_activity_ms)
-        self.sched.turn()
+        self.sched.run_once()
 
     def read_until_end(self) -> bytes:
         """Read until the gateway closes the connection; a reset fails the test."""
--- a/tests/ends/test_ends_clients.py
+++ b/tests/ends/test_ends_clients.py
@@ -53,7 +53,7 @@
             self.client_socket.close()
             time.sleep(0.05)
 
-        self.sched.turn()
+        self.sched.run_once()
         self.sched.spawn(busy)
         self.wait_until(lambda: bool(self.client.stream.code))
         self.assertEqual((self.engine.taken, self.client.stream.code), ([], "eof"))
--- a/tests/ends/test_ends_descriptors.py
+++ b/tests/ends/test_ends_descriptors.py
@@ -63,7 +63,7 @@
         bus = BusLink(self.sched, lambda event: None, self.address, ((), ()))
         with no_descriptors():
             self.sched.spawn(bus.run)
-            self.sched.turn()
+            self.sched.run_once()
         self.assertTrue(run_until(self.sched, self.accept_one))
         assert bus.stream
         bus.stream.close("end")
@@ -153,7 +153,7 @@
             end = time.monotonic() + 0.5
             while time.monotonic() < end:
                 sched.later(1.0, lambda: None)
-                sched.turn()
+                sched.run_once()
             self.assertEqual(local_holdouts.out, frozenset())
         self.assertTrue(run_until(sched, lambda: local_holdouts.out == {"s-1"}))
 
--- a/tests/ends/test_ends_discovery.py
+++ b/tests/ends/test_ends_discovery.py
@@ -49,7 +49,7 @@
         while not done():
             self.assertLess(time.monotonic(), end)
             self.sched.later(1.0, lambda: None)
-            self.sched.turn()
+            self.sched.run_once()
 
     def accept_subscription(self, within_s: float = TIMEOUT_S) -> socket.socket:
         """Accept the next connection of the gateway."""
--- a/tests/ends/test_ends_links.py
+++ b/tests/ends/test_ends_links.py
@@ -281,7 +281,7 @@
             self.pool.submit(job)
 
         self.sched.spawn(client)
-        self.sched.turn()
+        self.sched.run_once()
         self.sched.spawn(busy)
         self.wait_until(lambda: bool(events))
         end = now_ms() + 50.0
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -64,9 +64,9 @@
         for name in ("client", "client"):
             sched.spawn(order.append, name)
         sched.spawn(order.append, "operator", urgent=True)
-        sched.turn()
+        sched.run_once()
         self.assertEqual(order, ["operator", "client", "client"])
-        self.assertFalse(sched.urgent)
+        self.assertFalse(sched.urgent_tasks)
 
 
 class Drain(Scenario):
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -94,7 +94,7 @@
         sched.stopped = True
 
     sched.spawn(wait)
-    sched.turn()  # the greenlet now waits on the descriptor
+    sched.run_once()  # the greenlet now waits on the descriptor
     threading.Thread(target=wakeup.poke, args=(7,)).start()
     sched.run()
     wakeup.close()
--- a/tests/test_sched.py
+++ b/tests/test_sched.py
@@ -28,7 +28,7 @@
 
     def run_until(self, count: int) -> None:
         while len(self.received) < count:
-            self.sched.turn()
+            self.sched.run_once()
 
     def test_bytes_and_the_end_are_read_in_order(self) -> None:
         self.sched.spawn(self.read)
@@ -41,13 +41,13 @@
     def test_data_left_unread_in_a_busy_turn_counts_from_the_previous_poll(self) -> None:
         """When deadlines counted from the read, they were late by the loop's lag, and requests were lost."""
         self.sched.spawn(self.read)
-        self.sched.turn()
+        self.sched.run_once()
         self.sched.spawn(time.sleep, 0.02)
-        self.sched.turn()
+        self.sched.run_once()
         polled_ms = self.sched.last_poll_ms
         self.peer.sendall(b"a")
         self.run_until(1)
-        self.assertLessEqual(self.sched.arrival_ms, polled_ms)
+        self.assertLessEqual(self.sched.earliest_arrival_ms, polled_ms)
 
     def test_a_due_timer_does_not_wait_for_the_rest_of_a_busy_turn(self) -> None:
         """At a lag of 0.15 s, answers due at the deadline came too late."""
@@ -55,7 +55,7 @@
         self.sched.later(5.0, lambda: order.append("due"))
         self.sched.spawn(time.sleep, 0.02)
         self.sched.spawn(order.append, "task")
-        self.sched.turn()
+        self.sched.run_once()
         self.assertEqual(order, ["due", "task"])
 
     def test_an_exception_in_a_task_or_timer_does_not_stop_the_loop(self) -> None:
@@ -74,7 +74,7 @@
         received = 0
         while received < len(data):
             self.sched.later(1.0, lambda: None)
-            self.sched.turn()
+            self.sched.run_once()
             try:
                 received += len(self.peer.recv(1_000_000))
             except BlockingIOError:
@@ -97,15 +97,15 @@
     def test_a_stall_of_the_process_is_detected_and_the_first_turn_is_not_one(self) -> None:
         sched = Scheduler()
         sched.later(1.0, lambda: None)
-        sched.turn()
+        sched.run_once()
         self.assertEqual(sched.resumed_ms, 0.0)
         sched.last_poll_ms -= MIN_STALL_MS / 2
         sched.later(1.0, lambda: None)
-        sched.turn()
+        sched.run_once()
         self.assertEqual(sched.resumed_ms, 0.0)
         sched.last_poll_ms -= MIN_STALL_MS + 1.0
         sched.later(1.0, lambda: None)
-        sched.turn()
+        sched.run_once()
         self.assertEqual(sched.resumed_ms, sched.last_poll_ms)
 
     def test_after_a_stall_events_may_lack_until_a_frame_comes_or_a_limit_passes(self) -> None:
