--- a/hitchtiller/back/link.py
+++ b/hitchtiller/back/link.py
@@ -13,7 +13,7 @@
 from hitchtiller.back.jobs import Job
 from hitchtiller.codec import resp
 from hitchtiller.log import ended
-from hitchtiller.sched import Closed, Scheduler, Stream, now_ms
+from hitchtiller.sched import Scheduler, Stream, StreamClosed, now_ms
 
 IDLE_SHARE = 0.7  # of the servers' idle timeout; closing before the server avoids a race with a send
 LATE_ANSWER_MS = 6_000.0  # after this time no answer to a killed request arrives any more
@@ -140,7 +140,7 @@
             )
             self.sched.spawn(self._write)
             self._read()
-        except Closed as error:
+        except StreamClosed as error:
             self.stream.close(str(error))
         except resp.BadResp as error:
             self.parse_error = str(error)
@@ -203,7 +203,7 @@
                 self.is_retired = True
                 self._return_unwritten()
         if self.is_retired and not self.open_jobs:
-            raise Closed("spoiled")
+            raise StreamClosed("spoiled")
 
     def _write(self) -> None:
         has_polled = False
--- a/hitchtiller/bus.py
+++ b/hitchtiller/bus.py
@@ -11,7 +11,7 @@
 from hitchtiller.codec.bus import BadBus, BusReader, NumberedEvent
 from hitchtiller.log import ended, logger
 from hitchtiller.news import Event
-from hitchtiller.sched import Closed, Scheduler, Stream, now_ms
+from hitchtiller.sched import Scheduler, Stream, StreamClosed, now_ms
 
 CONNECT_MS = 400.0
 SILENT_MS = 1_800.0  # the bus sends a frame each second; without a complete one the connection is dead
@@ -89,8 +89,8 @@
                 stream.write(self.last.to_bytes(8, "big"))
                 self.has_subscribed = True
                 self._read_events(stream)
-            except (Closed, BadBus) as error:
-                stream.close(str(error) if isinstance(error, Closed) else "junk")
+            except (StreamClosed, BadBus) as error:
+                stream.close(str(error) if isinstance(error, StreamClosed) else "junk")
             ended("bus", f"{address[0]}:{address[1]}", stream.code, last=self.last)
             # Reconnects at once after a move, or if the connection delivered events.
             if stream.code != "moved" and self.last == last:
--- a/hitchtiller/front/client.py
+++ b/hitchtiller/front/client.py
@@ -12,7 +12,7 @@
 from hitchtiller.exchange import FAILED, REFUSED, Answer, Exchange
 from hitchtiller.front.asks import RequestError, read_request, write_answer
 from hitchtiller.log import ended
-from hitchtiller.sched import LAG_LIMIT_MS, Closed, Stream, now_ms
+from hitchtiller.sched import LAG_LIMIT_MS, Stream, StreamClosed, now_ms
 
 if TYPE_CHECKING:
     from hitchtiller.front.server import Front
@@ -90,7 +90,7 @@
                 # After a long turn the end of the stream may already follow the requests in the socket
                 # buffer: requests of a client that has disconnected are not started.
                 if now_ms() - self.arrived_ms > LAG_LIMIT_MS and self.stream.drained and self.stream.at_end():
-                    raise Closed("eof")
+                    raise StreamClosed("eof")
                 if not self.discards_input:
                     self._receive(reader, data)
                 if self.discards_input:
@@ -98,7 +98,7 @@
                     self.front.sched.sleep(2.0)  # keeps a fast sender of 60 MB from occupying the loop
                 elif not self.stream.drained:
                     self.front.sched.pause()
-        except Closed as error:
+        except StreamClosed as error:
             self.stream.close(self.close_code or str(error))
         finally:
             self.stream.close("fault")
@@ -124,7 +124,7 @@
                 if count % FRAMES_PER_TURN == 0:
                     self.front.sched.pause()
                 if self.stream.code:
-                    raise Closed(self.stream.code)
+                    raise StreamClosed(self.stream.code)
                 if self.discards_input:
                     return
         except frames.BadFrame:
--- a/hitchtiller/ops/control.py
+++ b/hitchtiller/ops/control.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from hitchtiller.log import ended
-from hitchtiller.sched import READ, Closed, Scheduler, Stream
+from hitchtiller.sched import READ, Scheduler, Stream, StreamClosed
 
 BACKLOG = 64
 MAX_CALL_BYTES = 200
@@ -69,7 +69,7 @@
             stream.finish()
             self._await_close(stream)
             stream.close("answered")
-        except Closed as error:
+        except StreamClosed as error:
             stream.close(str(error))
         finally:
             stream.close("fault")
@@ -84,7 +84,7 @@
         try:
             while b"\n" not in data and len(data) <= MAX_CALL_BYTES:
                 data += stream.read()
-        except Closed as error:
+        except StreamClosed as error:
             if str(error) != "eof" or not data:
                 raise
             data += b"\n"  # the end of the connection also ends the line
@@ -103,7 +103,7 @@
     def _await_close(self, stream: Stream) -> None:
         """Read until the caller closes the connection, for LINGER_MS at most."""
         timer = self.sched.later(LINGER_MS, lambda: stream.close("answered"))
-        with contextlib.suppress(Closed):
+        with contextlib.suppress(StreamClosed):
             while True:
                 stream.read()
                 self.sched.sleep(2.0)  # limits the work for a caller that sends without end
--- a/hitchtiller/repo/front.py
+++ b/hitchtiller/repo/front.py
@@ -19,7 +19,7 @@
 from hitchtiller.repo.body import BrokenBodyError
 from hitchtiller.repo.fetch import FetchFailedError, FetchRefusedError
 from hitchtiller.repo.service import Reply, Service, make_refusal
-from hitchtiller.sched import READ, Closed, Scheduler, Stream, now_ms
+from hitchtiller.sched import READ, Scheduler, Stream, StreamClosed, now_ms
 
 HEADER, MAX_HEADER_FIELDS = 16_384, 64  # bytes and number of fields of one request header
 MAX_REQUEST_BODY_BYTES = 65_536  # a longer request body is rejected; a shorter one is discarded
@@ -73,7 +73,7 @@
                 if not self._start_next_cycle():
                     code = "close"
                     break
-        except Closed as error:
+        except StreamClosed as error:
             code = str(error)
         except h11.RemoteProtocolError as error:
             code = "bad-request"
@@ -111,9 +111,9 @@
     def _read(self, wait_ms: float, code: str) -> bytes:
         try:
             return self.stream.read(wait_ms)
-        except Closed as error:
+        except StreamClosed as error:
             if str(error) == "silent":
-                raise Closed(code) from None
+                raise StreamClosed(code) from None
             if str(error) == "eof":
                 return b""
             raise
@@ -186,11 +186,11 @@
             self.sent_bytes += len(data)
         while self.stream.size > MAX_UNSENT_BYTES and not self.stream.code:
             if now_ms() - self.stream.progress_ms > self.times.slow_ms:
-                raise Closed("slow")
+                raise StreamClosed("slow")
             is_draining = now_ms() - self.stream.progress_ms < 10.0 * SLOW_POLL_MS
             self.sched.sleep(FAST_POLL_MS if is_draining else SLOW_POLL_MS)
         if self.stream.code:
-            raise Closed(self.stream.code)
+            raise StreamClosed(self.stream.code)
 
     def _start_next_cycle(self) -> bool:
         """Prepare for the next request; return False if the connection ends after this one."""
@@ -223,7 +223,7 @@
             self.sched.sleep(SLOW_POLL_MS)
         if code in ("close", "bad-request") and not self.stream.code:
             self.stream.finish()
-            with contextlib.suppress(Closed):  # closing with unread bytes would reset the connection
+            with contextlib.suppress(StreamClosed):  # closing with unread bytes would reset the connection
                 for _ in range(16):
                     self.stream.read(200.0)
 
--- a/hitchtiller/sched.py
+++ b/hitchtiller/sched.py
@@ -267,7 +267,7 @@
         self.later = sched.later
 
 
-class Closed(Exception):
+class StreamClosed(Exception):
     """The stream of a socket has ended; the text is the reason code."""
 
 
@@ -300,22 +300,22 @@
         error = self.sock.connect_ex(address)
         if error == errno.EINPROGRESS:
             if not self.sched.wait(self.fd, WRITE, timeout_ms):
-                raise Closed("silent")
+                raise StreamClosed("silent")
             if self.code:
-                raise Closed(self.code)
+                raise StreamClosed(self.code)
             error = self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         if error:
-            raise Closed("refused")
+            raise StreamClosed("refused")
 
     def read(self, timeout_ms: float | None = None) -> bytes:
         """Wait for bytes, or raise Closed: `eof`, `reset`, `silent` on a timeout, or the close's code."""
         while True:
             if self.code:
-                raise Closed(self.code)
+                raise StreamClosed(self.code)
             if self.drained:  # nothing to read: trying recv first would waste a system call
                 self.drained = False
                 if not self.sched.wait(self.fd, READ, timeout_ms):
-                    raise Closed("silent")
+                    raise StreamClosed("silent")
                 continue
             try:
                 data = self.sock.recv(RECV_BYTES)
@@ -323,9 +323,9 @@
                 self.drained = True
                 continue
             except OSError:
-                raise Closed("reset") from None
+                raise StreamClosed("reset") from None
             if not data:
-                raise Closed("eof")
+                raise StreamClosed("eof")
             self.drained = len(data) < RECV_BYTES
             return data
 
--- a/tests/test_back.py
+++ b/tests/test_back.py
@@ -11,7 +11,7 @@
 from hitchtiller.codec.resp import BadResp
 from hitchtiller.interface import Member
 from hitchtiller.news import ListedServer, Topology
-from hitchtiller.sched import Closed, Scheduler
+from hitchtiller.sched import Scheduler, StreamClosed
 
 
 class Job:
@@ -102,7 +102,7 @@
         self.assertEqual((invalid.statuses, valid.statuses), (["econnreset"], []))
         self.assertFalse(link.has_room(b"4"))
         self.assertFalse(link.queue, "unwritten jobs are returned to the pool")
-        with self.assertRaises(Closed):
+        with self.assertRaises(StreamClosed):
             link._handle_answer([b"2", b"DONE", b"-", b""])
         self.assertEqual(valid.statuses, ["DONE"])
 
--- a/tests/test_sched.py
+++ b/tests/test_sched.py
@@ -5,7 +5,7 @@
 import unittest
 
 from hitchtiller.bus import CATCH_UP_LIMIT_MS, BusLink
-from hitchtiller.sched import MIN_STALL_MS, Closed, Scheduler, Stream, now_ms
+from hitchtiller.sched import MIN_STALL_MS, Scheduler, Stream, StreamClosed, now_ms
 
 
 class SchedulerTest(unittest.TestCase):
@@ -23,7 +23,7 @@
         try:
             while True:
                 self.received.append(self.stream.read())
-        except Closed as error:
+        except StreamClosed as error:
             self.received.append(str(error))
 
     def run_until(self, count: int) -> None:
@@ -85,7 +85,7 @@
         def read() -> None:
             try:
                 self.stream.read(5.0)
-            except Closed as error:
+            except StreamClosed as error:
                 self.received.append(str(error))
 
         self.sched.spawn(read)
