--- a/hitchtiller/back/link.py
+++ b/hitchtiller/back/link.py
@@ -74,7 +74,7 @@
 
     def accepts(self, name: bytes) -> bool:
         """Return whether a job of this name may be queued here, even if it has to wait for room."""
-        if self.stream.code or self.is_retired or self.is_suspect:
+        if self.stream.close_code or self.is_retired or self.is_suspect:
             return False
         if self.writing and now_ms() - self.writing[1] > self.connect_ms:
             return False  # the server has stopped reading: a queued job would be stuck
@@ -97,7 +97,7 @@
         elif self.open_jobs.get(name) is job:
             del self.open_jobs[name]
             self._remember(self.killed_jobs, name)
-            job.block_until(now_ms() + (self.connect_ms if self.stream.size else self.round_trip_ms))
+            job.block_until(now_ms() + (self.connect_ms if self.stream.unsent_bytes else self.round_trip_ms))
             if self.writing and self.writing[0] is job:
                 # Half of its command was sent, so neither a KILL nor another command can follow.
                 self.is_retired = True
@@ -151,7 +151,7 @@
 
     def check(self, now: float) -> None:
         """Close the link if an answer is truncated or overdue, a write is blocked, or it has been idle."""
-        if self.stream.code or not self.is_connected:
+        if self.stream.close_code or not self.is_connected:
             return
         silent_ms, unused_ms = now - self.last_read_ms, now - max(self.last_read_ms, self.last_send_ms)
         has_overdue = any(now > job.due_ms for job in self.open_jobs.values())
@@ -174,7 +174,7 @@
             for items in self.reader.feed(data):
                 self.last_growth_ms, self.growth_bytes = self.last_read_ms, 0
                 self._handle_answer(items)
-            self.stream.keep(len(self.reader.buffer))
+            self.stream.set_reader_bytes(len(self.reader.buffer))
 
     def _handle_answer(self, items: list[bytes]) -> None:
         if not 2 <= len(items) <= 4:
@@ -207,7 +207,7 @@
 
     def _write(self) -> None:
         has_polled = False
-        while not self.stream.code and not self.is_retired:
+        while not self.stream.close_code and not self.is_retired:
             is_full = len(self.open_jobs) >= self.max_jobs
             if not self.queue or (is_full and not isinstance(self.queue[0], bytes)):
                 self.parked_writer = getcurrent()
@@ -250,13 +250,13 @@
         ended(
             "server",
             self.server,
-            self.stream.code,
+            self.stream.close_code,
             self.parse_error,
             done=self.answered_count,
             open=len(self.open_jobs),
         )
         jobs, self.open_jobs = list(self.open_jobs.values()), {}
-        if self.stream.code not in SERVER_CLOSE_CODES:  # otherwise the server itself has ended them
+        if self.stream.close_code not in SERVER_CLOSE_CODES:  # otherwise the server itself has ended them
             self.abandoned_jobs = dict.fromkeys((job.name for job in jobs), now_ms())
             for job in jobs:
                 job.block_until(now_ms() + self.round_trip_ms)
@@ -269,6 +269,6 @@
             self.queued_names.clear()
             self.on_close(self, [])
             for job in unwritten:
-                job.broken("silent" if self.stream.code == "silent" else "econnrefused")
+                job.broken("silent" if self.stream.close_code == "silent" else "econnrefused")
         for job in jobs:
-            job.broken("etimedout" if self.stream.code == "stuck" else "econnreset")
+            job.broken("etimedout" if self.stream.close_code == "stuck" else "econnreset")
--- a/hitchtiller/back/upstreams.py
+++ b/hitchtiller/back/upstreams.py
@@ -86,7 +86,7 @@
     def on_link_closed(self, link: Link, unwritten: list[Job]) -> None:
         """Remove a closed connection and reassign the jobs that were not written on it."""
         # A retired link reports twice: when it returns its unwritten jobs, and when it closes.
-        if link.stream.code and link in self.links:
+        if link.stream.close_code and link in self.links:
             self.links.remove(link)
             self.upstreams.link_count -= 1
             now, abandoned = now_ms(), link.abandoned_jobs
@@ -94,7 +94,7 @@
                 for name in [name for name, at in remembered.items() if now - at >= LATE_ANSWER_MS]:
                     del remembered[name]
             self.abandoned_jobs |= link.killed_jobs
-            (self.abandoned_after_junk if link.stream.code == "junk" else self.abandoned_jobs).update(
+            (self.abandoned_after_junk if link.stream.close_code == "junk" else self.abandoned_jobs).update(
                 abandoned
             )
         for job in unwritten:
--- a/hitchtiller/bus.py
+++ b/hitchtiller/bus.py
@@ -91,9 +91,9 @@
                 self._read_events(stream)
             except (StreamClosed, BadBus) as error:
                 stream.close(str(error) if isinstance(error, StreamClosed) else "junk")
-            ended("bus", f"{address[0]}:{address[1]}", stream.code, last=self.last)
+            ended("bus", f"{address[0]}:{address[1]}", stream.close_code, last=self.last)
             # Reconnects at once after a move, or if the connection delivered events.
-            if stream.code != "moved" and self.last == last:
+            if stream.close_code != "moved" and self.last == last:
                 self.sched.sleep(RETRY_DELAY_MS)
 
     def _read_events(self, stream: Stream) -> None:
--- a/hitchtiller/front/client.py
+++ b/hitchtiller/front/client.py
@@ -82,21 +82,25 @@
         reader = frames.FrameReader()
         try:
             while True:
-                was_drained = self.stream.drained
+                was_drained = self.stream.input_drained
                 data = self.stream.read()
                 # Left-over data was there at an earlier poll already: its deadlines count from that one.
                 if was_drained:
                     self.arrived_ms = self.front.sched.earliest_arrival_ms
                 # After a long turn the end of the stream may already follow the requests in the socket
                 # buffer: requests of a client that has disconnected are not started.
-                if now_ms() - self.arrived_ms > LAG_LIMIT_MS and self.stream.drained and self.stream.at_end():
+                if (
+                    now_ms() - self.arrived_ms > LAG_LIMIT_MS
+                    and self.stream.input_drained
+                    and self.stream.at_end()
+                ):
                     raise StreamClosed("eof")
                 if not self.discards_input:
                     self._receive(reader, data)
                 if self.discards_input:
-                    self.stream.keep(0)
+                    self.stream.set_reader_bytes(0)
                     self.front.sched.sleep(2.0)  # keeps a fast sender of 60 MB from occupying the loop
-                elif not self.stream.drained:
+                elif not self.stream.input_drained:
                     self.front.sched.pause()
         except StreamClosed as error:
             self.stream.close(self.close_code or str(error))
@@ -106,7 +110,7 @@
             ended(
                 "client",
                 self.remote_address,
-                self.stream.code,
+                self.stream.close_code,
                 taken=self.accepted_count,
                 open=len(self.open_exchanges),
             )
@@ -123,8 +127,8 @@
                 self._handle_frame(frame, arrived_ms)
                 if count % FRAMES_PER_TURN == 0:
                     self.front.sched.pause()
-                if self.stream.code:
-                    raise StreamClosed(self.stream.code)
+                if self.stream.close_code:
+                    raise StreamClosed(self.stream.close_code)
                 if self.discards_input:
                     return
         except frames.BadFrame:
@@ -165,13 +169,13 @@
     def is_idle(self) -> bool:
         """Return whether no answer is pending, no close is under way and no input is unread."""
         return (
-            not (self.has_pending_answers() or self.close_code or self.stream.code)
+            not (self.has_pending_answers() or self.close_code or self.stream.close_code)
             and not self.stream.waiting()
         )
 
     def has_pending_answers(self) -> bool:
         """Return whether a request is open or queued, or answer bytes are still unsent."""
-        return bool(self.open_exchanges or self.queued_requests or self.stream.size)
+        return bool(self.open_exchanges or self.queued_requests or self.stream.unsent_bytes)
 
     def is_lingering(self) -> bool:
         """Return whether the connection is closing and its last answer has been sent."""
@@ -179,7 +183,7 @@
 
     def _handle_frame(self, frame: frames.Frame, arrived_ms: float) -> None:
         if frame.kind == frames.REQUEST:
-            if self.stream.size <= HIGH_WATER_BYTES and not self.queued_requests:
+            if self.stream.unsent_bytes <= HIGH_WATER_BYTES and not self.queued_requests:
                 self._handle_request(frame, arrived_ms)
             elif len(self.queued_requests) < MAX_OPEN_REQUESTS and frame.stream not in self.queued_requests:
                 if not self.queued_requests:
@@ -193,7 +197,7 @@
                 self.front.engine.leave(exchange)
         elif frame.kind == frames.READY:
             self.last_probe_ms = now_ms()
-            if self.stream.size > HIGH_WATER_BYTES:
+            if self.stream.unsent_bytes > HIGH_WATER_BYTES:
                 return self._fail_flood()
             code = frames.REFUSED if self.front.client_unready_reason() else frames.SERVED
             payload = bytes([code]) + frames.write_fields({})
@@ -203,7 +207,7 @@
 
     def _count_buffered(self) -> None:
         """Report the bytes held in partial frames and queued requests to the stream's accounting."""
-        self.stream.keep(
+        self.stream.set_reader_bytes(
             self.incomplete_bytes + sum(len(frame.payload) for frame, _ in self.queued_requests.values())
         )
 
@@ -217,8 +221,8 @@
 
         Reading goes on meanwhile, so that a GIVE_UP frame or a disconnect is noticed at once.
         """
-        while self.queued_requests and not self.stream.code:
-            if self.stream.size > HIGH_WATER_BYTES:
+        while self.queued_requests and not self.stream.close_code:
+            if self.stream.unsent_bytes > HIGH_WATER_BYTES:
                 self.front.sched.sleep(QUEUE_CHECK_MS)
                 continue
             frame, arrived_ms = self.queued_requests.pop(next(iter(self.queued_requests)))
@@ -227,7 +231,7 @@
                 self._handle_request(frame, arrived_ms)
             except frames.BadFrame:
                 self.fail_all("bad-frame")
-        if not self.stream.code:
+        if not self.stream.close_code:
             self._close_if_done()
 
     def _handle_request(self, frame: frames.Frame, arrived_ms: float) -> None:
@@ -282,7 +286,7 @@
         """
         if not self.is_idle() or now - self.last_probe_ms <= PROBE_KEEP_MS:
             return False
-        return final or (not self.stream.kept and now - self.last_activity_ms > MIN_IDLE_MS)
+        return final or (not self.stream.reader_bytes and now - self.last_activity_ms > MIN_IDLE_MS)
 
     def close_when_done(self, code: str, linger_ms: float = DEFAULT_LINGER_MS) -> None:
         """Close once all open requests are answered: they were accepted and must not be lost."""
--- a/hitchtiller/front/leave.py
+++ b/hitchtiller/front/leave.py
@@ -147,7 +147,7 @@
             if client.close_code:
                 if client.timeout_code(now):
                     client.stream.close(client.close_code)
-            elif client.is_idle() and (final or not client.stream.kept):
+            elif client.is_idle() and (final or not client.stream.reader_bytes):
                 client.close_when_done("stop", CLOSE_LINGER_MS)
 
     def _end_loop(self, code: str) -> None:
--- a/hitchtiller/ops/control.py
+++ b/hitchtiller/ops/control.py
@@ -54,7 +54,9 @@
                 )
                 (oldest or next(iter(self.callers))).close("full")
             stream = Stream(self.sched, sock)
-            stream.drained = False  # the call may have arrived already: poll would cost a turn of the loop
+            stream.input_drained = (
+                False  # the call may have arrived already: poll would cost a turn of the loop
+            )
             self.callers[stream] = False
             self.sched.spawn(self._serve, stream, f"{address[0]}:{address[1]}", urgent=True)
 
@@ -75,7 +77,7 @@
             stream.close("fault")
             self.callers.pop(stream, None)
             summary = f"call={line[:MAX_CALL_BYTES]!r} answer={reply.partition(chr(10))[0]!r}"
-            ended("control", peer, stream.code, summary)
+            ended("control", peer, stream.close_code, summary)
 
     def _read_line(self, stream: Stream) -> str:
         """Read the line of a call, within CALL_TIMEOUT_MS and MAX_CALL_BYTES."""
--- a/hitchtiller/repo/front.py
+++ b/hitchtiller/repo/front.py
@@ -129,7 +129,7 @@
             request.target,
             headers,
             self.address,
-            lambda: self.stream.size + (MAX_UNSENT_BYTES if self.stream.code else 0),
+            lambda: self.stream.unsent_bytes + (MAX_UNSENT_BYTES if self.stream.close_code else 0),
         )
         self._discard_request_body()
         self._send(reply, method)
@@ -184,13 +184,13 @@
         if data:
             self.stream.write(data)
             self.sent_bytes += len(data)
-        while self.stream.size > MAX_UNSENT_BYTES and not self.stream.code:
-            if now_ms() - self.stream.progress_ms > self.times.slow_ms:
+        while self.stream.unsent_bytes > MAX_UNSENT_BYTES and not self.stream.close_code:
+            if now_ms() - self.stream.last_progress_ms > self.times.slow_ms:
                 raise StreamClosed("slow")
-            is_draining = now_ms() - self.stream.progress_ms < 10.0 * SLOW_POLL_MS
+            is_draining = now_ms() - self.stream.last_progress_ms < 10.0 * SLOW_POLL_MS
             self.sched.sleep(FAST_POLL_MS if is_draining else SLOW_POLL_MS)
-        if self.stream.code:
-            raise StreamClosed(self.stream.code)
+        if self.stream.close_code:
+            raise StreamClosed(self.stream.close_code)
 
     def _start_next_cycle(self) -> bool:
         """Prepare for the next request; return False if the connection ends after this one."""
@@ -219,9 +219,9 @@
         After any other end the caller closes it at once, so that the client notices the failure.
         """
         deadline_ms = now_ms() + self.times.slow_ms
-        while self.stream.size and not self.stream.code and now_ms() < deadline_ms:
+        while self.stream.unsent_bytes and not self.stream.close_code and now_ms() < deadline_ms:
             self.sched.sleep(SLOW_POLL_MS)
-        if code in ("close", "bad-request") and not self.stream.code:
+        if code in ("close", "bad-request") and not self.stream.close_code:
             self.stream.finish()
             with contextlib.suppress(StreamClosed):  # closing with unread bytes would reset the connection
                 for _ in range(16):
--- a/hitchtiller/sched.py
+++ b/hitchtiller/sched.py
@@ -286,12 +286,12 @@
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.sched, self.sock, self.fd = sched, sock, sock.fileno()
         self.unsent: deque[memoryview] = deque()
-        self.size = 0  # bytes in `unsent`
-        self.progress_ms = 0.0  # when bytes were last sent, or a write last found `unsent` empty
+        self.unsent_bytes = 0  # bytes in `unsent`
+        self.last_progress_ms = 0.0  # when bytes were last sent, or a write last found `unsent` empty
         self.is_flushing = False
-        self.drained = True  # no unread input is known: the last read emptied the receive buffer
-        self.code = ""  # reason code of the close; empty while open
-        self.kept = 0  # bytes of incomplete input that its reader holds
+        self.input_drained = True  # no unread input is known: the last read emptied the receive buffer
+        self.close_code = ""  # reason code of the close; empty while open
+        self.reader_bytes = 0  # bytes of incomplete input that its reader holds
         self.shutdown_requested = False  # writing is shut down once `unsent` is empty
         Stream.opened += 1
 
@@ -301,8 +301,8 @@
         if error == errno.EINPROGRESS:
             if not self.sched.wait(self.fd, WRITE, timeout_ms):
                 raise StreamClosed("silent")
-            if self.code:
-                raise StreamClosed(self.code)
+            if self.close_code:
+                raise StreamClosed(self.close_code)
             error = self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         if error:
             raise StreamClosed("refused")
@@ -310,39 +310,39 @@
     def read(self, timeout_ms: float | None = None) -> bytes:
         """Wait for bytes, or raise Closed: `eof`, `reset`, `silent` on a timeout, or the close's code."""
         while True:
-            if self.code:
-                raise StreamClosed(self.code)
-            if self.drained:  # nothing to read: trying recv first would waste a system call
-                self.drained = False
+            if self.close_code:
+                raise StreamClosed(self.close_code)
+            if self.input_drained:  # nothing to read: trying recv first would waste a system call
+                self.input_drained = False
                 if not self.sched.wait(self.fd, READ, timeout_ms):
                     raise StreamClosed("silent")
                 continue
             try:
                 data = self.sock.recv(RECV_BYTES)
             except BlockingIOError:
-                self.drained = True
+                self.input_drained = True
                 continue
             except OSError:
                 raise StreamClosed("reset") from None
             if not data:
                 raise StreamClosed("eof")
-            self.drained = len(data) < RECV_BYTES
+            self.input_drained = len(data) < RECV_BYTES
             return data
 
     def write(self, *parts: bytes | memoryview) -> None:
         """Send at once what the socket accepts and buffer the rest; the caller has to bound `size`."""
-        if self.code:
+        if self.close_code:
             return
         if not self.unsent:
-            self.progress_ms = now_ms()
+            self.last_progress_ms = now_ms()
         for part in parts:
             if len(part):
                 self.unsent.append(memoryview(part))
-                self.size += len(part)
+                self.unsent_bytes += len(part)
                 Stream.buffered_bytes += len(part)
         if not self.is_flushing:
             self._send_unsent()
-            if self.unsent and not self.code:
+            if self.unsent and not self.close_code:
                 self.is_flushing = True
                 self.sched.spawn(self._flush)
 
@@ -352,13 +352,13 @@
         self.write(data)
         self._send_unsent()
         self._flush()
-        return not self.code
+        return not self.close_code
 
-    def keep(self, size: int) -> None:
+    def set_reader_bytes(self, size: int) -> None:
         """Set how many bytes of incomplete input its reader holds, for `buffered_bytes`."""
-        if size != self.kept and not self.code:
-            Stream.buffered_bytes += size - self.kept
-            self.kept = size
+        if size != self.reader_bytes and not self.close_code:
+            Stream.buffered_bytes += size - self.reader_bytes
+            self.reader_bytes = size
 
     def waiting(self) -> bool:
         """Return whether unread input has arrived; the end of the stream counts as input."""
@@ -371,15 +371,15 @@
     def at_end(self) -> bool:
         """Return whether the other side has closed or reset the connection and no data is left to read."""
         try:
-            return not self.code and not self.sock.recv(1, socket.MSG_PEEK)
+            return not self.close_code and not self.sock.recv(1, socket.MSG_PEEK)
         except OSError as error:
             return not isinstance(error, BlockingIOError)
 
     def discard(self) -> None:
         """Drop all unsent data; nothing meaningful can be written on the stream after that."""
         self.unsent.clear()
-        Stream.buffered_bytes -= self.size
-        self.size = 0
+        Stream.buffered_bytes -= self.unsent_bytes
+        self.unsent_bytes = 0
 
     def _send_unsent(self) -> None:
         while self.unsent:
@@ -395,9 +395,9 @@
             except OSError:
                 self.close("reset")
                 return
-            self.size -= sent
+            self.unsent_bytes -= sent
             Stream.buffered_bytes -= sent
-            self.progress_ms = now_ms()
+            self.last_progress_ms = now_ms()
             while sent:
                 head = self.unsent[0]
                 if sent < len(head):
@@ -407,9 +407,9 @@
                 self.unsent.popleft()
 
     def _flush(self) -> None:
-        while self.unsent and not self.code:
+        while self.unsent and not self.close_code:
             self.sched.wait(self.fd, WRITE)
-            if not self.code:
+            if not self.close_code:
                 self._send_unsent()
         self.is_flushing = False
         if self.shutdown_requested:
@@ -418,16 +418,16 @@
     def finish(self) -> None:
         """Shut down writing once all buffered data is sent; reading continues."""
         self.shutdown_requested = True
-        if not self.unsent and not self.code:
+        if not self.unsent and not self.close_code:
             with contextlib.suppress(OSError):
                 self.sock.shutdown(socket.SHUT_WR)
 
     def close(self, code: str) -> None:
         """Close the socket once; the first reason code is kept, and a parked reader is woken with it."""
-        if self.code:
+        if self.close_code:
             return
-        self.keep(0)
-        self.code = code
+        self.set_reader_bytes(0)
+        self.close_code = code
         self.discard()
         self.sched.unregister(self.fd)
         self.sock.close()
--- a/tests/ends/sides.py
+++ b/tests/ends/sides.py
@@ -134,7 +134,7 @@
     def fill_send_buffer(self) -> None:
         """Leave more answer bytes unsent on the connection than its high-water mark."""
         self.engine.answer(self.send_request(1), bytes(16_000_000))
-        self.assertGreater(self.client.stream.size, 1_000_000)
+        self.assertGreater(self.client.stream.unsent_bytes, 1_000_000)
         # A GIVE_UP of the answered request, as one more frame to read.
         self.client_socket.sendall(frames.head(frames.GIVE_UP, 1, 0))
         last_activity_ms = self.client.last_activity_ms
--- a/tests/ends/test_ends_clients.py
+++ b/tests/ends/test_ends_clients.py
@@ -42,7 +42,9 @@
             return len(self.engine.taken) == 2
 
         self.wait_until(has_read_all, "a queued request is taken once the client reads its answers")
-        self.assertEqual(self.client.stream.kept, 0, "and its bytes are not counted as buffered any more")
+        self.assertEqual(
+            self.client.stream.reader_bytes, 0, "and its bytes are not counted as buffered any more"
+        )
         self.assertEqual(self.engine.taken[1], f"{3:016x}")
 
     def test_a_request_whose_client_left_during_a_busy_turn_is_not_taken(self) -> None:
@@ -55,8 +57,8 @@
 
         self.sched.run_once()
         self.sched.spawn(busy)
-        self.wait_until(lambda: bool(self.client.stream.code))
-        self.assertEqual((self.engine.taken, self.client.stream.code), ([], "eof"))
+        self.wait_until(lambda: bool(self.client.stream.close_code))
+        self.assertEqual((self.engine.taken, self.client.stream.close_code), ([], "eof"))
 
     def test_a_give_up_is_read_while_the_connection_is_closing(self) -> None:
         """Once a close had begun nothing was parsed: attempts went on until the deadline."""
@@ -87,8 +89,8 @@
         self.assertEqual(len(self.engine.taken), MAX_OPEN_REQUESTS)
         flooder = self.client
         self.client_socket.close()
-        self.wait_until(lambda: bool(flooder.stream.code))
-        self.assertEqual(flooder.stream.code, "flood")
+        self.wait_until(lambda: bool(flooder.stream.close_code))
+        self.assertEqual(flooder.stream.close_code, "flood")
         self.client_socket = self.connect()
         self.engine.answer(self.send_request(1), b"x")
 
@@ -106,7 +108,7 @@
         """The sweep closed the connection although the rest was unread: a whole request was lost."""
         data = request_frame(1)
         self.client_socket.sendall(data[:20])
-        self.wait_until(lambda: self.client.stream.kept > 0)
+        self.wait_until(lambda: self.client.stream.reader_bytes > 0)
         self.client_socket.sendall(data[20:])  # unread, as the loop has not run
         late_ms = now_ms() + 10_000.0
         self.assertEqual(self.client.timeout_code(late_ms), "unasked")
--- a/tests/ends/test_ends_descriptors.py
+++ b/tests/ends/test_ends_descriptors.py
@@ -185,7 +185,7 @@
         client.open_exchanges[1] = exchange
         client.close_when_done("half")
         self.assertFalse(self.front.make_room())
-        self.assertEqual(client.stream.code, "")
+        self.assertEqual(client.stream.close_code, "")
 
     def test_a_client_with_an_unsent_answer_is_not_closed(self) -> None:
         client, _ = self.add_client()
@@ -200,6 +200,6 @@
         other.sendall(b"late")
         idle, _ = self.add_client()
         self.assertTrue(self.front.make_room())
-        self.assertEqual((lingering.stream.code, idle.stream.code), ("", "full"))
+        self.assertEqual((lingering.stream.close_code, idle.stream.close_code), ("", "full"))
         self.assertTrue(self.front.make_room(), "without an idle client the lingering one is closed")
-        self.assertEqual(lingering.stream.code, "full")
+        self.assertEqual(lingering.stream.close_code, "full")
--- a/tests/ends/test_ends_links.py
+++ b/tests/ends/test_ends_links.py
@@ -95,7 +95,7 @@
         first = Job(b"a")
         link, _ = self.write_job(first)
         link.stream.write(bytes(8_000_000))  # a server that does not read
-        self.assertGreater(link.stream.size, 0)
+        self.assertGreater(link.stream.unsent_bytes, 0)
         link.is_suspect = True
         link.cancel(first)
         link.killed_jobs[b"a"] = now_ms() - CONNECT_MS - 1.0
@@ -134,7 +134,7 @@
         server.sendall(b"x")
         self.wait_until(lambda: link.last_read_ms > heard)
         link.check(link.last_read_ms + 1.0)
-        self.assertEqual(link.stream.code, "stuck")
+        self.assertEqual(link.stream.close_code, "stuck")
 
     def test_a_growing_answer_does_not_close_the_connection(self) -> None:
         job = Job(b"a")
@@ -145,7 +145,7 @@
         server.sendall(bytes(link_module.MIN_GROWTH_BYTES))
         self.wait_until(lambda: link.last_growth_ms > now_ms() - 1_000.0)
         link.check(now_ms() + 0.5 * link_module.GROWTH_TIMEOUT_MS)
-        self.assertEqual(link.stream.code, "")
+        self.assertEqual(link.stream.close_code, "")
 
     def test_a_second_answer_to_an_effect_matches_no_job(self) -> None:
         first = Job(b"a", repeatable=False)
--- a/tests/test_back.py
+++ b/tests/test_back.py
@@ -88,9 +88,9 @@
         link = self.open_link(Job(due_ms=link_module.now_ms()))
         last_read_ms = link.last_read_ms
         link.check(last_read_ms + 300.0)
-        self.assertEqual((link.has_room(b"2"), link.stream.code), (False, ""))
+        self.assertEqual((link.has_room(b"2"), link.stream.close_code), (False, ""))
         link.check(last_read_ms + 500.0)
-        self.assertEqual(link.stream.code, "stuck")
+        self.assertEqual(link.stream.close_code, "stuck")
 
     def test_an_invalid_answer_fails_only_its_job_and_other_answers_still_arrive(self) -> None:
         """One such answer failed all jobs of its connection, 7 at once."""
@@ -115,4 +115,4 @@
         link = self.open_link(Job())
         list(link.reader.feed(b"*4\r\n"))
         link.check(link.last_read_ms + 500.0)
-        self.assertEqual(link.stream.code, "stuck")
+        self.assertEqual(link.stream.close_code, "stuck")
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -76,7 +76,7 @@
         back.follow(
             Topology((ListedServer(api.Member("new", "z1", "box", "SERVING", 9.0), address),), True)
         )()
-        self.assertEqual((list(back.pools), link.stream.code, pool.closed), (["new"], "gone", True))
+        self.assertEqual((list(back.pools), link.stream.close_code, pool.closed), (["new"], "gone", True))
         self.assertEqual(back.pools["new"].links, [])
 
     def test_a_repeated_complete_list_resets_no_state_and_no_slow_start(self) -> None:
--- a/tests/test_sched.py
+++ b/tests/test_sched.py
@@ -69,7 +69,7 @@
     def test_writes_beyond_the_socket_buffer_wait_and_arrive_complete(self) -> None:
         data = bytes(8_000_000)
         self.stream.write(data)
-        self.assertGreater(self.stream.size, 0)
+        self.assertGreater(self.stream.unsent_bytes, 0)
         self.peer.setblocking(False)
         received = 0
         while received < len(data):
@@ -79,7 +79,7 @@
                 received += len(self.peer.recv(1_000_000))
             except BlockingIOError:
                 continue
-        self.assertEqual((received, self.stream.size), (len(data), 0))
+        self.assertEqual((received, self.stream.unsent_bytes), (len(data), 0))
 
     def test_a_read_from_a_silent_peer_times_out(self) -> None:
         def read() -> None:
