--- a/hitchtiller/__main__.py
+++ b/hitchtiller/__main__.py
@@ -50,7 +50,7 @@
             engine.stats.attempts,
             len(engine.open),
             len(front.clients),
-            Stream.opened,
+            Stream.open_count,
             sched.lag_ms,
         )
         sched.lag_ms = 0.0
--- a/hitchtiller/back/link.py
+++ b/hitchtiller/back/link.py
@@ -101,7 +101,7 @@
             if self.writing and self.writing[0] is job:
                 # Half of its command was sent, so neither a KILL nor another command can follow.
                 self.is_retired = True
-                self.stream.discard()
+                self.stream.discard_unsent()
                 self._return_unwritten()
             elif not self.is_retired:
                 self.queue.appendleft(resp.write_command(b"KILL", name))
--- a/hitchtiller/front/client.py
+++ b/hitchtiller/front/client.py
@@ -92,7 +92,7 @@
                 if (
                     now_ms() - self.arrived_ms > LAG_LIMIT_MS
                     and self.stream.input_drained
-                    and self.stream.at_end()
+                    and self.stream.is_at_end()
                 ):
                     raise StreamClosed("eof")
                 if not self.discards_input:
@@ -170,7 +170,7 @@
         """Return whether no answer is pending, no close is under way and no input is unread."""
         return (
             not (self.has_pending_answers() or self.close_code or self.stream.close_code)
-            and not self.stream.waiting()
+            and not self.stream.has_input()
         )
 
     def has_pending_answers(self) -> bool:
--- a/hitchtiller/front/server.py
+++ b/hitchtiller/front/server.py
@@ -113,7 +113,7 @@
                 if client.has_pending_answers() and not client.close_code:
                     client.close_when_done(code)
                 # Unread input may be the rest of the frame that it is waiting for.
-                elif client.close_code or not client.stream.waiting():
+                elif client.close_code or not client.stream.has_input():
                     client.stream.close(code)
 
     def make_room(self) -> bool:
--- a/hitchtiller/sched.py
+++ b/hitchtiller/sched.py
@@ -277,7 +277,7 @@
     The caller has to bound `size`; `buffered_bytes` is the total over all streams of the process.
     """
 
-    opened = 0  # open sockets of this process
+    open_count = 0  # open sockets of this process
     buffered_bytes = 0  # in all of them, received and to be sent
 
     def __init__(self, sched: Scheduler, sock: socket.socket) -> None:
@@ -293,7 +293,7 @@
         self.close_code = ""  # reason code of the close; empty while open
         self.reader_bytes = 0  # bytes of incomplete input that its reader holds
         self.shutdown_requested = False  # writing is shut down once `unsent` is empty
-        Stream.opened += 1
+        Stream.open_count += 1
 
     def connect(self, address: tuple[str, int], timeout_ms: float) -> None:
         """Connect, or raise Closed: `refused`, `silent` on a timeout, or the code of its close."""
@@ -360,7 +360,7 @@
             Stream.buffered_bytes += size - self.reader_bytes
             self.reader_bytes = size
 
-    def waiting(self) -> bool:
+    def has_input(self) -> bool:
         """Return whether unread input has arrived; the end of the stream counts as input."""
         try:
             self.sock.recv(1, socket.MSG_PEEK)
@@ -368,14 +368,14 @@
             return not isinstance(error, BlockingIOError)
         return True
 
-    def at_end(self) -> bool:
+    def is_at_end(self) -> bool:
         """Return whether the other side has closed or reset the connection and no data is left to read."""
         try:
             return not self.close_code and not self.sock.recv(1, socket.MSG_PEEK)
         except OSError as error:
             return not isinstance(error, BlockingIOError)
 
-    def discard(self) -> None:
+    def discard_unsent(self) -> None:
         """Drop all unsent data; nothing meaningful can be written on the stream after that."""
         self.unsent.clear()
         Stream.buffered_bytes -= self.unsent_bytes
@@ -428,7 +428,7 @@
             return
         self.set_reader_bytes(0)
         self.close_code = code
-        self.discard()
+        self.discard_unsent()
         self.sched.unregister(self.fd)
         self.sock.close()
-        Stream.opened -= 1
+        Stream.open_count -= 1
--- a/tests/ends/test_ends_shutdown.py
+++ b/tests/ends/test_ends_shutdown.py
@@ -48,7 +48,7 @@
         is_idle = Client.is_idle
 
         def send_and_check(client: Client) -> bool:
-            if not self.engine.taken and not client.stream.waiting():
+            if not self.engine.taken and not client.stream.has_input():
                 self.client_socket.sendall(request_frame(1))  # unread at the time of the check
             return is_idle(client)
 
