--- a/hitchtiller/__main__.py
+++ b/hitchtiller/__main__.py
@@ -48,7 +48,7 @@
             " ".join(f"{kind}={count}" for kind, count in engine.stats.total().items()),
             engine.stats.left,
             engine.stats.attempts,
-            len(engine.open),
+            len(engine.open_exchanges),
             len(front.clients),
             Stream.open_count,
             sched.lag_ms,
--- a/hitchtiller/engine.py
+++ b/hitchtiller/engine.py
@@ -103,12 +103,12 @@
         send_note: Callable[[int, api.PeerNote | api.LeaseNote], None],
     ) -> None:
         """Connect the router to the clock, to the back ends and to the other gateways."""
-        self.router, self.clock, self.back, self.send_note = router, clock, back, send_note
-        self.open: dict[int, Exchange] = {}
+        self.router, self.clock, self.back_end, self.send_note = router, clock, back, send_note
+        self.open_exchanges: dict[int, Exchange] = {}
         self.open_ids: set[str] = set()  # ids given by clients, of the open requests
         self.request_numbers = count(1)
         self.event_queue: deque[api.Event] = deque()
-        self.busy = False
+        self.is_dispatching = False
         self.copies: Copies | None = None
         self.effects = Effects(router.settings.classes)
         self.may_lack_events: Callable[[], bool] = bool  # whether bus events may have been missed
@@ -116,7 +116,7 @@
         self.on_final_answer: Callable[[Exchange, Answer], None] | None = None  # called for each final answer
         self.stats = Stats(router.settings.classes)
         self.stats.levels = {
-            "in_flight": lambda: len(self.open),
+            "in_flight": lambda: len(self.open_exchanges),
             "station_caches_known": lambda: len(router.nodes),
             "station_caches_excluded": lambda: sum(not router.is_usable(n) for n in router.nodes.values()),
         }
@@ -134,7 +134,7 @@
     def take(self, request: ClientRequest, deliver: Callable[[Answer], None]) -> Exchange:
         """Start handling a request; `deliver` receives its final answer unless the client leaves."""
         exchange = Exchange(next(self.request_numbers), request, deliver)
-        self.open[exchange.number] = exchange
+        self.open_exchanges[exchange.number] = exchange
         self.open_ids.add(request.id.lower())
         self.stats.taken += 1
         self._count_worth("asked", exchange)
@@ -197,7 +197,7 @@
             self.cancel(attempt, "ecanceled")
 
     def _remove_open(self, exchange: Exchange) -> None:
-        if self.open.pop(exchange.number, None):
+        if self.open_exchanges.pop(exchange.number, None):
             self.open_ids.discard(exchange.request.id.lower())
 
     def finish(self, exchange: Exchange, answer: Answer) -> None:
@@ -245,7 +245,7 @@
             age_ms = max(0.0, self.clock.now_ms() - event.at_ms)
             self.submit(api.Purged(event.key, event.group, age_ms))
             return
-        close_stale = self.back.follow(event)  # first: servers must be known before the router names them
+        close_stale = self.back_end.follow(event)  # first: servers must be known before the router names them
         self.submit(api.Members(tuple(host.member for host in event.hosts), whole=event.whole))
         close_stale()  # last: by now the router retries the attempts that this ends on other servers
 
@@ -254,14 +254,14 @@
     def submit(self, event: api.Event) -> None:
         """Submit an event to the router; events that its actions cause are handled after it, in order."""
         self.event_queue.append(event)
-        if self.busy:
+        if self.is_dispatching:
             return
-        self.busy = True
+        self.is_dispatching = True
         try:
             while self.event_queue:
                 self.process_event(self.event_queue.popleft())
         finally:
-            self.busy = False
+            self.is_dispatching = False
 
     def process_event(self, event: api.Event) -> None:
         """Handle one event; an exception fails only the request concerned and is logged."""
@@ -270,7 +270,7 @@
                 self.execute(action)
         except Exception:  # noqa: BLE001  a fault in one request must not affect the others
             logger.exception("handling the event {} failed", type(event).__name__)
-            exchange = self.open.get(getattr(event, "id", 0))
+            exchange = self.open_exchanges.get(getattr(event, "id", 0))
             if exchange and not isinstance(event, api.ClientLeft):
                 self.fail(exchange)
 
@@ -280,13 +280,13 @@
             case api.Get():
                 self.send(action)
             case api.Refuse():
-                if exchange := self.open.get(action.id):
+                if exchange := self.open_exchanges.get(action.id):
                     self.finish(exchange, Answer(REFUSED, wait_ms=action.retry_after_ms))
             case api.Fail():
-                if exchange := self.open.get(action.id):
+                if exchange := self.open_exchanges.get(action.id):
                     self.finish(exchange, Answer(FAILED))
             case api.Cancel():
-                if exchange := self.open.get(action.id):
+                if exchange := self.open_exchanges.get(action.id):
                     self.cancel(exchange.attempts[action.attempt], "ecanceled")
             case api.SetTimer():
                 self.clock.later(action.delay_ms, partial(self.submit, api.TimerDue(action.token)))
@@ -294,7 +294,7 @@
                 self.send_note(action.peer, action.note)
             case api.Probe():
                 begun_ms = self.clock.now_ms()
-                self.back.probe(action.server, partial(self.on_probe_result, action.server, begun_ms))
+                self.back_end.probe(action.server, partial(self.on_probe_result, action.server, begun_ms))
             case api.Log():
                 logger.info("{}", action.text)
             case api.WatchDiscovery():
@@ -306,7 +306,7 @@
 
     def send(self, get: api.Get) -> None:
         """Start an attempt, unless the copies know that none may be sent for this request."""
-        exchange = self.open.get(get.id)
+        exchange = self.open_exchanges.get(get.id)
         if exchange is None:
             return
         now = self.clock.now_ms()
@@ -318,7 +318,7 @@
         if withheld:
             attempt.abort("skipped")  # never written, so it can't have run
         else:
-            self.back.send(attempt)
+            self.back_end.send(attempt)
 
     def authorize(self, attempt: Attempt) -> SendLimits | None:
         """Check an attempt again just before its first byte is written; None if it must not be sent.
@@ -350,7 +350,7 @@
     def cancel(self, attempt: Attempt, status: str) -> None:
         """Give up an attempt and end it with `status`."""
         if not attempt.ended:
-            self.back.cancel(attempt)
+            self.back_end.cancel(attempt)
             attempt.abort(status)
 
     def on_attempt_end(self, attempt: Attempt, result: AttemptResult) -> None:
--- a/hitchtiller/ops/members.py
+++ b/hitchtiller/ops/members.py
@@ -128,7 +128,7 @@
         for node in (
             nodes[server_hash] for server_hash in evidence.take_verdicts(now) if server_hash in nodes
         ):
-            if now >= node.ejected_until_ms and not self.engine.busy:
+            if now >= node.ejected_until_ms and not self.engine.is_dispatching:
                 router.now, router.actions = now, []
                 router.add_failure(node, REPORTED_FAILURE)
                 for action in router.actions:
--- a/hitchtiller/store/keeper.py
+++ b/hitchtiller/store/keeper.py
@@ -126,7 +126,7 @@
             self.last_checkpoint_ms = now
             if disk.counts.puts != self.checkpointed_puts and disk.begin_checkpoint():
                 self.checkpointed_puts = disk.counts.puts
-        busy = len(self.tier.engine.open) >= BUSY_OPEN_REQUESTS
+        busy = len(self.tier.engine.open_exchanges) >= BUSY_OPEN_REQUESTS
         deadline_s = time.monotonic() + COMPACTION_TICK_MS / 1000.0
         while compactor.step(now, busy) and not compactor.reading and not compactor.copies_in_progress:
             if time.monotonic() > deadline_s:
--- a/hitchtiller/store/tier.py
+++ b/hitchtiller/store/tier.py
@@ -346,7 +346,7 @@
         self, next_step: NextStep, number: int, copy: Copy | None, unchanged: bool, answer: Answer | None
     ) -> None:
         """Carry out the next step of a request that waited for a fill."""
-        exchange = self.engine.open.get(number)
+        exchange = self.engine.open_exchanges.get(number)
         if exchange is None or exchange.over:
             return
         # Enforces the waiter's own age limit: the answer may have been young enough only when the leader
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -79,7 +79,7 @@
         attempt.end(AttemptResult("done", b"x"))
         attempt.end(AttemptResult("err"))
         self.assertEqual(self.kinds(), [SERVED])
-        self.assertFalse(self.engine.open)
+        self.assertFalse(self.engine.open_exchanges)
 
     def test_a_request_without_any_outcome_is_refused_at_its_deadline(self) -> None:
         self.start_request()
