--- a/hitchtiller/engine.py
+++ b/hitchtiller/engine.py
@@ -70,13 +70,13 @@
 class Copies(Protocol):
     """The gateway's own copies of objects, which are tried before a request goes to the router."""
 
-    def take(self, exchange: Exchange) -> bool:
+    def try_serve(self, exchange: Exchange) -> bool:
         """Try to serve a request; return True if it is answered, or waits for a fill or a disk read."""
 
     def may_send(self, exchange: Exchange) -> bool:
         """Return whether one more attempt may be sent on behalf of all requests that wait for this object."""
 
-    def cap(self, exchange: Exchange, cap_ms: float, now_ms: float) -> float:
+    def limit_age(self, exchange: Exchange, cap_ms: float, now_ms: float) -> float:
         """Tighten the maximum age (ms) of the copy that a server may answer with; 0 means no bound."""
 
     def on_result(self, attempt: Attempt, result: AttemptResult) -> AttemptResult:
@@ -85,10 +85,10 @@
     def fallback(self, exchange: Exchange, answer: Answer) -> Answer:
         """Return a better answer than a refusal or a failure if there is one, else `answer`."""
 
-    def over(self, exchange: Exchange, answer: Answer | None) -> None:
+    def on_request_end(self, exchange: Exchange, answer: Answer | None) -> None:
         """Handle the end of a request; `answer` is None if it was abandoned."""
 
-    def purged(self, purge: PurgeNotice) -> None:
+    def on_purge(self, purge: PurgeNotice) -> None:
         """Handle a purge; called before the router handles it."""
 
 
@@ -143,7 +143,7 @@
         exchange.cancel_deadline = self.clock.later(delay_ms, partial(self.on_deadline, exchange)).cancel
         if self.effects.window_passed(request.class_name, request.dedupe, exchange.taken_ms):
             self.fail(exchange)  # an earlier attempt may have run, and servers no longer drop its repeat
-        elif self.copies is None or not self.copies.take(exchange):
+        elif self.copies is None or not self.copies.try_serve(exchange):
             self.decide(exchange)
         return exchange
 
@@ -192,7 +192,7 @@
         if exchange.decided:
             self.submit(api.ClientLeft(exchange.number))
         if self.copies:
-            self.copies.over(exchange, None)
+            self.copies.on_request_end(exchange, None)
         for attempt in list(exchange.attempts):
             self.cancel(attempt, "ecanceled")
 
@@ -216,7 +216,7 @@
             if self.on_final_answer:
                 self.on_final_answer(exchange, answer)
             if self.copies:
-                self.copies.over(exchange, answer)
+                self.copies.on_request_end(exchange, answer)
         exchange.release_attempts()
 
     def _count_worth(self, outcome: str, exchange: Exchange) -> None:
@@ -239,7 +239,7 @@
         """Handle an event of the bus: a purge, or a change of the list of servers."""
         if isinstance(event, PurgeNotice):
             if self.copies:
-                self.copies.purged(event)
+                self.copies.on_purge(event)
             for listener in self.purge_listeners:
                 listener(event)
             age_ms = max(0.0, self.clock.now_ms() - event.at_ms)
@@ -337,7 +337,7 @@
             logger.exception("checking an attempt before its first byte failed")
             return None
         if cap is not None and self.copies:
-            cap = self.copies.cap(attempt.exchange, cap, now)
+            cap = self.copies.limit_age(attempt.exchange, cap, now)
         if cap is None:
             return None
         self.effects.begin(request.class_name, request.dedupe, node.member, now)
--- a/hitchtiller/store/tier.py
+++ b/hitchtiller/store/tier.py
@@ -64,7 +64,7 @@
 
     # Calls from the engine
 
-    def take(self, exchange: Exchange) -> bool:
+    def try_serve(self, exchange: Exchange) -> bool:
         """Serve a request from a copy, make it wait for a fill, or read it from disk.
 
         Return whether the request was taken over; if not, the engine sends it to a server.
@@ -98,7 +98,7 @@
         """Return whether an attempt may be sent under the limit that one fill's leaders share."""
         return self.joins.may_send(exchange.number)
 
-    def cap(self, exchange: Exchange, cap_ms: float, now_ms: float) -> float:
+    def limit_age(self, exchange: Exchange, cap_ms: float, now_ms: float) -> float:
         """Return the age limit for an attempt: what confirms a suspect copy must date from after the gap."""
         copy = self.fallback_copies.get(exchange.number)
         if not exchange.confirm_tag or copy is None or copy.part.epoch == self.proof.epoch:
@@ -154,7 +154,7 @@
         self.hits["stale"] += 1
         return self._answer(exchange, copy)
 
-    def over(self, exchange: Exchange, answer: Answer | None) -> None:
+    def on_request_end(self, exchange: Exchange, answer: Answer | None) -> None:
         """Finish the fill that a request led, and pass its outcome on to the requests that waited for it."""
         number = exchange.number
         self.fallback_copies.pop(number, None)
@@ -179,7 +179,7 @@
             for next_step, waiter_number in self.joins.end_failed(number):
                 self._continue_waiter(next_step, waiter_number, None, False, answer)
 
-    def purged(self, notice: PurgeNotice) -> None:
+    def on_purge(self, notice: PurgeNotice) -> None:
         """Apply a purge at once, and write it to the purge log."""
         if self.purges.is_nearly_full:
             oldest_on_disk_ms = self.disk.space.oldest_ms() if self.disk else math.inf
