--- a/hitchtiller/back/jobs.py
+++ b/hitchtiller/back/jobs.py
@@ -96,8 +96,8 @@
             fields += f",up={get.source}"
         if get.keep:
             fields += f",store={get.keep}"
-        if limits.cap_ms:
-            fields += f",cap={max(1, int(limits.cap_ms))}"  # 0 would accept any fresh copy
+        if limits.max_age_ms:
+            fields += f",cap={max(1, int(limits.max_age_ms))}"  # 0 would accept any fresh copy
         if do_value := DO_VALUES[get.join, get.held_only, get.renew]:
             fields += f",do={do_value}"
         if client_tag := request.client_tag or attempt.exchange.confirm_tag:
--- a/hitchtiller/exchange.py
+++ b/hitchtiller/exchange.py
@@ -65,7 +65,7 @@
 class SendLimits:
     """Limits of an attempt that are only known when its first byte is written."""
 
-    cap_ms: float  # maximum age of the copy that the server may answer with; 0 for no bound
+    max_age_ms: float  # maximum age of the copy that the server may answer with; 0 for no bound
     ttl_ms: float  # time until the deadline
 
 
--- a/tests/store/test_store_tier.py
+++ b/tests/store/test_store_tier.py
@@ -226,7 +226,7 @@
     assert exchange.confirm_tag == "t1"
     tiers.wait(20.0)
     clearance = attempt.authorize(attempt)
-    assert clearance and clearance.cap_ms == pytest.approx(20.0)
+    assert clearance and clearance.max_age_ms == pytest.approx(20.0)
     tiers.keep(attempt, "t1", gap + 5.0)
     assert tiers.answers[2].body == b"x" * 100 and tiers.tier.confirmed == 1
     tiers.ask()
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -153,9 +153,9 @@
     def test_the_age_bound_includes_a_purge_that_came_before_the_first_byte(self) -> None:
         attempt = self.start_request(group=3)
         limits = attempt.authorize(attempt)
-        assert limits and not limits.cap_ms
+        assert limits and not limits.max_age_ms
         self.engine.submit(api.Purged(42, -1, 100.0))
         self.clock.now += 50.0
         limits = attempt.authorize(attempt)
         assert limits
-        self.assertEqual(limits.cap_ms, 150.0)
+        self.assertEqual(limits.max_age_ms, 150.0)
