--- a/hitchtiller/engine.py
+++ b/hitchtiller/engine.py
@@ -138,10 +138,10 @@
         self.open_ids.add(request.id.lower())
         self.stats.taken += 1
         self._count_worth("asked", exchange)
-        exchange.taken_ms = self.clock.now_ms()
-        delay_ms = request.deadline_ms - exchange.taken_ms
+        exchange.accepted_ms = self.clock.now_ms()
+        delay_ms = request.deadline_ms - exchange.accepted_ms
         exchange.cancel_deadline = self.clock.later(delay_ms, partial(self.on_deadline, exchange)).cancel
-        if self.effects.window_passed(request.class_name, request.dedupe, exchange.taken_ms):
+        if self.effects.window_passed(request.class_name, request.dedupe, exchange.accepted_ms):
             self.fail(exchange)  # an earlier attempt may have run, and servers no longer drop its repeat
         elif self.copies is None or not self.copies.try_serve(exchange):
             self.decide(exchange)
@@ -149,9 +149,9 @@
 
     def decide(self, exchange: Exchange) -> None:
         """Submit a request to the router, at most once."""
-        if exchange.over or exchange.decided:
+        if exchange.is_over or exchange.is_routed:
             return
-        exchange.decided, request = True, exchange.request
+        exchange.is_routed, request = True, exchange.request
         self.submit(
             api.Request(
                 exchange.number,
@@ -175,7 +175,7 @@
         """At the deadline, end the attempts in flight; fail the request if the router has not answered it."""
         for attempt in list(exchange.attempts):
             self.cancel(attempt, "etimedout")
-        if exchange.over:
+        if exchange.is_over:
             return
         # prevents a request without any answer: it may still wait for another gateway, or a fault lost it
         logger.warning("request {} got no answer before its deadline; failing it", exchange.request.id)
@@ -189,7 +189,7 @@
     def abandon(self, exchange: Exchange) -> None:
         """Tell the router and the copies that a request is over, and cancel its attempts."""
         self._remove_open(exchange)
-        if exchange.decided:
+        if exchange.is_routed:
             self.submit(api.ClientLeft(exchange.number))
         if self.copies:
             self.copies.on_request_end(exchange, None)
@@ -229,7 +229,7 @@
             return
         if outcome == SERVED:
             transfer_ms = 1000.0 * request.size_kb / settings.flow_kb_per_s if settings.flow_kb_per_s else 0.0
-            in_time = self.clock.now_ms() - exchange.taken_ms <= cls.aim_ms + cls.aim_stretch * transfer_ms
+            in_time = self.clock.now_ms() - exchange.accepted_ms <= cls.aim_ms + cls.aim_stretch * transfer_ms
             outcome = "in_time" if in_time else "late"
         self.stats.worth[outcome] += cls.worth
 
@@ -326,7 +326,7 @@
         Drains and purges may have arrived since the router chose the server.
         """
         now, request = self.clock.now_ms(), attempt.exchange.request
-        if attempt.ended or attempt.exchange.over or self.may_lack_events():
+        if attempt.ended or attempt.exchange.is_over or self.may_lack_events():
             return None
         try:
             node = self.router.nodes.get(attempt.get.server)  # None if it was delisted in the meantime
@@ -361,7 +361,7 @@
             self.effects.never_ran(exchange.request.class_name, exchange.request.dedupe)
         if result.status == "done" and self.copies:
             result = self.copies.on_result(attempt, result)
-        if result.status == "done" and not exchange.over:
+        if result.status == "done" and not exchange.is_over:
             answer = Answer(SERVED, result.body, result.unchanged, result.tag, since_ms=result.since_ms)
             self.finish(exchange, answer)
         self.submit(
@@ -371,7 +371,7 @@
                 attempt.get.server,
                 result.status,
                 self.clock.now_ms() - attempt.sent_ms,
-                closed=exchange.over,
+                closed=exchange.is_over,
                 note=result.note,
                 waited_ms=result.waited_ms,
                 silent=result.silent,
--- a/hitchtiller/exchange.py
+++ b/hitchtiller/exchange.py
@@ -116,8 +116,8 @@
     """An accepted request; it gets exactly one final answer unless its client leaves."""
 
     __slots__ = (
-        "request", "attempts", "confirm_tag", "decided", "deliver", "cancel_deadline", "blocked_until_ms",
-        "number", "over", "taken_ms",
+        "request", "attempts", "confirm_tag", "is_routed", "deliver", "cancel_deadline", "blocked_until_ms",
+        "number", "is_over", "accepted_ms",
     )  # fmt: skip
 
     def __init__(self, number: int, request: ClientRequest, deliver: Callable[[Answer], None]) -> None:
@@ -125,9 +125,9 @@
         self.number, self.request, self.deliver = number, request, deliver
         self.attempts: list[Attempt] = []
         self.cancel_deadline: Callable[[], None] | None = None  # cancels the timer of its deadline
-        self.over = False
-        self.decided = False  # submitted to the router
-        self.taken_ms = 0.0
+        self.is_over = False
+        self.is_routed = False  # submitted to the router
+        self.accepted_ms = 0.0
         # until then an attempt that was given up may still reach its server, so no other may be sent
         self.blocked_until_ms = 0.0
         self.confirm_tag = ""  # tag of the gateway's own copy that a server is asked to confirm
@@ -144,14 +144,14 @@
 
     def release_attempts(self) -> None:
         """Release the attempts once all have ended; this breaks reference cycles, as in `Attempt.end`."""
-        if self.over and all(attempt.ended for attempt in self.attempts):
+        if self.is_over and all(attempt.ended for attempt in self.attempts):
             self.attempts.clear()
 
     def close(self) -> bool:
         """Mark the exchange as over and cancel its deadline; return False if it was over already."""
-        if self.over:
+        if self.is_over:
             return False
-        self.over = True
+        self.is_over = True
         if self.cancel_deadline:
             self.cancel_deadline()
         return True
--- a/hitchtiller/front/client.py
+++ b/hitchtiller/front/client.py
@@ -261,7 +261,7 @@
             self._send_answer(stream, Answer(REFUSED, wait_ms=self.front.settings.max_retry_after_ms))
             return
         exchange = self.front.engine.take(request, partial(self._on_answer, stream))
-        if not exchange.over:
+        if not exchange.is_over:
             self.open_exchanges[stream] = exchange
 
     def _on_answer(self, stream: int, answer: Answer) -> None:
--- a/hitchtiller/repo/fetch.py
+++ b/hitchtiller/repo/fetch.py
@@ -75,7 +75,7 @@
         if exchange.request.background:
             return
         now, class_settings = now_ms(), self.engine.router.settings.classes[exchange.request.class_name]
-        in_time = answer.kind == SERVED and now - exchange.taken_ms <= class_settings.aim_ms
+        in_time = answer.kind == SERVED and now - exchange.accepted_ms <= class_settings.aim_ms
         self.give_way.record_foreground(in_time, now)
 
     def look(self) -> None:
--- a/hitchtiller/store/tier.py
+++ b/hitchtiller/store/tier.py
@@ -285,7 +285,7 @@
 
     def _answer_when_link_is_free(self, exchange: Exchange, copy: Copy, answer: Answer) -> None:
         """Send an answer that waited for the link, unless its copy is no longer fresh, as after a purge."""
-        if exchange.over:
+        if exchange.is_over:
             return
         if self.rules.copy_state(copy.part, self.engine.clock.now_ms()) is CopyState.FRESH:
             self.engine.finish(exchange, answer)
@@ -299,7 +299,7 @@
             return False
         if not disk.get(request.key, request.part, partial(self._on_disk_read, exchange)):
             return False
-        if not exchange.over and not exchange.decided:  # a thread reads it, and the disk may hang
+        if not exchange.is_over and not exchange.is_routed:  # a thread reads it, and the disk may hang
             self.engine.clock.later(STALL_MS, partial(self.engine.decide, exchange))
         return True
 
@@ -310,9 +310,9 @@
             copy, state = Copy(part, body), self.rules.copy_state(part, now_ms)
             if state is CopyState.FRESH:
                 self.memory.put(part.class_name, part, body)
-                if not (exchange.over or exchange.decided) and self._serve(exchange, copy, "disk"):
+                if not (exchange.is_over or exchange.is_routed) and self._serve(exchange, copy, "disk"):
                     return
-            elif not (exchange.over or exchange.decided):
+            elif not (exchange.is_over or exchange.is_routed):
                 self._record_fallback(exchange, copy, state, fingerprint(part.key, part.part))
         self.engine.decide(exchange)
 
@@ -339,7 +339,7 @@
             self.disk.forget(part_hash)
 
     def _on_join_timeout(self, exchange: Exchange) -> None:
-        if not exchange.over and self.joins.give_up(exchange.number):
+        if not exchange.is_over and self.joins.give_up(exchange.number):
             self.engine.decide(exchange)
 
     def _continue_waiter(
@@ -347,7 +347,7 @@
     ) -> None:
         """Carry out the next step of a request that waited for a fill."""
         exchange = self.engine.open_exchanges.get(number)
-        if exchange is None or exchange.over:
+        if exchange is None or exchange.is_over:
             return
         # Enforces the waiter's own age limit: the answer may have been young enough only when the leader
         # asked.
--- a/tests/store/test_store_tier.py
+++ b/tests/store/test_store_tier.py
@@ -101,7 +101,7 @@
     tiers.wait(50.0)
     tiers.purge()
     tiers.serve(tiers.sent()[0], since=START + 20.0)
-    assert exchange.over and not tiers.tier.memory.copies
+    assert exchange.is_over and not tiers.tier.memory.copies
     tiers.ask()
     assert len(tiers.sent()) == 1
 
