--- a/hitchtiller/bus.py
+++ b/hitchtiller/bus.py
@@ -33,7 +33,7 @@
     ) -> None:
         """Follow the bus at an address; `name_lists` are the zones and the kinds of the settings."""
         self.sched, self.on_event, self.address, self.name_lists = sched, on_event, address, name_lists
-        self.last = 0
+        self.last_number = 0
         self.stream: Stream | None = None
         self.has_subscribed = self.is_caught_up = False
         self.started_ms = now_ms()
@@ -60,12 +60,12 @@
     def apply(self, numbered: NumberedEvent) -> None:
         """Pass on an event once, whether it comes from the file or the bus and however often it comes."""
         number, event = numbered
-        if event is not None and number > self.last:
+        if event is not None and number > self.last_number:
             try:
                 self.on_event(event)
             except Exception:  # noqa: BLE001  one event must not end the subscription
                 logger.exception("event {} failed", number)
-        self.last = max(self.last, number)
+        self.last_number = max(self.last_number, number)
 
     def move(self, address: tuple[str, int]) -> None:
         """Follow the bus at another address from now on, and close the connection to the old one."""
@@ -77,7 +77,7 @@
     def run(self) -> None:
         """Subscribe, and resubscribe whenever the connection ends; never returns."""
         while True:
-            address, last = self.address, self.last
+            address, last = self.address, self.last_number
             try:
                 self.stream = stream = Stream(self.sched, socket.socket())
             except OSError as error:  # out of descriptors: a client may free one soon
@@ -86,14 +86,14 @@
                 continue
             try:
                 stream.connect(address, CONNECT_MS)
-                stream.write(self.last.to_bytes(8, "big"))
+                stream.write(self.last_number.to_bytes(8, "big"))
                 self.has_subscribed = True
                 self._read_events(stream)
             except (StreamClosed, BadBus) as error:
                 stream.close(str(error) if isinstance(error, StreamClosed) else "junk")
-            ended("bus", f"{address[0]}:{address[1]}", stream.close_code, last=self.last)
+            ended("bus", f"{address[0]}:{address[1]}", stream.close_code, last=self.last_number)
             # Reconnects at once after a move, or if the connection delivered events.
-            if stream.close_code != "moved" and self.last == last:
+            if stream.close_code != "moved" and self.last_number == last:
                 self.sched.sleep(RETRY_DELAY_MS)
 
     def _read_events(self, stream: Stream) -> None:
--- a/tests/ends/test_ends_discovery.py
+++ b/tests/ends/test_ends_discovery.py
@@ -84,7 +84,7 @@
         self.wait_until(has_number)
         self.assertEqual(int.from_bytes(number, "big"), last)
         second.sendall(drain_frame(last + 1, 7))
-        self.wait_until(lambda: self.bus.last == last + 1)
+        self.wait_until(lambda: self.bus.last_number == last + 1)
 
     def test_silence_right_after_connecting(self) -> None:
         self.check_silence_after(b"", 0)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -45,7 +45,7 @@
         """A drain must not be undone by an older event that arrives late."""
         drain, older = frame(5, 2, record(7, 1)), frame(4, 2, record(7, 0))
         self.feed(drain + drain + older + frame(5, 1, record(7, 0)))
-        self.assertEqual((self.states(), self.bus.last), (["DRAINING"], 5))
+        self.assertEqual((self.states(), self.bus.last_number), (["DRAINING"], 5))
 
     def test_an_incomplete_event_is_not_applied(self) -> None:
         """Half of a complete list would make the servers that it lacks look gone."""
@@ -65,7 +65,7 @@
         self.feed(frame(5, 2, record(7, 1)))
         self.bus.on_event = self.received.append
         self.feed(frame(6, 2, record(7, 1)))
-        self.assertEqual((self.states(), self.bus.last), (["DRAINING"], 6))
+        self.assertEqual((self.states(), self.bus.last_number), (["DRAINING"], 6))
 
     def test_an_address_under_a_new_id_is_another_process(self) -> None:
         """Attempts at the old process must not count as the new one's, nor may its connections be reused."""
