--- a/hitchtiller/__main__.py
+++ b/hitchtiller/__main__.py
@@ -64,7 +64,7 @@
         sched.sleep(FIGURES_INTERVAL_MS)
 
 
-def room(memory_mb: float, two: bool) -> int:
+def buffer_bytes(memory_mb: float, two: bool) -> int:
     """Return the bytes that all buffers may hold: half of the memory that the process leaves.
 
     The other half is for copies. With `two`, two processes share the limit.
@@ -73,7 +73,7 @@
     return int(max(minimum_mb, (memory_mb - own_mb) / (4.0 if two else 2.0)) * 1e6)
 
 
-def descriptors(limit: int, two: bool, younger: bool) -> tuple[int, int]:
+def connection_limits(limit: int, two: bool, younger: bool) -> tuple[int, int]:
     """Return how many clients and how many connections to servers a process may hold.
 
     With `two`, two processes share the limit, and `younger` says which of them this is.
@@ -89,7 +89,7 @@
     return half_clients if younger else clients, max(1, (limit - clients - half_clients - reserved) // 2)
 
 
-def shared(name: str) -> Path | None:
+def shared_folder(name: str) -> Path | None:
     """Return the folder that the processes of one gateway share; the gateway also serves without one."""
     if name and os.access(name, os.W_OK | os.X_OK):
         return Path(name)
@@ -126,17 +126,17 @@
     `extend` adds optional parts to it and returns a callable that is called at the end.
     """
     sched = Scheduler()
-    clients, links = descriptors(config.sockets, two=False, younger=False)
+    clients, links = connection_limits(config.sockets, two=False, younger=False)
     times = (config.connect_ms, config.idle_ms)
     back = Upstreams(sched, times, config.streams, links)
     peers = Peers(sched, config.peer_listen, config.peers) if config.peer_listen else None
     send_note = peers.send_note if peers else lambda peer, note: None
     engine = Engine(Router(config.settings, config.seed), Clock(sched), back, send_note)
-    folder = shared(os.environ.get("TMPDIR", ""))
+    folder = shared_folder(os.environ.get("TMPDIR", ""))
     holdouts = HoldOuts(folder, engine.news, config.settings.origin_kind)
     bus = BusLink(sched, holdouts.news, config.bus, (config.zones, config.kinds))
     engine.may_lack_events = bus.may_lack_events
-    front = Front(sched, engine, config.settings, clients, room(config.memory_mb, two=False))
+    front = Front(sched, engine, config.settings, clients, buffer_bytes(config.memory_mb, two=False))
 
     calls = Calls(front, holdouts, engine.stats)
     finish = extend(Gateway(config, sched, engine, front, bus, calls, peers)) if extend else None
@@ -144,8 +144,8 @@
         bus.apply(event)
 
     def set_limits(two: bool, younger: bool) -> None:
-        front.room = room(config.memory_mb, two)
-        front.most, back.most = descriptors(config.sockets, two, younger)
+        front.room = buffer_bytes(config.memory_mb, two)
+        front.most, back.most = connection_limits(config.sockets, two, younger)
 
     marker = ProcessMarker(folder) if folder else None
     upgrade = Upgrade(sched, marker, front, bus.is_followed, set_limits)
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -15,7 +15,7 @@
 from test_sockets import Scenario
 
 from hitchtiller import interface as api
-from hitchtiller.__main__ import descriptors, room, shared
+from hitchtiller.__main__ import buffer_bytes, connection_limits, shared_folder
 from hitchtiller.codec import frames
 from hitchtiller.decide import Router
 from hitchtiller.engine import Engine
@@ -300,19 +300,19 @@
     def test_the_descriptors_of_two_processes_fit_the_limit(self) -> None:
         """Each process used to hold a third for clients and the rest for servers: 540 descriptors of 384."""
         for limit in (256, 384, 1024):
-            old, new = descriptors(limit, True, False), descriptors(limit, True, True)
+            old, new = connection_limits(limit, True, False), connection_limits(limit, True, True)
             self.assertLessEqual(sum(old) + sum(new) + 2 * 24, limit)
-            self.assertLessEqual(max(old[0], new[0]), descriptors(limit, False, False)[0])
+            self.assertLessEqual(max(old[0], new[0]), connection_limits(limit, False, False)[0])
 
     def test_an_unwritable_shared_folder_does_not_prevent_serving(self) -> None:
         """The program used to exit with status 2."""
-        self.assertIsNone(shared("/nowhere/at/all"))
-        self.assertIsNone(shared(""))
-        self.assertEqual(shared(str(ROOT)), ROOT)
+        self.assertIsNone(shared_folder("/nowhere/at/all"))
+        self.assertIsNone(shared_folder(""))
+        self.assertEqual(shared_folder(str(ROOT)), ROOT)
 
     def test_the_buffers_of_two_processes_fit_the_memory_limit(self) -> None:
         for memory in (32.0, 80.0, 192.0):
-            alone, two = room(memory, two=False), room(memory, two=True)
+            alone, two = buffer_bytes(memory, two=False), buffer_bytes(memory, two=True)
             self.assertLessEqual(2 * two, alone)
             self.assertLessEqual(2 * (2 * two / 1e6 + 14.0), memory)  # half of the rest is for copies
 
