--- a/hitchtiller/back/link.py
+++ b/hitchtiller/back/link.py
@@ -12,7 +12,7 @@
 
 from hitchtiller.back.jobs import Job
 from hitchtiller.codec import resp
-from hitchtiller.log import ended
+from hitchtiller.log import log_connection_end
 from hitchtiller.sched import Scheduler, Stream, StreamClosed, now_ms
 
 IDLE_SHARE = 0.7  # of the servers' idle timeout; closing before the server avoids a race with a send
@@ -247,7 +247,7 @@
 
     def _finish(self) -> None:
         """Fail the written jobs and return the unwritten ones, which can't have run."""
-        ended(
+        log_connection_end(
             "server",
             self.server,
             self.stream.close_code,
--- a/hitchtiller/back/upstreams.py
+++ b/hitchtiller/back/upstreams.py
@@ -13,7 +13,7 @@
 from hitchtiller.back.jobs import Job, MeterJob, PullJob
 from hitchtiller.back.link import LATE_ANSWER_MS, Link
 from hitchtiller.exchange import Attempt
-from hitchtiller.log import ended
+from hitchtiller.log import log_connection_end
 from hitchtiller.news import ListedServer, Topology
 from hitchtiller.sched import Scheduler, now_ms
 
@@ -152,7 +152,7 @@
                 pool.on_link_closed,
             )
         except OSError as error:
-            ended("server", listed.member.server, "no-descriptor", error.strerror or "")
+            log_connection_end("server", listed.member.server, "no-descriptor", error.strerror or "")
             return None
         pool.links.append(link)
         self.link_count += 1
--- a/hitchtiller/bus.py
+++ b/hitchtiller/bus.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 
 from hitchtiller.codec.bus import BadBus, BusReader, NumberedEvent
-from hitchtiller.log import ended, logger
+from hitchtiller.log import log_connection_end, logger
 from hitchtiller.news import Event
 from hitchtiller.sched import Scheduler, Stream, StreamClosed, now_ms
 
@@ -81,7 +81,7 @@
             try:
                 self.stream = stream = Stream(self.sched, socket.socket())
             except OSError as error:  # out of descriptors: a client may free one soon
-                ended("bus", f"{address[0]}:{address[1]}", "no-descriptor", error.strerror or "")
+                log_connection_end("bus", f"{address[0]}:{address[1]}", "no-descriptor", error.strerror or "")
                 self.sched.sleep(RETRY_DELAY_MS)
                 continue
             try:
@@ -91,7 +91,7 @@
                 self._read_events(stream)
             except (StreamClosed, BadBus) as error:
                 stream.close(str(error) if isinstance(error, StreamClosed) else "junk")
-            ended("bus", f"{address[0]}:{address[1]}", stream.close_code, last=self.last_number)
+            log_connection_end("bus", f"{address[0]}:{address[1]}", stream.close_code, last=self.last_number)
             # Reconnects at once after a move, or if the connection delivered events.
             if stream.close_code != "moved" and self.last_number == last:
                 self.sched.sleep(RETRY_DELAY_MS)
--- a/hitchtiller/front/client.py
+++ b/hitchtiller/front/client.py
@@ -11,7 +11,7 @@
 from hitchtiller.codec import frames
 from hitchtiller.exchange import FAILED, REFUSED, Answer, Exchange
 from hitchtiller.front.asks import RequestError, read_request, write_answer
-from hitchtiller.log import ended
+from hitchtiller.log import log_connection_end
 from hitchtiller.sched import LAG_LIMIT_MS, Stream, StreamClosed, now_ms
 
 if TYPE_CHECKING:
@@ -107,7 +107,7 @@
         finally:
             self.stream.close("fault")
             self.front.remove_client(self)
-            ended(
+            log_connection_end(
                 "client",
                 self.remote_address,
                 self.stream.close_code,
--- a/hitchtiller/front/server.py
+++ b/hitchtiller/front/server.py
@@ -11,7 +11,7 @@
 from hitchtiller.engine import Engine
 from hitchtiller.front.client import Client
 from hitchtiller.front.leave import HANDED_OVER, SERVING, DrainControl
-from hitchtiller.log import ended
+from hitchtiller.log import log_connection_end
 from hitchtiller.sched import READ, Scheduler, Stream, now_ms
 
 BACKLOG = 512
@@ -155,7 +155,7 @@
             # Silent connections must not use up the whole limit: regular clients were rejected for them.
             if len(self.clients) >= self.most and not self.make_room():
                 sock.close()
-                ended("client", peer, "full")
+                log_connection_end("client", peer, "full")
                 continue
             try:
                 client = Client(self, Stream(self.sched, sock), peer)
--- a/hitchtiller/log.py
+++ b/hitchtiller/log.py
@@ -42,7 +42,7 @@
     logger.configure(extra={"node": name})
 
 
-def ended(side: str, peer: str, code: str, detail: str = "", **counts: int) -> None:
+def log_connection_end(side: str, peer: str, code: str, detail: str = "", **counts: int) -> None:
     """Log that a connection has ended, with its reason code and counts."""
     texts = [f"{name}={count}" for name, count in counts.items()]
     line = logger.bind(side=side, peer=peer, code=code, **counts)
--- a/hitchtiller/ops/control.py
+++ b/hitchtiller/ops/control.py
@@ -4,7 +4,7 @@
 import socket
 from collections.abc import Callable
 
-from hitchtiller.log import ended
+from hitchtiller.log import log_connection_end
 from hitchtiller.sched import READ, Scheduler, Stream, StreamClosed
 
 BACKLOG = 64
@@ -77,7 +77,7 @@
             stream.close("fault")
             self.callers.pop(stream, None)
             summary = f"call={line[:MAX_CALL_BYTES]!r} answer={reply.partition(chr(10))[0]!r}"
-            ended("control", peer, stream.close_code, summary)
+            log_connection_end("control", peer, stream.close_code, summary)
 
     def _read_line(self, stream: Stream) -> str:
         """Read the line of a call, within CALL_TIMEOUT_MS and MAX_CALL_BYTES."""
--- a/hitchtiller/repo/front.py
+++ b/hitchtiller/repo/front.py
@@ -14,7 +14,7 @@
 
 import h11
 
-from hitchtiller.log import ended, logger
+from hitchtiller.log import log_connection_end, logger
 from hitchtiller.repo.admission import ConnectionLimits
 from hitchtiller.repo.body import BrokenBodyError
 from hitchtiller.repo.fetch import FetchFailedError, FetchRefusedError
@@ -83,7 +83,7 @@
         finally:
             self._flush_and_finish(code)
             self.stream.close(code)
-            ended("repo", self.address, code, requests=self.requests, sent=self.sent_bytes)
+            log_connection_end("repo", self.address, code, requests=self.requests, sent=self.sent_bytes)
 
     def _read_request(self) -> h11.Request | None:
         """Read the header of the next request; None if the client closed the connection."""
@@ -270,7 +270,7 @@
             if code := self.connection_limits.enter(address[0]):
                 self.rejected_connections[code] = self.rejected_connections.get(code, 0) + 1
                 sock.close()
-                ended("repo", f"{address[0]}:{address[1]}", code)
+                log_connection_end("repo", f"{address[0]}:{address[1]}", code)
                 continue
             self.sched.spawn(self._serve, sock, address[0])
 
