--- a/hitchtiller/store/jobs.py
+++ b/hitchtiller/store/jobs.py
@@ -87,14 +87,14 @@
             except Exception as caught:  # noqa: BLE001  the loop handles it
                 error = caught
             self.results.append((lane, done, result, error))
-            self.wakeup.poke()  # if it is full, the loop has been woken already
+            self.wakeup.notify()  # if it is full, the loop has been woken already
 
     def _deliver_results(self) -> None:
         while self.wakeup_fd >= 0:
             self.sched.wait(self.wakeup_fd, READ)
             if self.wakeup_fd < 0:
                 return
-            self.wakeup.drain()
+            self.wakeup.read_pending()
             while self.results:
                 self.drain(MAX_RESULTS_PER_TURN)
                 if self.results:  # prevents a long turn after a stall, when all waiting calls end at once
--- a/hitchtiller/wake.py
+++ b/hitchtiller/wake.py
@@ -36,12 +36,12 @@
         """Return the descriptor to wait on or to pass to `signal.set_wakeup_fd`; -1 once closed."""
         return self.sock.fileno()
 
-    def poke(self, byte: int = 0) -> None:
+    def notify(self, byte: int = 0) -> None:
         """Wake the reader; a full buffer is ignored, as the reader is due to wake already."""
         with contextlib.suppress(BlockingIOError, InterruptedError):
             self.sock.send(bytes((byte & 0xFF,)))
 
-    def drain(self, max_datagrams: int = MAX_DATAGRAMS_PER_TURN) -> bytes:
+    def read_pending(self, max_datagrams: int = MAX_DATAGRAMS_PER_TURN) -> bytes:
         """Return the bytes of at most `max_datagrams` received datagrams; empty if there are none."""
         received = bytearray()
         for _ in range(max_datagrams):
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -90,12 +90,12 @@
 
     def wait() -> None:
         sched.wait(wakeup.fileno(), 1)
-        received.append(wakeup.drain())
+        received.append(wakeup.read_pending())
         sched.stopped = True
 
     sched.spawn(wait)
     sched.run_once()  # the greenlet now waits on the descriptor
-    threading.Thread(target=wakeup.poke, args=(7,)).start()
+    threading.Thread(target=wakeup.notify, args=(7,)).start()
     sched.run()
     wakeup.close()
     assert received == [b"\x07"]
@@ -104,9 +104,9 @@
 def test_a_full_socket_drops_pokes_without_an_error() -> None:
     wakeup = Wakeup()
     for _ in range(100_000):  # far beyond a datagram socket's buffer
-        wakeup.poke()
-    assert 0 < len(wakeup.drain(max_datagrams=1_000_000)) < 100_000
-    assert wakeup.drain() == b""
+        wakeup.notify()
+    assert 0 < len(wakeup.read_pending(max_datagrams=1_000_000)) < 100_000
+    assert wakeup.read_pending() == b""
     wakeup.close()
 
 
@@ -116,8 +116,8 @@
     wakeup = Wakeup()
     other = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     other.sendto(b"x", wakeup.sock.getsockname())
-    wakeup.poke(1)
-    assert wakeup.drain() == b"\x01"
+    wakeup.notify(1)
+    assert wakeup.read_pending() == b"\x01"
     other.close()
     wakeup.close()
 
