--- a/tests/store/tiers.py
+++ b/tests/store/tiers.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from conftest import BASE, FLEET
-from test_engine import Back, Later
+from test_engine import ManualClock, RecordingBackEnd
 
 from hitchtiller import interface as api
 from hitchtiller.decide import Router
@@ -34,7 +34,7 @@
     def __init__(
         self, memory: int = 1_000_000, link: float = 0.0, caught_up: bool = True, **changes: Any
     ) -> None:
-        self.clock, self.back = Later(), Back()
+        self.clock, self.back = ManualClock(), RecordingBackEnd()
         self.clock.now = START
         settings = replace(BASE, classes=CLASSES, siblings="none", purge_done_ms=6000.0, **changes)
         self.engine = Engine(Router(settings, 7), self.clock, self.back, lambda peer, note: None)
@@ -102,7 +102,7 @@
 
     def wait(self, duration_ms: float) -> None:
         """Let time pass."""
-        self.clock.move(self.clock.now + duration_ms)
+        self.clock.advance_to(self.clock.now + duration_ms)
 
     def step(self, step_ms: float) -> None:
         """Let the wall clock step but not the monotonic clock."""
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -15,7 +15,7 @@
 from hitchtiller.news import ListedServer, Topology
 
 
-class Later:
+class ManualClock:
     """A clock that only advances when told to."""
 
     def __init__(self) -> None:
@@ -24,21 +24,21 @@
     def now_ms(self) -> float:
         return self.now
 
-    def later(self, delay_ms: float, call: Callable[[], object]) -> "Later":
+    def later(self, delay_ms: float, call: Callable[[], object]) -> "ManualClock":
         self.calls.append((self.now + delay_ms, call))
         return self
 
     def cancel(self) -> None:
         pass
 
-    def move(self, to: float) -> None:
+    def advance_to(self, to: float) -> None:
         self.now = to
         due, self.calls = [c for c in self.calls if c[0] <= to], [c for c in self.calls if c[0] > to]
         for _, call in due:
             call()
 
 
-class Back:
+class RecordingBackEnd:
     """Records the attempts that are sent and cancelled."""
 
     def __init__(self) -> None:
@@ -59,7 +59,7 @@
 
 class EngineTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.clock, self.back, self.answers = Later(), Back(), list[Answer]()
+        self.clock, self.back, self.answers = ManualClock(), RecordingBackEnd(), list[Answer]()
         self.engine = Engine(Router(BASE, 7), self.clock, self.back, lambda peer, note: None)
         self.announce(*FLEET, whole=True)
 
@@ -83,7 +83,7 @@
 
     def test_a_request_without_any_outcome_is_refused_at_its_deadline(self) -> None:
         self.start_request()
-        self.clock.move(1900.0)
+        self.clock.advance_to(1900.0)
         self.assertEqual(self.kinds(), [REFUSED])
         self.assertEqual(self.back.cancelled, self.back.sent)
 
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -11,7 +11,7 @@
 
 from conftest import BASE, FLEET
 from scenario import ROOT, answer, wait
-from test_engine import Back, Later
+from test_engine import ManualClock, RecordingBackEnd
 from test_sockets import Scenario
 
 from hitchtiller import interface as api
@@ -143,7 +143,7 @@
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.folder = Path(folder.name)
-        self.clock, self.back_end = Later(), Back()
+        self.clock, self.back_end = ManualClock(), RecordingBackEnd()
         self.engine = Engine(Router(BASE, 7), self.clock, self.back_end, lambda peer, note: None)
         self.holdouts = HoldOuts(self.folder, self.engine.news, "origin")
         self.news(*FLEET, whole=True)
@@ -365,7 +365,7 @@
     def test_sigterm_just_after_the_successor_is_ready_hands_over_first(self) -> None:
         """SIGTERM 10 ms after the successor was ready, before the next poll, let both accept for 0.45 s."""
         with tempfile.TemporaryDirectory() as name:
-            engine = Engine(Router(BASE, 7), Later(), Back(), lambda *_: None)
+            engine = Engine(Router(BASE, 7), ManualClock(), RecordingBackEnd(), lambda *_: None)
             front = Front(Scheduler(), engine, BASE, 4, 1000)
             self.addCleanup(front.listener.close)
             old = ProcessMarker(Path(name))
