--- a/hitchtiller/__main__.py
+++ b/hitchtiller/__main__.py
@@ -149,7 +149,7 @@
 
     marker = ProcessMarker(folder) if folder else None
     upgrade = Upgrade(sched, marker, front, bus.is_followed, set_limits)
-    front.not_ready_reason = upgrade.unready
+    front.not_ready_reason = upgrade.unready_reason
     host, port = front.listen(config.listen, config.listen_fd)
     if config.control:
         bound_address = Control(sched, calls).listen(config.control)
--- a/hitchtiller/front/server.py
+++ b/hitchtiller/front/server.py
@@ -64,7 +64,7 @@
         host, port = self.listener.getsockname()
         return str(host), int(port)
 
-    def unready(self) -> str:
+    def unready_reason(self) -> str:
         """Return why this gateway should get no requests, or an empty string if it is ready."""
         if self.state != SERVING:
             return self.state
@@ -76,7 +76,7 @@
 
     def client_unready_reason(self) -> str:
         """Return the reason that clients are told: after a hand-over the next version serves, so none."""
-        return "" if self.state == HANDED_OVER else self.unready()
+        return "" if self.state == HANDED_OVER else self.unready_reason()
 
     def close(self) -> None:
         """Stop listening; accept what is in the kernel's queue first, unless another process does."""
--- a/hitchtiller/ops/calls.py
+++ b/hitchtiller/ops/calls.py
@@ -40,7 +40,7 @@
 
     def ready(self) -> str:
         """Return "ready" if this process is ready to serve; CallError with the reason if not."""
-        if reason := self.front.unready():
+        if reason := self.front.unready_reason():
             raise CallError(reason)
         return "ready"
 
--- a/hitchtiller/ops/upgrade.py
+++ b/hitchtiller/ops/upgrade.py
@@ -50,7 +50,7 @@
         older = self.older()
         return any(state == READY for name, state in self.other_processes.items() if name not in older)
 
-    def unready(self) -> str:
+    def unready_reason(self) -> str:
         """Return why this process is not ready to serve yet; "" if it is."""
         if not self.is_ready and not self.is_bus_followed(bool(self.older())):
             return "the event bus is not followed yet"
@@ -78,7 +78,7 @@
                 self.other_processes = self.marker.find_others()
         if before != bool(self.other_processes):
             self.apply_limits(bool(self.other_processes), bool(self.older()))
-        if not self.is_ready and not self.front.unready():
+        if not self.is_ready and not self.front.unready_reason():
             self.is_ready = True
             if self.marker:
                 self.marker.set_state(READY)
