--- a/hitchtiller/__main__.py
+++ b/hitchtiller/__main__.py
@@ -59,7 +59,7 @@
 def log_figures(sched: Scheduler, engine: Engine, back: Upstreams) -> None:
     """Log the figures that `hitchtiller worth` sums over all gateways: at the start and every 5 s."""
     while True:
-        engine.stats.links = back.opened
+        engine.stats.links = back.opened_count
         logger.info("{}", engine.stats.figures())
         sched.sleep(FIGURES_INTERVAL_MS)
 
@@ -144,8 +144,8 @@
         bus.apply(event)
 
     def set_limits(two: bool, younger: bool) -> None:
-        front.room = buffer_bytes(config.memory_mb, two)
-        front.most, back.most = connection_limits(config.sockets, two, younger)
+        front.max_buffered_bytes = buffer_bytes(config.memory_mb, two)
+        front.max_clients, back.max_links = connection_limits(config.sockets, two, younger)
 
     marker = ProcessMarker(folder) if folder else None
     upgrade = Upgrade(sched, marker, front, bus.is_followed, set_limits)
--- a/hitchtiller/back/upstreams.py
+++ b/hitchtiller/back/upstreams.py
@@ -72,10 +72,11 @@
             link.submit(job)
 
     def _may_open(self, is_needed: bool) -> bool:
-        if self.closed or self.upstreams.link_count >= self.upstreams.most:
+        if self.closed or self.upstreams.link_count >= self.upstreams.max_links:
             return False
         may_spread = (
-            self.upstreams.link_count < self.upstreams.most / 2 and len(self.links) < MAX_LINKS_PER_SERVER
+            self.upstreams.link_count < self.upstreams.max_links / 2
+            and len(self.links) < MAX_LINKS_PER_SERVER
         )
         return is_needed or (may_spread and all(link.is_connected for link in self.links))
 
@@ -122,9 +123,14 @@
 
         `timeouts` are the connect timeout and the servers' idle timeout in ms.
         """
-        self.sched, self.timeouts, self.jobs_per_link, self.most = sched, timeouts, jobs_per_link, max_links
+        self.sched, self.timeouts, self.jobs_per_link, self.max_links = (
+            sched,
+            timeouts,
+            jobs_per_link,
+            max_links,
+        )
         self.pools: dict[str, Pool] = {}
-        self.link_count = self.opened = 0  # connections open now, and opened since the start
+        self.link_count = self.opened_count = 0  # connections open now, and opened since the start
         self.probe_numbers = count(1)
         sched.spawn(self._sweep)
 
@@ -156,7 +162,7 @@
             return None
         pool.links.append(link)
         self.link_count += 1
-        self.opened += 1
+        self.opened_count += 1
         return link
 
     def send(self, attempt: Attempt) -> None:
--- a/hitchtiller/front/server.py
+++ b/hitchtiller/front/server.py
@@ -32,8 +32,8 @@
         max_buffered_bytes: int,
     ) -> None:
         """Serve at most `max_clients` at once, with at most `max_buffered_bytes` in all buffers together."""
-        self.sched, self.engine, self.settings, self.most = sched, engine, settings, max_clients
-        self.room = max_buffered_bytes
+        self.sched, self.engine, self.settings, self.max_clients = sched, engine, settings, max_clients
+        self.max_buffered_bytes = max_buffered_bytes
         self.clients: set[Client] = set()
         self.state = SERVING
         self.refusing = False  # new requests are refused
@@ -91,7 +91,7 @@
         # still meet their aims.
         return (
             not self.refusing
-            and Stream.buffered_bytes < self.room
+            and Stream.buffered_bytes < self.max_buffered_bytes
             and now_ms() - arrived_ms < MAX_REQUEST_AGE_MS
         )
 
@@ -153,7 +153,7 @@
                 return
             peer = f"{address[0]}:{address[1]}"
             # Silent connections must not use up the whole limit: regular clients were rejected for them.
-            if len(self.clients) >= self.most and not self.make_room():
+            if len(self.clients) >= self.max_clients and not self.make_room():
                 sock.close()
                 log_connection_end("client", peer, "full")
                 continue
--- a/tests/test_back.py
+++ b/tests/test_back.py
@@ -71,7 +71,7 @@
 
     def test_the_gateways_own_connection_limit_is_not_blamed_on_the_server(self) -> None:
         """The server was blamed although no connection to it was tried."""
-        self.back.most = 0
+        self.back.max_links = 0
         job = Job()
         self.pool.submit(job)
         self.assertEqual(job.statuses, ["skipped"])
