--- a/hitchtiller/back/jobs.py
+++ b/hitchtiller/back/jobs.py
@@ -58,10 +58,10 @@
     def on_sent(self) -> None:
         """Handle that the last byte was sent."""
 
-    def answered(self, reply: str, fields: dict[str, str], body: bytes) -> None:
+    def on_answer(self, reply: str, fields: dict[str, str], body: bytes) -> None:
         """Handle the answer; raise resp.BadResp for one that no valid server sends."""
 
-    def broken(self, status: str) -> None:
+    def on_connection_end(self, status: str) -> None:
         """Handle that the connection ended without an answer."""
 
     def block_until(self, until_ms: float) -> None:
--- a/hitchtiller/back/link.py
+++ b/hitchtiller/back/link.py
@@ -191,14 +191,14 @@
         try:
             fields = resp.read_fields(items[2]) if len(items) > 2 else {}
             reply = items[1].decode("ascii", "replace")
-            job.answered(reply, fields, items[3] if len(items) > 3 else b"")
+            job.on_answer(reply, fields, items[3] if len(items) > 3 else b"")
         except resp.BadResp as error:
             # The frame itself was valid, so the answers to the other open jobs can still be read.
             self.parse_error = str(error)
             if not self.open_jobs:
                 self.open_jobs[items[0]] = job
                 raise
-            job.broken("econnreset")
+            job.on_connection_end("econnreset")
             if not self.is_retired:
                 self.is_retired = True
                 self._return_unwritten()
@@ -269,6 +269,6 @@
             self.queued_names.clear()
             self.on_close(self, [])
             for job in unwritten:
-                job.broken("silent" if self.stream.close_code == "silent" else "econnrefused")
+                job.on_connection_end("silent" if self.stream.close_code == "silent" else "econnrefused")
         for job in jobs:
-            job.broken("etimedout" if self.stream.close_code == "stuck" else "econnreset")
+            job.on_connection_end("etimedout" if self.stream.close_code == "stuck" else "econnreset")
--- a/hitchtiller/back/upstreams.py
+++ b/hitchtiller/back/upstreams.py
@@ -48,9 +48,11 @@
             each for each in self.links if now - each.killed_jobs.get(name, -math.inf) < LATE_ANSWER_MS
         ]
         if now - self.abandoned_jobs.get(name, -math.inf) < LATE_ANSWER_MS or len(kill_links) > 1:
-            return job.broken("skipped")
+            return job.on_connection_end("skipped")
         if kill_links:
-            return kill_links[0].submit(job) if kill_links[0].accepts(name) else job.broken("skipped")
+            return (
+                kill_links[0].submit(job) if kill_links[0].accepts(name) else job.on_connection_end("skipped")
+            )
         new_only = now - self.abandoned_after_junk.get(name, -math.inf) < self.upstreams.timeouts[0]
         for each in () if new_only else self.links:
             if (
@@ -67,7 +69,9 @@
             new_link = self.upstreams.open(self) if self._may_open(busy_link is None) else None
             link = busy_link or new_link
         if link is None:
-            job.broken("skipped")  # a limit of this gateway, for which the server is not to be blamed
+            job.on_connection_end(
+                "skipped"
+            )  # a limit of this gateway, for which the server is not to be blamed
         else:
             link.submit(job)
 
@@ -102,7 +106,7 @@
             job.reassignments += 1
             # Without a bound, a server that resets every connection would keep the loop busy.
             if job.reassignments > MAX_REASSIGNMENTS:
-                job.broken("econnrefused")
+                job.on_connection_end("econnrefused")
             else:
                 self.submit(job)
 
--- a/tests/ends/sides.py
+++ b/tests/ends/sides.py
@@ -52,7 +52,7 @@
     def on_sent(self) -> None:
         """Ignore it."""
 
-    def answered(self, reply: str, fields: dict[str, str], body: bytes) -> None:
+    def on_answer(self, reply: str, fields: dict[str, str], body: bytes) -> None:
         if reply not in ("DONE", "WAIT"):
             raise resp.BadResp(reply)
         self.statuses.append(reply)
@@ -60,7 +60,7 @@
     def block_until(self, until_ms: float) -> None:
         self.blocked_until_ms = until_ms
 
-    def broken(self, status: str) -> None:
+    def on_connection_end(self, status: str) -> None:
         self.statuses.append(status)
 
 
--- a/tests/test_back.py
+++ b/tests/test_back.py
@@ -24,10 +24,10 @@
     def command(self) -> bytes:
         return b"*1\r\n$1\r\nx\r\n"
 
-    def answered(self, reply: str, fields: dict[str, str], body: bytes) -> None:
+    def on_answer(self, reply: str, fields: dict[str, str], body: bytes) -> None:
         self.statuses.append(reply)
 
-    def broken(self, status: str) -> None:
+    def on_connection_end(self, status: str) -> None:
         self.statuses.append(status)
 
     def block_until(self, until_ms: float) -> None:
@@ -95,7 +95,7 @@
     def test_an_invalid_answer_fails_only_its_job_and_other_answers_still_arrive(self) -> None:
         """One such answer failed all jobs of its connection, 7 at once."""
         invalid, valid, unwritten = Job(b"1"), Job(b"2"), Job(b"3")
-        invalid.answered = mock.Mock(side_effect=BadResp("answer"))  # type: ignore[method-assign]
+        invalid.on_answer = mock.Mock(side_effect=BadResp("answer"))  # type: ignore[method-assign]
         link = self.open_link(invalid, valid)
         link.submit(unwritten)
         link._handle_answer([b"1", b"DONE", b"-", b""])
