--- a/hitchtiller/cli/serve.py
+++ b/hitchtiller/cli/serve.py
@@ -14,7 +14,7 @@
 from hitchtiller.__main__ import Gateway
 from hitchtiller.__main__ import serve as serve_gateway
 from hitchtiller.cli.logs import json_sink
-from hitchtiller.codec.bus import read_dial
+from hitchtiller.codec.bus import read_address
 from hitchtiller.config import ConfigError, read_config
 from hitchtiller.operator.model import MB, File, Membership, Repo, Store
 from hitchtiller.operator.read import BadFile, read_file
@@ -89,7 +89,7 @@
         front = RepoFront(
             sched, service, ConnectionLimits(settings.connections, settings.each_address), times
         )
-        front.listen(read_dial(settings.listen))
+        front.listen(read_address(settings.listen))
         publish_repository_figures(engine.stats, front, fetcher)
 
         def adjust_limit() -> None:
--- a/hitchtiller/codec/bus.py
+++ b/hitchtiller/codec/bus.py
@@ -84,7 +84,7 @@
         raise BadBus(f"unknown kind {kind}")
 
 
-def read_dial(text: str) -> tuple[str, int]:
+def read_address(text: str) -> tuple[str, int]:
     """Parse an address of the form HOST:PORT."""
     ip, _, port = text.rpartition(":")
     if not ip or not port.isdecimal() or int(port) > 0xFFFF:
@@ -103,10 +103,10 @@
         max(float(host.get("share", 1.0)), 1e-6),
         int(host.get("block", -1)),
     )
-    return ListedServer(member, read_dial(host["dial"]))
+    return ListedServer(member, read_address(host["dial"]))
 
 
-def read_known(known: dict[str, Any]) -> list[NumberedEvent]:
+def read_known_events(known: dict[str, Any]) -> list[NumberedEvent]:
     """Convert the events that the configuration contains; raise BadBus for an invalid one."""
     events: list[NumberedEvent] = []
     try:
--- a/hitchtiller/config.py
+++ b/hitchtiller/config.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from hitchtiller import interface as api
-from hitchtiller.codec.bus import BadBus, NumberedEvent, read_dial, read_known
+from hitchtiller.codec.bus import BadBus, NumberedEvent, read_address, read_known_events
 from hitchtiller.settings import read_settings
 
 Address = tuple[str, int]
@@ -71,7 +71,7 @@
     settings = read_settings(setup)
     if settings.my_zone not in settings.zones:
         raise ConfigError(f"my_zone {settings.my_zone!r} is not one of localities")
-    peers = tuple(read_dial(peer) for peer in data.get("peers", []))
+    peers = tuple(read_address(peer) for peer in data.get("peers", []))
     if settings.peers and len(peers) != settings.group_size:
         raise ConfigError(f"{len(peers)} peers for {settings.group_size} gateways")
     rules = setup.get("limits", {})
@@ -83,16 +83,16 @@
     peer_listen = data.get("peer_listen")
     return Config(
         name=environ.get("BALANCER_NAME") or str(data["name"]),
-        listen=read_dial(listen),
+        listen=read_address(listen),
         listen_fd=int(listen_fd) if listen_fd else None,
-        control=read_dial(control) if control else None,
+        control=read_address(control) if control else None,
         seed=int(str(data["seed"]), 16),
         sockets=int(limits.get("sockets", 1024)),
         memory_mb=float(limits.get("memory_mb", 192)),
-        bus=read_dial(data["bus"]),
-        peer_listen=read_dial(peer_listen) if peer_listen else None,
+        bus=read_address(data["bus"]),
+        peer_listen=read_address(peer_listen) if peer_listen else None,
         peers=peers,
-        known=read_known(data.get("known", {})),
+        known=read_known_events(data.get("known", {})),
         zones=settings.zones,
         kinds=tuple(setup["skus"]),
         settings=settings,
