--- a/tests/ends/test_ends_discovery.py
+++ b/tests/ends/test_ends_discovery.py
@@ -139,7 +139,7 @@
         client = self.gateway.client()
         self.addCleanup(client.close)
         client.sock.settimeout(PROMPT_S)
-        client.ask(1)
+        client.send_request(1)
         started = time.monotonic()
         cache = self.gateway.server()
         self.assertLess(time.monotonic() - started, PROMPT_S)
@@ -154,7 +154,7 @@
         )
         bus.send(framed(HEAD.pack(2, 2) + record) + b"\xff" * 64)
         self.gateway.expect_line("code=junk last=2")  # the malformed bytes after it show that it was applied
-        client.ask(2)
+        client.send_request(2)
         self.gateway.server("parent").expect_pull()  # the draining cache gets no new request
 
     def test_a_restarted_process_is_ready_in_time_while_discovery_is_down(self) -> None:
--- a/tests/ends/test_ends_effects.py
+++ b/tests/ends/test_ends_effects.py
@@ -100,14 +100,14 @@
         self.addCleanup(self.client.close)
 
     def open_request(self, stream: int, name: str, **fields: str) -> tuple[Party, bytes]:
-        self.client.ask(stream, b"pay", c=name, **fields)
+        self.client.send_request(stream, b"pay", c=name, **fields)
         cache = self.gateway.server()
         self.addCleanup(cache.close)
         return cache, cache.expect_pull()[0]
 
     def assert_nothing_forwarded(self, *caches: Party) -> None:
         """Check that nothing was forwarded: the next command is that of a request sent now."""
-        self.client.ask(90, b"pay", c="charge", k="another", i="9" * 16)
+        self.client.send_request(90, b"pay", c="charge", k="another", i="9" * 16)
         socks = [cache.sock for cache in caches]
         ready = select.select(socks, [], [], 5.0)[0]
         self.assertEqual(len(ready), 1)
@@ -127,7 +127,7 @@
         with self.assertRaises(TimeoutError):
             self.client.sock.recv(1)  # the window passes
         self.client.sock.settimeout(5.0)
-        self.client.ask(2, b"pay", c="charge", k="5c0f").expect_answer(2, frames.FAILED)
+        self.client.send_request(2, b"pay", c="charge", k="5c0f").expect_answer(2, frames.FAILED)
         self.assert_nothing_forwarded(cache, other)
 
     def test_a_late_second_answer_is_not_matched_to_the_next_attempt(self) -> None:
--- a/tests/ends/test_ends_settings.py
+++ b/tests/ends/test_ends_settings.py
@@ -75,7 +75,7 @@
         gateway.expect_line("configuration not taken")
         client = gateway.client()
         self.addCleanup(client.close)
-        client.ask(1)
+        client.send_request(1)
         cache = gateway.server()
         self.addCleanup(cache.close)
         cache.send(answer(cache.expect_pull()[0], b"DONE", body=b"x"))
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -49,7 +49,7 @@
         assert check(first), f"unexpected {first!r}"
         return first
 
-    def ask(self, stream: int, more: bytes = b"", **fields: str) -> Self:
+    def send_request(self, stream: int, more: bytes = b"", **fields: str) -> Self:
         """Send a request frame."""
         base = {"c": "files", "i": f"{stream:016x}", "d": "2000", "o": f"{42:016x}", "m": "10", "lot": "3"}
         payload = frames.write_fields(base | fields) + more
@@ -187,7 +187,7 @@
         self.bus.settimeout(TIMEOUT_S)
         return Party(self.bus.accept()[0], None)
 
-    def told_all(self) -> None:
+    def serve_bus_until_ready(self) -> None:
         """Answer subscriptions as a bus without further events until this gateway is ready."""
         self.bus.settimeout(0.1)
         frame = (9).to_bytes(4, "big") + (1).to_bytes(8, "big") + b"\0"
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -78,7 +78,9 @@
 
     def test_a_draining_gateway_is_not_ready_finishes_its_requests_and_keeps_listening(self) -> None:
         """A gateway that reported ready in a drain broke the limit on lost requests 4 s after the call."""
-        cache, name = self.opened(m="100000", d="5000")  # so large that a silent server is not suspected yet
+        cache, name = self.open_request(
+            m="100000", d="5000"
+        )  # so large that a silent server is not suspected yet
         idle_client = self.gateway.client()
         self.assertEqual(self.gateway.call("drain"), ["+OK drained"])
         self.assertEqual(self.gateway.call("ready"), ["-ERR drained"])
@@ -93,7 +95,7 @@
         for _ in range(2):
             self.assertEqual(self.gateway.call("resume"), ["+OK serving"])
         self.check_readiness(frames.SERVED)
-        second_client = self.gateway.client().ask(1)
+        second_client = self.gateway.client().send_request(1)
         cache.send(answer(cache.expect_pull()[0], b"DONE", body=b"x"))
         second_client.expect_answer(1, frames.SERVED)
         for client in (idle_client, second_client):
@@ -102,7 +104,7 @@
     def test_a_late_request_during_a_drain_is_refused_and_its_connection_closed(self) -> None:
         self.gateway.call("drain")
         wait(1.8)
-        late_client = self.gateway.client().ask(1, i="f" * 16)
+        late_client = self.gateway.client().send_request(1, i="f" * 16)
         frame = late_client.expect(lambda got: got.kind != frames.GOING)
         self.assertEqual((frame.kind, frame.payload[0]), (frames.ANSWER, frames.REFUSED))
         late_client.sock.settimeout(1.5)
@@ -230,7 +232,7 @@
 
     def test_known_traffic_gives_exact_statistics(self) -> None:
         """Requests refused before the decisions count too; those of clients that left do not."""
-        cache, name = self.opened()
+        cache, name = self.open_request()
         start = {f"{kind}.{cls}": "0|c" for kind in ANSWER_KINDS for cls in ("files", "charge")}
         levels = {"in_flight": "1|g", "station_caches_known": "3|g", "station_caches_excluded": "0|g"}
         self.assertEqual(
@@ -238,19 +240,19 @@
         )
         cache.send(answer(name, b"DONE", body=b"x"))
         self.client.expect_answer(1, frames.SERVED)
-        self.client.ask(2, m="soon").expect_answer(2, frames.FAILED)  # malformed
-        self.client.ask(1).expect_answer(1, frames.FAILED)  # its stream number was used before
-        self.client.ask(3, c="none").expect_answer(3, frames.FAILED)  # of an unknown class
-        self.client.ask(4, i="f" * 16)
+        self.client.send_request(2, m="soon").expect_answer(2, frames.FAILED)  # malformed
+        self.client.send_request(1).expect_answer(1, frames.FAILED)  # its stream number was used before
+        self.client.send_request(3, c="none").expect_answer(3, frames.FAILED)  # of an unknown class
+        self.client.send_request(4, i="f" * 16)
         cache.expect_pull()
         self.client.send(frames.head(frames.GIVE_UP, 4, 0))
         cache.expect(lambda got: got[0] == b"KILL")
-        self.client.ask(5, d="300")  # never answered by the cache
+        self.client.send_request(5, d="300")  # never answered by the cache
         self.client.expect(lambda got: got.stream == 5)
         self.gateway.call("disable-server s-00000001")
         self.gateway.call("drain")
         wait(1.8)
-        late_client = self.gateway.client().ask(1, i="e" * 16)  # refused by the front
+        late_client = self.gateway.client().send_request(1, i="e" * 16)  # refused by the front
         late_client.expect(lambda got: got.kind == frames.ANSWER)
         late_client.close()
         statistics = self.read_statistics()
@@ -318,28 +320,28 @@
 
 
 class VersionUpgrade(Scenario):
-    held = True
+    inherits_listener = True
 
     def start_upgrade(self, server: str = "cache") -> None:
         """Start a new version beside the old one, which has an open request."""
-        self.cache, self.name = self.opened(server=server, m="100000", d="5000")
+        self.cache, self.name = self.open_request(server=server, m="100000", d="5000")
         self.new = self.gateway.successor()
         self.addCleanup(self.new.kill)
 
     def complete_bus_backlog(self) -> None:
         """Let the bus tell the new version that its backlog is complete."""
         self.assertEqual(self.new.call("ready"), ["-ERR the event bus is not followed yet"])
-        self.new.told_all()
+        self.new.serve_bus_until_ready()
         self.gateway.expect_line("handed over")
 
     def test_a_new_version_takes_over_after_the_whole_bus_backlog(self) -> None:
         self.start_upgrade()
-        early_client = self.gateway.client().ask(1, i="e" * 16)
+        early_client = self.gateway.client().send_request(1, i="e" * 16)
         self.cache.expect_pull()  # from the old version: the new one does not accept yet
         self.complete_bus_backlog()
         for client in (self.client, early_client):
             client.expect(lambda got: got.kind == frames.GOING)
-        late_client = self.gateway.client().ask(1, i="f" * 16)
+        late_client = self.gateway.client().send_request(1, i="f" * 16)
         cache = self.gateway.server()
         cache.send(answer(cache.expect_pull()[0], b"DONE", body=b"y"))  # on a connection of the new version
         late_client.expect_answer(1, frames.SERVED, b"y")
@@ -358,7 +360,7 @@
         self.new.kill()
         self.gateway.expect_line("serving again")
         self.assertEqual(self.gateway.call("ready"), ["+OK ready"])
-        late_client = self.gateway.client().ask(1, i="f" * 16)
+        late_client = self.gateway.client().send_request(1, i="f" * 16)
         self.assertEqual(self.cache.expect_pull()[0], b"f" * 16)
         late_client.close()
 
@@ -383,11 +385,11 @@
         self.assertRegex(self.gateway.call("disable-server s-00000000")[0], "^.OK")
         self.start_upgrade("parent")  # sent to the parent, as the zone has no other cache
         self.complete_bus_backlog()
-        late_client = self.gateway.client().ask(1, i="f" * 16)
+        late_client = self.gateway.client().send_request(1, i="f" * 16)
         self.gateway.server("parent").expect_pull()
         self.gateway.call("enable-server s-00000000")  # on the old version's control port
         self.new.expect_line("s-00000000 given back")
-        late_client.ask(2, i="e" * 16)
+        late_client.send_request(2, i="e" * 16)
         self.gateway.server().expect_pull()
         late_client.close()
 
@@ -399,7 +401,7 @@
         self.client.expect(lambda got: got.kind == frames.GOING)
         self.client.expect_answer(1, frames.SERVED, b"x")
         self.assertEqual(self.gateway.process.wait(10.0), 0)
-        late_client = self.gateway.client().ask(
+        late_client = self.gateway.client().send_request(
             1, i="f" * 16
         )  # the end of the old process did not shut down the shared listener
         self.gateway.server().expect_pull()
