--- a/hitchtiller/cli/serve.py
+++ b/hitchtiller/cli/serve.py
@@ -105,14 +105,14 @@
 
 def make_membership_extension(settings: Membership) -> Callable[[Gateway], Callable[[], None]]:
     """Return a function that adds membership to a gateway and returns a callable for its end."""
-    from hitchtiller.ops.members import Members
+    from hitchtiller.ops.members import MembershipService
 
     def extend(gateway: Gateway) -> Callable[[], None]:
         assert gateway.peers, "checked before the start"
         parts = (gateway.sched, gateway.engine, gateway.peers, gateway.bus)
-        members = Members(*parts, settings.fleet, settings.period_ms)
+        members = MembershipService(*parts, settings.fleet, settings.period_ms)
         gateway.front.not_ready_reasons.append(members.isolation_reason)
-        gateway.calls.plain["members"] = members.listed
+        gateway.calls.plain["members"] = members.list_members
         gateway.calls.named["forget-member"] = members.forget
         gateway.sched.spawn(members.run)
         return members.leave
--- a/hitchtiller/ops/members.py
+++ b/hitchtiller/ops/members.py
@@ -34,7 +34,7 @@
 CACHE_SILENCE_MS, BUS_SILENCE_MS = 5_000.0, 3_000.0
 
 
-class Members:
+class MembershipService:
     """The membership of one gateway, connected to its engine, peer socket and event bus."""
 
     def __init__(
@@ -192,7 +192,7 @@
 
     # Operators' calls
 
-    def listed(self) -> str:
+    def list_members(self) -> str:
         """Return a line for each member, then one with this gateway's connectivity state."""
         now, lines = now_ms(), ["members"]
         for number, claim in sorted(self.view.claims.items()):
