--- a/hitchtiller/__main__.py
+++ b/hitchtiller/__main__.py
@@ -17,8 +17,8 @@
 from hitchtiller.engine import Engine
 from hitchtiller.front.server import Front
 from hitchtiller.log import logger
-from hitchtiller.ops.calls import Calls
-from hitchtiller.ops.control import Control
+from hitchtiller.ops.calls import OperatorCalls
+from hitchtiller.ops.control import ControlServer
 from hitchtiller.ops.holdouts import HoldOuts
 from hitchtiller.ops.sign import ProcessMarker
 from hitchtiller.ops.upgrade import Upgrade
@@ -116,7 +116,7 @@
     engine: Engine
     front: Front
     bus: BusLink
-    calls: Calls
+    calls: OperatorCalls
     peers: Peers | None
 
 
@@ -138,7 +138,7 @@
     engine.may_lack_events = bus.may_lack_events
     front = Front(sched, engine, config.settings, clients, buffer_bytes(config.memory_mb, two=False))
 
-    calls = Calls(front, holdouts, engine.stats)
+    calls = OperatorCalls(front, holdouts, engine.stats)
     finish = extend(Gateway(config, sched, engine, front, bus, calls, peers)) if extend else None
     for event in config.known:
         bus.apply(event)
@@ -152,7 +152,7 @@
     front.not_ready_reason = upgrade.unready_reason
     host, port = front.listen(config.listen, config.listen_fd)
     if config.control:
-        bound_address = Control(sched, calls).listen(config.control)
+        bound_address = ControlServer(sched, calls).listen(config.control)
         logger.info("control on {}:{}", *bound_address)
     sched.spawn(bus.run)
     if peers:
--- a/hitchtiller/cli/serve.py
+++ b/hitchtiller/cli/serve.py
@@ -112,8 +112,8 @@
         parts = (gateway.sched, gateway.engine, gateway.peers, gateway.bus)
         members = MembershipService(*parts, settings.fleet, settings.period_ms)
         gateway.front.not_ready_reasons.append(members.isolation_reason)
-        gateway.calls.plain["members"] = members.list_members
-        gateway.calls.named["forget-member"] = members.forget
+        gateway.calls.calls_without_argument["members"] = members.list_members
+        gateway.calls.calls_with_argument["forget-member"] = members.forget
         gateway.sched.spawn(members.run)
         return members.leave
 
--- a/hitchtiller/ops/calls.py
+++ b/hitchtiller/ops/calls.py
@@ -8,19 +8,19 @@
 from hitchtiller.ops.stats import Stats
 
 
-class Calls:
+class OperatorCalls:
     """Parses a line as a call and executes it; every call is idempotent."""
 
     def __init__(self, front: Front, holdouts: HoldOuts, stats: Stats) -> None:
         """Register the calls without an argument (`plain`) and those with one (`named`)."""
         self.front, self.stats = front, stats
-        self.plain: dict[str, Callable[[], str]] = {
+        self.calls_without_argument: dict[str, Callable[[], str]] = {
             "ready": self.ready,
             "show-stat": self.show_stats,
             "drain": self.drain,
             "resume": self.resume,
         }
-        self.named: dict[str, Callable[[str], str]] = {
+        self.calls_with_argument: dict[str, Callable[[str], str]] = {
             "disable-server": holdouts.disable,
             "enable-server": holdouts.enable,
         }
@@ -28,15 +28,17 @@
     def __call__(self, line: str) -> str:
         """Execute a call and return its answer; CallError for an unknown call or a wrong argument."""
         name, *arguments = line.split() or [""]
-        if name in self.plain:
+        if name in self.calls_without_argument:
             if arguments:
                 raise CallError(f"{name} takes no word")
-            return self.plain[name]()
-        if name in self.named:
+            return self.calls_without_argument[name]()
+        if name in self.calls_with_argument:
             if len(arguments) != 1:
                 raise CallError(f"{name} takes one word: whom it is about")
-            return self.named[name](arguments[0])
-        raise CallError(f"unknown call; there are {' '.join([*self.plain, *self.named])}")
+            return self.calls_with_argument[name](arguments[0])
+        raise CallError(
+            f"unknown call; there are {' '.join([*self.calls_without_argument, *self.calls_with_argument])}"
+        )
 
     def ready(self) -> str:
         """Return "ready" if this process is ready to serve; CallError with the reason if not."""
--- a/hitchtiller/ops/control.py
+++ b/hitchtiller/ops/control.py
@@ -18,7 +18,7 @@
     """A call that can't be executed; the text is the reason."""
 
 
-class Control:
+class ControlServer:
     """The listener for calls; a caller that holds its connection open does not delay the others."""
 
     def __init__(self, sched: Scheduler, answer: Callable[[str], str]) -> None:
