--- a/hitchtiller/ops/holdouts.py
+++ b/hitchtiller/ops/holdouts.py
@@ -29,11 +29,11 @@
         """
         self.folder, self.forward, self.origin_kind = folder, forward, origin_kind
         self.listed: dict[str, ListedServer] = {}  # the list as last received from the bus
-        self.out: frozenset[str] = frozenset()
+        self.held_out: frozenset[str] = frozenset()
         self.read_version: tuple[int, ...] = ()  # inode, time and size of the file that was read last
         self.reload()
-        if self.out:
-            logger.info("held out before the start: {}", ", ".join(sorted(self.out)))
+        if self.held_out:
+            logger.info("held out before the start: {}", ", ".join(sorted(self.held_out)))
 
     def news(self, event: Event) -> None:
         """Handle an event of the bus and pass it on."""
@@ -50,14 +50,14 @@
     def _with_hold_out(self, host: ListedServer) -> ListedServer:
         """Return a server as the decisions are to see it: draining if it is held out."""
         member = host.member
-        if member.server in self.out and member.state == STATES[0]:  # whatever the bus reports meanwhile
+        if member.server in self.held_out and member.state == STATES[0]:  # whatever the bus reports meanwhile
             return replace(host, member=replace(member, state=STATES[1]))
         return host
 
     def disable(self, server: str) -> str:
         """Hold a cache out of service until `enable`."""
         host = self.listed.get(server)
-        if host is None and server not in self.out:
+        if host is None and server not in self.held_out:
             raise CallError(f"unknown station cache {server[:40]!r}")
         if host and host.member.kind == self.origin_kind:
             raise CallError(f"{server} is the origin, which nothing can stand in for")
@@ -66,7 +66,7 @@
 
     def enable(self, server: str) -> str:
         """End the hold-out of a cache, which returns with its latest state on the bus."""
-        if server not in self.listed and server not in self.out:
+        if server not in self.listed and server not in self.held_out:
             raise CallError(f"unknown station cache {server[:40]!r}")
         self._update(lambda out: out - {server})
         return f"{server} may serve"
@@ -74,13 +74,13 @@
     def _update(self, change: Callable[[frozenset[str]], frozenset[str]]) -> None:
         """Change the set, and store it before the change takes effect."""
         if self.folder is None:
-            return self._apply(change(self.out))
+            return self._apply(change(self.held_out))
         try:
             with (self.folder / LOCK_NAME).open("w") as lock:
                 fcntl.flock(lock, fcntl.LOCK_EX)  # prevents lost updates by two processes
                 self.reload()
-                out = change(self.out)
-                if out != self.out:
+                out = change(self.held_out)
+                if out != self.held_out:
                     new_file = self.folder / f"{FILE_NAME}.new"
                     new_file.write_text(json.dumps({"out": sorted(out)}))
                     new_file.rename(self.folder / FILE_NAME)
@@ -111,9 +111,9 @@
 
     def _apply(self, out: Iterable[str]) -> None:
         """Replace the set, and pass the changed states on to the decisions."""
-        before, self.out = self.out, frozenset(out)
-        for server in sorted(before ^ self.out):
-            logger.info("{} {}", server, "held out" if server in self.out else "given back")
+        before, self.held_out = self.held_out, frozenset(out)
+        for server in sorted(before ^ self.held_out):
+            logger.info("{} {}", server, "held out" if server in self.held_out else "given back")
             if host := self.listed.get(server):
                 self.forward(Topology((self._with_hold_out(host),), whole=False))
 
--- a/tests/ends/test_ends_descriptors.py
+++ b/tests/ends/test_ends_descriptors.py
@@ -154,8 +154,8 @@
             while time.monotonic() < end:
                 sched.later(1.0, lambda: None)
                 sched.run_once()
-            self.assertEqual(local_holdouts.out, frozenset())
-        self.assertTrue(run_until(sched, lambda: local_holdouts.out == {"s-1"}))
+            self.assertEqual(local_holdouts.held_out, frozenset())
+        self.assertTrue(run_until(sched, lambda: local_holdouts.held_out == {"s-1"}))
 
 
 class MakingRoom(unittest.TestCase):
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -205,7 +205,7 @@
     def test_a_hold_out_is_stored_and_followed_by_other_processes(self) -> None:
         other = HoldOuts(self.folder, lambda event: None)
         self.holdouts.disable("c0")
-        self.assertEqual(HoldOuts(self.folder, lambda event: None).out, {"c0"})
+        self.assertEqual(HoldOuts(self.folder, lambda event: None).held_out, {"c0"})
         other.news(Topology((ListedServer(self.member, ("127.0.0.1", 1)),), whole=True))
         other.disable("c0")  # it has not polled yet
         other.enable("c0")
@@ -217,7 +217,7 @@
         for text in ("{", "[]", '{"out": [1]}'):
             (self.folder / FILE_NAME).write_text(text)
             self.holdouts.reload()
-            self.assertEqual(self.holdouts.out, {"c0"})
+            self.assertEqual(self.holdouts.held_out, {"c0"})
         self.holdouts.folder = self.folder / "gone"
         with self.assertRaisesRegex(CallError, "kept"):
             self.holdouts.disable("c1")
