--- a/hitchtiller/ops/upgrade.py
+++ b/hitchtiller/ops/upgrade.py
@@ -36,30 +36,30 @@
         self.is_ready = False
         if marker:
             self.other_processes = marker.find_others()
-        if self.older():
-            logger.info("taking over from {}", ", ".join(self.older()))
+        if self.older_processes():
+            logger.info("taking over from {}", ", ".join(self.older_processes()))
             front.accepting = False  # it has no list of servers yet, and the older process serves
             apply_limits(True, True)
 
-    def older(self) -> list[str]:
+    def older_processes(self) -> list[str]:
         """Return the marker names of the live processes that started before this one."""
         return [name for name in self.other_processes if self.marker and name < self.marker.name]
 
     def has_ready_successor(self) -> bool:
         """Return whether a younger process is ready to serve."""
-        older = self.older()
+        older = self.older_processes()
         return any(state == READY for name, state in self.other_processes.items() if name not in older)
 
     def unready_reason(self) -> str:
         """Return why this process is not ready to serve yet; "" if it is."""
-        if not self.is_ready and not self.is_bus_followed(bool(self.older())):
+        if not self.is_ready and not self.is_bus_followed(bool(self.older_processes())):
             return "the event bus is not followed yet"
         return ""
 
     def run(self) -> None:
         """Poll until the program ends."""
         while True:
-            self.look()
+            self.poll()
             self.sched.sleep(POLL_MS if self.is_ready else STARTUP_POLL_MS)
 
     def stop(self) -> None:
@@ -67,17 +67,17 @@
 
         Polls first: a successor may have become ready just before SIGTERM, and both would accept otherwise.
         """
-        self.look()
+        self.poll()
         self.front.leave.stop()
 
-    def look(self) -> None:
+    def poll(self) -> None:
         """Check which processes are live, and act on a change."""
         before = bool(self.other_processes)
         if self.marker:
             with contextlib.suppress(OSError):  # out of descriptors: keep the last result
                 self.other_processes = self.marker.find_others()
         if before != bool(self.other_processes):
-            self.apply_limits(bool(self.other_processes), bool(self.older()))
+            self.apply_limits(bool(self.other_processes), bool(self.older_processes()))
         if not self.is_ready and not self.front.unready_reason():
             self.is_ready = True
             if self.marker:
@@ -87,4 +87,4 @@
             self.front.leave.hand_over()
         else:
             self.front.leave.resume_after_hand_over()
-            self.front.accepting = self.is_ready or not self.older()
+            self.front.accepting = self.is_ready or not self.older_processes()
--- a/tests/ends/test_ends_descriptors.py
+++ b/tests/ends/test_ends_descriptors.py
@@ -122,10 +122,10 @@
 
     def test_the_other_process_still_counts_as_alive(self) -> None:
         """The check raised an error: its greenlet ended, and the gateway never became ready."""
-        self.assertEqual(len(self.upgrade.older()), 1)
+        self.assertEqual(len(self.upgrade.older_processes()), 1)
         with no_descriptors():
-            self.upgrade.look()
-        self.assertEqual(len(self.upgrade.older()), 1)
+            self.upgrade.poll()
+        self.assertEqual(len(self.upgrade.older_processes()), 1)
         self.assertFalse(self.front.accepting, "the older process serves")
 
     def test_a_stop_still_drains_the_clients(self) -> None:
