--- a/hitchtiller/cli/bench.py
+++ b/hitchtiller/cli/bench.py
@@ -16,7 +16,7 @@
 from hitchtiller.store.disk import Disk, Options
 from hitchtiller.store.files import OsFiles
 from hitchtiller.store.format import Part
-from hitchtiller.store.index import Index, fingerprint, pack_place, unpack_place
+from hitchtiller.store.index import Index, hash_part, pack_place, unpack_place
 from hitchtiller.store.jobs import InlineJobs
 from hitchtiller.store.suspect import Proof
 
@@ -73,7 +73,7 @@
     }
     while elapsed_s["tier"] + elapsed_s["pread"] < seconds:
         keys = [rng.randrange(parts) for _ in range(200)]
-        places = [unpack_place(disk.index.get(fingerprint(key, 0))) for key in keys]
+        places = [unpack_place(disk.index.get(hash_part(key, 0))) for key in keys]
         for segment_id, offset, length in places:  # untimed, so that neither side pays for the first access
             os.pread(fds[segment_id], length, offset)
         body_sizes: list[int] = []
@@ -123,7 +123,7 @@
     """
     import gc
 
-    keys = [fingerprint(number, 0) for number in range(entries)]
+    keys = [hash_part(number, 0) for number in range(entries)]
     index, longest_put_s = Index(), 0.0
     started_s = time.perf_counter()
     for number, key in enumerate(keys):
--- a/hitchtiller/store/compact.py
+++ b/hitchtiller/store/compact.py
@@ -9,7 +9,7 @@
 
 from hitchtiller.store import format as fmt
 from hitchtiller.store.disk import Disk
-from hitchtiller.store.index import fingerprint, pack_place
+from hitchtiller.store.index import hash_part, pack_place
 from hitchtiller.store.jobs import READ_LANE
 from hitchtiller.store.recover import records, segment_name
 from hitchtiller.store.space import Rate, Segment
@@ -96,7 +96,7 @@
             self.reading = False
 
     def _handle_record(self, victim: Segment, offset: int, length: int, part: fmt.Part, body: bytes) -> None:
-        disk, part_hash = self.disk, fingerprint(part.key, part.part)
+        disk, part_hash = self.disk, hash_part(part.key, part.part)
         place = pack_place(victim.id, offset, length)
         if disk.index.get(part_hash) != place:
             return
--- a/hitchtiller/store/disk.py
+++ b/hitchtiller/store/disk.py
@@ -17,7 +17,7 @@
 from hitchtiller.store import format as fmt
 from hitchtiller.store.files import Files
 from hitchtiller.store.health import OFF, Health
-from hitchtiller.store.index import fingerprint, pack_place, unpack_place
+from hitchtiller.store.index import hash_part, pack_place, unpack_place
 from hitchtiller.store.jobs import READ_LANE, WRITE_LANE, Jobs
 from hitchtiller.store.log import PurgeLog
 from hitchtiller.store.recover import (
@@ -124,7 +124,7 @@
         if segment is None:
             self.counts.dropped += 1
             return False
-        offset, part_hash = segment.size, fingerprint(part.key, part.part)
+        offset, part_hash = segment.size, hash_part(part.key, part.part)
         place = pack_place(segment.id, offset, size)
 
         def run() -> None:
@@ -241,7 +241,7 @@
 
         Return False at once, without a call, if the part is not stored here or the readers are busy.
         """
-        part_hash = fingerprint(key, part_number)
+        part_hash = hash_part(key, part_number)
         place = self.index.get(part_hash)
         if not place or self.closed:
             return False
--- a/hitchtiller/store/index.py
+++ b/hitchtiller/store/index.py
@@ -25,7 +25,7 @@
 SEGMENT_BITS, OFFSET_BITS, LENGTH_BITS = 24, 22, 13
 
 
-def fingerprint(key: int, part: int) -> int:
+def hash_part(key: int, part: int) -> int:
     """Return the 64-bit hash of an object's part; never 0, which marks an empty slot.
 
     Parts with equal hashes are told apart by the key in the record.
--- a/hitchtiller/store/memory.py
+++ b/hitchtiller/store/memory.py
@@ -8,7 +8,7 @@
 
 from hitchtiller.store.admission import POLICIES, Shares
 from hitchtiller.store.format import Part
-from hitchtiller.store.index import fingerprint
+from hitchtiller.store.index import hash_part
 
 OVERHEAD_BYTES = 600  # per stored part, beside its body: objects, table entries, policy
 
@@ -39,7 +39,7 @@
 
     def get(self, key: int, part_number: int) -> Copy | None:
         """Return a copy and record the request for it; None if there is none."""
-        part_hash = fingerprint(key, part_number)
+        part_hash = hash_part(key, part_number)
         copy = self.copies.get(part_hash)
         if copy is None or (copy.part.key, copy.part.part) != (key, part_number):
             return None
@@ -52,7 +52,7 @@
 
     def put(self, owner: str, part: Part, body: bytes) -> bool:
         """Offer a copy and remove what it evicts; return whether it was admitted."""
-        part_hash = fingerprint(part.key, part.part)
+        part_hash = hash_part(part.key, part.part)
         self.copies.pop(part_hash, None)
         self.shares.drop(part_hash)
         evicted = self.shares.offer(owner, part_hash, len(body) + OVERHEAD_BYTES)
--- a/hitchtiller/store/recover.py
+++ b/hitchtiller/store/recover.py
@@ -11,7 +11,7 @@
 
 from hitchtiller.store import format as fmt
 from hitchtiller.store.files import Files
-from hitchtiller.store.index import SLOT_BYTES, Index, fingerprint, pack_place, unpack_place
+from hitchtiller.store.index import SLOT_BYTES, Index, hash_part, pack_place, unpack_place
 from hitchtiller.store.purges import Purges
 from hitchtiller.store.space import Segment
 from hitchtiller.store.suspect import SavedProof
@@ -199,7 +199,7 @@
         segment.durable = covered[segment_id].end if segment_id in covered else 0
         for offset, length, part in records(files, segment, start, size, state.notes.append):
             state.scanned += 1
-            state.index.put(fingerprint(part.key, part.part), pack_place(segment_id, offset, length))
+            state.index.put(hash_part(part.key, part.part), pack_place(segment_id, offset, length))
             segment.oldest_ms = min(segment.oldest_ms, float(part.since_ms))
             max_epoch = max(max_epoch, part.epoch)
         on_segment_read(segment_id)
--- a/hitchtiller/store/tier.py
+++ b/hitchtiller/store/tier.py
@@ -15,7 +15,7 @@
 from hitchtiller.news import PurgeNotice
 from hitchtiller.store.disk import STALL_MS, Disk, monotonic_ms
 from hitchtiller.store.format import Part
-from hitchtiller.store.index import fingerprint
+from hitchtiller.store.index import hash_part
 from hitchtiller.store.join import Joins, NextStep
 from hitchtiller.store.memory import Copy, Memory
 from hitchtiller.store.pace import Pace
@@ -73,7 +73,7 @@
         if not self.rules.is_cacheable(request.class_name) or request.dedupe or request.body:
             return False
         self.check_clock(now_ms)
-        part_hash = fingerprint(request.key, request.part)
+        part_hash = hash_part(request.key, request.part)
         self.sketch.add(part_hash)
         copy = self.memory.get(request.key, request.part)
         if copy and self.rules.matches(copy.part, request):
@@ -115,7 +115,7 @@
         part = self.rules.part_to_store(exchange.request, result, now_ms)
         if old_copy and old_copy.part.tag != result.tag:
             self.refuted += old_copy.part.epoch != self.proof.epoch
-            self._drop(fingerprint(old_copy.part.key, old_copy.part.part))
+            self._drop(hash_part(old_copy.part.key, old_copy.part.part))
         if part:
             self._store(part, result.body)
         return result
@@ -140,7 +140,7 @@
         # proven.
         self.refuted += 1
         exchange.confirm_tag = ""
-        self._drop(fingerprint(request.key, request.part))
+        self._drop(hash_part(request.key, request.part))
         return AttemptResult("err", load=result.load)
 
     def fallback(self, exchange: Exchange, answer: Answer) -> Answer:
@@ -313,13 +313,13 @@
                 if not (exchange.is_over or exchange.is_routed) and self._serve(exchange, copy, "disk"):
                     return
             elif not (exchange.is_over or exchange.is_routed):
-                self._record_fallback(exchange, copy, state, fingerprint(part.key, part.part))
+                self._record_fallback(exchange, copy, state, hash_part(part.key, part.part))
         self.engine.decide(exchange)
 
     def _store(self, part: Part, body: bytes) -> None:
         """Store a part in memory and, if it was requested before, on disk."""
         self.memory.put(part.class_name, part, body)
-        part_hash = fingerprint(part.key, part.part)
+        part_hash = hash_part(part.key, part.part)
         if self.disk and part_hash in self.disk:
             self.disk.put(part, body)  # the stored record is older
         else:
@@ -367,7 +367,7 @@
                 exchange, answer or Answer(REFUSED, wait_ms=self.engine.router.settings.max_retry_after_ms)
             )
         elif next_step is not NextStep.LEAD or not self._start_disk_read(
-            exchange, fingerprint(exchange.request.key, exchange.request.part)
+            exchange, hash_part(exchange.request.key, exchange.request.part)
         ):
             self.engine.decide(exchange)
 
--- a/tests/store/test_store_disk.py
+++ b/tests/store/test_store_disk.py
@@ -16,7 +16,7 @@
 from hitchtiller.store.disk import Disk, Options
 from hitchtiller.store.files import OsFiles
 from hitchtiller.store.health import OFF, READ_ONLY
-from hitchtiller.store.index import fingerprint
+from hitchtiller.store.index import hash_part
 from hitchtiller.store.jobs import InlineJobs
 from hitchtiller.store.space import Rate
 from hitchtiller.store.suspect import Proof
@@ -160,7 +160,7 @@
     node.durable, node.waiting = node.content(), []
     node.durable[64] ^= 1  # the outer head is no longer valid
     index = recover.load(files).index
-    assert not index.get(fingerprint(666, 0)) and index.get(fingerprint(2, 0))
+    assert not index.get(hash_part(666, 0)) and index.get(hash_part(2, 0))
 
 
 def test_compaction_copies_live_parts_and_never_replaces_a_newer_record() -> None:
@@ -168,7 +168,7 @@
     disk = open_disk(files)
     bodies = {key: put(disk, key) for key in range(28)}
     for key in range(20):
-        disk.forget(fingerprint(key, 0))
+        disk.forget(hash_part(key, 0))
     for key in (100, 101, 102):  # fills the first segment, which is then sealed
         put(disk, key)
     victim = disk.space.segments[1]
@@ -208,7 +208,7 @@
     reopened = open_disk(files)
     put(reopened, 77, 300)
     assert reopened.active and reopened.active.id == 2
-    assert recover.load(files).index.get(fingerprint(77, 0))
+    assert recover.load(files).index.get(hash_part(77, 0))
 
 
 def test_a_lost_log_makes_every_copy_suspect() -> None:
