--- a/hitchtiller/cli/bench.py
+++ b/hitchtiller/cli/bench.py
@@ -55,7 +55,7 @@
             "mb": round(disk.space.used / MB, 1),
             "write_mb_per_s": round(disk.space.used / MB / write_s, 1),
             "checkpoint_ms": round((time.perf_counter() - begin_s) * 1e3, 1),
-            "index_bytes_a_part": round(disk.index.room / max(1, len(disk.index)), 1),
+            "index_bytes_a_part": round(disk.index.table_bytes / max(1, len(disk.index)), 1),
         },
         disk,
         files,
@@ -153,7 +153,7 @@
     dict_s = time.perf_counter() - begin_s
     return {
         "entries": entries,
-        "index_bytes_a_part": round(index.room / entries, 1),
+        "index_bytes_a_part": round(index.table_bytes / entries, 1),
         "dict_bytes_a_part": round(dict_bytes / entries, 1),
         "index_put_us": round(put_s / entries * 1e6, 2),
         "index_longest_put_ms": round(longest_put_s * 1e3, 3),
--- a/hitchtiller/cli/store.py
+++ b/hitchtiller/cli/store.py
@@ -60,7 +60,7 @@
         "checkpoint": recovered.checkpoint,
         "records_read": recovered.scanned,
         "load_ms": round((time.monotonic() - started_s) * 1000.0, 1),
-        "index_bytes": recovered.index.room,
+        "index_bytes": recovered.index.table_bytes,
         "era": saved_proof.epoch,
         "followed_ms": int(saved_proof.followed_ms),
         "purged_objects": len(recovered.purges.objects),
--- a/hitchtiller/store/index.py
+++ b/hitchtiller/store/index.py
@@ -123,7 +123,7 @@
         )
 
     @property
-    def room(self) -> int:
+    def table_bytes(self) -> int:
         """Return the size of both tables in bytes, empty slots included."""
         return SLOT_BYTES * (self.table.slots + (self.old_table.slots if self.old_table else 0))
 
--- a/tests/store/test_store_index.py
+++ b/tests/store/test_store_index.py
@@ -85,4 +85,4 @@
         moved = used - (index.old_table.used if index.old_table else 0)
         assert moved <= 64 or index.old_table is None
         if not index.old_table and number > 2000:
-            assert SLOT_BYTES / MAX_FILL - 1 <= index.room / len(index) <= 43
+            assert SLOT_BYTES / MAX_FILL - 1 <= index.table_bytes / len(index) <= 43
