--- a/hitchtiller/cli/store.py
+++ b/hitchtiller/cli/store.py
@@ -27,7 +27,7 @@
 def _open_store(folder: Path) -> OsFiles:
     """Open and lock the store in a folder; StoreUnavailableError if it holds none or is locked."""
     names = [path.name for path in folder.iterdir()]
-    if not any(name.startswith((recover.SEGMENT, recover.LOG)) for name in names):
+    if not any(name.startswith((recover.SEGMENT_PREFIX, recover.LOG_NAME)) for name in names):
         raise StoreUnavailableError(f"{folder} is not a store: it holds no segment and no {recover.LOG}")
     files = OsFiles(folder)
     if not files.lock():
--- a/hitchtiller/store/log.py
+++ b/hitchtiller/store/log.py
@@ -13,7 +13,7 @@
 from hitchtiller.store.files import Files
 from hitchtiller.store.jobs import LOG_LANE, Jobs
 from hitchtiller.store.purges import Purges
-from hitchtiller.store.recover import LOG, LOG_TEMP_NAME
+from hitchtiller.store.recover import LOG_NAME, LOG_TEMP_NAME
 from hitchtiller.store.suspect import SavedProof
 
 GROWTH_BYTES = 1 << 20
@@ -63,11 +63,11 @@
                 self.files.remove(LOG_TEMP_NAME)
                 self.files.write(LOG_TEMP_NAME, 0, data)
                 self.files.sync(LOG_TEMP_NAME)
-                self.files.rename(LOG_TEMP_NAME, LOG)
+                self.files.rename(LOG_TEMP_NAME, LOG_NAME)
                 self.files.sync_folder()
             else:
-                self.files.write(LOG, start, data)
-                self.files.sync(LOG)
+                self.files.write(LOG_NAME, start, data)
+                self.files.sync(LOG_NAME)
 
         def done(_: object, error: BaseException | None) -> None:
             self.writing = False
--- a/hitchtiller/store/recover.py
+++ b/hitchtiller/store/recover.py
@@ -16,8 +16,8 @@
 from hitchtiller.store.space import Segment
 from hitchtiller.store.suspect import SavedProof
 
-LOG, LOG_TEMP_NAME = "purges.log", "purges.new"
-SEGMENT, CHECKPOINT_PREFIX = "segment-", "checkpoint-"
+LOG_NAME, LOG_TEMP_NAME = "purges.log", "purges.new"
+SEGMENT_PREFIX, CHECKPOINT_PREFIX = "segment-", "checkpoint-"
 READ_AHEAD_BYTES = fmt.RECORD_HEAD.size + 2 * fmt.MAX_TEXT_BYTES
 SCAN_BYTES = 1 << 20
 
@@ -106,7 +106,7 @@
 def read_segments(files: Files, state: Recovered) -> dict[int, tuple[Segment, int]]:
     """Return the segments with a valid head, with the lengths of their files."""
     segments_found: dict[int, tuple[Segment, int]] = {}
-    for segment_id in file_numbers(files.names(), SEGMENT):
+    for segment_id in file_numbers(files.names(), SEGMENT_PREFIX):
         try:
             head = fmt.read_segment_head(files.read(segment_name(segment_id), 0, fmt.ALIGN))
             if head.id != segment_id:
@@ -126,7 +126,7 @@
 def read_purges(files: Files, state: Recovered) -> bool:
     """Read the purge log into the state; return False if there is no valid log."""
     try:
-        data = files.read(LOG, 0, files.size(LOG))
+        data = files.read(LOG_NAME, 0, files.size(LOG_NAME))
         _, entries, _ = fmt.read_log(data)
     except (FileNotFoundError, fmt.BadBytes) as error:
         if not isinstance(error, FileNotFoundError):
--- a/tests/store/test_store_disk.py
+++ b/tests/store/test_store_disk.py
@@ -217,7 +217,7 @@
     put(disk, 1)
     disk.sync()
     epoch = disk.proof.epoch
-    files.remove(recover.LOG)
+    files.remove(recover.LOG_NAME)
     reopened = open_disk(files, START + 10.0)
     assert reopened.proof.epoch == epoch + 1 and get(reopened, 1) is not None
 
