--- a/hitchtiller/cli/bench.py
+++ b/hitchtiller/cli/bench.py
@@ -108,7 +108,7 @@
     start_s = time.perf_counter() - started_s
     files.close()
     assert body_sizes and body_sizes[0]
-    return start_s, recovered.scanned, load_s
+    return start_s, recovered.records_read, load_s
 
 
 def _resident_bytes() -> int:
--- a/hitchtiller/cli/store.py
+++ b/hitchtiller/cli/store.py
@@ -58,7 +58,7 @@
         "bytes": sum(segment.size for segment in recovered.segments.values()),
         "dead_bytes": sum(segment.dead for segment in recovered.segments.values()),
         "checkpoint": recovered.checkpoint,
-        "records_read": recovered.scanned,
+        "records_read": recovered.records_read,
         "load_ms": round((time.monotonic() - started_s) * 1000.0, 1),
         "index_bytes": recovered.index.table_bytes,
         "era": saved_proof.epoch,
--- a/hitchtiller/store/recover.py
+++ b/hitchtiller/store/recover.py
@@ -47,7 +47,7 @@
     purges: Purges = field(default_factory=Purges)
     kept: SavedProof = field(default_factory=SavedProof)
     checkpoint: int = 0  # number of the checkpoint; 0: none was used
-    scanned: int = 0  # number of records that were read one by one
+    records_read: int = 0  # number of records that were read one by one
     next_id: int = 1  # above every segment number that a checkpoint or the folder has ever held
     headless_files: list[str] = field(default_factory=list)  # segment files without a valid head
     notes: list[str] = field(default_factory=list)
@@ -198,7 +198,7 @@
         segment.size = segment.written = max(start, size)
         segment.durable = covered[segment_id].end if segment_id in covered else 0
         for offset, length, part in records(files, segment, start, size, state.notes.append):
-            state.scanned += 1
+            state.records_read += 1
             state.index.put(hash_part(part.key, part.part), pack_place(segment_id, offset, length))
             segment.oldest_ms = min(segment.oldest_ms, float(part.since_ms))
             max_epoch = max(max_epoch, part.epoch)
--- a/tests/store/test_store_disk.py
+++ b/tests/store/test_store_disk.py
@@ -62,7 +62,7 @@
     disk.sync()
     for use in (True, False):
         found = recover.load(files, use)
-        assert len(found.index) == 70 and found.scanned == (10 if use else 70)
+        assert len(found.index) == 70 and found.records_read == (10 if use else 70)
         assert sum(s.live for s in found.segments.values()) == sum(
             s.live for s in disk.space.segments.values()
         )
