--- a/hitchtiller/cli/store.py
+++ b/hitchtiller/cli/store.py
@@ -101,7 +101,7 @@
                 try:
                     data = files.read(recover.segment_name(segment.id), offset, length)
                     fmt.read_record(data, segment.salt, offset)
-                except fmt.BadBytes as error:
+                except fmt.FormatError as error:
                     counts["bad"] += 1
                     notes.append(f"{recover.segment_name(segment.id)}: record at {offset}: {error}")
             bar.advance(task)
@@ -186,7 +186,7 @@
             try:
                 data = files.read(recover.segment_name(segment_id), offset, length)
                 part, body = fmt.read_record(data, recovered.segments[segment_id].salt, offset)
-            except fmt.BadBytes:
+            except fmt.FormatError:
                 bad_count += 1
                 continue
             if wanted is not None and part.key != wanted:
--- a/hitchtiller/store/compact.py
+++ b/hitchtiller/store/compact.py
@@ -71,7 +71,7 @@
                     data = files.read(segment_name(victim.id), offset, length)
                     part, body = fmt.read_record(data, victim.salt, offset)
                     records_found.append((offset, length, part, body))
-                except fmt.BadBytes:
+                except fmt.FormatError:
                     pass
                 offset += length
                 if offset - start >= CHUNK_BYTES:
--- a/hitchtiller/store/format.py
+++ b/hitchtiller/store/format.py
@@ -25,11 +25,11 @@
 LOG_KINDS = (PURGE_OBJECT, PURGE_GROUP, FOLLOWED, EPOCH, FLOOR)
 
 
-class BadBytes(ValueError):
+class FormatError(ValueError):
     """Bytes that are not of the expected kind, or not complete; the text names the failed check."""
 
 
-class UnsupportedVersionError(BadBytes):
+class UnsupportedVersionError(FormatError):
     """Valid bytes of a version that this program can't read."""
 
 
@@ -97,10 +97,10 @@
     Raises BadBytes if they are not a segment head, or of a version that this program can't read.
     """
     if len(data) < SEGMENT_HEAD.size:
-        raise BadBytes(f"segment head is only {len(data)} bytes long")
+        raise FormatError(f"segment head is only {len(data)} bytes long")
     magic, version, id, salt, created_ms, checksum = SEGMENT_HEAD.unpack_from(data)
     if magic != SEGMENT_MAGIC or checksum != crc(0, data[: SEGMENT_HEAD.size - 4]):
-        raise BadBytes("not a segment head")
+        raise FormatError("not a segment head")
     if version != VERSION:
         raise UnsupportedVersionError(f"segment has version {version}; this program reads version {VERSION}")
     return SegmentHead(id, salt, created_ms)
@@ -110,7 +110,7 @@
     """Return a part's record for one place in one segment, padded to ALIGN."""
     name, tag = part.class_name.encode(), part.tag.encode()
     if len(body) > MAX_BODY_BYTES or len(name) > MAX_TEXT_BYTES or len(tag) > MAX_TEXT_BYTES:
-        raise BadBytes("body, class or tag is too long for a record")
+        raise FormatError("body, class or tag is too long for a record")
     seed = place_seed(salt, offset)
     head = RECORD_HEAD.pack(
         RECORD_MAGIC, VERSION, PART, len(name), len(tag), len(body), part.epoch, part.key, part.part,
@@ -130,11 +130,11 @@
     Raises BadBytes if the head is not valid.
     """
     if len(data) < RECORD_HEAD.size:
-        raise BadBytes("record is truncated")
+        raise FormatError("record is truncated")
     fields = RECORD_HEAD.unpack_from(data)
     magic, version, kind, name_size, tag_size, body_size, epoch, key, part, group, since_ms = fields[:11]
     if magic != RECORD_MAGIC or version != VERSION or kind != PART:
-        raise BadBytes("not a record")
+        raise FormatError("not a record")
     start = RECORD_HEAD.size + name_size + tag_size
     if (
         body_size > MAX_BODY_BYTES
@@ -142,10 +142,10 @@
         or tag_size > MAX_TEXT_BYTES
         or len(data) < start
     ):
-        raise BadBytes("length in the record head is out of bounds")
+        raise FormatError("length in the record head is out of bounds")
     texts = bytes(data[RECORD_HEAD.size : start])
     if fields[13] != crc(place_seed(salt, offset), bytes(data[: RECORD_HEAD.size - 4]) + texts):
-        raise BadBytes("checksum of the record head does not match")
+        raise FormatError("checksum of the record head does not match")
     name, tag = texts[:name_size].decode(), texts[name_size:].decode()
     return Part(key, part, group, name, since_ms, tag, epoch), start, body_size
 
@@ -155,7 +155,7 @@
     part, start, size = read_record_head(data, salt, offset)
     body = bytes(data[start : start + size])
     if len(body) != size or RECORD_HEAD.unpack_from(data)[12] != crc(place_seed(salt, offset), body):
-        raise BadBytes("checksum of the body does not match")
+        raise FormatError("checksum of the body does not match")
     return part, body
 
 
@@ -180,10 +180,10 @@
     Nothing behind a torn entry is used, because it was not durable when the process ended.
     """
     if len(data) < LOG_HEAD_BYTES or data[:4] != LOG_MAGIC or data[4] != VERSION:
-        raise BadBytes("not a purge log, or of another version")
+        raise FormatError("not a purge log, or of another version")
     (salt,) = struct.unpack_from("<Q", data, 8)
     if data[:LOG_HEAD_BYTES] != write_log_head(salt):
-        raise BadBytes("checksum of the purge log's head does not match")
+        raise FormatError("checksum of the purge log's head does not match")
     entries: list[LogEntry] = []
     offset = LOG_HEAD_BYTES
     while offset + LOG_ENTRY.size <= len(data):
@@ -227,13 +227,13 @@
     Raises BadBytes unless all of it is valid.
     """
     if len(data) < CHECKPOINT_HEAD.size + 4:
-        raise BadBytes("checkpoint is truncated")
+        raise FormatError("checkpoint is truncated")
     magic, version, number, count, size = CHECKPOINT_HEAD.unpack_from(data)
     start = CHECKPOINT_HEAD.size + count * COVERED_SEGMENT.size
     if magic != CHECKPOINT_MAGIC or version != VERSION or len(data) != start + size + 4:
-        raise BadBytes("not a checkpoint, or of another version or length")
+        raise FormatError("not a checkpoint, or of another version or length")
     if struct.unpack_from("<I", data, start + size)[0] != crc(0, memoryview(data)[: start + size]):
-        raise BadBytes("checksum of the checkpoint does not match")
+        raise FormatError("checksum of the checkpoint does not match")
     segments = [
         CoveredSegment(*COVERED_SEGMENT.unpack_from(data, CHECKPOINT_HEAD.size + i * COVERED_SEGMENT.size))
         for i in range(count)
--- a/hitchtiller/store/recover.py
+++ b/hitchtiller/store/recover.py
@@ -65,7 +65,7 @@
         data = files.read(name, offset, READ_AHEAD_BYTES)
         try:
             part, body_start, body_size = fmt.read_record_head(data, segment.salt, offset)
-        except (fmt.BadBytes, UnicodeDecodeError):
+        except (fmt.FormatError, UnicodeDecodeError):
             next_offset = _find_next_record(files, segment, offset + fmt.ALIGN, end)
             if next_offset is None:
                 return
@@ -94,7 +94,7 @@
                     fmt.read_record_head(
                         chunk[position : position + READ_AHEAD_BYTES], segment.salt, offset + position
                     )
-                except (fmt.BadBytes, UnicodeDecodeError):
+                except (fmt.FormatError, UnicodeDecodeError):
                     pass
                 else:
                     return offset + position
@@ -110,12 +110,12 @@
         try:
             head = fmt.read_segment_head(files.read(segment_name(segment_id), 0, fmt.ALIGN))
             if head.id != segment_id:
-                raise fmt.BadBytes(f"the head names segment {head.id}")
+                raise fmt.FormatError(f"the head names segment {head.id}")
             segments_found[segment_id] = (
                 Segment(segment_id, head.salt, sealed=True),
                 files.size(segment_name(segment_id)),
             )
-        except fmt.BadBytes as error:
+        except fmt.FormatError as error:
             state.notes.append(f"{segment_name(segment_id)}: {error}")
             if not isinstance(error, fmt.UnsupportedVersionError):
                 state.headless_files.append(segment_name(segment_id))
@@ -128,7 +128,7 @@
     try:
         data = files.read(LOG_NAME, 0, files.size(LOG_NAME))
         _, entries, _ = fmt.read_log(data)
-    except (FileNotFoundError, fmt.BadBytes) as error:
+    except (FileNotFoundError, fmt.FormatError) as error:
         if not isinstance(error, FileNotFoundError):
             state.notes.append(f"{LOG}: {error}")
         return False
@@ -155,7 +155,7 @@
         try:
             data = files.read(name, 0, files.size(name))
             _, covered, slots = fmt.read_checkpoint(data)
-        except (fmt.BadBytes, FileNotFoundError) as error:
+        except (fmt.FormatError, FileNotFoundError) as error:
             state.notes.append(f"{name}: {error}")
             continue
         state.checkpoint = number
--- a/tests/store/test_store_format.py
+++ b/tests/store/test_store_format.py
@@ -33,7 +33,7 @@
     at, flip = data.draw(st.integers(0, used - 1)), data.draw(st.integers(1, 255))
     torn = bytearray(raw)
     torn[at] ^= flip
-    with pytest.raises((fmt.BadBytes, UnicodeDecodeError)):
+    with pytest.raises((fmt.FormatError, UnicodeDecodeError)):
         fmt.read_record(bytes(torn), 77, 64)
 
 
@@ -41,7 +41,7 @@
     """A record inside a body, or one left by an earlier use of a file, must not be accepted."""
     raw = fmt.write_record(part(), b"x", 77, 64)
     for salt, offset in ((78, 64), (77, 128)):
-        with pytest.raises(fmt.BadBytes):
+        with pytest.raises(fmt.FormatError):
             fmt.read_record(raw, salt, offset)
 
 
@@ -54,7 +54,7 @@
     torn = bytearray(data)
     torn[fmt.LOG_HEAD_BYTES + 2 * fmt.LOG_ENTRY.size + 5] ^= 1
     assert fmt.read_log(bytes(torn))[1] == entries[:2]
-    with pytest.raises(fmt.BadBytes):
+    with pytest.raises(fmt.FormatError):
         fmt.read_log(b"\0" + data[1:])
 
 
@@ -66,9 +66,9 @@
     assert (number, read, bytes(slots)) == (7, segments, b"a" * 64 + b"b" * 128)
     torn = bytearray(data)
     torn[at % len(torn)] ^= flip
-    with pytest.raises(fmt.BadBytes):
+    with pytest.raises(fmt.FormatError):
         fmt.read_checkpoint(bytes(torn))
-    with pytest.raises(fmt.BadBytes):
+    with pytest.raises(fmt.FormatError):
         fmt.read_checkpoint(data[: at % len(data)])
 
 
