--- a/hitchtiller/cli/store.py
+++ b/hitchtiller/cli/store.py
@@ -159,7 +159,7 @@
     }
     files.close()
     show.print_json(result) if as_json else show.print_pairs(str(folder), result)
-    return 0 if health.writes else 1
+    return 0 if health.can_write else 1
 
 
 def export(folder: Path, target: Path, name: str | None, as_json: bool) -> int:
--- a/hitchtiller/store/compact.py
+++ b/hitchtiller/store/compact.py
@@ -34,7 +34,7 @@
     def step(self, now_ms: float, busy: bool) -> bool:
         """Do one step; return False if there is nothing to do now."""
         disk = self.disk
-        if not disk.health.writes or disk.closed:
+        if not disk.health.can_write or disk.closed:
             return False
         if self.reading or self.copies_in_progress:
             return True
--- a/hitchtiller/store/disk.py
+++ b/hitchtiller/store/disk.py
@@ -115,7 +115,7 @@
         era_known = part.epoch <= self.log.kept.epoch
         if (
             self.closed
-            or not (self.health.writes and era_known)
+            or not (self.health.can_write and era_known)
             or self.unwritten_bytes + size > self.options.queue_bytes
         ):
             self.counts.dropped += 1
@@ -216,7 +216,7 @@
     def sync(self, segment: Segment | None = None) -> None:
         """Make a segment's bytes durable with an fsync; the active segment by default."""
         segment = segment or self.active
-        if segment is None or not self.health.writes or segment.durable >= segment.size:
+        if segment is None or not self.health.can_write or segment.durable >= segment.size:
             return
         synced_size = segment.size
 
@@ -306,7 +306,7 @@
 
     def begin_checkpoint(self) -> bool:
         """Start a checkpoint; return False while the index grows or another checkpoint is in progress."""
-        if self.checkpoint_slices is not None or not self.health.writes or not self.index.freeze():
+        if self.checkpoint_slices is not None or not self.health.can_write or not self.index.freeze():
             return False
         self.checkpoint_slices = []
         self.covered_segments = [
@@ -368,7 +368,7 @@
         self, key: int | None, group: int, at_ms: float, durable: Callable[[], None] | None = None
     ) -> None:
         """Record a purge: it applies at once; `durable` is called once it is durable in the log."""
-        if self.purges.add(key, group, at_ms) and self.health.writes:
+        if self.purges.add(key, group, at_ms) and self.health.can_write:
             kind = fmt.PURGE_GROUP if key is None else fmt.PURGE_OBJECT
             self.log.add(fmt.LogEntry(kind, self.proof.epoch, int(at_ms), group, key or 0), durable)
         elif durable:
@@ -376,12 +376,12 @@
 
     def mark_followed(self) -> None:
         """Append the watermark to the log, behind all purges that were recorded before it."""
-        if self.health.writes and self.proof.begun:
+        if self.health.can_write and self.proof.begun:
             self.log.add(fmt.LogEntry(fmt.FOLLOWED, self.proof.epoch, int(self.proof.followed_ms)))
 
     def mark_epoch(self, durable: Callable[[], None] | None = None) -> None:
         """Append the current epoch to the log."""
-        if self.health.writes:
+        if self.health.can_write:
             self.log.add(fmt.LogEntry(fmt.EPOCH, self.proof.epoch, int(self.proof.gap_end_ms)), durable)
 
     def remove(self, segment: Segment) -> None:
--- a/hitchtiller/store/health.py
+++ b/hitchtiller/store/health.py
@@ -55,7 +55,7 @@
         return self._degrade(OFF, reason)
 
     @property
-    def writes(self) -> bool:
+    def can_write(self) -> bool:
         """Return whether the folder may be written."""
         return self.state == HEALTHY
 
--- a/hitchtiller/store/keeper.py
+++ b/hitchtiller/store/keeper.py
@@ -136,7 +136,7 @@
         """Wait for queued records, write a checkpoint, and release the folder."""
         self.tier.detach()
         self._run_job(lambda: None, WRITE_LANE)  # queued records belong in the checkpoint
-        if disk.health.writes:
+        if disk.health.can_write:
             disk.mark_followed()
             disk.save()
         disk.close("left")
@@ -154,7 +154,7 @@
     def finish(self) -> None:
         """Write what is queued and end the threads, within 1.5 s; called at the end of the process."""
         disk = self.disk
-        if disk and not disk.closed and disk.health.writes:
+        if disk and not disk.closed and disk.health.can_write:
             self.jobs.wait_until_idle(0.5)  # queued records belong in the checkpoint
             disk.mark_followed()
             disk.save()
--- a/hitchtiller/store/tier.py
+++ b/hitchtiller/store/tier.py
@@ -328,7 +328,7 @@
     def _write_to_disk(self, part: Part, body: bytes, part_hash: int) -> None:
         """Write a copy to disk if it is not there and the part was requested before."""
         disk = self.disk
-        if disk is None or not disk.health.writes or part_hash in disk or part_hash in disk.pending:
+        if disk is None or not disk.health.can_write or part_hash in disk or part_hash in disk.pending:
             return
         if self.sketch.count(part_hash) > DISK_MIN_EARLIER_REQUESTS:
             disk.put(part, body)
--- a/tests/store/test_store_decide.py
+++ b/tests/store/test_store_decide.py
@@ -160,7 +160,7 @@
 
 def test_health_degrades_and_never_recovers() -> None:
     health = Health()
-    assert health.writes and health.on_write_error(OSError(errno.ENOSPC, "full"))
+    assert health.can_write and health.on_write_error(OSError(errno.ENOSPC, "full"))
     assert (
         health.state == READ_ONLY
         and health.can_read(1)
--- a/tests/store/test_store_disk.py
+++ b/tests/store/test_store_disk.py
@@ -107,7 +107,7 @@
     del files.faults["sync"]
     disk.proof.follow(START + 60_000.0)
     disk.mark_followed()
-    assert not called and not disk.health.writes
+    assert not called and not disk.health.can_write
     reopened = open_disk(files, START + 61_000.0)
     assert reopened.proof.epoch == disk.proof.epoch + 1 and not reopened.proof.proven(
         1, START, START + 61_000.0
