--- a/hitchtiller/repo/service.py
+++ b/hitchtiller/repo/service.py
@@ -250,7 +250,7 @@
             return make_refusal(404, "not-found", "there is no such index")
         key, now = object_key(repo.name, path), now_ms()
         generation = history.serve(client, now)
-        purged_ms = self.purges.last(key, repo.group)
+        purged_ms = self.purges.last_purge_ms(key, repo.group)
         if generation is None or (generation.since_ms <= purged_ms and now - purged_ms > PURGE_GRACE_MS):
             return make_refusal(503, "release-not-whole", "a release is being published; come back", 1.0)
         if generation.digest != history.newest_digest and now - purged_ms <= PURGE_GRACE_MS:
--- a/hitchtiller/store/purges.py
+++ b/hitchtiller/store/purges.py
@@ -44,13 +44,13 @@
             ]:
                 del table[key_or_group]
 
-    def last(self, key: int, group: int) -> float:
+    def last_purge_ms(self, key: int, group: int) -> float:
         """Return the time of the last purge; a copy of exactly that time is older than the purge."""
         return max(self.floor, self.objects.get(key, -math.inf), self.groups.get(group, -math.inf))
 
     def allows(self, key: int, group: int, since_ms: float) -> bool:
         """Return whether a copy that the origin sent at `since_ms` may be served."""
-        return since_ms > self.last(key, group)
+        return since_ms > self.last_purge_ms(key, group)
 
     def forget(self, oldest_ms: float) -> int:
         """Forget the purges that are older than every stored copy; return their number."""
--- a/hitchtiller/store/tier.py
+++ b/hitchtiller/store/tier.py
@@ -85,7 +85,10 @@
         else:
             self.memory.record_miss(request.class_name, part_hash)
         if self.joins.join(
-            exchange.number, part_hash, request.client_tag, self.purges.last(request.key, request.group)
+            exchange.number,
+            part_hash,
+            request.client_tag,
+            self.purges.last_purge_ms(request.key, request.group),
         ):
             wait_ms = self.rules.max_join_wait_ms(request, now_ms)
             self.engine.clock.later(wait_ms, partial(self._on_join_timeout, exchange))
