--- a/hitchtiller/cli/serve.py
+++ b/hitchtiller/cli/serve.py
@@ -67,7 +67,7 @@
 def make_repository_extension(settings: Repo) -> Callable[[Gateway], None]:
     """Return a function that adds the HTTP front for package repositories to a gateway."""
     from hitchtiller.repo.admission import BackgroundLimit, ConnectionLimits
-    from hitchtiller.repo.budget import Budget
+    from hitchtiller.repo.budget import RepeatBudget
     from hitchtiller.repo.fetch import Fetcher
     from hitchtiller.repo.front import RepoFront, Times
     from hitchtiller.repo.kinds import make
@@ -76,7 +76,7 @@
     def extend(gateway: Gateway) -> None:
         sched, engine = gateway.sched, gateway.engine
         give_way = BackgroundLimit(on=settings.give_way)
-        fetcher = Fetcher(sched, engine, give_way, Budget(), gateway.config.seed)
+        fetcher = Fetcher(sched, engine, give_way, RepeatBudget(), gateway.config.seed)
         repositories = [
             Repository(
                 name, make(r.kind), r.prefix, r.class_name, r.group, r.grace_s * 1e3, int(r.index_mb * MB)
@@ -130,8 +130,8 @@
     }
     stats.counts |= {
         "repo.parts": lambda: fetcher.asked,
-        "repo.repeats": lambda: budget.spent,
-        "repo.repeats_denied": lambda: budget.denied,
+        "repo.repeats": lambda: budget.repeats_spent,
+        "repo.repeats_denied": lambda: budget.repeats_denied,
         "repo.gave_way": lambda: background_limit.refused,
         "repo.turned_away": lambda: sum(front.rejected_connections.values()),
         "repo.answers": lambda: sum(service.counts.values()),
--- a/hitchtiller/repo/budget.py
+++ b/hitchtiller/repo/budget.py
@@ -29,14 +29,14 @@
 
 
 @dataclass(slots=True)
-class Budget:
+class RepeatBudget:
     """Repeat budget of all repositories of a gateway; times in ms."""
 
     tokens: float = MAX_SAVED_REPEATS
     clients: dict[str, tuple[float, float]] = field(default_factory=dict)  # tokens, time of the last update
     typical_wait_ms: float = 0.0
-    spent: int = 0
-    denied: int = 0
+    repeats_spent: int = 0
+    repeats_denied: int = 0
     hedge_count: int = 0
 
     def record_request(self, file_budget: FileRepeatBudget) -> None:
@@ -57,11 +57,11 @@
             MAX_CLIENT_REPEATS, remaining + CLIENT_REPEATS_PER_S * max(0.0, now_ms - updated_ms) / 1000.0
         )
         if remaining < 1.0 or self.tokens < 1.0 or not file_budget.can_repeat():
-            self.denied += 1
+            self.repeats_denied += 1
             return False
         self.tokens -= 1.0
         file_budget.repeats += 1
-        self.spent += 1
+        self.repeats_spent += 1
         self.clients[client] = (remaining - 1.0, now_ms)
         if len(self.clients) > 1000:
             self._drop_full_buckets(now_ms)
--- a/hitchtiller/repo/fetch.py
+++ b/hitchtiller/repo/fetch.py
@@ -19,7 +19,7 @@
 from hitchtiller.exchange import REFUSED, SERVED, Answer, ClientRequest, Exchange
 from hitchtiller.repo.admission import BackgroundLimit
 from hitchtiller.repo.body import Part
-from hitchtiller.repo.budget import HEDGE_DELAY_FACTOR, HEDGE_LAST_PARTS, Budget, FileRepeatBudget
+from hitchtiller.repo.budget import HEDGE_DELAY_FACTOR, HEDGE_LAST_PARTS, FileRepeatBudget, RepeatBudget
 from hitchtiller.repo.window import Window
 from hitchtiller.sched import Scheduler, now_ms
 
@@ -61,7 +61,7 @@
     """Requests parts from the engine."""
 
     def __init__(
-        self, sched: Scheduler, engine: Engine, give_way: BackgroundLimit, budget: Budget, seed: int
+        self, sched: Scheduler, engine: Engine, give_way: BackgroundLimit, budget: RepeatBudget, seed: int
     ) -> None:
         """Share the limit on background parts and the repeat budget among all bodies."""
         self.sched, self.engine, self.give_way, self.budget = sched, engine, give_way, budget
--- a/tests/repo/test_repo_decide.py
+++ b/tests/repo/test_repo_decide.py
@@ -11,7 +11,7 @@
 from hitchtiller.repo.admission import MAX_PARTS as MAX_BACKGROUND_PARTS
 from hitchtiller.repo.admission import MIN_PARTS, BackgroundLimit, ConnectionLimits
 from hitchtiller.repo.body import TAIL_BYTES, Assembly, BrokenBodyError, Part, TagChangedError, VerifiedBodies
-from hitchtiller.repo.budget import Budget, FileRepeatBudget
+from hitchtiller.repo.budget import FileRepeatBudget, RepeatBudget
 from hitchtiller.repo.generations import MAX_GENERATIONS, IndexHistory, NamedFile, State
 from hitchtiller.repo.paths import BadTarget, object_key, read_target
 from hitchtiller.repo.window import MAX_PARTS, MAX_UNSENT_BYTES, Window
@@ -287,7 +287,7 @@
 
 
 def test_repeats_in_a_storm_of_failures_stay_within_the_budget() -> None:
-    budget = Budget()
+    budget = RepeatBudget()
     asked = repeats = 0
     for number in range(2000):
         file_budget = FileRepeatBudget()
@@ -296,22 +296,22 @@
             asked += 1
             while budget.try_repeat(file_budget, f"c{number % 50}", float(number)):
                 repeats += 1
-    assert repeats == budget.spent <= 50 + 0.1 * asked + 1 and budget.denied
+    assert repeats == budget.repeats_spent <= 50 + 0.1 * asked + 1 and budget.repeats_denied
 
 
 def test_one_client_cannot_spend_the_repeats_of_others() -> None:
-    budget = Budget()
+    budget = RepeatBudget()
     spent = sum(budget.try_repeat(FileRepeatBudget(), "greedy", 0.0) for _ in range(100))
     assert spent == 20 and budget.try_repeat(FileRepeatBudget(), "other", 0.0)
     assert budget.try_repeat(FileRepeatBudget(), "greedy", 1000.0)
-    many = Budget(tokens=1e9)
+    many = RepeatBudget(tokens=1e9)
     for number in range(3000):
         many.try_repeat(FileRepeatBudget(), f"c{number}", float(number * 100))
     assert len(many.clients) <= 1001
 
 
 def test_only_a_files_last_parts_are_hedged() -> None:
-    budget, file_budget = Budget(), FileRepeatBudget(10)
+    budget, file_budget = RepeatBudget(), FileRepeatBudget(10)
     assert not budget.try_hedge(9, 10, 500.0, file_budget, "c", 0.0), "no wait has been recorded yet"
     budget.record_wait(100.0)
     assert not budget.try_hedge(7, 10, 500.0, file_budget, "c", 0.0) and not budget.try_hedge(
