--- a/hitchtiller/cli/serve.py
+++ b/hitchtiller/cli/serve.py
@@ -75,7 +75,7 @@
 
     def extend(gateway: Gateway) -> None:
         sched, engine = gateway.sched, gateway.engine
-        give_way = BackgroundLimit(on=settings.give_way)
+        give_way = BackgroundLimit(is_enabled=settings.give_way)
         fetcher = Fetcher(sched, engine, give_way, RepeatBudget(), gateway.config.seed)
         repositories = [
             Repository(
@@ -124,15 +124,15 @@
     """Add the figures of the repository front to the statistics of the gateway."""
     background_limit, budget, service = fetcher.give_way, fetcher.budget, front.service
     stats.levels |= {
-        "repo.connections": lambda: front.connection_limits.all,
-        "repo.parts_open": lambda: background_limit.open,
+        "repo.connections": lambda: front.connection_limits.open_connections,
+        "repo.parts_open": lambda: background_limit.parts_in_flight,
         "repo.parts_limit": lambda: int(background_limit.limit),
     }
     stats.counts |= {
         "repo.parts": lambda: fetcher.asked,
         "repo.repeats": lambda: budget.repeats_spent,
         "repo.repeats_denied": lambda: budget.repeats_denied,
-        "repo.gave_way": lambda: background_limit.refused,
+        "repo.gave_way": lambda: background_limit.refusal_count,
         "repo.turned_away": lambda: sum(front.rejected_connections.values()),
         "repo.answers": lambda: sum(service.counts.values()),
         "repo.held_back": lambda: sum(
--- a/hitchtiller/repo/admission.py
+++ b/hitchtiller/repo/admission.py
@@ -21,9 +21,9 @@
     """Limit on the background parts that a gateway has in flight."""
 
     limit: float = 16.0
-    open: int = 0
-    on: bool = True
-    refused: int = 0
+    parts_in_flight: int = 0
+    is_enabled: bool = True
+    refusal_count: int = 0
     in_time_share: float = 1.0
     sample_weight: float = 0.0
     sampled_ms: float = -math.inf
@@ -53,8 +53,8 @@
 
     def admits(self) -> bool:
         """Return whether one more part may be requested now; count a refusal."""
-        if self.on and self.open >= int(self.limit):
-            self.refused += 1
+        if self.is_enabled and self.parts_in_flight >= int(self.limit):
+            self.refusal_count += 1
             return False
         return True
 
@@ -65,22 +65,22 @@
 
     max_connections: int
     max_per_address: int
-    all: int = 0
+    open_connections: int = 0
     by_address: dict[str, int] = field(default_factory=dict)
 
     def enter(self, address: str) -> str:
         """Count a new connection and return "", or return the reason code for which it is rejected."""
-        if self.all >= self.max_connections:
+        if self.open_connections >= self.max_connections:
             return "full"
         if self.by_address.get(address, 0) >= self.max_per_address:
             return "too-many-of-one-address"
-        self.all += 1
+        self.open_connections += 1
         self.by_address[address] = self.by_address.get(address, 0) + 1
         return ""
 
     def leave(self, address: str) -> None:
         """Remove a closed connection from the counts."""
-        self.all -= 1
+        self.open_connections -= 1
         self.by_address[address] -= 1
         if not self.by_address[address]:
             del self.by_address[address]
--- a/hitchtiller/repo/fetch.py
+++ b/hitchtiller/repo/fetch.py
@@ -84,7 +84,9 @@
         self._wake_next()
 
     def _wake_next(self) -> None:
-        while self.waiters and (not self.give_way.on or self.give_way.open < int(self.give_way.limit)):
+        while self.waiters and (
+            not self.give_way.is_enabled or self.give_way.parts_in_flight < int(self.give_way.limit)
+        ):
             self.sched.wake(self.waiters.popleft(), True)
             return
 
@@ -99,7 +101,7 @@
             timer.cancel()
             if not was_admitted:
                 raise FetchRefusedError(self.engine.router.settings.max_retry_after_ms)
-        self.give_way.open += 1
+        self.give_way.parts_in_flight += 1
 
     def _on_slot_timeout(self, waiter: greenlet) -> None:
         if waiter in self.waiters:
@@ -119,7 +121,7 @@
         try:
             answer = self._request_part(file_request, number, deadline_ms)
         finally:
-            self.give_way.open -= 1
+            self.give_way.parts_in_flight -= 1
             self._wake_next()
         if answer.kind == SERVED:
             self.parts_received += 1
--- a/tests/repo/test_repo_decide.py
+++ b/tests/repo/test_repo_decide.py
@@ -329,8 +329,8 @@
         background_limit.record_foreground(in_time=False, now_ms=now)
         background_limit.adjust(0.0, now)
     assert background_limit.limit == MIN_PARTS
-    background_limit.open = MIN_PARTS
-    assert not background_limit.admits() and background_limit.refused == 1
+    background_limit.parts_in_flight = MIN_PARTS
+    assert not background_limit.admits() and background_limit.refusal_count == 1
     for _ in range(3000):
         now += 10.0
         background_limit.record_foreground(in_time=True, now_ms=now)
@@ -340,7 +340,7 @@
         now += 200.0
         background_limit.adjust(100.0, now)
     assert background_limit.limit == MIN_PARTS, "the lag of the event loop lowers the limit, too"
-    assert BackgroundLimit(on=False, open=10**6).admits()
+    assert BackgroundLimit(is_enabled=False, parts_in_flight=10**6).admits()
 
 
 def test_connections_are_bounded_in_total_and_by_address() -> None:
