--- a/hitchtiller/cli/serve.py
+++ b/hitchtiller/cli/serve.py
@@ -96,7 +96,7 @@
             """Adapt the limit on background fetches to the load every 200 ms; never returns."""
             while True:
                 sched.sleep(200.0)
-                fetcher.look()
+                fetcher.adjust_limit()
 
         sched.spawn(adjust_limit)
 
@@ -122,14 +122,14 @@
 
 def publish_repository_figures(stats: Stats, front: "RepoFront", fetcher: "Fetcher") -> None:
     """Add the figures of the repository front to the statistics of the gateway."""
-    background_limit, budget, service = fetcher.give_way, fetcher.budget, front.service
+    background_limit, budget, service = fetcher.background_limit, fetcher.budget, front.service
     stats.levels |= {
         "repo.connections": lambda: front.connection_limits.open_connections,
         "repo.parts_open": lambda: background_limit.parts_in_flight,
         "repo.parts_limit": lambda: int(background_limit.limit),
     }
     stats.counts |= {
-        "repo.parts": lambda: fetcher.asked,
+        "repo.parts": lambda: fetcher.parts_requested,
         "repo.repeats": lambda: budget.repeats_spent,
         "repo.repeats_denied": lambda: budget.repeats_denied,
         "repo.gave_way": lambda: background_limit.refusal_count,
--- a/hitchtiller/repo/fetch.py
+++ b/hitchtiller/repo/fetch.py
@@ -64,10 +64,10 @@
         self, sched: Scheduler, engine: Engine, give_way: BackgroundLimit, budget: RepeatBudget, seed: int
     ) -> None:
         """Share the limit on background parts and the repeat budget among all bodies."""
-        self.sched, self.engine, self.give_way, self.budget = sched, engine, give_way, budget
+        self.sched, self.engine, self.background_limit, self.budget = sched, engine, give_way, budget
         self.rng = random.Random(seed)
         self.waiters: deque[greenlet] = deque()  # greenlets waiting for a slot under the background limit
-        self.asked = self.parts_received = 0
+        self.parts_requested = self.parts_received = 0
         engine.on_final_answer = self._on_final_answer
 
     def _on_final_answer(self, exchange: Exchange, answer: Answer) -> None:
@@ -76,23 +76,24 @@
             return
         now, class_settings = now_ms(), self.engine.router.settings.classes[exchange.request.class_name]
         in_time = answer.kind == SERVED and now - exchange.accepted_ms <= class_settings.aim_ms
-        self.give_way.record_foreground(in_time, now)
+        self.background_limit.record_foreground(in_time, now)
 
-    def look(self) -> None:
+    def adjust_limit(self) -> None:
         """Adjust the background limit to the foreground traffic; called a few times a second."""
-        self.give_way.adjust(self.sched.lag_ms, now_ms())
+        self.background_limit.adjust(self.sched.lag_ms, now_ms())
         self._wake_next()
 
     def _wake_next(self) -> None:
         while self.waiters and (
-            not self.give_way.is_enabled or self.give_way.parts_in_flight < int(self.give_way.limit)
+            not self.background_limit.is_enabled
+            or self.background_limit.parts_in_flight < int(self.background_limit.limit)
         ):
             self.sched.wake(self.waiters.popleft(), True)
             return
 
     def _acquire_slot(self, deadline_ms: float) -> None:
         own_greenlet = getcurrent()
-        while not self.give_way.admits():
+        while not self.background_limit.admits():
             self.waiters.append(own_greenlet)
             timer = self.sched.later(
                 max(1.0, deadline_ms - now_ms()), lambda: self._on_slot_timeout(own_greenlet)
@@ -101,7 +102,7 @@
             timer.cancel()
             if not was_admitted:
                 raise FetchRefusedError(self.engine.router.settings.max_retry_after_ms)
-        self.give_way.parts_in_flight += 1
+        self.background_limit.parts_in_flight += 1
 
     def _on_slot_timeout(self, waiter: greenlet) -> None:
         if waiter in self.waiters:
@@ -117,11 +118,11 @@
         started_ms = now_ms()
         deadline_ms = started_ms + class_settings.deadline_ms
         self._acquire_slot(deadline_ms)
-        self.asked += 1
+        self.parts_requested += 1
         try:
             answer = self._request_part(file_request, number, deadline_ms)
         finally:
-            self.give_way.parts_in_flight -= 1
+            self.background_limit.parts_in_flight -= 1
             self._wake_next()
         if answer.kind == SERVED:
             self.parts_received += 1
