--- a/hitchtiller/cli/serve.py
+++ b/hitchtiller/cli/serve.py
@@ -134,9 +134,9 @@
         "repo.repeats_denied": lambda: budget.repeats_denied,
         "repo.gave_way": lambda: background_limit.refusal_count,
         "repo.turned_away": lambda: sum(front.rejected_connections.values()),
-        "repo.answers": lambda: sum(service.counts.values()),
+        "repo.answers": lambda: sum(service.reply_counts.values()),
         "repo.held_back": lambda: sum(
-            line.updates_withheld for repo in service.repositories for line in repo.lines.values()
+            line.updates_withheld for repo in service.repositories for line in repo.index_histories.values()
         ),
     }
 
--- a/hitchtiller/repo/service.py
+++ b/hitchtiller/repo/service.py
@@ -69,20 +69,20 @@
     group: int
     grace_ms: float
     index_bytes: int
-    lines: dict[str, IndexHistory] = field(default_factory=dict)
+    index_histories: dict[str, IndexHistory] = field(default_factory=dict)
     # From the path of a file to the paths of the indexes that name it.
     indexes_by_path: dict[str, set[str]] = field(default_factory=dict)
 
     def get_history(self, path: str) -> IndexHistory:
         """Return the history of an index, creating it if there is none."""
-        if path not in self.lines:
-            if len(self.lines) >= MAX_INDEXES:  # read again when it is next requested
-                oldest = next(iter(self.lines))
-                del self.lines[oldest]
+        if path not in self.index_histories:
+            if len(self.index_histories) >= MAX_INDEXES:  # read again when it is next requested
+                oldest = next(iter(self.index_histories))
+                del self.index_histories[oldest]
                 for names in self.indexes_by_path.values():
                     names.discard(oldest)
-            self.lines[path] = IndexHistory(self.grace_ms)
-        return self.lines[path]
+            self.index_histories[path] = IndexHistory(self.grace_ms)
+        return self.index_histories[path]
 
 
 class Service:
@@ -95,7 +95,7 @@
         self.engine, self.fetcher, self.hosts = engine, fetcher, hosts
         self.repositories = sorted(repositories, key=lambda repository: -len(repository.prefix))
         self.verified_bodies = VerifiedBodies()
-        self.counts: dict[str, int] = {}
+        self.reply_counts: dict[str, int] = {}
         # The decision module forgets a purge once the caches have dropped their copies. Indexes are held here
         # for longer, so the purges are recorded separately.
         self.purges = Purges()
@@ -123,8 +123,8 @@
             reply = make_refusal(502, "bad-index", str(error))
         except BrokenBodyError as error:
             reply = make_refusal(503, str(error), "two releases at once; come back", 1.0)
-        self.counts[reply.reason or str(reply.status)] = (
-            self.counts.get(reply.reason or str(reply.status), 0) + 1
+        self.reply_counts[reply.reason or str(reply.status)] = (
+            self.reply_counts.get(reply.reason or str(reply.status), 0) + 1
         )
         return reply
 
@@ -284,7 +284,7 @@
                     history.serve(client, now_ms())
         named_files: list[NamedFile] = []
         for index in sorted(repo.indexes_by_path.get(path, ())):
-            version = repo.lines[index].permitted_file(client, path, now_ms())
+            version = repo.index_histories[index].permitted_file(client, path, now_ms())
             if version and version not in named_files:
                 named_files.append(version)
         return named_files
@@ -301,7 +301,7 @@
         permitted_files = self._permitted_files(repo, path, client)
         if not permitted_files:
             indexes = repo.indexes_by_path.get(path, set())
-            if any(repo.lines[index].is_outdated(client, now_ms()) for index in indexes):
+            if any(repo.index_histories[index].is_outdated(client, now_ms()) for index in indexes):
                 return make_refusal(
                     404, "index-outdated", "your index is of an older release; ask for it again"
                 )
