--- a/hitchtiller/cli/members.py
+++ b/hitchtiller/cli/members.py
@@ -66,7 +66,7 @@
     return read_answer(address, data.decode("utf-8", "replace"))
 
 
-def disagree(views: list[GatewayView]) -> set[int]:
+def find_disagreements(views: list[GatewayView]) -> set[int]:
     """Return the members whose state differs between the gateways that answered."""
     answered = [view for view in views if not view.problem]
     numbers = {number for view in answered for number in view.states}
@@ -75,7 +75,7 @@
 
 def build_table(views: list[GatewayView]) -> Table:
     """Return a table with a row for each member and a column for each gateway asked."""
-    differing = disagree(views)
+    differing = find_disagreements(views)
     table = Table(title=f"members, {len(differing)} of which views differ", title_justify="left")
     table.add_column("member", justify="right")
     for view in views:
@@ -92,11 +92,11 @@
     return table
 
 
-def code(views: list[GatewayView]) -> int:
+def exit_code(views: list[GatewayView]) -> int:
     """Return the exit code for these views."""
     if all(view.problem for view in views):
         return 2
-    return 1 if disagree(views) or any(view.problem for view in views) else 0
+    return 1 if find_disagreements(views) or any(view.problem for view in views) else 0
 
 
 def members(addresses: tuple[str, ...], watch: bool, every_s: float, as_json: bool) -> int:
@@ -109,14 +109,14 @@
             return 2
     views = [query_gateway(address) for address in addresses]
     if as_json:
-        print_json({"differ": sorted(disagree(views)), "views": [
+        print_json({"differ": sorted(find_disagreements(views)), "views": [
             {"address": s.address, "problem": s.problem, "standing": s.standing,
              "members": {str(n): state for n, state in s.states.items()}} for s in views
         ]})  # fmt: skip
-        return code(views)
+        return exit_code(views)
     if not watch:
         Console(width=None if Console().is_terminal else 160).print(build_table(views))
-        return code(views)
+        return exit_code(views)
     try:
         with Live(build_table(views), auto_refresh=False) as live:
             while True:
@@ -124,4 +124,4 @@
                 views = [query_gateway(address) for address in addresses]
                 live.update(build_table(views), refresh=True)
     except KeyboardInterrupt:
-        return code(views)
+        return exit_code(views)
--- a/tests/fleet/test_fleet_tools.py
+++ b/tests/fleet/test_fleet_tools.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from hitchtiller.cli.main import main
-from hitchtiller.cli.members import code, disagree, read_answer
+from hitchtiller.cli.members import exit_code, find_disagreements, read_answer
 from standins.fabric import Faults
 from standins.fleet import Fleet
 from standins.play import SchedulePlayer, play, shrink
@@ -103,12 +103,12 @@
         read_answer("a:1", MEMBERS_ANSWER.format("ALIVE")),
         read_answer("b:1", MEMBERS_ANSWER.format("ALIVE")),
     ]
-    assert disagree(equal_views) == set() and code(equal_views) == 0
+    assert find_disagreements(equal_views) == set() and exit_code(equal_views) == 0
     different_views = [*equal_views, read_answer("c:1", MEMBERS_ANSWER.format("DEAD"))]
-    assert disagree(different_views) == {1} and code(different_views) == 1
+    assert find_disagreements(different_views) == {1} and exit_code(different_views) == 1
     silent = [read_answer("d:1", "-ERR unknown call")]
-    assert code(silent) == 2 and "is membership on" in silent[0].problem
-    assert code([*equal_views, *silent]) == 1
+    assert exit_code(silent) == 2 and "is membership on" in silent[0].problem
+    assert exit_code([*equal_views, *silent]) == 1
 
 
 def test_the_members_command_asks_several_processes() -> None:
