--- a/hitchtiller/cli/replay.py
+++ b/hitchtiller/cli/replay.py
@@ -18,7 +18,7 @@
 SCAN_KEY_BASE = 1 << 40
 
 
-def draw(
+def generate_trace(
     seed: int, requests: int, objects: int, zipf: float, drift: float, scan: float
 ) -> tuple[list[int], list[int], list[bool]]:
     """Draw a trace: the keys, the sizes, and which requests belong to the scan.
@@ -44,7 +44,7 @@
     return all_keys.tolist(), all_sizes.tolist(), is_scan.tolist()
 
 
-def play(policy: str, capacity_bytes: int, trace: tuple[list[int], list[int], list[bool]]) -> float:
+def replay_trace(policy: str, capacity_bytes: int, trace: tuple[list[int], list[int], list[bool]]) -> float:
     """Replay a trace against a policy with this capacity; return the byte hit share of the base requests."""
     cache = POLICIES[policy](capacity_bytes)
     hit_bytes = total_bytes = 0
@@ -91,12 +91,12 @@
         shares: dict[str, list[float]] = {"calm": [], "scan": []}
         for seed in range(1, options["seeds"] + 1):
             for name, scan in (("calm", 0.0), ("scan", options["scan"])):
-                trace = draw(
+                trace = generate_trace(
                     seed, options["requests"], options["objects"], options["zipf"], options["drift"], scan
                 )
-                sizes = draw(seed, options["objects"], options["objects"], 0.0, 0.0, 0.0)[1]
+                sizes = generate_trace(seed, options["objects"], options["objects"], 0.0, 0.0, 0.0)[1]
                 capacity_bytes = int(options["room"] * sum(sizes))
-                shares[name].append(play(policy, capacity_bytes, trace))
+                shares[name].append(replay_trace(policy, capacity_bytes, trace))
                 on_play()
         calm, with_scan = (float(np.mean(shares[name])) for name in ("calm", "scan"))
         worst_loss = max(a - b for a, b in zip(shares["calm"], shares["scan"], strict=True))
@@ -121,7 +121,8 @@
             return 2
         capacity_bytes = int(options["room"] * sum(dict(zip(*loaded_trace[:2], strict=True)).values()))
         rows = [
-            {"policy": name, "share": round(play(name, capacity_bytes, loaded_trace), 4)} for name in POLICIES
+            {"policy": name, "share": round(replay_trace(name, capacity_bytes, loaded_trace), 4)}
+            for name in POLICIES
         ]
     else:
         with show.progress_bar() as bar:
--- a/tests/store/test_store_admission.py
+++ b/tests/store/test_store_admission.py
@@ -5,7 +5,7 @@
 import pytest
 from tiers import part
 
-from hitchtiller.cli.replay import draw, play, read_trace
+from hitchtiller.cli.replay import generate_trace, read_trace, replay_trace
 from hitchtiller.store.admission import POLICIES, S3Fifo, Shares, TinyLfu
 from hitchtiller.store.memory import OVERHEAD_BYTES, Memory
 from hitchtiller.store.sketch import MAX_COUNT, Sketch
@@ -45,7 +45,9 @@
     args = {"requests": 30_000, "objects": 4_000, "zipf": 0.95, "drift": 0.0}
     lost = {}
     for name in ("s3fifo", "lru"):
-        calm, scan = (play(name, 6_000_000, draw(1, scan=scan, **args)) for scan in (0.0, 0.2))
+        calm, scan = (
+            replay_trace(name, 6_000_000, generate_trace(1, scan=scan, **args)) for scan in (0.0, 0.2)
+        )
         lost[name] = 100.0 * (calm - scan)
     assert lost["s3fifo"] <= 3.0 < lost["lru"] + 1.0
     assert lost["s3fifo"] < lost["lru"]
