--- a/hitchtiller/back/jobs.py
+++ b/hitchtiller/back/jobs.py
@@ -108,7 +108,7 @@
         """Report that the command was sent completely."""
         self.attempt.on_sent()
 
-    def answered(self, reply: str, fields: dict[str, str], body: bytes) -> None:
+    def on_answer(self, reply: str, fields: dict[str, str], body: bytes) -> None:
         """End the attempt with the status that the routing decisions use."""
         status, request = STATUS_BY_REPLY.get(reply, ""), self.attempt.exchange.request
         rev, since = fields.get("rev"), fields.get("since")
@@ -136,7 +136,7 @@
         """Delay further attempts of the request: otherwise two copies would be in transfer at once."""
         self.attempt.exchange.blocked_until_ms = max(self.attempt.exchange.blocked_until_ms, until_ms)
 
-    def broken(self, status: str) -> None:
+    def on_connection_end(self, status: str) -> None:
         """End the attempt with a status.
 
         An unwritten job whose connection closed was reassigned before, and gets here only once that failed.
@@ -162,13 +162,13 @@
     def on_sent(self) -> None:
         """Ignore it: only attempts are counted."""
 
-    def answered(self, reply: str, fields: dict[str, str], body: bytes) -> None:
+    def on_answer(self, reply: str, fields: dict[str, str], body: bytes) -> None:
         """Report the server's load."""
         self.on_report("done" if reply == "FIT" else "err", resp.read_report(fields.get("rep", "")))
 
     def block_until(self, until_ms: float) -> None:
         """Ignore it: a probe transfers no object."""
 
-    def broken(self, status: str) -> None:
+    def on_connection_end(self, status: str) -> None:
         """Report that the connection ended without an answer."""
         self.on_report("econnrefused" if status == "silent" else status, {})
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -104,18 +104,18 @@
     def test_a_refused_connection_raises_the_failure_score(self) -> None:
         """When it was reported as never sent, unreachable machines were chosen again and again."""
         attempt = self.start_request()
-        PullJob(attempt).broken("econnrefused")
+        PullJob(attempt).on_connection_end("econnrefused")
         self.assertGreater(self.engine.router.nodes[attempt.get.server].failure_score, 0.0)
 
     def test_the_class_decides_whether_an_answer_needs_a_tag_and_a_time(self) -> None:
         """Each answer to a sign-off, an effect without a key, ended its connection and all attempts on it."""
         for write, dedupe in ((True, ""), (True, "5c0f")):
             attempt = self.start_request(write=write, dedupe=dedupe)
-            PullJob(attempt).answered("DONE", {}, b"x")
+            PullJob(attempt).on_answer("DONE", {}, b"x")
             self.assertEqual((self.answers[-1].kind, self.answers[-1].since_ms), (SERVED, 0))
         attempt = self.start_request(dedupe="5c0f")  # a copy has a tag and a time, with or without a key
         with self.assertRaises(BadResp):
-            PullJob(attempt).answered("DONE", {}, b"x")
+            PullJob(attempt).on_answer("DONE", {}, b"x")
 
     def test_the_note_and_the_wait_of_an_answer_reach_the_router(self) -> None:
         """When they were not read, no source was ever cleared of suspicion in deployments that send notes."""
@@ -129,7 +129,7 @@
             ("x", "20", 10, 20.0),
             ("?", "-1", 0, 0),
         ):
-            PullJob(self.start_request()).answered(
+            PullJob(self.start_request()).on_answer(
                 "DONE", {"rev": "a", "since": "1", "why": why, "fill": fill}, b"x"
             )
             self.assertEqual((outcomes[-1].note, outcomes[-1].waited_ms), (note, waited))
