--- a/hitchtiller/cli/store.py
+++ b/hitchtiller/cli/store.py
@@ -28,7 +28,7 @@
     """Open and lock the store in a folder; StoreUnavailableError if it holds none or is locked."""
     names = [path.name for path in folder.iterdir()]
     if not any(name.startswith((recover.SEGMENT_PREFIX, recover.LOG_NAME)) for name in names):
-        raise StoreUnavailableError(f"{folder} is not a store: it holds no segment and no {recover.LOG}")
+        raise StoreUnavailableError(f"{folder} is not a store: it holds no segment and no {recover.LOG_NAME}")
     files = OsFiles(folder)
     if not files.lock():
         files.close()
--- a/hitchtiller/store/recover.py
+++ b/hitchtiller/store/recover.py
@@ -24,7 +24,7 @@
 
 def segment_name(segment_id: int) -> str:
     """Return the file name of a segment."""
-    return f"{SEGMENT}{segment_id:08d}"
+    return f"{SEGMENT_PREFIX}{segment_id:08d}"
 
 
 def checkpoint_name(number: int) -> str:
@@ -130,7 +130,7 @@
         _, entries, _ = fmt.read_log(data)
     except (FileNotFoundError, fmt.FormatError) as error:
         if not isinstance(error, FileNotFoundError):
-            state.notes.append(f"{LOG}: {error}")
+            state.notes.append(f"{LOG_NAME}: {error}")
         return False
     epoch, followed_ms, gap_end_ms = 0, 0.0, 0.0
     for entry in entries:
