--- a/hitchtiller/__main__.py
+++ b/hitchtiller/__main__.py
@@ -64,29 +64,29 @@
         sched.sleep(FIGURES_INTERVAL_MS)
 
 
-def buffer_bytes(memory_mb: float, two: bool) -> int:
+def buffer_bytes(memory_mb: float, two_processes: bool) -> int:
     """Return the bytes that all buffers may hold: half of the memory that the process leaves.
 
-    The other half is for copies. With `two`, two processes share the limit.
+    The other half is for copies. With `two_processes`, two processes share the limit.
     """
-    own_mb, minimum_mb = (2.0 * EARLY_MB, 1.0) if two else (SERVING_MB, 2.0)
-    return int(max(minimum_mb, (memory_mb - own_mb) / (4.0 if two else 2.0)) * 1e6)
+    own_mb, minimum_mb = (2.0 * EARLY_MB, 1.0) if two_processes else (SERVING_MB, 2.0)
+    return int(max(minimum_mb, (memory_mb - own_mb) / (4.0 if two_processes else 2.0)) * 1e6)
 
 
-def connection_limits(limit: int, two: bool, younger: bool) -> tuple[int, int]:
+def connection_limits(limit: int, two_processes: bool, is_younger: bool) -> tuple[int, int]:
     """Return how many clients and how many connections to servers a process may hold.
 
-    With `two`, two processes share the limit, and `younger` says which of them this is.
+    With `two_processes`, two processes share the limit, and `is_younger` says which of them this is.
     """
     # Below a limit of 256 both reserves shrink: idle clients may use all of their share, and the connections
     # to servers and to the bus need theirs.
     reserved = min(RESERVED_DESCRIPTORS, limit * 3 // 16)
     clients = limit // 3 + min(EXTRA_CLIENTS, limit // 16)
-    if not two:
+    if not two_processes:
         return clients, limit - clients - reserved
     # bounds the sum of two processes: silent clients may hold all of the older one's third
     half_clients = clients // 2
-    return half_clients if younger else clients, max(1, (limit - clients - half_clients - reserved) // 2)
+    return half_clients if is_younger else clients, max(1, (limit - clients - half_clients - reserved) // 2)
 
 
 def shared_folder(name: str) -> Path | None:
@@ -126,7 +126,7 @@
     `extend` adds optional parts to it and returns a callable that is called at the end.
     """
     sched = Scheduler()
-    clients, links = connection_limits(config.sockets, two=False, younger=False)
+    clients, links = connection_limits(config.sockets, two_processes=False, is_younger=False)
     times = (config.connect_ms, config.idle_ms)
     back = Upstreams(sched, times, config.streams, links)
     peers = Peers(sched, config.peer_listen, config.peers) if config.peer_listen else None
@@ -136,16 +136,18 @@
     holdouts = HoldOuts(folder, engine.news, config.settings.origin_kind)
     bus = BusLink(sched, holdouts.news, config.bus, (config.zones, config.kinds))
     engine.may_lack_events = bus.may_lack_events
-    front = Front(sched, engine, config.settings, clients, buffer_bytes(config.memory_mb, two=False))
+    front = Front(
+        sched, engine, config.settings, clients, buffer_bytes(config.memory_mb, two_processes=False)
+    )
 
     calls = OperatorCalls(front, holdouts, engine.stats)
     finish = extend(Gateway(config, sched, engine, front, bus, calls, peers)) if extend else None
     for event in config.known:
         bus.apply(event)
 
-    def set_limits(two: bool, younger: bool) -> None:
-        front.max_buffered_bytes = buffer_bytes(config.memory_mb, two)
-        front.max_clients, back.max_links = connection_limits(config.sockets, two, younger)
+    def set_limits(two_processes: bool, is_younger: bool) -> None:
+        front.max_buffered_bytes = buffer_bytes(config.memory_mb, two_processes)
+        front.max_clients, back.max_links = connection_limits(config.sockets, two_processes, is_younger)
 
     marker = ProcessMarker(folder) if folder else None
     upgrade = Upgrade(sched, marker, front, bus.is_followed, set_limits)
--- a/hitchtiller/back/upstreams.py
+++ b/hitchtiller/back/upstreams.py
@@ -69,9 +69,8 @@
             new_link = self.upstreams.open(self) if self._may_open(busy_link is None) else None
             link = busy_link or new_link
         if link is None:
-            job.on_connection_end(
-                "skipped"
-            )  # a limit of this gateway, for which the server is not to be blamed
+            # a limit of this gateway, for which the server is not to be blamed
+            job.on_connection_end("skipped")
         else:
             link.submit(job)
 
--- a/hitchtiller/log.py
+++ b/hitchtiller/log.py
@@ -9,7 +9,7 @@
 from types import ModuleType
 from typing import Any
 
-__all__ = ["ended", "logger", "start"]
+__all__ = ["log_connection_end", "logger", "start"]
 
 
 def _import_loguru() -> None:
--- a/hitchtiller/membership/homes.py
+++ b/hitchtiller/membership/homes.py
@@ -19,7 +19,9 @@
 from hitchtiller.records import combine_hashes, hash64, lru_put
 
 MAX_RANKINGS, RANKING_DEPTH = 2048, 4
-MAX_HANDED_OVER = 64  # entries a change; more mean longer bursts of notes, fewer mean look-ups without result
+MAX_HANDED_OVER = (
+    64  # entries a change; more mean longer bursts of notes, fewer mean look-ups that find nothing
+)
 EntryKey = tuple[int, int]  # object and part
 
 
--- a/hitchtiller/operator/read.py
+++ b/hitchtiller/operator/read.py
@@ -53,7 +53,7 @@
 class Setting:
     """An attribute or a block of the file: its name, labels and line, and its value or its contents.
 
-    An attribute has a `value`; a block has its attributes and blocks in `inside`, which is None for an
+    An attribute has a `value`; a block has its attributes and blocks in `children`, which is None for an
     attribute.
     """
 
@@ -85,12 +85,14 @@
 
 def read_model(
     model: type[Model], text: str, name: str,
-    relations: Callable[[dict[str, Any], tuple[Setting, ...]], list[Problem]] = lambda values, settings: [],
+    check_relations: Callable[[dict[str, Any], tuple[Setting, ...]], list[Problem]] = (
+        lambda values, settings: []
+    ),
 ) -> Model:  # fmt: skip
     """Read and check the text of an HCL file against a model.
 
-    `relations` gets the plain values and the settings of the file, and returns the problems that concern
-    several settings together. It is only called if each setting is valid by itself.
+    `check_relations` gets the plain values and the settings of the file, and returns the problems that
+    concern several settings together. It is only called if each setting is valid by itself.
     """
     try:
         tree = HCL_PARSER.parse(text + "\n")
@@ -107,7 +109,7 @@
     problems: list[Problem] = []
     values = _check_struct(model, settings, 1, name, "the file", problems)
     if not problems:
-        problems += relations(values, settings)
+        problems += check_relations(values, settings)
     if problems:
         raise BadFile(sorted(problems, key=lambda problem: problem.line))
     return msgspec.convert(values, model)
--- a/hitchtiller/ops/calls.py
+++ b/hitchtiller/ops/calls.py
@@ -12,7 +12,7 @@
     """Parses a line as a call and executes it; every call is idempotent."""
 
     def __init__(self, front: Front, holdouts: HoldOuts, stats: Stats) -> None:
-        """Register the calls without an argument (`plain`) and those with one (`named`)."""
+        """Register the calls without an argument and those with one."""
         self.front, self.stats = front, stats
         self.calls_without_argument: dict[str, Callable[[], str]] = {
             "ready": self.ready,
--- a/hitchtiller/repo/front.py
+++ b/hitchtiller/repo/front.py
@@ -1,10 +1,10 @@
 """HTTP/1.1 listener for the repositories: h11 parses the protocol, one greenlet serves each connection.
 
-Bounds: `connections` in total and `each_address` for one client address; HEADER bytes and MAX_HEADER_FIELDS
-fields in a request's header; one request at a time on a connection, while later ones stay unread in the
-socket; MAX_UNSENT_BYTES of response that a client has not read. The last log line of each connection has a
-reason code. A failure after the start of a body closes the connection before the announced end of the body,
-so that the client notices it.
+Bounds: `connections` in total and `each_address` for one client address; MAX_HEADER_BYTES and
+MAX_HEADER_FIELDS in a request's header; one request at a time on a connection, while later ones stay unread
+in the socket; MAX_UNSENT_BYTES of response that a client has not read. The last log line of each connection
+has a reason code. A failure after the start of a body closes the connection before the announced end of the
+body, so that the client notices it.
 """
 
 import contextlib
--- a/hitchtiller/routing/blame.py
+++ b/hitchtiller/routing/blame.py
@@ -1,8 +1,8 @@
 """Failure scores of servers, and how long a server is ejected once its score is too high.
 
 Each server has a failure score from 0 to 1. Each failure adds a share of what is missing to 1, and each
-answer multiplies the score by SUCCESS_FACTOR. A server whose score reaches EJECT_AT is ejected, for a time
-that doubles with each consecutive ejection. It then returns on trial and gets one attempt at a time.
+answer multiplies the score by SUCCESS_FACTOR. A server whose score reaches EJECTION_SCORE is ejected, for a
+time that doubles with each consecutive ejection. It then returns on trial and gets one attempt at a time.
 """
 
 FAILURE_SHARES = {
--- a/hitchtiller/routing/cold.py
+++ b/hitchtiller/routing/cold.py
@@ -49,7 +49,7 @@
         }
 
     def work_rate_for(self, node: Node, now_ms: float, mean_ms: float, serving_share: float) -> float:
-        """Return `rate` for a listed server, since its start or since it refused a connection.
+        """Return `work_rate` for a listed server, since its start or since it refused a connection.
 
         A refused connection shows that the server's process was gone.
         """
--- a/hitchtiller/sched.py
+++ b/hitchtiller/sched.py
@@ -1,8 +1,9 @@
 """A cooperative scheduler: greenlets on one thread over `select.poll`, with timers and non-blocking streams.
 
-A greenlet parks until a socket is ready, a time has come or another greenlet wakes it. `Scheduler.turn` is
-one round of the loop: poll, wake the greenlets whose events came, make the calls that are due, then run what
-is runnable. `Stream` is a TCP socket for greenlets. A greenlet is never preempted, so none may compute long.
+A greenlet parks until a socket is ready, a time has come or another greenlet wakes it. `Scheduler.run_once`
+is one round of the loop: poll, wake the greenlets whose events came, make the calls that are due, then run
+what is runnable. `Stream` is a TCP socket for greenlets. A greenlet is never preempted, so none may compute
+long.
 """
 
 import contextlib
@@ -274,7 +275,7 @@
 class Stream:
     """A non-blocking TCP socket: reads park the greenlet, writes are buffered.
 
-    The caller has to bound `size`; `buffered_bytes` is the total over all streams of the process.
+    The caller has to bound `unsent_bytes`; `buffered_bytes` is the total over all streams of the process.
     """
 
     open_count = 0  # open sockets of this process
@@ -296,7 +297,7 @@
         Stream.open_count += 1
 
     def connect(self, address: tuple[str, int], timeout_ms: float) -> None:
-        """Connect, or raise Closed: `refused`, `silent` on a timeout, or the code of its close."""
+        """Connect, or raise StreamClosed: `refused`, `silent` on a timeout, or the code of its close."""
         error = self.sock.connect_ex(address)
         if error == errno.EINPROGRESS:
             if not self.sched.wait(self.fd, WRITE, timeout_ms):
@@ -308,7 +309,7 @@
             raise StreamClosed("refused")
 
     def read(self, timeout_ms: float | None = None) -> bytes:
-        """Wait for bytes, or raise Closed: `eof`, `reset`, `silent` on a timeout, or the close's code."""
+        """Wait for bytes, or raise StreamClosed: `eof`, `reset`, `silent` on a timeout, or its code."""
         while True:
             if self.close_code:
                 raise StreamClosed(self.close_code)
@@ -330,7 +331,7 @@
             return data
 
     def write(self, *parts: bytes | memoryview) -> None:
-        """Send at once what the socket accepts and buffer the rest; the caller has to bound `size`."""
+        """Send what the socket accepts and buffer the rest; the caller has to bound `unsent_bytes`."""
         if self.close_code:
             return
         if not self.unsent:
--- a/hitchtiller/store/files.py
+++ b/hitchtiller/store/files.py
@@ -1,7 +1,7 @@
 """The files of one folder; `standins/files.py` has a version that tears and loses writes.
 
-All calls except `glance` may block, and all may raise OSError; they are made on worker threads. A short write
-is an error and never goes unnoticed.
+All calls except `read_cached` may block, and all may raise OSError; they are made on worker threads. A short
+write is an error and never goes unnoticed.
 """
 
 import errno
--- a/hitchtiller/store/format.py
+++ b/hitchtiller/store/format.py
@@ -94,7 +94,7 @@
 def read_segment_head(data: bytes) -> SegmentHead:
     """Parse a segment's first bytes.
 
-    Raises BadBytes if they are not a segment head, or of a version that this program can't read.
+    Raises FormatError if they are not a segment head, or of a version that this program can't read.
     """
     if len(data) < SEGMENT_HEAD.size:
         raise FormatError(f"segment head is only {len(data)} bytes long")
@@ -127,7 +127,7 @@
 def read_record_head(data: bytes | memoryview, salt: int, offset: int) -> tuple[Part, int, int]:
     """Parse a record's head; return the part, where its body begins, and the body's length.
 
-    Raises BadBytes if the head is not valid.
+    Raises FormatError if the head is not valid.
     """
     if len(data) < RECORD_HEAD.size:
         raise FormatError("record is truncated")
@@ -151,7 +151,7 @@
 
 
 def read_record(data: bytes | memoryview, salt: int, offset: int) -> tuple[Part, bytes]:
-    """Parse a whole record; raises BadBytes unless both of its checksums match."""
+    """Parse a whole record; raises FormatError unless both of its checksums match."""
     part, start, size = read_record_head(data, salt, offset)
     body = bytes(data[start : start + size])
     if len(body) != size or RECORD_HEAD.unpack_from(data)[12] != crc(place_seed(salt, offset), body):
@@ -224,7 +224,7 @@
 def read_checkpoint(data: bytes) -> tuple[int, list[CoveredSegment], memoryview]:
     """Parse a checkpoint; return its number, its segments and the slots of its index.
 
-    Raises BadBytes unless all of it is valid.
+    Raises FormatError unless all of it is valid.
     """
     if len(data) < CHECKPOINT_HEAD.size + 4:
         raise FormatError("checkpoint is truncated")
--- a/hitchtiller/store/jobs.py
+++ b/hitchtiller/store/jobs.py
@@ -56,7 +56,7 @@
         self.results: deque[tuple[str, JobCallback, Any, BaseException | None]] = deque()
         # calls submitted whose results have not been delivered
         self.undelivered = dict.fromkeys((READ_LANE, WRITE_LANE, LOG_LANE), 0)
-        self.wakeup = Wakeup()  # no pipe: on the fleet's platform only sockets are certain to be supported
+        self.wakeup = Wakeup()  # no pipe: on the fleet's platform only sockets are certain to be intercepted
         self.wakeup_fd = self.wakeup.fileno()
         self.threads: list[threading.Thread] = []
         for lane, thread_count in ((READ_LANE, readers), (WRITE_LANE, 1), (LOG_LANE, 1)):
--- a/hitchtiller/store/keeper.py
+++ b/hitchtiller/store/keeper.py
@@ -103,7 +103,7 @@
         self.tier.attach(disk)
         logger.info(
             "store open: {} parts in {} segments, checkpoint {}, {} records read, {:.0f} ms",
-            len(disk.index), len(disk.space.segments), recovered.checkpoint, recovered.scanned, load_ms,
+            len(disk.index), len(disk.space.segments), recovered.checkpoint, recovered.records_read, load_ms,
         )  # fmt: skip
         self.last_sync_ms = self.last_checkpoint_ms = now_ms()
         while self._may_own_folder() and disk.health.state != OFF:
--- a/hitchtiller/wake.py
+++ b/hitchtiller/wake.py
@@ -7,15 +7,15 @@
 platform a datagram that a socket sent to itself never arrived (seen in a rough roll+mass run, seed 3), so
 signals wake the loop without a descriptor (`Scheduler.call_from_signal`).
 
-Bounds: one descriptor. Each `poke` is one datagram of one byte, which is dropped if the socket's buffer is
-full (the loop is due to wake anyway). `drain` reads at most `max_datagrams` datagrams in one turn.
+Bounds: one descriptor. Each `notify` is one datagram of one byte, which is dropped if the socket's buffer is
+full (the loop is due to wake anyway). `read_pending` reads at most `max_datagrams` datagrams in one turn.
 """
 
 import contextlib
 import socket
 
 LOOPBACK = "127.0.0.1"
-MAX_DATAGRAMS_PER_TURN = 64  # by one `drain`; also the bytes requested by a recv, where 1 would do
+MAX_DATAGRAMS_PER_TURN = 64  # by one `read_pending`; also the bytes requested by a recv, where 1 would do
 
 
 class Wakeup:
--- a/tests/ends/test_ends_descriptors.py
+++ b/tests/ends/test_ends_descriptors.py
@@ -115,7 +115,7 @@
         self.sign = ProcessMarker(Path(folder.name))
         self.addCleanup(self.sign.remove)
         self.front: Any = mock.Mock(accepting=True)
-        self.front.unready.return_value = "no list yet"
+        self.front.unready_reason.return_value = "no list yet"
         self.upgrade = Upgrade(
             Scheduler(), self.sign, self.front, lambda whole: True, lambda two, younger: None
         )
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -86,10 +86,10 @@
 class Gateway:
     """A gateway process; the test itself listens as its caches, parent, origin and bus."""
 
-    def __init__(self, held: bool = False, **limits: Any) -> None:
-        """Start a gateway; with `held` the test provides its listening socket, as the platform does."""
+    def __init__(self, inherits_listener: bool = False, **limits: Any) -> None:
+        """Start a gateway; with `inherits_listener` the test provides its listening socket."""
         self.folder = tempfile.TemporaryDirectory()
-        self.held = socket.create_server(("127.0.0.1", 0)) if held else None
+        self.held = socket.create_server(("127.0.0.1", 0)) if inherits_listener else None
         self.caches = {name: socket.create_server(("127.0.0.1", 0)) for name in ("cache", "parent", "origin")}
         self.bus = socket.create_server(("127.0.0.1", 0))
         hosts = [
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -78,9 +78,8 @@
 
     def test_a_draining_gateway_is_not_ready_finishes_its_requests_and_keeps_listening(self) -> None:
         """A gateway that reported ready in a drain broke the limit on lost requests 4 s after the call."""
-        cache, name = self.open_request(
-            m="100000", d="5000"
-        )  # so large that a silent server is not suspected yet
+        # so large that a silent server is not suspected yet
+        cache, name = self.open_request(m="100000", d="5000")
         idle_client = self.gateway.client()
         self.assertEqual(self.gateway.call("drain"), ["+OK drained"])
         self.assertEqual(self.gateway.call("ready"), ["-ERR drained"])
@@ -314,7 +313,7 @@
 
     def test_the_buffers_of_two_processes_fit_the_memory_limit(self) -> None:
         for memory in (32.0, 80.0, 192.0):
-            alone, two = buffer_bytes(memory, two=False), buffer_bytes(memory, two=True)
+            alone, two = buffer_bytes(memory, two_processes=False), buffer_bytes(memory, two_processes=True)
             self.assertLessEqual(2 * two, alone)
             self.assertLessEqual(2 * (2 * two / 1e6 + 14.0), memory)  # half of the rest is for copies
 
