--- a/standins/scale/plan.py
+++ b/standins/scale/plan.py
@@ -1,9 +1,9 @@
-"""The fleet that docs/CAPACITY.md plans for, and the same fleet scaled to any number of gateways.
+"""The reference fleet of docs/CAPACITY.md, and the same fleet scaled to any number of gateways.
 
-The reference figures are those that the operators gave for the next two years. Figures that grow with the
-fleet (zones, caches, parents, requests) are scaled in proportion; rates that come from the content
-(purges, changes of configuration) are kept as they are, so that small fleets are measured under the same
-control traffic.
+The reference figures are the operators' plan for the next two years. Figures that grow with the fleet (zones,
+caches, parents, requests) are scaled in proportion. Rates that come from the content (purges) or from the
+operators (configuration changes) stay unscaled, so that small fleets are measured under the same control
+traffic.
 """
 
 from dataclasses import dataclass, field, replace
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Demand:
-    """What the operators plan with; rates are per second, over the whole fleet."""
+    """The operators' planning figures: sizes, rates over the whole fleet, and budgets."""
 
     gateways: int = REFERENCE_GATEWAYS
     sites: int = 160
@@ -28,30 +28,30 @@
     objects: float = 300e6
     purges: float = 19.0
     changes_a_day: float = 3_600.0
-    purge_s: float = 1.7  # done everywhere within
-    change_s: float = 12.0  # in force everywhere within
-    control_cores: float = 0.02  # a gateway's control, in cores
-    control_mb: float = 256.0
-    control_bytes: float = 9_000.0  # a second
-    machines: int = 5  # set aside for control
+    purge_s: float = 1.7  # budget: a purge is in force at all gateways within this time
+    change_s: float = 12.0  # budget: a configuration change is in force at all gateways within
+    control_cores: float = 0.02  # budget: processor time of one gateway's control work
+    control_mb: float = 256.0  # budget: memory of one gateway's control state
+    control_bytes: float = 9_000.0  # budget: control traffic of one gateway per second
+    machines: int = 5  # reserved for control services such as discovery
     failures_a_day: float = 11.0
     restarts_a_day: float = 320.0
 
     @property
     def requests_each(self) -> float:
-        """Give the requests a second of a mean gateway."""
+        """Return the requests per second of a mean gateway."""
         return self.requests / self.gateways
 
     def parents(self) -> int:
-        """Give the district caches: one for every 4.2 sites, the middle of what the operators run."""
+        """Return the number of district caches: one per 4.2 sites, the middle of what the operators run."""
         return max(2, round(self.sites / 4.2))
 
     def gateways_in_zone(self) -> int:
-        """Give the gateways of a mean zone."""
+        """Return the number of gateways in a mean zone."""
         return max(1, round(self.gateways / self.zones))
 
     def caches_in_zone(self) -> int:
-        """Give the station caches of a mean zone."""
+        """Return the number of station caches in a mean zone."""
         return max(1, round(self.caches / self.zones))
 
 
@@ -81,24 +81,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """Settings and lists of one fleet size."""
+    """The settings and the server list of a fleet of one size."""
 
     demand: Demand
     zones: tuple[str, ...] = field(init=False)
-    common: api.Settings = field(init=False)  # as gateway 0 has them
+    common: api.Settings = field(init=False)  # the settings of gateway 0
 
     def __post_init__(self) -> None:
-        """Name the zones, of which the first is the hub, and make the settings that all share."""
+        """Name the zones, with the hub first, and create the settings that all gateways share."""
         names = ("hub", *(f"z{n}" for n in range(self.demand.zones)))
         object.__setattr__(self, "zones", names)
         object.__setattr__(self, "common", self._settings())
 
     def zone_of(self, number: int) -> int:
-        """Give the zone, from 0, of a gateway; numbers are dealt round the zones."""
+        """Return a gateway's zone, counted from 0; gateways are assigned to zones round-robin."""
         return number % self.demand.zones
 
     def settings(self, number: int) -> api.Settings:
-        """Give the settings of a gateway."""
+        """Return the settings of one gateway."""
         return replace(self.common, my_number=number, my_zone=f"z{self.zone_of(number)}")
 
     def _settings(self) -> api.Settings:
@@ -139,7 +139,7 @@
         )
 
     def caches(self, zone: int | None = None) -> list[api.Member]:
-        """Give the station caches of one zone, or of all."""
+        """Return the station caches of one zone, or of all zones."""
         numbers = range(self.demand.caches)
         return [
             api.Member(f"s-{n:08x}", f"z{n % self.demand.zones}", "box", "SERVING", weight=8.0)
@@ -148,16 +148,16 @@
         ]
 
     def parents(self) -> list[api.Member]:
-        """Give the district caches."""
+        """Return the district caches."""
         return [
             api.Member(f"s-{0x10000 + n:08x}", "hub", "parent", "SERVING", weight=30.0)
             for n in range(self.demand.parents())
         ]
 
     def origin(self) -> api.Member:
-        """Give the origin."""
+        """Return the origin."""
         return api.Member("s-00020000", "hub", "origin", "SERVING", weight=60.0)
 
     def members(self) -> tuple[api.Member, ...]:
-        """Give the whole list."""
+        """Return the whole server list: station caches, district caches and the origin."""
         return (*self.caches(), *self.parents(), self.origin())
