--- a/standins/scale/results.py
+++ b/standins/scale/results.py
@@ -1,4 +1,4 @@
-"""The figures of one run as JSON: written by `measure`, read and checked by `table`."""
+"""The results file of one run, in JSON: written by `measure`, read and validated by `table`."""
 
 from pathlib import Path
 
@@ -10,22 +10,22 @@
 
 
 class BadResults(Exception):
-    """The file is not what `measure` writes."""
+    """The file is unreadable or not a results file as `measure` writes it."""
 
 
 class Series(msgspec.Struct, forbid_unknown_fields=True):
-    """One measure at all sizes; sizes are gateways."""
+    """The values of one measure at all fleet sizes; a size is a number of gateways."""
 
     measure: str
     sizes: list[int]
     values: list[float]
 
     def fitted(self) -> Fit | None:
-        """Give the power law over its sizes."""
+        """Fit a power law over the measured sizes; return None if no fit is possible."""
         return fit(self.sizes, self.values)
 
     def at(self, size: float) -> float:
-        """Give the figure at a size: measured there, fitted, or the last one where no fit is possible."""
+        """Return the value at a size: measured, else fitted, else the last value if no fit is possible."""
         if size in self.sizes:
             return self.values[self.sizes.index(int(size))]
         law = self.fitted()
@@ -33,7 +33,7 @@
 
 
 class Run(msgspec.Struct, forbid_unknown_fields=True):
-    """All figures of one run, and what it took."""
+    """All figures of one run, with its duration in seconds and its peak memory."""
 
     version: int
     seed: int
@@ -42,20 +42,20 @@
     series: list[Series]
 
     def of(self, measure: str) -> Series:
-        """Give one measure's figures; raise BadResults if the run has none."""
+        """Return the series of a measure; raise BadResults if the run has none."""
         for series in self.series:
             if series.measure == measure:
                 return series
-        raise BadResults(f"no figures of {measure!r}")
+        raise BadResults(f"no figures for measure {measure!r}")
 
 
 def save(run: Run, file: Path) -> None:
-    """Write a run, indented so that a change of it can be read."""
+    """Write a run to a file, indented so that differences between two versions are readable."""
     file.write_bytes(msgspec.json.format(msgspec.json.encode(run), indent=1) + b"\n")
 
 
 def load(file: Path) -> Run:
-    """Read a run; raise BadResults for what is none."""
+    """Read a run from a file; raise BadResults if the file is missing or invalid."""
     try:
         run = msgspec.json.decode(file.read_bytes(), type=Run)
     except OSError as error:
@@ -63,8 +63,10 @@
     except msgspec.MsgspecError as error:
         raise BadResults(str(error)) from None
     if run.version != VERSION:
-        raise BadResults(f"version {run.version}, not {VERSION}")
+        raise BadResults(f"version is {run.version}; expected {VERSION}")
     for series in run.series:
         if not series.sizes or len(series.sizes) != len(series.values) or min(series.sizes) < 1:
-            raise BadResults(f"sizes and values of {series.measure!r} do not fit each other")
+            raise BadResults(
+                f"measure {series.measure!r}: expected as many values as sizes, and sizes of 1 or more"
+            )
     return run
