--- a/standins/scale/fit.py
+++ b/standins/scale/fit.py
@@ -1,4 +1,4 @@
-"""Power laws over measured sizes: how a figure grows with the fleet, and what it is at another size."""
+"""Power-law fits over measured fleet sizes: how a figure grows, and its estimate at other sizes."""
 
 import math
 from collections.abc import Sequence
@@ -9,24 +9,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Fit:
-    """y = factor * n ** exponent; `residual` is the root mean square of the logarithm's error."""
+    """A fit y = factor * n ** exponent; `residual` is the root mean square error of the logarithms."""
 
     factor: float
     exponent: float
     residual: float
-    largest: int  # size measured
+    largest: int  # largest size that was measured
 
     def at(self, size: float) -> float:
-        """Give the fitted figure at a size."""
+        """Return the fitted value at a size."""
         return float(self.factor * size**self.exponent)
 
     def extrapolated(self, size: float) -> float:
-        """Give by what factor a size lies past the largest one measured; 1 for none."""
+        """Return the size over the largest measured size, or 1 if it does not exceed that size."""
         return max(1.0, size / self.largest)
 
 
 def fit(sizes: Sequence[int], values: Sequence[float]) -> Fit | None:
-    """Fit a power law; None where a figure is 0 somewhere, or fewer than two sizes were measured."""
+    """Fit a power law; return None if any value is 0 or less, or fewer than two sizes were measured."""
     if len(sizes) < 2 or min(values) <= 0.0:
         return None
     x, y = np.log(np.asarray(sizes, dtype=float)), np.log(np.asarray(values, dtype=float))
