--- a/standins/scale/estimate.py
+++ b/standins/scale/estimate.py
@@ -1,4 +1,4 @@
-"""One row of a table of docs/CAPACITY.md: a figure for a size, beside its budget and its source."""
+"""The rows and tables of docs/CAPACITY.md: figures for one fleet size with their budgets and sources."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -11,25 +11,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """A figure, its unit and budget, where it comes from and the code that carries it."""
+    """A figure with its unit, its budget, its source and the code responsible for it."""
 
     name: str
     value: float
     unit: str
     budget: float | None = None
     basis: str = "worked out"
-    mechanism: str = NONE  # module and name, or NONE
-    exponent: float = 0.0  # in the number of gateways, for the size at which the budget is crossed
-    rule: bool = False  # a rule or a bound over the whole fleet
+    mechanism: str = NONE  # dotted name of the code responsible, or NONE
+    exponent: float = 0.0  # power of the number of gateways with which the figure grows
+    rule: bool = False  # whether it is a rule or a bound over the whole fleet
     kind: str = "cost"  # or "time"
 
     @property
     def ratio(self) -> float | None:
-        """Give figure over budget."""
+        """Return the figure over its budget, or None without a budget."""
         return self.value / self.budget if self.budget else None
 
     def crossing(self, gateways: int) -> float | None:
-        """Give the number of gateways at which the budget is crossed; None where it does not depend on it."""
+        """Return the number of gateways at which the budget is exceeded; None if size does not matter."""
         if not self.ratio or self.exponent < 0.05:
             return None
         return float(gateways * self.ratio ** (-1.0 / self.exponent))
@@ -37,30 +37,30 @@
 
 @dataclass(frozen=True, slots=True)
 class Table:
-    """A table of the page."""
+    """A table of docs/CAPACITY.md."""
 
     title: str
     rows: tuple[Row, ...]
 
 
 class Figures:
-    """Measured figures of a run at one number of gateways, each with where it comes from."""
+    """The figures of a run at one number of gateways, each with its source."""
 
     def __init__(self, run: Run, gateways: int) -> None:
-        """Take the figures at a size."""
+        """Use the figures of a run at a number of gateways."""
         self.run, self.gateways = run, gateways
 
     def at(self, measure: str, size: float | None = None) -> float:
-        """Give a measure at the size, or at another."""
+        """Return the value of a measure at the given size, by default that of these figures."""
         return self.run.of(measure).at(self.gateways if size is None else size)
 
     def exponent(self, measure: str) -> float:
-        """Give how a measure grows with the number of gateways."""
+        """Return the exponent with which a measure grows with the number of gateways; 0 without a fit."""
         law = self.run.of(measure).fitted()
         return law.exponent if law else 0.0
 
     def basis(self, measure: str) -> str:
-        """Say where a measure comes from: the size measured, or the fit with its residual."""
+        """Describe the source of a measure: a measured size, or the fit with its residual."""
         return basis(self.run.of(measure), self.gateways)
 
     def row(
@@ -78,17 +78,21 @@
         rule: bool = False,
         kind: str = "cost",
     ) -> Row:
-        """Give the row of a measure; `value` where the figure is worked out from it, `grows` as it does."""
+        """Return the row of a measure.
+
+        `value` replaces the measured value where the figure is calculated from it; `grows` takes the exponent
+        from the fit instead of `exponent`.
+        """
         figure = self.at(measure) if value is None else value
         power = self.exponent(measure) if grows else exponent
         return Row(name, figure, unit, budget, self.basis(measure) + note, mechanism, power, rule, kind)
 
 
 class TableBuilder:
-    """Puts a table together, a row at a time."""
+    """Builder of a table, row by row."""
 
     def __init__(self, title: str, figures: Figures) -> None:
-        """Begin a table."""
+        """Start a table without rows."""
         self.title, self.figures, self.rows = title, figures, list[Row]()
 
     def told(
@@ -103,24 +107,24 @@
         exponent: float = 0.0,
         kind: str = "cost",
     ) -> None:
-        """Add a figure that was told, assumed or worked out; `basis` says which."""
+        """Add a figure that was given, assumed or calculated, as `basis` says."""
         self.rows.append(Row(name, value, unit, budget, basis, mechanism, exponent, kind=kind))
 
     def measured(self, name: str, measure: str, unit: str, mechanism: str, **more: Any) -> None:
-        """Add a measure's figure, as `Figures.row` takes it."""
+        """Add the row of a measure; the arguments are those of `Figures.row`."""
         self.rows.append(self.figures.row(name, measure, unit, mechanism, **more))
 
     def add(self, row: Row) -> None:
-        """Add a row that other tables have too."""
+        """Add a finished row, such as one that several tables share."""
         self.rows.append(row)
 
     def build(self) -> Table:
-        """Give the table."""
+        """Return the finished table."""
         return Table(self.title, tuple(self.rows))
 
 
 def basis(series: Series, gateways: float) -> str:
-    """Say how a figure at a size was got."""
+    """Describe whether a value at a size is measured, fitted or extrapolated, and by which fit."""
     law = series.fitted()
     if law is None:
         return "measured" if gateways in series.sizes else "measured, largest size"
@@ -133,7 +137,7 @@
 
 
 def number(value: float) -> str:
-    """Write a figure in three digits."""
+    """Format a number with three significant digits."""
     if value == 0.0:
         return "0"
     if abs(value) >= 1000.0:
@@ -148,7 +152,7 @@
 
 
 def write_row(row: Row) -> str:
-    """Write a row as Markdown."""
+    """Format a row as Markdown."""
     budget = number(row.budget) if row.budget else "-"
     ratio = f"{row.ratio:.2g}" if row.ratio is not None else "-"
     carried = row.mechanism if row.mechanism == NONE else f"`{row.mechanism}`"
@@ -158,10 +162,13 @@
 
 
 def write_table(table: Table) -> str:
-    """Write a table as Markdown."""
+    """Format a table as Markdown."""
     return "\n".join([f"#### {table.title}", "", HEAD, *(write_row(row) for row in table.rows), ""])
 
 
 def list_gateways(servers: int) -> float:
-    """Give the number of gateways whose fleet, at the reference's proportions, lists so many servers."""
+    """Return the number of gateways whose fleet, in the reference proportions, lists this many servers.
+
+    The reference fleet lists 279 servers: 240 station caches, 38 parents and the origin.
+    """
     return REFERENCE_GATEWAYS * servers / 279.0
