--- a/standins/scale/gateway.py
+++ b/standins/scale/gateway.py
@@ -1,4 +1,4 @@
-"""A hollow gateway: the program's deciding code and its reader of discovery's events, without sockets."""
+"""A hollow gateway: the program's decision code and event bus reader, without sockets."""
 
 import struct
 from collections.abc import Iterable
@@ -25,7 +25,7 @@
 
 
 def list_frame(number: int, members: Iterable[api.Member], zones: tuple[str, ...], whole: bool) -> bytes:
-    """Write members as discovery sends them: the whole list, or changes."""
+    """Encode members as discovery sends them on the event bus: as the whole list or as changes."""
     records = b"".join(
         RECORD.pack(
             int(m.server[2:], 16),
@@ -44,7 +44,7 @@
 
 
 def purge_frame(number: int, key: int | None, group: int, at_ms: float) -> bytes:
-    """Write a purge as discovery sends it."""
+    """Encode a purge of an object, or of a group if there is no key, as discovery sends it."""
     if key is None:
         return _frame(number, BAN_GROUP, GROUP.pack(group, int(at_ms)))
     return _frame(number, BAN_OBJECT, OBJECT.pack(key, int(at_ms)))
@@ -56,10 +56,10 @@
 
 
 class HollowGateway:
-    """One life of one gateway: decisions, reader of discovery's events, figures."""
+    """One gateway process between its start and its end: router, event bus reader and statistics."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
-        """Start with nothing but the settings."""
+        """Start without a server list and without requests."""
         self.number = settings.my_number
         self.router = Router(settings, seed)
         self.reader = BusReader(settings.zones, KINDS)
@@ -68,14 +68,14 @@
         self.shots: dict[int, int] = {}
 
     def handle(self, event: api.Event, now_ms: float) -> list[api.Action]:
-        """Decide on one event."""
+        """Handle one event and return the router's actions."""
         if isinstance(event, api.Request):
             self.open[event.id] = event
             self.stats.taken += 1
         return self.router.handle(event, now_ms)
 
     def discovery(self, frame: bytes, now_ms: float) -> list[api.Action]:
-        """Read what discovery sent and decide on it."""
+        """Decode a frame from discovery, handle its events and return the actions."""
         actions: list[api.Action] = []
         for _, event in self.reader.feed(frame):
             if isinstance(event, PurgeNotice):
@@ -87,13 +87,13 @@
         return actions
 
     def shot(self, request: int) -> int:
-        """Number the next attempt of a request."""
+        """Return the number, from 0, of the next attempt of a request."""
         number = self.shots.get(request, 0)
         self.shots[request] = number + 1
         return number
 
     def finish(self, request: int, kind: str) -> None:
-        """Take a final answer."""
+        """Record the final answer to a request; does nothing if the request is not open."""
         self.shots.pop(request, None)
         if ask := self.open.pop(request, None):
             self.stats.end(ask.class_name, kind)
