--- a/standins/scale/decisions.py
+++ b/standins/scale/decisions.py
@@ -1,4 +1,4 @@
-"""State and processor time of one gateway's deciding code, by the size of the fleet that it belongs to."""
+"""Memory and processor time of one gateway's decision code, by the size of its fleet."""
 
 import gc
 import time
@@ -11,13 +11,13 @@
 from standins.scale.gateway import HollowGateway, list_frame, purge_frame
 from standins.scale.plan import Plan, demand_at
 
-OBJECTS = 6_000  # asked for, so that each bounded table is full
-ROUNDS = 200  # of what is timed
+OBJECTS = 6_000  # requested, enough to fill each bounded table
+ROUNDS = 200  # calls over which processor time is averaged
 BEGIN_MS = 1_000_000.0
 
 
 def settled(plan: Plan, rng: Random) -> HollowGateway:
-    """Make a gateway that knows the whole list and whose tables are full."""
+    """Return a gateway that has the whole server list and whose bounded tables are full."""
     gateway = HollowGateway(plan.settings(1 % plan.demand.gateways), 7)
     gateway.discovery(list_frame(1, plan.members(), plan.zones, whole=True), BEGIN_MS)
     holder = plan.caches()[0].server
@@ -29,7 +29,7 @@
 
 
 def serve_one(gateway: HollowGateway, id: int, key: int, now_ms: float) -> None:
-    """Take a request and have each of its attempts answered at once."""
+    """Submit a request to a gateway and complete each of its attempts immediately."""
     actions = gateway.handle(api.Request(id, "files", key, now_ms + 5_000.0, 50.0, key % 256), now_ms)
     for shot, get in enumerate(a for a in actions if isinstance(a, api.Get)):
         gateway.finish(id, "served")
@@ -37,7 +37,7 @@
 
 
 def microseconds(rounds: int, call: Callable[[int], object]) -> float:
-    """Give the processor time of one call, in microseconds, over so many."""
+    """Return the mean processor time of a call in microseconds, over a number of rounds."""
     begun = time.process_time()
     for turn in range(rounds):
         call(turn)
@@ -45,7 +45,7 @@
 
 
 def measure(gateways: int, seed: int) -> dict[str, float]:
-    """Measure one gateway of a fleet of so many."""
+    """Measure one gateway of a fleet of the given size."""
     plan, rng = Plan(demand_at(gateways)), Random(seed)
     gc.collect()
     tracemalloc.start()
