--- a/standins/scale/__init__.py
+++ b/standins/scale/__init__.py
@@ -1,1 +1,1 @@
-"""Scale tests: hollow gateways on a virtual clock, measures at several sizes, and the tables they give."""
+"""Scale measures: hollow gateways on a virtual clock, measured at several fleet sizes, and their tables."""
