--- a/standins/scale/__main__.py
+++ b/standins/scale/__main__.py
@@ -1,9 +1,10 @@
-"""`python -m standins.scale measure` takes the figures of docs/CAPACITY.md; `table` prints its tables.
+"""Command line: `measure` measures the figures of docs/CAPACITY.md, `table` prints its tables.
 
     python -m standins.scale measure --sizes 100,300,1000,2300 --seed 1 --json FILE
     python -m standins.scale table FILE --gateways 2300 --purges 19
 
-Bad input gets one line and exit 2. The same seed gives the same counts; times are the machine's.
+Invalid input gives a one-line message and exit status 2. The same seed gives the same counts; times depend on
+the machine.
 """
 
 import resource
@@ -29,42 +30,42 @@
     "bounds": bounds.measure,
     "processes": processes.measure,
 }
-MOST_GATEWAYS = 10_000  # in one process, for memory and time
+MOST_GATEWAYS = 10_000  # limits the memory and time of the one measuring process
 DEFAULT_SIZES = "100,300,1000,2300"
 
 
 class Usage(click.ClickException):
-    """What was asked for makes no sense; one line, exit 2."""
+    """An invalid option or argument; prints one line and exits with status 2."""
 
     exit_code = 2
 
     def show(self, file: object = None) -> None:
-        """Write the line."""
+        """Print the message as one line on standard error."""
         print(f"scale: {self.message}", file=sys.stderr)
 
 
 def read_sizes(text: str) -> list[int]:
-    """Read the sizes, in order, each once."""
+    """Parse comma-separated fleet sizes; return them sorted, each once."""
     words = text.split(",")
     if not all(word.strip().isdecimal() for word in words):
-        raise Usage(f"sizes {text!r}: whole numbers with commas between them, such as {DEFAULT_SIZES}")
+        raise Usage(f"sizes {text!r}: must be whole numbers separated by commas, such as {DEFAULT_SIZES}")
     sizes = sorted({int(word) for word in words})
     if sizes[0] < 1 or sizes[-1] > MOST_GATEWAYS:
-        raise Usage(f"sizes {text!r}: from 1 to {MOST_GATEWAYS} gateways")
+        raise Usage(f"sizes {text!r}: must be from 1 to {MOST_GATEWAYS} gateways")
     return sizes
 
 
 def read_groups(text: str) -> list[str]:
-    """Read the names of the groups of measures."""
+    """Parse comma-separated names of measure groups."""
     names = [word.strip() for word in text.split(",")]
     for name in names:
         if name not in GROUPS:
-            raise Usage(f"measure {name!r} is not known; there are {', '.join(GROUPS)}")
+            raise Usage(f"unknown group of measures {name!r}; must be one of {', '.join(GROUPS)}")
     return names
 
 
 def take(sizes: list[int], groups: list[str], seed: int, progress: Progress) -> Run:
-    """Take all figures."""
+    """Run the measures of each group at each size and return their figures."""
     begun, found = time.monotonic(), dict[str, Series]()
     task = progress.add_task("measuring", total=len(sizes) * len(groups))
     for name in groups:
@@ -89,12 +90,16 @@
 
 
 @main.command()
-@click.option("--sizes", default=DEFAULT_SIZES, show_default=True, help="gateways, with commas between")
+@click.option(
+    "--sizes", default=DEFAULT_SIZES, show_default=True, help="fleet sizes in gateways, separated by commas"
+)
 @click.option("--seed", default=1, show_default=True)
-@click.option("--only", default=",".join(GROUPS), show_default=True, help="groups of measures")
+@click.option(
+    "--only", default=",".join(GROUPS), show_default=True, help="groups of measures, separated by commas"
+)
 @click.option("--json", "file", required=True, type=click.Path(dir_okay=False, path_type=Path))
 def measure(sizes: str, seed: int, only: str, file: Path) -> None:
-    """Measure at these sizes and write the figures to a file."""
+    """Measure at the given sizes and write the figures to a file."""
     wanted, groups = read_sizes(sizes), read_groups(only)
     with Progress(console=Console(stderr=True), transient=True) as progress:
         run = take(wanted, groups, seed, progress)
@@ -102,15 +107,15 @@
         save(run, file)
     except OSError as error:
         raise Usage(f"{file}: {error.strerror}") from None
-    print(f"{len(run.series)} measures at {wanted} in {run.seconds:.0f} s, {run.peak_mb:.0f} MB at the most")
+    print(f"{len(run.series)} measures at {wanted} in {run.seconds:.0f} s, peak memory {run.peak_mb:.0f} MB")
 
 
 @main.command()
 @click.argument("file", type=click.Path(path_type=Path))
 @click.option("--gateways", default=REFERENCE_GATEWAYS, show_default=True)
-@click.option("--purges", type=float, help="a second")
-@click.option("--caches", type=int, help="station caches")
-@click.option("--requests", type=float, help="a second, of the whole fleet")
+@click.option("--purges", type=float, help="purges per second")
+@click.option("--caches", type=int, help="number of station caches")
+@click.option("--requests", type=float, help="requests per second, over the whole fleet")
 @click.option("--objects", type=float)
 def table(
     file: Path,
@@ -120,11 +125,11 @@
     requests: float | None,
     objects: float | None,
 ) -> None:
-    """Print the tables for a size from the figures of a run."""
+    """Print the tables for a fleet size from the figures of a run."""
     given = {"purges": purges, "caches": caches, "requests": requests, "objects": objects}
     changes = {name: value for name, value in given.items() if value is not None}
     if gateways < 1 or any(value <= 0 for value in changes.values()):
-        raise Usage("gateways, purges, caches, requests and objects are numbers above 0")
+        raise Usage("gateways, purges, caches, requests and objects must be above 0")
     base = Demand() if gateways == REFERENCE_GATEWAYS else demand_at(gateways)
     try:
         print(write_page(load(file), replace(base, **changes)), end="")  # type: ignore[arg-type]
