--- a/standins/scale/bounds.py
+++ b/standins/scale/bounds.py
@@ -1,4 +1,7 @@
-"""Bounds that hold over the whole fleet, measured as the sum over all gateways, and how homes move."""
+"""Fleet-wide bounds, measured as the sum over all gateways, and the share of objects that change home.
+
+Every miss is one that only the origin can fill, at a rate far above the bound on origin fills.
+"""
 
 import math
 from random import Random
@@ -10,15 +13,15 @@
 from standins.scale.plan import Plan, demand_at
 from standins.scale.scenarios import fills_from_origin
 
-ORIGIN_RATE, ORIGIN_S = 0.5, 6.0  # misses a second at each gateway, of which far more than a bound's worth
-ORIGIN_LEAST = 200.0  # misses a second over all
+ORIGIN_RATE, ORIGIN_S = 0.5, 6.0  # misses per second at each gateway, far more in all than the bound admits
+ORIGIN_LEAST = 200.0  # lower bound on misses per second over all gateways
 STEP_MS, COLD_MS = 50.0, 4_000.0
 WORK_MS = 400.0
 MOVED_OBJECTS = 2_000
 
 
 def origin(gateways: int, seed: int) -> dict[str, float]:
-    """Measure the fills at the origin at once, where all misses need it."""
+    """Measure simultaneous fills at the origin while every miss can be filled there only."""
     rate = max(ORIGIN_RATE, ORIGIN_LEAST / gateways)
     found = fills_from_origin(gateways, rate, ORIGIN_S, seed)
     return {
@@ -29,7 +32,7 @@
 
 
 def cold(gateways: int, seed: int) -> dict[str, float]:
-    """Measure the calls to one cold parent and one cold cache over what they bear, chance included."""
+    """Measure the calls to a cold parent and a cold cache, as a share of what each can take."""
     plan = Plan(demand_at(gateways))
     zone = [n for n in range(gateways) if plan.zone_of(n) == 0]
     settings = plan.common
@@ -44,7 +47,12 @@
 def _cold(
     plan: Plan, server: api.Member, numbers: list[int], figures: tuple[float, float, float, float], seed: int
 ) -> float:
-    """Have all send what they may, told up to 2 s apart; give the worst window over its bound."""
+    """Return the highest share of a cold server's budget that all gateways together use in one window.
+
+    Each gateway sends whenever its router admits a call; the gateways hear of the server up to 2 s apart. For
+    a budget of N calls the bound is N + 2 * sqrt(N) + 2, since which gateways of a zone use a cold server is
+    decided by a hash and their number varies by chance.
+    """
     rng, begin = Random(seed), 1.0
     member = api.Member(server.server, server.zone, server.kind, "SERVING", begin, server.weight)
     routers = []
@@ -72,7 +80,7 @@
 
 
 def homes(gateways: int, seed: int) -> dict[str, float]:
-    """Measure the share of objects whose home changes with one more gateway, both ways of choosing it."""
+    """Measure the share of objects whose home changes with one more gateway, without and with membership."""
     rng = Random(seed)
     hashes = [hash64(rng.getrandbits(48), 0) for _ in range(MOVED_OBJECTS)]
     plain = sum(h % gateways != h % (gateways + 1) for h in hashes)
@@ -83,5 +91,5 @@
 
 
 def measure(gateways: int, seed: int) -> dict[str, float]:
-    """Measure all bounds in a fleet of so many."""
+    """Measure all bounds in a fleet of the given size."""
     return origin(gateways, seed) | cold(gateways, seed) | homes(gateways, seed)
