--- a/standins/scale/directory.py
+++ b/standins/scale/directory.py
@@ -1,8 +1,8 @@
-"""Directory traffic of one gateway: notes to home routers for each request, at the full request rate.
+"""Directory traffic of one gateway: notes to home gateways per request, at the full request rate.
 
-One gateway of the zone runs; the others of the fleet are answered for: they hold no entry that it asks for.
-Its zone's caches keep what they served. Popularity is assumed: a Zipf law over the objects that one gateway's
-home slice would hold.
+Only one gateway runs. The other gateways are simulated by fixed answers: none holds a directory entry that
+the running gateway asks for. The caches of its zone keep what they have served. Object popularity is assumed
+to follow a Zipf law over as many objects as one gateway's slice of the directory holds.
 """
 
 from collections.abc import Callable
@@ -16,16 +16,16 @@
 from standins.scale.gateway import HollowGateway
 from standins.scale.plan import Plan, demand_at
 
-ZIPF = 0.9  # exponent of the popularity, assumed
+ZIPF = 0.9  # exponent of the assumed popularity of objects
 WARM_S, MEASURED_S = 4.0, 6.0
 SERVED_MS = 20.0
 
 
 class SampledFleet(HollowFleet):
-    """One gateway that runs among others that are only answered for."""
+    """A fleet of which one gateway runs and the others are simulated by fixed answers."""
 
     def __init__(self, plan: Plan, seed: int) -> None:
-        """Start the one."""
+        """Start the one gateway that runs."""
         super().__init__(plan, seed, lambda number: plan.members())
         self.kept: dict[str, set[int]] = {}
         self.fills = 0
@@ -33,7 +33,7 @@
         self.start(self.number)
 
     def deliver(self, sender: int, action: api.SendNote) -> None:
-        """Answer look-ups in place of gateways that do not run."""
+        """Answer directory look-ups on behalf of the gateways that do not run."""
         if action.peer in self.running:
             return super().deliver(sender, action)
         if isinstance(action.note, api.PeerNote) and action.note.kind == "ask":
@@ -42,7 +42,7 @@
             self.at(self.now + self.rng.uniform(*DELAY_MS), back)
 
     def send(self, gateway: HollowGateway, get: api.Get) -> None:
-        """Serve what the cache keeps, fill what it lacks."""
+        """Serve objects that the cache keeps; fill the others, or answer a look-up with a miss."""
         shot, ask = gateway.shot(get.id), gateway.open[get.id]
         kept = self.kept.setdefault(get.server, set())
         fills = get.source != get.server and ask.key not in kept
@@ -55,14 +55,14 @@
 
 
 def popular(objects: int, count: int, seed: int) -> list[int]:
-    """Draw objects by their popularity."""
+    """Draw a sequence of `count` object keys by the popularity of the objects."""
     weights = 1.0 / np.arange(1, objects + 1) ** ZIPF
     drawn = np.random.default_rng(seed).choice(objects, count, p=weights / weights.sum())
     return [int(key) for key in drawn]
 
 
 def measure(gateways: int, seed: int) -> dict[str, float]:
-    """Measure notes and their bytes for each request."""
+    """Measure the notes that a gateway sends per request, and their bytes."""
     plan, rng = Plan(demand_at(gateways)), Random(seed)
     fleet = SampledFleet(plan, seed)
     rate = plan.demand.requests_each
