--- a/standins/scale/events.py
+++ b/standins/scale/events.py
@@ -1,4 +1,4 @@
-"""What the events cost and how long they take, at the size that is planned for."""
+"""Tables of the cost and duration of events, such as failures and purges, at the planned fleet size."""
 
 from hitchtiller.decide import ORIGIN_FILLS
 from standins.scale.assumptions import (
@@ -26,15 +26,18 @@
 from standins.scale.plan import Demand
 from standins.scale.shared_rows import change_in_force, cold_server, origin_fills
 
-FRONT_S = 10.0  # nine in ten restarted processes are ready within
-RACK_SITES = 1.0  # a rack holds the gateways of one site, the largest unit that the operators tell
-GROUP_SHARE = 1.0 / 256.0  # of all objects: groups are numbered 0 to 255
-APART_S = 3_600.0
-TIMES_TOLD, WORD_BYTES = 34.0, 11.0  # membership/gossip.py at 2,300; membership/words.py
+FRONT_S = 10.0  # nine in ten restarted processes are ready within this time
+RACK_SITES = 1.0  # the largest unit behind one switch that the operators name is one site
+GROUP_SHARE = 1.0 / 256.0  # share of all objects; purge groups are numbered 0 to 255
+APART_S = 3_600.0  # duration of the partition between regions
+TIMES_TOLD, WORD_BYTES = (
+    34.0,
+    11.0,
+)  # of one claim: membership/gossip.py at 2,300 gateways; membership/words.py
 
 
 def steady(figures: Figures, demand: Demand) -> Table:
-    """A steady day."""
+    """Build the table of a day without events other than the usual failures and restarts."""
     table = TableBuilder("A steady day", figures)
     table.told(
         "control, processor time a gateway",
@@ -56,7 +59,7 @@
 
 
 def failures(figures: Figures, demand: Demand) -> Table:
-    """The machines that fail or are restarted on an ordinary day."""
+    """Build the table of the machines that fail or are restarted on an ordinary day."""
     events = demand.failures_a_day + demand.restarts_a_day
     detect = figures.at("members_detect")
     table = TableBuilder(
@@ -74,7 +77,7 @@
 
 
 def rack(figures: Figures, demand: Demand) -> Table:
-    """A rack or switch."""
+    """Build the table of the loss of a rack or switch."""
     lost = RACK_SITES * demand.gateways / demand.sites
     table = TableBuilder("A rack or switch", figures)
     table.told(
@@ -100,7 +103,7 @@
 
 
 def zone(figures: Figures, demand: Demand) -> Table:
-    """A zone lost and back."""
+    """Build the table of a zone that is lost and returns."""
     table = TableBuilder("A zone lost and back", figures)
     table.told("gateways lost", float(demand.gateways_in_zone()), "gateways", "gateways over zones")
     table.told(
@@ -111,7 +114,7 @@
 
 
 def regions(figures: Figures, demand: Demand) -> Table:
-    """Regions that lose each other for an hour."""
+    """Build the table of regions that are partitioned for an hour."""
     table = TableBuilder("Regions apart for an hour and healed", figures)
     table.told(
         "purges that a region cut from discovery does not hear",
@@ -140,7 +143,7 @@
 
 
 def purge(figures: Figures, demand: Demand) -> Table:
-    """A purge of a group."""
+    """Build the table of the purge of a group."""
     table = TableBuilder("A purge of a group", figures)
     table.told("objects concerned", demand.objects * GROUP_SHARE, "objects", "assumed: 256 equal groups")
     table.told(
@@ -159,7 +162,7 @@
 
 
 def configuration(figures: Figures, demand: Demand) -> Table:
-    """A configuration pushed to all, and one pushed by mistake and taken back."""
+    """Build the table of a configuration change at all gateways, and of one that is rolled back."""
     wait = DAY_S / demand.changes_a_day
     table = TableBuilder("A configuration pushed to all; one pushed by mistake and taken back", figures)
     table.told(
@@ -182,7 +185,7 @@
 
 
 def restarts(figures: Figures, demand: Demand) -> Table:
-    """Every gateway restarted within a day."""
+    """Build the table of a restart of every gateway within a day."""
     rate = demand.gateways / DAY_S
     at = list_gateways(servers(demand))
     table = TableBuilder("Every gateway restarted within a day", figures)
@@ -212,5 +215,5 @@
 
 
 def events(figures: Figures, demand: Demand) -> list[Table]:
-    """Give the tables of all events."""
+    """Return the tables of all events."""
     return [event(figures, demand) for event in EVENTS]
