--- a/standins/scale/fleet.py
+++ b/standins/scale/fleet.py
@@ -1,9 +1,10 @@
-"""Many hollow gateways on one virtual clock and network, with faults between them.
+"""A fleet of hollow gateways on one virtual clock and network, with injected faults.
 
-Gateways share nothing but the clock and the network: notes between them are delayed, lost, repeated or cut;
-processes are killed, started, stopped and let go on. Servers are only times: a look-up misses, a fill ends
-after its time. A fill at the origin runs to its end whatever becomes of the gateway that asked for it, and
-the peak of those at once is kept; all is drawn from one seed.
+Gateways share only the clock and the network. Notes between them can be delayed, lost, duplicated or cut off
+by a partition; processes can be killed, started, stopped and resumed. Servers are modelled by their response
+times alone: each look-up misses, and a fill ends after a random time. A fill at the origin runs to its end
+even if the gateway that asked for it is killed, and the peak number of simultaneous fills is recorded. All
+random draws come from one seed.
 """
 
 import heapq
@@ -19,16 +20,16 @@
 from standins.scale.gateway import HollowGateway
 from standins.scale.plan import Plan
 
-UDP_HEAD = 28  # bytes of IP and UDP heads
-DELAY_MS = (2.5, 19.0)  # of a note between gateways, as the operators measured it
-WAY_MS = 3.0  # to a server and back
-FILL_MS = (50.0, 400.0)  # of a fill at the origin
-STUCK_SHARE = 0.05  # of fills that go on until their time-out
+UDP_HEAD = 28  # IP and UDP headers
+DELAY_MS = (2.5, 19.0)  # delay of a note between gateways, measured by the operators
+WAY_MS = 3.0  # round trip to a server
+FILL_MS = (50.0, 400.0)  # duration of a fill at the origin
+STUCK_SHARE = 0.05  # share of fills that do not end before their deadline
 
 
 @dataclass(slots=True)
 class Wire:
-    """What goes wrong between gateways."""
+    """The network faults between gateways: shares of notes lost and duplicated, and partitions."""
 
     loss: float = 0.0
     repeat: float = 0.0
@@ -36,29 +37,32 @@
 
 
 class HollowFleet:
-    """Gateways by number; only those that are started run."""
+    """Hollow gateways by number, of which only those that were started run."""
 
     def __init__(self, plan: Plan, seed: int, members: Callable[[int], tuple[api.Member, ...]]) -> None:
-        """Prepare; `members` gives the list that a gateway of a number is told."""
+        """Create a fleet without processes; `members` returns the server list of a gateway by its number."""
         self.plan, self.seed, self.members, self.rng = plan, seed, members, Random(seed)
         self.now, self.wire = 1_000_000.0, Wire()
         self.calls: list[tuple[float, int, Callable[[], None]]] = []
         self.order, self.ids = count(), count(1)
         self.running: dict[int, HollowGateway] = {}
-        self.stopped: dict[int, list[api.Event]] = {}  # what waits for a stopped process
+        self.stopped: dict[int, list[api.Event]] = {}  # events queued for each stopped process
         self.origin_fills = self.origin_peak = self.origin_done = 0
-        self.origin_ms, self.origin_at = 0.0, self.now  # of all fills together, counted up to then
+        self.origin_ms, self.origin_at = (
+            0.0,
+            self.now,
+        )  # total duration of all fills, up to the time of the last count
         self.answers: Counter[str] = Counter()
-        self.notes: Counter[str] = Counter()  # datagrams by kind
+        self.notes: Counter[str] = Counter()  # notes sent, by kind
         self.note_bytes = 0
         self.origin = plan.origin().server
 
     def at(self, when_ms: float, call: Callable[[], None]) -> None:
-        """Call at a time."""
+        """Schedule a call at a time of the virtual clock."""
         heapq.heappush(self.calls, (when_ms, next(self.order), call))
 
     def run(self, until_ms: float) -> None:
-        """Let time pass until then."""
+        """Advance the virtual clock to a time, making the calls that are due."""
         while self.calls and self.calls[0][0] <= until_ms:
             self.now, _, call = heapq.heappop(self.calls)
             call()
@@ -67,7 +71,7 @@
     # Processes
 
     def start(self, number: int) -> HollowGateway:
-        """Start a process; what an earlier one of this number knew is gone."""
+        """Start a process without any state of an earlier process of this number."""
         settings = self.plan.settings(number)
         gateway = self.running[number] = HollowGateway(settings, self.seed * 100_000 + number)
         self.stopped.pop(number, None)
@@ -75,16 +79,16 @@
         return gateway
 
     def kill(self, number: int) -> None:
-        """End a process without a word."""
+        """Kill a process; the other gateways are not notified."""
         del self.running[number]
         self.stopped.pop(number, None)
 
     def stop(self, number: int) -> None:
-        """Stop a process where it stands."""
+        """Suspend a process; its events are queued until it is resumed."""
         self.stopped[number] = []
 
     def resume_process(self, number: int) -> None:
-        """Let a stopped process go on; what came meanwhile is handled first."""
+        """Resume a stopped process, which first handles the events queued meanwhile."""
         gateway = self.running[number]
         for event in self.stopped.pop(number):
             self.give(gateway, event)
@@ -92,7 +96,10 @@
     # Events and actions
 
     def give(self, gateway: HollowGateway, event: api.Event) -> None:
-        """Hand an event to a process that still runs and carry its actions out."""
+        """Pass an event to a process and execute the resulting actions.
+
+        The event is dropped if the process was killed or replaced, and queued if it is stopped.
+        """
         if self.running.get(gateway.number) is not gateway:
             return
         if gateway.number in self.stopped:
@@ -102,7 +109,7 @@
             self.act(gateway, action)
 
     def act(self, gateway: HollowGateway, action: api.Action) -> None:
-        """Carry out one action."""
+        """Execute one action of a gateway."""
         match action:
             case api.Get():
                 self.send(gateway, action)
@@ -116,7 +123,7 @@
                 self.tell(gateway.number, action)
 
     def tell(self, sender: int, action: api.SendNote) -> None:
-        """Carry a note, or not; what no running process takes is lost."""
+        """Send a note over the network, which may lose or duplicate it; count it as sent in any case."""
         data = pack(action.note)
         kind = action.note.kind
         self.notes[kind if isinstance(kind, str) else f"lease {kind.name.lower()}"] += 1
@@ -128,20 +135,20 @@
             self.at(when, partial(self.deliver, sender, action))
 
     def deliver(self, sender: int, action: api.SendNote) -> None:
-        """Hand a note over."""
+        """Deliver a note to its receiver; it is lost if no process of that number runs."""
         if gateway := self.running.get(action.peer):
             self.give(gateway, api.PeerMessage(sender, action.note))
 
     # Requests and servers
 
     def ask(self, number: int, key: int, size_kb: float = 50.0, class_name: str = "files") -> None:
-        """Take a request at a gateway."""
+        """Submit a client's request to a gateway."""
         deadline = self.now + self.plan.common.classes[class_name].deadline_ms
         request = api.Request(next(self.ids), class_name, key, deadline, size_kb, key % 256)
         self.give(self.running[number], request)
 
     def send(self, gateway: HollowGateway, get: api.Get) -> None:
-        """Carry an attempt to its server, if it is still cleared at its first byte."""
+        """Send an attempt to its server, unless the router's recheck before the first byte withdraws it."""
         shot, ask = gateway.shot(get.id), gateway.open.get(get.id)
         end = partial(self.end, gateway, get, shot)
         if ask is None or gateway.router.recheck_send(get.id, shot, self.now) is None:
@@ -152,7 +159,7 @@
             self.at(self.now + WAY_MS, partial(end, "enoent"))
 
     def fill_from_origin(self, ask: api.Request, end: Callable[[str], None]) -> None:
-        """Count a fill at the origin until it is over, whoever still waits for it."""
+        """Count a fill at the origin until it ends, even if no gateway still waits for it."""
         left, stuck = ask.deadline_ms - self.now, self.rng.random() < STUCK_SHARE
         took = left if stuck else min(left, self.rng.uniform(*FILL_MS))
         self.count_fills(1)
@@ -166,13 +173,13 @@
         self.at(self.now + took, over)
 
     def count_fills(self, change: int) -> None:
-        """Count the fills at the origin, and the time that they have taken together until now."""
+        """Change the number of open fills at the origin, and add to their total duration up to now."""
         self.origin_ms += self.origin_fills * (self.now - self.origin_at)
         self.origin_at = self.now
         self.origin_fills += change
 
     def end(self, gateway: HollowGateway, get: api.Get, shot: int, status: str) -> None:
-        """Tell a gateway how an attempt ended."""
+        """Report the end of an attempt to its gateway, and the final answer if it served the request."""
         if self.running.get(gateway.number) is not gateway:
             return
         closed = status == "done" and get.id in gateway.open
