--- a/standins/scale/mechanisms.py
+++ b/standins/scale/mechanisms.py
@@ -1,4 +1,4 @@
-"""The code that carries what the tables tell, by module and name; a test looks that each is there."""
+"""Dotted names of the code responsible for the figures in the tables; a test checks that each exists."""
 
 BUS_LINK = "hitchtiller.bus.BusLink"
 BUS_READER = "hitchtiller.codec.bus.BusReader"
