--- a/standins/scale/membership.py
+++ b/standins/scale/membership.py
@@ -1,8 +1,8 @@
-"""Membership's cost and times: the program's detectors, all of them whole, on a virtual network.
+"""Cost and delays of membership: a complete failure detector per gateway, on a virtual network.
 
-Fleets begin converged (each view holds each member's first claim), so that what is measured is the steady
-state and one death, not a start of all at once. The catching-up of one that starts anew is measured on that
-one detector, with the others answered for.
+Fleets begin converged (each view holds the first claim of each member), so that the measures describe the
+steady state and one death, not a simultaneous start of all gateways. The catch-up of a newly started gateway
+is measured on its detector alone, with scripted answers from the others.
 """
 
 import gc
@@ -24,7 +24,7 @@
 
 
 def converged(gateways: int, seed: int) -> Net:
-    """Make a fleet in which each holds all others' first claims and nothing is left to be told."""
+    """Return a network in which each gateway holds the first claims of all and has no gossip left to send."""
     net = Net(gateways, seed)
     claims = {number: node.view.claims[number] for number, node in net.nodes.items()}
     for node in net.nodes.values():
@@ -35,7 +35,7 @@
 
 
 def steady(gateways: int, seed: int) -> dict[str, float]:
-    """Measure the quiet fleet, then one death until all hold it for dead."""
+    """Measure the fleet without changes, then the time until all gateways consider a killed one dead."""
     net = converged(gateways, seed)
     net.run(2.0 * PERIOD_MS)
     sent, carried, begun = sum(net.sent), sum(net.bytes), time.process_time()
@@ -58,7 +58,7 @@
 
 
 def state(gateways: int) -> float:
-    """Give the bytes of one detector that has heard of all."""
+    """Return the memory, in bytes, of a detector that has heard of all gateways."""
     gc.collect()
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
@@ -74,7 +74,7 @@
 
 
 def catch_up(gateways: int, seed: int) -> float:
-    """Give the seconds until one that starts anew has heard of all, by pages alone."""
+    """Return the seconds until a newly started detector has heard of all gateways, through pages alone."""
     node = Detector(0, gateways, INCARNATION, FLEET_MARK, PERIOD_MS, Random(seed), 0.0)
     whole = {number: Claim(INCARNATION, State.ALIVE) for number in range(gateways)}
 
@@ -103,6 +103,6 @@
 
 
 def measure(gateways: int, seed: int) -> dict[str, float]:
-    """Measure membership in a fleet of so many."""
+    """Measure membership in a fleet of the given size."""
     found = steady(gateways, seed)
     return found | {"members_state": state(gateways), "members_catch_up": catch_up(gateways, seed)}
