--- a/standins/scale/processes.py
+++ b/standins/scale/processes.py
@@ -1,8 +1,8 @@
-"""Real gateway processes on loopback, for what hollow ones don't have: memory, start, sockets, datagrams.
+"""Real gateway processes on loopback, for what hollow gateways lack: memory, start time, sockets, datagrams.
 
-One process at a time is started with the list and the peers of a fleet of the wanted size; the servers of the
-list are stand-ins that nobody asks. Membership's datagrams are counted over COMMON processes with the fabric
-between them, and set against a hollow fleet of the same size.
+One process at a time is started with the server list and the peers of a fleet of the given size; the listed
+servers do not exist, and no request is sent to them. Membership datagrams are counted over COMMON processes
+connected by the stand-in network, and compared with those of a hollow fleet of the same size.
 """
 
 import asyncio
@@ -22,7 +22,7 @@
 from standins.scale.plan import Plan, demand_at
 from standins.truth import Truth
 
-COMMON = 10  # processes with membership
+COMMON = 10  # processes in the comparison of membership datagrams
 READY, SERVING = "INFO n0 ready", "serving on"
 PATIENCE_S, IDLE_S = 20.0, 3.0
 QUIET_PERIODS, FLEET_PERIOD_MS = 15.0, 400.0
@@ -31,24 +31,24 @@
 
 
 def resident_mb(pid: int) -> float:
-    """Give a process's resident memory."""
+    """Return the resident memory of a process in MB."""
     return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * PAGE / 1e6
 
 
 def processor_s(pid: int) -> float:
-    """Give the processor time that a process has used."""
+    """Return the processor time that a process has used, in seconds."""
     fields = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
     return (int(fields[11]) + int(fields[12])) / TICKS_A_SECOND
 
 
 def sockets_of(pid: int) -> int:
-    """Count a process's sockets."""
+    """Return the number of open sockets of a process."""
     links = [os.readlink(entry) for entry in Path(f"/proc/{pid}/fd").iterdir()]
     return sum(link.startswith("socket:") for link in links)
 
 
 def hosts_of(plan: Plan) -> list[dict[str, Any]]:
-    """Write a fleet's list as the configuration holds it; zones and kinds are the example's."""
+    """Return the server list in the form of the configuration, with the example configuration's zones."""
     kinds = {"box": "box", "parent": "parent", "origin": "origin"}
     return [
         {"host": m.server, "dial": "127.0.0.1:9", "site": "north" if m.kind == "box" else "hub",
@@ -58,7 +58,7 @@
 
 
 async def alone(gateways: int) -> dict[str, float]:
-    """Start one gateway of a fleet of so many and look at it while it is idle."""
+    """Start one gateway of a fleet of the given size and measure it while it is idle."""
     plan, truth = Plan(demand_at(gateways)), Truth()
     bus = Bus(truth, hosts_of(plan), REPLAY_MS)
     await bus.start()
@@ -85,7 +85,7 @@
         async with asyncio.timeout(PATIENCE_S):
             while READY not in (line := (await child.stderr.readline()).decode()):
                 if not line:
-                    raise RuntimeError("the gateway ended before it was ready")
+                    raise RuntimeError("the gateway process exited before it was ready")
         started, used = time.monotonic() - begun, processor_s(child.pid)
         await asyncio.sleep(IDLE_S)
         return {
@@ -101,7 +101,7 @@
 
 
 async def datagrams() -> float:
-    """Count the datagrams that each of COMMON processes sends in a membership period."""
+    """Return the mean number of datagrams that each of COMMON processes sends per membership period."""
     fleet = Fleet(COMMON, 1, period_ms=FLEET_PERIOD_MS)
     try:
         await fleet.start()
@@ -115,11 +115,11 @@
 
 
 def common(seed: int) -> dict[str, float]:
-    """Set a hollow fleet's datagrams against real processes', at one size."""
+    """Measure the datagrams per period of a hollow fleet and of real processes, at the same size."""
     hollow = membership.steady(COMMON, seed)["members_datagrams"]
     return {"common_hollow": hollow, "common_real": asyncio.run(datagrams())}
 
 
 def measure(gateways: int, seed: int) -> dict[str, float]:
-    """Measure one process of a fleet of so many."""
+    """Measure one process of a fleet of the given size."""
     return asyncio.run(alone(gateways))
