--- a/standins/scale/roles.py
+++ b/standins/scale/roles.py
@@ -20,5 +20,5 @@
 
 
 def roles(figures: Figures, demand: Demand) -> list[Table]:
-    """Give the tables of all roles."""
+    """Return the tables of all roles."""
     return [role(figures, demand) for role in ROLES]
