--- a/standins/scale/roles_gateway.py
+++ b/standins/scale/roles_gateway.py
@@ -1,4 +1,4 @@
-"""What a gateway holds, sends, works and waits for, in each of its roles."""
+"""Tables of a gateway's state, traffic, processor time and delays, by role."""
 
 from hitchtiller.routing.directory import MAX_ENTRIES
 from standins.scale.assumptions import (
@@ -35,7 +35,7 @@
 
 
 def gateway_data(figures: Figures, demand: Demand) -> Table:
-    """A gateway's data path."""
+    """Build the table of a gateway's data path."""
     each = demand.requests_each
     mb = 1e-6 * 5.7e12 / 8.0 * (demand.requests / Demand().requests) / demand.gateways
     core = each * figures.at("decide") / 1e6
@@ -88,7 +88,7 @@
 
 
 def gateway_control(figures: Figures, demand: Demand) -> Table:
-    """A gateway's control."""
+    """Build the table of a gateway's control work."""
     each, at = demand.requests_each, list_gateways(servers(demand))
     notes = 2.0 * each * figures.at("directory_bytes")
     purges = demand.purges * PURGE_BYTES + HEARTBEAT_BYTES
@@ -167,7 +167,7 @@
 
 
 def home_router(figures: Figures, demand: Demand) -> Table:
-    """The home router of a slice of the directory."""
+    """Build the table of the home gateway of a directory slice."""
     slice_objects = demand.objects / demand.gateways
     table = TableBuilder("Home router of a directory slice", figures)
     table.told(
@@ -194,7 +194,7 @@
 
 
 def member(figures: Figures, demand: Demand) -> Table:
-    """A member of the fleet."""
+    """Build the table of a member of the fleet."""
     table = TableBuilder("Member of the fleet", figures)
     table.told("claims held", float(demand.gateways), "claims", "one a gateway", VIEW, exponent=1.0)
     table.measured("datagrams sent", "members_datagrams", "1/s", DETECTOR)
@@ -214,7 +214,7 @@
 
 
 def subscriber(figures: Figures, demand: Demand) -> Table:
-    """A subscriber of discovery."""
+    """Build the table of a subscriber to discovery."""
     at = list_gateways(servers(demand))
     table = TableBuilder("Subscriber of discovery", figures)
     table.told(
