--- a/standins/scale/roles_servers.py
+++ b/standins/scale/roles_servers.py
@@ -1,4 +1,4 @@
-"""What all gateways together ask of discovery, caches, parents, the origin and the operators."""
+"""Tables of the load that all gateways put on discovery, caches, parents, the origin and the operators."""
 
 from standins.scale.assumptions import (
     EFFECTS,
@@ -14,7 +14,7 @@
 
 
 def discovery(figures: Figures, demand: Demand) -> Table:
-    """Discovery and the machines set aside for control, as the gateways load them."""
+    """Build the table of the load on discovery and on the machines reserved for control."""
     each, at = demand.gateways / demand.machines, list_gateways(servers(demand))
     out = demand.purges * PURGE_BYTES + HEARTBEAT_BYTES
     table = TableBuilder(f"Discovery service and the {demand.machines} control machines", figures)
@@ -48,7 +48,7 @@
 
 
 def station_cache(figures: Figures, demand: Demand) -> Table:
-    """A station cache, as the gateways load it."""
+    """Build the table of the load on a station cache."""
     zone = demand.gateways_in_zone()
     table = TableBuilder("Station cache", figures)
     table.told("requests", demand.requests / demand.caches, "1/s", "told")
@@ -64,7 +64,7 @@
 
 
 def parent(figures: Figures, demand: Demand) -> Table:
-    """A district cache, as the gateways load it."""
+    """Build the table of the load on a parent (district cache)."""
     table = TableBuilder("Parent (district cache)", figures)
     table.told(
         "connections, one a gateway",
@@ -87,7 +87,7 @@
 
 
 def origin(figures: Figures, demand: Demand) -> Table:
-    """The origin, as the gateways load it."""
+    """Build the table of the load on the origin."""
     table = TableBuilder("Origin", figures)
     table.add(origin_fills(figures))
     table.measured("of them in use, all misses at the origin", "origin_mean", "fills", LEASES)
@@ -111,7 +111,7 @@
 
 
 def operator(figures: Figures, demand: Demand) -> Table:
-    """An operator who changes a configuration."""
+    """Build the table of an operator's work for a configuration change."""
     table = TableBuilder("Operator changing a configuration", figures)
     table.told(
         "gateways to be told, each by a file and a signal",
