--- a/standins/scale/scenarios.py
+++ b/standins/scale/scenarios.py
@@ -1,4 +1,4 @@
-"""Stories that are played on a hollow fleet: all misses need the origin, while things go wrong."""
+"""Scenarios run on a hollow fleet: every miss needs the origin, optionally while faults are injected."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -7,32 +7,34 @@
 from standins.scale.fleet import HollowFleet
 from standins.scale.plan import Plan, demand_at
 
-SETTLE_MS = 11_000.0  # a lease's term and more: owners that have just started lend nothing for it
+SETTLE_MS = 11_000.0  # longer than a lease term, during which newly started owners grant no leases
 OBJECT_BITS = 48
 
 
 @dataclass(frozen=True, slots=True)
 class OriginFigures:
-    """What all gateways together did at the origin."""
+    """The load of all gateways together on the origin in one run."""
 
     gateways: int
-    peak: int  # fills at once
-    mean: float  # of them, over the time of the requests
+    peak: int  # highest number of simultaneous fills
+    mean: float  # mean number of simultaneous fills while requests arrive
     served: int
     refused: int
     lease_notes: int
     seconds: float
 
     def notes_each(self) -> float:
-        """Give the lease notes that a gateway sent a second."""
+        """Return the mean number of lease notes that a gateway sent per second."""
         return self.lease_notes / self.gateways / self.seconds
 
 
-Trouble = Callable[[HollowFleet, float], None]  # schedules faults, told when the requests begin
+Trouble = Callable[
+    [HollowFleet, float], None
+]  # schedules faults in a fleet, given the time when requests begin
 
 
 def origin_only(gateways: int, seed: int = 1) -> HollowFleet:
-    """Make a fleet that is told of its zone's caches and the origin, and of no parent; all run."""
+    """Start a fleet whose gateways list the caches of their zone and the origin, but no parent."""
     plan = Plan(demand_at(gateways))
     lists = [(*plan.caches(zone), plan.origin()) for zone in range(plan.demand.zones)]
     fleet = HollowFleet(plan, seed, lambda number: lists[plan.zone_of(number)])
@@ -42,7 +44,7 @@
 
 
 def keep_asking(fleet: HollowFleet, number: int, each_per_s: float, until_ms: float) -> None:
-    """Have a gateway asked for objects that nothing holds, until a time."""
+    """Send a gateway requests for objects that no server holds, at random intervals, until a time."""
     if fleet.now > until_ms:
         return
     if number in fleet.running and number not in fleet.stopped:
@@ -54,7 +56,7 @@
 def fills_from_origin(
     gateways: int, each_per_s: float, seconds: float, seed: int = 1, trouble: Trouble | None = None
 ) -> OriginFigures:
-    """Play misses that only the origin can fill at all gateways; `each_per_s` of them at each."""
+    """Run a fleet in which each gateway gets `each_per_s` misses per second that only the origin can fill."""
     fleet = origin_only(gateways, seed)
     begin = fleet.now + SETTLE_MS
     until = begin + 1000.0 * seconds
