--- a/standins/scale/shared_rows.py
+++ b/standins/scale/shared_rows.py
@@ -1,4 +1,4 @@
-"""Rows that stand in the table of a role and again in that of an event."""
+"""Rows that appear both in the table of a role and in that of an event."""
 
 from hitchtiller.decide import ORIGIN_FILLS
 from standins.scale.assumptions import SIGNAL_S
@@ -8,19 +8,19 @@
 
 
 def cold_server(figures: Figures, kind: str) -> Row:
-    """Give the calls to one cold `cache` or `parent` over what it bears."""
+    """Return the row of calls to a cold server, a `cache` or a `parent`, as a share of what it can take."""
     name, bears = f"cold {kind}: calls in its window, all gateways", "of what it bears"
     return figures.row(name, f"cold_{kind}", bears, COLD_GUARD, budget=1.0, grows=True, rule=True)
 
 
 def origin_fills(figures: Figures) -> Row:
-    """Give the fills at the origin at once."""
+    """Return the row of simultaneous fills at the origin."""
     name, most = "fills at once, all gateways", float(ORIGIN_FILLS)
     return figures.row(name, "origin_peak", "fills", LEASES, budget=most, rule=True)
 
 
 def change_in_force(demand: Demand) -> Row:
-    """Give the time until a changed configuration is in force everywhere."""
+    """Return the row of the time until a changed configuration is in force at all gateways."""
     name, took = "until a change is in force everywhere", SIGNAL_S * demand.gateways
     basis = f"assumed: {SIGNAL_S:g} s a gateway, one after another"
     return Row(name, took, "s", demand.change_s, basis, exponent=1.0, kind="time")
