--- a/standins/scale/report.py
+++ b/standins/scale/report.py
@@ -1,4 +1,4 @@
-"""The tables of docs/CAPACITY.md: roles, events, and what breaks first, from the figures of one run."""
+"""The tables of docs/CAPACITY.md from the figures of one run: what breaks first, roles, events and fits."""
 
 from standins.scale.estimate import Figures, Row, Table, basis, number, write_table
 from standins.scale.events import events
@@ -6,12 +6,16 @@
 from standins.scale.results import Run
 from standins.scale.roles import roles
 
-BREAKS_FROM = 0.5  # of its budget: what is listed as breaking first
+BREAKS_FROM = 0.5  # share of its budget from which a figure is listed as breaking first
 ORDER = {"rule": 0, "time": 1, "cost": 2}
 
 
 def breaks_first(tables: list[Table]) -> list[Row]:
-    """Give the rows that are near or past their budgets: rules first, then times, then costs, worst first."""
+    """Return all rows of rules, and the other rows that are near or over their budgets, each once.
+
+    Rows over their budgets come first. Among them and among the rest, rules precede times and times precede
+    costs; within a kind the highest share of the budget comes first.
+    """
     found: dict[str, Row] = {}
     for table in tables:
         for row in table.rows:
@@ -21,13 +25,13 @@
 
 
 def _rank(row: Row) -> int:
-    """Put what is within its budget behind all that is past it."""
+    """Return the sort rank of a row: by kind, with rows within their budgets after all that exceed them."""
     kind = "rule" if row.rule else row.kind
     return ORDER[kind] + (0 if (row.ratio or 0.0) > 1.0 else len(ORDER))
 
 
 def write_breaks(rows: list[Row], gateways: int) -> str:
-    """Write the list as a table, with the size at which each crosses its budget."""
+    """Format the rows as a Markdown table, with the fleet size at which each exceeds its budget."""
     lines = [
         "| what | kind | of budget | crosses its budget at | carried by |",
         "| --- | --- | ---: | ---: | --- |",
@@ -42,7 +46,7 @@
 
 
 def write_fits(run: Run) -> str:
-    """Write each measure with its figures, exponent and residual."""
+    """Format all measures as a Markdown table with their values, exponents and residuals."""
     lines = ["| measure | at | figures | exponent | residual |", "| --- | --- | --- | ---: | ---: |"]
     for series in run.series:
         law = series.fitted()
@@ -53,7 +57,7 @@
 
 
 def write_comparison(run: Run) -> str:
-    """Set the hollow figure against the real processes' at their common size."""
+    """Describe how the datagrams of a hollow fleet compare with those of as many real processes."""
     hollow, real = run.of("common_hollow"), run.of("common_real")
     apart = hollow.values[0] / real.values[0] - 1.0
     return (
@@ -63,7 +67,7 @@
 
 
 def write_page(run: Run, demand: Demand) -> str:
-    """Write all tables for a size."""
+    """Format all tables for a fleet of the given size."""
     figures = Figures(run, demand.gateways)
     by_role, by_event = roles(figures, demand), events(figures, demand)
     parts = ["### What breaks first", "", write_breaks(breaks_first(by_role + by_event), demand.gateways)]
