--- a/standins/scale/bounds.py
+++ b/standins/scale/bounds.py
@@ -1,7 +1,4 @@
-"""Fleet-wide bounds, measured as the sum over all gateways, and the share of objects that change home.
-
-Every miss is one that only the origin can fill, at a rate far above the bound on origin fills.
-"""
+"""Fleet-wide bounds, measured as the sum over all gateways, and the share of objects that change home."""
 
 import math
 from random import Random
