--- a/standins/scale/decisions.py
+++ b/standins/scale/decisions.py
@@ -19,7 +19,7 @@
 def settled(plan: Plan, rng: Random) -> HollowGateway:
     """Return a gateway that has the whole server list and whose bounded tables are full."""
     gateway = HollowGateway(plan.settings(1 % plan.demand.gateways), 7)
-    gateway.discovery(list_frame(1, plan.members(), plan.zones, whole=True), BEGIN_MS)
+    gateway.handle_discovery(list_frame(1, plan.members(), plan.zones, whole=True), BEGIN_MS)
     holder = plan.caches()[0].server
     for id in range(OBJECTS):
         serve_one(gateway, id, rng.getrandbits(48), BEGIN_MS + id)
@@ -59,16 +59,16 @@
 
     def change(turn: int) -> None:
         changed = replace(members[turn % len(members)], weight=8.0 + turn % 2)
-        gateway.discovery(list_frame(turn, [changed], plan.zones, whole=False), now)
+        gateway.handle_discovery(list_frame(turn, [changed], plan.zones, whole=False), now)
 
     def purge(turn: int) -> None:
-        gateway.discovery(purge_frame(turn, rng.getrandbits(48), 0, now), now)
+        gateway.handle_discovery(purge_frame(turn, rng.getrandbits(48), 0, now), now)
 
     def request(turn: int) -> None:
         serve_one(gateway, OBJECTS + turn, turn, now)
 
     changes = microseconds(ROUNDS, change)
-    starts = microseconds(5, lambda turn: gateway.discovery(whole, now)) / 1000.0
+    starts = microseconds(5, lambda turn: gateway.handle_discovery(whole, now)) / 1000.0
     purges = microseconds(ROUNDS, purge)
     sweep = microseconds(ROUNDS, lambda turn: gateway.handle(api.TimerDue("sweep"), now))
     return {
