--- a/standins/scale/gateway.py
+++ b/standins/scale/gateway.py
@@ -74,7 +74,7 @@
             self.stats.taken += 1
         return self.router.handle(event, now_ms)
 
-    def discovery(self, frame: bytes, now_ms: float) -> list[api.Action]:
+    def handle_discovery(self, frame: bytes, now_ms: float) -> list[api.Action]:
         """Decode a frame from discovery, handle its events and return the actions."""
         actions: list[api.Action] = []
         for _, event in self.reader.feed(frame):
