--- a/standins/scale/fleet.py
+++ b/standins/scale/fleet.py
@@ -149,7 +149,7 @@
 
     def send(self, gateway: HollowGateway, get: api.Get) -> None:
         """Send an attempt to its server, unless the router's recheck before the first byte withdraws it."""
-        shot, ask = gateway.shot(get.id), gateway.open.get(get.id)
+        shot, ask = gateway.next_attempt(get.id), gateway.open.get(get.id)
         end = partial(self.end, gateway, get, shot)
         if ask is None or gateway.router.recheck_send(get.id, shot, self.now) is None:
             self.at(self.now, partial(end, "skipped"))
