--- a/standins/scale/gateway.py
+++ b/standins/scale/gateway.py
@@ -86,7 +86,7 @@
                 actions += self.router.handle(api.Members(members, event.whole), now_ms)
         return actions
 
-    def shot(self, request: int) -> int:
+    def next_attempt(self, request: int) -> int:
         """Return the number, from 0, of the next attempt of a request."""
         number = self.shots.get(request, 0)
         self.shots[request] = number + 1
