--- a/standins/scale/gateway.py
+++ b/standins/scale/gateway.py
@@ -65,7 +65,7 @@
         self.reader = BusReader(settings.zones, KINDS)
         self.stats = Stats(settings.classes)
         self.open: dict[int, api.Request] = {}
-        self.shots: dict[int, int] = {}
+        self.attempt_counts: dict[int, int] = {}
 
     def handle(self, event: api.Event, now_ms: float) -> list[api.Action]:
         """Handle one event and return the router's actions."""
@@ -88,12 +88,12 @@
 
     def next_attempt(self, request: int) -> int:
         """Return the number, from 0, of the next attempt of a request."""
-        number = self.shots.get(request, 0)
-        self.shots[request] = number + 1
+        number = self.attempt_counts.get(request, 0)
+        self.attempt_counts[request] = number + 1
         return number
 
     def finish(self, request: int, kind: str) -> None:
         """Record the final answer to a request; does nothing if the request is not open."""
-        self.shots.pop(request, None)
+        self.attempt_counts.pop(request, None)
         if ask := self.open.pop(request, None):
             self.stats.end(ask.class_name, kind)
