--- a/standins/scale/fleet.py
+++ b/standins/scale/fleet.py
@@ -149,7 +149,7 @@
 
     def send(self, gateway: HollowGateway, get: api.Get) -> None:
         """Send an attempt to its server, unless the router's recheck before the first byte withdraws it."""
-        shot, ask = gateway.next_attempt(get.id), gateway.open.get(get.id)
+        shot, ask = gateway.next_attempt(get.id), gateway.open_requests.get(get.id)
         end = partial(self.end, gateway, get, shot)
         if ask is None or gateway.router.recheck_send(get.id, shot, self.now) is None:
             self.at(self.now, partial(end, "skipped"))
@@ -182,9 +182,9 @@
         """Report the end of an attempt to its gateway, and the final answer if it served the request."""
         if self.running.get(gateway.number) is not gateway:
             return
-        closed = status == "done" and get.id in gateway.open
+        closed = status == "done" and get.id in gateway.open_requests
         if closed:
             self.answers["served"] += 1
             gateway.finish(get.id, "served")
-        over = closed or get.id not in gateway.open
+        over = closed or get.id not in gateway.open_requests
         self.give(gateway, api.Outcome(get.id, shot, get.server, status, 1.0, over))
--- a/standins/scale/gateway.py
+++ b/standins/scale/gateway.py
@@ -64,13 +64,13 @@
         self.router = Router(settings, seed)
         self.reader = BusReader(settings.zones, KINDS)
         self.stats = Stats(settings.classes)
-        self.open: dict[int, api.Request] = {}
+        self.open_requests: dict[int, api.Request] = {}
         self.attempt_counts: dict[int, int] = {}
 
     def handle(self, event: api.Event, now_ms: float) -> list[api.Action]:
         """Handle one event and return the router's actions."""
         if isinstance(event, api.Request):
-            self.open[event.id] = event
+            self.open_requests[event.id] = event
             self.stats.taken += 1
         return self.router.handle(event, now_ms)
 
@@ -95,5 +95,5 @@
     def finish(self, request: int, kind: str) -> None:
         """Record the final answer to a request; does nothing if the request is not open."""
         self.attempt_counts.pop(request, None)
-        if ask := self.open.pop(request, None):
+        if ask := self.open_requests.pop(request, None):
             self.stats.end(ask.class_name, kind)
