--- a/standins/scale/fleet.py
+++ b/standins/scale/fleet.py
@@ -115,7 +115,7 @@
                 self.send(gateway, action)
             case api.Refuse() | api.Fail():
                 self.answers["refused"] += 1
-                gateway.finish(action.id, "refused")
+                gateway.finish_request(action.id, "refused")
             case api.SetTimer():
                 due = api.TimerDue(action.token)
                 self.at(self.now + max(0.01, action.delay_ms), partial(self.give, gateway, due))
@@ -185,6 +185,6 @@
         closed = status == "done" and get.id in gateway.open_requests
         if closed:
             self.answers["served"] += 1
-            gateway.finish(get.id, "served")
+            gateway.finish_request(get.id, "served")
         over = closed or get.id not in gateway.open_requests
         self.give(gateway, api.Outcome(get.id, shot, get.server, status, 1.0, over))
