--- a/standins/scale/gateway.py
+++ b/standins/scale/gateway.py
@@ -20,7 +20,7 @@
 from hitchtiller.news import PurgeNotice
 from hitchtiller.ops.stats import Stats
 
-KINDS = ("box", "parent", "origin")
+SERVER_KINDS = ("box", "parent", "origin")
 LENGTH = struct.Struct(">I")
 
 
@@ -33,7 +33,7 @@
             9,
             STATES.index(m.state),
             zones.index(m.zone),
-            KINDS.index(m.kind),
+            SERVER_KINDS.index(m.kind),
             0,
             round(1000 * m.weight),
             int(m.started_ms),
@@ -62,7 +62,7 @@
         """Start without a server list and without requests."""
         self.number = settings.my_number
         self.router = Router(settings, seed)
-        self.reader = BusReader(settings.zones, KINDS)
+        self.reader = BusReader(settings.zones, SERVER_KINDS)
         self.stats = Stats(settings.classes)
         self.open_requests: dict[int, api.Request] = {}
         self.attempt_counts: dict[int, int] = {}
