--- a/standins/scale/gateway.py
+++ b/standins/scale/gateway.py
@@ -21,7 +21,7 @@
 from hitchtiller.ops.stats import Stats
 
 SERVER_KINDS = ("box", "parent", "origin")
-LENGTH = struct.Struct(">I")
+FRAME_LENGTH = struct.Struct(">I")
 
 
 def list_frame(number: int, members: Iterable[api.Member], zones: tuple[str, ...], whole: bool) -> bytes:
@@ -52,7 +52,7 @@
 
 def _frame(number: int, kind: int, payload: bytes) -> bytes:
     body = HEAD.pack(number, kind) + payload
-    return LENGTH.pack(len(body)) + body
+    return FRAME_LENGTH.pack(len(body)) + body
 
 
 class HollowGateway:
