--- a/standins/scale/decisions.py
+++ b/standins/scale/decisions.py
@@ -31,9 +31,9 @@
 def serve_one(gateway: HollowGateway, id: int, key: int, now_ms: float) -> None:
     """Submit a request to a gateway and complete each of its attempts immediately."""
     actions = gateway.handle(api.Request(id, "files", key, now_ms + 5_000.0, 50.0, key % 256), now_ms)
-    for shot, get in enumerate(a for a in actions if isinstance(a, api.Get)):
+    for attempt, get in enumerate(a for a in actions if isinstance(a, api.Get)):
         gateway.finish_request(id, "served")
-        gateway.handle(api.Outcome(id, shot, get.server, "done", 5.0, True, 1), now_ms)
+        gateway.handle(api.Outcome(id, attempt, get.server, "done", 5.0, True, 1), now_ms)
 
 
 def microseconds(rounds: int, call: Callable[[int], object]) -> float:
--- a/standins/scale/directory.py
+++ b/standins/scale/directory.py
@@ -43,7 +43,7 @@
 
     def send(self, gateway: HollowGateway, get: api.Get) -> None:
         """Serve objects that the cache keeps; fill the others, or answer a look-up with a miss."""
-        shot, ask = gateway.next_attempt(get.id), gateway.open_requests[get.id]
+        attempt, ask = gateway.next_attempt(get.id), gateway.open_requests[get.id]
         kept = self.kept.setdefault(get.server, set())
         fills = get.source != get.server and ask.key not in kept
         self.fills += fills
@@ -51,7 +51,7 @@
         if found:
             kept.add(ask.key)
         status, took = ("done", SERVED_MS) if found else ("enoent", WAY_MS)
-        self.at(self.now + took, partial(self.end, gateway, get, shot, status))
+        self.at(self.now + took, partial(self.end, gateway, get, attempt, status))
 
 
 def popular(objects: int, count: int, seed: int) -> list[int]:
--- a/standins/scale/fleet.py
+++ b/standins/scale/fleet.py
@@ -149,9 +149,9 @@
 
     def send(self, gateway: HollowGateway, get: api.Get) -> None:
         """Send an attempt to its server, unless the router's recheck before the first byte withdraws it."""
-        shot, ask = gateway.next_attempt(get.id), gateway.open_requests.get(get.id)
-        end = partial(self.end, gateway, get, shot)
-        if ask is None or gateway.router.recheck_send(get.id, shot, self.now) is None:
+        attempt, ask = gateway.next_attempt(get.id), gateway.open_requests.get(get.id)
+        end = partial(self.end, gateway, get, attempt)
+        if ask is None or gateway.router.recheck_send(get.id, attempt, self.now) is None:
             self.at(self.now, partial(end, "skipped"))
         elif get.source == self.origin:
             self.fill_from_origin(ask, end)
@@ -178,7 +178,7 @@
         self.origin_at = self.now
         self.origin_fills += change
 
-    def end(self, gateway: HollowGateway, get: api.Get, shot: int, status: str) -> None:
+    def end(self, gateway: HollowGateway, get: api.Get, attempt: int, status: str) -> None:
         """Report the end of an attempt to its gateway, and the final answer if it served the request."""
         if self.running.get(gateway.number) is not gateway:
             return
@@ -187,4 +187,4 @@
             self.answers["served"] += 1
             gateway.finish_request(get.id, "served")
         over = closed or get.id not in gateway.open_requests
-        self.give(gateway, api.Outcome(get.id, shot, get.server, status, 1.0, over))
+        self.give(gateway, api.Outcome(get.id, attempt, get.server, status, 1.0, over))
