--- a/standins/scale/fleet.py
+++ b/standins/scale/fleet.py
@@ -28,7 +28,7 @@
 
 
 @dataclass(slots=True)
-class Wire:
+class NetworkFaults:
     """The network faults between gateways: shares of notes lost and duplicated, and partitions."""
 
     loss: float = 0.0
@@ -42,7 +42,7 @@
     def __init__(self, plan: Plan, seed: int, members: Callable[[int], tuple[api.Member, ...]]) -> None:
         """Create a fleet without processes; `members` returns the server list of a gateway by its number."""
         self.plan, self.seed, self.members, self.rng = plan, seed, members, Random(seed)
-        self.now, self.wire = 1_000_000.0, Wire()
+        self.now, self.wire = 1_000_000.0, NetworkFaults()
         self.calls: list[tuple[float, int, Callable[[], None]]] = []
         self.order, self.ids = count(), count(1)
         self.running: dict[int, HollowGateway] = {}
