--- a/standins/scale/fleet.py
+++ b/standins/scale/fleet.py
@@ -42,7 +42,7 @@
     def __init__(self, plan: Plan, seed: int, members: Callable[[int], tuple[api.Member, ...]]) -> None:
         """Create a fleet without processes; `members` returns the server list of a gateway by its number."""
         self.plan, self.seed, self.members, self.rng = plan, seed, members, Random(seed)
-        self.now, self.wire = 1_000_000.0, NetworkFaults()
+        self.now, self.network_faults = 1_000_000.0, NetworkFaults()
         self.calls: list[tuple[float, int, Callable[[], None]]] = []
         self.order, self.ids = count(), count(1)
         self.running: dict[int, HollowGateway] = {}
@@ -128,9 +128,9 @@
         kind = action.note.kind
         self.notes[kind if isinstance(kind, str) else f"lease {kind.name.lower()}"] += 1
         self.note_bytes += len(data) + UDP_HEAD
-        if self.wire.cut(sender, action.peer) or self.rng.random() < self.wire.loss:
+        if self.network_faults.cut(sender, action.peer) or self.rng.random() < self.network_faults.loss:
             return
-        for _ in range(1 + (self.rng.random() < self.wire.repeat)):
+        for _ in range(1 + (self.rng.random() < self.network_faults.repeat)):
             when = self.now + self.rng.uniform(*DELAY_MS)
             self.at(when, partial(self.deliver, sender, action))
 
--- a/tests/scale/test_scale_leases.py
+++ b/tests/scale/test_scale_leases.py
@@ -31,7 +31,7 @@
 
 def loss(fleet: HollowFleet, begin_ms: float) -> None:
     """Lose a third of the notes, repeat a third of the rest."""
-    fleet.wire.loss = fleet.wire.repeat = 0.33
+    fleet.network_faults.loss = fleet.network_faults.repeat = 0.33
 
 
 def cut(fleet: HollowFleet, begin_ms: float) -> None:
@@ -42,10 +42,10 @@
         return (sender < middle) != (receiver < middle)
 
     def heal() -> None:
-        fleet.wire.cut = lambda sender, receiver: False
+        fleet.network_faults.cut = lambda sender, receiver: False
 
     def begin() -> None:
-        fleet.wire.cut = apart
+        fleet.network_faults.cut = apart
 
     fleet.at(begin_ms + 1_000.0, begin)
     fleet.at(begin_ms + 6_000.0, heal)
