--- a/standins/scale/fleet.py
+++ b/standins/scale/fleet.py
@@ -130,7 +130,7 @@
         self.note_bytes += len(data) + UDP_HEAD
         if self.network_faults.cut(sender, action.peer) or self.rng.random() < self.network_faults.loss_share:
             return
-        for _ in range(1 + (self.rng.random() < self.network_faults.repeat)):
+        for _ in range(1 + (self.rng.random() < self.network_faults.repeat_share)):
             when = self.now + self.rng.uniform(*DELAY_MS)
             self.at(when, partial(self.deliver, sender, action))
 
--- a/tests/scale/test_scale_leases.py
+++ b/tests/scale/test_scale_leases.py
@@ -31,7 +31,7 @@
 
 def loss(fleet: HollowFleet, begin_ms: float) -> None:
     """Lose a third of the notes, repeat a third of the rest."""
-    fleet.network_faults.loss_share = fleet.network_faults.repeat = 0.33
+    fleet.network_faults.loss_share = fleet.network_faults.repeat_share = 0.33
 
 
 def cut(fleet: HollowFleet, begin_ms: float) -> None:
