--- a/standins/scale/fleet.py
+++ b/standins/scale/fleet.py
@@ -128,7 +128,10 @@
         kind = action.note.kind
         self.notes[kind if isinstance(kind, str) else f"lease {kind.name.lower()}"] += 1
         self.note_bytes += len(data) + UDP_HEAD
-        if self.network_faults.cut(sender, action.peer) or self.rng.random() < self.network_faults.loss_share:
+        if (
+            self.network_faults.is_cut(sender, action.peer)
+            or self.rng.random() < self.network_faults.loss_share
+        ):
             return
         for _ in range(1 + (self.rng.random() < self.network_faults.repeat_share)):
             when = self.now + self.rng.uniform(*DELAY_MS)
--- a/tests/scale/test_scale_leases.py
+++ b/tests/scale/test_scale_leases.py
@@ -42,10 +42,10 @@
         return (sender < middle) != (receiver < middle)
 
     def heal() -> None:
-        fleet.network_faults.cut = lambda sender, receiver: False
+        fleet.network_faults.is_cut = lambda sender, receiver: False
 
     def begin() -> None:
-        fleet.network_faults.cut = apart
+        fleet.network_faults.is_cut = apart
 
     fleet.at(begin_ms + 1_000.0, begin)
     fleet.at(begin_ms + 6_000.0, heal)
