--- a/standins/scale/directory.py
+++ b/standins/scale/directory.py
@@ -12,7 +12,7 @@
 import numpy as np
 
 from hitchtiller import interface as api
-from standins.scale.fleet import DELAY_MS, WAY_MS, HollowFleet
+from standins.scale.fleet import NOTE_DELAY_MS, WAY_MS, HollowFleet
 from standins.scale.gateway import HollowGateway
 from standins.scale.plan import Plan, demand_at
 
@@ -39,7 +39,7 @@
         if isinstance(action.note, api.PeerNote) and action.note.kind == "ask":
             answer = api.PeerNote("holder", action.note.key, action.note.part, "")
             back = partial(self.give, self.running[sender], api.PeerMessage(action.peer, answer))
-            self.at(self.now + self.rng.uniform(*DELAY_MS), back)
+            self.at(self.now + self.rng.uniform(*NOTE_DELAY_MS), back)
 
     def send(self, gateway: HollowGateway, get: api.Get) -> None:
         """Serve objects that the cache keeps; fill the others, or answer a look-up with a miss."""
--- a/standins/scale/fleet.py
+++ b/standins/scale/fleet.py
@@ -21,7 +21,7 @@
 from standins.scale.plan import Plan
 
 UDP_HEAD = 28  # IP and UDP headers
-DELAY_MS = (2.5, 19.0)  # delay of a note between gateways, measured by the operators
+NOTE_DELAY_MS = (2.5, 19.0)  # delay of a note between gateways, measured by the operators
 WAY_MS = 3.0  # round trip to a server
 FILL_MS = (50.0, 400.0)  # duration of a fill at the origin
 STUCK_SHARE = 0.05  # share of fills that do not end before their deadline
@@ -134,7 +134,7 @@
         ):
             return
         for _ in range(1 + (self.rng.random() < self.network_faults.repeat_share)):
-            when = self.now + self.rng.uniform(*DELAY_MS)
+            when = self.now + self.rng.uniform(*NOTE_DELAY_MS)
             self.at(when, partial(self.deliver, sender, action))
 
     def deliver(self, sender: int, action: api.SendNote) -> None:
