--- a/standins/scale/directory.py
+++ b/standins/scale/directory.py
@@ -12,7 +12,7 @@
 import numpy as np
 
 from hitchtiller import interface as api
-from standins.scale.fleet import NOTE_DELAY_MS, WAY_MS, HollowFleet
+from standins.scale.fleet import NOTE_DELAY_MS, ROUND_TRIP_MS, HollowFleet
 from standins.scale.gateway import HollowGateway
 from standins.scale.plan import Plan, demand_at
 
@@ -50,7 +50,7 @@
         found = ask.key in kept or get.source != get.server
         if found:
             kept.add(ask.key)
-        status, took = ("done", SERVED_MS) if found else ("enoent", WAY_MS)
+        status, took = ("done", SERVED_MS) if found else ("enoent", ROUND_TRIP_MS)
         self.at(self.now + took, partial(self.end, gateway, get, attempt, status))
 
 
--- a/standins/scale/fleet.py
+++ b/standins/scale/fleet.py
@@ -22,7 +22,7 @@
 
 UDP_HEAD = 28  # IP and UDP headers
 NOTE_DELAY_MS = (2.5, 19.0)  # delay of a note between gateways, measured by the operators
-WAY_MS = 3.0  # round trip to a server
+ROUND_TRIP_MS = 3.0  # round trip to a server
 FILL_MS = (50.0, 400.0)  # duration of a fill at the origin
 STUCK_SHARE = 0.05  # share of fills that do not end before their deadline
 
@@ -159,7 +159,7 @@
         elif get.source == self.origin:
             self.fill_from_origin(ask, end)
         else:
-            self.at(self.now + WAY_MS, partial(end, "enoent"))
+            self.at(self.now + ROUND_TRIP_MS, partial(end, "enoent"))
 
     def fill_from_origin(self, ask: api.Request, end: Callable[[str], None]) -> None:
         """Count a fill at the origin until it ends, even if no gateway still waits for it."""
