--- a/standins/scale/fleet.py
+++ b/standins/scale/fleet.py
@@ -24,7 +24,7 @@
 NOTE_DELAY_MS = (2.5, 19.0)  # delay of a note between gateways, measured by the operators
 ROUND_TRIP_MS = 3.0  # round trip to a server
 ORIGIN_FILL_MS = (50.0, 400.0)  # duration of a fill at the origin
-STUCK_SHARE = 0.05  # share of fills that do not end before their deadline
+STUCK_FILL_SHARE = 0.05  # share of fills that do not end before their deadline
 
 
 @dataclass(slots=True)
@@ -163,7 +163,7 @@
 
     def fill_from_origin(self, ask: api.Request, end: Callable[[str], None]) -> None:
         """Count a fill at the origin until it ends, even if no gateway still waits for it."""
-        left, stuck = ask.deadline_ms - self.now, self.rng.random() < STUCK_SHARE
+        left, stuck = ask.deadline_ms - self.now, self.rng.random() < STUCK_FILL_SHARE
         took = left if stuck else min(left, self.rng.uniform(*ORIGIN_FILL_MS))
         self.count_fills(1)
         self.origin_peak = max(self.origin_peak, self.origin_fills)
