--- a/standins/scale/assumptions.py
+++ b/standins/scale/assumptions.py
@@ -3,9 +3,9 @@
 from standins.scale.estimate import Figures, list_gateways
 from standins.scale.plan import Demand
 
-TCP_HEAD, UDP_HEAD = 40, 28
+TCP_HEAD, UDP_HEADER_BYTES = 40, 28
 PURGE_BYTES, HEARTBEAT_BYTES = 29 + TCP_HEAD, 4 + TCP_HEAD
-LEASE_BYTES = 15 + UDP_HEAD
+LEASE_BYTES = 15 + UDP_HEADER_BYTES
 SWEEPS = 20.0  # timer sweeps of a gateway per second
 LINKS = 6  # upper limit on connections of one gateway to one server: back/upstreams.py
 LARGEST = 4.0  # load of the busiest gateway over the mean; the operators: "some see several times the mean"
--- a/standins/scale/fleet.py
+++ b/standins/scale/fleet.py
@@ -20,7 +20,7 @@
 from standins.scale.gateway import HollowGateway
 from standins.scale.plan import Plan
 
-UDP_HEAD = 28  # IP and UDP headers
+UDP_HEADER_BYTES = 28  # IP and UDP headers
 NOTE_DELAY_MS = (2.5, 19.0)  # delay of a note between gateways, measured by the operators
 ROUND_TRIP_MS = 3.0  # round trip to a server
 ORIGIN_FILL_MS = (50.0, 400.0)  # duration of a fill at the origin
@@ -127,7 +127,7 @@
         data = pack(action.note)
         kind = action.note.kind
         self.notes[kind if isinstance(kind, str) else f"lease {kind.name.lower()}"] += 1
-        self.note_bytes += len(data) + UDP_HEAD
+        self.note_bytes += len(data) + UDP_HEADER_BYTES
         if (
             self.network_faults.is_cut(sender, action.peer)
             or self.rng.random() < self.network_faults.loss_share
--- a/standins/scale/membership.py
+++ b/standins/scale/membership.py
@@ -14,7 +14,7 @@
 from hitchtiller.membership.view import UNHEARD, Claim, State
 from hitchtiller.membership.words import Kind, MembershipMessage, pack, unpack
 from standins.gossipnet import TICKS, Net
-from standins.scale.fleet import UDP_HEAD
+from standins.scale.fleet import UDP_HEADER_BYTES
 
 PERIOD_MS = 1_000.0
 QUIET, PATIENCE = 10.0, 60.0  # periods
@@ -42,7 +42,7 @@
     net.run(net.now + QUIET * PERIOD_MS)
     used = time.process_time() - begun
     datagrams = (sum(net.sent) - sent) / gateways / QUIET
-    size = (sum(net.bytes) - carried) / gateways / QUIET + UDP_HEAD * datagrams
+    size = (sum(net.bytes) - carried) / gateways / QUIET + UDP_HEADER_BYTES * datagrams
     victim, at = gateways // 2, net.now
     net.kill(victim)
     others = len(net.nodes)
