--- a/standins/scale/fleet.py
+++ b/standins/scale/fleet.py
@@ -43,7 +43,7 @@
         """Create a fleet without processes; `members` returns the server list of a gateway by its number."""
         self.plan, self.seed, self.members, self.rng = plan, seed, members, Random(seed)
         self.now, self.network_faults = 1_000_000.0, NetworkFaults()
-        self.calls: list[tuple[float, int, Callable[[], None]]] = []
+        self.scheduled_calls: list[tuple[float, int, Callable[[], None]]] = []
         self.order, self.ids = count(), count(1)
         self.running: dict[int, HollowGateway] = {}
         self.stopped: dict[int, list[api.Event]] = {}  # events queued for each stopped process
@@ -59,12 +59,12 @@
 
     def at(self, when_ms: float, call: Callable[[], None]) -> None:
         """Schedule a call at a time of the virtual clock."""
-        heapq.heappush(self.calls, (when_ms, next(self.order), call))
+        heapq.heappush(self.scheduled_calls, (when_ms, next(self.order), call))
 
     def run(self, until_ms: float) -> None:
         """Advance the virtual clock to a time, making the calls that are due."""
-        while self.calls and self.calls[0][0] <= until_ms:
-            self.now, _, call = heapq.heappop(self.calls)
+        while self.scheduled_calls and self.scheduled_calls[0][0] <= until_ms:
+            self.now, _, call = heapq.heappop(self.scheduled_calls)
             call()
         self.now = until_ms
 
