--- a/standins/scale/fleet.py
+++ b/standins/scale/fleet.py
@@ -44,7 +44,7 @@
         self.plan, self.seed, self.members, self.rng = plan, seed, members, Random(seed)
         self.now, self.network_faults = 1_000_000.0, NetworkFaults()
         self.scheduled_calls: list[tuple[float, int, Callable[[], None]]] = []
-        self.order, self.ids = count(), count(1)
+        self.call_order, self.ids = count(), count(1)
         self.running: dict[int, HollowGateway] = {}
         self.stopped: dict[int, list[api.Event]] = {}  # events queued for each stopped process
         self.origin_fills = self.origin_peak = self.origin_done = 0
@@ -59,7 +59,7 @@
 
     def at(self, when_ms: float, call: Callable[[], None]) -> None:
         """Schedule a call at a time of the virtual clock."""
-        heapq.heappush(self.scheduled_calls, (when_ms, next(self.order), call))
+        heapq.heappush(self.scheduled_calls, (when_ms, next(self.call_order), call))
 
     def run(self, until_ms: float) -> None:
         """Advance the virtual clock to a time, making the calls that are due."""
