--- a/standins/scale/fleet.py
+++ b/standins/scale/fleet.py
@@ -44,7 +44,7 @@
         self.plan, self.seed, self.members, self.rng = plan, seed, members, Random(seed)
         self.now, self.network_faults = 1_000_000.0, NetworkFaults()
         self.scheduled_calls: list[tuple[float, int, Callable[[], None]]] = []
-        self.call_order, self.ids = count(), count(1)
+        self.call_order, self.request_ids = count(), count(1)
         self.running: dict[int, HollowGateway] = {}
         self.stopped: dict[int, list[api.Event]] = {}  # events queued for each stopped process
         self.origin_fills = self.origin_peak = self.origin_done = 0
@@ -147,7 +147,7 @@
     def ask(self, number: int, key: int, size_kb: float = 50.0, class_name: str = "files") -> None:
         """Submit a client's request to a gateway."""
         deadline = self.now + self.plan.common.classes[class_name].deadline_ms
-        request = api.Request(next(self.ids), class_name, key, deadline, size_kb, key % 256)
+        request = api.Request(next(self.request_ids), class_name, key, deadline, size_kb, key % 256)
         self.give(self.running[number], request)
 
     def send(self, gateway: HollowGateway, get: api.Get) -> None:
