--- a/standins/scale/fleet.py
+++ b/standins/scale/fleet.py
@@ -42,7 +42,7 @@
     def __init__(self, plan: Plan, seed: int, members: Callable[[int], tuple[api.Member, ...]]) -> None:
         """Create a fleet without processes; `members` returns the server list of a gateway by its number."""
         self.plan, self.seed, self.members, self.rng = plan, seed, members, Random(seed)
-        self.now, self.network_faults = 1_000_000.0, NetworkFaults()
+        self.now_ms, self.network_faults = 1_000_000.0, NetworkFaults()
         self.scheduled_calls: list[tuple[float, int, Callable[[], None]]] = []
         self.call_order, self.request_ids = count(), count(1)
         self.running: dict[int, HollowGateway] = {}
@@ -50,7 +50,7 @@
         self.origin_fills = self.origin_peak = self.origin_done = 0
         self.origin_ms, self.origin_at = (
             0.0,
-            self.now,
+            self.now_ms,
         )  # total duration of all fills, up to the time of the last count
         self.answers: Counter[str] = Counter()
         self.notes: Counter[str] = Counter()  # notes sent, by kind
@@ -64,9 +64,9 @@
     def run(self, until_ms: float) -> None:
         """Advance the virtual clock to a time, making the calls that are due."""
         while self.scheduled_calls and self.scheduled_calls[0][0] <= until_ms:
-            self.now, _, call = heapq.heappop(self.scheduled_calls)
+            self.now_ms, _, call = heapq.heappop(self.scheduled_calls)
             call()
-        self.now = until_ms
+        self.now_ms = until_ms
 
     # Processes
 
@@ -105,7 +105,7 @@
         if gateway.number in self.stopped:
             self.stopped[gateway.number].append(event)
             return
-        for action in gateway.handle(event, self.now):
+        for action in gateway.handle(event, self.now_ms):
             self.act(gateway, action)
 
     def act(self, gateway: HollowGateway, action: api.Action) -> None:
@@ -118,7 +118,7 @@
                 gateway.finish_request(action.id, "refused")
             case api.SetTimer():
                 due = api.TimerDue(action.token)
-                self.at(self.now + max(0.01, action.delay_ms), partial(self.give, gateway, due))
+                self.at(self.now_ms + max(0.01, action.delay_ms), partial(self.give, gateway, due))
             case api.SendNote():
                 self.tell(gateway.number, action)
 
@@ -134,7 +134,7 @@
         ):
             return
         for _ in range(1 + (self.rng.random() < self.network_faults.repeat_share)):
-            when = self.now + self.rng.uniform(*NOTE_DELAY_MS)
+            when = self.now_ms + self.rng.uniform(*NOTE_DELAY_MS)
             self.at(when, partial(self.deliver, sender, action))
 
     def deliver(self, sender: int, action: api.SendNote) -> None:
@@ -146,7 +146,7 @@
 
     def ask(self, number: int, key: int, size_kb: float = 50.0, class_name: str = "files") -> None:
         """Submit a client's request to a gateway."""
-        deadline = self.now + self.plan.common.classes[class_name].deadline_ms
+        deadline = self.now_ms + self.plan.common.classes[class_name].deadline_ms
         request = api.Request(next(self.request_ids), class_name, key, deadline, size_kb, key % 256)
         self.give(self.running[number], request)
 
@@ -154,16 +154,16 @@
         """Send an attempt to its server, unless the router's recheck before the first byte withdraws it."""
         attempt, ask = gateway.next_attempt(get.id), gateway.open_requests.get(get.id)
         end = partial(self.end, gateway, get, attempt)
-        if ask is None or gateway.router.recheck_send(get.id, attempt, self.now) is None:
-            self.at(self.now, partial(end, "skipped"))
+        if ask is None or gateway.router.recheck_send(get.id, attempt, self.now_ms) is None:
+            self.at(self.now_ms, partial(end, "skipped"))
         elif get.source == self.origin:
             self.fill_from_origin(ask, end)
         else:
-            self.at(self.now + ROUND_TRIP_MS, partial(end, "enoent"))
+            self.at(self.now_ms + ROUND_TRIP_MS, partial(end, "enoent"))
 
     def fill_from_origin(self, ask: api.Request, end: Callable[[str], None]) -> None:
         """Count a fill at the origin until it ends, even if no gateway still waits for it."""
-        left, stuck = ask.deadline_ms - self.now, self.rng.random() < STUCK_FILL_SHARE
+        left, stuck = ask.deadline_ms - self.now_ms, self.rng.random() < STUCK_FILL_SHARE
         took = left if stuck else min(left, self.rng.uniform(*ORIGIN_FILL_MS))
         self.count_fills(1)
         self.origin_peak = max(self.origin_peak, self.origin_fills)
@@ -173,12 +173,12 @@
             self.origin_done += not stuck
             end("etimedout" if stuck else "done")
 
-        self.at(self.now + took, over)
+        self.at(self.now_ms + took, over)
 
     def count_fills(self, change: int) -> None:
         """Change the number of open fills at the origin, and add to their total duration up to now."""
-        self.origin_ms += self.origin_fills * (self.now - self.origin_at)
-        self.origin_at = self.now
+        self.origin_ms += self.origin_fills * (self.now_ms - self.origin_at)
+        self.origin_at = self.now_ms
         self.origin_fills += change
 
     def end(self, gateway: HollowGateway, get: api.Get, attempt: int, status: str) -> None:
--- a/standins/scale/scenarios.py
+++ b/standins/scale/scenarios.py
@@ -45,12 +45,12 @@
 
 def keep_asking(fleet: HollowFleet, number: int, each_per_s: float, until_ms: float) -> None:
     """Send a gateway requests for objects that no server holds, at random intervals, until a time."""
-    if fleet.now > until_ms:
+    if fleet.now_ms > until_ms:
         return
     if number in fleet.running and number not in fleet.stopped:
         fleet.ask(number, fleet.rng.getrandbits(OBJECT_BITS))
     gap = fleet.rng.expovariate(each_per_s / 1000.0)
-    fleet.at(fleet.now + gap, partial(keep_asking, fleet, number, each_per_s, until_ms))
+    fleet.at(fleet.now_ms + gap, partial(keep_asking, fleet, number, each_per_s, until_ms))
 
 
 def fills_from_origin(
@@ -58,7 +58,7 @@
 ) -> OriginFigures:
     """Run a fleet in which each gateway gets `each_per_s` misses per second that only the origin can fill."""
     fleet = origin_only(gateways, seed)
-    begin = fleet.now + SETTLE_MS
+    begin = fleet.now_ms + SETTLE_MS
     until = begin + 1000.0 * seconds
     for number in range(gateways):
         first = begin + fleet.rng.random() * 1000.0 / each_per_s
