--- a/standins/scale/directory.py
+++ b/standins/scale/directory.py
@@ -39,7 +39,7 @@
         if isinstance(action.note, api.PeerNote) and action.note.kind == "ask":
             answer = api.PeerNote("holder", action.note.key, action.note.part, "")
             back = partial(self.give, self.running[sender], api.PeerMessage(action.peer, answer))
-            self.at(self.now_ms + self.rng.uniform(*NOTE_DELAY_MS), back)
+            self.schedule(self.now_ms + self.rng.uniform(*NOTE_DELAY_MS), back)
 
     def send(self, gateway: HollowGateway, get: api.Get) -> None:
         """Serve objects that the cache keeps; fill the others, or answer a look-up with a miss."""
@@ -51,7 +51,7 @@
         if found:
             kept.add(ask.key)
         status, took = ("done", SERVED_MS) if found else ("enoent", ROUND_TRIP_MS)
-        self.at(self.now_ms + took, partial(self.end, gateway, get, attempt, status))
+        self.schedule(self.now_ms + took, partial(self.end, gateway, get, attempt, status))
 
 
 def popular(objects: int, count: int, seed: int) -> list[int]:
@@ -73,7 +73,7 @@
         if fleet.now_ms <= until_ms and place < len(keys):
             fleet.ask(fleet.number, keys[place])
             gap = rng.expovariate(rate / 1000.0)
-            fleet.at(fleet.now_ms + gap, partial(again, place + 1, until_ms, again))
+            fleet.schedule(fleet.now_ms + gap, partial(again, place + 1, until_ms, again))
 
     arrive(0, begin + 1000.0 * (WARM_S + MEASURED_S), arrive)  # type: ignore[arg-type]
     fleet.run(begin + 1000.0 * WARM_S)
--- a/standins/scale/fleet.py
+++ b/standins/scale/fleet.py
@@ -118,7 +118,7 @@
                 gateway.finish_request(action.id, "refused")
             case api.SetTimer():
                 due = api.TimerDue(action.token)
-                self.at(self.now_ms + max(0.01, action.delay_ms), partial(self.give, gateway, due))
+                self.schedule(self.now_ms + max(0.01, action.delay_ms), partial(self.give, gateway, due))
             case api.SendNote():
                 self.tell(gateway.number, action)
 
@@ -135,7 +135,7 @@
             return
         for _ in range(1 + (self.rng.random() < self.network_faults.repeat_share)):
             when = self.now_ms + self.rng.uniform(*NOTE_DELAY_MS)
-            self.at(when, partial(self.deliver, sender, action))
+            self.schedule(when, partial(self.deliver, sender, action))
 
     def deliver(self, sender: int, action: api.SendNote) -> None:
         """Deliver a note to its receiver; it is lost if no process of that number runs."""
@@ -155,11 +155,11 @@
         attempt, ask = gateway.next_attempt(get.id), gateway.open_requests.get(get.id)
         end = partial(self.end, gateway, get, attempt)
         if ask is None or gateway.router.recheck_send(get.id, attempt, self.now_ms) is None:
-            self.at(self.now_ms, partial(end, "skipped"))
+            self.schedule(self.now_ms, partial(end, "skipped"))
         elif get.source == self.origin:
             self.fill_from_origin(ask, end)
         else:
-            self.at(self.now_ms + ROUND_TRIP_MS, partial(end, "enoent"))
+            self.schedule(self.now_ms + ROUND_TRIP_MS, partial(end, "enoent"))
 
     def fill_from_origin(self, ask: api.Request, end: Callable[[str], None]) -> None:
         """Count a fill at the origin until it ends, even if no gateway still waits for it."""
@@ -173,7 +173,7 @@
             self.origin_done += not stuck
             end("etimedout" if stuck else "done")
 
-        self.at(self.now_ms + took, over)
+        self.schedule(self.now_ms + took, over)
 
     def count_fills(self, change: int) -> None:
         """Change the number of open fills at the origin, and add to their total duration up to now."""
--- a/standins/scale/scenarios.py
+++ b/standins/scale/scenarios.py
@@ -50,7 +50,7 @@
     if number in fleet.running and number not in fleet.stopped:
         fleet.ask(number, fleet.rng.getrandbits(OBJECT_BITS))
     gap = fleet.rng.expovariate(each_per_s / 1000.0)
-    fleet.at(fleet.now_ms + gap, partial(keep_asking, fleet, number, each_per_s, until_ms))
+    fleet.schedule(fleet.now_ms + gap, partial(keep_asking, fleet, number, each_per_s, until_ms))
 
 
 def fills_from_origin(
@@ -62,7 +62,7 @@
     until = begin + 1000.0 * seconds
     for number in range(gateways):
         first = begin + fleet.rng.random() * 1000.0 / each_per_s
-        fleet.at(first, partial(keep_asking, fleet, number, each_per_s, until))
+        fleet.schedule(first, partial(keep_asking, fleet, number, each_per_s, until))
     if trouble:
         trouble(fleet, begin)
     fleet.run(until)
--- a/tests/scale/test_scale_leases.py
+++ b/tests/scale/test_scale_leases.py
@@ -47,8 +47,8 @@
     def begin() -> None:
         fleet.network_faults.is_cut = apart
 
-    fleet.at(begin_ms + 1_000.0, begin)
-    fleet.at(begin_ms + 6_000.0, heal)
+    fleet.schedule(begin_ms + 1_000.0, begin)
+    fleet.schedule(begin_ms + 6_000.0, heal)
 
 
 def restarts(fleet: HollowFleet, begin_ms: float) -> None:
@@ -60,8 +60,8 @@
                 fleet.kill(number)
                 fleet.start(number)
 
-    fleet.at(begin_ms + 2_000.0, again)
-    fleet.at(begin_ms + 3_000.0, again)
+    fleet.schedule(begin_ms + 2_000.0, again)
+    fleet.schedule(begin_ms + 3_000.0, again)
 
 
 def stops(fleet: HollowFleet, begin_ms: float) -> None:
@@ -71,12 +71,12 @@
         for number in list(fleet.running):
             if fleet.rng.random() < 0.5:
                 fleet.stop(number)
-                fleet.at(
+                fleet.schedule(
                     begin_ms + 11_500.0 + fleet.rng.random() * 100.0,
                     lambda n=number: fleet.resume_process(n),  # type: ignore[misc]
                 )
 
-    fleet.at(begin_ms + 1_000.0, stop)
+    fleet.schedule(begin_ms + 1_000.0, stop)
 
 
 def views(fleet: HollowFleet, begin_ms: float) -> None:
