--- a/standins/scale/directory.py
+++ b/standins/scale/directory.py
@@ -38,7 +38,7 @@
             return super().deliver(sender, action)
         if isinstance(action.note, api.PeerNote) and action.note.kind == "ask":
             answer = api.PeerNote("holder", action.note.key, action.note.part, "")
-            back = partial(self.give, self.running[sender], api.PeerMessage(action.peer, answer))
+            back = partial(self.handle_event, self.running[sender], api.PeerMessage(action.peer, answer))
             self.schedule(self.now_ms + self.rng.uniform(*NOTE_DELAY_MS), back)
 
     def send(self, gateway: HollowGateway, get: api.Get) -> None:
--- a/standins/scale/fleet.py
+++ b/standins/scale/fleet.py
@@ -75,7 +75,7 @@
         settings = self.plan.settings(number)
         gateway = self.running[number] = HollowGateway(settings, self.seed * 100_000 + number)
         self.stopped.pop(number, None)
-        self.give(gateway, api.Members(self.members(number), whole=True))
+        self.handle_event(gateway, api.Members(self.members(number), whole=True))
         return gateway
 
     def kill(self, number: int) -> None:
@@ -91,7 +91,7 @@
         """Resume a stopped process, which first handles the events queued meanwhile."""
         gateway = self.running[number]
         for event in self.stopped.pop(number):
-            self.give(gateway, event)
+            self.handle_event(gateway, event)
 
     # Events and actions
 
@@ -118,7 +118,9 @@
                 gateway.finish_request(action.id, "refused")
             case api.SetTimer():
                 due = api.TimerDue(action.token)
-                self.schedule(self.now_ms + max(0.01, action.delay_ms), partial(self.give, gateway, due))
+                self.schedule(
+                    self.now_ms + max(0.01, action.delay_ms), partial(self.handle_event, gateway, due)
+                )
             case api.SendNote():
                 self.tell(gateway.number, action)
 
@@ -140,7 +142,7 @@
     def deliver(self, sender: int, action: api.SendNote) -> None:
         """Deliver a note to its receiver; it is lost if no process of that number runs."""
         if gateway := self.running.get(action.peer):
-            self.give(gateway, api.PeerMessage(sender, action.note))
+            self.handle_event(gateway, api.PeerMessage(sender, action.note))
 
     # Requests and servers
 
@@ -148,7 +150,7 @@
         """Submit a client's request to a gateway."""
         deadline = self.now_ms + self.plan.common.classes[class_name].deadline_ms
         request = api.Request(next(self.request_ids), class_name, key, deadline, size_kb, key % 256)
-        self.give(self.running[number], request)
+        self.handle_event(self.running[number], request)
 
     def send(self, gateway: HollowGateway, get: api.Get) -> None:
         """Send an attempt to its server, unless the router's recheck before the first byte withdraws it."""
@@ -190,4 +192,4 @@
             self.answers["served"] += 1
             gateway.finish_request(get.id, "served")
         over = closed or get.id not in gateway.open_requests
-        self.give(gateway, api.Outcome(get.id, attempt, get.server, status, 1.0, over))
+        self.handle_event(gateway, api.Outcome(get.id, attempt, get.server, status, 1.0, over))
