--- a/standins/scale/fleet.py
+++ b/standins/scale/fleet.py
@@ -106,7 +106,7 @@
             self.stopped[gateway.number].append(event)
             return
         for action in gateway.handle(event, self.now_ms):
-            self.act(gateway, action)
+            self.execute_action(gateway, action)
 
     def act(self, gateway: HollowGateway, action: api.Action) -> None:
         """Execute one action of a gateway."""
