--- a/standins/scale/fleet.py
+++ b/standins/scale/fleet.py
@@ -122,7 +122,7 @@
                     self.now_ms + max(0.01, action.delay_ms), partial(self.handle_event, gateway, due)
                 )
             case api.SendNote():
-                self.tell(gateway.number, action)
+                self.send_note(gateway.number, action)
 
     def tell(self, sender: int, action: api.SendNote) -> None:
         """Send a note over the network, which may lose or duplicate it; count it as sent in any case."""
