--- a/standins/scale/directory.py
+++ b/standins/scale/directory.py
@@ -35,7 +35,7 @@
     def deliver(self, sender: int, action: api.SendNote) -> None:
         """Answer directory look-ups on behalf of the gateways that do not run."""
         if action.peer in self.running:
-            return super().deliver(sender, action)
+            return super().deliver_note(sender, action)
         if isinstance(action.note, api.PeerNote) and action.note.kind == "ask":
             answer = api.PeerNote("holder", action.note.key, action.note.part, "")
             back = partial(self.handle_event, self.running[sender], api.PeerMessage(action.peer, answer))
