--- a/standins/scale/directory.py
+++ b/standins/scale/directory.py
@@ -71,7 +71,7 @@
 
     def arrive(place: int, until_ms: float, again: Callable[[int, float, object], None]) -> None:
         if fleet.now_ms <= until_ms and place < len(keys):
-            fleet.ask(fleet.number, keys[place])
+            fleet.submit_request(fleet.number, keys[place])
             gap = rng.expovariate(rate / 1000.0)
             fleet.schedule(fleet.now_ms + gap, partial(again, place + 1, until_ms, again))
 
--- a/standins/scale/scenarios.py
+++ b/standins/scale/scenarios.py
@@ -48,7 +48,7 @@
     if fleet.now_ms > until_ms:
         return
     if number in fleet.running and number not in fleet.stopped:
-        fleet.ask(number, fleet.rng.getrandbits(OBJECT_BITS))
+        fleet.submit_request(number, fleet.rng.getrandbits(OBJECT_BITS))
     gap = fleet.rng.expovariate(each_per_s / 1000.0)
     fleet.schedule(fleet.now_ms + gap, partial(keep_asking, fleet, number, each_per_s, until_ms))
 
