--- a/standins/scale/fleet.py
+++ b/standins/scale/fleet.py
@@ -112,7 +112,7 @@
         """Execute one action of a gateway."""
         match action:
             case api.Get():
-                self.send(gateway, action)
+                self.send_attempt(gateway, action)
             case api.Refuse() | api.Fail():
                 self.answers["refused"] += 1
                 gateway.finish_request(action.id, "refused")
