--- a/standins/scale/fleet.py
+++ b/standins/scale/fleet.py
@@ -159,7 +159,7 @@
         if ask is None or gateway.router.recheck_send(get.id, attempt, self.now_ms) is None:
             self.schedule(self.now_ms, partial(end, "skipped"))
         elif get.source == self.origin:
-            self.fill_from_origin(ask, end)
+            self.start_origin_fill(ask, end)
         else:
             self.schedule(self.now_ms + ROUND_TRIP_MS, partial(end, "enoent"))
 
