--- a/standins/scale/fleet.py
+++ b/standins/scale/fleet.py
@@ -167,11 +167,11 @@
         """Count a fill at the origin until it ends, even if no gateway still waits for it."""
         left, stuck = ask.deadline_ms - self.now_ms, self.rng.random() < STUCK_FILL_SHARE
         took = left if stuck else min(left, self.rng.uniform(*ORIGIN_FILL_MS))
-        self.count_fills(1)
+        self.update_open_fills(1)
         self.origin_peak = max(self.origin_peak, self.origin_fills)
 
         def over() -> None:
-            self.count_fills(-1)
+            self.update_open_fills(-1)
             self.origin_done += not stuck
             end("etimedout" if stuck else "done")
 
--- a/standins/scale/scenarios.py
+++ b/standins/scale/scenarios.py
@@ -66,7 +66,7 @@
     if trouble:
         trouble(fleet, begin)
     fleet.run(until)
-    fleet.count_fills(0)
+    fleet.update_open_fills(0)
     notes = sum(count for kind, count in fleet.notes.items() if kind.startswith("lease"))
     answers = (fleet.answers["served"], fleet.answers["refused"])
     mean = fleet.origin_ms / (1000.0 * seconds)
