--- a/standins/scale/directory.py
+++ b/standins/scale/directory.py
@@ -51,7 +51,7 @@
         if found:
             kept.add(ask.key)
         status, took = ("done", SERVED_MS) if found else ("enoent", ROUND_TRIP_MS)
-        self.schedule(self.now_ms + took, partial(self.end, gateway, get, attempt, status))
+        self.schedule(self.now_ms + took, partial(self.finish_attempt, gateway, get, attempt, status))
 
 
 def popular(objects: int, count: int, seed: int) -> list[int]:
--- a/standins/scale/fleet.py
+++ b/standins/scale/fleet.py
@@ -155,7 +155,7 @@
     def send(self, gateway: HollowGateway, get: api.Get) -> None:
         """Send an attempt to its server, unless the router's recheck before the first byte withdraws it."""
         attempt, ask = gateway.next_attempt(get.id), gateway.open_requests.get(get.id)
-        end = partial(self.end, gateway, get, attempt)
+        end = partial(self.finish_attempt, gateway, get, attempt)
         if ask is None or gateway.router.recheck_send(get.id, attempt, self.now_ms) is None:
             self.schedule(self.now_ms, partial(end, "skipped"))
         elif get.source == self.origin:
