--- a/standins/scale/fleet.py
+++ b/standins/scale/fleet.py
@@ -47,7 +47,7 @@
         self.call_order, self.request_ids = count(), count(1)
         self.running: dict[int, HollowGateway] = {}
         self.stopped: dict[int, list[api.Event]] = {}  # events queued for each stopped process
-        self.origin_fills = self.origin_peak = self.origin_done = 0
+        self.open_origin_fills = self.origin_peak = self.origin_done = 0
         self.origin_ms, self.origin_at = (
             0.0,
             self.now_ms,
@@ -168,7 +168,7 @@
         left, stuck = ask.deadline_ms - self.now_ms, self.rng.random() < STUCK_FILL_SHARE
         took = left if stuck else min(left, self.rng.uniform(*ORIGIN_FILL_MS))
         self.update_open_fills(1)
-        self.origin_peak = max(self.origin_peak, self.origin_fills)
+        self.origin_peak = max(self.origin_peak, self.open_origin_fills)
 
         def over() -> None:
             self.update_open_fills(-1)
@@ -179,9 +179,9 @@
 
     def count_fills(self, change: int) -> None:
         """Change the number of open fills at the origin, and add to their total duration up to now."""
-        self.origin_ms += self.origin_fills * (self.now_ms - self.origin_at)
+        self.origin_ms += self.open_origin_fills * (self.now_ms - self.origin_at)
         self.origin_at = self.now_ms
-        self.origin_fills += change
+        self.open_origin_fills += change
 
     def end(self, gateway: HollowGateway, get: api.Get, attempt: int, status: str) -> None:
         """Report the end of an attempt to its gateway, and the final answer if it served the request."""
