--- a/standins/scale/fleet.py
+++ b/standins/scale/fleet.py
@@ -47,7 +47,7 @@
         self.call_order, self.request_ids = count(), count(1)
         self.running: dict[int, HollowGateway] = {}
         self.stopped: dict[int, list[api.Event]] = {}  # events queued for each stopped process
-        self.open_origin_fills = self.origin_peak = self.origin_done = 0
+        self.open_origin_fills = self.peak_origin_fills = self.origin_done = 0
         self.origin_ms, self.origin_at = (
             0.0,
             self.now_ms,
@@ -168,7 +168,7 @@
         left, stuck = ask.deadline_ms - self.now_ms, self.rng.random() < STUCK_FILL_SHARE
         took = left if stuck else min(left, self.rng.uniform(*ORIGIN_FILL_MS))
         self.update_open_fills(1)
-        self.origin_peak = max(self.origin_peak, self.open_origin_fills)
+        self.peak_origin_fills = max(self.peak_origin_fills, self.open_origin_fills)
 
         def over() -> None:
             self.update_open_fills(-1)
--- a/standins/scale/scenarios.py
+++ b/standins/scale/scenarios.py
@@ -70,4 +70,4 @@
     notes = sum(count for kind, count in fleet.notes.items() if kind.startswith("lease"))
     answers = (fleet.answers["served"], fleet.answers["refused"])
     mean = fleet.origin_ms / (1000.0 * seconds)
-    return OriginFigures(gateways, fleet.origin_peak, mean, *answers, notes, seconds)
+    return OriginFigures(gateways, fleet.peak_origin_fills, mean, *answers, notes, seconds)
