--- a/standins/scale/fleet.py
+++ b/standins/scale/fleet.py
@@ -47,7 +47,7 @@
         self.call_order, self.request_ids = count(), count(1)
         self.running: dict[int, HollowGateway] = {}
         self.stopped: dict[int, list[api.Event]] = {}  # events queued for each stopped process
-        self.open_origin_fills = self.peak_origin_fills = self.origin_done = 0
+        self.open_origin_fills = self.peak_origin_fills = self.completed_origin_fills = 0
         self.origin_ms, self.origin_at = (
             0.0,
             self.now_ms,
@@ -172,7 +172,7 @@
 
         def over() -> None:
             self.update_open_fills(-1)
-            self.origin_done += not stuck
+            self.completed_origin_fills += not stuck
             end("etimedout" if stuck else "done")
 
         self.schedule(self.now_ms + took, over)
