--- a/standins/scale/scenarios.py
+++ b/standins/scale/scenarios.py
@@ -69,5 +69,5 @@
     fleet.update_open_fills(0)
     notes = sum(count for kind, count in fleet.notes.items() if kind.startswith("lease"))
     answers = (fleet.answers["served"], fleet.answers["refused"])
-    mean = fleet.origin_ms / (1000.0 * seconds)
+    mean = fleet.origin_fill_ms / (1000.0 * seconds)
     return OriginFigures(gateways, fleet.peak_origin_fills, mean, *answers, notes, seconds)
