--- a/standins/scale/fleet.py
+++ b/standins/scale/fleet.py
@@ -48,7 +48,7 @@
         self.running: dict[int, HollowGateway] = {}
         self.stopped: dict[int, list[api.Event]] = {}  # events queued for each stopped process
         self.open_origin_fills = self.peak_origin_fills = self.completed_origin_fills = 0
-        self.origin_fill_ms, self.origin_at = (
+        self.origin_fill_ms, self.last_count_ms = (
             0.0,
             self.now_ms,
         )  # total duration of all fills, up to the time of the last count
@@ -179,8 +179,8 @@
 
     def count_fills(self, change: int) -> None:
         """Change the number of open fills at the origin, and add to their total duration up to now."""
-        self.origin_fill_ms += self.open_origin_fills * (self.now_ms - self.origin_at)
-        self.origin_at = self.now_ms
+        self.origin_fill_ms += self.open_origin_fills * (self.now_ms - self.last_count_ms)
+        self.last_count_ms = self.now_ms
         self.open_origin_fills += change
 
     def end(self, gateway: HollowGateway, get: api.Get, attempt: int, status: str) -> None:
