--- a/standins/scale/fleet.py
+++ b/standins/scale/fleet.py
@@ -52,7 +52,7 @@
             0.0,
             self.now_ms,
         )  # total duration of all fills, up to the time of the last count
-        self.answers: Counter[str] = Counter()
+        self.answer_counts: Counter[str] = Counter()
         self.notes: Counter[str] = Counter()  # notes sent, by kind
         self.note_bytes = 0
         self.origin = plan.origin().server
@@ -114,7 +114,7 @@
             case api.Get():
                 self.send_attempt(gateway, action)
             case api.Refuse() | api.Fail():
-                self.answers["refused"] += 1
+                self.answer_counts["refused"] += 1
                 gateway.finish_request(action.id, "refused")
             case api.SetTimer():
                 due = api.TimerDue(action.token)
@@ -189,7 +189,7 @@
             return
         closed = status == "done" and get.id in gateway.open_requests
         if closed:
-            self.answers["served"] += 1
+            self.answer_counts["served"] += 1
             gateway.finish_request(get.id, "served")
         over = closed or get.id not in gateway.open_requests
         self.handle_event(gateway, api.Outcome(get.id, attempt, get.server, status, 1.0, over))
--- a/standins/scale/scenarios.py
+++ b/standins/scale/scenarios.py
@@ -68,6 +68,6 @@
     fleet.run(until)
     fleet.update_open_fills(0)
     notes = sum(count for kind, count in fleet.notes.items() if kind.startswith("lease"))
-    answers = (fleet.answers["served"], fleet.answers["refused"])
+    answers = (fleet.answer_counts["served"], fleet.answer_counts["refused"])
     mean = fleet.origin_fill_ms / (1000.0 * seconds)
     return OriginFigures(gateways, fleet.peak_origin_fills, mean, *answers, notes, seconds)
