--- a/standins/scale/fleet.py
+++ b/standins/scale/fleet.py
@@ -16,7 +16,7 @@
 from random import Random
 
 from hitchtiller import interface as api
-from hitchtiller.codec.notes import pack
+from hitchtiller.codec.note_counts import pack
 from standins.scale.gateway import HollowGateway
 from standins.scale.plan import Plan
 
@@ -53,7 +53,7 @@
             self.now_ms,
         )  # total duration of all fills, up to the time of the last count
         self.answer_counts: Counter[str] = Counter()
-        self.notes: Counter[str] = Counter()  # notes sent, by kind
+        self.note_counts: Counter[str] = Counter()  # notes sent, by kind
         self.note_bytes = 0
         self.origin = plan.origin().server
 
@@ -128,7 +128,7 @@
         """Send a note over the network, which may lose or duplicate it; count it as sent in any case."""
         data = pack(action.note)
         kind = action.note.kind
-        self.notes[kind if isinstance(kind, str) else f"lease {kind.name.lower()}"] += 1
+        self.note_counts[kind if isinstance(kind, str) else f"lease {kind.name.lower()}"] += 1
         self.note_bytes += len(data) + UDP_HEADER_BYTES
         if (
             self.network_faults.is_cut(sender, action.peer)
--- a/standins/scale/scenarios.py
+++ b/standins/scale/scenarios.py
@@ -67,7 +67,7 @@
         trouble(fleet, begin)
     fleet.run(until)
     fleet.update_open_fills(0)
-    notes = sum(count for kind, count in fleet.notes.items() if kind.startswith("lease"))
+    notes = sum(count for kind, count in fleet.note_counts.items() if kind.startswith("lease"))
     answers = (fleet.answer_counts["served"], fleet.answer_counts["refused"])
     mean = fleet.origin_fill_ms / (1000.0 * seconds)
     return OriginFigures(gateways, fleet.peak_origin_fills, mean, *answers, notes, seconds)
