--- a/standins/scale/fleet.py
+++ b/standins/scale/fleet.py
@@ -46,7 +46,7 @@
         self.scheduled_calls: list[tuple[float, int, Callable[[], None]]] = []
         self.call_order, self.request_ids = count(), count(1)
         self.running: dict[int, HollowGateway] = {}
-        self.stopped: dict[int, list[api.Event]] = {}  # events queued for each stopped process
+        self.queued_events: dict[int, list[api.Event]] = {}  # events queued for each stopped process
         self.open_origin_fills = self.peak_origin_fills = self.completed_origin_fills = 0
         self.origin_fill_ms, self.last_count_ms = (
             0.0,
@@ -74,23 +74,23 @@
         """Start a process without any state of an earlier process of this number."""
         settings = self.plan.settings(number)
         gateway = self.running[number] = HollowGateway(settings, self.seed * 100_000 + number)
-        self.stopped.pop(number, None)
+        self.queued_events.pop(number, None)
         self.handle_event(gateway, api.Members(self.members(number), whole=True))
         return gateway
 
     def kill(self, number: int) -> None:
         """Kill a process; the other gateways are not notified."""
         del self.running[number]
-        self.stopped.pop(number, None)
+        self.queued_events.pop(number, None)
 
     def stop(self, number: int) -> None:
         """Suspend a process; its events are queued until it is resumed."""
-        self.stopped[number] = []
+        self.queued_events[number] = []
 
     def resume_process(self, number: int) -> None:
         """Resume a stopped process, which first handles the events queued meanwhile."""
         gateway = self.running[number]
-        for event in self.stopped.pop(number):
+        for event in self.queued_events.pop(number):
             self.handle_event(gateway, event)
 
     # Events and actions
@@ -102,8 +102,8 @@
         """
         if self.running.get(gateway.number) is not gateway:
             return
-        if gateway.number in self.stopped:
-            self.stopped[gateway.number].append(event)
+        if gateway.number in self.queued_events:
+            self.queued_events[gateway.number].append(event)
             return
         for action in gateway.handle(event, self.now_ms):
             self.execute_action(gateway, action)
--- a/standins/scale/scenarios.py
+++ b/standins/scale/scenarios.py
@@ -47,7 +47,7 @@
     """Send a gateway requests for objects that no server holds, at random intervals, until a time."""
     if fleet.now_ms > until_ms:
         return
-    if number in fleet.running and number not in fleet.stopped:
+    if number in fleet.running and number not in fleet.queued_events:
         fleet.submit_request(number, fleet.rng.getrandbits(OBJECT_BITS))
     gap = fleet.rng.expovariate(each_per_s / 1000.0)
     fleet.schedule(fleet.now_ms + gap, partial(keep_asking, fleet, number, each_per_s, until_ms))
