--- a/standins/scale/fleet.py
+++ b/standins/scale/fleet.py
@@ -57,7 +57,7 @@
         self.note_bytes = 0
         self.origin = plan.origin().server
 
-    def at(self, when_ms: float, call: Callable[[], None]) -> None:
+    def schedule(self, when_ms: float, call: Callable[[], None]) -> None:
         """Schedule a call at a time of the virtual clock."""
         heapq.heappush(self.scheduled_calls, (when_ms, next(self.call_order), call))
 
@@ -146,7 +146,7 @@
 
     # Requests and servers
 
-    def ask(self, number: int, key: int, size_kb: float = 50.0, class_name: str = "files") -> None:
+    def submit_request(self, number: int, key: int, size_kb: float = 50.0, class_name: str = "files") -> None:
         """Submit a client's request to a gateway."""
         deadline = self.now_ms + self.plan.common.classes[class_name].deadline_ms
         request = api.Request(next(self.request_ids), class_name, key, deadline, size_kb, key % 256)
@@ -183,7 +183,7 @@
         self.last_count_ms = self.now_ms
         self.open_origin_fills += change
 
-    def end(self, gateway: HollowGateway, get: api.Get, attempt: int, status: str) -> None:
+    def finish_attempt(self, gateway: HollowGateway, get: api.Get, attempt: int, status: str) -> None:
         """Report the end of an attempt to its gateway, and the final answer if it served the request."""
         if self.running.get(gateway.number) is not gateway:
             return
