--- a/standins/scale/gateway.py
+++ b/standins/scale/gateway.py
@@ -28,17 +28,17 @@
     """Encode members as discovery sends them on the event bus: as the whole list or as changes."""
     records = b"".join(
         RECORD.pack(
-            int(m.server[2:], 16),
+            int(member.server[2:], 16),
             bytes((127, 0, 0, 1)),
             9,
-            STATES.index(m.state),
-            zones.index(m.zone),
-            SERVER_KINDS.index(m.kind),
+            STATES.index(member.state),
+            zones.index(member.zone),
+            SERVER_KINDS.index(member.kind),
             0,
-            round(1000 * m.weight),
-            int(m.started_ms),
+            round(1000 * member.weight),
+            int(member.started_ms),
         )
-        for m in members
+        for member in members
     )
     return _frame(number, WHOLE if whole else CHANGES, records)
 
