--- a/standins/scale/fleet.py
+++ b/standins/scale/fleet.py
@@ -31,7 +31,7 @@
 class NetworkFaults:
     """The network faults between gateways: shares of notes lost and duplicated, and partitions."""
 
-    loss: float = 0.0
+    loss_share: float = 0.0
     repeat: float = 0.0
     cut: Callable[[int, int], bool] = field(default=lambda sender, receiver: False)
 
