--- a/standins/scale/fleet.py
+++ b/standins/scale/fleet.py
@@ -32,7 +32,7 @@
     """The network faults between gateways: shares of notes lost and duplicated, and partitions."""
 
     loss_share: float = 0.0
-    repeat: float = 0.0
+    repeat_share: float = 0.0
     cut: Callable[[int, int], bool] = field(default=lambda sender, receiver: False)
 
 
