--- a/standins/scale/fleet.py
+++ b/standins/scale/fleet.py
@@ -33,7 +33,7 @@
 
     loss_share: float = 0.0
     repeat_share: float = 0.0
-    cut: Callable[[int, int], bool] = field(default=lambda sender, receiver: False)
+    is_cut: Callable[[int, int], bool] = field(default=lambda sender, receiver: False)
 
 
 class HollowFleet:
