--- a/standins/scale/fleet.py
+++ b/standins/scale/fleet.py
@@ -95,7 +95,7 @@
 
     # Events and actions
 
-    def give(self, gateway: HollowGateway, event: api.Event) -> None:
+    def handle_event(self, gateway: HollowGateway, event: api.Event) -> None:
         """Pass an event to a process and execute the resulting actions.
 
         The event is dropped if the process was killed or replaced, and queued if it is stopped.
