--- a/standins/scale/fleet.py
+++ b/standins/scale/fleet.py
@@ -108,7 +108,7 @@
         for action in gateway.handle(event, self.now_ms):
             self.execute_action(gateway, action)
 
-    def act(self, gateway: HollowGateway, action: api.Action) -> None:
+    def execute_action(self, gateway: HollowGateway, action: api.Action) -> None:
         """Execute one action of a gateway."""
         match action:
             case api.Get():
