--- a/standins/scale/fleet.py
+++ b/standins/scale/fleet.py
@@ -124,7 +124,7 @@
             case api.SendNote():
                 self.send_note(gateway.number, action)
 
-    def tell(self, sender: int, action: api.SendNote) -> None:
+    def send_note(self, sender: int, action: api.SendNote) -> None:
         """Send a note over the network, which may lose or duplicate it; count it as sent in any case."""
         data = pack(action.note)
         kind = action.note.kind
