--- a/standins/scale/directory.py
+++ b/standins/scale/directory.py
@@ -32,7 +32,7 @@
         self.number = min(1, plan.demand.gateways - 1)
         self.start(self.number)
 
-    def deliver(self, sender: int, action: api.SendNote) -> None:
+    def deliver_note(self, sender: int, action: api.SendNote) -> None:
         """Answer directory look-ups on behalf of the gateways that do not run."""
         if action.peer in self.running:
             return super().deliver_note(sender, action)
--- a/standins/scale/fleet.py
+++ b/standins/scale/fleet.py
@@ -139,7 +139,7 @@
             when = self.now_ms + self.rng.uniform(*NOTE_DELAY_MS)
             self.schedule(when, partial(self.deliver_note, sender, action))
 
-    def deliver(self, sender: int, action: api.SendNote) -> None:
+    def deliver_note(self, sender: int, action: api.SendNote) -> None:
         """Deliver a note to its receiver; it is lost if no process of that number runs."""
         if gateway := self.running.get(action.peer):
             self.handle_event(gateway, api.PeerMessage(sender, action.note))
