--- a/standins/scale/directory.py
+++ b/standins/scale/directory.py
@@ -41,7 +41,7 @@
             back = partial(self.handle_event, self.running[sender], api.PeerMessage(action.peer, answer))
             self.schedule(self.now_ms + self.rng.uniform(*NOTE_DELAY_MS), back)
 
-    def send(self, gateway: HollowGateway, get: api.Get) -> None:
+    def send_attempt(self, gateway: HollowGateway, get: api.Get) -> None:
         """Serve objects that the cache keeps; fill the others, or answer a look-up with a miss."""
         attempt, ask = gateway.next_attempt(get.id), gateway.open_requests[get.id]
         kept = self.kept.setdefault(get.server, set())
--- a/standins/scale/fleet.py
+++ b/standins/scale/fleet.py
@@ -152,7 +152,7 @@
         request = api.Request(next(self.request_ids), class_name, key, deadline, size_kb, key % 256)
         self.handle_event(self.running[number], request)
 
-    def send(self, gateway: HollowGateway, get: api.Get) -> None:
+    def send_attempt(self, gateway: HollowGateway, get: api.Get) -> None:
         """Send an attempt to its server, unless the router's recheck before the first byte withdraws it."""
         attempt, ask = gateway.next_attempt(get.id), gateway.open_requests.get(get.id)
         end = partial(self.finish_attempt, gateway, get, attempt)
