--- a/standins/scale/fleet.py
+++ b/standins/scale/fleet.py
@@ -163,7 +163,7 @@
         else:
             self.schedule(self.now_ms + ROUND_TRIP_MS, partial(end, "enoent"))
 
-    def fill_from_origin(self, ask: api.Request, end: Callable[[str], None]) -> None:
+    def start_origin_fill(self, ask: api.Request, end: Callable[[str], None]) -> None:
         """Count a fill at the origin until it ends, even if no gateway still waits for it."""
         left, stuck = ask.deadline_ms - self.now_ms, self.rng.random() < STUCK_FILL_SHARE
         took = left if stuck else min(left, self.rng.uniform(*ORIGIN_FILL_MS))
