--- a/standins/scale/fleet.py
+++ b/standins/scale/fleet.py
@@ -177,7 +177,7 @@
 
         self.schedule(self.now_ms + took, over)
 
-    def count_fills(self, change: int) -> None:
+    def update_open_fills(self, change: int) -> None:
         """Change the number of open fills at the origin, and add to their total duration up to now."""
         self.origin_fill_ms += self.open_origin_fills * (self.now_ms - self.last_count_ms)
         self.last_count_ms = self.now_ms
