--- a/standins/scale/directory.py
+++ b/standins/scale/directory.py
@@ -43,13 +43,13 @@
 
     def send_attempt(self, gateway: HollowGateway, get: api.Get) -> None:
         """Serve objects that the cache keeps; fill the others, or answer a look-up with a miss."""
-        attempt, ask = gateway.next_attempt(get.id), gateway.open_requests[get.id]
+        attempt, request = gateway.next_attempt(get.id), gateway.open_requests[get.id]
         kept = self.kept.setdefault(get.server, set())
-        fills = get.source != get.server and ask.key not in kept
+        fills = get.source != get.server and request.key not in kept
         self.fills += fills
-        found = ask.key in kept or get.source != get.server
+        found = request.key in kept or get.source != get.server
         if found:
-            kept.add(ask.key)
+            kept.add(request.key)
         status, took = ("done", SERVED_MS) if found else ("enoent", ROUND_TRIP_MS)
         self.schedule(self.now_ms + took, partial(self.finish_attempt, gateway, get, attempt, status))
 
--- a/standins/scale/fleet.py
+++ b/standins/scale/fleet.py
@@ -154,18 +154,18 @@
 
     def send_attempt(self, gateway: HollowGateway, get: api.Get) -> None:
         """Send an attempt to its server, unless the router's recheck before the first byte withdraws it."""
-        attempt, ask = gateway.next_attempt(get.id), gateway.open_requests.get(get.id)
+        attempt, request = gateway.next_attempt(get.id), gateway.open_requests.get(get.id)
         on_end = partial(self.finish_attempt, gateway, get, attempt)
-        if ask is None or gateway.router.recheck_send(get.id, attempt, self.now_ms) is None:
+        if request is None or gateway.router.recheck_send(get.id, attempt, self.now_ms) is None:
             self.schedule(self.now_ms, partial(on_end, "skipped"))
         elif get.source == self.origin:
-            self.start_origin_fill(ask, on_end)
+            self.start_origin_fill(request, on_end)
         else:
             self.schedule(self.now_ms + ROUND_TRIP_MS, partial(on_end, "enoent"))
 
-    def start_origin_fill(self, ask: api.Request, on_end: Callable[[str], None]) -> None:
+    def start_origin_fill(self, request: api.Request, on_end: Callable[[str], None]) -> None:
         """Count a fill at the origin until it ends, even if no gateway still waits for it."""
-        left, stuck = ask.deadline_ms - self.now_ms, self.rng.random() < STUCK_FILL_SHARE
+        left, stuck = request.deadline_ms - self.now_ms, self.rng.random() < STUCK_FILL_SHARE
         took = left if stuck else min(left, self.rng.uniform(*ORIGIN_FILL_MS))
         self.update_open_fills(1)
         self.peak_origin_fills = max(self.peak_origin_fills, self.open_origin_fills)
--- a/standins/scale/gateway.py
+++ b/standins/scale/gateway.py
@@ -95,5 +95,5 @@
     def finish_request(self, request: int, kind: str) -> None:
         """Record the final answer to a request; does nothing if the request is not open."""
         self.attempt_counts.pop(request, None)
-        if ask := self.open_requests.pop(request, None):
-            self.stats.end(ask.class_name, kind)
+        if request := self.open_requests.pop(request, None):
+            self.stats.end(request.class_name, kind)
