--- a/standins/scale/fleet.py
+++ b/standins/scale/fleet.py
@@ -16,7 +16,7 @@
 from random import Random
 
 from hitchtiller import interface as api
-from hitchtiller.codec.note_counts import pack
+from hitchtiller.codec.notes import pack
 from standins.scale.gateway import HollowGateway
 from standins.scale.plan import Plan
 
