--- a/standins/scale/gateway.py
+++ b/standins/scale/gateway.py
@@ -86,14 +86,14 @@
                 actions += self.router.handle(api.Members(members, event.whole), now_ms)
         return actions
 
-    def next_attempt(self, request: int) -> int:
+    def next_attempt(self, request_id: int) -> int:
         """Return the number, from 0, of the next attempt of a request."""
-        number = self.attempt_counts.get(request, 0)
-        self.attempt_counts[request] = number + 1
+        number = self.attempt_counts.get(request_id, 0)
+        self.attempt_counts[request_id] = number + 1
         return number
 
     def finish_request(self, request: int, kind: str) -> None:
         """Record the final answer to a request; does nothing if the request is not open."""
-        self.attempt_counts.pop(request, None)
-        if request := self.open_requests.pop(request, None):
+        self.attempt_counts.pop(request_id, None)
+        if request := self.open_requests.pop(request_id, None):
             self.stats.end(request.class_name, kind)
