--- a/standins/scale/directory.py
+++ b/standins/scale/directory.py
@@ -17,8 +17,8 @@
 from standins.scale.plan import Plan, demand_at
 
 ZIPF = 0.9  # exponent of the assumed popularity of objects
-WARM_S, MEASURED_S = 4.0, 6.0
-SERVED_MS = 20.0
+WARM_S, MEASURED_S = 4.0, 6.0  # phases of a run, of which only the second counts
+SERVED_MS = 20.0  # response time of a cache that serves a request
 
 
 class SampledFleet(HollowFleet):
--- a/standins/scale/fleet.py
+++ b/standins/scale/fleet.py
@@ -48,10 +48,8 @@
         self.running: dict[int, HollowGateway] = {}
         self.queued_events: dict[int, list[api.Event]] = {}  # events queued for each stopped process
         self.open_origin_fills = self.peak_origin_fills = self.completed_origin_fills = 0
-        self.origin_fill_ms, self.last_count_ms = (
-            0.0,
-            self.now_ms,
-        )  # total duration of all fills, up to the time of the last count
+        # The total duration of all fills at the origin, up to the time of the last count.
+        self.origin_fill_ms, self.last_count_ms = 0.0, self.now_ms
         self.answer_counts: Counter[str] = Counter()
         self.note_counts: Counter[str] = Counter()  # notes sent, by kind
         self.note_bytes = 0
@@ -165,17 +163,17 @@
 
     def start_origin_fill(self, request: api.Request, on_end: Callable[[str], None]) -> None:
         """Count a fill at the origin until it ends, even if no gateway still waits for it."""
-        left, stuck = request.deadline_ms - self.now_ms, self.rng.random() < STUCK_FILL_SHARE
-        took = left if stuck else min(left, self.rng.uniform(*ORIGIN_FILL_MS))
+        remaining_ms, stuck = request.deadline_ms - self.now_ms, self.rng.random() < STUCK_FILL_SHARE
+        took = remaining_ms if stuck else min(remaining_ms, self.rng.uniform(*ORIGIN_FILL_MS))
         self.update_open_fills(1)
         self.peak_origin_fills = max(self.peak_origin_fills, self.open_origin_fills)
 
-        def over() -> None:
+        def complete() -> None:
             self.update_open_fills(-1)
             self.completed_origin_fills += not stuck
             on_end("etimedout" if stuck else "done")
 
-        self.schedule(self.now_ms + took, over)
+        self.schedule(self.now_ms + took, complete)
 
     def update_open_fills(self, change: int) -> None:
         """Change the number of open fills at the origin, and add to their total duration up to now."""
@@ -191,5 +189,5 @@
         if closed:
             self.answer_counts["served"] += 1
             gateway.finish_request(get.id, "served")
-        over = closed or get.id not in gateway.open_requests
-        self.handle_event(gateway, api.Outcome(get.id, attempt, get.server, status, 1.0, over))
+        has_ended = closed or get.id not in gateway.open_requests
+        self.handle_event(gateway, api.Outcome(get.id, attempt, get.server, status, 1.0, has_ended))
