--- a/standins/scale/directory.py
+++ b/standins/scale/directory.py
@@ -50,8 +50,8 @@
         found = request.key in kept or get.source != get.server
         if found:
             kept.add(request.key)
-        status, took = ("done", SERVED_MS) if found else ("enoent", ROUND_TRIP_MS)
-        self.schedule(self.now_ms + took, partial(self.finish_attempt, gateway, get, attempt, status))
+        status, duration_ms = ("done", SERVED_MS) if found else ("enoent", ROUND_TRIP_MS)
+        self.schedule(self.now_ms + duration_ms, partial(self.finish_attempt, gateway, get, attempt, status))
 
 
 def popular(objects: int, count: int, seed: int) -> list[int]:
--- a/standins/scale/fleet.py
+++ b/standins/scale/fleet.py
@@ -164,7 +164,7 @@
     def start_origin_fill(self, request: api.Request, on_end: Callable[[str], None]) -> None:
         """Count a fill at the origin until it ends, even if no gateway still waits for it."""
         remaining_ms, stuck = request.deadline_ms - self.now_ms, self.rng.random() < STUCK_FILL_SHARE
-        took = remaining_ms if stuck else min(remaining_ms, self.rng.uniform(*ORIGIN_FILL_MS))
+        duration_ms = remaining_ms if stuck else min(remaining_ms, self.rng.uniform(*ORIGIN_FILL_MS))
         self.update_open_fills(1)
         self.peak_origin_fills = max(self.peak_origin_fills, self.open_origin_fills)
 
@@ -173,7 +173,7 @@
             self.completed_origin_fills += not stuck
             on_end("etimedout" if stuck else "done")
 
-        self.schedule(self.now_ms + took, complete)
+        self.schedule(self.now_ms + duration_ms, complete)
 
     def update_open_fills(self, change: int) -> None:
         """Change the number of open fills at the origin, and add to their total duration up to now."""
