--- a/standins/scale/fleet.py
+++ b/standins/scale/fleet.py
@@ -134,8 +134,8 @@
         ):
             return
         for _ in range(1 + (self.rng.random() < self.network_faults.repeat_share)):
-            when = self.now_ms + self.rng.uniform(*NOTE_DELAY_MS)
-            self.schedule(when, partial(self.deliver_note, sender, action))
+            arrival_ms = self.now_ms + self.rng.uniform(*NOTE_DELAY_MS)
+            self.schedule(arrival_ms, partial(self.deliver_note, sender, action))
 
     def deliver_note(self, sender: int, action: api.SendNote) -> None:
         """Deliver a note to its receiver; it is lost if no process of that number runs."""
