--- a/standins/scale/fleet.py
+++ b/standins/scale/fleet.py
@@ -185,9 +185,9 @@
         """Report the end of an attempt to its gateway, and the final answer if it served the request."""
         if self.running.get(gateway.number) is not gateway:
             return
-        closed = status == "done" and get.id in gateway.open_requests
-        if closed:
+        is_served = status == "done" and get.id in gateway.open_requests
+        if is_served:
             self.answer_counts["served"] += 1
             gateway.finish_request(get.id, "served")
-        has_ended = closed or get.id not in gateway.open_requests
+        has_ended = is_served or get.id not in gateway.open_requests
         self.handle_event(gateway, api.Outcome(get.id, attempt, get.server, status, 1.0, has_ended))
