--- a/standins/scale/directory.py
+++ b/standins/scale/directory.py
@@ -21,7 +21,7 @@
 SERVED_MS = 20.0  # response time of a cache that serves a request
 
 
-class SampledFleet(HollowFleet):
+class SingleGatewayFleet(HollowFleet):
     """A fleet of which one gateway runs and the others are simulated by fixed answers."""
 
     def __init__(self, plan: Plan, seed: int) -> None:
@@ -64,7 +64,7 @@
 def measure(gateways: int, seed: int) -> dict[str, float]:
     """Measure the notes that a gateway sends per request, and their bytes."""
     plan, rng = Plan(demand_at(gateways)), Random(seed)
-    fleet = SampledFleet(plan, seed)
+    fleet = SingleGatewayFleet(plan, seed)
     rate = plan.demand.requests_each
     keys = popular(int(plan.demand.objects / gateways), int(rate * (WARM_S + MEASURED_S) * 1.2), seed)
     begin = fleet.now_ms
