--- a/standins/scale/directory.py
+++ b/standins/scale/directory.py
@@ -27,7 +27,7 @@
     def __init__(self, plan: Plan, seed: int) -> None:
         """Start the one gateway that runs."""
         super().__init__(plan, seed, lambda number: plan.members())
-        self.kept: dict[str, set[int]] = {}
+        self.kept_objects: dict[str, set[int]] = {}
         self.fills = 0
         self.number = min(1, plan.demand.gateways - 1)
         self.start(self.number)
@@ -44,7 +44,7 @@
     def send_attempt(self, gateway: HollowGateway, get: api.Get) -> None:
         """Serve objects that the cache keeps; fill the others, or answer a look-up with a miss."""
         attempt, request = gateway.next_attempt(get.id), gateway.open_requests[get.id]
-        kept = self.kept.setdefault(get.server, set())
+        kept = self.kept_objects.setdefault(get.server, set())
         fills = get.source != get.server and request.key not in kept
         self.fills += fills
         found = request.key in kept or get.source != get.server
