--- a/standins/scale/directory.py
+++ b/standins/scale/directory.py
@@ -44,12 +44,12 @@
     def send_attempt(self, gateway: HollowGateway, get: api.Get) -> None:
         """Serve objects that the cache keeps; fill the others, or answer a look-up with a miss."""
         attempt, request = gateway.next_attempt(get.id), gateway.open_requests[get.id]
-        kept = self.kept_objects.setdefault(get.server, set())
-        fills = get.source != get.server and request.key not in kept
+        objects_here = self.kept_objects.setdefault(get.server, set())
+        fills = get.source != get.server and request.key not in objects_here
         self.fills += fills
-        found = request.key in kept or get.source != get.server
+        found = request.key in objects_here or get.source != get.server
         if found:
-            kept.add(request.key)
+            objects_here.add(request.key)
         status, duration_ms = ("done", SERVED_MS) if found else ("enoent", ROUND_TRIP_MS)
         self.schedule(self.now_ms + duration_ms, partial(self.finish_attempt, gateway, get, attempt, status))
 
