--- a/standins/scale/directory.py
+++ b/standins/scale/directory.py
@@ -28,7 +28,7 @@
         """Start the one gateway that runs."""
         super().__init__(plan, seed, lambda number: plan.members())
         self.kept_objects: dict[str, set[int]] = {}
-        self.fills = 0
+        self.fill_count = 0
         self.number = min(1, plan.demand.gateways - 1)
         self.start(self.number)
 
@@ -46,7 +46,7 @@
         attempt, request = gateway.next_attempt(get.id), gateway.open_requests[get.id]
         objects_here = self.kept_objects.setdefault(get.server, set())
         fills = get.source != get.server and request.key not in objects_here
-        self.fills += fills
+        self.fill_count += fills
         found = request.key in objects_here or get.source != get.server
         if found:
             objects_here.add(request.key)
