--- a/standins/scale/directory.py
+++ b/standins/scale/directory.py
@@ -45,8 +45,8 @@
         """Serve objects that the cache keeps; fill the others, or answer a look-up with a miss."""
         attempt, request = gateway.next_attempt(get.id), gateway.open_requests[get.id]
         objects_here = self.kept_objects.setdefault(get.server, set())
-        fills = get.source != get.server and request.key not in objects_here
-        self.fill_count += fills
+        is_fill = get.source != get.server and request.key not in objects_here
+        self.fill_count += is_fill
         found = request.key in objects_here or get.source != get.server
         if found:
             objects_here.add(request.key)
