--- a/standins/scale/directory.py
+++ b/standins/scale/directory.py
@@ -29,8 +29,8 @@
         super().__init__(plan, seed, lambda number: plan.members())
         self.kept_objects: dict[str, set[int]] = {}
         self.fill_count = 0
-        self.number = min(1, plan.demand.gateways - 1)
-        self.start(self.number)
+        self.running_number = min(1, plan.demand.gateways - 1)
+        self.start(self.running_number)
 
     def deliver_note(self, sender: int, action: api.SendNote) -> None:
         """Answer directory look-ups on behalf of the gateways that do not run."""
@@ -71,7 +71,7 @@
 
     def arrive(place: int, until_ms: float, again: Callable[[int, float, object], None]) -> None:
         if fleet.now_ms <= until_ms and place < len(keys):
-            fleet.submit_request(fleet.number, keys[place])
+            fleet.submit_request(fleet.running_number, keys[place])
             gap = rng.expovariate(rate / 1000.0)
             fleet.schedule(fleet.now_ms + gap, partial(again, place + 1, until_ms, again))
 
