--- a/standins/scale/directory.py
+++ b/standins/scale/directory.py
@@ -16,7 +16,7 @@
 from standins.scale.gateway import HollowGateway
 from standins.scale.plan import Plan, demand_at
 
-ZIPF = 0.9  # exponent of the assumed popularity of objects
+ZIPF_EXPONENT = 0.9  # exponent of the assumed popularity of objects
 WARM_S, MEASURED_S = 4.0, 6.0  # phases of a run, of which only the second counts
 SERVED_MS = 20.0  # response time of a cache that serves a request
 
@@ -56,7 +56,7 @@
 
 def popular(objects: int, count: int, seed: int) -> list[int]:
     """Draw a sequence of `count` object keys by the popularity of the objects."""
-    weights = 1.0 / np.arange(1, objects + 1) ** ZIPF
+    weights = 1.0 / np.arange(1, objects + 1) ** ZIPF_EXPONENT
     drawn = np.random.default_rng(seed).choice(objects, count, p=weights / weights.sum())
     return [int(key) for key in drawn]
 
