--- a/standins/scale/directory.py
+++ b/standins/scale/directory.py
@@ -17,7 +17,7 @@
 from standins.scale.plan import Plan, demand_at
 
 ZIPF_EXPONENT = 0.9  # exponent of the assumed popularity of objects
-WARM_S, MEASURED_S = 4.0, 6.0  # phases of a run, of which only the second counts
+WARM_UP_S, MEASURED_S = 4.0, 6.0  # phases of a run, of which only the second counts
 SERVED_MS = 20.0  # response time of a cache that serves a request
 
 
@@ -66,7 +66,7 @@
     plan, rng = Plan(demand_at(gateways)), Random(seed)
     fleet = SingleGatewayFleet(plan, seed)
     rate = plan.demand.requests_each
-    keys = popular(int(plan.demand.objects / gateways), int(rate * (WARM_S + MEASURED_S) * 1.2), seed)
+    keys = popular(int(plan.demand.objects / gateways), int(rate * (WARM_UP_S + MEASURED_S) * 1.2), seed)
     begin = fleet.now_ms
 
     def arrive(place: int, until_ms: float, again: Callable[[int, float, object], None]) -> None:
@@ -75,10 +75,10 @@
             gap = rng.expovariate(rate / 1000.0)
             fleet.schedule(fleet.now_ms + gap, partial(again, place + 1, until_ms, again))
 
-    arrive(0, begin + 1000.0 * (WARM_S + MEASURED_S), arrive)  # type: ignore[arg-type]
-    fleet.run(begin + 1000.0 * WARM_S)
+    arrive(0, begin + 1000.0 * (WARM_UP_S + MEASURED_S), arrive)  # type: ignore[arg-type]
+    fleet.run(begin + 1000.0 * WARM_UP_S)
     notes, carried, served = sum(fleet.note_counts.values()), fleet.note_bytes, fleet.answer_counts["served"]
-    fleet.run(begin + 1000.0 * (WARM_S + MEASURED_S))
+    fleet.run(begin + 1000.0 * (WARM_UP_S + MEASURED_S))
     requests = fleet.answer_counts["served"] - served
     return {
         "directory_notes": (sum(fleet.note_counts.values()) - notes) / requests,
