--- a/standins/scale/directory.py
+++ b/standins/scale/directory.py
@@ -18,7 +18,7 @@
 
 ZIPF_EXPONENT = 0.9  # exponent of the assumed popularity of objects
 WARM_UP_S, MEASURED_S = 4.0, 6.0  # phases of a run, of which only the second counts
-SERVED_MS = 20.0  # response time of a cache that serves a request
+CACHE_ANSWER_MS = 20.0  # response time of a cache that serves a request
 
 
 class SingleGatewayFleet(HollowFleet):
@@ -50,7 +50,7 @@
         found = request.key in objects_here or get.source != get.server
         if found:
             objects_here.add(request.key)
-        status, duration_ms = ("done", SERVED_MS) if found else ("enoent", ROUND_TRIP_MS)
+        status, duration_ms = ("done", CACHE_ANSWER_MS) if found else ("enoent", ROUND_TRIP_MS)
         self.schedule(self.now_ms + duration_ms, partial(self.finish_attempt, gateway, get, attempt, status))
 
 
