--- a/standins/scale/directory.py
+++ b/standins/scale/directory.py
@@ -54,7 +54,7 @@
         self.schedule(self.now_ms + duration_ms, partial(self.finish_attempt, gateway, get, attempt, status))
 
 
-def popular(objects: int, count: int, seed: int) -> list[int]:
+def draw_popular_objects(objects: int, count: int, seed: int) -> list[int]:
     """Draw a sequence of `count` object keys by the popularity of the objects."""
     weights = 1.0 / np.arange(1, objects + 1) ** ZIPF_EXPONENT
     drawn = np.random.default_rng(seed).choice(objects, count, p=weights / weights.sum())
@@ -66,7 +66,9 @@
     plan, rng = Plan(demand_at(gateways)), Random(seed)
     fleet = SingleGatewayFleet(plan, seed)
     rate = plan.demand.requests_each
-    keys = popular(int(plan.demand.objects / gateways), int(rate * (WARM_UP_S + MEASURED_S) * 1.2), seed)
+    keys = draw_popular_objects(
+        int(plan.demand.objects / gateways), int(rate * (WARM_UP_S + MEASURED_S) * 1.2), seed
+    )
     begin = fleet.now_ms
 
     def arrive(place: int, until_ms: float, again: Callable[[int, float, object], None]) -> None:
