--- a/standins/scale/directory.py
+++ b/standins/scale/directory.py
@@ -71,11 +71,11 @@
     )
     begin = fleet.now_ms
 
-    def arrive(position: int, until_ms: float, again: Callable[[int, float, object], None]) -> None:
+    def arrive(position: int, until_ms: float, callback: Callable[[int, float, object], None]) -> None:
         if fleet.now_ms <= until_ms and position < len(keys):
             fleet.submit_request(fleet.running_number, keys[position])
             gap = rng.expovariate(rate / 1000.0)
-            fleet.schedule(fleet.now_ms + gap, partial(again, position + 1, until_ms, again))
+            fleet.schedule(fleet.now_ms + gap, partial(callback, position + 1, until_ms, callback))
 
     arrive(0, begin + 1000.0 * (WARM_UP_S + MEASURED_S), arrive)  # type: ignore[arg-type]
     fleet.run(begin + 1000.0 * WARM_UP_S)
