--- a/standins/scale/directory.py
+++ b/standins/scale/directory.py
@@ -79,7 +79,7 @@
 
     arrive(0, begin + 1000.0 * (WARM_UP_S + MEASURED_S), arrive)  # type: ignore[arg-type]
     fleet.run(begin + 1000.0 * WARM_UP_S)
-    notes, bytes_before, served = (
+    notes_before, bytes_before, served = (
         sum(fleet.note_counts.values()),
         fleet.note_bytes,
         fleet.answer_counts["served"],
@@ -87,6 +87,6 @@
     fleet.run(begin + 1000.0 * (WARM_UP_S + MEASURED_S))
     requests = fleet.answer_counts["served"] - served
     return {
-        "directory_notes": (sum(fleet.note_counts.values()) - notes) / requests,
+        "directory_notes": (sum(fleet.note_counts.values()) - notes_before) / requests,
         "directory_bytes": (fleet.note_bytes - bytes_before) / requests,
     }
