--- a/standins/scale/directory.py
+++ b/standins/scale/directory.py
@@ -79,13 +79,13 @@
 
     arrive(0, begin + 1000.0 * (WARM_UP_S + MEASURED_S), arrive)  # type: ignore[arg-type]
     fleet.run(begin + 1000.0 * WARM_UP_S)
-    notes_before, bytes_before, served = (
+    notes_before, bytes_before, served_before = (
         sum(fleet.note_counts.values()),
         fleet.note_bytes,
         fleet.answer_counts["served"],
     )
     fleet.run(begin + 1000.0 * (WARM_UP_S + MEASURED_S))
-    requests = fleet.answer_counts["served"] - served
+    requests = fleet.answer_counts["served"] - served_before
     return {
         "directory_notes": (sum(fleet.note_counts.values()) - notes_before) / requests,
         "directory_bytes": (fleet.note_bytes - bytes_before) / requests,
