--- a/standins/scale/directory.py
+++ b/standins/scale/directory.py
@@ -57,8 +57,8 @@
 def draw_popular_objects(objects: int, count: int, seed: int) -> list[int]:
     """Draw a sequence of `count` object keys by the popularity of the objects."""
     weights = 1.0 / np.arange(1, objects + 1) ** ZIPF_EXPONENT
-    drawn = np.random.default_rng(seed).choice(objects, count, p=weights / weights.sum())
-    return [int(key) for key in drawn]
+    keys = np.random.default_rng(seed).choice(objects, count, p=weights / weights.sum())
+    return [int(key) for key in keys]
 
 
 def measure(gateways: int, seed: int) -> dict[str, float]:
