--- a/standins/scale/directory.py
+++ b/standins/scale/directory.py
@@ -38,8 +38,10 @@
             return super().deliver_note(sender, action)
         if isinstance(action.note, api.PeerNote) and action.note.kind == "ask":
             answer = api.PeerNote("holder", action.note.key, action.note.part, "")
-            back = partial(self.handle_event, self.running[sender], api.PeerMessage(action.peer, answer))
-            self.schedule(self.now_ms + self.rng.uniform(*NOTE_DELAY_MS), back)
+            deliver_answer = partial(
+                self.handle_event, self.running[sender], api.PeerMessage(action.peer, answer)
+            )
+            self.schedule(self.now_ms + self.rng.uniform(*NOTE_DELAY_MS), deliver_answer)
 
     def send_attempt(self, gateway: HollowGateway, get: api.Get) -> None:
         """Serve objects that the cache keeps; fill the others, or answer a look-up with a miss."""
