--- a/standins/scale/decisions.py
+++ b/standins/scale/decisions.py
@@ -11,7 +11,7 @@
 from standins.scale.gateway import HollowGateway, list_frame, purge_frame
 from standins.scale.plan import Plan, demand_at
 
-OBJECTS = 6_000  # requested, enough to fill each bounded table
+OBJECT_COUNT = 6_000  # requested, enough to fill each bounded table
 ROUNDS = 200  # calls over which processor time is averaged
 BEGIN_MS = 1_000_000.0
 
@@ -21,7 +21,7 @@
     gateway = HollowGateway(plan.settings(1 % plan.demand.gateways), 7)
     gateway.handle_discovery(list_frame(1, plan.members(), plan.zones, whole=True), BEGIN_MS)
     holder = plan.caches()[0].server
-    for id in range(OBJECTS):
+    for id in range(OBJECT_COUNT):
         serve_one(gateway, id, rng.getrandbits(48), BEGIN_MS + id)
         note = api.PeerNote("kept", rng.getrandbits(48), 0, holder, 1)
         gateway.handle(api.PeerMessage(0, note), BEGIN_MS + id)
@@ -54,7 +54,7 @@
     gc.collect()
     state = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
-    members, now = plan.members(), BEGIN_MS + OBJECTS
+    members, now = plan.members(), BEGIN_MS + OBJECT_COUNT
     whole = list_frame(1, members, plan.zones, whole=True)
 
     def change(turn: int) -> None:
@@ -65,7 +65,7 @@
         gateway.handle_discovery(purge_frame(turn, rng.getrandbits(48), 0, now), now)
 
     def request(turn: int) -> None:
-        serve_one(gateway, OBJECTS + turn, turn, now)
+        serve_one(gateway, OBJECT_COUNT + turn, turn, now)
 
     changes = microseconds(ROUNDS, change)
     starts = microseconds(5, lambda turn: gateway.handle_discovery(whole, now)) / 1000.0
