--- a/standins/scale/decisions.py
+++ b/standins/scale/decisions.py
@@ -12,7 +12,7 @@
 from standins.scale.plan import Plan, demand_at
 
 OBJECT_COUNT = 6_000  # requested, enough to fill each bounded table
-ROUNDS = 200  # calls over which processor time is averaged
+TIMED_CALLS = 200  # calls over which processor time is averaged
 BEGIN_MS = 1_000_000.0
 
 
@@ -67,10 +67,10 @@
     def request(turn: int) -> None:
         serve_one(gateway, OBJECT_COUNT + turn, turn, now)
 
-    changes = microseconds(ROUNDS, change)
+    changes = microseconds(TIMED_CALLS, change)
     starts = microseconds(5, lambda turn: gateway.handle_discovery(whole, now)) / 1000.0
-    purges = microseconds(ROUNDS, purge)
-    sweep = microseconds(ROUNDS, lambda turn: gateway.handle(api.TimerDue("sweep"), now))
+    purges = microseconds(TIMED_CALLS, purge)
+    sweep = microseconds(TIMED_CALLS, lambda turn: gateway.handle(api.TimerDue("sweep"), now))
     return {
         "router_state": float(state),
         "list_change": changes,
@@ -78,5 +78,5 @@
         "list_bytes": float(len(whole)),
         "purge_apply": purges,
         "sweep": sweep,
-        "decide": microseconds(ROUNDS, request),
+        "decide": microseconds(TIMED_CALLS, request),
     }
