--- a/standins/scale/decisions.py
+++ b/standins/scale/decisions.py
@@ -16,7 +16,7 @@
 BEGIN_MS = 1_000_000.0
 
 
-def settled(plan: Plan, rng: Random) -> HollowGateway:
+def make_full_gateway(plan: Plan, rng: Random) -> HollowGateway:
     """Return a gateway that has the whole server list and whose bounded tables are full."""
     gateway = HollowGateway(plan.settings(1 % plan.demand.gateways), 7)
     gateway.handle_discovery(list_frame(1, plan.members(), plan.zones, whole=True), BEGIN_MS)
@@ -50,7 +50,7 @@
     gc.collect()
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
-    gateway = settled(plan, rng)
+    gateway = make_full_gateway(plan, rng)
     gc.collect()
     state = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
