--- a/tests/scale/test_scale_growth.py
+++ b/tests/scale/test_scale_growth.py
@@ -29,7 +29,7 @@
 
 
 def test_tables_of_objects_are_bounded_however_many_are_asked_for() -> None:
-    gateway = decisions.settled(Plan(demand_at(SMALL)), decisions.Random(1))
+    gateway = decisions.make_full_gateway(Plan(demand_at(SMALL)), decisions.Random(1))
     router = gateway.router
     assert decisions.OBJECT_COUNT > MAX_OBJECTS
     assert len(router.popularity.counts) == MAX_OBJECTS
