--- a/standins/scale/decisions.py
+++ b/standins/scale/decisions.py
@@ -36,7 +36,7 @@
         gateway.handle(api.Outcome(id, attempt, get.server, "done", 5.0, True, 1), now_ms)
 
 
-def microseconds(rounds: int, call: Callable[[int], object]) -> float:
+def mean_cpu_us(rounds: int, call: Callable[[int], object]) -> float:
     """Return the mean processor time of a call in microseconds, over a number of rounds."""
     begun = time.process_time()
     for turn in range(rounds):
@@ -67,10 +67,10 @@
     def request(turn: int) -> None:
         serve_one(gateway, OBJECT_COUNT + turn, turn, now)
 
-    changes = microseconds(TIMED_CALLS, change)
-    starts = microseconds(5, lambda turn: gateway.handle_discovery(whole, now)) / 1000.0
-    purges = microseconds(TIMED_CALLS, purge)
-    sweep = microseconds(TIMED_CALLS, lambda turn: gateway.handle(api.TimerDue("sweep"), now))
+    changes = mean_cpu_us(TIMED_CALLS, change)
+    starts = mean_cpu_us(5, lambda turn: gateway.handle_discovery(whole, now)) / 1000.0
+    purges = mean_cpu_us(TIMED_CALLS, purge)
+    sweep = mean_cpu_us(TIMED_CALLS, lambda turn: gateway.handle(api.TimerDue("sweep"), now))
     return {
         "router_state": float(state),
         "list_change": changes,
@@ -78,5 +78,5 @@
         "list_bytes": float(len(whole)),
         "purge_apply": purges,
         "sweep": sweep,
-        "decide": microseconds(TIMED_CALLS, request),
+        "decide": mean_cpu_us(TIMED_CALLS, request),
     }
