--- a/standins/scale/decisions.py
+++ b/standins/scale/decisions.py
@@ -38,10 +38,10 @@
 
 def mean_cpu_us(rounds: int, call: Callable[[int], object]) -> float:
     """Return the mean processor time of a call in microseconds, over a number of rounds."""
-    begun = time.process_time()
+    started_s = time.process_time()
     for turn in range(rounds):
         call(turn)
-    return 1e6 * (time.process_time() - begun) / rounds
+    return 1e6 * (time.process_time() - started_s) / rounds
 
 
 def measure(gateways: int, seed: int) -> dict[str, float]:
