--- a/standins/scale/decisions.py
+++ b/standins/scale/decisions.py
@@ -52,7 +52,7 @@
     before = tracemalloc.get_traced_memory()[0]
     gateway = make_full_gateway(plan, rng)
     gc.collect()
-    state = tracemalloc.get_traced_memory()[0] - before
+    state_bytes = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
     members, now = plan.members(), BEGIN_MS + OBJECT_COUNT
     whole = list_frame(1, members, plan.zones, whole=True)
@@ -72,7 +72,7 @@
     purges = mean_cpu_us(TIMED_CALLS, purge)
     sweep = mean_cpu_us(TIMED_CALLS, lambda turn: gateway.handle(api.TimerDue("sweep"), now))
     return {
-        "router_state": float(state),
+        "router_state": float(state_bytes),
         "list_change": changes,
         "list_whole": starts,
         "list_bytes": float(len(whole)),
