--- a/standins/scale/decisions.py
+++ b/standins/scale/decisions.py
@@ -49,10 +49,10 @@
     plan, rng = Plan(demand_at(gateways)), Random(seed)
     gc.collect()
     tracemalloc.start()
-    before = tracemalloc.get_traced_memory()[0]
+    bytes_before = tracemalloc.get_traced_memory()[0]
     gateway = make_full_gateway(plan, rng)
     gc.collect()
-    state_bytes = tracemalloc.get_traced_memory()[0] - before
+    state_bytes = tracemalloc.get_traced_memory()[0] - bytes_before
     tracemalloc.stop()
     members, now = plan.members(), BEGIN_MS + OBJECT_COUNT
     whole = list_frame(1, members, plan.zones, whole=True)
