--- a/standins/scale/decisions.py
+++ b/standins/scale/decisions.py
@@ -68,13 +68,13 @@
         serve_one(gateway, OBJECT_COUNT + turn, turn, now)
 
     change_us = mean_cpu_us(TIMED_CALLS, change)
-    starts = mean_cpu_us(5, lambda turn: gateway.handle_discovery(whole, now)) / 1000.0
+    whole_list_ms = mean_cpu_us(5, lambda turn: gateway.handle_discovery(whole, now)) / 1000.0
     purges = mean_cpu_us(TIMED_CALLS, purge)
     sweep = mean_cpu_us(TIMED_CALLS, lambda turn: gateway.handle(api.TimerDue("sweep"), now))
     return {
         "router_state": float(state_bytes),
         "list_change": change_us,
-        "list_whole": starts,
+        "list_whole": whole_list_ms,
         "list_bytes": float(len(whole)),
         "purge_apply": purges,
         "sweep": sweep,
