--- a/standins/scale/decisions.py
+++ b/standins/scale/decisions.py
@@ -70,13 +70,13 @@
     change_us = mean_cpu_us(TIMED_CALLS, change)
     whole_list_ms = mean_cpu_us(5, lambda turn: gateway.handle_discovery(whole, now)) / 1000.0
     purge_us = mean_cpu_us(TIMED_CALLS, purge)
-    sweep = mean_cpu_us(TIMED_CALLS, lambda turn: gateway.handle(api.TimerDue("sweep"), now))
+    sweep_us = mean_cpu_us(TIMED_CALLS, lambda turn: gateway.handle(api.TimerDue("sweep"), now))
     return {
         "router_state": float(state_bytes),
         "list_change": change_us,
         "list_whole": whole_list_ms,
         "list_bytes": float(len(whole)),
         "purge_apply": purge_us,
-        "sweep": sweep,
+        "sweep": sweep_us,
         "decide": mean_cpu_us(TIMED_CALLS, request),
     }
