--- a/standins/scale/decisions.py
+++ b/standins/scale/decisions.py
@@ -39,8 +39,8 @@
 def mean_cpu_us(rounds: int, call: Callable[[int], object]) -> float:
     """Return the mean processor time of a call in microseconds, over a number of rounds."""
     started_s = time.process_time()
-    for turn in range(rounds):
-        call(turn)
+    for call_number in range(rounds):
+        call(call_number)
     return 1e6 * (time.process_time() - started_s) / rounds
 
 
@@ -57,20 +57,20 @@
     members, now = plan.members(), BEGIN_MS + OBJECT_COUNT
     whole = list_frame(1, members, plan.zones, whole=True)
 
-    def change(turn: int) -> None:
-        changed = replace(members[turn % len(members)], weight=8.0 + turn % 2)
-        gateway.handle_discovery(list_frame(turn, [changed], plan.zones, whole=False), now)
+    def change(call_number: int) -> None:
+        changed = replace(members[call_number % len(members)], weight=8.0 + call_number % 2)
+        gateway.handle_discovery(list_frame(call_number, [changed], plan.zones, whole=False), now)
 
-    def purge(turn: int) -> None:
-        gateway.handle_discovery(purge_frame(turn, rng.getrandbits(48), 0, now), now)
+    def purge(call_number: int) -> None:
+        gateway.handle_discovery(purge_frame(call_number, rng.getrandbits(48), 0, now), now)
 
-    def request(turn: int) -> None:
-        serve_one(gateway, OBJECT_COUNT + turn, turn, now)
+    def request(call_number: int) -> None:
+        serve_one(gateway, OBJECT_COUNT + call_number, call_number, now)
 
     change_us = mean_cpu_us(TIMED_CALLS, change)
-    whole_list_ms = mean_cpu_us(5, lambda turn: gateway.handle_discovery(whole, now)) / 1000.0
+    whole_list_ms = mean_cpu_us(5, lambda call_number: gateway.handle_discovery(whole, now)) / 1000.0
     purge_us = mean_cpu_us(TIMED_CALLS, purge)
-    sweep_us = mean_cpu_us(TIMED_CALLS, lambda turn: gateway.handle(api.TimerDue("sweep"), now))
+    sweep_us = mean_cpu_us(TIMED_CALLS, lambda call_number: gateway.handle(api.TimerDue("sweep"), now))
     return {
         "router_state": float(state_bytes),
         "list_change": change_us,
