--- a/standins/scale/decisions.py
+++ b/standins/scale/decisions.py
@@ -54,23 +54,23 @@
     gc.collect()
     state_bytes = tracemalloc.get_traced_memory()[0] - bytes_before
     tracemalloc.stop()
-    members, now = plan.members(), BEGIN_MS + OBJECT_COUNT
+    members, now_ms = plan.members(), BEGIN_MS + OBJECT_COUNT
     whole = list_frame(1, members, plan.zones, whole=True)
 
     def change(call_number: int) -> None:
         changed = replace(members[call_number % len(members)], weight=8.0 + call_number % 2)
-        gateway.handle_discovery(list_frame(call_number, [changed], plan.zones, whole=False), now)
+        gateway.handle_discovery(list_frame(call_number, [changed], plan.zones, whole=False), now_ms)
 
     def purge(call_number: int) -> None:
-        gateway.handle_discovery(purge_frame(call_number, rng.getrandbits(48), 0, now), now)
+        gateway.handle_discovery(purge_frame(call_number, rng.getrandbits(48), 0, now_ms), now_ms)
 
     def request(call_number: int) -> None:
-        serve_one(gateway, OBJECT_COUNT + call_number, call_number, now)
+        serve_one(gateway, OBJECT_COUNT + call_number, call_number, now_ms)
 
     change_us = mean_cpu_us(TIMED_CALLS, change)
-    whole_list_ms = mean_cpu_us(5, lambda call_number: gateway.handle_discovery(whole, now)) / 1000.0
+    whole_list_ms = mean_cpu_us(5, lambda call_number: gateway.handle_discovery(whole, now_ms)) / 1000.0
     purge_us = mean_cpu_us(TIMED_CALLS, purge)
-    sweep_us = mean_cpu_us(TIMED_CALLS, lambda call_number: gateway.handle(api.TimerDue("sweep"), now))
+    sweep_us = mean_cpu_us(TIMED_CALLS, lambda call_number: gateway.handle(api.TimerDue("sweep"), now_ms))
     return {
         "router_state": float(state_bytes),
         "list_change": change_us,
