--- a/standins/scale/events.py
+++ b/standins/scale/events.py
@@ -163,7 +163,7 @@
 
 def configuration(figures: Figures, demand: Demand) -> Table:
     """Build the table of a configuration change at all gateways, and of one that is rolled back."""
-    wait = DAY_S / demand.changes_a_day
+    wait = DAY_S / demand.config_changes_per_day
     table = TableBuilder("A configuration pushed to all; one pushed by mistake and taken back", figures)
     table.told(
         "changes that overlap",
