--- a/standins/scale/events.py
+++ b/standins/scale/events.py
@@ -177,7 +177,7 @@
         2.0 * SIGNAL_S * demand.gateways,
         "s",
         "assumed: the same way twice",
-        budget=demand.change_s,
+        budget=demand.max_config_change_s,
         exponent=1.0,
         kind="time",
     )
--- a/standins/scale/shared_rows.py
+++ b/standins/scale/shared_rows.py
@@ -23,4 +23,4 @@
     """Return the row of the time until a changed configuration is in force at all gateways."""
     name, took = "until a change is in force everywhere", SIGNAL_S * demand.gateways
     basis = f"assumed: {SIGNAL_S:g} s a gateway, one after another"
-    return Row(name, took, "s", demand.change_s, basis, exponent=1.0, kind="time")
+    return Row(name, took, "s", demand.max_config_change_s, basis, exponent=1.0, kind="time")
