--- a/standins/scale/events.py
+++ b/standins/scale/events.py
@@ -45,7 +45,7 @@
         "cores",
         "sum of four fits",
         ROUTER,
-        budget=demand.control_cores,
+        budget=demand.max_control_cores,
     )
     table.told(
         "list changes a gateway",
--- a/standins/scale/roles_gateway.py
+++ b/standins/scale/roles_gateway.py
@@ -145,10 +145,14 @@
         "cores",
         "sum of the four fits",
         ROUTER,
-        budget=demand.control_cores,
+        budget=demand.max_control_cores,
     )
     table.measured(
-        "processor time of an idle process", "process_idle", "cores", SCHEDULER, budget=demand.control_cores
+        "processor time of an idle process",
+        "process_idle",
+        "cores",
+        SCHEDULER,
+        budget=demand.max_control_cores,
     )
     table.measured(
         "a changed server taken in", "list_change", "us", ON_MEMBERS, value=figures.at("list_change", at)
@@ -203,7 +207,7 @@
         "members_cpu",
         "us/s",
         DETECTOR,
-        budget=1e6 * demand.control_cores,
+        budget=1e6 * demand.max_control_cores,
         grows=True,
     )
     table.measured("a death known to all", "members_detect", "s", DETECTOR, kind="time")
