--- a/standins/scale/plan.py
+++ b/standins/scale/plan.py
@@ -30,7 +30,7 @@
     config_changes_per_day: float = 3_600.0
     max_purge_s: float = 1.7  # budget: a purge is in force at all gateways within this time
     max_config_change_s: float = 12.0  # budget: a configuration change is in force at all gateways within
-    control_cores: float = 0.02  # budget: processor time of one gateway's control work
+    max_control_cores: float = 0.02  # budget: processor time of one gateway's control work
     control_mb: float = 256.0  # budget: memory of one gateway's control state
     control_bytes: float = 9_000.0  # budget: control traffic of one gateway per second
     machines: int = 5  # reserved for control services such as discovery
