--- a/standins/scale/roles_gateway.py
+++ b/standins/scale/roles_gateway.py
@@ -47,11 +47,11 @@
         "MB",
         ROUTER,
         value=figures.at("router_state") / 1e6,
-        budget=demand.control_mb,
+        budget=demand.max_control_mb,
         grows=True,
     )
     table.measured(
-        "resident memory of an idle process", "process_memory", "MB", SERVE, budget=demand.control_mb
+        "resident memory of an idle process", "process_memory", "MB", SERVE, budget=demand.max_control_mb
     )
     table.told(
         "requests, mean gateway at the peak",
@@ -136,7 +136,7 @@
         "MB",
         VIEW,
         value=figures.at("members_state") / 1e6,
-        budget=demand.control_mb,
+        budget=demand.max_control_mb,
         grows=True,
     )
     table.told(
