--- a/standins/scale/events.py
+++ b/standins/scale/events.py
@@ -199,7 +199,7 @@
         "B/s",
         "each start is told 34 times, 11 bytes",
         GOSSIP,
-        budget=demand.control_bytes,
+        budget=demand.max_control_bytes_per_s,
     )
     table.told(
         "lease owners in their first term at a time",
--- a/standins/scale/roles_gateway.py
+++ b/standins/scale/roles_gateway.py
@@ -100,7 +100,7 @@
         "B/s",
         SERVED,
         value=notes,
-        budget=demand.control_bytes,
+        budget=demand.max_control_bytes_per_s,
         note="; Zipf 0.9 assumed",
     )
     table.told(
@@ -109,10 +109,15 @@
         "B/s",
         ASSUMED_LARGEST,
         SERVED,
-        budget=demand.control_bytes,
+        budget=demand.max_control_bytes_per_s,
     )
     table.measured(
-        "membership, in and out", "members_bytes", "B/s", DETECTOR, value=members, budget=demand.control_bytes
+        "membership, in and out",
+        "members_bytes",
+        "B/s",
+        DETECTOR,
+        value=members,
+        budget=demand.max_control_bytes_per_s,
     )
     table.told(
         "discovery: purges and heartbeat, in",
@@ -120,7 +125,7 @@
         "B/s",
         "frames and TCP heads",
         BUS_READER,
-        budget=demand.control_bytes,
+        budget=demand.max_control_bytes_per_s,
     )
     table.measured(
         "leases, in and out, all misses at the origin",
@@ -128,7 +133,7 @@
         "B/s",
         LEASES,
         value=2.0 * LEASE_BYTES * figures.at("lease_notes"),
-        budget=demand.control_bytes,
+        budget=demand.max_control_bytes_per_s,
     )
     table.measured(
         "state of membership",
