--- a/standins/scale/roles_servers.py
+++ b/standins/scale/roles_servers.py
@@ -15,13 +15,13 @@
 
 def discovery(figures: Figures, demand: Demand) -> Table:
     """Build the table of the load on discovery and on the machines reserved for control."""
-    each, at = demand.gateways / demand.machines, list_gateways(servers(demand))
+    each, at = demand.gateways / demand.control_machines, list_gateways(servers(demand))
     out = demand.purges * PURGE_BYTES + HEARTBEAT_BYTES
     table = TableBuilder(f"Discovery service and the {demand.machines} control machines", figures)
     table.told("subscriptions, each machine", each, "connections", "one a gateway", BUS_LINK, exponent=1.0)
     table.told(
         "the same with one machine down",
-        demand.gateways / max(1, demand.machines - 1),
+        demand.gateways / max(1, demand.control_machines - 1),
         "connections",
         "one a gateway",
         BUS_LINK,
