--- a/standins/scale/plan.py
+++ b/standins/scale/plan.py
@@ -33,7 +33,7 @@
     max_control_cores: float = 0.02  # budget: processor time of one gateway's control work
     max_control_mb: float = 256.0  # budget: memory of one gateway's control state
     max_control_bytes_per_s: float = 9_000.0  # budget: control traffic of one gateway per second
-    machines: int = 5  # reserved for control services such as discovery
+    control_machines: int = 5  # reserved for control services such as discovery
     failures_a_day: float = 11.0
     restarts_a_day: float = 320.0
 
