--- a/standins/scale/plan.py
+++ b/standins/scale/plan.py
@@ -34,7 +34,7 @@
     max_control_mb: float = 256.0  # budget: memory of one gateway's control state
     max_control_bytes_per_s: float = 9_000.0  # budget: control traffic of one gateway per second
     control_machines: int = 5  # reserved for control services such as discovery
-    failures_a_day: float = 11.0
+    failures_per_day: float = 11.0
     restarts_a_day: float = 320.0
 
     @property
