--- a/standins/scale/assumptions.py
+++ b/standins/scale/assumptions.py
@@ -30,7 +30,7 @@
 def control_core(figures: Figures, demand: Demand) -> float:
     """Return the processor time, in cores, of one gateway's control work."""
     at = list_gateways(servers(demand))
-    changes = LIST_CHANGES * (demand.failures_per_day + demand.restarts_a_day) / DAY_S
+    changes = LIST_CHANGES * (demand.failures_per_day + demand.restarts_per_day) / DAY_S
     parts = (
         SWEEPS * figures.at("sweep"),
         demand.purges * figures.at("purge_apply"),
--- a/standins/scale/events.py
+++ b/standins/scale/events.py
@@ -49,7 +49,7 @@
     )
     table.told(
         "list changes a gateway",
-        LIST_CHANGES * (demand.failures_per_day + demand.restarts_a_day),
+        LIST_CHANGES * (demand.failures_per_day + demand.restarts_per_day),
         "1/day",
         "told, 3 lines each",
         ON_MEMBERS,
@@ -60,7 +60,7 @@
 
 def failures(figures: Figures, demand: Demand) -> Table:
     """Build the table of the machines that fail or are restarted on an ordinary day."""
-    events = demand.failures_per_day + demand.restarts_a_day
+    events = demand.failures_per_day + demand.restarts_per_day
     detect = figures.at("members_detect")
     table = TableBuilder(
         f"{demand.failures_a_day:g} failures and {demand.restarts_a_day:g} restarts", figures
