--- a/standins/scale/plan.py
+++ b/standins/scale/plan.py
@@ -35,7 +35,7 @@
     max_control_bytes_per_s: float = 9_000.0  # budget: control traffic of one gateway per second
     control_machines: int = 5  # reserved for control services such as discovery
     failures_per_day: float = 11.0
-    restarts_a_day: float = 320.0
+    restarts_per_day: float = 320.0
 
     @property
     def requests_each(self) -> float:
