--- a/standins/scale/directory.py
+++ b/standins/scale/directory.py
@@ -67,7 +67,7 @@
     """Measure the notes that a gateway sends per request, and their bytes."""
     plan, rng = Plan(demand_at(gateways)), Random(seed)
     fleet = SingleGatewayFleet(plan, seed)
-    rate = plan.demand.requests_each
+    rate = plan.demand.mean_requests_per_s
     keys = draw_popular_objects(
         int(plan.demand.objects / gateways), int(rate * (WARM_UP_S + MEASURED_S) * 1.2), seed
     )
--- a/standins/scale/roles_gateway.py
+++ b/standins/scale/roles_gateway.py
@@ -36,7 +36,7 @@
 
 def gateway_data(figures: Figures, demand: Demand) -> Table:
     """Build the table of a gateway's data path."""
-    each = demand.requests_each
+    each = demand.mean_requests_per_s
     mb = 1e-6 * 5.7e12 / 8.0 * (demand.requests / Demand().requests) / demand.gateways
     core = each * figures.at("decide") / 1e6
     used = each / ANSWERS_S
@@ -89,7 +89,7 @@
 
 def gateway_control(figures: Figures, demand: Demand) -> Table:
     """Build the table of a gateway's control work."""
-    each, at = demand.requests_each, list_gateways(servers(demand))
+    each, at = demand.mean_requests_per_s, list_gateways(servers(demand))
     notes = 2.0 * each * figures.at("directory_bytes")
     purges = demand.purges * PURGE_BYTES + HEARTBEAT_BYTES
     members = 2.0 * figures.at("members_bytes")
@@ -193,7 +193,7 @@
         "directory_notes",
         "1/s",
         ON_PEER,
-        value=demand.requests_each * figures.at("directory_notes"),
+        value=demand.mean_requests_per_s * figures.at("directory_notes"),
     )
     table.measured(
         "objects that change home with one more gateway, no membership", "homes_moved", "share", ROUTER
