--- a/standins/scale/plan.py
+++ b/standins/scale/plan.py
@@ -38,7 +38,7 @@
     restarts_per_day: float = 320.0
 
     @property
-    def requests_each(self) -> float:
+    def mean_requests_per_s(self) -> float:
         """Return the requests per second of a mean gateway."""
         return self.requests / self.gateways
 
