--- a/standins/scale/plan.py
+++ b/standins/scale/plan.py
@@ -70,7 +70,7 @@
     )
 
 
-CLASSES = {
+REQUEST_CLASSES = {
     "files": api.ClassSettings("files", 500.0, 5_000.0, 2.0, 2.0),
     "lookups": api.ClassSettings("lookups", 250.0, 2_500.0, 1.0, 2.0, fresh_ms=20_000.0),
     "charge": api.ClassSettings(
@@ -114,7 +114,7 @@
             hub_of=(0,) * len(self.zones),
             gateways_in_zone=(0, *here),
             link_kb_per_s=(0.0, *(ZONE_LINK_KB_PER_S,) * self.demand.zones),
-            classes=CLASSES,
+            classes=REQUEST_CLASSES,
             parent_kind="parent",
             origin_kind="origin",
             flow_kb_per_s=FLOW_KB_PER_S,
