--- a/standins/scale/bounds.py
+++ b/standins/scale/bounds.py
@@ -32,7 +32,7 @@
     """Measure the calls to a cold parent and a cold cache, as a share of what each can take."""
     plan = Plan(demand_at(gateways))
     zone = [n for n in range(gateways) if plan.zone_of(n) == 0]
-    settings = plan.common
+    settings = plan.shared_settings
     parent = (settings.parent_cold_share, settings.parent_cold_ms, settings.parent_fall_multiple, 30.0)
     cache = (settings.cold_share, settings.cold_ms, settings.fall_multiple, 8.0)
     return {
@@ -70,8 +70,8 @@
     worst = 0.0
     for start in sorted(set(calls)):
         able = weight * (share + (1.0 - share) * min(1.0, (start - begin) / ramp))
-        budget = multiple * able * plan.common.fall_ms / WORK_MS
-        sent = sum(start <= at < start + plan.common.fall_ms for at in calls)
+        budget = multiple * able * plan.shared_settings.fall_ms / WORK_MS
+        sent = sum(start <= at < start + plan.shared_settings.fall_ms for at in calls)
         worst = max(worst, sent / (budget + 2.0 * math.sqrt(budget) + 2.0))
     return worst
 
--- a/standins/scale/fleet.py
+++ b/standins/scale/fleet.py
@@ -146,7 +146,7 @@
 
     def submit_request(self, number: int, key: int, size_kb: float = 50.0, class_name: str = "files") -> None:
         """Submit a client's request to a gateway."""
-        deadline = self.now_ms + self.plan.common.classes[class_name].deadline_ms
+        deadline = self.now_ms + self.plan.shared_settings.classes[class_name].deadline_ms
         request = api.Request(next(self.request_ids), class_name, key, deadline, size_kb, key % 256)
         self.handle_event(self.running[number], request)
 
--- a/standins/scale/plan.py
+++ b/standins/scale/plan.py
@@ -99,7 +99,7 @@
 
     def settings(self, number: int) -> api.Settings:
         """Return the settings of one gateway."""
-        return replace(self.common, my_number=number, my_zone=f"z{self.zone_of(number)}")
+        return replace(self.shared_settings, my_number=number, my_zone=f"z{self.zone_of(number)}")
 
     def _settings(self) -> api.Settings:
         here = tuple(
