--- a/standins/scale/plan.py
+++ b/standins/scale/plan.py
@@ -57,16 +57,16 @@
 
 def demand_at(gateways: int) -> Demand:
     """Scale the reference fleet to a number of gateways."""
-    whole = Demand()
-    share = gateways / whole.gateways
+    reference = Demand()
+    share = gateways / reference.gateways
     return Demand(
         gateways=gateways,
-        sites=max(1, round(whole.sites * share)),
-        caches=max(2, round(whole.caches * share)),
-        zones=max(1, round(whole.zones * share)),
-        regions=max(1, round(whole.regions * share)),
-        requests=whole.requests * share,
-        objects=whole.objects * share,
+        sites=max(1, round(reference.sites * share)),
+        caches=max(2, round(reference.caches * share)),
+        zones=max(1, round(reference.zones * share)),
+        regions=max(1, round(reference.regions * share)),
+        requests=reference.requests * share,
+        objects=reference.objects * share,
     )
 
 
