--- a/standins/scale/plan.py
+++ b/standins/scale/plan.py
@@ -58,15 +58,15 @@
 def demand_at(gateways: int) -> Demand:
     """Scale the reference fleet to a number of gateways."""
     reference = Demand()
-    share = gateways / reference.gateways
+    scale = gateways / reference.gateways
     return Demand(
         gateways=gateways,
-        sites=max(1, round(reference.sites * share)),
-        caches=max(2, round(reference.caches * share)),
-        zones=max(1, round(reference.zones * share)),
-        regions=max(1, round(reference.regions * share)),
-        requests=reference.requests * share,
-        objects=reference.objects * share,
+        sites=max(1, round(reference.sites * scale)),
+        caches=max(2, round(reference.caches * scale)),
+        zones=max(1, round(reference.zones * scale)),
+        regions=max(1, round(reference.regions * scale)),
+        requests=reference.requests * scale,
+        objects=reference.objects * scale,
     )
 
 
