--- a/standins/scale/plan.py
+++ b/standins/scale/plan.py
@@ -102,7 +102,7 @@
         return replace(self.shared_settings, my_number=number, my_zone=f"z{self.zone_of(number)}")
 
     def _settings(self) -> api.Settings:
-        here = tuple(
+        gateways_by_zone = tuple(
             sum(1 for _ in range(zone, self.demand.gateways, self.demand.zones))
             for zone in range(self.demand.zones)
         )
@@ -112,7 +112,7 @@
             my_zone="z0",
             zones=self.zones,
             hub_of=(0,) * len(self.zones),
-            gateways_in_zone=(0, *here),
+            gateways_in_zone=(0, *gateways_by_zone),
             link_kb_per_s=(0.0, *(ZONE_LINK_KB_PER_S,) * self.demand.zones),
             classes=REQUEST_CLASSES,
             parent_kind="parent",
