--- a/standins/scale/plan.py
+++ b/standins/scale/plan.py
@@ -91,7 +91,7 @@
         """Name the zones, with the hub first, and create the settings that all gateways share."""
         names = ("hub", *(f"z{n}" for n in range(self.demand.zones)))
         object.__setattr__(self, "zones", names)
-        object.__setattr__(self, "common", self._settings())
+        object.__setattr__(self, "common", self._make_settings())
 
     def zone_of(self, number: int) -> int:
         """Return a gateway's zone, counted from 0; gateways are assigned to zones round-robin."""
