--- a/standins/scale/plan.py
+++ b/standins/scale/plan.py
@@ -101,7 +101,7 @@
         """Return the settings of one gateway."""
         return replace(self.shared_settings, my_number=number, my_zone=f"z{self.zone_of(number)}")
 
-    def _settings(self) -> api.Settings:
+    def _make_settings(self) -> api.Settings:
         gateways_by_zone = tuple(
             sum(1 for _ in range(zone, self.demand.gateways, self.demand.zones))
             for zone in range(self.demand.zones)
