--- a/standins/scale/events.py
+++ b/standins/scale/events.py
@@ -63,7 +63,7 @@
     events = demand.failures_per_day + demand.restarts_per_day
     detect = figures.at("members_detect")
     table = TableBuilder(
-        f"{demand.failures_a_day:g} failures and {demand.restarts_a_day:g} restarts", figures
+        f"{demand.failures_per_day:g} failures and {demand.restarts_per_day:g} restarts", figures
     )
     table.measured(
         "a failed gateway known to all", "members_detect", "s", DETECTOR, value=detect, kind="time"
--- a/standins/scale/gateway.py
+++ b/standins/scale/gateway.py
@@ -92,7 +92,7 @@
         self.attempt_counts[request_id] = number + 1
         return number
 
-    def finish_request(self, request: int, kind: str) -> None:
+    def finish_request(self, request_id: int, kind: str) -> None:
         """Record the final answer to a request; does nothing if the request is not open."""
         self.attempt_counts.pop(request_id, None)
         if request := self.open_requests.pop(request_id, None):
--- a/standins/scale/plan.py
+++ b/standins/scale/plan.py
@@ -85,13 +85,13 @@
 
     demand: Demand
     zones: tuple[str, ...] = field(init=False)
-    common: api.Settings = field(init=False)  # the settings of gateway 0
+    shared_settings: api.Settings = field(init=False)  # the settings of gateway 0
 
     def __post_init__(self) -> None:
         """Name the zones, with the hub first, and create the settings that all gateways share."""
         names = ("hub", *(f"z{n}" for n in range(self.demand.zones)))
         object.__setattr__(self, "zones", names)
-        object.__setattr__(self, "common", self._make_settings())
+        object.__setattr__(self, "shared_settings", self._make_settings())
 
     def zone_of(self, number: int) -> int:
         """Return a gateway's zone, counted from 0; gateways are assigned to zones round-robin."""
--- a/standins/scale/roles_servers.py
+++ b/standins/scale/roles_servers.py
@@ -17,7 +17,7 @@
     """Build the table of the load on discovery and on the machines reserved for control."""
     each, at = demand.gateways / demand.control_machines, list_gateways(servers(demand))
     out = demand.purges * PURGE_BYTES + HEARTBEAT_BYTES
-    table = TableBuilder(f"Discovery service and the {demand.machines} control machines", figures)
+    table = TableBuilder(f"Discovery service and the {demand.control_machines} control machines", figures)
     table.told("subscriptions, each machine", each, "connections", "one a gateway", BUS_LINK, exponent=1.0)
     table.told(
         "the same with one machine down",
