--- a/standins/scale/decisions.py
+++ b/standins/scale/decisions.py
@@ -57,7 +57,7 @@
     members, now_ms = plan.members(), BEGIN_MS + OBJECT_COUNT
     whole = list_frame(1, members, plan.zones, whole=True)
 
-    def change(call_number: int) -> None:
+    def apply_list_change(call_number: int) -> None:
         changed = replace(members[call_number % len(members)], weight=8.0 + call_number % 2)
         gateway.handle_discovery(list_frame(call_number, [changed], plan.zones, whole=False), now_ms)
 
@@ -67,7 +67,7 @@
     def request(call_number: int) -> None:
         serve_one(gateway, OBJECT_COUNT + call_number, call_number, now_ms)
 
-    change_us = mean_cpu_us(TIMED_CALLS, change)
+    change_us = mean_cpu_us(TIMED_CALLS, apply_list_change)
     whole_list_ms = mean_cpu_us(5, lambda call_number: gateway.handle_discovery(whole, now_ms)) / 1000.0
     purge_us = mean_cpu_us(TIMED_CALLS, purge)
     sweep_us = mean_cpu_us(TIMED_CALLS, lambda call_number: gateway.handle(api.TimerDue("sweep"), now_ms))
