--- a/standins/scale/decisions.py
+++ b/standins/scale/decisions.py
@@ -61,7 +61,7 @@
         changed = replace(members[call_number % len(members)], weight=8.0 + call_number % 2)
         gateway.handle_discovery(list_frame(call_number, [changed], plan.zones, whole=False), now_ms)
 
-    def purge(call_number: int) -> None:
+    def apply_purge(call_number: int) -> None:
         gateway.handle_discovery(purge_frame(call_number, rng.getrandbits(48), 0, now_ms), now_ms)
 
     def request(call_number: int) -> None:
@@ -69,7 +69,7 @@
 
     change_us = mean_cpu_us(TIMED_CALLS, apply_list_change)
     whole_list_ms = mean_cpu_us(5, lambda call_number: gateway.handle_discovery(whole, now_ms)) / 1000.0
-    purge_us = mean_cpu_us(TIMED_CALLS, purge)
+    purge_us = mean_cpu_us(TIMED_CALLS, apply_purge)
     sweep_us = mean_cpu_us(TIMED_CALLS, lambda call_number: gateway.handle(api.TimerDue("sweep"), now_ms))
     return {
         "router_state": float(state_bytes),
