--- a/standins/scale/decisions.py
+++ b/standins/scale/decisions.py
@@ -64,7 +64,7 @@
     def apply_purge(call_number: int) -> None:
         gateway.handle_discovery(purge_frame(call_number, rng.getrandbits(48), 0, now_ms), now_ms)
 
-    def request(call_number: int) -> None:
+    def serve_request(call_number: int) -> None:
         serve_one(gateway, OBJECT_COUNT + call_number, call_number, now_ms)
 
     change_us = mean_cpu_us(TIMED_CALLS, apply_list_change)
@@ -78,5 +78,5 @@
         "list_bytes": float(len(whole)),
         "purge_apply": purge_us,
         "sweep": sweep_us,
-        "decide": mean_cpu_us(TIMED_CALLS, request),
+        "decide": mean_cpu_us(TIMED_CALLS, serve_request),
     }
