--- a/standins/scale/decisions.py
+++ b/standins/scale/decisions.py
@@ -55,7 +55,7 @@
     state_bytes = tracemalloc.get_traced_memory()[0] - bytes_before
     tracemalloc.stop()
     members, now_ms = plan.members(), BEGIN_MS + OBJECT_COUNT
-    whole = list_frame(1, members, plan.zones, whole=True)
+    whole_list = list_frame(1, members, plan.zones, whole=True)
 
     def apply_list_change(call_number: int) -> None:
         changed = replace(members[call_number % len(members)], weight=8.0 + call_number % 2)
@@ -68,14 +68,14 @@
         serve_one(gateway, OBJECT_COUNT + call_number, call_number, now_ms)
 
     change_us = mean_cpu_us(TIMED_CALLS, apply_list_change)
-    whole_list_ms = mean_cpu_us(5, lambda call_number: gateway.handle_discovery(whole, now_ms)) / 1000.0
+    whole_list_ms = mean_cpu_us(5, lambda call_number: gateway.handle_discovery(whole_list, now_ms)) / 1000.0
     purge_us = mean_cpu_us(TIMED_CALLS, apply_purge)
     sweep_us = mean_cpu_us(TIMED_CALLS, lambda call_number: gateway.handle(api.TimerDue("sweep"), now_ms))
     return {
         "router_state": float(state_bytes),
         "list_change": change_us,
         "list_whole": whole_list_ms,
-        "list_bytes": float(len(whole)),
+        "list_bytes": float(len(whole_list)),
         "purge_apply": purge_us,
         "sweep": sweep_us,
         "decide": mean_cpu_us(TIMED_CALLS, serve_request),
