--- a/standins/scale/decisions.py
+++ b/standins/scale/decisions.py
@@ -21,19 +21,19 @@
     gateway = HollowGateway(plan.settings(1 % plan.demand.gateways), 7)
     gateway.handle_discovery(list_frame(1, plan.members(), plan.zones, whole=True), BEGIN_MS)
     holder = plan.caches()[0].server
-    for id in range(OBJECT_COUNT):
-        serve_one(gateway, id, rng.getrandbits(48), BEGIN_MS + id)
+    for request_id in range(OBJECT_COUNT):
+        serve_one(gateway, request_id, rng.getrandbits(48), BEGIN_MS + request_id)
         note = api.PeerNote("kept", rng.getrandbits(48), 0, holder, 1)
-        gateway.handle(api.PeerMessage(0, note), BEGIN_MS + id)
+        gateway.handle(api.PeerMessage(0, note), BEGIN_MS + request_id)
     return gateway
 
 
-def serve_one(gateway: HollowGateway, id: int, key: int, now_ms: float) -> None:
+def serve_one(gateway: HollowGateway, request_id: int, key: int, now_ms: float) -> None:
     """Submit a request to a gateway and complete each of its attempts immediately."""
-    actions = gateway.handle(api.Request(id, "files", key, now_ms + 5_000.0, 50.0, key % 256), now_ms)
+    actions = gateway.handle(api.Request(request_id, "files", key, now_ms + 5_000.0, 50.0, key % 256), now_ms)
     for attempt, get in enumerate(a for a in actions if isinstance(a, api.Get)):
-        gateway.finish_request(id, "served")
-        gateway.handle(api.Outcome(id, attempt, get.server, "done", 5.0, True, 1), now_ms)
+        gateway.finish_request(request_id, "served")
+        gateway.handle(api.Outcome(request_id, attempt, get.server, "done", 5.0, True, 1), now_ms)
 
 
 def mean_cpu_us(rounds: int, call: Callable[[int], object]) -> float:
