--- a/standins/scale/fit.py
+++ b/standins/scale/fit.py
@@ -25,7 +25,7 @@
         return max(1.0, size / self.largest)
 
 
-def fit(sizes: Sequence[int], values: Sequence[float]) -> Fit | None:
+def fit_power_law(sizes: Sequence[int], values: Sequence[float]) -> Fit | None:
     """Fit a power law; return None if any value is 0 or less, or fewer than two sizes were measured."""
     if len(sizes) < 2 or min(values) <= 0.0:
         return None
--- a/standins/scale/results.py
+++ b/standins/scale/results.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from standins.scale.fit import Fit, fit
+from standins.scale.fit import Fit, fit_power_law
 
 VERSION = 1
 
@@ -22,7 +22,7 @@
 
     def fitted(self) -> Fit | None:
         """Fit a power law over the measured sizes; return None if no fit is possible."""
-        return fit(self.sizes, self.values)
+        return fit_power_law(self.sizes, self.values)
 
     def at(self, size: float) -> float:
         """Return the value at a size: measured, else fitted, else the last value if no fit is possible."""
--- a/tests/scale/test_scale_tool.py
+++ b/tests/scale/test_scale_tool.py
@@ -9,7 +9,7 @@
 
 from standins.scale.estimate import NONE, Figures, Row, Table
 from standins.scale.events import events
-from standins.scale.fit import fit
+from standins.scale.fit import fit_power_law
 from standins.scale.plan import Demand
 from standins.scale.report import breaks_first, write_page
 from standins.scale.results import VERSION, BadResults, Run, Series, load, save
@@ -71,11 +71,11 @@
 
 def test_a_fit_finds_the_power_and_tells_what_lies_past_its_sizes() -> None:
     sizes = [100, 300, 1_000, 2_300]
-    law = fit(sizes, [3.0 * n**0.5 for n in sizes])
+    law = fit_power_law(sizes, [3.0 * n**0.5 for n in sizes])
     assert law is not None
     assert (round(law.factor, 6), round(law.exponent, 6), round(law.residual, 6)) == (3.0, 0.5, 0.0)
     assert law.extrapolated(4_600) == 2.0 and law.extrapolated(500) == 1.0
-    assert fit([100], [3.0]) is None and fit([100, 200], [0.0, 1.0]) is None
+    assert fit_power_law([100], [3.0]) is None and fit_power_law([100, 200], [0.0, 1.0]) is None
 
 
 def test_what_breaks_first_is_a_rule_before_a_time_before_a_cost_and_within_budget_last() -> None:
