--- a/standins/scale/fit.py
+++ b/standins/scale/fit.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fit:
+class PowerLaw:
     """A fit y = factor * n ** exponent; `residual` is the root mean square error of the logarithms."""
 
     factor: float
@@ -25,7 +25,7 @@
         return max(1.0, size / self.largest)
 
 
-def fit_power_law(sizes: Sequence[int], values: Sequence[float]) -> Fit | None:
+def fit_power_law(sizes: Sequence[int], values: Sequence[float]) -> PowerLaw | None:
     """Fit a power law; return None if any value is 0 or less, or fewer than two sizes were measured."""
     if len(sizes) < 2 or min(values) <= 0.0:
         return None
@@ -33,4 +33,4 @@
     exponent, constant = np.polyfit(x, y, 1)
     error = y - (constant + exponent * x)
     residual = math.sqrt(float(np.mean(error**2)))
-    return Fit(math.exp(float(constant)), float(exponent), residual, max(sizes))
+    return PowerLaw(math.exp(float(constant)), float(exponent), residual, max(sizes))
--- a/standins/scale/results.py
+++ b/standins/scale/results.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from standins.scale.fit import Fit, fit_power_law
+from standins.scale.fit import PowerLaw, fit_power_law
 
 VERSION = 1
 
@@ -20,7 +20,7 @@
     sizes: list[int]
     values: list[float]
 
-    def fitted(self) -> Fit | None:
+    def fitted(self) -> PowerLaw | None:
         """Fit a power law over the measured sizes; return None if no fit is possible."""
         return fit_power_law(self.sizes, self.values)
 
