--- a/standins/scale/estimate.py
+++ b/standins/scale/estimate.py
@@ -56,7 +56,7 @@
 
     def exponent(self, measure: str) -> float:
         """Return the exponent with which a measure grows with the number of gateways; 0 without a fit."""
-        law = self.run.of(measure).fitted()
+        law = self.run.of(measure).fit()
         return law.exponent if law else 0.0
 
     def basis(self, measure: str) -> str:
@@ -125,7 +125,7 @@
 
 def basis(series: Series, gateways: float) -> str:
     """Describe whether a value at a size is measured, fitted or extrapolated, and by which fit."""
-    law = series.fitted()
+    law = series.fit()
     if law is None:
         return "measured" if gateways in series.sizes else "measured, largest size"
     slope = f"n^{law.exponent:+.2f}, residual {law.residual:.2f}"
--- a/standins/scale/report.py
+++ b/standins/scale/report.py
@@ -49,7 +49,7 @@
     """Format all measures as a Markdown table with their values, exponents and residuals."""
     lines = ["| measure | at | figures | exponent | residual |", "| --- | --- | --- | ---: | ---: |"]
     for series in run.series:
-        law = series.fitted()
+        law = series.fit()
         slope = (f"{law.exponent:+.2f}", f"{law.residual:.2f}") if law else ("-", "-")
         sizes, values = ", ".join(map(str, series.sizes)), ", ".join(map(number, series.values))
         lines.append(f"| {series.measure} | {sizes} | {values} | {slope[0]} | {slope[1]} |")
--- a/standins/scale/results.py
+++ b/standins/scale/results.py
@@ -28,7 +28,7 @@
         """Return the value at a size: measured, else fitted, else the last value if no fit is possible."""
         if size in self.sizes:
             return self.values[self.sizes.index(int(size))]
-        law = self.fitted()
+        law = self.fit()
         return law.at(size) if law else self.values[-1]
 
 
