--- a/standins/scale/results.py
+++ b/standins/scale/results.py
@@ -20,7 +20,7 @@
     sizes: list[int]
     values: list[float]
 
-    def fitted(self) -> PowerLaw | None:
+    def fit(self) -> PowerLaw | None:
         """Fit a power law over the measured sizes; return None if no fit is possible."""
         return fit_power_law(self.sizes, self.values)
 
