--- a/tests/scale/test_scale_tool.py
+++ b/tests/scale/test_scale_tool.py
@@ -74,7 +74,7 @@
     law = fit_power_law(sizes, [3.0 * n**0.5 for n in sizes])
     assert law is not None
     assert (round(law.factor, 6), round(law.exponent, 6), round(law.residual, 6)) == (3.0, 0.5, 0.0)
-    assert law.extrapolated(4_600) == 2.0 and law.extrapolated(500) == 1.0
+    assert law.extrapolation_factor(4_600) == 2.0 and law.extrapolation_factor(500) == 1.0
     assert fit_power_law([100], [3.0]) is None and fit_power_law([100, 200], [0.0, 1.0]) is None
 
 
