--- a/standins/scale/fit.py
+++ b/standins/scale/fit.py
@@ -20,7 +20,7 @@
         """Return the fitted value at a size."""
         return float(self.factor * size**self.exponent)
 
-    def extrapolated(self, size: float) -> float:
+    def extrapolation_factor(self, size: float) -> float:
         """Return the size over the largest measured size, or 1 if it does not exceed that size."""
         return max(1.0, size / self.largest)
 
