--- a/standins/scale/fit.py
+++ b/standins/scale/fit.py
@@ -22,7 +22,7 @@
 
     def extrapolation_factor(self, size: float) -> float:
         """Return the size over the largest measured size, or 1 if it does not exceed that size."""
-        return max(1.0, size / self.largest)
+        return max(1.0, size / self.largest_size)
 
 
 def fit_power_law(sizes: Sequence[int], values: Sequence[float]) -> PowerLaw | None:
