--- a/standins/scale/fit.py
+++ b/standins/scale/fit.py
@@ -14,7 +14,7 @@
     factor: float
     exponent: float
     residual: float
-    largest: int  # largest size that was measured
+    largest_size: int  # largest size that was measured
 
     def at(self, size: float) -> float:
         """Return the fitted value at a size."""
