--- a/standins/scale/assumptions.py
+++ b/standins/scale/assumptions.py
@@ -32,9 +32,9 @@
     at = list_gateways(servers(demand))
     changes = LIST_CHANGES * (demand.failures_per_day + demand.restarts_per_day) / DAY_S
     parts = (
-        SWEEPS * figures.at("sweep"),
-        demand.purges * figures.at("purge_apply"),
-        changes * figures.at("list_change", at),
-        figures.at("members_cpu"),
+        SWEEPS * figures.value_at("sweep"),
+        demand.purges * figures.value_at("purge_apply"),
+        changes * figures.value_at("list_change", at),
+        figures.value_at("members_cpu"),
     )
     return sum(parts) / 1e6
--- a/standins/scale/estimate.py
+++ b/standins/scale/estimate.py
@@ -52,7 +52,7 @@
 
     def at(self, measure: str, size: float | None = None) -> float:
         """Return the value of a measure at the given size, by default that of these figures."""
-        return self.run.of(measure).at(self.gateways if size is None else size)
+        return self.run.of(measure).value_at(self.gateways if size is None else size)
 
     def exponent(self, measure: str) -> float:
         """Return the exponent with which a measure grows with the number of gateways; 0 without a fit."""
@@ -83,7 +83,7 @@
         `value` replaces the measured value where the figure is calculated from it; `grows` takes the exponent
         from the fit instead of `exponent`.
         """
-        figure = self.at(measure) if value is None else value
+        figure = self.value_at(measure) if value is None else value
         power = self.exponent(measure) if grows else exponent
         return Row(name, figure, unit, budget, self.basis(measure) + note, mechanism, power, rule, kind)
 
--- a/standins/scale/events.py
+++ b/standins/scale/events.py
@@ -61,7 +61,7 @@
 def failures(figures: Figures, demand: Demand) -> Table:
     """Build the table of the machines that fail or are restarted on an ordinary day."""
     events = demand.failures_per_day + demand.restarts_per_day
-    detect = figures.at("members_detect")
+    detect = figures.value_at("members_detect")
     table = TableBuilder(
         f"{demand.failures_per_day:g} failures and {demand.restarts_per_day:g} restarts", figures
     )
@@ -191,7 +191,11 @@
     table = TableBuilder("Every gateway restarted within a day", figures)
     table.told("restarts", 60.0 * rate, "1/min", "gateways over a day")
     table.measured(
-        "whole lists from discovery", "list_bytes", "B/s", BUS_LINK, value=rate * figures.at("list_bytes", at)
+        "whole lists from discovery",
+        "list_bytes",
+        "B/s",
+        BUS_LINK,
+        value=rate * figures.value_at("list_bytes", at),
     )
     table.told(
         "words of membership a gateway and second",
--- a/standins/scale/results.py
+++ b/standins/scale/results.py
@@ -29,7 +29,7 @@
         if size in self.sizes:
             return self.values[self.sizes.index(int(size))]
         law = self.fit()
-        return law.at(size) if law else self.values[-1]
+        return law.value_at(size) if law else self.values[-1]
 
 
 class Run(msgspec.Struct, forbid_unknown_fields=True):
--- a/standins/scale/roles_gateway.py
+++ b/standins/scale/roles_gateway.py
@@ -38,7 +38,7 @@
     """Build the table of a gateway's data path."""
     each = demand.mean_requests_per_s
     mb = 1e-6 * 5.7e12 / 8.0 * (demand.requests / Demand().requests) / demand.gateways
-    core = each * figures.at("decide") / 1e6
+    core = each * figures.value_at("decide") / 1e6
     used = each / ANSWERS_S
     table = TableBuilder("Gateway, data path", figures)
     table.measured(
@@ -46,7 +46,7 @@
         "router_state",
         "MB",
         ROUTER,
-        value=figures.at("router_state") / 1e6,
+        value=figures.value_at("router_state") / 1e6,
         budget=demand.max_control_mb,
         grows=True,
     )
@@ -90,9 +90,9 @@
 def gateway_control(figures: Figures, demand: Demand) -> Table:
     """Build the table of a gateway's control work."""
     each, at = demand.mean_requests_per_s, list_gateways(servers(demand))
-    notes = 2.0 * each * figures.at("directory_bytes")
+    notes = 2.0 * each * figures.value_at("directory_bytes")
     purges = demand.purges * PURGE_BYTES + HEARTBEAT_BYTES
-    members = 2.0 * figures.at("members_bytes")
+    members = 2.0 * figures.value_at("members_bytes")
     table = TableBuilder("Gateway, control", figures)
     table.measured(
         "directory notes, in and out, mean gateway",
@@ -132,7 +132,7 @@
         "lease_notes",
         "B/s",
         LEASES,
-        value=2.0 * LEASE_BYTES * figures.at("lease_notes"),
+        value=2.0 * LEASE_BYTES * figures.value_at("lease_notes"),
         budget=demand.max_control_bytes_per_s,
     )
     table.measured(
@@ -140,7 +140,7 @@
         "members_state",
         "MB",
         VIEW,
-        value=figures.at("members_state") / 1e6,
+        value=figures.value_at("members_state") / 1e6,
         budget=demand.max_control_mb,
         grows=True,
     )
@@ -160,11 +160,15 @@
         budget=demand.max_control_cores,
     )
     table.measured(
-        "a changed server taken in", "list_change", "us", ON_MEMBERS, value=figures.at("list_change", at)
+        "a changed server taken in",
+        "list_change",
+        "us",
+        ON_MEMBERS,
+        value=figures.value_at("list_change", at),
     )
     table.told(
         "purge heard and in force",
-        HEARD_S + figures.at("purge_apply") / 1e6,
+        HEARD_S + figures.value_at("purge_apply") / 1e6,
         "s",
         ASSUMED_HEARD,
         PURGE_LOG,
@@ -193,7 +197,7 @@
         "directory_notes",
         "1/s",
         ON_PEER,
-        value=demand.mean_requests_per_s * figures.at("directory_notes"),
+        value=demand.mean_requests_per_s * figures.value_at("directory_notes"),
     )
     table.measured(
         "objects that change home with one more gateway, no membership", "homes_moved", "share", ROUTER
@@ -229,7 +233,9 @@
     table.told(
         "purges in force", demand.purges * 6.1, "entries", "rate x 6.1 s until gone everywhere", PURGE_LOG
     )
-    table.measured("whole list", "list_bytes", "B", BUS_READER, value=figures.at("list_bytes", at))
-    table.measured("whole list taken in", "list_whole", "ms", ON_MEMBERS, value=figures.at("list_whole", at))
+    table.measured("whole list", "list_bytes", "B", BUS_READER, value=figures.value_at("list_bytes", at))
+    table.measured(
+        "whole list taken in", "list_whole", "ms", ON_MEMBERS, value=figures.value_at("list_whole", at)
+    )
     table.measured("purge applied", "purge_apply", "us", PURGE_LOG)
     return table.build()
--- a/standins/scale/roles_servers.py
+++ b/standins/scale/roles_servers.py
@@ -40,7 +40,7 @@
         "list_bytes",
         "MB",
         BUS_LINK,
-        value=each * figures.at("list_bytes", at) / 1e6,
+        value=each * figures.value_at("list_bytes", at) / 1e6,
         exponent=2.0,
     )
     table.told("confirmations that a purge is in force", 0.0, "1/s", "nothing is sent")
--- a/tests/scale/test_scale_tool.py
+++ b/tests/scale/test_scale_tool.py
@@ -94,8 +94,8 @@
 
 def test_a_measured_size_is_given_as_measured_and_others_by_the_fit() -> None:
     series = Series("m", [10, 100], [1.0, 10.0])
-    assert series.at(100) == 10.0
-    assert round(series.at(1_000), 6) == 100.0
+    assert series.value_at(100) == 10.0
+    assert round(series.value_at(1_000), 6) == 100.0
 
 
 def test_figures_survive_the_file(tmp_path: Path) -> None:
