--- a/standins/scale/estimate.py
+++ b/standins/scale/estimate.py
@@ -50,7 +50,7 @@
         """Use the figures of a run at a number of gateways."""
         self.run, self.gateways = run, gateways
 
-    def at(self, measure: str, size: float | None = None) -> float:
+    def value_at(self, measure: str, size: float | None = None) -> float:
         """Return the value of a measure at the given size, by default that of these figures."""
         return self.run.of(measure).value_at(self.gateways if size is None else size)
 
--- a/standins/scale/fit.py
+++ b/standins/scale/fit.py
@@ -16,7 +16,7 @@
     residual: float
     largest_size: int  # largest size that was measured
 
-    def at(self, size: float) -> float:
+    def value_at(self, size: float) -> float:
         """Return the fitted value at a size."""
         return float(self.factor * size**self.exponent)
 
--- a/standins/scale/results.py
+++ b/standins/scale/results.py
@@ -24,7 +24,7 @@
         """Fit a power law over the measured sizes; return None if no fit is possible."""
         return fit_power_law(self.sizes, self.values)
 
-    def at(self, size: float) -> float:
+    def value_at(self, size: float) -> float:
         """Return the value at a size: measured, else fitted, else the last value if no fit is possible."""
         if size in self.sizes:
             return self.values[self.sizes.index(int(size))]
