--- a/standins/scale/estimate.py
+++ b/standins/scale/estimate.py
@@ -52,16 +52,16 @@
 
     def value_at(self, measure: str, size: float | None = None) -> float:
         """Return the value of a measure at the given size, by default that of these figures."""
-        return self.run.of(measure).value_at(self.gateways if size is None else size)
+        return self.run.find_series(measure).value_at(self.gateways if size is None else size)
 
     def exponent(self, measure: str) -> float:
         """Return the exponent with which a measure grows with the number of gateways; 0 without a fit."""
-        law = self.run.of(measure).fit()
+        law = self.run.find_series(measure).fit()
         return law.exponent if law else 0.0
 
     def basis(self, measure: str) -> str:
         """Describe the source of a measure: a measured size, or the fit with its residual."""
-        return basis(self.run.of(measure), self.gateways)
+        return basis(self.run.find_series(measure), self.gateways)
 
     def row(
         self,
--- a/standins/scale/report.py
+++ b/standins/scale/report.py
@@ -58,7 +58,7 @@
 
 def write_comparison(run: Run) -> str:
     """Describe how the datagrams of a hollow fleet compare with those of as many real processes."""
-    hollow, real = run.of("common_hollow"), run.of("common_real")
+    hollow, real = run.find_series("common_hollow"), run.find_series("common_real")
     apart = hollow.values[0] / real.values[0] - 1.0
     return (
         f"At {real.sizes[0]} gateways a hollow one sends {hollow.values[0]:.2f} datagrams of membership a "
--- a/tests/scale/test_scale_tool.py
+++ b/tests/scale/test_scale_tool.py
@@ -38,7 +38,7 @@
 
 def test_the_page_is_made_from_four_sizes_over_a_decade() -> None:
     for measure in ("router_state", "origin_peak", "members_datagrams", "process_memory"):
-        sizes = load(FIGURES).of(measure).sizes
+        sizes = load(FIGURES).find_series(measure).sizes
         assert len(sizes) >= 4 and max(sizes) >= 10 * min(sizes), measure
 
 
