--- a/standins/scale/results.py
+++ b/standins/scale/results.py
@@ -41,7 +41,7 @@
     peak_mb: float
     series: list[Series]
 
-    def of(self, measure: str) -> Series:
+    def find_series(self, measure: str) -> Series:
         """Return the series of a measure; raise BadResults if the run has none."""
         for series in self.series:
             if series.measure == measure:
