--- a/standins/scale/__main__.py
+++ b/standins/scale/__main__.py
@@ -21,7 +21,7 @@
 from standins.scale import bounds, decisions, directory, membership, processes
 from standins.scale.plan import REFERENCE_GATEWAYS, Demand, demand_at
 from standins.scale.report import write_page
-from standins.scale.results import VERSION, BadResults, Run, Series, load, save
+from standins.scale.results import VERSION, ResultsError, Run, Series, load, save
 
 GROUPS: dict[str, Callable[[int, int], dict[str, float]]] = {
     "decisions": decisions.measure,
@@ -133,7 +133,7 @@
     base = Demand() if gateways == REFERENCE_GATEWAYS else demand_at(gateways)
     try:
         print(write_page(load(file), replace(base, **changes)), end="")  # type: ignore[arg-type]
-    except BadResults as error:
+    except ResultsError as error:
         raise Usage(f"{file}: {error}") from None
 
 
--- a/standins/scale/results.py
+++ b/standins/scale/results.py
@@ -9,7 +9,7 @@
 VERSION = 1
 
 
-class BadResults(Exception):
+class ResultsError(Exception):
     """The file is unreadable or not a results file as `measure` writes it."""
 
 
@@ -42,11 +42,11 @@
     series: list[Series]
 
     def find_series(self, measure: str) -> Series:
-        """Return the series of a measure; raise BadResults if the run has none."""
+        """Return the series of a measure; raise ResultsError if the run has none."""
         for series in self.series:
             if series.measure == measure:
                 return series
-        raise BadResults(f"no figures for measure {measure!r}")
+        raise ResultsError(f"no figures for measure {measure!r}")
 
 
 def save(run: Run, file: Path) -> None:
@@ -55,18 +55,18 @@
 
 
 def load(file: Path) -> Run:
-    """Read a run from a file; raise BadResults if the file is missing or invalid."""
+    """Read a run from a file; raise ResultsError if the file is missing or invalid."""
     try:
         run = msgspec.json.decode(file.read_bytes(), type=Run)
     except OSError as error:
-        raise BadResults(error.strerror or str(error)) from None
+        raise ResultsError(error.strerror or str(error)) from None
     except msgspec.MsgspecError as error:
-        raise BadResults(str(error)) from None
+        raise ResultsError(str(error)) from None
     if run.version != VERSION:
-        raise BadResults(f"version is {run.version}; expected {VERSION}")
+        raise ResultsError(f"version is {run.version}; expected {VERSION}")
     for series in run.series:
         if not series.sizes or len(series.sizes) != len(series.values) or min(series.sizes) < 1:
-            raise BadResults(
+            raise ResultsError(
                 f"measure {series.measure!r}: expected as many values as sizes, and sizes of 1 or more"
             )
     return run
--- a/tests/scale/test_scale_tool.py
+++ b/tests/scale/test_scale_tool.py
@@ -12,7 +12,7 @@
 from standins.scale.fit import fit_power_law
 from standins.scale.plan import Demand
 from standins.scale.report import breaks_first, write_page
-from standins.scale.results import VERSION, BadResults, Run, Series, load, save
+from standins.scale.results import VERSION, ResultsError, Run, Series, load, save
 from standins.scale.roles import roles
 from standins.scale.scenarios import fills_from_origin
 
@@ -118,7 +118,7 @@
 def test_a_spoilt_file_is_told(tmp_path: Path, text: bytes) -> None:
     file = tmp_path / "f.json"
     file.write_bytes(text)
-    with pytest.raises(BadResults):
+    with pytest.raises(ResultsError):
         load(file)
 
 
