--- a/standins/scale/__main__.py
+++ b/standins/scale/__main__.py
@@ -21,7 +21,7 @@
 from standins.scale import bounds, decisions, directory, membership, processes
 from standins.scale.plan import REFERENCE_GATEWAYS, Demand, demand_at
 from standins.scale.report import write_page
-from standins.scale.results import VERSION, ResultsError, Run, Series, load, save
+from standins.scale.results import RESULTS_VERSION, ResultsError, Run, Series, load, save
 
 GROUPS: dict[str, Callable[[int, int], dict[str, float]]] = {
     "decisions": decisions.measure,
@@ -81,7 +81,9 @@
         for measure, value in processes.common(seed).items():
             found[measure] = Series(measure, [processes.COMMON], [value])
     peak_mb = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024.0
-    return Run(VERSION, seed, round(time.monotonic() - begun, 1), round(peak_mb), list(found.values()))
+    return Run(
+        RESULTS_VERSION, seed, round(time.monotonic() - begun, 1), round(peak_mb), list(found.values())
+    )
 
 
 @click.group()
--- a/standins/scale/results.py
+++ b/standins/scale/results.py
@@ -6,7 +6,7 @@
 
 from standins.scale.fit import PowerLaw, fit_power_law
 
-VERSION = 1
+RESULTS_VERSION = 1
 
 
 class ResultsError(Exception):
@@ -62,8 +62,8 @@
         raise ResultsError(error.strerror or str(error)) from None
     except msgspec.MsgspecError as error:
         raise ResultsError(str(error)) from None
-    if run.version != VERSION:
-        raise ResultsError(f"version is {run.version}; expected {VERSION}")
+    if run.version != RESULTS_VERSION:
+        raise ResultsError(f"version is {run.version}; expected {RESULTS_VERSION}")
     for series in run.series:
         if not series.sizes or len(series.sizes) != len(series.values) or min(series.sizes) < 1:
             raise ResultsError(
