--- a/standins/scale/__main__.py
+++ b/standins/scale/__main__.py
@@ -21,7 +21,7 @@
 from standins.scale import bounds, decisions, directory, membership, processes
 from standins.scale.plan import REFERENCE_GATEWAYS, Demand, demand_at
 from standins.scale.report import write_page
-from standins.scale.results import RESULTS_VERSION, ResultsError, Run, Series, load, save
+from standins.scale.results import RESULTS_VERSION, ResultsError, Run, Series, load, save_run
 
 GROUPS: dict[str, Callable[[int, int], dict[str, float]]] = {
     "decisions": decisions.measure,
@@ -106,7 +106,7 @@
     with Progress(console=Console(stderr=True), transient=True) as progress:
         run = take(wanted, groups, seed, progress)
     try:
-        save(run, file)
+        save_run(run, file)
     except OSError as error:
         raise Usage(f"{file}: {error.strerror}") from None
     print(f"{len(run.series)} measures at {wanted} in {run.seconds:.0f} s, peak memory {run.peak_mb:.0f} MB")
--- a/standins/scale/results.py
+++ b/standins/scale/results.py
@@ -49,7 +49,7 @@
         raise ResultsError(f"no figures for measure {measure!r}")
 
 
-def save(run: Run, file: Path) -> None:
+def save_run(run: Run, file: Path) -> None:
     """Write a run to a file, indented so that differences between two versions are readable."""
     file.write_bytes(msgspec.json.format(msgspec.json.encode(run), indent=1) + b"\n")
 
--- a/tests/scale/test_scale_tool.py
+++ b/tests/scale/test_scale_tool.py
@@ -12,7 +12,7 @@
 from standins.scale.fit import fit_power_law
 from standins.scale.plan import Demand
 from standins.scale.report import breaks_first, write_page
-from standins.scale.results import RESULTS_VERSION, ResultsError, Run, Series, load, save
+from standins.scale.results import RESULTS_VERSION, ResultsError, Run, Series, load, save_run
 from standins.scale.roles import roles
 from standins.scale.scenarios import fills_from_origin
 
@@ -100,7 +100,7 @@
 
 def test_figures_survive_the_file(tmp_path: Path) -> None:
     run = Run(RESULTS_VERSION, 3, 1.5, 60.0, [Series("m", [1, 2], [0.5, 0.25])])
-    save(run, tmp_path / "f.json")
+    save_run(run, tmp_path / "f.json")
     assert load(tmp_path / "f.json") == run
 
 
