--- a/standins/scale/results.py
+++ b/standins/scale/results.py
@@ -54,7 +54,7 @@
     file.write_bytes(msgspec.json.format(msgspec.json.encode(run), indent=1) + b"\n")
 
 
-def load(file: Path) -> Run:
+def load_run(file: Path) -> Run:
     """Read a run from a file; raise ResultsError if the file is missing or invalid."""
     try:
         run = msgspec.json.decode(file.read_bytes(), type=Run)
--- a/tests/scale/test_scale_tool.py
+++ b/tests/scale/test_scale_tool.py
@@ -12,7 +12,7 @@
 from standins.scale.fit import fit_power_law
 from standins.scale.plan import Demand
 from standins.scale.report import breaks_first, write_page
-from standins.scale.results import RESULTS_VERSION, ResultsError, Run, Series, load, save_run
+from standins.scale.results import RESULTS_VERSION, ResultsError, Run, Series, load_run, save_run
 from standins.scale.roles import roles
 from standins.scale.scenarios import fills_from_origin
 
@@ -33,17 +33,17 @@
 def test_the_page_holds_the_tables_that_its_figures_give() -> None:
     page = PAGE.read_text()
     tables = page[page.index(BEGIN) + len(BEGIN) : page.index(END)]
-    assert tables == write_page(load(FIGURES), Demand())
+    assert tables == write_page(load_run(FIGURES), Demand())
 
 
 def test_the_page_is_made_from_four_sizes_over_a_decade() -> None:
     for measure in ("router_state", "origin_peak", "members_datagrams", "process_memory"):
-        sizes = load(FIGURES).find_series(measure).sizes
+        sizes = load_run(FIGURES).find_series(measure).sizes
         assert len(sizes) >= 4 and max(sizes) >= 10 * min(sizes), measure
 
 
 def test_every_mechanism_that_the_page_names_is_there() -> None:
-    figures, demand = Figures(load(FIGURES), 2_300), Demand()
+    figures, demand = Figures(load_run(FIGURES), 2_300), Demand()
     for table in roles(figures, demand) + events(figures, demand):
         for found in table.rows:
             if found.mechanism == NONE:
@@ -101,7 +101,7 @@
 def test_figures_survive_the_file(tmp_path: Path) -> None:
     run = Run(RESULTS_VERSION, 3, 1.5, 60.0, [Series("m", [1, 2], [0.5, 0.25])])
     save_run(run, tmp_path / "f.json")
-    assert load(tmp_path / "f.json") == run
+    assert load_run(tmp_path / "f.json") == run
 
 
 @pytest.mark.parametrize(
@@ -119,7 +119,7 @@
     file = tmp_path / "f.json"
     file.write_bytes(text)
     with pytest.raises(ResultsError):
-        load(file)
+        load_run(file)
 
 
 @pytest.mark.parametrize(
@@ -148,6 +148,6 @@
     file = tmp_path / "f.json"
     done = call("measure", "--sizes", "3,6", "--only", "bounds", "--json", str(file))
     assert done.returncode == 0, done.stderr
-    assert {series.measure for series in load(file).series} >= {"origin_peak", "cold_parent"}
+    assert {series.measure for series in load_run(file).series} >= {"origin_peak", "cold_parent"}
     printed = call("table", str(FIGURES), "--gateways", "4600", "--purges", "38")
     assert printed.returncode == 0 and "extrapolated 2.0x" in printed.stdout
