--- a/standins/scale/estimate.py
+++ b/standins/scale/estimate.py
@@ -56,8 +56,8 @@
 
     def exponent(self, measure: str) -> float:
         """Return the exponent with which a measure grows with the number of gateways; 0 without a fit."""
-        law = self.run.find_series(measure).fit()
-        return law.exponent if law else 0.0
+        power_law = self.run.find_series(measure).fit()
+        return power_law.exponent if power_law else 0.0
 
     def basis(self, measure: str) -> str:
         """Describe the source of a measure: a measured size, or the fit with its residual."""
@@ -125,15 +125,15 @@
 
 def basis(series: Series, gateways: float) -> str:
     """Describe whether a value at a size is measured, fitted or extrapolated, and by which fit."""
-    law = series.fit()
-    if law is None:
+    power_law = series.fit()
+    if power_law is None:
         return "measured" if gateways in series.sizes else "measured, largest size"
-    slope = f"n^{law.exponent:+.2f}, residual {law.residual:.2f}"
+    slope = f"n^{power_law.exponent:+.2f}, residual {power_law.residual:.2f}"
     if gateways in series.sizes:
         return f"measured; {slope}"
     if gateways <= max(series.sizes):
         return f"fitted; {slope}"
-    return f"extrapolated {law.extrapolated(gateways):.1f}x; {slope}"
+    return f"extrapolated {power_law.extrapolated(gateways):.1f}x; {slope}"
 
 
 def number(value: float) -> str:
--- a/standins/scale/report.py
+++ b/standins/scale/report.py
@@ -49,8 +49,8 @@
     """Format all measures as a Markdown table with their values, exponents and residuals."""
     lines = ["| measure | at | figures | exponent | residual |", "| --- | --- | --- | ---: | ---: |"]
     for series in run.series:
-        law = series.fit()
-        slope = (f"{law.exponent:+.2f}", f"{law.residual:.2f}") if law else ("-", "-")
+        power_law = series.fit()
+        slope = (f"{power_law.exponent:+.2f}", f"{power_law.residual:.2f}") if power_law else ("-", "-")
         sizes, values = ", ".join(map(str, series.sizes)), ", ".join(map(number, series.values))
         lines.append(f"| {series.measure} | {sizes} | {values} | {slope[0]} | {slope[1]} |")
     return "\n".join([*lines, ""])
--- a/standins/scale/results.py
+++ b/standins/scale/results.py
@@ -28,8 +28,8 @@
         """Return the value at a size: measured, else fitted, else the last value if no fit is possible."""
         if size in self.sizes:
             return self.values[self.sizes.index(int(size))]
-        law = self.fit()
-        return law.value_at(size) if law else self.values[-1]
+        power_law = self.fit()
+        return power_law.value_at(size) if power_law else self.values[-1]
 
 
 class Run(msgspec.Struct, forbid_unknown_fields=True):
--- a/tests/scale/test_scale_tool.py
+++ b/tests/scale/test_scale_tool.py
@@ -71,10 +71,14 @@
 
 def test_a_fit_finds_the_power_and_tells_what_lies_past_its_sizes() -> None:
     sizes = [100, 300, 1_000, 2_300]
-    law = fit_power_law(sizes, [3.0 * n**0.5 for n in sizes])
-    assert law is not None
-    assert (round(law.factor, 6), round(law.exponent, 6), round(law.residual, 6)) == (3.0, 0.5, 0.0)
-    assert law.extrapolation_factor(4_600) == 2.0 and law.extrapolation_factor(500) == 1.0
+    power_law = fit_power_law(sizes, [3.0 * n**0.5 for n in sizes])
+    assert power_law is not None
+    assert (round(power_law.factor, 6), round(power_law.exponent, 6), round(power_law.residual, 6)) == (
+        3.0,
+        0.5,
+        0.0,
+    )
+    assert power_law.extrapolation_factor(4_600) == 2.0 and power_law.extrapolation_factor(500) == 1.0
     assert fit_power_law([100], [3.0]) is None and fit_power_law([100, 200], [0.0, 1.0]) is None
 
 
