--- a/standins/scale/events.py
+++ b/standins/scale/events.py
@@ -39,7 +39,7 @@
 def steady(figures: Figures, demand: Demand) -> Table:
     """Build the table of a day without events other than the usual failures and restarts."""
     table = TableBuilder("A steady day", figures)
-    table.told(
+    table.add_given(
         "control, processor time a gateway",
         control_core(figures, demand),
         "cores",
@@ -47,14 +47,14 @@
         ROUTER,
         budget=demand.max_control_cores,
     )
-    table.told(
+    table.add_given(
         "list changes a gateway",
         LIST_CHANGES * (demand.failures_per_day + demand.restarts_per_day),
         "1/day",
         "told, 3 lines each",
         ON_MEMBERS,
     )
-    table.told("purges a gateway", demand.purges * DAY_S, "1/day", "told", PURGE_LOG)
+    table.add_given("purges a gateway", demand.purges * DAY_S, "1/day", "told", PURGE_LOG)
     return table.build()
 
 
@@ -68,7 +68,7 @@
     table.measured(
         "a failed gateway known to all", "members_detect", "s", DETECTOR, value=detect, kind="time"
     )
-    table.told(
+    table.add_given(
         "time of a day with one unknown", events * detect / DAY_S, "share", "events x detection", DETECTOR
     )
     table.measured("a restarted gateway ready", "process_start", "s", SERVE, budget=FRONT_S, kind="time")
@@ -80,19 +80,19 @@
     """Build the table of the loss of a rack or switch."""
     lost = RACK_SITES * demand.gateways / demand.sites
     table = TableBuilder("A rack or switch", figures)
-    table.told(
+    table.add_given(
         "gateways lost",
         lost,
         "gateways",
         "assumed: one site's, the largest unit behind one switch that is told",
     )
-    table.told(
+    table.add_given(
         "load on the others of the zone",
         1.0 / (1.0 - lost / demand.gateways_in_zone()),
         "times the mean",
         "zone's gateways over those left",
     )
-    table.told(
+    table.add_given(
         "leases of owners among them that nobody lends",
         ORIGIN_FILLS * lost / demand.gateways,
         "permits",
@@ -105,8 +105,8 @@
 def zone(figures: Figures, demand: Demand) -> Table:
     """Build the table of a zone that is lost and returns."""
     table = TableBuilder("A zone lost and back", figures)
-    table.told("gateways lost", float(demand.gateways_in_zone()), "gateways", "gateways over zones")
-    table.told(
+    table.add_given("gateways lost", float(demand.gateways_in_zone()), "gateways", "gateways over zones")
+    table.add_given(
         "caches that return cold", float(demand.caches_in_zone()), "caches", "caches over zones", COLD_GUARD
     )
     table.add(cold_server(figures, "cache"))
@@ -116,14 +116,14 @@
 def regions(figures: Figures, demand: Demand) -> Table:
     """Build the table of regions that are partitioned for an hour."""
     table = TableBuilder("Regions apart for an hour and healed", figures)
-    table.told(
+    table.add_given(
         "purges that a region cut from discovery does not hear",
         demand.purges * APART_S,
         "purges",
         "rate x one hour; own copies are suspect meanwhile",
         PROOF,
     )
-    table.told(
+    table.add_given(
         "until a purge is in force there",
         APART_S,
         "s",
@@ -131,7 +131,7 @@
         budget=demand.max_purge_s,
         kind="time",
     )
-    table.told(
+    table.add_given(
         "bytes that each gateway is told on return",
         demand.purges * APART_S * PURGE_BYTES / 1e6,
         "MB",
@@ -145,8 +145,8 @@
 def purge(figures: Figures, demand: Demand) -> Table:
     """Build the table of the purge of a group."""
     table = TableBuilder("A purge of a group", figures)
-    table.told("objects concerned", demand.objects * GROUP_SHARE, "objects", "assumed: 256 equal groups")
-    table.told(
+    table.add_given("objects concerned", demand.objects * GROUP_SHARE, "objects", "assumed: 256 equal groups")
+    table.add_given(
         "in force at a gateway that hears discovery",
         HEARD_S,
         "s",
@@ -155,7 +155,7 @@
         budget=demand.max_purge_s,
         kind="time",
     )
-    table.told(
+    table.add_given(
         "gateways known to have it", 0.0, "gateways", "nothing is confirmed", budget=float(demand.gateways)
     )
     return table.build()
@@ -165,14 +165,14 @@
     """Build the table of a configuration change at all gateways, and of one that is rolled back."""
     wait = DAY_S / demand.config_changes_per_day
     table = TableBuilder("A configuration pushed to all; one pushed by mistake and taken back", figures)
-    table.told(
+    table.add_given(
         "changes that overlap",
         SIGNAL_S * demand.gateways / wait,
         "changes",
         "signals to all, one change each 24 s",
     )
     table.add(change_in_force(demand))
-    table.told(
+    table.add_given(
         "until a mistake is taken back everywhere",
         2.0 * SIGNAL_S * demand.gateways,
         "s",
@@ -189,7 +189,7 @@
     rate = demand.gateways / DAY_S
     at = list_gateways(servers(demand))
     table = TableBuilder("Every gateway restarted within a day", figures)
-    table.told("restarts", 60.0 * rate, "1/min", "gateways over a day")
+    table.add_given("restarts", 60.0 * rate, "1/min", "gateways over a day")
     table.measured(
         "whole lists from discovery",
         "list_bytes",
@@ -197,7 +197,7 @@
         BUS_LINK,
         value=rate * figures.value_at("list_bytes", at),
     )
-    table.told(
+    table.add_given(
         "words of membership a gateway and second",
         TIMES_TOLD * rate * WORD_BYTES,
         "B/s",
@@ -205,7 +205,7 @@
         GOSSIP,
         budget=demand.max_control_bytes_per_s,
     )
-    table.told(
+    table.add_given(
         "lease owners in their first term at a time",
         ORIGIN_FILLS * 10.1 / DAY_S,
         "permits",
--- a/standins/scale/roles_gateway.py
+++ b/standins/scale/roles_gateway.py
@@ -53,7 +53,7 @@
     table.measured(
         "resident memory of an idle process", "process_memory", "MB", SERVE, budget=demand.max_control_mb
     )
-    table.told(
+    table.add_given(
         "requests, mean gateway at the peak",
         each,
         "1/s",
@@ -61,10 +61,10 @@
         SCHEDULER,
         budget=ANSWERS_S,
     )
-    table.told(
+    table.add_given(
         "requests, largest gateway", LARGEST * each, "1/s", ASSUMED_LARGEST, SCHEDULER, budget=ANSWERS_S
     )
-    table.told(
+    table.add_given(
         "bytes, mean gateway at the peak",
         mb,
         "MB/s",
@@ -72,11 +72,11 @@
         STREAM,
         budget=MB_S,
     )
-    table.told("bytes, largest gateway", LARGEST * mb, "MB/s", ASSUMED_LARGEST, STREAM, budget=MB_S)
+    table.add_given("bytes, largest gateway", LARGEST * mb, "MB/s", ASSUMED_LARGEST, STREAM, budget=MB_S)
     table.measured(
         "processor time of decisions alone, mean gateway", "decide", "cores", ROUTER, value=core, budget=1.0
     )
-    table.told(
+    table.add_given(
         "processor time of all, mean gateway",
         used,
         "cores",
@@ -103,7 +103,7 @@
         budget=demand.max_control_bytes_per_s,
         note="; Zipf 0.9 assumed",
     )
-    table.told(
+    table.add_given(
         "directory notes, in and out, largest gateway",
         LARGEST * notes,
         "B/s",
@@ -119,7 +119,7 @@
         value=members,
         budget=demand.max_control_bytes_per_s,
     )
-    table.told(
+    table.add_given(
         "discovery: purges and heartbeat, in",
         purges,
         "B/s",
@@ -144,7 +144,7 @@
         budget=demand.max_control_mb,
         grows=True,
     )
-    table.told(
+    table.add_given(
         "processor time: sweep, purges, list, membership",
         control_core(figures, demand),
         "cores",
@@ -166,7 +166,7 @@
         ON_MEMBERS,
         value=figures.value_at("list_change", at),
     )
-    table.told(
+    table.add_given(
         "purge heard and in force",
         HEARD_S + figures.value_at("purge_apply") / 1e6,
         "s",
@@ -183,7 +183,7 @@
     """Build the table of the home gateway of a directory slice."""
     slice_objects = demand.objects / demand.gateways
     table = TableBuilder("Home router of a directory slice", figures)
-    table.told(
+    table.add_given(
         "objects of a slice",
         slice_objects,
         "entries",
@@ -202,14 +202,14 @@
     table.measured(
         "objects that change home with one more gateway, no membership", "homes_moved", "share", ROUTER
     )
-    table.told("the same with membership", 1.0 / demand.gateways, "share", "rendezvous hash: 1/n", HOMES)
+    table.add_given("the same with membership", 1.0 / demand.gateways, "share", "rendezvous hash: 1/n", HOMES)
     return table.build()
 
 
 def member(figures: Figures, demand: Demand) -> Table:
     """Build the table of a member of the fleet."""
     table = TableBuilder("Member of the fleet", figures)
-    table.told("claims held", float(demand.gateways), "claims", "one a gateway", VIEW, exponent=1.0)
+    table.add_given("claims held", float(demand.gateways), "claims", "one a gateway", VIEW, exponent=1.0)
     table.measured("datagrams sent", "members_datagrams", "1/s", DETECTOR)
     table.measured(
         "processor time, simulated network included",
@@ -230,7 +230,7 @@
     """Build the table of a subscriber to discovery."""
     at = list_gateways(servers(demand))
     table = TableBuilder("Subscriber of discovery", figures)
-    table.told(
+    table.add_given(
         "purges in force", demand.purges * 6.1, "entries", "rate x 6.1 s until gone everywhere", PURGE_LOG
     )
     table.measured("whole list", "list_bytes", "B", BUS_READER, value=figures.value_at("list_bytes", at))
--- a/standins/scale/roles_servers.py
+++ b/standins/scale/roles_servers.py
@@ -18,8 +18,10 @@
     each, at = demand.gateways / demand.control_machines, list_gateways(servers(demand))
     out = demand.purges * PURGE_BYTES + HEARTBEAT_BYTES
     table = TableBuilder(f"Discovery service and the {demand.control_machines} control machines", figures)
-    table.told("subscriptions, each machine", each, "connections", "one a gateway", BUS_LINK, exponent=1.0)
-    table.told(
+    table.add_given(
+        "subscriptions, each machine", each, "connections", "one a gateway", BUS_LINK, exponent=1.0
+    )
+    table.add_given(
         "the same with one machine down",
         demand.gateways / max(1, demand.control_machines - 1),
         "connections",
@@ -27,7 +29,7 @@
         BUS_LINK,
         exponent=1.0,
     )
-    table.told(
+    table.add_given(
         "purges and heartbeats out, each machine",
         each * out / 1e6,
         "MB/s",
@@ -43,7 +45,7 @@
         value=each * figures.value_at("list_bytes", at) / 1e6,
         exponent=2.0,
     )
-    table.told("confirmations that a purge is in force", 0.0, "1/s", "nothing is sent")
+    table.add_given("confirmations that a purge is in force", 0.0, "1/s", "nothing is sent")
     return table.build()
 
 
@@ -51,8 +53,8 @@
     """Build the table of the load on a station cache."""
     zone = demand.gateways_in_zone()
     table = TableBuilder("Station cache", figures)
-    table.told("requests", demand.requests / demand.caches, "1/s", "told")
-    table.told(
+    table.add_given("requests", demand.requests / demand.caches, "1/s", "told")
+    table.add_given(
         "connections at the most",
         float(LINKS * zone),
         "connections",
@@ -66,7 +68,7 @@
 def parent(figures: Figures, demand: Demand) -> Table:
     """Build the table of the load on a parent (district cache)."""
     table = TableBuilder("Parent (district cache)", figures)
-    table.told(
+    table.add_given(
         "connections, one a gateway",
         float(demand.gateways),
         "connections",
@@ -74,7 +76,7 @@
         POOL,
         exponent=1.0,
     )
-    table.told(
+    table.add_given(
         "connections at the most",
         float(LINKS * demand.gateways),
         "connections",
@@ -91,7 +93,7 @@
     table = TableBuilder("Origin", figures)
     table.add(origin_fills(figures))
     table.measured("of them in use, all misses at the origin", "origin_mean", "fills", LEASES)
-    table.told(
+    table.add_given(
         "effects that run there",
         EFFECTS * demand.requests,
         "1/s",
@@ -99,7 +101,7 @@
         EFFECTS_GUARD,
         exponent=1.0,
     )
-    table.told(
+    table.add_given(
         "connections at the most",
         float(LINKS * demand.gateways),
         "connections",
@@ -113,7 +115,7 @@
 def operator(figures: Figures, demand: Demand) -> Table:
     """Build the table of an operator's work for a configuration change."""
     table = TableBuilder("Operator changing a configuration", figures)
-    table.told(
+    table.add_given(
         "gateways to be told, each by a file and a signal",
         float(demand.gateways),
         "signals",
@@ -122,5 +124,5 @@
         exponent=1.0,
     )
     table.add(change_in_force(demand))
-    table.told("versions in force that can be asked for", 0.0, "versions", "no call tells one")
+    table.add_given("versions in force that can be asked for", 0.0, "versions", "no call tells one")
     return table.build()
