--- a/standins/scale/estimate.py
+++ b/standins/scale/estimate.py
@@ -95,7 +95,7 @@
         """Start a table without rows."""
         self.title, self.figures, self.rows = title, figures, list[Row]()
 
-    def told(
+    def add_given(
         self,
         name: str,
         value: float,
