--- a/standins/scale/events.py
+++ b/standins/scale/events.py
@@ -65,14 +65,14 @@
     table = TableBuilder(
         f"{demand.failures_per_day:g} failures and {demand.restarts_per_day:g} restarts", figures
     )
-    table.measured(
+    table.add_measured(
         "a failed gateway known to all", "members_detect", "s", DETECTOR, value=detect, kind="time"
     )
     table.add_given(
         "time of a day with one unknown", events * detect / DAY_S, "share", "events x detection", DETECTOR
     )
-    table.measured("a restarted gateway ready", "process_start", "s", SERVE, budget=FRONT_S, kind="time")
-    table.measured("a restarted gateway has heard of all", "members_catch_up", "s", DETECTOR, kind="time")
+    table.add_measured("a restarted gateway ready", "process_start", "s", SERVE, budget=FRONT_S, kind="time")
+    table.add_measured("a restarted gateway has heard of all", "members_catch_up", "s", DETECTOR, kind="time")
     return table.build()
 
 
@@ -190,7 +190,7 @@
     at = list_gateways(servers(demand))
     table = TableBuilder("Every gateway restarted within a day", figures)
     table.add_given("restarts", 60.0 * rate, "1/min", "gateways over a day")
-    table.measured(
+    table.add_measured(
         "whole lists from discovery",
         "list_bytes",
         "B/s",
--- a/standins/scale/roles_gateway.py
+++ b/standins/scale/roles_gateway.py
@@ -41,7 +41,7 @@
     core = each * figures.value_at("decide") / 1e6
     used = each / ANSWERS_S
     table = TableBuilder("Gateway, data path", figures)
-    table.measured(
+    table.add_measured(
         "state of the decisions, mean gateway",
         "router_state",
         "MB",
@@ -50,7 +50,7 @@
         budget=demand.max_control_mb,
         grows=True,
     )
-    table.measured(
+    table.add_measured(
         "resident memory of an idle process", "process_memory", "MB", SERVE, budget=demand.max_control_mb
     )
     table.add_given(
@@ -73,7 +73,7 @@
         budget=MB_S,
     )
     table.add_given("bytes, largest gateway", LARGEST * mb, "MB/s", ASSUMED_LARGEST, STREAM, budget=MB_S)
-    table.measured(
+    table.add_measured(
         "processor time of decisions alone, mean gateway", "decide", "cores", ROUTER, value=core, budget=1.0
     )
     table.add_given(
@@ -94,7 +94,7 @@
     purges = demand.purges * PURGE_BYTES + HEARTBEAT_BYTES
     members = 2.0 * figures.value_at("members_bytes")
     table = TableBuilder("Gateway, control", figures)
-    table.measured(
+    table.add_measured(
         "directory notes, in and out, mean gateway",
         "directory_bytes",
         "B/s",
@@ -111,7 +111,7 @@
         SERVED,
         budget=demand.max_control_bytes_per_s,
     )
-    table.measured(
+    table.add_measured(
         "membership, in and out",
         "members_bytes",
         "B/s",
@@ -127,7 +127,7 @@
         BUS_READER,
         budget=demand.max_control_bytes_per_s,
     )
-    table.measured(
+    table.add_measured(
         "leases, in and out, all misses at the origin",
         "lease_notes",
         "B/s",
@@ -135,7 +135,7 @@
         value=2.0 * LEASE_BYTES * figures.value_at("lease_notes"),
         budget=demand.max_control_bytes_per_s,
     )
-    table.measured(
+    table.add_measured(
         "state of membership",
         "members_state",
         "MB",
@@ -152,14 +152,14 @@
         ROUTER,
         budget=demand.max_control_cores,
     )
-    table.measured(
+    table.add_measured(
         "processor time of an idle process",
         "process_idle",
         "cores",
         SCHEDULER,
         budget=demand.max_control_cores,
     )
-    table.measured(
+    table.add_measured(
         "a changed server taken in",
         "list_change",
         "us",
@@ -175,7 +175,7 @@
         budget=demand.max_purge_s,
         kind="time",
     )
-    table.measured("start until ready", "process_start", "s", SERVE, budget=10.0, kind="time")
+    table.add_measured("start until ready", "process_start", "s", SERVE, budget=10.0, kind="time")
     return table.build()
 
 
@@ -192,14 +192,14 @@
         budget=MAX_ENTRIES,
         exponent=-1.0,
     )
-    table.measured(
+    table.add_measured(
         "notes that reach it",
         "directory_notes",
         "1/s",
         ON_PEER,
         value=demand.mean_requests_per_s * figures.value_at("directory_notes"),
     )
-    table.measured(
+    table.add_measured(
         "objects that change home with one more gateway, no membership", "homes_moved", "share", ROUTER
     )
     table.add_given("the same with membership", 1.0 / demand.gateways, "share", "rendezvous hash: 1/n", HOMES)
@@ -210,8 +210,8 @@
     """Build the table of a member of the fleet."""
     table = TableBuilder("Member of the fleet", figures)
     table.add_given("claims held", float(demand.gateways), "claims", "one a gateway", VIEW, exponent=1.0)
-    table.measured("datagrams sent", "members_datagrams", "1/s", DETECTOR)
-    table.measured(
+    table.add_measured("datagrams sent", "members_datagrams", "1/s", DETECTOR)
+    table.add_measured(
         "processor time, simulated network included",
         "members_cpu",
         "us/s",
@@ -219,8 +219,8 @@
         budget=1e6 * demand.max_control_cores,
         grows=True,
     )
-    table.measured("a death known to all", "members_detect", "s", DETECTOR, kind="time")
-    table.measured(
+    table.add_measured("a death known to all", "members_detect", "s", DETECTOR, kind="time")
+    table.add_measured(
         "one that starts has heard of all, by pages", "members_catch_up", "s", DETECTOR, kind="time"
     )
     return table.build()
@@ -233,9 +233,9 @@
     table.add_given(
         "purges in force", demand.purges * 6.1, "entries", "rate x 6.1 s until gone everywhere", PURGE_LOG
     )
-    table.measured("whole list", "list_bytes", "B", BUS_READER, value=figures.value_at("list_bytes", at))
-    table.measured(
+    table.add_measured("whole list", "list_bytes", "B", BUS_READER, value=figures.value_at("list_bytes", at))
+    table.add_measured(
         "whole list taken in", "list_whole", "ms", ON_MEMBERS, value=figures.value_at("list_whole", at)
     )
-    table.measured("purge applied", "purge_apply", "us", PURGE_LOG)
+    table.add_measured("purge applied", "purge_apply", "us", PURGE_LOG)
     return table.build()
--- a/standins/scale/roles_servers.py
+++ b/standins/scale/roles_servers.py
@@ -37,7 +37,7 @@
         BUS_LINK,
         exponent=1.0,
     )
-    table.measured(
+    table.add_measured(
         "all subscribe anew: whole lists, each machine",
         "list_bytes",
         "MB",
@@ -92,7 +92,7 @@
     """Build the table of the load on the origin."""
     table = TableBuilder("Origin", figures)
     table.add(origin_fills(figures))
-    table.measured("of them in use, all misses at the origin", "origin_mean", "fills", LEASES)
+    table.add_measured("of them in use, all misses at the origin", "origin_mean", "fills", LEASES)
     table.add_given(
         "effects that run there",
         EFFECTS * demand.requests,
