--- a/standins/scale/estimate.py
+++ b/standins/scale/estimate.py
@@ -110,7 +110,7 @@
         """Add a figure that was given, assumed or calculated, as `basis` says."""
         self.rows.append(Row(name, value, unit, budget, basis, mechanism, exponent, kind=kind))
 
-    def measured(self, name: str, measure: str, unit: str, mechanism: str, **more: Any) -> None:
+    def add_measured(self, name: str, measure: str, unit: str, mechanism: str, **more: Any) -> None:
         """Add the row of a measure; the arguments are those of `Figures.row`."""
         self.rows.append(self.figures.row(name, measure, unit, mechanism, **more))
 
