--- a/standins/scale/events.py
+++ b/standins/scale/events.py
@@ -109,7 +109,7 @@
     table.add_given(
         "caches that return cold", float(demand.caches_in_zone()), "caches", "caches over zones", COLD_GUARD
     )
-    table.add(cold_server(figures, "cache"))
+    table.add_row(cold_server(figures, "cache"))
     return table.build()
 
 
@@ -138,7 +138,7 @@
         "events from the last number on",
         BUS_LINK,
     )
-    table.add(origin_fills(figures))
+    table.add_row(origin_fills(figures))
     return table.build()
 
 
@@ -171,7 +171,7 @@
         "changes",
         "signals to all, one change each 24 s",
     )
-    table.add(change_in_force(demand))
+    table.add_row(change_in_force(demand))
     table.add_given(
         "until a mistake is taken back everywhere",
         2.0 * SIGNAL_S * demand.gateways,
--- a/standins/scale/roles_servers.py
+++ b/standins/scale/roles_servers.py
@@ -61,7 +61,7 @@
         f"{LINKS} x {zone} gateways of its zone",
         POOL,
     )
-    table.add(cold_server(figures, "cache"))
+    table.add_row(cold_server(figures, "cache"))
     return table.build()
 
 
@@ -84,14 +84,14 @@
         POOL,
         exponent=1.0,
     )
-    table.add(cold_server(figures, "parent"))
+    table.add_row(cold_server(figures, "parent"))
     return table.build()
 
 
 def origin(figures: Figures, demand: Demand) -> Table:
     """Build the table of the load on the origin."""
     table = TableBuilder("Origin", figures)
-    table.add(origin_fills(figures))
+    table.add_row(origin_fills(figures))
     table.add_measured("of them in use, all misses at the origin", "origin_mean", "fills", LEASES)
     table.add_given(
         "effects that run there",
@@ -123,6 +123,6 @@
         RELOAD,
         exponent=1.0,
     )
-    table.add(change_in_force(demand))
+    table.add_row(change_in_force(demand))
     table.add_given("versions in force that can be asked for", 0.0, "versions", "no call tells one")
     return table.build()
