--- a/standins/scale/estimate.py
+++ b/standins/scale/estimate.py
@@ -114,7 +114,7 @@
         """Add the row of a measure; the arguments are those of `Figures.row`."""
         self.rows.append(self.figures.row(name, measure, unit, mechanism, **more))
 
-    def add(self, row: Row) -> None:
+    def add_row(self, row: Row) -> None:
         """Add a finished row, such as one that several tables share."""
         self.rows.append(row)
 
