--- a/standins/scale/estimate.py
+++ b/standins/scale/estimate.py
@@ -111,8 +111,8 @@
         self.rows.append(Row(name, value, unit, budget, basis, mechanism, exponent, kind=kind))
 
     def add_measured(self, name: str, measure: str, unit: str, mechanism: str, **more: Any) -> None:
-        """Add the row of a measure; the arguments are those of `Figures.row`."""
-        self.rows.append(self.figures.row(name, measure, unit, mechanism, **more))
+        """Add the row of a measure; the arguments are those of `Figures.make_row`."""
+        self.rows.append(self.figures.make_row(name, measure, unit, mechanism, **more))
 
     def add_row(self, row: Row) -> None:
         """Add a finished row, such as one that several tables share."""
