--- a/standins/scale/report.py
+++ b/standins/scale/report.py
@@ -19,14 +19,14 @@
     found: dict[str, Row] = {}
     for table in tables:
         for row in table.rows:
-            if row.ratio is not None and (row.rule or row.ratio >= BREAKS_FROM):
+            if row.ratio is not None and (row.is_rule or row.ratio >= BREAKS_FROM):
                 found.setdefault(row.name, row)
     return sorted(found.values(), key=lambda row: (_rank(row), -(row.ratio or 0.0)))
 
 
 def _rank(row: Row) -> int:
     """Return the sort rank of a row: by kind, with rows within their budgets after all that exceed them."""
-    kind = "rule" if row.rule else row.kind
+    kind = "rule" if row.is_rule else row.kind
     return ORDER[kind] + (0 if (row.ratio or 0.0) > 1.0 else len(ORDER))
 
 
@@ -37,7 +37,7 @@
         "| --- | --- | ---: | ---: | --- |",
     ]
     for row in rows:
-        kind, at = "rule or bound" if row.rule else row.kind, row.crossing(gateways)
+        kind, at = "rule or bound" if row.is_rule else row.kind, row.crossing(gateways)
         crossing = f"{number(at)} gateways" if at else "any size"
         crossing = crossing if at or (row.ratio or 0.0) > 1.0 else "not by size"
         carried = "**none**" if row.mechanism == "none" else f"`{row.mechanism}`"
