--- a/standins/scale/estimate.py
+++ b/standins/scale/estimate.py
@@ -20,7 +20,7 @@
     basis: str = "worked out"
     mechanism: str = NONE  # dotted name of the code responsible, or NONE
     exponent: float = 0.0  # power of the number of gateways with which the figure grows
-    rule: bool = False  # whether it is a rule or a bound over the whole fleet
+    is_rule: bool = False  # whether it is a rule or a bound over the whole fleet
     kind: str = "cost"  # or "time"
 
     @property
@@ -75,7 +75,7 @@
         note: str = "",
         grows: bool = False,
         exponent: float = 0.0,
-        rule: bool = False,
+        is_rule: bool = False,
         kind: str = "cost",
     ) -> Row:
         """Return the row of a measure.
@@ -85,7 +85,7 @@
         """
         figure = self.value_at(measure) if value is None else value
         power = self.exponent(measure) if grows else exponent
-        return Row(name, figure, unit, budget, self.basis(measure) + note, mechanism, power, rule, kind)
+        return Row(name, figure, unit, budget, self.basis(measure) + note, mechanism, power, is_rule, kind)
 
 
 class TableBuilder:
--- a/standins/scale/shared_rows.py
+++ b/standins/scale/shared_rows.py
@@ -10,13 +10,13 @@
 def cold_server(figures: Figures, kind: str) -> Row:
     """Return the row of calls to a cold server, a `cache` or a `parent`, as a share of what it can take."""
     name, bears = f"cold {kind}: calls in its window, all gateways", "of what it bears"
-    return figures.make_row(name, f"cold_{kind}", bears, COLD_GUARD, budget=1.0, grows=True, rule=True)
+    return figures.make_row(name, f"cold_{kind}", bears, COLD_GUARD, budget=1.0, grows=True, is_rule=True)
 
 
 def origin_fills(figures: Figures) -> Row:
     """Return the row of simultaneous fills at the origin."""
     name, most = "fills at once, all gateways", float(ORIGIN_FILLS)
-    return figures.make_row(name, "origin_peak", "fills", LEASES, budget=most, rule=True)
+    return figures.make_row(name, "origin_peak", "fills", LEASES, budget=most, is_rule=True)
 
 
 def change_in_force(demand: Demand) -> Row:
--- a/tests/scale/test_scale_tool.py
+++ b/tests/scale/test_scale_tool.py
@@ -26,8 +26,8 @@
     return subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=60, check=False)
 
 
-def row(name: str, ratio: float, rule: bool = False, kind: str = "cost", exponent: float = 0.0) -> Row:
-    return Row(name, ratio, "x", 1.0, exponent=exponent, rule=rule, kind=kind)
+def row(name: str, ratio: float, is_rule: bool = False, kind: str = "cost", exponent: float = 0.0) -> Row:
+    return Row(name, ratio, "x", 1.0, exponent=exponent, is_rule=is_rule, kind=kind)
 
 
 def test_the_page_holds_the_tables_that_its_figures_give() -> None:
@@ -86,7 +86,7 @@
     rows = [
         row("cost", 9.0),
         row("time", 3.0, kind="time"),
-        row("kept", 0.9, rule=True),
+        row("kept", 0.9, is_rule=True),
         row("rule", 2.0, True),
     ]
 
