--- a/standins/scale/estimate.py
+++ b/standins/scale/estimate.py
@@ -73,18 +73,18 @@
         value: float | None = None,
         budget: float | None = None,
         note: str = "",
-        grows: bool = False,
+        follows_fit: bool = False,
         exponent: float = 0.0,
         is_rule: bool = False,
         kind: str = "cost",
     ) -> Row:
         """Return the row of a measure.
 
-        `value` replaces the measured value where the figure is calculated from it; `grows` takes the exponent
+        `value` replaces the measured value where the figure is calculated from it; `follows_fit` takes the exponent
         from the fit instead of `exponent`.
         """
         figure = self.value_at(measure) if value is None else value
-        power = self.exponent(measure) if grows else exponent
+        power = self.exponent(measure) if follows_fit else exponent
         return Row(name, figure, unit, budget, self.basis(measure) + note, mechanism, power, is_rule, kind)
 
 
--- a/standins/scale/roles_gateway.py
+++ b/standins/scale/roles_gateway.py
@@ -48,7 +48,7 @@
         ROUTER,
         value=figures.value_at("router_state") / 1e6,
         budget=demand.max_control_mb,
-        grows=True,
+        follows_fit=True,
     )
     table.add_measured(
         "resident memory of an idle process", "process_memory", "MB", SERVE, budget=demand.max_control_mb
@@ -142,7 +142,7 @@
         VIEW,
         value=figures.value_at("members_state") / 1e6,
         budget=demand.max_control_mb,
-        grows=True,
+        follows_fit=True,
     )
     table.add_given(
         "processor time: sweep, purges, list, membership",
@@ -217,7 +217,7 @@
         "us/s",
         DETECTOR,
         budget=1e6 * demand.max_control_cores,
-        grows=True,
+        follows_fit=True,
     )
     table.add_measured("a death known to all", "members_detect", "s", DETECTOR, kind="time")
     table.add_measured(
