--- a/standins/scale/estimate.py
+++ b/standins/scale/estimate.py
@@ -72,7 +72,7 @@
         *,
         value: float | None = None,
         budget: float | None = None,
-        note: str = "",
+        basis_suffix: str = "",
         follows_fit: bool = False,
         exponent: float = 0.0,
         is_rule: bool = False,
@@ -85,7 +85,9 @@
         """
         figure = self.value_at(measure) if value is None else value
         power = self.exponent(measure) if follows_fit else exponent
-        return Row(name, figure, unit, budget, self.basis(measure) + note, mechanism, power, is_rule, kind)
+        return Row(
+            name, figure, unit, budget, self.basis(measure) + basis_suffix, mechanism, power, is_rule, kind
+        )
 
 
 class TableBuilder:
--- a/standins/scale/roles_gateway.py
+++ b/standins/scale/roles_gateway.py
@@ -101,7 +101,7 @@
         SERVED,
         value=notes,
         budget=demand.max_control_bytes_per_s,
-        note="; Zipf 0.9 assumed",
+        basis_suffix="; Zipf 0.9 assumed",
     )
     table.add_given(
         "directory notes, in and out, largest gateway",
