--- a/standins/scale/estimate.py
+++ b/standins/scale/estimate.py
@@ -6,7 +6,7 @@
 from standins.scale.plan import REFERENCE_GATEWAYS
 from standins.scale.results import Run, Series
 
-NONE = "none"
+NO_MECHANISM = "none"
 
 
 @dataclass(frozen=True, slots=True)
@@ -18,7 +18,7 @@
     unit: str
     budget: float | None = None
     basis: str = "worked out"
-    mechanism: str = NONE  # dotted name of the code responsible, or NONE
+    mechanism: str = NO_MECHANISM  # dotted name of the code responsible, or NONE
     exponent: float = 0.0  # power of the number of gateways with which the figure grows
     is_rule: bool = False  # whether it is a rule or a bound over the whole fleet
     kind: str = "cost"  # or "time"
@@ -103,7 +103,7 @@
         value: float,
         unit: str,
         basis: str,
-        mechanism: str = NONE,
+        mechanism: str = NO_MECHANISM,
         *,
         budget: float | None = None,
         exponent: float = 0.0,
@@ -157,8 +157,8 @@
     """Format a row as Markdown."""
     budget = number(row.budget) if row.budget else "-"
     ratio = f"{row.ratio:.2g}" if row.ratio is not None else "-"
-    carried = row.mechanism if row.mechanism == NONE else f"`{row.mechanism}`"
-    carried = f"**{carried}**" if carried == NONE else carried
+    carried = row.mechanism if row.mechanism == NO_MECHANISM else f"`{row.mechanism}`"
+    carried = f"**{carried}**" if carried == NO_MECHANISM else carried
     cells = (row.name, number(row.value), row.unit, budget, ratio, row.basis, carried)
     return "| " + " | ".join(cells) + " |"
 
--- a/tests/scale/test_scale_tool.py
+++ b/tests/scale/test_scale_tool.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from standins.scale.estimate import NONE, Figures, Row, Table
+from standins.scale.estimate import NO_MECHANISM, Figures, Row, Table
 from standins.scale.events import events
 from standins.scale.fit import fit_power_law
 from standins.scale.plan import Demand
@@ -46,7 +46,7 @@
     figures, demand = Figures(load_run(FIGURES), 2_300), Demand()
     for table in roles(figures, demand) + events(figures, demand):
         for found in table.rows:
-            if found.mechanism == NONE:
+            if found.mechanism == NO_MECHANISM:
                 continue
             words = found.mechanism.split(".")
             depth = next(n for n in range(len(words), 0, -1) if importable(".".join(words[:n])))
