--- a/standins/scale/estimate.py
+++ b/standins/scale/estimate.py
@@ -147,7 +147,7 @@
     return f"{value:.3g}"
 
 
-HEAD = (
+TABLE_HEADER = (
     "| what | figure | unit | budget | of budget | from | carried by |\n"
     "| --- | ---: | --- | ---: | ---: | --- | --- |"
 )
@@ -165,7 +165,7 @@
 
 def write_table(table: Table) -> str:
     """Format a table as Markdown."""
-    return "\n".join([f"#### {table.title}", "", HEAD, *(write_row(row) for row in table.rows), ""])
+    return "\n".join([f"#### {table.title}", "", TABLE_HEADER, *(write_row(row) for row in table.rows), ""])
 
 
 def list_gateways(servers: int) -> float:
