--- a/standins/scale/estimate.py
+++ b/standins/scale/estimate.py
@@ -138,7 +138,7 @@
     return f"extrapolated {power_law.extrapolated(gateways):.1f}x; {slope}"
 
 
-def number(value: float) -> str:
+def format_number(value: float) -> str:
     """Format a number with three significant digits."""
     if value == 0.0:
         return "0"
@@ -155,11 +155,11 @@
 
 def write_row(row: Row) -> str:
     """Format a row as Markdown."""
-    budget = number(row.budget) if row.budget else "-"
+    budget = format_number(row.budget) if row.budget else "-"
     ratio = f"{row.ratio:.2g}" if row.ratio is not None else "-"
     carried = row.mechanism if row.mechanism == NO_MECHANISM else f"`{row.mechanism}`"
     carried = f"**{carried}**" if carried == NO_MECHANISM else carried
-    cells = (row.name, number(row.value), row.unit, budget, ratio, row.basis, carried)
+    cells = (row.name, format_number(row.value), row.unit, budget, ratio, row.basis, carried)
     return "| " + " | ".join(cells) + " |"
 
 
--- a/standins/scale/report.py
+++ b/standins/scale/report.py
@@ -1,6 +1,6 @@
 """The tables of docs/CAPACITY.md from the figures of one run: what breaks first, roles, events and fits."""
 
-from standins.scale.estimate import Figures, Row, Table, basis, number, write_table
+from standins.scale.estimate import Figures, Row, Table, basis, format_number, write_table
 from standins.scale.events import events
 from standins.scale.plan import Demand
 from standins.scale.results import Run
@@ -51,7 +51,7 @@
     for series in run.series:
         power_law = series.fit()
         slope = (f"{power_law.exponent:+.2f}", f"{power_law.residual:.2f}") if power_law else ("-", "-")
-        sizes, values = ", ".join(map(str, series.sizes)), ", ".join(map(number, series.values))
+        sizes, values = ", ".join(map(str, series.sizes)), ", ".join(map(format_number, series.values))
         lines.append(f"| {series.measure} | {sizes} | {values} | {slope[0]} | {slope[1]} |")
     return "\n".join([*lines, ""])
 
