--- a/standins/scale/estimate.py
+++ b/standins/scale/estimate.py
@@ -153,7 +153,7 @@
 )
 
 
-def write_row(row: Row) -> str:
+def format_row(row: Row) -> str:
     """Format a row as Markdown."""
     budget = format_number(row.budget) if row.budget else "-"
     ratio = f"{row.ratio:.2g}" if row.ratio is not None else "-"
@@ -165,7 +165,7 @@
 
 def write_table(table: Table) -> str:
     """Format a table as Markdown."""
-    return "\n".join([f"#### {table.title}", "", TABLE_HEADER, *(write_row(row) for row in table.rows), ""])
+    return "\n".join([f"#### {table.title}", "", TABLE_HEADER, *(format_row(row) for row in table.rows), ""])
 
 
 def list_gateways(servers: int) -> float:
