--- a/standins/scale/estimate.py
+++ b/standins/scale/estimate.py
@@ -163,7 +163,7 @@
     return "| " + " | ".join(cells) + " |"
 
 
-def write_table(table: Table) -> str:
+def format_table(table: Table) -> str:
     """Format a table as Markdown."""
     return "\n".join([f"#### {table.title}", "", TABLE_HEADER, *(format_row(row) for row in table.rows), ""])
 
--- a/standins/scale/report.py
+++ b/standins/scale/report.py
@@ -1,6 +1,6 @@
 """The tables of docs/CAPACITY.md from the figures of one run: what breaks first, roles, events and fits."""
 
-from standins.scale.estimate import Figures, Row, Table, basis, format_number, write_table
+from standins.scale.estimate import Figures, Row, Table, basis, format_number, format_table
 from standins.scale.events import events
 from standins.scale.plan import Demand
 from standins.scale.results import Run
@@ -71,8 +71,8 @@
     figures = Figures(run, demand.gateways)
     by_role, by_event = roles(figures, demand), events(figures, demand)
     parts = ["### What breaks first", "", write_breaks(breaks_first(by_role + by_event), demand.gateways)]
-    parts += ["### Roles", "", *(write_table(table) for table in by_role)]
-    parts += ["### Events", "", *(write_table(table) for table in by_event)]
+    parts += ["### Roles", "", *(format_table(table) for table in by_role)]
+    parts += ["### Events", "", *(format_table(table) for table in by_event)]
     parts += ["### Measures and fits", "", write_fits(run), write_comparison(run)]
     return "\n".join(parts)
 
