--- a/standins/scale/report.py
+++ b/standins/scale/report.py
@@ -30,7 +30,7 @@
     return ORDER[kind] + (0 if (row.ratio or 0.0) > 1.0 else len(ORDER))
 
 
-def write_breaks(rows: list[Row], gateways: int) -> str:
+def format_breaking_rows(rows: list[Row], gateways: int) -> str:
     """Format the rows as a Markdown table, with the fleet size at which each exceeds its budget."""
     lines = [
         "| what | kind | of budget | crosses its budget at | carried by |",
@@ -70,7 +70,11 @@
     """Format all tables for a fleet of the given size."""
     figures = Figures(run, demand.gateways)
     by_role, by_event = roles(figures, demand), events(figures, demand)
-    parts = ["### What breaks first", "", write_breaks(breaks_first(by_role + by_event), demand.gateways)]
+    parts = [
+        "### What breaks first",
+        "",
+        format_breaking_rows(breaks_first(by_role + by_event), demand.gateways),
+    ]
     parts += ["### Roles", "", *(format_table(table) for table in by_role)]
     parts += ["### Events", "", *(format_table(table) for table in by_event)]
     parts += ["### Measures and fits", "", write_fits(run), write_comparison(run)]
