--- a/standins/scale/report.py
+++ b/standins/scale/report.py
@@ -45,7 +45,7 @@
     return "\n".join([*lines, ""])
 
 
-def write_fits(run: Run) -> str:
+def format_fits(run: Run) -> str:
     """Format all measures as a Markdown table with their values, exponents and residuals."""
     lines = ["| measure | at | figures | exponent | residual |", "| --- | --- | --- | ---: | ---: |"]
     for series in run.series:
@@ -77,7 +77,7 @@
     ]
     parts += ["### Roles", "", *(format_table(table) for table in by_role)]
     parts += ["### Events", "", *(format_table(table) for table in by_event)]
-    parts += ["### Measures and fits", "", write_fits(run), write_comparison(run)]
+    parts += ["### Measures and fits", "", format_fits(run), write_comparison(run)]
     return "\n".join(parts)
 
 
