--- a/standins/scale/report.py
+++ b/standins/scale/report.py
@@ -56,7 +56,7 @@
     return "\n".join([*lines, ""])
 
 
-def write_comparison(run: Run) -> str:
+def format_comparison(run: Run) -> str:
     """Describe how the datagrams of a hollow fleet compare with those of as many real processes."""
     hollow, real = run.find_series("common_hollow"), run.find_series("common_real")
     apart = hollow.values[0] / real.values[0] - 1.0
@@ -77,7 +77,7 @@
     ]
     parts += ["### Roles", "", *(format_table(table) for table in by_role)]
     parts += ["### Events", "", *(format_table(table) for table in by_event)]
-    parts += ["### Measures and fits", "", format_fits(run), write_comparison(run)]
+    parts += ["### Measures and fits", "", format_fits(run), format_comparison(run)]
     return "\n".join(parts)
 
 
