--- a/standins/scale/__main__.py
+++ b/standins/scale/__main__.py
@@ -20,7 +20,7 @@
 
 from standins.scale import bounds, decisions, directory, membership, processes
 from standins.scale.plan import REFERENCE_GATEWAYS, Demand, demand_at
-from standins.scale.report import write_page
+from standins.scale.report import format_page
 from standins.scale.results import RESULTS_VERSION, ResultsError, Run, Series, load_run, save_run
 
 GROUPS: dict[str, Callable[[int, int], dict[str, float]]] = {
@@ -134,7 +134,7 @@
         raise Usage("gateways, purges, caches, requests and objects must be above 0")
     base = Demand() if gateways == REFERENCE_GATEWAYS else demand_at(gateways)
     try:
-        print(write_page(load_run(file), replace(base, **changes)), end="")  # type: ignore[arg-type]
+        print(format_page(load_run(file), replace(base, **changes)), end="")  # type: ignore[arg-type]
     except ResultsError as error:
         raise Usage(f"{file}: {error}") from None
 
--- a/standins/scale/report.py
+++ b/standins/scale/report.py
@@ -66,7 +66,7 @@
     )
 
 
-def write_page(run: Run, demand: Demand) -> str:
+def format_page(run: Run, demand: Demand) -> str:
     """Format all tables for a fleet of the given size."""
     figures = Figures(run, demand.gateways)
     by_role, by_event = roles(figures, demand), events(figures, demand)
@@ -81,4 +81,4 @@
     return "\n".join(parts)
 
 
-__all__ = ["basis", "breaks_first", "write_page"]
+__all__ = ["basis", "breaks_first", "format_page"]
--- a/tests/scale/test_scale_tool.py
+++ b/tests/scale/test_scale_tool.py
@@ -11,7 +11,7 @@
 from standins.scale.events import events
 from standins.scale.fit import fit_power_law
 from standins.scale.plan import Demand
-from standins.scale.report import breaks_first, write_page
+from standins.scale.report import breaks_first, format_page
 from standins.scale.results import RESULTS_VERSION, ResultsError, Run, Series, load_run, save_run
 from standins.scale.roles import roles
 from standins.scale.scenarios import fills_from_origin
@@ -33,7 +33,7 @@
 def test_the_page_holds_the_tables_that_its_figures_give() -> None:
     page = PAGE.read_text()
     tables = page[page.index(BEGIN) + len(BEGIN) : page.index(END)]
-    assert tables == write_page(load_run(FIGURES), Demand())
+    assert tables == format_page(load_run(FIGURES), Demand())
 
 
 def test_the_page_is_made_from_four_sizes_over_a_decade() -> None:
