--- a/standins/scale/report.py
+++ b/standins/scale/report.py
@@ -10,7 +10,7 @@
 ORDER = {"rule": 0, "time": 1, "cost": 2}
 
 
-def breaks_first(tables: list[Table]) -> list[Row]:
+def find_breaking_rows(tables: list[Table]) -> list[Row]:
     """Return all rows of rules, and the other rows that are near or over their budgets, each once.
 
     Rows over their budgets come first. Among them and among the rest, rules precede times and times precede
@@ -73,7 +73,7 @@
     parts = [
         "### What breaks first",
         "",
-        format_breaking_rows(breaks_first(by_role + by_event), demand.gateways),
+        format_breaking_rows(find_breaking_rows(by_role + by_event), demand.gateways),
     ]
     parts += ["### Roles", "", *(format_table(table) for table in by_role)]
     parts += ["### Events", "", *(format_table(table) for table in by_event)]
@@ -81,4 +81,4 @@
     return "\n".join(parts)
 
 
-__all__ = ["basis", "breaks_first", "format_page"]
+__all__ = ["basis", "find_breaking_rows", "format_page"]
--- a/tests/scale/test_scale_tool.py
+++ b/tests/scale/test_scale_tool.py
@@ -11,7 +11,7 @@
 from standins.scale.events import events
 from standins.scale.fit import fit_power_law
 from standins.scale.plan import Demand
-from standins.scale.report import breaks_first, format_page
+from standins.scale.report import find_breaking_rows, format_page
 from standins.scale.results import RESULTS_VERSION, ResultsError, Run, Series, load_run, save_run
 from standins.scale.roles import roles
 from standins.scale.scenarios import fills_from_origin
@@ -90,7 +90,7 @@
         row("rule", 2.0, True),
     ]
 
-    ordered = breaks_first([Table("t", tuple(rows))])
+    ordered = find_breaking_rows([Table("t", tuple(rows))])
     assert [found.name for found in ordered] == ["rule", "time", "cost", "kept"]
     assert row("x", 4.0, exponent=2.0).crossing(1_000) == 500.0
     assert row("x", 4.0).crossing(1_000) is None
