--- a/standins/scale/report.py
+++ b/standins/scale/report.py
@@ -6,7 +6,7 @@
 from standins.scale.results import Run
 from standins.scale.roles import roles
 
-BREAKS_FROM = 0.5  # share of its budget from which a figure is listed as breaking first
+MIN_BREAKING_SHARE = 0.5  # share of its budget from which a figure is listed as breaking first
 ORDER = {"rule": 0, "time": 1, "cost": 2}
 
 
@@ -19,7 +19,7 @@
     found: dict[str, Row] = {}
     for table in tables:
         for row in table.rows:
-            if row.ratio is not None and (row.is_rule or row.ratio >= BREAKS_FROM):
+            if row.ratio is not None and (row.is_rule or row.ratio >= MIN_BREAKING_SHARE):
                 found.setdefault(row.name, row)
     return sorted(found.values(), key=lambda row: (_rank(row), -(row.ratio or 0.0)))
 
