--- a/standins/scale/report.py
+++ b/standins/scale/report.py
@@ -7,7 +7,7 @@
 from standins.scale.roles import roles
 
 MIN_BREAKING_SHARE = 0.5  # share of its budget from which a figure is listed as breaking first
-ORDER = {"rule": 0, "time": 1, "cost": 2}
+KIND_ORDER = {"rule": 0, "time": 1, "cost": 2}
 
 
 def find_breaking_rows(tables: list[Table]) -> list[Row]:
@@ -27,7 +27,7 @@
 def _rank(row: Row) -> int:
     """Return the sort rank of a row: by kind, with rows within their budgets after all that exceed them."""
     kind = "rule" if row.is_rule else row.kind
-    return ORDER[kind] + (0 if (row.ratio or 0.0) > 1.0 else len(ORDER))
+    return KIND_ORDER[kind] + (0 if (row.ratio or 0.0) > 1.0 else len(KIND_ORDER))
 
 
 def format_breaking_rows(rows: list[Row], gateways: int) -> str:
