--- a/standins/scale/report.py
+++ b/standins/scale/report.py
@@ -21,10 +21,10 @@
         for row in table.rows:
             if row.ratio is not None and (row.is_rule or row.ratio >= MIN_BREAKING_SHARE):
                 found.setdefault(row.name, row)
-    return sorted(found.values(), key=lambda row: (_rank(row), -(row.ratio or 0.0)))
+    return sorted(found.values(), key=lambda row: (_sort_rank(row), -(row.ratio or 0.0)))
 
 
-def _rank(row: Row) -> int:
+def _sort_rank(row: Row) -> int:
     """Return the sort rank of a row: by kind, with rows within their budgets after all that exceed them."""
     kind = "rule" if row.is_rule else row.kind
     return KIND_ORDER[kind] + (0 if (row.ratio or 0.0) > 1.0 else len(KIND_ORDER))
