--- a/standins/scale/report.py
+++ b/standins/scale/report.py
@@ -59,10 +59,10 @@
 def format_comparison(run: Run) -> str:
     """Describe how the datagrams of a hollow fleet compare with those of as many real processes."""
     hollow, real = run.find_series("common_hollow"), run.find_series("common_real")
-    apart = hollow.values[0] / real.values[0] - 1.0
+    difference = hollow.values[0] / real.values[0] - 1.0
     return (
         f"At {real.sizes[0]} gateways a hollow one sends {hollow.values[0]:.2f} datagrams of membership a "
-        f"period, a real process {real.values[0]:.2f}: the hollow figure is {apart:+.0%} off.\n"
+        f"period, a real process {real.values[0]:.2f}: the hollow figure is {difference:+.0%} off.\n"
     )
 
 
