--- a/standins/scale/assumptions.py
+++ b/standins/scale/assumptions.py
@@ -1,6 +1,6 @@
 """Assumptions of the tables: sizes on the wire, and figures from other sources, each with its source."""
 
-from standins.scale.estimate import Figures, list_gateways
+from standins.scale.estimate import Figures, fleet_size_listing
 from standins.scale.plan import Demand
 
 TCP_HEADER_BYTES, UDP_HEADER_BYTES = 40, 28
@@ -29,7 +29,7 @@
 
 def control_core(figures: Figures, demand: Demand) -> float:
     """Return the processor time, in cores, of one gateway's control work."""
-    at = list_gateways(servers(demand))
+    at = fleet_size_listing(servers(demand))
     changes = LIST_CHANGES * (demand.failures_per_day + demand.restarts_per_day) / DAY_S
     parts = (
         SWEEPS * figures.value_at("sweep"),
--- a/standins/scale/estimate.py
+++ b/standins/scale/estimate.py
@@ -168,7 +168,7 @@
     return "\n".join([f"#### {table.title}", "", TABLE_HEADER, *(format_row(row) for row in table.rows), ""])
 
 
-def list_gateways(servers: int) -> float:
+def fleet_size_listing(servers: int) -> float:
     """Return the number of gateways whose fleet, in the reference proportions, lists this many servers.
 
     The reference fleet lists 279 servers: 240 station caches, 38 parents and the origin.
