--- a/standins/scale/assumptions.py
+++ b/standins/scale/assumptions.py
@@ -22,14 +22,14 @@
 ASSUMED_LARGEST = f"assumed: {LARGEST:g} x the mean"
 
 
-def servers(demand: Demand) -> int:
+def count_servers(demand: Demand) -> int:
     """Return the number of servers on the list."""
     return demand.caches + demand.parents() + 1
 
 
 def control_core(figures: Figures, demand: Demand) -> float:
     """Return the processor time, in cores, of one gateway's control work."""
-    at = fleet_size_listing(servers(demand))
+    at = fleet_size_listing(count_servers(demand))
     changes = LIST_CHANGES * (demand.failures_per_day + demand.restarts_per_day) / DAY_S
     parts = (
         SWEEPS * figures.value_at("sweep"),
--- a/standins/scale/events.py
+++ b/standins/scale/events.py
@@ -8,7 +8,7 @@
     PURGE_BYTES,
     SIGNAL_S,
     control_core,
-    servers,
+    count_servers,
 )
 from standins.scale.estimate import Figures, Table, TableBuilder, fleet_size_listing
 from standins.scale.mechanisms import (
@@ -187,7 +187,7 @@
 def restarts(figures: Figures, demand: Demand) -> Table:
     """Build the table of a restart of every gateway within a day."""
     rate = demand.gateways / DAY_S
-    at = fleet_size_listing(servers(demand))
+    at = fleet_size_listing(count_servers(demand))
     table = TableBuilder("Every gateway restarted within a day", figures)
     table.add_given("restarts", 60.0 * rate, "1/min", "gateways over a day")
     table.add_measured(
--- a/standins/scale/roles_gateway.py
+++ b/standins/scale/roles_gateway.py
@@ -12,7 +12,7 @@
     MB_S,
     PURGE_BYTES,
     control_core,
-    servers,
+    count_servers,
 )
 from standins.scale.estimate import Figures, Table, TableBuilder, fleet_size_listing
 from standins.scale.mechanisms import (
@@ -89,7 +89,7 @@
 
 def gateway_control(figures: Figures, demand: Demand) -> Table:
     """Build the table of a gateway's control work."""
-    each, at = demand.mean_requests_per_s, fleet_size_listing(servers(demand))
+    each, at = demand.mean_requests_per_s, fleet_size_listing(count_servers(demand))
     notes = 2.0 * each * figures.value_at("directory_bytes")
     purges = demand.purges * PURGE_BYTES + HEARTBEAT_BYTES
     members = 2.0 * figures.value_at("members_bytes")
@@ -228,7 +228,7 @@
 
 def subscriber(figures: Figures, demand: Demand) -> Table:
     """Build the table of a subscriber to discovery."""
-    at = fleet_size_listing(servers(demand))
+    at = fleet_size_listing(count_servers(demand))
     table = TableBuilder("Subscriber of discovery", figures)
     table.add_given(
         "purges in force", demand.purges * 6.1, "entries", "rate x 6.1 s until gone everywhere", PURGE_LOG
--- a/standins/scale/roles_servers.py
+++ b/standins/scale/roles_servers.py
@@ -5,7 +5,7 @@
     HEARTBEAT_BYTES,
     LINKS,
     PURGE_BYTES,
-    servers,
+    count_servers,
 )
 from standins.scale.estimate import Figures, Table, TableBuilder, fleet_size_listing
 from standins.scale.mechanisms import BUS_LINK, EFFECTS_GUARD, LEASES, POOL, RELOAD
@@ -15,7 +15,7 @@
 
 def discovery(figures: Figures, demand: Demand) -> Table:
     """Build the table of the load on discovery and on the machines reserved for control."""
-    each, at = demand.gateways / demand.control_machines, fleet_size_listing(servers(demand))
+    each, at = demand.gateways / demand.control_machines, fleet_size_listing(count_servers(demand))
     out = demand.purges * PURGE_BYTES + HEARTBEAT_BYTES
     table = TableBuilder(f"Discovery service and the {demand.control_machines} control machines", figures)
     table.add_given(
