--- a/standins/scale/assumptions.py
+++ b/standins/scale/assumptions.py
@@ -29,12 +29,12 @@
 
 def control_core(figures: Figures, demand: Demand) -> float:
     """Return the processor time, in cores, of one gateway's control work."""
-    at = fleet_size_listing(count_servers(demand))
+    list_fleet_size = fleet_size_listing(count_servers(demand))
     changes = LIST_CHANGES * (demand.failures_per_day + demand.restarts_per_day) / DAY_S
     parts = (
         SWEEPS * figures.value_at("sweep"),
         demand.purges * figures.value_at("purge_apply"),
-        changes * figures.value_at("list_change", at),
+        changes * figures.value_at("list_change", list_fleet_size),
         figures.value_at("members_cpu"),
     )
     return sum(parts) / 1e6
--- a/standins/scale/events.py
+++ b/standins/scale/events.py
@@ -187,7 +187,7 @@
 def restarts(figures: Figures, demand: Demand) -> Table:
     """Build the table of a restart of every gateway within a day."""
     rate = demand.gateways / DAY_S
-    at = fleet_size_listing(count_servers(demand))
+    list_fleet_size = fleet_size_listing(count_servers(demand))
     table = TableBuilder("Every gateway restarted within a day", figures)
     table.add_given("restarts", 60.0 * rate, "1/min", "gateways over a day")
     table.add_measured(
@@ -195,7 +195,7 @@
         "list_bytes",
         "B/s",
         BUS_LINK,
-        value=rate * figures.value_at("list_bytes", at),
+        value=rate * figures.value_at("list_bytes", list_fleet_size),
     )
     table.add_given(
         "words of membership a gateway and second",
--- a/standins/scale/roles_gateway.py
+++ b/standins/scale/roles_gateway.py
@@ -89,7 +89,7 @@
 
 def gateway_control(figures: Figures, demand: Demand) -> Table:
     """Build the table of a gateway's control work."""
-    each, at = demand.mean_requests_per_s, fleet_size_listing(count_servers(demand))
+    each, list_fleet_size = demand.mean_requests_per_s, fleet_size_listing(count_servers(demand))
     notes = 2.0 * each * figures.value_at("directory_bytes")
     purges = demand.purges * PURGE_BYTES + HEARTBEAT_BYTES
     members = 2.0 * figures.value_at("members_bytes")
@@ -164,7 +164,7 @@
         "list_change",
         "us",
         ON_MEMBERS,
-        value=figures.value_at("list_change", at),
+        value=figures.value_at("list_change", list_fleet_size),
     )
     table.add_given(
         "purge heard and in force",
@@ -228,14 +228,20 @@
 
 def subscriber(figures: Figures, demand: Demand) -> Table:
     """Build the table of a subscriber to discovery."""
-    at = fleet_size_listing(count_servers(demand))
+    list_fleet_size = fleet_size_listing(count_servers(demand))
     table = TableBuilder("Subscriber of discovery", figures)
     table.add_given(
         "purges in force", demand.purges * 6.1, "entries", "rate x 6.1 s until gone everywhere", PURGE_LOG
     )
-    table.add_measured("whole list", "list_bytes", "B", BUS_READER, value=figures.value_at("list_bytes", at))
     table.add_measured(
-        "whole list taken in", "list_whole", "ms", ON_MEMBERS, value=figures.value_at("list_whole", at)
+        "whole list", "list_bytes", "B", BUS_READER, value=figures.value_at("list_bytes", list_fleet_size)
+    )
+    table.add_measured(
+        "whole list taken in",
+        "list_whole",
+        "ms",
+        ON_MEMBERS,
+        value=figures.value_at("list_whole", list_fleet_size),
     )
     table.add_measured("purge applied", "purge_apply", "us", PURGE_LOG)
     return table.build()
--- a/standins/scale/roles_servers.py
+++ b/standins/scale/roles_servers.py
@@ -15,7 +15,10 @@
 
 def discovery(figures: Figures, demand: Demand) -> Table:
     """Build the table of the load on discovery and on the machines reserved for control."""
-    each, at = demand.gateways / demand.control_machines, fleet_size_listing(count_servers(demand))
+    each, list_fleet_size = (
+        demand.gateways / demand.control_machines,
+        fleet_size_listing(count_servers(demand)),
+    )
     out = demand.purges * PURGE_BYTES + HEARTBEAT_BYTES
     table = TableBuilder(f"Discovery service and the {demand.control_machines} control machines", figures)
     table.add_given(
@@ -42,7 +45,7 @@
         "list_bytes",
         "MB",
         BUS_LINK,
-        value=each * figures.value_at("list_bytes", at) / 1e6,
+        value=each * figures.value_at("list_bytes", list_fleet_size) / 1e6,
         exponent=2.0,
     )
     table.add_given("confirmations that a purge is in force", 0.0, "1/s", "nothing is sent")
