--- a/standins/scale/assumptions.py
+++ b/standins/scale/assumptions.py
@@ -27,7 +27,7 @@
     return demand.caches + demand.parents() + 1
 
 
-def control_core(figures: Figures, demand: Demand) -> float:
+def compute_control_cores(figures: Figures, demand: Demand) -> float:
     """Return the processor time, in cores, of one gateway's control work."""
     list_fleet_size = fleet_size_listing(count_servers(demand))
     changes = LIST_CHANGES * (demand.failures_per_day + demand.restarts_per_day) / DAY_S
--- a/standins/scale/events.py
+++ b/standins/scale/events.py
@@ -7,7 +7,7 @@
     LIST_CHANGES,
     PURGE_BYTES,
     SIGNAL_S,
-    control_core,
+    compute_control_cores,
     count_servers,
 )
 from standins.scale.estimate import Figures, Table, TableBuilder, fleet_size_listing
@@ -41,7 +41,7 @@
     table = TableBuilder("A steady day", figures)
     table.add_given(
         "control, processor time a gateway",
-        control_core(figures, demand),
+        compute_control_cores(figures, demand),
         "cores",
         "sum of four fits",
         ROUTER,
--- a/standins/scale/roles_gateway.py
+++ b/standins/scale/roles_gateway.py
@@ -11,7 +11,7 @@
     LEASE_BYTES,
     MB_S,
     PURGE_BYTES,
-    control_core,
+    compute_control_cores,
     count_servers,
 )
 from standins.scale.estimate import Figures, Table, TableBuilder, fleet_size_listing
@@ -146,7 +146,7 @@
     )
     table.add_given(
         "processor time: sweep, purges, list, membership",
-        control_core(figures, demand),
+        compute_control_cores(figures, demand),
         "cores",
         "sum of the four fits",
         ROUTER,
