--- a/standins/scale/events.py
+++ b/standins/scale/events.py
@@ -5,7 +5,7 @@
     DAY_S,
     HEARD_S,
     LIST_CHANGES,
-    PURGE_BYTES,
+    PURGE_FRAME_BYTES,
     SIGNAL_S,
     compute_control_cores,
     count_servers,
@@ -133,7 +133,7 @@
     )
     table.add_given(
         "bytes that each gateway is told on return",
-        demand.purges * APART_S * PURGE_BYTES / 1e6,
+        demand.purges * APART_S * PURGE_FRAME_BYTES / 1e6,
         "MB",
         "events from the last number on",
         BUS_LINK,
