--- a/standins/scale/assumptions.py
+++ b/standins/scale/assumptions.py
@@ -4,7 +4,7 @@
 from standins.scale.plan import Demand
 
 TCP_HEADER_BYTES, UDP_HEADER_BYTES = 40, 28
-PURGE_FRAME_BYTES, HEARTBEAT_BYTES = 29 + TCP_HEADER_BYTES, 4 + TCP_HEADER_BYTES
+PURGE_FRAME_BYTES, HEARTBEAT_FRAME_BYTES = 29 + TCP_HEADER_BYTES, 4 + TCP_HEADER_BYTES
 LEASE_BYTES = 15 + UDP_HEADER_BYTES
 SWEEPS = 20.0  # timer sweeps of a gateway per second
 LINKS = 6  # upper limit on connections of one gateway to one server: back/upstreams.py
--- a/standins/scale/roles_gateway.py
+++ b/standins/scale/roles_gateway.py
@@ -6,7 +6,7 @@
     ASSUMED_HEARD,
     ASSUMED_LARGEST,
     HEARD_S,
-    HEARTBEAT_BYTES,
+    HEARTBEAT_FRAME_BYTES,
     LARGEST,
     LEASE_BYTES,
     MB_S,
@@ -91,7 +91,7 @@
     """Build the table of a gateway's control work."""
     each, list_fleet_size = demand.mean_requests_per_s, fleet_size_listing(count_servers(demand))
     notes = 2.0 * each * figures.value_at("directory_bytes")
-    purges = demand.purges * PURGE_FRAME_BYTES + HEARTBEAT_BYTES
+    purges = demand.purges * PURGE_FRAME_BYTES + HEARTBEAT_FRAME_BYTES
     members = 2.0 * figures.value_at("members_bytes")
     table = TableBuilder("Gateway, control", figures)
     table.add_measured(
--- a/standins/scale/roles_servers.py
+++ b/standins/scale/roles_servers.py
@@ -2,7 +2,7 @@
 
 from standins.scale.assumptions import (
     EFFECTS,
-    HEARTBEAT_BYTES,
+    HEARTBEAT_FRAME_BYTES,
     LINKS,
     PURGE_FRAME_BYTES,
     count_servers,
@@ -19,7 +19,7 @@
         demand.gateways / demand.control_machines,
         fleet_size_listing(count_servers(demand)),
     )
-    out = demand.purges * PURGE_FRAME_BYTES + HEARTBEAT_BYTES
+    out = demand.purges * PURGE_FRAME_BYTES + HEARTBEAT_FRAME_BYTES
     table = TableBuilder(f"Discovery service and the {demand.control_machines} control machines", figures)
     table.add_given(
         "subscriptions, each machine", each, "connections", "one a gateway", BUS_LINK, exponent=1.0
