--- a/standins/scale/assumptions.py
+++ b/standins/scale/assumptions.py
@@ -5,7 +5,7 @@
 
 TCP_HEADER_BYTES, UDP_HEADER_BYTES = 40, 28
 PURGE_FRAME_BYTES, HEARTBEAT_FRAME_BYTES = 29 + TCP_HEADER_BYTES, 4 + TCP_HEADER_BYTES
-LEASE_BYTES = 15 + UDP_HEADER_BYTES
+LEASE_NOTE_BYTES = 15 + UDP_HEADER_BYTES
 SWEEPS = 20.0  # timer sweeps of a gateway per second
 LINKS = 6  # upper limit on connections of one gateway to one server: back/upstreams.py
 LARGEST = 4.0  # load of the busiest gateway over the mean; the operators: "some see several times the mean"
--- a/standins/scale/roles_gateway.py
+++ b/standins/scale/roles_gateway.py
@@ -8,7 +8,7 @@
     HEARD_S,
     HEARTBEAT_FRAME_BYTES,
     LARGEST,
-    LEASE_BYTES,
+    LEASE_NOTE_BYTES,
     MB_S,
     PURGE_FRAME_BYTES,
     compute_control_cores,
@@ -132,7 +132,7 @@
         "lease_notes",
         "B/s",
         LEASES,
-        value=2.0 * LEASE_BYTES * figures.value_at("lease_notes"),
+        value=2.0 * LEASE_NOTE_BYTES * figures.value_at("lease_notes"),
         budget=demand.max_control_bytes_per_s,
     )
     table.add_measured(
