--- a/standins/scale/assumptions.py
+++ b/standins/scale/assumptions.py
@@ -6,7 +6,7 @@
 TCP_HEADER_BYTES, UDP_HEADER_BYTES = 40, 28
 PURGE_FRAME_BYTES, HEARTBEAT_FRAME_BYTES = 29 + TCP_HEADER_BYTES, 4 + TCP_HEADER_BYTES
 LEASE_NOTE_BYTES = 15 + UDP_HEADER_BYTES
-SWEEPS = 20.0  # timer sweeps of a gateway per second
+SWEEPS_PER_S = 20.0  # timer sweeps of a gateway per second
 LINKS = 6  # upper limit on connections of one gateway to one server: back/upstreams.py
 LARGEST = 4.0  # load of the busiest gateway over the mean; the operators: "some see several times the mean"
 HEARD_S = 0.31  # until a gateway receives a purge, measured by the operators
@@ -32,7 +32,7 @@
     list_fleet_size = fleet_size_listing(count_servers(demand))
     changes = LIST_CHANGES * (demand.failures_per_day + demand.restarts_per_day) / DAY_S
     parts = (
-        SWEEPS * figures.value_at("sweep"),
+        SWEEPS_PER_S * figures.value_at("sweep"),
         demand.purges * figures.value_at("purge_apply"),
         changes * figures.value_at("list_change", list_fleet_size),
         figures.value_at("members_cpu"),
