--- a/standins/scale/roles_servers.py
+++ b/standins/scale/roles_servers.py
@@ -3,7 +3,7 @@
 from standins.scale.assumptions import (
     EFFECTS,
     HEARTBEAT_FRAME_BYTES,
-    LINKS,
+    MAX_LINKS_PER_SERVER,
     PURGE_FRAME_BYTES,
     count_servers,
 )
@@ -59,9 +59,9 @@
     table.add_given("requests", demand.requests / demand.caches, "1/s", "told")
     table.add_given(
         "connections at the most",
-        float(LINKS * zone),
+        float(MAX_LINKS_PER_SERVER * zone),
         "connections",
-        f"{LINKS} x {zone} gateways of its zone",
+        f"{MAX_LINKS_PER_SERVER} x {zone} gateways of its zone",
         POOL,
     )
     table.add_row(cold_server(figures, "cache"))
@@ -81,9 +81,9 @@
     )
     table.add_given(
         "connections at the most",
-        float(LINKS * demand.gateways),
+        float(MAX_LINKS_PER_SERVER * demand.gateways),
         "connections",
-        f"{LINKS} a gateway",
+        f"{MAX_LINKS_PER_SERVER} a gateway",
         POOL,
         exponent=1.0,
     )
@@ -106,9 +106,9 @@
     )
     table.add_given(
         "connections at the most",
-        float(LINKS * demand.gateways),
+        float(MAX_LINKS_PER_SERVER * demand.gateways),
         "connections",
-        f"{LINKS} a gateway",
+        f"{MAX_LINKS_PER_SERVER} a gateway",
         POOL,
         exponent=1.0,
     )
