--- a/standins/scale/assumptions.py
+++ b/standins/scale/assumptions.py
@@ -8,7 +8,9 @@
 LEASE_NOTE_BYTES = 15 + UDP_HEADER_BYTES
 SWEEPS_PER_S = 20.0  # timer sweeps of a gateway per second
 MAX_LINKS_PER_SERVER = 6  # upper limit on connections of one gateway to one server: back/upstreams.py
-LARGEST = 4.0  # load of the busiest gateway over the mean; the operators: "some see several times the mean"
+LARGEST_LOAD_FACTOR = (
+    4.0  # load of the busiest gateway over the mean; the operators: "some see several times the mean"
+)
 HEARD_S = 0.31  # until a gateway receives a purge, measured by the operators
 LIST_CHANGES = 3.0  # list changes for one failure or restart of a server: gone, back, warm
 ANSWERS_S, MB_S = (
@@ -19,7 +21,7 @@
 DAY_S = 86_400.0
 SIGNAL_S = 1.0  # to send one gateway a file and a signal, by a script that handles the gateways in sequence
 ASSUMED_HEARD = "assumed: the operators' 31 to 310 ms"
-ASSUMED_LARGEST = f"assumed: {LARGEST:g} x the mean"
+ASSUMED_LARGEST = f"assumed: {LARGEST_LOAD_FACTOR:g} x the mean"
 
 
 def count_servers(demand: Demand) -> int:
--- a/standins/scale/roles_gateway.py
+++ b/standins/scale/roles_gateway.py
@@ -7,7 +7,7 @@
     ASSUMED_LARGEST,
     HEARD_S,
     HEARTBEAT_FRAME_BYTES,
-    LARGEST,
+    LARGEST_LOAD_FACTOR,
     LEASE_NOTE_BYTES,
     MB_S,
     PURGE_FRAME_BYTES,
@@ -62,7 +62,12 @@
         budget=ANSWERS_S,
     )
     table.add_given(
-        "requests, largest gateway", LARGEST * each, "1/s", ASSUMED_LARGEST, SCHEDULER, budget=ANSWERS_S
+        "requests, largest gateway",
+        LARGEST_LOAD_FACTOR * each,
+        "1/s",
+        ASSUMED_LARGEST,
+        SCHEDULER,
+        budget=ANSWERS_S,
     )
     table.add_given(
         "bytes, mean gateway at the peak",
@@ -72,7 +77,9 @@
         STREAM,
         budget=MB_S,
     )
-    table.add_given("bytes, largest gateway", LARGEST * mb, "MB/s", ASSUMED_LARGEST, STREAM, budget=MB_S)
+    table.add_given(
+        "bytes, largest gateway", LARGEST_LOAD_FACTOR * mb, "MB/s", ASSUMED_LARGEST, STREAM, budget=MB_S
+    )
     table.add_measured(
         "processor time of decisions alone, mean gateway", "decide", "cores", ROUTER, value=core, budget=1.0
     )
@@ -105,7 +112,7 @@
     )
     table.add_given(
         "directory notes, in and out, largest gateway",
-        LARGEST * notes,
+        LARGEST_LOAD_FACTOR * notes,
         "B/s",
         ASSUMED_LARGEST,
         SERVED,
