--- a/standins/scale/assumptions.py
+++ b/standins/scale/assumptions.py
@@ -11,7 +11,7 @@
 LARGEST_LOAD_FACTOR = (
     4.0  # load of the busiest gateway over the mean; the operators: "some see several times the mean"
 )
-HEARD_S = 0.31  # until a gateway receives a purge, measured by the operators
+PURGE_DELIVERY_S = 0.31  # until a gateway receives a purge, measured by the operators
 LIST_CHANGES = 3.0  # list changes for one failure or restart of a server: gone, back, warm
 ANSWERS_S, MB_S = (
     6_880.0,
--- a/standins/scale/events.py
+++ b/standins/scale/events.py
@@ -3,7 +3,7 @@
 from hitchtiller.decide import ORIGIN_FILLS
 from standins.scale.assumptions import (
     DAY_S,
-    HEARD_S,
+    PURGE_DELIVERY_S,
     LIST_CHANGES,
     PURGE_FRAME_BYTES,
     SIGNAL_S,
@@ -148,7 +148,7 @@
     table.add_given("objects concerned", demand.objects * GROUP_SHARE, "objects", "assumed: 256 equal groups")
     table.add_given(
         "in force at a gateway that hears discovery",
-        HEARD_S,
+        PURGE_DELIVERY_S,
         "s",
         "assumed: the operators' 31 to 310 ms",
         PURGE_LOG,
--- a/standins/scale/roles_gateway.py
+++ b/standins/scale/roles_gateway.py
@@ -5,7 +5,7 @@
     ANSWERS_S,
     ASSUMED_HEARD,
     ASSUMED_LARGEST,
-    HEARD_S,
+    PURGE_DELIVERY_S,
     HEARTBEAT_FRAME_BYTES,
     LARGEST_LOAD_FACTOR,
     LEASE_NOTE_BYTES,
@@ -175,7 +175,7 @@
     )
     table.add_given(
         "purge heard and in force",
-        HEARD_S + figures.value_at("purge_apply") / 1e6,
+        PURGE_DELIVERY_S + figures.value_at("purge_apply") / 1e6,
         "s",
         ASSUMED_HEARD,
         PURGE_LOG,
