--- a/standins/scale/assumptions.py
+++ b/standins/scale/assumptions.py
@@ -12,7 +12,7 @@
     4.0  # load of the busiest gateway over the mean; the operators: "some see several times the mean"
 )
 PURGE_DELIVERY_S = 0.31  # until a gateway receives a purge, measured by the operators
-LIST_CHANGES = 3.0  # list changes for one failure or restart of a server: gone, back, warm
+LIST_CHANGES_PER_EVENT = 3.0  # list changes for one failure or restart of a server: gone, back, warm
 ANSWERS_S, MB_S = (
     6_880.0,
     272.5,
@@ -32,7 +32,7 @@
 def compute_control_cores(figures: Figures, demand: Demand) -> float:
     """Return the processor time, in cores, of one gateway's control work."""
     list_fleet_size = fleet_size_listing(count_servers(demand))
-    changes = LIST_CHANGES * (demand.failures_per_day + demand.restarts_per_day) / DAY_S
+    changes = LIST_CHANGES_PER_EVENT * (demand.failures_per_day + demand.restarts_per_day) / DAY_S
     parts = (
         SWEEPS_PER_S * figures.value_at("sweep"),
         demand.purges * figures.value_at("purge_apply"),
--- a/standins/scale/events.py
+++ b/standins/scale/events.py
@@ -4,7 +4,7 @@
 from standins.scale.assumptions import (
     DAY_S,
     PURGE_DELIVERY_S,
-    LIST_CHANGES,
+    LIST_CHANGES_PER_EVENT,
     PURGE_FRAME_BYTES,
     SIGNAL_S,
     compute_control_cores,
@@ -49,7 +49,7 @@
     )
     table.add_given(
         "list changes a gateway",
-        LIST_CHANGES * (demand.failures_per_day + demand.restarts_per_day),
+        LIST_CHANGES_PER_EVENT * (demand.failures_per_day + demand.restarts_per_day),
         "1/day",
         "told, 3 lines each",
         ON_MEMBERS,
