--- a/standins/scale/roles_gateway.py
+++ b/standins/scale/roles_gateway.py
@@ -2,7 +2,7 @@
 
 from hitchtiller.routing.directory import MAX_ENTRIES
 from standins.scale.assumptions import (
-    ANSWERS_S,
+    MAX_ANSWERS_PER_S,
     ASSUMED_HEARD,
     ASSUMED_LARGEST,
     PURGE_DELIVERY_S,
@@ -39,7 +39,7 @@
     each = demand.mean_requests_per_s
     mb = 1e-6 * 5.7e12 / 8.0 * (demand.requests / Demand().requests) / demand.gateways
     core = each * figures.value_at("decide") / 1e6
-    used = each / ANSWERS_S
+    used = each / MAX_ANSWERS_PER_S
     table = TableBuilder("Gateway, data path", figures)
     table.add_measured(
         "state of the decisions, mean gateway",
@@ -59,7 +59,7 @@
         "1/s",
         "told; budget: standins.speed, small answers",
         SCHEDULER,
-        budget=ANSWERS_S,
+        budget=MAX_ANSWERS_PER_S,
     )
     table.add_given(
         "requests, largest gateway",
@@ -67,7 +67,7 @@
         "1/s",
         ASSUMED_LARGEST,
         SCHEDULER,
-        budget=ANSWERS_S,
+        budget=MAX_ANSWERS_PER_S,
     )
     table.add_given(
         "bytes, mean gateway at the peak",
