--- a/standins/scale/assumptions.py
+++ b/standins/scale/assumptions.py
@@ -13,7 +13,7 @@
 )
 PURGE_DELIVERY_S = 0.31  # until a gateway receives a purge, measured by the operators
 LIST_CHANGES_PER_EVENT = 3.0  # list changes for one failure or restart of a server: gone, back, warm
-MAX_ANSWERS_PER_S, MB_S = (
+MAX_ANSWERS_PER_S, MAX_MB_PER_S = (
     6_880.0,
     272.5,
 )  # of one process on the reference machine: standins.speed (off), standins.haul (large)
--- a/standins/scale/roles_gateway.py
+++ b/standins/scale/roles_gateway.py
@@ -9,7 +9,7 @@
     HEARTBEAT_FRAME_BYTES,
     LARGEST_LOAD_FACTOR,
     LEASE_NOTE_BYTES,
-    MB_S,
+    MAX_MB_PER_S,
     PURGE_FRAME_BYTES,
     compute_control_cores,
     count_servers,
@@ -75,10 +75,15 @@
         "MB/s",
         "told; budget: standins.haul, one large file",
         STREAM,
-        budget=MB_S,
+        budget=MAX_MB_PER_S,
     )
     table.add_given(
-        "bytes, largest gateway", LARGEST_LOAD_FACTOR * mb, "MB/s", ASSUMED_LARGEST, STREAM, budget=MB_S
+        "bytes, largest gateway",
+        LARGEST_LOAD_FACTOR * mb,
+        "MB/s",
+        ASSUMED_LARGEST,
+        STREAM,
+        budget=MAX_MB_PER_S,
     )
     table.add_measured(
         "processor time of decisions alone, mean gateway", "decide", "cores", ROUTER, value=core, budget=1.0
