--- a/standins/scale/assumptions.py
+++ b/standins/scale/assumptions.py
@@ -17,7 +17,7 @@
     6_880.0,
     272.5,
 )  # of one process on the reference machine: standins.speed (off), standins.haul (large)
-EFFECTS = 0.036  # of all requests, run at the origin: the operators' class of charges
+EFFECTS_SHARE = 0.036  # of all requests, run at the origin: the operators' class of charges
 DAY_S = 86_400.0
 SIGNAL_S = 1.0  # to send one gateway a file and a signal, by a script that handles the gateways in sequence
 ASSUMED_HEARD = "assumed: the operators' 31 to 310 ms"
--- a/standins/scale/roles_servers.py
+++ b/standins/scale/roles_servers.py
@@ -1,7 +1,7 @@
 """Tables of the load that all gateways put on discovery, caches, parents, the origin and the operators."""
 
 from standins.scale.assumptions import (
-    EFFECTS,
+    EFFECTS_SHARE,
     HEARTBEAT_FRAME_BYTES,
     MAX_LINKS_PER_SERVER,
     PURGE_FRAME_BYTES,
@@ -98,7 +98,7 @@
     table.add_measured("of them in use, all misses at the origin", "origin_mean", "fills", LEASES)
     table.add_given(
         "effects that run there",
-        EFFECTS * demand.requests,
+        EFFECTS_SHARE * demand.requests,
         "1/s",
         "assumed: 3.6% of requests, as today",
         EFFECTS_GUARD,
