--- a/standins/scale/assumptions.py
+++ b/standins/scale/assumptions.py
@@ -19,7 +19,9 @@
 )  # of one process on the reference machine: standins.speed (off), standins.haul (large)
 EFFECTS_SHARE = 0.036  # of all requests, run at the origin: the operators' class of charges
 DAY_S = 86_400.0
-SIGNAL_S = 1.0  # to send one gateway a file and a signal, by a script that handles the gateways in sequence
+RELOAD_SIGNAL_S = (
+    1.0  # to send one gateway a file and a signal, by a script that handles the gateways in sequence
+)
 ASSUMED_HEARD = "assumed: the operators' 31 to 310 ms"
 ASSUMED_LARGEST = f"assumed: {LARGEST_LOAD_FACTOR:g} x the mean"
 
--- a/standins/scale/events.py
+++ b/standins/scale/events.py
@@ -6,7 +6,7 @@
     PURGE_DELIVERY_S,
     LIST_CHANGES_PER_EVENT,
     PURGE_FRAME_BYTES,
-    SIGNAL_S,
+    RELOAD_SIGNAL_S,
     compute_control_cores,
     count_servers,
 )
@@ -167,14 +167,14 @@
     table = TableBuilder("A configuration pushed to all; one pushed by mistake and taken back", figures)
     table.add_given(
         "changes that overlap",
-        SIGNAL_S * demand.gateways / wait,
+        RELOAD_SIGNAL_S * demand.gateways / wait,
         "changes",
         "signals to all, one change each 24 s",
     )
     table.add_row(change_in_force(demand))
     table.add_given(
         "until a mistake is taken back everywhere",
-        2.0 * SIGNAL_S * demand.gateways,
+        2.0 * RELOAD_SIGNAL_S * demand.gateways,
         "s",
         "assumed: the same way twice",
         budget=demand.max_config_change_s,
--- a/standins/scale/shared_rows.py
+++ b/standins/scale/shared_rows.py
@@ -1,7 +1,7 @@
 """Rows that appear both in the table of a role and in that of an event."""
 
 from hitchtiller.decide import ORIGIN_FILLS
-from standins.scale.assumptions import SIGNAL_S
+from standins.scale.assumptions import RELOAD_SIGNAL_S
 from standins.scale.estimate import Figures, Row
 from standins.scale.mechanisms import COLD_GUARD, LEASES
 from standins.scale.plan import Demand
@@ -23,6 +23,6 @@
 
 def change_in_force(demand: Demand) -> Row:
     """Return the row of the time until a changed configuration is in force at all gateways."""
-    name, took = "until a change is in force everywhere", SIGNAL_S * demand.gateways
-    basis = f"assumed: {SIGNAL_S:g} s a gateway, one after another"
+    name, took = "until a change is in force everywhere", RELOAD_SIGNAL_S * demand.gateways
+    basis = f"assumed: {RELOAD_SIGNAL_S:g} s a gateway, one after another"
     return Row(name, took, "s", demand.max_config_change_s, basis, exponent=1.0, kind="time")
