--- a/standins/scale/assumptions.py
+++ b/standins/scale/assumptions.py
@@ -22,7 +22,7 @@
 RELOAD_SIGNAL_S = (
     1.0  # to send one gateway a file and a signal, by a script that handles the gateways in sequence
 )
-ASSUMED_HEARD = "assumed: the operators' 31 to 310 ms"
+PURGE_DELIVERY_BASIS = "assumed: the operators' 31 to 310 ms"
 ASSUMED_LARGEST = f"assumed: {LARGEST_LOAD_FACTOR:g} x the mean"
 
 
--- a/standins/scale/roles_gateway.py
+++ b/standins/scale/roles_gateway.py
@@ -3,7 +3,7 @@
 from hitchtiller.routing.directory import MAX_ENTRIES
 from standins.scale.assumptions import (
     MAX_ANSWERS_PER_S,
-    ASSUMED_HEARD,
+    PURGE_DELIVERY_BASIS,
     ASSUMED_LARGEST,
     PURGE_DELIVERY_S,
     HEARTBEAT_FRAME_BYTES,
@@ -182,7 +182,7 @@
         "purge heard and in force",
         PURGE_DELIVERY_S + figures.value_at("purge_apply") / 1e6,
         "s",
-        ASSUMED_HEARD,
+        PURGE_DELIVERY_BASIS,
         PURGE_LOG,
         budget=demand.max_purge_s,
         kind="time",
