--- a/standins/scale/assumptions.py
+++ b/standins/scale/assumptions.py
@@ -23,7 +23,7 @@
     1.0  # to send one gateway a file and a signal, by a script that handles the gateways in sequence
 )
 PURGE_DELIVERY_BASIS = "assumed: the operators' 31 to 310 ms"
-ASSUMED_LARGEST = f"assumed: {LARGEST_LOAD_FACTOR:g} x the mean"
+LARGEST_LOAD_BASIS = f"assumed: {LARGEST_LOAD_FACTOR:g} x the mean"
 
 
 def count_servers(demand: Demand) -> int:
--- a/standins/scale/roles_gateway.py
+++ b/standins/scale/roles_gateway.py
@@ -4,7 +4,7 @@
 from standins.scale.assumptions import (
     MAX_ANSWERS_PER_S,
     PURGE_DELIVERY_BASIS,
-    ASSUMED_LARGEST,
+    LARGEST_LOAD_BASIS,
     PURGE_DELIVERY_S,
     HEARTBEAT_FRAME_BYTES,
     LARGEST_LOAD_FACTOR,
@@ -65,7 +65,7 @@
         "requests, largest gateway",
         LARGEST_LOAD_FACTOR * each,
         "1/s",
-        ASSUMED_LARGEST,
+        LARGEST_LOAD_BASIS,
         SCHEDULER,
         budget=MAX_ANSWERS_PER_S,
     )
@@ -81,7 +81,7 @@
         "bytes, largest gateway",
         LARGEST_LOAD_FACTOR * mb,
         "MB/s",
-        ASSUMED_LARGEST,
+        LARGEST_LOAD_BASIS,
         STREAM,
         budget=MAX_MB_PER_S,
     )
@@ -119,7 +119,7 @@
         "directory notes, in and out, largest gateway",
         LARGEST_LOAD_FACTOR * notes,
         "B/s",
-        ASSUMED_LARGEST,
+        LARGEST_LOAD_BASIS,
         SERVED,
         budget=demand.max_control_bytes_per_s,
     )
