--- a/standins/scale/assumptions.py
+++ b/standins/scale/assumptions.py
@@ -34,11 +34,11 @@
 def compute_control_cores(figures: Figures, demand: Demand) -> float:
     """Return the processor time, in cores, of one gateway's control work."""
     list_fleet_size = fleet_size_listing(count_servers(demand))
-    changes = LIST_CHANGES_PER_EVENT * (demand.failures_per_day + demand.restarts_per_day) / DAY_S
+    list_changes_per_s = LIST_CHANGES_PER_EVENT * (demand.failures_per_day + demand.restarts_per_day) / DAY_S
     parts = (
         SWEEPS_PER_S * figures.value_at("sweep"),
         demand.purges * figures.value_at("purge_apply"),
-        changes * figures.value_at("list_change", list_fleet_size),
+        list_changes_per_s * figures.value_at("list_change", list_fleet_size),
         figures.value_at("members_cpu"),
     )
     return sum(parts) / 1e6
