--- a/standins/scale/estimate.py
+++ b/standins/scale/estimate.py
@@ -59,11 +59,11 @@
         power_law = self.run.find_series(measure).fit()
         return power_law.exponent if power_law else 0.0
 
-    def basis(self, measure: str) -> str:
+    def describe_basis(self, measure: str) -> str:
         """Describe the source of a measure: a measured size, or the fit with its residual."""
-        return basis(self.run.find_series(measure), self.gateways)
+        return describe_basis(self.run.find_series(measure), self.gateways)
 
-    def row(
+    def make_row(
         self,
         name: str,
         measure: str,
@@ -80,13 +80,21 @@
     ) -> Row:
         """Return the row of a measure.
 
-        `value` replaces the measured value where the figure is calculated from it; `follows_fit` takes the exponent
-        from the fit instead of `exponent`.
+        `value` replaces the measured value where the figure is calculated from it; with `follows_fit` the
+        exponent is that of the fit instead of `exponent`.
         """
         figure = self.value_at(measure) if value is None else value
         power = self.exponent(measure) if follows_fit else exponent
         return Row(
-            name, figure, unit, budget, self.basis(measure) + basis_suffix, mechanism, power, is_rule, kind
+            name,
+            figure,
+            unit,
+            budget,
+            self.describe_basis(measure) + basis_suffix,
+            mechanism,
+            power,
+            is_rule,
+            kind,
         )
 
 
@@ -125,7 +133,7 @@
         return Table(self.title, tuple(self.rows))
 
 
-def basis(series: Series, gateways: float) -> str:
+def describe_basis(series: Series, gateways: float) -> str:
     """Describe whether a value at a size is measured, fitted or extrapolated, and by which fit."""
     power_law = series.fit()
     if power_law is None:
@@ -135,7 +143,7 @@
         return f"measured; {slope}"
     if gateways <= max(series.sizes):
         return f"fitted; {slope}"
-    return f"extrapolated {power_law.extrapolated(gateways):.1f}x; {slope}"
+    return f"extrapolated {power_law.extrapolation_factor(gateways):.1f}x; {slope}"
 
 
 def format_number(value: float) -> str:
--- a/standins/scale/events.py
+++ b/standins/scale/events.py
@@ -3,8 +3,8 @@
 from hitchtiller.decide import ORIGIN_FILLS
 from standins.scale.assumptions import (
     DAY_S,
-    PURGE_DELIVERY_S,
     LIST_CHANGES_PER_EVENT,
+    PURGE_DELIVERY_S,
     PURGE_FRAME_BYTES,
     RELOAD_SIGNAL_S,
     compute_control_cores,
--- a/standins/scale/report.py
+++ b/standins/scale/report.py
@@ -1,6 +1,6 @@
 """The tables of docs/CAPACITY.md from the figures of one run: what breaks first, roles, events and fits."""
 
-from standins.scale.estimate import Figures, Row, Table, basis, format_number, format_table
+from standins.scale.estimate import Figures, Row, Table, describe_basis, format_number, format_table
 from standins.scale.events import events
 from standins.scale.plan import Demand
 from standins.scale.results import Run
@@ -37,9 +37,9 @@
         "| --- | --- | ---: | ---: | --- |",
     ]
     for row in rows:
-        kind, at = "rule or bound" if row.is_rule else row.kind, row.crossing(gateways)
-        crossing = f"{number(at)} gateways" if at else "any size"
-        crossing = crossing if at or (row.ratio or 0.0) > 1.0 else "not by size"
+        kind, crossing_size = "rule or bound" if row.is_rule else row.kind, row.crossing(gateways)
+        crossing = f"{format_number(crossing_size)} gateways" if crossing_size else "any size"
+        crossing = crossing if crossing_size or (row.ratio or 0.0) > 1.0 else "not by size"
         carried = "**none**" if row.mechanism == "none" else f"`{row.mechanism}`"
         lines.append(f"| {row.name} | {kind} | {row.ratio:.2g} | {crossing} | {carried} |")
     return "\n".join([*lines, ""])
@@ -81,4 +81,4 @@
     return "\n".join(parts)
 
 
-__all__ = ["basis", "find_breaking_rows", "format_page"]
+__all__ = ["describe_basis", "find_breaking_rows", "format_page"]
--- a/standins/scale/roles_gateway.py
+++ b/standins/scale/roles_gateway.py
@@ -2,14 +2,14 @@
 
 from hitchtiller.routing.directory import MAX_ENTRIES
 from standins.scale.assumptions import (
-    MAX_ANSWERS_PER_S,
-    PURGE_DELIVERY_BASIS,
-    LARGEST_LOAD_BASIS,
-    PURGE_DELIVERY_S,
     HEARTBEAT_FRAME_BYTES,
+    LARGEST_LOAD_BASIS,
     LARGEST_LOAD_FACTOR,
     LEASE_NOTE_BYTES,
+    MAX_ANSWERS_PER_S,
     MAX_MB_PER_S,
+    PURGE_DELIVERY_BASIS,
+    PURGE_DELIVERY_S,
     PURGE_FRAME_BYTES,
     compute_control_cores,
     count_servers,
