--- a/standins/scale/__main__.py
+++ b/standins/scale/__main__.py
@@ -30,7 +30,7 @@
     "bounds": bounds.measure,
     "processes": processes.measure,
 }
-MOST_GATEWAYS = 10_000  # limits the memory and time of the one measuring process
+MAX_GATEWAYS = 10_000  # limits the memory and time of the one measuring process
 DEFAULT_SIZES = "100,300,1000,2300"
 
 
@@ -50,8 +50,8 @@
     if not all(word.strip().isdecimal() for word in words):
         raise Usage(f"sizes {text!r}: must be whole numbers separated by commas, such as {DEFAULT_SIZES}")
     sizes = sorted({int(word) for word in words})
-    if sizes[0] < 1 or sizes[-1] > MOST_GATEWAYS:
-        raise Usage(f"sizes {text!r}: must be from 1 to {MOST_GATEWAYS} gateways")
+    if sizes[0] < 1 or sizes[-1] > MAX_GATEWAYS:
+        raise Usage(f"sizes {text!r}: must be from 1 to {MAX_GATEWAYS} gateways")
     return sizes
 
 
