--- a/standins/scale/__main__.py
+++ b/standins/scale/__main__.py
@@ -34,7 +34,7 @@
 DEFAULT_SIZES = "100,300,1000,2300"
 
 
-class Usage(click.ClickException):
+class UsageError(click.ClickException):
     """An invalid option or argument; prints one line and exits with status 2."""
 
     exit_code = 2
@@ -48,10 +48,12 @@
     """Parse comma-separated fleet sizes; return them sorted, each once."""
     words = text.split(",")
     if not all(word.strip().isdecimal() for word in words):
-        raise Usage(f"sizes {text!r}: must be whole numbers separated by commas, such as {DEFAULT_SIZES}")
+        raise UsageError(
+            f"sizes {text!r}: must be whole numbers separated by commas, such as {DEFAULT_SIZES}"
+        )
     sizes = sorted({int(word) for word in words})
     if sizes[0] < 1 or sizes[-1] > MAX_GATEWAYS:
-        raise Usage(f"sizes {text!r}: must be from 1 to {MAX_GATEWAYS} gateways")
+        raise UsageError(f"sizes {text!r}: must be from 1 to {MAX_GATEWAYS} gateways")
     return sizes
 
 
@@ -60,7 +62,7 @@
     names = [word.strip() for word in text.split(",")]
     for name in names:
         if name not in GROUPS:
-            raise Usage(f"unknown group of measures {name!r}; must be one of {', '.join(GROUPS)}")
+            raise UsageError(f"unknown group of measures {name!r}; must be one of {', '.join(GROUPS)}")
     return names
 
 
@@ -108,7 +110,7 @@
     try:
         save_run(run, file)
     except OSError as error:
-        raise Usage(f"{file}: {error.strerror}") from None
+        raise UsageError(f"{file}: {error.strerror}") from None
     print(f"{len(run.series)} measures at {wanted} in {run.seconds:.0f} s, peak memory {run.peak_mb:.0f} MB")
 
 
@@ -131,12 +133,12 @@
     given = {"purges": purges, "caches": caches, "requests": requests, "objects": objects}
     changes = {name: value for name, value in given.items() if value is not None}
     if gateways < 1 or any(value <= 0 for value in changes.values()):
-        raise Usage("gateways, purges, caches, requests and objects must be above 0")
+        raise UsageError("gateways, purges, caches, requests and objects must be above 0")
     base = Demand() if gateways == REFERENCE_GATEWAYS else demand_at(gateways)
     try:
         print(format_page(load_run(file), replace(base, **changes)), end="")  # type: ignore[arg-type]
     except ResultsError as error:
-        raise Usage(f"{file}: {error}") from None
+        raise UsageError(f"{file}: {error}") from None
 
 
 if __name__ == "__main__":
