--- a/standins/scale/__main__.py
+++ b/standins/scale/__main__.py
@@ -23,7 +23,7 @@
 from standins.scale.report import format_page
 from standins.scale.results import RESULTS_VERSION, ResultsError, Run, Series, load_run, save_run
 
-GROUPS: dict[str, Callable[[int, int], dict[str, float]]] = {
+MEASURE_GROUPS: dict[str, Callable[[int, int], dict[str, float]]] = {
     "decisions": decisions.measure,
     "directory": directory.measure,
     "membership": membership.measure,
@@ -61,8 +61,10 @@
     """Parse comma-separated names of measure groups."""
     names = [word.strip() for word in text.split(",")]
     for name in names:
-        if name not in GROUPS:
-            raise UsageError(f"unknown group of measures {name!r}; must be one of {', '.join(GROUPS)}")
+        if name not in MEASURE_GROUPS:
+            raise UsageError(
+                f"unknown group of measures {name!r}; must be one of {', '.join(MEASURE_GROUPS)}"
+            )
     return names
 
 
@@ -73,7 +75,7 @@
     for name in groups:
         for size in sizes:
             progress.update(task, description=f"{name} at {size}")
-            for measure, value in GROUPS[name](size, seed).items():
+            for measure, value in MEASURE_GROUPS[name](size, seed).items():
                 series = found.setdefault(measure, Series(measure, [], []))
                 series.sizes.append(size)
                 series.values.append(value)
@@ -99,7 +101,10 @@
 )
 @click.option("--seed", default=1, show_default=True)
 @click.option(
-    "--only", default=",".join(GROUPS), show_default=True, help="groups of measures, separated by commas"
+    "--only",
+    default=",".join(MEASURE_GROUPS),
+    show_default=True,
+    help="groups of measures, separated by commas",
 )
 @click.option("--json", "file", required=True, type=click.Path(dir_okay=False, path_type=Path))
 def measure(sizes: str, seed: int, only: str, file: Path) -> None:
