--- a/standins/scale/__main__.py
+++ b/standins/scale/__main__.py
@@ -44,7 +44,7 @@
         print(f"scale: {self.message}", file=sys.stderr)
 
 
-def read_sizes(text: str) -> list[int]:
+def parse_sizes(text: str) -> list[int]:
     """Parse comma-separated fleet sizes; return them sorted, each once."""
     words = text.split(",")
     if not all(word.strip().isdecimal() for word in words):
@@ -109,7 +109,7 @@
 @click.option("--json", "file", required=True, type=click.Path(dir_okay=False, path_type=Path))
 def measure(sizes: str, seed: int, only: str, file: Path) -> None:
     """Measure at the given sizes and write the figures to a file."""
-    wanted, groups = read_sizes(sizes), read_groups(only)
+    wanted, groups = parse_sizes(sizes), read_groups(only)
     with Progress(console=Console(stderr=True), transient=True) as progress:
         run = take(wanted, groups, seed, progress)
     try:
