--- a/standins/scale/__main__.py
+++ b/standins/scale/__main__.py
@@ -57,7 +57,7 @@
     return sizes
 
 
-def read_groups(text: str) -> list[str]:
+def parse_groups(text: str) -> list[str]:
     """Parse comma-separated names of measure groups."""
     names = [word.strip() for word in text.split(",")]
     for name in names:
@@ -109,7 +109,7 @@
 @click.option("--json", "file", required=True, type=click.Path(dir_okay=False, path_type=Path))
 def measure(sizes: str, seed: int, only: str, file: Path) -> None:
     """Measure at the given sizes and write the figures to a file."""
-    wanted, groups = parse_sizes(sizes), read_groups(only)
+    wanted, groups = parse_sizes(sizes), parse_groups(only)
     with Progress(console=Console(stderr=True), transient=True) as progress:
         run = take(wanted, groups, seed, progress)
     try:
