--- a/standins/scale/__main__.py
+++ b/standins/scale/__main__.py
@@ -68,7 +68,7 @@
     return names
 
 
-def take(sizes: list[int], groups: list[str], seed: int, progress: Progress) -> Run:
+def run_measures(sizes: list[int], groups: list[str], seed: int, progress: Progress) -> Run:
     """Run the measures of each group at each size and return their figures."""
     begun, found = time.monotonic(), dict[str, Series]()
     task = progress.add_task("measuring", total=len(sizes) * len(groups))
@@ -111,7 +111,7 @@
     """Measure at the given sizes and write the figures to a file."""
     wanted, groups = parse_sizes(sizes), parse_groups(only)
     with Progress(console=Console(stderr=True), transient=True) as progress:
-        run = take(wanted, groups, seed, progress)
+        run = run_measures(wanted, groups, seed, progress)
     try:
         save_run(run, file)
     except OSError as error:
