--- a/standins/scale/__main__.py
+++ b/standins/scale/__main__.py
@@ -70,7 +70,7 @@
 
 def run_measures(sizes: list[int], groups: list[str], seed: int, progress: Progress) -> Run:
     """Run the measures of each group at each size and return their figures."""
-    begun, found = time.monotonic(), dict[str, Series]()
+    started_s, found = time.monotonic(), dict[str, Series]()
     task = progress.add_task("measuring", total=len(sizes) * len(groups))
     for name in groups:
         for size in sizes:
@@ -86,7 +86,7 @@
             found[measure] = Series(measure, [processes.COMMON], [value])
     peak_mb = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024.0
     return Run(
-        RESULTS_VERSION, seed, round(time.monotonic() - begun, 1), round(peak_mb), list(found.values())
+        RESULTS_VERSION, seed, round(time.monotonic() - started_s, 1), round(peak_mb), list(found.values())
     )
 
 
