--- a/standins/scale/__main__.py
+++ b/standins/scale/__main__.py
@@ -70,23 +70,27 @@
 
 def run_measures(sizes: list[int], groups: list[str], seed: int, progress: Progress) -> Run:
     """Run the measures of each group at each size and return their figures."""
-    started_s, found = time.monotonic(), dict[str, Series]()
+    started_s, series_by_measure = time.monotonic(), dict[str, Series]()
     task = progress.add_task("measuring", total=len(sizes) * len(groups))
     for name in groups:
         for size in sizes:
             progress.update(task, description=f"{name} at {size}")
             for measure, value in MEASURE_GROUPS[name](size, seed).items():
-                series = found.setdefault(measure, Series(measure, [], []))
+                series = series_by_measure.setdefault(measure, Series(measure, [], []))
                 series.sizes.append(size)
                 series.values.append(value)
             progress.advance(task)
     if "processes" in groups:
         progress.update(task, description=f"{processes.COMMON} processes")
         for measure, value in processes.common(seed).items():
-            found[measure] = Series(measure, [processes.COMMON], [value])
+            series_by_measure[measure] = Series(measure, [processes.COMMON], [value])
     peak_mb = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024.0
     return Run(
-        RESULTS_VERSION, seed, round(time.monotonic() - started_s, 1), round(peak_mb), list(found.values())
+        RESULTS_VERSION,
+        seed,
+        round(time.monotonic() - started_s, 1),
+        round(peak_mb),
+        list(series_by_measure.values()),
     )
 
 
