--- a/standins/scale/__main__.py
+++ b/standins/scale/__main__.py
@@ -139,8 +139,8 @@
     objects: float | None,
 ) -> None:
     """Print the tables for a fleet size from the figures of a run."""
-    given = {"purges": purges, "caches": caches, "requests": requests, "objects": objects}
-    changes = {name: value for name, value in given.items() if value is not None}
+    options = {"purges": purges, "caches": caches, "requests": requests, "objects": objects}
+    changes = {name: value for name, value in options.items() if value is not None}
     if gateways < 1 or any(value <= 0 for value in changes.values()):
         raise UsageError("gateways, purges, caches, requests and objects must be above 0")
     base = Demand() if gateways == REFERENCE_GATEWAYS else demand_at(gateways)
