--- a/standins/scale/__main__.py
+++ b/standins/scale/__main__.py
@@ -140,12 +140,12 @@
 ) -> None:
     """Print the tables for a fleet size from the figures of a run."""
     options = {"purges": purges, "caches": caches, "requests": requests, "objects": objects}
-    changes = {name: value for name, value in options.items() if value is not None}
-    if gateways < 1 or any(value <= 0 for value in changes.values()):
+    overrides = {name: value for name, value in options.items() if value is not None}
+    if gateways < 1 or any(value <= 0 for value in overrides.values()):
         raise UsageError("gateways, purges, caches, requests and objects must be above 0")
     base = Demand() if gateways == REFERENCE_GATEWAYS else demand_at(gateways)
     try:
-        print(format_page(load_run(file), replace(base, **changes)), end="")  # type: ignore[arg-type]
+        print(format_page(load_run(file), replace(base, **overrides)), end="")  # type: ignore[arg-type]
     except ResultsError as error:
         raise UsageError(f"{file}: {error}") from None
 
