--- a/standins/scale/__main__.py
+++ b/standins/scale/__main__.py
@@ -113,14 +113,16 @@
 @click.option("--json", "file", required=True, type=click.Path(dir_okay=False, path_type=Path))
 def measure(sizes: str, seed: int, only: str, file: Path) -> None:
     """Measure at the given sizes and write the figures to a file."""
-    wanted, groups = parse_sizes(sizes), parse_groups(only)
+    fleet_sizes, groups = parse_sizes(sizes), parse_groups(only)
     with Progress(console=Console(stderr=True), transient=True) as progress:
-        run = run_measures(wanted, groups, seed, progress)
+        run = run_measures(fleet_sizes, groups, seed, progress)
     try:
         save_run(run, file)
     except OSError as error:
         raise UsageError(f"{file}: {error.strerror}") from None
-    print(f"{len(run.series)} measures at {wanted} in {run.seconds:.0f} s, peak memory {run.peak_mb:.0f} MB")
+    print(
+        f"{len(run.series)} measures at {fleet_sizes} in {run.seconds:.0f} s, peak memory {run.peak_mb:.0f} MB"
+    )
 
 
 @main.command()
