--- a/standins/scale/events.py
+++ b/standins/scale/events.py
@@ -27,7 +27,7 @@
 from standins.scale.shared_rows import change_in_force, cold_server, origin_fills
 
 RESTART_READY_S = 10.0  # nine in ten restarted processes are ready within this time
-RACK_SITES = 1.0  # the largest unit behind one switch that the operators name is one site
+SITES_PER_RACK = 1.0  # the largest unit behind one switch that the operators name is one site
 GROUP_SHARE = 1.0 / 256.0  # share of all objects; purge groups are numbered 0 to 255
 APART_S = 3_600.0  # duration of the partition between regions
 TIMES_TOLD, WORD_BYTES = (
@@ -80,7 +80,7 @@
 
 def rack(figures: Figures, demand: Demand) -> Table:
     """Build the table of the loss of a rack or switch."""
-    lost = RACK_SITES * demand.gateways / demand.sites
+    lost = SITES_PER_RACK * demand.gateways / demand.sites
     table = TableBuilder("A rack or switch", figures)
     table.add_given(
         "gateways lost",
