--- a/standins/scale/events.py
+++ b/standins/scale/events.py
@@ -29,7 +29,7 @@
 RESTART_READY_S = 10.0  # nine in ten restarted processes are ready within this time
 SITES_PER_RACK = 1.0  # the largest unit behind one switch that the operators name is one site
 GROUP_SHARE = 1.0 / 256.0  # share of all objects; purge groups are numbered 0 to 255
-APART_S = 3_600.0  # duration of the partition between regions
+PARTITION_S = 3_600.0  # duration of the partition between regions
 TIMES_TOLD, WORD_BYTES = (
     34.0,
     11.0,
@@ -120,14 +120,14 @@
     table = TableBuilder("Regions apart for an hour and healed", figures)
     table.add_given(
         "purges that a region cut from discovery does not hear",
-        demand.purges * APART_S,
+        demand.purges * PARTITION_S,
         "purges",
         "rate x one hour; own copies are suspect meanwhile",
         PROOF,
     )
     table.add_given(
         "until a purge is in force there",
-        APART_S,
+        PARTITION_S,
         "s",
         "the whole cut; nothing tells it",
         budget=demand.max_purge_s,
@@ -135,7 +135,7 @@
     )
     table.add_given(
         "bytes that each gateway is told on return",
-        demand.purges * APART_S * PURGE_FRAME_BYTES / 1e6,
+        demand.purges * PARTITION_S * PURGE_FRAME_BYTES / 1e6,
         "MB",
         "events from the last number on",
         BUS_LINK,
