--- a/standins/scale/events.py
+++ b/standins/scale/events.py
@@ -30,7 +30,7 @@
 SITES_PER_RACK = 1.0  # the largest unit behind one switch that the operators name is one site
 GROUP_SHARE = 1.0 / 256.0  # share of all objects; purge groups are numbered 0 to 255
 PARTITION_S = 3_600.0  # duration of the partition between regions
-CLAIM_REPEATS, WORD_BYTES = (
+CLAIM_REPEATS, CLAIM_BYTES = (
     34.0,
     11.0,
 )  # of one claim: membership/gossip.py at 2,300 gateways; membership/words.py
@@ -201,7 +201,7 @@
     )
     table.add_given(
         "words of membership a gateway and second",
-        CLAIM_REPEATS * rate * WORD_BYTES,
+        CLAIM_REPEATS * rate * CLAIM_BYTES,
         "B/s",
         "each start is told 34 times, 11 bytes",
         GOSSIP,
