--- a/standins/scale/events.py
+++ b/standins/scale/events.py
@@ -80,23 +80,23 @@
 
 def rack(figures: Figures, demand: Demand) -> Table:
     """Build the table of the loss of a rack or switch."""
-    lost = SITES_PER_RACK * demand.gateways / demand.sites
+    lost_gateways = SITES_PER_RACK * demand.gateways / demand.sites
     table = TableBuilder("A rack or switch", figures)
     table.add_given(
         "gateways lost",
-        lost,
+        lost_gateways,
         "gateways",
         "assumed: one site's, the largest unit behind one switch that is told",
     )
     table.add_given(
         "load on the others of the zone",
-        1.0 / (1.0 - lost / demand.gateways_in_zone()),
+        1.0 / (1.0 - lost_gateways / demand.gateways_in_zone()),
         "times the mean",
         "zone's gateways over those left",
     )
     table.add_given(
         "leases of owners among them that nobody lends",
-        ORIGIN_FILLS * lost / demand.gateways,
+        ORIGIN_FILLS * lost_gateways / demand.gateways,
         "permits",
         "owners spread over sites",
         LEASES,
