--- a/standins/scale/events.py
+++ b/standins/scale/events.py
@@ -165,11 +165,11 @@
 
 def configuration(figures: Figures, demand: Demand) -> Table:
     """Build the table of a configuration change at all gateways, and of one that is rolled back."""
-    wait = DAY_S / demand.config_changes_per_day
+    change_interval_s = DAY_S / demand.config_changes_per_day
     table = TableBuilder("A configuration pushed to all; one pushed by mistake and taken back", figures)
     table.add_given(
         "changes that overlap",
-        RELOAD_SIGNAL_S * demand.gateways / wait,
+        RELOAD_SIGNAL_S * demand.gateways / change_interval_s,
         "changes",
         "signals to all, one change each 24 s",
     )
