--- a/standins/scale/events.py
+++ b/standins/scale/events.py
@@ -188,20 +188,20 @@
 
 def restarts(figures: Figures, demand: Demand) -> Table:
     """Build the table of a restart of every gateway within a day."""
-    rate = demand.gateways / DAY_S
+    restarts_per_s = demand.gateways / DAY_S
     list_fleet_size = fleet_size_listing(count_servers(demand))
     table = TableBuilder("Every gateway restarted within a day", figures)
-    table.add_given("restarts", 60.0 * rate, "1/min", "gateways over a day")
+    table.add_given("restarts", 60.0 * restarts_per_s, "1/min", "gateways over a day")
     table.add_measured(
         "whole lists from discovery",
         "list_bytes",
         "B/s",
         BUS_LINK,
-        value=rate * figures.value_at("list_bytes", list_fleet_size),
+        value=restarts_per_s * figures.value_at("list_bytes", list_fleet_size),
     )
     table.add_given(
         "words of membership a gateway and second",
-        CLAIM_REPEATS * rate * CLAIM_BYTES,
+        CLAIM_REPEATS * restarts_per_s * CLAIM_BYTES,
         "B/s",
         "each start is told 34 times, 11 bytes",
         GOSSIP,
