--- a/standins/scale/events.py
+++ b/standins/scale/events.py
@@ -61,15 +61,19 @@
 def failures(figures: Figures, demand: Demand) -> Table:
     """Build the table of the machines that fail or are restarted on an ordinary day."""
     events = demand.failures_per_day + demand.restarts_per_day
-    detect = figures.value_at("members_detect")
+    detection_s = figures.value_at("members_detect")
     table = TableBuilder(
         f"{demand.failures_per_day:g} failures and {demand.restarts_per_day:g} restarts", figures
     )
     table.add_measured(
-        "a failed gateway known to all", "members_detect", "s", DETECTOR, value=detect, kind="time"
+        "a failed gateway known to all", "members_detect", "s", DETECTOR, value=detection_s, kind="time"
     )
     table.add_given(
-        "time of a day with one unknown", events * detect / DAY_S, "share", "events x detection", DETECTOR
+        "time of a day with one unknown",
+        events * detection_s / DAY_S,
+        "share",
+        "events x detection",
+        DETECTOR,
     )
     table.add_measured(
         "a restarted gateway ready", "process_start", "s", SERVE, budget=RESTART_READY_S, kind="time"
