--- a/standins/scale/events.py
+++ b/standins/scale/events.py
@@ -60,7 +60,7 @@
 
 def failures(figures: Figures, demand: Demand) -> Table:
     """Build the table of the machines that fail or are restarted on an ordinary day."""
-    events = demand.failures_per_day + demand.restarts_per_day
+    event_count = demand.failures_per_day + demand.restarts_per_day
     detection_s = figures.value_at("members_detect")
     table = TableBuilder(
         f"{demand.failures_per_day:g} failures and {demand.restarts_per_day:g} restarts", figures
@@ -70,7 +70,7 @@
     )
     table.add_given(
         "time of a day with one unknown",
-        events * detection_s / DAY_S,
+        event_count * detection_s / DAY_S,
         "share",
         "events x detection",
         DETECTOR,
@@ -224,6 +224,6 @@
 EVENTS = (steady, failures, rack, zone, regions, purge, configuration, restarts)
 
 
-def events(figures: Figures, demand: Demand) -> list[Table]:
+def event_count(figures: Figures, demand: Demand) -> list[Table]:
     """Return the tables of all events."""
     return [event(figures, demand) for event in EVENTS]
