--- a/standins/scale/events.py
+++ b/standins/scale/events.py
@@ -36,7 +36,7 @@
 )  # of one claim: membership/gossip.py at 2,300 gateways; membership/words.py
 
 
-def steady(figures: Figures, demand: Demand) -> Table:
+def build_steady_day_table(figures: Figures, demand: Demand) -> Table:
     """Build the table of a day without events other than the usual failures and restarts."""
     table = TableBuilder("A steady day", figures)
     table.add_given(
@@ -221,7 +221,7 @@
     return table.build()
 
 
-EVENTS = (steady, failures, rack, zone, regions, purge, configuration, restarts)
+EVENTS = (build_steady_day_table, failures, rack, zone, regions, purge, configuration, restarts)
 
 
 def event_count(figures: Figures, demand: Demand) -> list[Table]:
