--- a/standins/scale/events.py
+++ b/standins/scale/events.py
@@ -58,7 +58,7 @@
     return table.build()
 
 
-def failures(figures: Figures, demand: Demand) -> Table:
+def build_failures_table(figures: Figures, demand: Demand) -> Table:
     """Build the table of the machines that fail or are restarted on an ordinary day."""
     event_count = demand.failures_per_day + demand.restarts_per_day
     detection_s = figures.value_at("members_detect")
@@ -221,7 +221,7 @@
     return table.build()
 
 
-EVENTS = (build_steady_day_table, failures, rack, zone, regions, purge, configuration, restarts)
+EVENTS = (build_steady_day_table, build_failures_table, rack, zone, regions, purge, configuration, restarts)
 
 
 def event_count(figures: Figures, demand: Demand) -> list[Table]:
