--- a/standins/scale/events.py
+++ b/standins/scale/events.py
@@ -82,7 +82,7 @@
     return table.build()
 
 
-def rack(figures: Figures, demand: Demand) -> Table:
+def build_rack_table(figures: Figures, demand: Demand) -> Table:
     """Build the table of the loss of a rack or switch."""
     lost_gateways = SITES_PER_RACK * demand.gateways / demand.sites
     table = TableBuilder("A rack or switch", figures)
@@ -221,7 +221,16 @@
     return table.build()
 
 
-EVENTS = (build_steady_day_table, build_failures_table, rack, zone, regions, purge, configuration, restarts)
+EVENTS = (
+    build_steady_day_table,
+    build_failures_table,
+    build_rack_table,
+    zone,
+    regions,
+    purge,
+    configuration,
+    restarts,
+)
 
 
 def event_count(figures: Figures, demand: Demand) -> list[Table]:
