--- a/standins/scale/events.py
+++ b/standins/scale/events.py
@@ -108,7 +108,7 @@
     return table.build()
 
 
-def zone(figures: Figures, demand: Demand) -> Table:
+def build_zone_table(figures: Figures, demand: Demand) -> Table:
     """Build the table of a zone that is lost and returns."""
     table = TableBuilder("A zone lost and back", figures)
     table.add_given("gateways lost", float(demand.gateways_in_zone()), "gateways", "gateways over zones")
@@ -225,7 +225,7 @@
     build_steady_day_table,
     build_failures_table,
     build_rack_table,
-    zone,
+    build_zone_table,
     regions,
     purge,
     configuration,
