--- a/standins/scale/events.py
+++ b/standins/scale/events.py
@@ -119,7 +119,7 @@
     return table.build()
 
 
-def regions(figures: Figures, demand: Demand) -> Table:
+def build_regions_table(figures: Figures, demand: Demand) -> Table:
     """Build the table of regions that are partitioned for an hour."""
     table = TableBuilder("Regions apart for an hour and healed", figures)
     table.add_given(
@@ -226,7 +226,7 @@
     build_failures_table,
     build_rack_table,
     build_zone_table,
-    regions,
+    build_regions_table,
     purge,
     configuration,
     restarts,
