--- a/standins/scale/events.py
+++ b/standins/scale/events.py
@@ -148,7 +148,7 @@
     return table.build()
 
 
-def purge(figures: Figures, demand: Demand) -> Table:
+def build_purge_table(figures: Figures, demand: Demand) -> Table:
     """Build the table of the purge of a group."""
     table = TableBuilder("A purge of a group", figures)
     table.add_given("objects concerned", demand.objects * GROUP_SHARE, "objects", "assumed: 256 equal groups")
@@ -227,7 +227,7 @@
     build_rack_table,
     build_zone_table,
     build_regions_table,
-    purge,
+    build_purge_table,
     configuration,
     restarts,
 )
