--- a/standins/scale/events.py
+++ b/standins/scale/events.py
@@ -167,7 +167,7 @@
     return table.build()
 
 
-def configuration(figures: Figures, demand: Demand) -> Table:
+def build_configuration_table(figures: Figures, demand: Demand) -> Table:
     """Build the table of a configuration change at all gateways, and of one that is rolled back."""
     change_interval_s = DAY_S / demand.config_changes_per_day
     table = TableBuilder("A configuration pushed to all; one pushed by mistake and taken back", figures)
@@ -228,7 +228,7 @@
     build_zone_table,
     build_regions_table,
     build_purge_table,
-    configuration,
+    build_configuration_table,
     restarts,
 )
 
