--- a/standins/scale/events.py
+++ b/standins/scale/events.py
@@ -190,7 +190,7 @@
     return table.build()
 
 
-def restarts(figures: Figures, demand: Demand) -> Table:
+def build_restarts_table(figures: Figures, demand: Demand) -> Table:
     """Build the table of a restart of every gateway within a day."""
     restarts_per_s = demand.gateways / DAY_S
     list_fleet_size = fleet_size_listing(count_servers(demand))
@@ -229,7 +229,7 @@
     build_regions_table,
     build_purge_table,
     build_configuration_table,
-    restarts,
+    build_restarts_table,
 )
 
 
