--- a/standins/scale/events.py
+++ b/standins/scale/events.py
@@ -221,7 +221,7 @@
     return table.build()
 
 
-EVENTS = (
+EVENT_TABLE_BUILDERS = (
     build_steady_day_table,
     build_failures_table,
     build_rack_table,
@@ -235,4 +235,4 @@
 
 def event_count(figures: Figures, demand: Demand) -> list[Table]:
     """Return the tables of all events."""
-    return [event(figures, demand) for event in EVENTS]
+    return [event(figures, demand) for event in EVENT_TABLE_BUILDERS]
