--- a/standins/scale/events.py
+++ b/standins/scale/events.py
@@ -235,4 +235,4 @@
 
 def event_count(figures: Figures, demand: Demand) -> list[Table]:
     """Return the tables of all events."""
-    return [event(figures, demand) for event in EVENT_TABLE_BUILDERS]
+    return [build_table(figures, demand) for build_table in EVENT_TABLE_BUILDERS]
