--- a/standins/scale/roles.py
+++ b/standins/scale/roles.py
@@ -2,11 +2,17 @@
 
 from standins.scale.estimate import Figures, Table
 from standins.scale.plan import Demand
-from standins.scale.roles_gateway import gateway_control, gateway_data, home_router, member, subscriber
+from standins.scale.roles_gateway import (
+    gateway_control,
+    build_gateway_data_table,
+    home_router,
+    member,
+    subscriber,
+)
 from standins.scale.roles_servers import discovery, operator, origin, parent, station_cache
 
 ROLES = (
-    gateway_data,
+    build_gateway_data_table,
     gateway_control,
     home_router,
     member,
--- a/standins/scale/roles_gateway.py
+++ b/standins/scale/roles_gateway.py
@@ -34,7 +34,7 @@
 from standins.scale.plan import Demand
 
 
-def gateway_data(figures: Figures, demand: Demand) -> Table:
+def build_gateway_data_table(figures: Figures, demand: Demand) -> Table:
     """Build the table of a gateway's data path."""
     each = demand.mean_requests_per_s
     mb = 1e-6 * 5.7e12 / 8.0 * (demand.requests / Demand().requests) / demand.gateways
