--- a/standins/scale/roles.py
+++ b/standins/scale/roles.py
@@ -3,7 +3,7 @@
 from standins.scale.estimate import Figures, Table
 from standins.scale.plan import Demand
 from standins.scale.roles_gateway import (
-    gateway_control,
+    build_gateway_control_table,
     build_gateway_data_table,
     home_router,
     member,
@@ -13,7 +13,7 @@
 
 ROLES = (
     build_gateway_data_table,
-    gateway_control,
+    build_gateway_control_table,
     home_router,
     member,
     subscriber,
--- a/standins/scale/roles_gateway.py
+++ b/standins/scale/roles_gateway.py
@@ -99,7 +99,7 @@
     return table.build()
 
 
-def gateway_control(figures: Figures, demand: Demand) -> Table:
+def build_gateway_control_table(figures: Figures, demand: Demand) -> Table:
     """Build the table of a gateway's control work."""
     each, list_fleet_size = demand.mean_requests_per_s, fleet_size_listing(count_servers(demand))
     notes = 2.0 * each * figures.value_at("directory_bytes")
