--- a/standins/scale/roles.py
+++ b/standins/scale/roles.py
@@ -5,7 +5,7 @@
 from standins.scale.roles_gateway import (
     build_gateway_control_table,
     build_gateway_data_table,
-    home_router,
+    build_home_gateway_table,
     member,
     subscriber,
 )
@@ -14,7 +14,7 @@
 ROLES = (
     build_gateway_data_table,
     build_gateway_control_table,
-    home_router,
+    build_home_gateway_table,
     member,
     subscriber,
     discovery,
--- a/standins/scale/roles_gateway.py
+++ b/standins/scale/roles_gateway.py
@@ -191,7 +191,7 @@
     return table.build()
 
 
-def home_router(figures: Figures, demand: Demand) -> Table:
+def build_home_gateway_table(figures: Figures, demand: Demand) -> Table:
     """Build the table of the home gateway of a directory slice."""
     slice_objects = demand.objects / demand.gateways
     table = TableBuilder("Home router of a directory slice", figures)
