--- a/standins/scale/roles.py
+++ b/standins/scale/roles.py
@@ -6,7 +6,7 @@
     build_gateway_control_table,
     build_gateway_data_table,
     build_home_gateway_table,
-    member,
+    build_member_table,
     subscriber,
 )
 from standins.scale.roles_servers import discovery, operator, origin, parent, station_cache
@@ -15,7 +15,7 @@
     build_gateway_data_table,
     build_gateway_control_table,
     build_home_gateway_table,
-    member,
+    build_member_table,
     subscriber,
     discovery,
     station_cache,
--- a/standins/scale/roles_gateway.py
+++ b/standins/scale/roles_gateway.py
@@ -218,7 +218,7 @@
     return table.build()
 
 
-def member(figures: Figures, demand: Demand) -> Table:
+def build_member_table(figures: Figures, demand: Demand) -> Table:
     """Build the table of a member of the fleet."""
     table = TableBuilder("Member of the fleet", figures)
     table.add_given("claims held", float(demand.gateways), "claims", "one a gateway", VIEW, exponent=1.0)
