--- a/standins/scale/roles.py
+++ b/standins/scale/roles.py
@@ -7,7 +7,7 @@
     build_gateway_data_table,
     build_home_gateway_table,
     build_member_table,
-    subscriber,
+    build_subscriber_table,
 )
 from standins.scale.roles_servers import discovery, operator, origin, parent, station_cache
 
@@ -16,7 +16,7 @@
     build_gateway_control_table,
     build_home_gateway_table,
     build_member_table,
-    subscriber,
+    build_subscriber_table,
     discovery,
     station_cache,
     parent,
--- a/standins/scale/roles_gateway.py
+++ b/standins/scale/roles_gateway.py
@@ -238,7 +238,7 @@
     return table.build()
 
 
-def subscriber(figures: Figures, demand: Demand) -> Table:
+def build_subscriber_table(figures: Figures, demand: Demand) -> Table:
     """Build the table of a subscriber to discovery."""
     list_fleet_size = fleet_size_listing(count_servers(demand))
     table = TableBuilder("Subscriber of discovery", figures)
