--- a/standins/scale/roles.py
+++ b/standins/scale/roles.py
@@ -9,7 +9,7 @@
     build_member_table,
     build_subscriber_table,
 )
-from standins.scale.roles_servers import discovery, operator, origin, parent, station_cache
+from standins.scale.roles_servers import build_discovery_table, operator, origin, parent, station_cache
 
 ROLES = (
     build_gateway_data_table,
@@ -17,7 +17,7 @@
     build_home_gateway_table,
     build_member_table,
     build_subscriber_table,
-    discovery,
+    build_discovery_table,
     station_cache,
     parent,
     origin,
--- a/standins/scale/roles_servers.py
+++ b/standins/scale/roles_servers.py
@@ -13,7 +13,7 @@
 from standins.scale.shared_rows import change_in_force, cold_server, origin_fills
 
 
-def discovery(figures: Figures, demand: Demand) -> Table:
+def build_discovery_table(figures: Figures, demand: Demand) -> Table:
     """Build the table of the load on discovery and on the machines reserved for control."""
     each, list_fleet_size = (
         demand.gateways / demand.control_machines,
