--- a/standins/scale/roles.py
+++ b/standins/scale/roles.py
@@ -9,7 +9,13 @@
     build_member_table,
     build_subscriber_table,
 )
-from standins.scale.roles_servers import build_discovery_table, operator, origin, parent, station_cache
+from standins.scale.roles_servers import (
+    build_discovery_table,
+    operator,
+    origin,
+    parent,
+    build_station_cache_table,
+)
 
 ROLES = (
     build_gateway_data_table,
@@ -18,7 +24,7 @@
     build_member_table,
     build_subscriber_table,
     build_discovery_table,
-    station_cache,
+    build_station_cache_table,
     parent,
     origin,
     operator,
--- a/standins/scale/roles_servers.py
+++ b/standins/scale/roles_servers.py
@@ -52,7 +52,7 @@
     return table.build()
 
 
-def station_cache(figures: Figures, demand: Demand) -> Table:
+def build_station_cache_table(figures: Figures, demand: Demand) -> Table:
     """Build the table of the load on a station cache."""
     zone = demand.gateways_in_zone()
     table = TableBuilder("Station cache", figures)
