--- a/standins/scale/roles.py
+++ b/standins/scale/roles.py
@@ -13,7 +13,7 @@
     build_discovery_table,
     operator,
     origin,
-    parent,
+    build_parent_table,
     build_station_cache_table,
 )
 
@@ -25,7 +25,7 @@
     build_subscriber_table,
     build_discovery_table,
     build_station_cache_table,
-    parent,
+    build_parent_table,
     origin,
     operator,
 )
--- a/standins/scale/roles_servers.py
+++ b/standins/scale/roles_servers.py
@@ -68,7 +68,7 @@
     return table.build()
 
 
-def parent(figures: Figures, demand: Demand) -> Table:
+def build_parent_table(figures: Figures, demand: Demand) -> Table:
     """Build the table of the load on a parent (district cache)."""
     table = TableBuilder("Parent (district cache)", figures)
     table.add_given(
