--- a/standins/scale/roles.py
+++ b/standins/scale/roles.py
@@ -12,7 +12,7 @@
 from standins.scale.roles_servers import (
     build_discovery_table,
     operator,
-    origin,
+    build_origin_table,
     build_parent_table,
     build_station_cache_table,
 )
@@ -26,7 +26,7 @@
     build_discovery_table,
     build_station_cache_table,
     build_parent_table,
-    origin,
+    build_origin_table,
     operator,
 )
 
--- a/standins/scale/roles_servers.py
+++ b/standins/scale/roles_servers.py
@@ -91,7 +91,7 @@
     return table.build()
 
 
-def origin(figures: Figures, demand: Demand) -> Table:
+def build_origin_table(figures: Figures, demand: Demand) -> Table:
     """Build the table of the load on the origin."""
     table = TableBuilder("Origin", figures)
     table.add_row(origin_fills(figures))
