--- a/standins/scale/roles.py
+++ b/standins/scale/roles.py
@@ -11,7 +11,7 @@
 )
 from standins.scale.roles_servers import (
     build_discovery_table,
-    operator,
+    build_operator_table,
     build_origin_table,
     build_parent_table,
     build_station_cache_table,
@@ -27,7 +27,7 @@
     build_station_cache_table,
     build_parent_table,
     build_origin_table,
-    operator,
+    build_operator_table,
 )
 
 
--- a/standins/scale/roles_servers.py
+++ b/standins/scale/roles_servers.py
@@ -115,7 +115,7 @@
     return table.build()
 
 
-def operator(figures: Figures, demand: Demand) -> Table:
+def build_operator_table(figures: Figures, demand: Demand) -> Table:
     """Build the table of an operator's work for a configuration change."""
     table = TableBuilder("Operator changing a configuration", figures)
     table.add_given(
