--- a/standins/scale/roles.py
+++ b/standins/scale/roles.py
@@ -17,7 +17,7 @@
     build_station_cache_table,
 )
 
-ROLES = (
+ROLE_TABLE_BUILDERS = (
     build_gateway_data_table,
     build_gateway_control_table,
     build_home_gateway_table,
@@ -33,4 +33,4 @@
 
 def roles(figures: Figures, demand: Demand) -> list[Table]:
     """Return the tables of all roles."""
-    return [role(figures, demand) for role in ROLES]
+    return [role(figures, demand) for role in ROLE_TABLE_BUILDERS]
