--- a/standins/scale/roles.py
+++ b/standins/scale/roles.py
@@ -33,4 +33,4 @@
 
 def roles(figures: Figures, demand: Demand) -> list[Table]:
     """Return the tables of all roles."""
-    return [role(figures, demand) for role in ROLE_TABLE_BUILDERS]
+    return [build_table(figures, demand) for build_table in ROLE_TABLE_BUILDERS]
