--- a/standins/scale/events.py
+++ b/standins/scale/events.py
@@ -24,7 +24,7 @@
     SERVE,
 )
 from standins.scale.plan import Demand
-from standins.scale.shared_rows import change_in_force, cold_server, origin_fills
+from standins.scale.shared_rows import change_in_force, cold_server_row, origin_fills
 
 RESTART_READY_S = 10.0  # nine in ten restarted processes are ready within this time
 SITES_PER_RACK = 1.0  # the largest unit behind one switch that the operators name is one site
@@ -115,7 +115,7 @@
     table.add_given(
         "caches that return cold", float(demand.caches_in_zone()), "caches", "caches over zones", COLD_GUARD
     )
-    table.add_row(cold_server(figures, "cache"))
+    table.add_row(cold_server_row(figures, "cache"))
     return table.build()
 
 
--- a/standins/scale/roles_servers.py
+++ b/standins/scale/roles_servers.py
@@ -10,7 +10,7 @@
 from standins.scale.estimate import Figures, Table, TableBuilder, fleet_size_listing
 from standins.scale.mechanisms import BUS_LINK, EFFECTS_GUARD, LEASES, POOL, RELOAD
 from standins.scale.plan import Demand
-from standins.scale.shared_rows import change_in_force, cold_server, origin_fills
+from standins.scale.shared_rows import change_in_force, cold_server_row, origin_fills
 
 
 def build_discovery_table(figures: Figures, demand: Demand) -> Table:
@@ -64,7 +64,7 @@
         f"{MAX_LINKS_PER_SERVER} x {zone} gateways of its zone",
         POOL,
     )
-    table.add_row(cold_server(figures, "cache"))
+    table.add_row(cold_server_row(figures, "cache"))
     return table.build()
 
 
@@ -87,7 +87,7 @@
         POOL,
         exponent=1.0,
     )
-    table.add_row(cold_server(figures, "parent"))
+    table.add_row(cold_server_row(figures, "parent"))
     return table.build()
 
 
--- a/standins/scale/shared_rows.py
+++ b/standins/scale/shared_rows.py
@@ -7,7 +7,7 @@
 from standins.scale.plan import Demand
 
 
-def cold_server(figures: Figures, kind: str) -> Row:
+def cold_server_row(figures: Figures, kind: str) -> Row:
     """Return the row of calls to a cold server, a `cache` or a `parent`, as a share of what it can take."""
     name, bears = f"cold {kind}: calls in its window, all gateways", "of what it bears"
     return figures.make_row(
