--- a/standins/scale/events.py
+++ b/standins/scale/events.py
@@ -24,7 +24,7 @@
     SERVE,
 )
 from standins.scale.plan import Demand
-from standins.scale.shared_rows import change_in_force, cold_server_row, origin_fills
+from standins.scale.shared_rows import change_in_force, cold_server_row, origin_fills_row
 
 RESTART_READY_S = 10.0  # nine in ten restarted processes are ready within this time
 SITES_PER_RACK = 1.0  # the largest unit behind one switch that the operators name is one site
@@ -144,7 +144,7 @@
         "events from the last number on",
         BUS_LINK,
     )
-    table.add_row(origin_fills(figures))
+    table.add_row(origin_fills_row(figures))
     return table.build()
 
 
--- a/standins/scale/roles_servers.py
+++ b/standins/scale/roles_servers.py
@@ -10,7 +10,7 @@
 from standins.scale.estimate import Figures, Table, TableBuilder, fleet_size_listing
 from standins.scale.mechanisms import BUS_LINK, EFFECTS_GUARD, LEASES, POOL, RELOAD
 from standins.scale.plan import Demand
-from standins.scale.shared_rows import change_in_force, cold_server_row, origin_fills
+from standins.scale.shared_rows import change_in_force, cold_server_row, origin_fills_row
 
 
 def build_discovery_table(figures: Figures, demand: Demand) -> Table:
@@ -94,7 +94,7 @@
 def build_origin_table(figures: Figures, demand: Demand) -> Table:
     """Build the table of the load on the origin."""
     table = TableBuilder("Origin", figures)
-    table.add_row(origin_fills(figures))
+    table.add_row(origin_fills_row(figures))
     table.add_measured("of them in use, all misses at the origin", "origin_mean", "fills", LEASES)
     table.add_given(
         "effects that run there",
