--- a/standins/scale/events.py
+++ b/standins/scale/events.py
@@ -24,7 +24,7 @@
     SERVE,
 )
 from standins.scale.plan import Demand
-from standins.scale.shared_rows import change_in_force, cold_server_row, origin_fills_row
+from standins.scale.shared_rows import change_in_force_row, cold_server_row, origin_fills_row
 
 RESTART_READY_S = 10.0  # nine in ten restarted processes are ready within this time
 SITES_PER_RACK = 1.0  # the largest unit behind one switch that the operators name is one site
@@ -177,7 +177,7 @@
         "changes",
         "signals to all, one change each 24 s",
     )
-    table.add_row(change_in_force(demand))
+    table.add_row(change_in_force_row(demand))
     table.add_given(
         "until a mistake is taken back everywhere",
         2.0 * RELOAD_SIGNAL_S * demand.gateways,
--- a/standins/scale/roles_servers.py
+++ b/standins/scale/roles_servers.py
@@ -10,7 +10,7 @@
 from standins.scale.estimate import Figures, Table, TableBuilder, fleet_size_listing
 from standins.scale.mechanisms import BUS_LINK, EFFECTS_GUARD, LEASES, POOL, RELOAD
 from standins.scale.plan import Demand
-from standins.scale.shared_rows import change_in_force, cold_server_row, origin_fills_row
+from standins.scale.shared_rows import change_in_force_row, cold_server_row, origin_fills_row
 
 
 def build_discovery_table(figures: Figures, demand: Demand) -> Table:
@@ -126,6 +126,6 @@
         RELOAD,
         exponent=1.0,
     )
-    table.add_row(change_in_force(demand))
+    table.add_row(change_in_force_row(demand))
     table.add_given("versions in force that can be asked for", 0.0, "versions", "no call tells one")
     return table.build()
--- a/standins/scale/shared_rows.py
+++ b/standins/scale/shared_rows.py
@@ -21,7 +21,7 @@
     return figures.make_row(name, "origin_peak", "fills", LEASES, budget=most, is_rule=True)
 
 
-def change_in_force(demand: Demand) -> Row:
+def change_in_force_row(demand: Demand) -> Row:
     """Return the row of the time until a changed configuration is in force at all gateways."""
     name, took = "until a change is in force everywhere", RELOAD_SIGNAL_S * demand.gateways
     basis = f"assumed: {RELOAD_SIGNAL_S:g} s a gateway, one after another"
