--- a/standins/scale/shared_rows.py
+++ b/standins/scale/shared_rows.py
@@ -9,9 +9,9 @@
 
 def cold_server_row(figures: Figures, kind: str) -> Row:
     """Return the row of calls to a cold server, a `cache` or a `parent`, as a share of what it can take."""
-    name, bears = f"cold {kind}: calls in its window, all gateways", "of what it bears"
+    name, unit = f"cold {kind}: calls in its window, all gateways", "of what it bears"
     return figures.make_row(
-        name, f"cold_{kind}", bears, COLD_GUARD, budget=1.0, follows_fit=True, is_rule=True
+        name, f"cold_{kind}", unit, COLD_GUARD, budget=1.0, follows_fit=True, is_rule=True
     )
 
 
