--- a/standins/scale/shared_rows.py
+++ b/standins/scale/shared_rows.py
@@ -23,6 +23,6 @@
 
 def change_in_force_row(demand: Demand) -> Row:
     """Return the row of the time until a changed configuration is in force at all gateways."""
-    name, took = "until a change is in force everywhere", RELOAD_SIGNAL_S * demand.gateways
+    name, duration_s = "until a change is in force everywhere", RELOAD_SIGNAL_S * demand.gateways
     basis = f"assumed: {RELOAD_SIGNAL_S:g} s a gateway, one after another"
-    return Row(name, took, "s", demand.max_config_change_s, basis, exponent=1.0, kind="time")
+    return Row(name, duration_s, "s", demand.max_config_change_s, basis, exponent=1.0, kind="time")
