--- a/standins/scale/shared_rows.py
+++ b/standins/scale/shared_rows.py
@@ -17,8 +17,8 @@
 
 def origin_fills_row(figures: Figures) -> Row:
     """Return the row of simultaneous fills at the origin."""
-    name, most = "fills at once, all gateways", float(ORIGIN_FILLS)
-    return figures.make_row(name, "origin_peak", "fills", LEASES, budget=most, is_rule=True)
+    name, budget = "fills at once, all gateways", float(ORIGIN_FILLS)
+    return figures.make_row(name, "origin_peak", "fills", LEASES, budget=budget, is_rule=True)
 
 
 def change_in_force_row(demand: Demand) -> Row:
