--- a/standins/scale/roles_gateway.py
+++ b/standins/scale/roles_gateway.py
@@ -36,10 +36,10 @@
 
 def build_gateway_data_table(figures: Figures, demand: Demand) -> Table:
     """Build the table of a gateway's data path."""
-    each = demand.mean_requests_per_s
+    gateway_requests_per_s = demand.mean_requests_per_s
     mb = 1e-6 * 5.7e12 / 8.0 * (demand.requests / Demand().requests) / demand.gateways
-    core = each * figures.value_at("decide") / 1e6
-    used = each / MAX_ANSWERS_PER_S
+    core = gateway_requests_per_s * figures.value_at("decide") / 1e6
+    used = gateway_requests_per_s / MAX_ANSWERS_PER_S
     table = TableBuilder("Gateway, data path", figures)
     table.add_measured(
         "state of the decisions, mean gateway",
@@ -55,7 +55,7 @@
     )
     table.add_given(
         "requests, mean gateway at the peak",
-        each,
+        gateway_requests_per_s,
         "1/s",
         "told; budget: standins.speed, small answers",
         SCHEDULER,
@@ -63,7 +63,7 @@
     )
     table.add_given(
         "requests, largest gateway",
-        LARGEST_LOAD_FACTOR * each,
+        LARGEST_LOAD_FACTOR * gateway_requests_per_s,
         "1/s",
         LARGEST_LOAD_BASIS,
         SCHEDULER,
@@ -101,8 +101,11 @@
 
 def build_gateway_control_table(figures: Figures, demand: Demand) -> Table:
     """Build the table of a gateway's control work."""
-    each, list_fleet_size = demand.mean_requests_per_s, fleet_size_listing(count_servers(demand))
-    notes = 2.0 * each * figures.value_at("directory_bytes")
+    gateway_requests_per_s, list_fleet_size = (
+        demand.mean_requests_per_s,
+        fleet_size_listing(count_servers(demand)),
+    )
+    notes = 2.0 * gateway_requests_per_s * figures.value_at("directory_bytes")
     purges = demand.purges * PURGE_FRAME_BYTES + HEARTBEAT_FRAME_BYTES
     members = 2.0 * figures.value_at("members_bytes")
     table = TableBuilder("Gateway, control", figures)
