--- a/standins/scale/roles_gateway.py
+++ b/standins/scale/roles_gateway.py
@@ -37,7 +37,7 @@
 def build_gateway_data_table(figures: Figures, demand: Demand) -> Table:
     """Build the table of a gateway's data path."""
     gateway_requests_per_s = demand.mean_requests_per_s
-    mb = 1e-6 * 5.7e12 / 8.0 * (demand.requests / Demand().requests) / demand.gateways
+    gateway_mb_per_s = 1e-6 * 5.7e12 / 8.0 * (demand.requests / Demand().requests) / demand.gateways
     core = gateway_requests_per_s * figures.value_at("decide") / 1e6
     used = gateway_requests_per_s / MAX_ANSWERS_PER_S
     table = TableBuilder("Gateway, data path", figures)
@@ -71,7 +71,7 @@
     )
     table.add_given(
         "bytes, mean gateway at the peak",
-        mb,
+        gateway_mb_per_s,
         "MB/s",
         "told; budget: standins.haul, one large file",
         STREAM,
@@ -79,7 +79,7 @@
     )
     table.add_given(
         "bytes, largest gateway",
-        LARGEST_LOAD_FACTOR * mb,
+        LARGEST_LOAD_FACTOR * gateway_mb_per_s,
         "MB/s",
         LARGEST_LOAD_BASIS,
         STREAM,
