--- a/standins/scale/roles_gateway.py
+++ b/standins/scale/roles_gateway.py
@@ -38,7 +38,7 @@
     """Build the table of a gateway's data path."""
     gateway_requests_per_s = demand.mean_requests_per_s
     gateway_mb_per_s = 1e-6 * 5.7e12 / 8.0 * (demand.requests / Demand().requests) / demand.gateways
-    core = gateway_requests_per_s * figures.value_at("decide") / 1e6
+    decision_cores = gateway_requests_per_s * figures.value_at("decide") / 1e6
     used = gateway_requests_per_s / MAX_ANSWERS_PER_S
     table = TableBuilder("Gateway, data path", figures)
     table.add_measured(
@@ -86,7 +86,12 @@
         budget=MAX_MB_PER_S,
     )
     table.add_measured(
-        "processor time of decisions alone, mean gateway", "decide", "cores", ROUTER, value=core, budget=1.0
+        "processor time of decisions alone, mean gateway",
+        "decide",
+        "cores",
+        ROUTER,
+        value=decision_cores,
+        budget=1.0,
     )
     table.add_given(
         "processor time of all, mean gateway",
