--- a/standins/scale/roles_gateway.py
+++ b/standins/scale/roles_gateway.py
@@ -39,7 +39,7 @@
     gateway_requests_per_s = demand.mean_requests_per_s
     gateway_mb_per_s = 1e-6 * 5.7e12 / 8.0 * (demand.requests / Demand().requests) / demand.gateways
     decision_cores = gateway_requests_per_s * figures.value_at("decide") / 1e6
-    used = gateway_requests_per_s / MAX_ANSWERS_PER_S
+    total_cores = gateway_requests_per_s / MAX_ANSWERS_PER_S
     table = TableBuilder("Gateway, data path", figures)
     table.add_measured(
         "state of the decisions, mean gateway",
@@ -95,7 +95,7 @@
     )
     table.add_given(
         "processor time of all, mean gateway",
-        used,
+        total_cores,
         "cores",
         "requests over standins.speed",
         SCHEDULER,
