--- a/standins/scale/roles_gateway.py
+++ b/standins/scale/roles_gateway.py
@@ -110,7 +110,7 @@
         demand.mean_requests_per_s,
         fleet_size_listing(count_servers(demand)),
     )
-    notes = 2.0 * gateway_requests_per_s * figures.value_at("directory_bytes")
+    note_bytes_per_s = 2.0 * gateway_requests_per_s * figures.value_at("directory_bytes")
     purges = demand.purges * PURGE_FRAME_BYTES + HEARTBEAT_FRAME_BYTES
     members = 2.0 * figures.value_at("members_bytes")
     table = TableBuilder("Gateway, control", figures)
@@ -119,13 +119,13 @@
         "directory_bytes",
         "B/s",
         SERVED,
-        value=notes,
+        value=note_bytes_per_s,
         budget=demand.max_control_bytes_per_s,
         basis_suffix="; Zipf 0.9 assumed",
     )
     table.add_given(
         "directory notes, in and out, largest gateway",
-        LARGEST_LOAD_FACTOR * notes,
+        LARGEST_LOAD_FACTOR * note_bytes_per_s,
         "B/s",
         LARGEST_LOAD_BASIS,
         SERVED,
