--- a/standins/scale/roles_gateway.py
+++ b/standins/scale/roles_gateway.py
@@ -111,7 +111,7 @@
         fleet_size_listing(count_servers(demand)),
     )
     note_bytes_per_s = 2.0 * gateway_requests_per_s * figures.value_at("directory_bytes")
-    purges = demand.purges * PURGE_FRAME_BYTES + HEARTBEAT_FRAME_BYTES
+    discovery_bytes_per_s = demand.purges * PURGE_FRAME_BYTES + HEARTBEAT_FRAME_BYTES
     members = 2.0 * figures.value_at("members_bytes")
     table = TableBuilder("Gateway, control", figures)
     table.add_measured(
@@ -141,7 +141,7 @@
     )
     table.add_given(
         "discovery: purges and heartbeat, in",
-        purges,
+        discovery_bytes_per_s,
         "B/s",
         "frames and TCP heads",
         BUS_READER,
