--- a/standins/scale/roles_gateway.py
+++ b/standins/scale/roles_gateway.py
@@ -112,7 +112,7 @@
     )
     note_bytes_per_s = 2.0 * gateway_requests_per_s * figures.value_at("directory_bytes")
     discovery_bytes_per_s = demand.purges * PURGE_FRAME_BYTES + HEARTBEAT_FRAME_BYTES
-    members = 2.0 * figures.value_at("members_bytes")
+    membership_bytes_per_s = 2.0 * figures.value_at("members_bytes")
     table = TableBuilder("Gateway, control", figures)
     table.add_measured(
         "directory notes, in and out, mean gateway",
@@ -136,7 +136,7 @@
         "members_bytes",
         "B/s",
         DETECTOR,
-        value=members,
+        value=membership_bytes_per_s,
         budget=demand.max_control_bytes_per_s,
     )
     table.add_given(
