--- a/standins/scale/roles_servers.py
+++ b/standins/scale/roles_servers.py
@@ -15,14 +15,19 @@
 
 def build_discovery_table(figures: Figures, demand: Demand) -> Table:
     """Build the table of the load on discovery and on the machines reserved for control."""
-    each, list_fleet_size = (
+    gateways_per_machine, list_fleet_size = (
         demand.gateways / demand.control_machines,
         fleet_size_listing(count_servers(demand)),
     )
     out = demand.purges * PURGE_FRAME_BYTES + HEARTBEAT_FRAME_BYTES
     table = TableBuilder(f"Discovery service and the {demand.control_machines} control machines", figures)
     table.add_given(
-        "subscriptions, each machine", each, "connections", "one a gateway", BUS_LINK, exponent=1.0
+        "subscriptions, each machine",
+        gateways_per_machine,
+        "connections",
+        "one a gateway",
+        BUS_LINK,
+        exponent=1.0,
     )
     table.add_given(
         "the same with one machine down",
@@ -34,7 +39,7 @@
     )
     table.add_given(
         "purges and heartbeats out, each machine",
-        each * out / 1e6,
+        gateways_per_machine * out / 1e6,
         "MB/s",
         "frames and TCP heads",
         BUS_LINK,
@@ -45,7 +50,7 @@
         "list_bytes",
         "MB",
         BUS_LINK,
-        value=each * figures.value_at("list_bytes", list_fleet_size) / 1e6,
+        value=gateways_per_machine * figures.value_at("list_bytes", list_fleet_size) / 1e6,
         exponent=2.0,
     )
     table.add_given("confirmations that a purge is in force", 0.0, "1/s", "nothing is sent")
