--- a/standins/scale/roles_servers.py
+++ b/standins/scale/roles_servers.py
@@ -19,7 +19,7 @@
         demand.gateways / demand.control_machines,
         fleet_size_listing(count_servers(demand)),
     )
-    out = demand.purges * PURGE_FRAME_BYTES + HEARTBEAT_FRAME_BYTES
+    bytes_per_s = demand.purges * PURGE_FRAME_BYTES + HEARTBEAT_FRAME_BYTES
     table = TableBuilder(f"Discovery service and the {demand.control_machines} control machines", figures)
     table.add_given(
         "subscriptions, each machine",
@@ -39,7 +39,7 @@
     )
     table.add_given(
         "purges and heartbeats out, each machine",
-        gateways_per_machine * out / 1e6,
+        gateways_per_machine * bytes_per_s / 1e6,
         "MB/s",
         "frames and TCP heads",
         BUS_LINK,
