--- a/standins/scale/roles_servers.py
+++ b/standins/scale/roles_servers.py
@@ -59,14 +59,14 @@
 
 def build_station_cache_table(figures: Figures, demand: Demand) -> Table:
     """Build the table of the load on a station cache."""
-    zone = demand.gateways_in_zone()
+    gateways_in_zone = demand.gateways_in_zone()
     table = TableBuilder("Station cache", figures)
     table.add_given("requests", demand.requests / demand.caches, "1/s", "told")
     table.add_given(
         "connections at the most",
-        float(MAX_LINKS_PER_SERVER * zone),
+        float(MAX_LINKS_PER_SERVER * gateways_in_zone),
         "connections",
-        f"{MAX_LINKS_PER_SERVER} x {zone} gateways of its zone",
+        f"{MAX_LINKS_PER_SERVER} x {gateways_in_zone} gateways of its zone",
         POOL,
     )
     table.add_row(cold_server_row(figures, "cache"))
