--- a/standins/scale/assumptions.py
+++ b/standins/scale/assumptions.py
@@ -35,10 +35,10 @@
     """Return the processor time, in cores, of one gateway's control work."""
     list_fleet_size = fleet_size_listing(count_servers(demand))
     list_changes_per_s = LIST_CHANGES_PER_EVENT * (demand.failures_per_day + demand.restarts_per_day) / DAY_S
-    parts = (
+    cpu_us_per_s = (
         SWEEPS_PER_S * figures.value_at("sweep"),
         demand.purges * figures.value_at("purge_apply"),
         list_changes_per_s * figures.value_at("list_change", list_fleet_size),
         figures.value_at("members_cpu"),
     )
-    return sum(parts) / 1e6
+    return sum(cpu_us_per_s) / 1e6
