--- a/standins/scale/__main__.py
+++ b/standins/scale/__main__.py
@@ -121,7 +121,8 @@
     except OSError as error:
         raise UsageError(f"{file}: {error.strerror}") from None
     print(
-        f"{len(run.series)} measures at {fleet_sizes} in {run.seconds:.0f} s, peak memory {run.peak_mb:.0f} MB"
+        f"{len(run.series)} measures at {fleet_sizes} in {run.seconds:.0f} s, "
+        f"peak memory {run.peak_mb:.0f} MB"
     )
 
 
--- a/standins/scale/events.py
+++ b/standins/scale/events.py
@@ -30,10 +30,8 @@
 SITES_PER_RACK = 1.0  # the largest unit behind one switch that the operators name is one site
 GROUP_SHARE = 1.0 / 256.0  # share of all objects; purge groups are numbered 0 to 255
 PARTITION_S = 3_600.0  # duration of the partition between regions
-CLAIM_REPEATS, CLAIM_BYTES = (
-    34.0,
-    11.0,
-)  # of one claim: membership/gossip.py at 2,300 gateways; membership/words.py
+# How often a claim is gossiped (membership/gossip.py at 2,300 gateways), and its size (membership/words.py).
+CLAIM_REPEATS, CLAIM_BYTES = 34.0, 11.0
 
 
 def build_steady_day_table(figures: Figures, demand: Demand) -> Table:
@@ -233,6 +231,6 @@
 )
 
 
-def event_count(figures: Figures, demand: Demand) -> list[Table]:
+def build_event_tables(figures: Figures, demand: Demand) -> list[Table]:
     """Return the tables of all events."""
     return [build_table(figures, demand) for build_table in EVENT_TABLE_BUILDERS]
--- a/standins/scale/report.py
+++ b/standins/scale/report.py
@@ -1,10 +1,10 @@
 """The tables of docs/CAPACITY.md from the figures of one run: what breaks first, roles, events and fits."""
 
 from standins.scale.estimate import Figures, Row, Table, describe_basis, format_number, format_table
-from standins.scale.events import events
+from standins.scale.events import build_event_tables
 from standins.scale.plan import Demand
 from standins.scale.results import Run
-from standins.scale.roles import roles
+from standins.scale.roles import build_role_tables
 
 MIN_BREAKING_SHARE = 0.5  # share of its budget from which a figure is listed as breaking first
 KIND_ORDER = {"rule": 0, "time": 1, "cost": 2}
@@ -69,7 +69,7 @@
 def format_page(run: Run, demand: Demand) -> str:
     """Format all tables for a fleet of the given size."""
     figures = Figures(run, demand.gateways)
-    by_role, by_event = roles(figures, demand), events(figures, demand)
+    by_role, by_event = build_role_tables(figures, demand), build_event_tables(figures, demand)
     parts = [
         "### What breaks first",
         "",
--- a/standins/scale/roles.py
+++ b/standins/scale/roles.py
@@ -31,6 +31,6 @@
 )
 
 
-def roles(figures: Figures, demand: Demand) -> list[Table]:
+def build_role_tables(figures: Figures, demand: Demand) -> list[Table]:
     """Return the tables of all roles."""
     return [build_table(figures, demand) for build_table in ROLE_TABLE_BUILDERS]
--- a/tests/scale/test_scale_tool.py
+++ b/tests/scale/test_scale_tool.py
@@ -8,12 +8,12 @@
 import pytest
 
 from standins.scale.estimate import NO_MECHANISM, Figures, Row, Table
-from standins.scale.events import events
+from standins.scale.events import build_event_tables
 from standins.scale.fit import fit_power_law
 from standins.scale.plan import Demand
 from standins.scale.report import find_breaking_rows, format_page
 from standins.scale.results import RESULTS_VERSION, ResultsError, Run, Series, load_run, save_run
-from standins.scale.roles import roles
+from standins.scale.roles import build_role_tables
 from standins.scale.scenarios import fills_from_origin
 
 ROOT = Path(__file__).parent.parent.parent
@@ -44,7 +44,7 @@
 
 def test_every_mechanism_that_the_page_names_is_there() -> None:
     figures, demand = Figures(load_run(FIGURES), 2_300), Demand()
-    for table in roles(figures, demand) + events(figures, demand):
+    for table in build_role_tables(figures, demand) + build_event_tables(figures, demand):
         for found in table.rows:
             if found.mechanism == NO_MECHANISM:
                 continue
