--- a/standins/scale/plan.py
+++ b/standins/scale/plan.py
@@ -21,12 +21,12 @@
 
     gateways: int = REFERENCE_GATEWAYS
     sites: int = 160
-    caches: int = 240
+    caches: int = 240  # station caches
     zones: int = 46
     regions: int = 21
-    requests: float = 1_800_000.0
-    objects: float = 300e6
-    purges: float = 19.0
+    requests: float = 1_800_000.0  # per second
+    objects: float = 300e6  # number of objects
+    purges: float = 19.0  # per second
     config_changes_per_day: float = 3_600.0
     max_purge_s: float = 1.7  # budget: a purge is in force at all gateways within this time
     max_config_change_s: float = 12.0  # budget: a configuration change is in force at all gateways within
