--- a/standins/scale/scenarios.py
+++ b/standins/scale/scenarios.py
@@ -7,7 +7,7 @@
 from standins.scale.fleet import HollowFleet
 from standins.scale.plan import Plan, demand_at
 
-SETTLE_MS = 11_000.0  # longer than a lease term, during which newly started owners grant no leases
+LEASE_SETTLE_MS = 11_000.0  # longer than a lease term, during which newly started owners grant no leases
 OBJECT_BITS = 48
 
 
@@ -58,7 +58,7 @@
 ) -> OriginFigures:
     """Run a fleet in which each gateway gets `each_per_s` misses per second that only the origin can fill."""
     fleet = origin_only(gateways, seed)
-    begin = fleet.now_ms + SETTLE_MS
+    begin = fleet.now_ms + LEASE_SETTLE_MS
     until = begin + 1000.0 * seconds
     for number in range(gateways):
         first = begin + fleet.rng.random() * 1000.0 / each_per_s
