--- a/standins/scale/scenarios.py
+++ b/standins/scale/scenarios.py
@@ -8,7 +8,7 @@
 from standins.scale.plan import Plan, demand_at
 
 LEASE_SETTLE_MS = 11_000.0  # longer than a lease term, during which newly started owners grant no leases
-OBJECT_BITS = 48
+OBJECT_KEY_BITS = 48
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,7 +48,7 @@
     if fleet.now_ms > until_ms:
         return
     if number in fleet.running and number not in fleet.queued_events:
-        fleet.submit_request(number, fleet.rng.getrandbits(OBJECT_BITS))
+        fleet.submit_request(number, fleet.rng.getrandbits(OBJECT_KEY_BITS))
     gap = fleet.rng.expovariate(each_per_s / 1000.0)
     fleet.schedule(fleet.now_ms + gap, partial(keep_asking, fleet, number, each_per_s, until_ms))
 
