--- a/standins/scale/scenarios.py
+++ b/standins/scale/scenarios.py
@@ -28,7 +28,7 @@
         return self.lease_notes / self.gateways / self.seconds
 
 
-Trouble = Callable[
+FaultScheduler = Callable[
     [HollowFleet, float], None
 ]  # schedules faults in a fleet, given the time when requests begin
 
@@ -54,7 +54,7 @@
 
 
 def fills_from_origin(
-    gateways: int, each_per_s: float, seconds: float, seed: int = 1, trouble: Trouble | None = None
+    gateways: int, each_per_s: float, seconds: float, seed: int = 1, trouble: FaultScheduler | None = None
 ) -> OriginFigures:
     """Run a fleet in which each gateway gets `each_per_s` misses per second that only the origin can fill."""
     fleet = origin_only(gateways, seed)
--- a/tests/scale/test_scale_leases.py
+++ b/tests/scale/test_scale_leases.py
@@ -8,7 +8,7 @@
 
 from hitchtiller.decide import ORIGIN_FILLS
 from standins.scale.fleet import HollowFleet
-from standins.scale.scenarios import Trouble, fills_from_origin
+from standins.scale.scenarios import FaultScheduler, fills_from_origin
 
 SIZES = [(3, 20.0, 10.0), (40, 5.0, 10.0), (200, 3.0, 8.0), (2_300, 0.5, 4.0)]  # gateways, misses, seconds
 FAULTY = [(40, 5.0, 15.0), (200, 3.0, 12.0)]
@@ -89,7 +89,7 @@
 @pytest.mark.parametrize(("gateways", "each_per_s", "seconds"), FAULTY)
 @pytest.mark.parametrize("trouble", [loss, cut, restarts, stops, views])
 def test_the_bound_holds_through_faults(
-    gateways: int, each_per_s: float, seconds: float, trouble: Trouble
+    gateways: int, each_per_s: float, seconds: float, trouble: FaultScheduler
 ) -> None:
     found = fills_from_origin(gateways, each_per_s, seconds, trouble=trouble)
     assert found.peak <= ORIGIN_FILLS
