--- a/standins/scale/scenarios.py
+++ b/standins/scale/scenarios.py
@@ -54,7 +54,11 @@
 
 
 def fills_from_origin(
-    gateways: int, each_per_s: float, seconds: float, seed: int = 1, trouble: FaultScheduler | None = None
+    gateways: int,
+    each_per_s: float,
+    seconds: float,
+    seed: int = 1,
+    schedule_faults: FaultScheduler | None = None,
 ) -> OriginFigures:
     """Run a fleet in which each gateway gets `each_per_s` misses per second that only the origin can fill."""
     fleet = origin_only(gateways, seed)
@@ -63,8 +67,8 @@
     for number in range(gateways):
         first = begin + fleet.rng.random() * 1000.0 / each_per_s
         fleet.schedule(first, partial(keep_asking, fleet, number, each_per_s, until))
-    if trouble:
-        trouble(fleet, begin)
+    if schedule_faults:
+        schedule_faults(fleet, begin)
     fleet.run(until)
     fleet.update_open_fills(0)
     notes = sum(count for kind, count in fleet.note_counts.items() if kind.startswith("lease"))
--- a/tests/scale/test_scale_leases.py
+++ b/tests/scale/test_scale_leases.py
@@ -87,10 +87,10 @@
 
 
 @pytest.mark.parametrize(("gateways", "each_per_s", "seconds"), FAULTY)
-@pytest.mark.parametrize("trouble", [loss, cut, restarts, stops, views])
+@pytest.mark.parametrize("schedule_faults", [loss, cut, restarts, stops, views])
 def test_the_bound_holds_through_faults(
-    gateways: int, each_per_s: float, seconds: float, trouble: FaultScheduler
+    gateways: int, each_per_s: float, seconds: float, schedule_faults: FaultScheduler
 ) -> None:
-    found = fills_from_origin(gateways, each_per_s, seconds, trouble=trouble)
+    found = fills_from_origin(gateways, each_per_s, seconds, schedule_faults=schedule_faults)
     assert found.peak <= ORIGIN_FILLS
     assert found.served > 0
