--- a/standins/scale/scenarios.py
+++ b/standins/scale/scenarios.py
@@ -33,7 +33,7 @@
 ]  # schedules faults in a fleet, given the time when requests begin
 
 
-def origin_only(gateways: int, seed: int = 1) -> HollowFleet:
+def start_origin_only_fleet(gateways: int, seed: int = 1) -> HollowFleet:
     """Start a fleet whose gateways list the caches of their zone and the origin, but no parent."""
     plan = Plan(demand_at(gateways))
     lists = [(*plan.caches(zone), plan.origin()) for zone in range(plan.demand.zones)]
@@ -61,7 +61,7 @@
     schedule_faults: FaultScheduler | None = None,
 ) -> OriginFigures:
     """Run a fleet in which each gateway gets `each_per_s` misses per second that only the origin can fill."""
-    fleet = origin_only(gateways, seed)
+    fleet = start_origin_only_fleet(gateways, seed)
     begin = fleet.now_ms + LEASE_SETTLE_MS
     until = begin + 1000.0 * seconds
     for number in range(gateways):
