--- a/standins/scale/scenarios.py
+++ b/standins/scale/scenarios.py
@@ -43,14 +43,14 @@
     return fleet
 
 
-def keep_asking(fleet: HollowFleet, number: int, each_per_s: float, until_ms: float) -> None:
+def send_requests(fleet: HollowFleet, number: int, each_per_s: float, until_ms: float) -> None:
     """Send a gateway requests for objects that no server holds, at random intervals, until a time."""
     if fleet.now_ms > until_ms:
         return
     if number in fleet.running and number not in fleet.queued_events:
         fleet.submit_request(number, fleet.rng.getrandbits(OBJECT_KEY_BITS))
     gap = fleet.rng.expovariate(each_per_s / 1000.0)
-    fleet.schedule(fleet.now_ms + gap, partial(keep_asking, fleet, number, each_per_s, until_ms))
+    fleet.schedule(fleet.now_ms + gap, partial(send_requests, fleet, number, each_per_s, until_ms))
 
 
 def fills_from_origin(
@@ -66,7 +66,7 @@
     until = begin + 1000.0 * seconds
     for number in range(gateways):
         first = begin + fleet.rng.random() * 1000.0 / each_per_s
-        fleet.schedule(first, partial(keep_asking, fleet, number, each_per_s, until))
+        fleet.schedule(first, partial(send_requests, fleet, number, each_per_s, until))
     if schedule_faults:
         schedule_faults(fleet, begin)
     fleet.run(until)
