--- a/standins/scale/scenarios.py
+++ b/standins/scale/scenarios.py
@@ -43,30 +43,30 @@
     return fleet
 
 
-def send_requests(fleet: HollowFleet, number: int, each_per_s: float, until_ms: float) -> None:
+def send_requests(fleet: HollowFleet, number: int, misses_per_s: float, until_ms: float) -> None:
     """Send a gateway requests for objects that no server holds, at random intervals, until a time."""
     if fleet.now_ms > until_ms:
         return
     if number in fleet.running and number not in fleet.queued_events:
         fleet.submit_request(number, fleet.rng.getrandbits(OBJECT_KEY_BITS))
-    gap = fleet.rng.expovariate(each_per_s / 1000.0)
-    fleet.schedule(fleet.now_ms + gap, partial(send_requests, fleet, number, each_per_s, until_ms))
+    gap = fleet.rng.expovariate(misses_per_s / 1000.0)
+    fleet.schedule(fleet.now_ms + gap, partial(send_requests, fleet, number, misses_per_s, until_ms))
 
 
 def fills_from_origin(
     gateways: int,
-    each_per_s: float,
+    misses_per_s: float,
     seconds: float,
     seed: int = 1,
     schedule_faults: FaultScheduler | None = None,
 ) -> OriginFigures:
-    """Run a fleet in which each gateway gets `each_per_s` misses per second that only the origin can fill."""
+    """Run a fleet in which each gateway gets `misses_per_s` misses per second that only the origin can fill."""
     fleet = start_origin_only_fleet(gateways, seed)
     begin = fleet.now_ms + LEASE_SETTLE_MS
     until = begin + 1000.0 * seconds
     for number in range(gateways):
-        first = begin + fleet.rng.random() * 1000.0 / each_per_s
-        fleet.schedule(first, partial(send_requests, fleet, number, each_per_s, until))
+        first = begin + fleet.rng.random() * 1000.0 / misses_per_s
+        fleet.schedule(first, partial(send_requests, fleet, number, misses_per_s, until))
     if schedule_faults:
         schedule_faults(fleet, begin)
     fleet.run(until)
--- a/tests/scale/test_scale_leases.py
+++ b/tests/scale/test_scale_leases.py
@@ -14,12 +14,12 @@
 FAULTY = [(40, 5.0, 15.0), (200, 3.0, 12.0)]
 
 
-@pytest.mark.parametrize(("gateways", "each_per_s", "seconds"), SIZES)
+@pytest.mark.parametrize(("gateways", "misses_per_s", "seconds"), SIZES)
 def test_the_origin_is_used_and_its_bound_is_kept_at_any_size(
-    gateways: int, each_per_s: float, seconds: float
+    gateways: int, misses_per_s: float, seconds: float
 ) -> None:
     """Each had a fill of its own from 25 gateways on: 2,300 of them 2,300 at once."""
-    found = fills_from_origin(gateways, each_per_s, seconds)
+    found = fills_from_origin(gateways, misses_per_s, seconds)
     assert found.peak <= ORIGIN_FILLS
     assert found.mean >= 0.4 * ORIGIN_FILLS
 
@@ -86,11 +86,11 @@
         gateway.router.present = lambda share=shares[number % 3]: share  # type: ignore[misc]
 
 
-@pytest.mark.parametrize(("gateways", "each_per_s", "seconds"), FAULTY)
+@pytest.mark.parametrize(("gateways", "misses_per_s", "seconds"), FAULTY)
 @pytest.mark.parametrize("schedule_faults", [loss, cut, restarts, stops, views])
 def test_the_bound_holds_through_faults(
-    gateways: int, each_per_s: float, seconds: float, schedule_faults: FaultScheduler
+    gateways: int, misses_per_s: float, seconds: float, schedule_faults: FaultScheduler
 ) -> None:
-    found = fills_from_origin(gateways, each_per_s, seconds, schedule_faults=schedule_faults)
+    found = fills_from_origin(gateways, misses_per_s, seconds, schedule_faults=schedule_faults)
     assert found.peak <= ORIGIN_FILLS
     assert found.served > 0
