--- a/standins/scale/bounds.py
+++ b/standins/scale/bounds.py
@@ -8,7 +8,7 @@
 from hitchtiller.membership.homes import Homes
 from hitchtiller.records import hash64
 from standins.scale.plan import Plan, demand_at
-from standins.scale.scenarios import fills_from_origin
+from standins.scale.scenarios import measure_origin_fills
 
 ORIGIN_RATE, ORIGIN_S = 0.5, 6.0  # misses per second at each gateway, far more in all than the bound admits
 ORIGIN_LEAST = 200.0  # lower bound on misses per second over all gateways
@@ -20,7 +20,7 @@
 def origin(gateways: int, seed: int) -> dict[str, float]:
     """Measure simultaneous fills at the origin while every miss can be filled there only."""
     rate = max(ORIGIN_RATE, ORIGIN_LEAST / gateways)
-    found = fills_from_origin(gateways, rate, ORIGIN_S, seed)
+    found = measure_origin_fills(gateways, rate, ORIGIN_S, seed)
     return {
         "origin_peak": float(found.peak),
         "origin_mean": found.mean,
--- a/standins/scale/scenarios.py
+++ b/standins/scale/scenarios.py
@@ -53,7 +53,7 @@
     fleet.schedule(fleet.now_ms + gap, partial(send_requests, fleet, number, misses_per_s, until_ms))
 
 
-def fills_from_origin(
+def measure_origin_fills(
     gateways: int,
     misses_per_s: float,
     seconds: float,
--- a/tests/scale/test_scale_leases.py
+++ b/tests/scale/test_scale_leases.py
@@ -8,7 +8,7 @@
 
 from hitchtiller.decide import ORIGIN_FILLS
 from standins.scale.fleet import HollowFleet
-from standins.scale.scenarios import FaultScheduler, fills_from_origin
+from standins.scale.scenarios import FaultScheduler, measure_origin_fills
 
 SIZES = [(3, 20.0, 10.0), (40, 5.0, 10.0), (200, 3.0, 8.0), (2_300, 0.5, 4.0)]  # gateways, misses, seconds
 FAULTY = [(40, 5.0, 15.0), (200, 3.0, 12.0)]
@@ -19,14 +19,14 @@
     gateways: int, misses_per_s: float, seconds: float
 ) -> None:
     """Each had a fill of its own from 25 gateways on: 2,300 of them 2,300 at once."""
-    found = fills_from_origin(gateways, misses_per_s, seconds)
+    found = measure_origin_fills(gateways, misses_per_s, seconds)
     assert found.peak <= ORIGIN_FILLS
     assert found.mean >= 0.4 * ORIGIN_FILLS
 
 
 @pytest.mark.parametrize("gateways", [25, 40, 200])
 def test_lease_notes_stay_few_where_all_want_a_lease(gateways: int) -> None:
-    assert fills_from_origin(gateways, 5.0, 8.0).notes_each() < 4.0
+    assert measure_origin_fills(gateways, 5.0, 8.0).notes_each() < 4.0
 
 
 def loss(fleet: HollowFleet, begin_ms: float) -> None:
@@ -91,6 +91,6 @@
 def test_the_bound_holds_through_faults(
     gateways: int, misses_per_s: float, seconds: float, schedule_faults: FaultScheduler
 ) -> None:
-    found = fills_from_origin(gateways, misses_per_s, seconds, schedule_faults=schedule_faults)
+    found = measure_origin_fills(gateways, misses_per_s, seconds, schedule_faults=schedule_faults)
     assert found.peak <= ORIGIN_FILLS
     assert found.served > 0
--- a/tests/scale/test_scale_tool.py
+++ b/tests/scale/test_scale_tool.py
@@ -14,7 +14,7 @@
 from standins.scale.report import find_breaking_rows, format_page
 from standins.scale.results import RESULTS_VERSION, ResultsError, Run, Series, load_run, save_run
 from standins.scale.roles import build_role_tables
-from standins.scale.scenarios import fills_from_origin
+from standins.scale.scenarios import measure_origin_fills
 
 ROOT = Path(__file__).parent.parent.parent
 FIGURES, PAGE = ROOT / "docs" / "capacity.json", ROOT / "docs" / "CAPACITY.md"
@@ -64,7 +64,7 @@
 
 
 def test_the_same_seed_gives_the_same_counts_and_another_others() -> None:
-    first, again, other = (fills_from_origin(30, 5.0, 3.0, seed) for seed in (1, 1, 2))
+    first, again, other = (measure_origin_fills(30, 5.0, 3.0, seed) for seed in (1, 1, 2))
     assert first == again
     assert first != other
 
