--- a/standins/scale/bounds.py
+++ b/standins/scale/bounds.py
@@ -24,7 +24,7 @@
     return {
         "origin_peak": float(found.peak),
         "origin_mean": found.mean,
-        "lease_notes": found.notes_each(),
+        "lease_notes": found.lease_notes_per_s(),
     }
 
 
