--- a/standins/scale/scenarios.py
+++ b/standins/scale/scenarios.py
@@ -23,7 +23,7 @@
     lease_notes: int
     seconds: float
 
-    def notes_each(self) -> float:
+    def lease_notes_per_s(self) -> float:
         """Return the mean number of lease notes that a gateway sent per second."""
         return self.lease_notes / self.gateways / self.seconds
 
