--- a/standins/scale/scenarios.py
+++ b/standins/scale/scenarios.py
@@ -16,7 +16,7 @@
     """The load of all gateways together on the origin in one run."""
 
     gateways: int
-    peak: int  # highest number of simultaneous fills
+    peak_fills: int  # highest number of simultaneous fills
     mean: float  # mean number of simultaneous fills while requests arrive
     served: int
     refused: int
