--- a/standins/scale/scenarios.py
+++ b/standins/scale/scenarios.py
@@ -17,7 +17,7 @@
 
     gateways: int
     peak_fills: int  # highest number of simultaneous fills
-    mean: float  # mean number of simultaneous fills while requests arrive
+    mean_fills: float  # mean number of simultaneous fills while requests arrive
     served: int
     refused: int
     lease_notes: int
@@ -73,5 +73,5 @@
     fleet.update_open_fills(0)
     notes = sum(count for kind, count in fleet.note_counts.items() if kind.startswith("lease"))
     answers = (fleet.answer_counts["served"], fleet.answer_counts["refused"])
-    mean = fleet.origin_fill_ms / (1000.0 * seconds)
-    return OriginFigures(gateways, fleet.peak_origin_fills, mean, *answers, notes, seconds)
+    mean_fills = fleet.origin_fill_ms / (1000.0 * seconds)
+    return OriginFigures(gateways, fleet.peak_origin_fills, mean_fills, *answers, notes, seconds)
