--- a/standins/scale/scenarios.py
+++ b/standins/scale/scenarios.py
@@ -36,8 +36,8 @@
 def start_origin_only_fleet(gateways: int, seed: int = 1) -> HollowFleet:
     """Start a fleet whose gateways list the caches of their zone and the origin, but no parent."""
     plan = Plan(demand_at(gateways))
-    lists = [(*plan.caches(zone), plan.origin()) for zone in range(plan.demand.zones)]
-    fleet = HollowFleet(plan, seed, lambda number: lists[plan.zone_of(number)])
+    lists_by_zone = [(*plan.caches(zone), plan.origin()) for zone in range(plan.demand.zones)]
+    fleet = HollowFleet(plan, seed, lambda number: lists_by_zone[plan.zone_of(number)])
     for number in range(gateways):
         fleet.start(number)
     return fleet
