--- a/standins/scale/scenarios.py
+++ b/standins/scale/scenarios.py
@@ -62,13 +62,13 @@
 ) -> OriginFigures:
     """Run a fleet in which each gateway gets `misses_per_s` misses per second that only the origin can fill."""
     fleet = start_origin_only_fleet(gateways, seed)
-    begin = fleet.now_ms + LEASE_SETTLE_MS
-    until = begin + 1000.0 * seconds
+    begin_ms = fleet.now_ms + LEASE_SETTLE_MS
+    until = begin_ms + 1000.0 * seconds
     for number in range(gateways):
-        first = begin + fleet.rng.random() * 1000.0 / misses_per_s
+        first = begin_ms + fleet.rng.random() * 1000.0 / misses_per_s
         fleet.schedule(first, partial(send_requests, fleet, number, misses_per_s, until))
     if schedule_faults:
-        schedule_faults(fleet, begin)
+        schedule_faults(fleet, begin_ms)
     fleet.run(until)
     fleet.update_open_fills(0)
     notes = sum(count for kind, count in fleet.note_counts.items() if kind.startswith("lease"))
