--- a/standins/scale/scenarios.py
+++ b/standins/scale/scenarios.py
@@ -63,13 +63,13 @@
     """Run a fleet in which each gateway gets `misses_per_s` misses per second that only the origin can fill."""
     fleet = start_origin_only_fleet(gateways, seed)
     begin_ms = fleet.now_ms + LEASE_SETTLE_MS
-    until = begin_ms + 1000.0 * seconds
+    until_ms = begin_ms + 1000.0 * seconds
     for number in range(gateways):
         first = begin_ms + fleet.rng.random() * 1000.0 / misses_per_s
-        fleet.schedule(first, partial(send_requests, fleet, number, misses_per_s, until))
+        fleet.schedule(first, partial(send_requests, fleet, number, misses_per_s, until_ms))
     if schedule_faults:
         schedule_faults(fleet, begin_ms)
-    fleet.run(until)
+    fleet.run(until_ms)
     fleet.update_open_fills(0)
     notes = sum(count for kind, count in fleet.note_counts.items() if kind.startswith("lease"))
     answers = (fleet.answer_counts["served"], fleet.answer_counts["refused"])
