--- a/standins/scale/scenarios.py
+++ b/standins/scale/scenarios.py
@@ -65,8 +65,8 @@
     begin_ms = fleet.now_ms + LEASE_SETTLE_MS
     until_ms = begin_ms + 1000.0 * seconds
     for number in range(gateways):
-        first = begin_ms + fleet.rng.random() * 1000.0 / misses_per_s
-        fleet.schedule(first, partial(send_requests, fleet, number, misses_per_s, until_ms))
+        first_ms = begin_ms + fleet.rng.random() * 1000.0 / misses_per_s
+        fleet.schedule(first_ms, partial(send_requests, fleet, number, misses_per_s, until_ms))
     if schedule_faults:
         schedule_faults(fleet, begin_ms)
     fleet.run(until_ms)
