--- a/standins/scale/directory.py
+++ b/standins/scale/directory.py
@@ -76,8 +76,8 @@
     def arrive(position: int, until_ms: float, callback: Callable[[int, float, object], None]) -> None:
         if fleet.now_ms <= until_ms and position < len(keys):
             fleet.submit_request(fleet.running_number, keys[position])
-            gap = rng.expovariate(rate / 1000.0)
-            fleet.schedule(fleet.now_ms + gap, partial(callback, position + 1, until_ms, callback))
+            gap_ms = rng.expovariate(rate / 1000.0)
+            fleet.schedule(fleet.now_ms + gap_ms, partial(callback, position + 1, until_ms, callback))
 
     arrive(0, begin + 1000.0 * (WARM_UP_S + MEASURED_S), arrive)  # type: ignore[arg-type]
     fleet.run(begin + 1000.0 * WARM_UP_S)
--- a/standins/scale/scenarios.py
+++ b/standins/scale/scenarios.py
@@ -49,8 +49,8 @@
         return
     if number in fleet.running and number not in fleet.queued_events:
         fleet.submit_request(number, fleet.rng.getrandbits(OBJECT_KEY_BITS))
-    gap = fleet.rng.expovariate(misses_per_s / 1000.0)
-    fleet.schedule(fleet.now_ms + gap, partial(send_requests, fleet, number, misses_per_s, until_ms))
+    gap_ms = fleet.rng.expovariate(misses_per_s / 1000.0)
+    fleet.schedule(fleet.now_ms + gap_ms, partial(send_requests, fleet, number, misses_per_s, until_ms))
 
 
 def measure_origin_fills(
