--- a/standins/scale/directory.py
+++ b/standins/scale/directory.py
@@ -71,7 +71,7 @@
     keys = draw_popular_objects(
         int(plan.demand.objects / gateways), int(rate * (WARM_UP_S + MEASURED_S) * 1.2), seed
     )
-    begin = fleet.now_ms
+    begin_ms = fleet.now_ms
 
     def arrive(position: int, until_ms: float, callback: Callable[[int, float, object], None]) -> None:
         if fleet.now_ms <= until_ms and position < len(keys):
@@ -79,14 +79,14 @@
             gap_ms = rng.expovariate(rate / 1000.0)
             fleet.schedule(fleet.now_ms + gap_ms, partial(callback, position + 1, until_ms, callback))
 
-    arrive(0, begin + 1000.0 * (WARM_UP_S + MEASURED_S), arrive)  # type: ignore[arg-type]
-    fleet.run(begin + 1000.0 * WARM_UP_S)
+    arrive(0, begin_ms + 1000.0 * (WARM_UP_S + MEASURED_S), arrive)  # type: ignore[arg-type]
+    fleet.run(begin_ms + 1000.0 * WARM_UP_S)
     notes_before, bytes_before, served_before = (
         sum(fleet.note_counts.values()),
         fleet.note_bytes,
         fleet.answer_counts["served"],
     )
-    fleet.run(begin + 1000.0 * (WARM_UP_S + MEASURED_S))
+    fleet.run(begin_ms + 1000.0 * (WARM_UP_S + MEASURED_S))
     requests = fleet.answer_counts["served"] - served_before
     return {
         "directory_notes": (sum(fleet.note_counts.values()) - notes_before) / requests,
