--- a/standins/scale/bounds.py
+++ b/standins/scale/bounds.py
@@ -10,7 +10,7 @@
 from standins.scale.plan import Plan, demand_at
 from standins.scale.scenarios import measure_origin_fills
 
-MIN_MISSES_PER_S, ORIGIN_S = (
+MIN_MISSES_PER_S, ORIGIN_RUN_S = (
     0.5,
     6.0,
 )  # misses per second at each gateway, far more in all than the bound admits
@@ -23,7 +23,7 @@
 def origin(gateways: int, seed: int) -> dict[str, float]:
     """Measure simultaneous fills at the origin while every miss can be filled there only."""
     rate = max(MIN_MISSES_PER_S, ORIGIN_LEAST / gateways)
-    found = measure_origin_fills(gateways, rate, ORIGIN_S, seed)
+    found = measure_origin_fills(gateways, rate, ORIGIN_RUN_S, seed)
     return {
         "origin_peak": float(found.peak_fills),
         "origin_mean": found.mean,
