--- a/standins/scale/bounds.py
+++ b/standins/scale/bounds.py
@@ -14,7 +14,7 @@
     0.5,
     6.0,
 )  # misses per second at each gateway, far more in all than the bound admits
-ORIGIN_LEAST = 200.0  # lower bound on misses per second over all gateways
+MIN_FLEET_MISSES_PER_S = 200.0  # lower bound on misses per second over all gateways
 STEP_MS, COLD_MS = 50.0, 4_000.0
 WORK_MS = 400.0
 MOVED_OBJECTS = 2_000
@@ -22,7 +22,7 @@
 
 def origin(gateways: int, seed: int) -> dict[str, float]:
     """Measure simultaneous fills at the origin while every miss can be filled there only."""
-    rate = max(MIN_MISSES_PER_S, ORIGIN_LEAST / gateways)
+    rate = max(MIN_MISSES_PER_S, MIN_FLEET_MISSES_PER_S / gateways)
     found = measure_origin_fills(gateways, rate, ORIGIN_RUN_S, seed)
     return {
         "origin_peak": float(found.peak_fills),
