--- a/standins/scale/bounds.py
+++ b/standins/scale/bounds.py
@@ -16,7 +16,7 @@
 )  # misses per second at each gateway, far more in all than the bound admits
 MIN_FLEET_MISSES_PER_S = 200.0  # lower bound on misses per second over all gateways
 STEP_MS, COLD_MS = 50.0, 4_000.0
-WORK_MS = 400.0
+CALL_WORK_MS = 400.0
 MOVED_OBJECTS = 2_000
 
 
@@ -59,7 +59,7 @@
     for number in numbers:
         router = Router(plan.settings(number), number)
         router.handle(api.Members((member, plan.origin()), whole=True), begin)
-        router.mean.update(dict.fromkeys(router.mean, WORK_MS))
+        router.mean.update(dict.fromkeys(router.mean, CALL_WORK_MS))
         routers.append((router, begin + rng.choice((0.0, 300.0, 2_000.0))))
     calls = []
     for step in range(int(COLD_MS / STEP_MS)):
@@ -67,13 +67,13 @@
         for router, told_ms in routers:
             router.now, node = now, router.nodes[member.server]
             if now >= told_ms and router.admits(node):
-                node.debt_ms += WORK_MS
+                node.debt_ms += CALL_WORK_MS
                 calls.append(now)
     share, ramp, multiple, weight = figures
     worst = 0.0
     for start in sorted(set(calls)):
         able = weight * (share + (1.0 - share) * min(1.0, (start - begin) / ramp))
-        budget = multiple * able * plan.shared_settings.fall_ms / WORK_MS
+        budget = multiple * able * plan.shared_settings.fall_ms / CALL_WORK_MS
         sent = sum(start <= at < start + plan.shared_settings.fall_ms for at in calls)
         worst = max(worst, sent / (budget + 2.0 * math.sqrt(budget) + 2.0))
     return worst
