--- a/standins/scale/bounds.py
+++ b/standins/scale/bounds.py
@@ -15,7 +15,7 @@
     6.0,
 )  # misses per second at each gateway, far more in all than the bound admits
 MIN_FLEET_MISSES_PER_S = 200.0  # lower bound on misses per second over all gateways
-STEP_MS, COLD_MS = 50.0, 4_000.0
+STEP_MS, COLD_RUN_MS = 50.0, 4_000.0
 CALL_WORK_MS = 400.0
 MOVED_OBJECTS = 2_000
 
@@ -62,7 +62,7 @@
         router.mean.update(dict.fromkeys(router.mean, CALL_WORK_MS))
         routers.append((router, begin + rng.choice((0.0, 300.0, 2_000.0))))
     calls = []
-    for step in range(int(COLD_MS / STEP_MS)):
+    for step in range(int(COLD_RUN_MS / STEP_MS)):
         now = begin + step * STEP_MS
         for router, told_ms in routers:
             router.now, node = now, router.nodes[member.server]
