--- a/standins/scale/bounds.py
+++ b/standins/scale/bounds.py
@@ -17,7 +17,7 @@
 MIN_FLEET_MISSES_PER_S = 200.0  # lower bound on misses per second over all gateways
 STEP_MS, COLD_RUN_MS = 50.0, 4_000.0
 CALL_WORK_MS = 400.0
-MOVED_OBJECTS = 2_000
+SAMPLED_OBJECTS = 2_000
 
 
 def origin(gateways: int, seed: int) -> dict[str, float]:
@@ -82,12 +82,12 @@
 def homes(gateways: int, seed: int) -> dict[str, float]:
     """Measure the share of objects whose home changes with one more gateway, without and with membership."""
     rng = Random(seed)
-    hashes = [hash64(rng.getrandbits(48), 0) for _ in range(MOVED_OBJECTS)]
+    hashes = [hash64(rng.getrandbits(48), 0) for _ in range(SAMPLED_OBJECTS)]
     plain = sum(h % gateways != h % (gateways + 1) for h in hashes)
     ranked, all_but_last = Homes(gateways + 1), set(range(gateways))
     every = all_but_last | {gateways}
     moved = sum(ranked.home(h, all_but_last) != ranked.home(h, every) for h in hashes[:200])
-    return {"homes_moved": plain / MOVED_OBJECTS, "homes_moved_members": moved / 200.0}
+    return {"homes_moved": plain / SAMPLED_OBJECTS, "homes_moved_members": moved / 200.0}
 
 
 def measure(gateways: int, seed: int) -> dict[str, float]:
