--- a/standins/scale/bounds.py
+++ b/standins/scale/bounds.py
@@ -20,7 +20,7 @@
 SAMPLED_OBJECTS = 2_000
 
 
-def origin(gateways: int, seed: int) -> dict[str, float]:
+def measure_origin_bound(gateways: int, seed: int) -> dict[str, float]:
     """Measure simultaneous fills at the origin while every miss can be filled there only."""
     rate = max(MIN_MISSES_PER_S, MIN_FLEET_MISSES_PER_S / gateways)
     found = measure_origin_fills(gateways, rate, ORIGIN_RUN_S, seed)
@@ -92,4 +92,4 @@
 
 def measure(gateways: int, seed: int) -> dict[str, float]:
     """Measure all bounds in a fleet of the given size."""
-    return origin(gateways, seed) | cold(gateways, seed) | homes(gateways, seed)
+    return measure_origin_bound(gateways, seed) | cold(gateways, seed) | homes(gateways, seed)
