--- a/tests/scale/test_scale_growth.py
+++ b/tests/scale/test_scale_growth.py
@@ -59,7 +59,7 @@
 
 @pytest.mark.parametrize("gateways", FLEETS)
 def test_all_gateways_together_keep_cold_servers_up(gateways: int) -> None:
-    found = bounds.cold(gateways, 1)
+    found = bounds.measure_cold_servers(gateways, 1)
     assert 0.0 < found["cold_cache"] <= 1.0
     assert 0.0 < found["cold_parent"] <= 1.0
 
