--- a/standins/scale/bounds.py
+++ b/standins/scale/bounds.py
@@ -31,7 +31,7 @@
     }
 
 
-def cold(gateways: int, seed: int) -> dict[str, float]:
+def measure_cold_servers(gateways: int, seed: int) -> dict[str, float]:
     """Measure the calls to a cold parent and a cold cache, as a share of what each can take."""
     plan = Plan(demand_at(gateways))
     zone = [n for n in range(gateways) if plan.zone_of(n) == 0]
@@ -92,4 +92,4 @@
 
 def measure(gateways: int, seed: int) -> dict[str, float]:
     """Measure all bounds in a fleet of the given size."""
-    return measure_origin_bound(gateways, seed) | cold(gateways, seed) | homes(gateways, seed)
+    return measure_origin_bound(gateways, seed) | measure_cold_servers(gateways, seed) | homes(gateways, seed)
