--- a/standins/scale/bounds.py
+++ b/standins/scale/bounds.py
@@ -79,7 +79,7 @@
     return worst
 
 
-def homes(gateways: int, seed: int) -> dict[str, float]:
+def measure_moved_homes(gateways: int, seed: int) -> dict[str, float]:
     """Measure the share of objects whose home changes with one more gateway, without and with membership."""
     rng = Random(seed)
     hashes = [hash64(rng.getrandbits(48), 0) for _ in range(SAMPLED_OBJECTS)]
@@ -92,4 +92,8 @@
 
 def measure(gateways: int, seed: int) -> dict[str, float]:
     """Measure all bounds in a fleet of the given size."""
-    return measure_origin_bound(gateways, seed) | measure_cold_servers(gateways, seed) | homes(gateways, seed)
+    return (
+        measure_origin_bound(gateways, seed)
+        | measure_cold_servers(gateways, seed)
+        | measure_moved_homes(gateways, seed)
+    )
