--- a/standins/scale/bounds.py
+++ b/standins/scale/bounds.py
@@ -39,12 +39,12 @@
     parent = (settings.parent_cold_share, settings.parent_cold_ms, settings.parent_fall_multiple, 30.0)
     cache = (settings.cold_share, settings.cold_ms, settings.fall_multiple, 8.0)
     return {
-        "cold_parent": _cold(plan, plan.parents()[0], list(range(gateways)), parent, seed),
-        "cold_cache": _cold(plan, plan.caches(0)[0], zone, cache, seed),
+        "cold_parent": _worst_cold_share(plan, plan.parents()[0], list(range(gateways)), parent, seed),
+        "cold_cache": _worst_cold_share(plan, plan.caches(0)[0], zone, cache, seed),
     }
 
 
-def _cold(
+def _worst_cold_share(
     plan: Plan, server: api.Member, numbers: list[int], figures: tuple[float, float, float, float], seed: int
 ) -> float:
     """Return the highest share of a cold server's budget that all gateways together use in one window.
