--- a/standins/scale/bounds.py
+++ b/standins/scale/bounds.py
@@ -22,8 +22,8 @@
 
 def measure_origin_bound(gateways: int, seed: int) -> dict[str, float]:
     """Measure simultaneous fills at the origin while every miss can be filled there only."""
-    rate = max(MIN_MISSES_PER_S, MIN_FLEET_MISSES_PER_S / gateways)
-    found = measure_origin_fills(gateways, rate, ORIGIN_RUN_S, seed)
+    misses_per_s = max(MIN_MISSES_PER_S, MIN_FLEET_MISSES_PER_S / gateways)
+    found = measure_origin_fills(gateways, misses_per_s, ORIGIN_RUN_S, seed)
     return {
         "origin_peak": float(found.peak_fills),
         "origin_mean": found.mean,
