--- a/standins/scale/bounds.py
+++ b/standins/scale/bounds.py
@@ -34,13 +34,13 @@
 def measure_cold_servers(gateways: int, seed: int) -> dict[str, float]:
     """Measure the calls to a cold parent and a cold cache, as a share of what each can take."""
     plan = Plan(demand_at(gateways))
-    zone = [n for n in range(gateways) if plan.zone_of(n) == 0]
+    zone_numbers = [n for n in range(gateways) if plan.zone_of(n) == 0]
     settings = plan.shared_settings
     parent = (settings.parent_cold_share, settings.parent_cold_ms, settings.parent_fall_multiple, 30.0)
     cache = (settings.cold_share, settings.cold_ms, settings.fall_multiple, 8.0)
     return {
         "cold_parent": _worst_cold_share(plan, plan.parents()[0], list(range(gateways)), parent, seed),
-        "cold_cache": _worst_cold_share(plan, plan.caches(0)[0], zone, cache, seed),
+        "cold_cache": _worst_cold_share(plan, plan.caches(0)[0], zone_numbers, cache, seed),
     }
 
 
