--- a/standins/scale/bounds.py
+++ b/standins/scale/bounds.py
@@ -45,7 +45,11 @@
 
 
 def _worst_cold_share(
-    plan: Plan, server: api.Member, numbers: list[int], figures: tuple[float, float, float, float], seed: int
+    plan: Plan,
+    server: api.Member,
+    numbers: list[int],
+    cold_settings: tuple[float, float, float, float],
+    seed: int,
 ) -> float:
     """Return the highest share of a cold server's budget that all gateways together use in one window.
 
@@ -69,7 +73,7 @@
             if now >= told_ms and router.admits(node):
                 node.debt_ms += CALL_WORK_MS
                 calls.append(now)
-    share, ramp, multiple, weight = figures
+    share, ramp, multiple, weight = cold_settings
     worst = 0.0
     for start in sorted(set(calls)):
         able = weight * (share + (1.0 - share) * min(1.0, (start - begin) / ramp))
