--- a/standins/scale/bounds.py
+++ b/standins/scale/bounds.py
@@ -57,17 +57,17 @@
     a budget of N calls the bound is N + 2 * sqrt(N) + 2, since which gateways of a zone use a cold server is
     decided by a hash and their number varies by chance.
     """
-    rng, begin = Random(seed), 1.0
-    member = api.Member(server.server, server.zone, server.kind, "SERVING", begin, server.weight)
+    rng, begin_ms = Random(seed), 1.0
+    member = api.Member(server.server, server.zone, server.kind, "SERVING", begin_ms, server.weight)
     routers = []
     for number in numbers:
         router = Router(plan.settings(number), number)
-        router.handle(api.Members((member, plan.origin()), whole=True), begin)
+        router.handle(api.Members((member, plan.origin()), whole=True), begin_ms)
         router.mean.update(dict.fromkeys(router.mean, CALL_WORK_MS))
-        routers.append((router, begin + rng.choice((0.0, 300.0, 2_000.0))))
+        routers.append((router, begin_ms + rng.choice((0.0, 300.0, 2_000.0))))
     calls = []
     for step in range(int(COLD_RUN_MS / STEP_MS)):
-        now = begin + step * STEP_MS
+        now = begin_ms + step * STEP_MS
         for router, told_ms in routers:
             router.now, node = now, router.nodes[member.server]
             if now >= told_ms and router.admits(node):
@@ -76,7 +76,7 @@
     share, ramp, multiple, weight = cold_settings
     worst = 0.0
     for start in sorted(set(calls)):
-        able = weight * (share + (1.0 - share) * min(1.0, (start - begin) / ramp))
+        able = weight * (share + (1.0 - share) * min(1.0, (start - begin_ms) / ramp))
         budget = multiple * able * plan.shared_settings.fall_ms / CALL_WORK_MS
         sent = sum(start <= at < start + plan.shared_settings.fall_ms for at in calls)
         worst = max(worst, sent / (budget + 2.0 * math.sqrt(budget) + 2.0))
