--- a/standins/scale/bounds.py
+++ b/standins/scale/bounds.py
@@ -67,12 +67,12 @@
         routers.append((router, begin_ms + rng.choice((0.0, 300.0, 2_000.0))))
     calls = []
     for step in range(int(COLD_RUN_MS / STEP_MS)):
-        now = begin_ms + step * STEP_MS
+        now_ms = begin_ms + step * STEP_MS
         for router, told_ms in routers:
-            router.now, node = now, router.nodes[member.server]
-            if now >= told_ms and router.admits(node):
+            router.now, node = now_ms, router.nodes[member.server]
+            if now_ms >= told_ms and router.admits(node):
                 node.debt_ms += CALL_WORK_MS
-                calls.append(now)
+                calls.append(now_ms)
     share, ramp, multiple, weight = cold_settings
     worst = 0.0
     for start in sorted(set(calls)):
