--- a/standins/scale/bounds.py
+++ b/standins/scale/bounds.py
@@ -65,20 +65,20 @@
         router.handle(api.Members((member, plan.origin()), whole=True), begin_ms)
         router.mean.update(dict.fromkeys(router.mean, CALL_WORK_MS))
         routers.append((router, begin_ms + rng.choice((0.0, 300.0, 2_000.0))))
-    calls = []
+    call_times_ms = []
     for step in range(int(COLD_RUN_MS / STEP_MS)):
         now_ms = begin_ms + step * STEP_MS
         for router, told_ms in routers:
             router.now, node = now_ms, router.nodes[member.server]
             if now_ms >= told_ms and router.admits(node):
                 node.debt_ms += CALL_WORK_MS
-                calls.append(now_ms)
+                call_times_ms.append(now_ms)
     share, ramp, multiple, weight = cold_settings
     worst = 0.0
-    for start in sorted(set(calls)):
+    for start in sorted(set(call_times_ms)):
         able = weight * (share + (1.0 - share) * min(1.0, (start - begin_ms) / ramp))
         budget = multiple * able * plan.shared_settings.fall_ms / CALL_WORK_MS
-        sent = sum(start <= at < start + plan.shared_settings.fall_ms for at in calls)
+        sent = sum(start <= at < start + plan.shared_settings.fall_ms for at in call_times_ms)
         worst = max(worst, sent / (budget + 2.0 * math.sqrt(budget) + 2.0))
     return worst
 
