--- a/standins/scale/bounds.py
+++ b/standins/scale/bounds.py
@@ -76,8 +76,8 @@
     share, ramp, multiple, weight = cold_settings
     worst_share = 0.0
     for start in sorted(set(call_times_ms)):
-        able = weight * (share + (1.0 - share) * min(1.0, (start - begin_ms) / ramp))
-        budget = multiple * able * plan.shared_settings.fall_ms / CALL_WORK_MS
+        capacity = weight * (share + (1.0 - share) * min(1.0, (start - begin_ms) / ramp))
+        budget = multiple * capacity * plan.shared_settings.fall_ms / CALL_WORK_MS
         sent = sum(start <= at < start + plan.shared_settings.fall_ms for at in call_times_ms)
         worst_share = max(worst_share, sent / (budget + 2.0 * math.sqrt(budget) + 2.0))
     return worst_share
