--- a/standins/scale/bounds.py
+++ b/standins/scale/bounds.py
@@ -78,8 +78,8 @@
     for start in sorted(set(call_times_ms)):
         capacity = weight * (share + (1.0 - share) * min(1.0, (start - begin_ms) / ramp))
         budget = multiple * capacity * plan.shared_settings.fall_ms / CALL_WORK_MS
-        sent = sum(start <= at < start + plan.shared_settings.fall_ms for at in call_times_ms)
-        worst_share = max(worst_share, sent / (budget + 2.0 * math.sqrt(budget) + 2.0))
+        call_count = sum(start <= at < start + plan.shared_settings.fall_ms for at in call_times_ms)
+        worst_share = max(worst_share, call_count / (budget + 2.0 * math.sqrt(budget) + 2.0))
     return worst_share
 
 
