--- a/standins/scale/bounds.py
+++ b/standins/scale/bounds.py
@@ -75,10 +75,12 @@
                 call_times_ms.append(now_ms)
     share, ramp, multiple, weight = cold_settings
     worst_share = 0.0
-    for start in sorted(set(call_times_ms)):
-        capacity = weight * (share + (1.0 - share) * min(1.0, (start - begin_ms) / ramp))
+    for window_start_ms in sorted(set(call_times_ms)):
+        capacity = weight * (share + (1.0 - share) * min(1.0, (window_start_ms - begin_ms) / ramp))
         budget = multiple * capacity * plan.shared_settings.fall_ms / CALL_WORK_MS
-        call_count = sum(start <= at < start + plan.shared_settings.fall_ms for at in call_times_ms)
+        call_count = sum(
+            window_start_ms <= at < window_start_ms + plan.shared_settings.fall_ms for at in call_times_ms
+        )
         worst_share = max(worst_share, call_count / (budget + 2.0 * math.sqrt(budget) + 2.0))
     return worst_share
 
