--- a/standins/scale/bounds.py
+++ b/standins/scale/bounds.py
@@ -89,10 +89,10 @@
     """Measure the share of objects whose home changes with one more gateway, without and with membership."""
     rng = Random(seed)
     hashes = [hash64(rng.getrandbits(48), 0) for _ in range(SAMPLED_OBJECTS)]
-    plain = sum(h % gateways != h % (gateways + 1) for h in hashes)
+    plain = sum(hashed % gateways != hashed % (gateways + 1) for hashed in hashes)
     ranked, all_but_last = Homes(gateways + 1), set(range(gateways))
     every = all_but_last | {gateways}
-    moved = sum(ranked.home(h, all_but_last) != ranked.home(h, every) for h in hashes[:200])
+    moved = sum(ranked.home(hashed, all_but_last) != ranked.home(hashed, every) for hashed in hashes[:200])
     return {"homes_moved": plain / SAMPLED_OBJECTS, "homes_moved_members": moved / 200.0}
 
 
