--- a/standins/scale/bounds.py
+++ b/standins/scale/bounds.py
@@ -92,8 +92,13 @@
     moved_by_number = sum(hashed % gateways != hashed % (gateways + 1) for hashed in hashes)
     ranked, all_but_last = Homes(gateways + 1), set(range(gateways))
     every = all_but_last | {gateways}
-    moved = sum(ranked.home(hashed, all_but_last) != ranked.home(hashed, every) for hashed in hashes[:200])
-    return {"homes_moved": moved_by_number / SAMPLED_OBJECTS, "homes_moved_members": moved / 200.0}
+    moved_by_membership = sum(
+        ranked.home(hashed, all_but_last) != ranked.home(hashed, every) for hashed in hashes[:200]
+    )
+    return {
+        "homes_moved": moved_by_number / SAMPLED_OBJECTS,
+        "homes_moved_members": moved_by_membership / 200.0,
+    }
 
 
 def measure(gateways: int, seed: int) -> dict[str, float]:
