--- a/standins/scale/bounds.py
+++ b/standins/scale/bounds.py
@@ -90,10 +90,11 @@
     rng = Random(seed)
     hashes = [hash64(rng.getrandbits(48), 0) for _ in range(SAMPLED_OBJECTS)]
     moved_by_number = sum(hashed % gateways != hashed % (gateways + 1) for hashed in hashes)
-    ranked, all_but_last = Homes(gateways + 1), set(range(gateways))
+    ranked_homes, all_but_last = Homes(gateways + 1), set(range(gateways))
     all_numbers = all_but_last | {gateways}
     moved_by_membership = sum(
-        ranked.home(hashed, all_but_last) != ranked.home(hashed, all_numbers) for hashed in hashes[:200]
+        ranked_homes.home(hashed, all_but_last) != ranked_homes.home(hashed, all_numbers)
+        for hashed in hashes[:200]
     )
     return {
         "homes_moved": moved_by_number / SAMPLED_OBJECTS,
