--- a/standins/scale/membership.py
+++ b/standins/scale/membership.py
@@ -17,7 +17,7 @@
 from standins.scale.fleet import UDP_HEADER_BYTES
 
 PERIOD_MS = 1_000.0
-QUIET, PATIENCE = 10.0, 60.0  # periods
+STEADY_PERIODS, PATIENCE = 10.0, 60.0  # periods
 CATCH_UP_PERIODS = 20_000
 FLEET_MARK = 7
 INCARNATION = 1_700_000_000_000
@@ -39,10 +39,10 @@
     net = converged(gateways, seed)
     net.run(2.0 * PERIOD_MS)
     sent, carried, begun = sum(net.sent), sum(net.bytes), time.process_time()
-    net.run(net.now + QUIET * PERIOD_MS)
+    net.run(net.now + STEADY_PERIODS * PERIOD_MS)
     used = time.process_time() - begun
-    datagrams = (sum(net.sent) - sent) / gateways / QUIET
-    size = (sum(net.bytes) - carried) / gateways / QUIET + UDP_HEADER_BYTES * datagrams
+    datagrams = (sum(net.sent) - sent) / gateways / STEADY_PERIODS
+    size = (sum(net.bytes) - carried) / gateways / STEADY_PERIODS + UDP_HEADER_BYTES * datagrams
     victim, at = gateways // 2, net.now
     net.kill(victim)
     others = len(net.nodes)
@@ -51,7 +51,7 @@
     return {
         "members_datagrams": datagrams,
         "members_bytes": size,
-        "members_cpu": 1e6 * used / gateways / QUIET,
+        "members_cpu": 1e6 * used / gateways / STEADY_PERIODS,
         "members_detect": (net.now - at) / 1000.0,
         "members_false": float(net.false_deaths),
     }
