--- a/standins/scale/membership.py
+++ b/standins/scale/membership.py
@@ -17,7 +17,7 @@
 from standins.scale.fleet import UDP_HEADER_BYTES
 
 PERIOD_MS = 1_000.0
-STEADY_PERIODS, PATIENCE = 10.0, 60.0  # periods
+STEADY_PERIODS, MAX_DETECTION_PERIODS = 10.0, 60.0  # periods
 CATCH_UP_PERIODS = 20_000
 FLEET_MARK = 7
 INCARNATION = 1_700_000_000_000
@@ -46,7 +46,9 @@
     victim, at = gateways // 2, net.now
     net.kill(victim)
     others = len(net.nodes)
-    while net.count_believing(victim, State.DEAD) < others and net.now - at < PATIENCE * PERIOD_MS:
+    while (
+        net.count_believing(victim, State.DEAD) < others and net.now - at < MAX_DETECTION_PERIODS * PERIOD_MS
+    ):
         net.run(net.now + PERIOD_MS / 4.0)
     return {
         "members_datagrams": datagrams,
