--- a/tests/scale/test_scale_growth.py
+++ b/tests/scale/test_scale_growth.py
@@ -54,7 +54,9 @@
 def test_the_time_until_all_know_of_a_death_grows_with_the_logarithm_at_the_most() -> None:
     small, large = (membership.steady(size, 1)["members_detect"] for size in (SMALL, LARGE))
     assert large / small < 1.5 * math.log(LARGE) / math.log(SMALL)
-    assert large < membership.PATIENCE / 3.0  # periods of a second; PATIENCE where some never hear of it
+    assert (
+        large < membership.MAX_DETECTION_PERIODS / 3.0
+    )  # periods of a second; PATIENCE where some never hear of it
 
 
 @pytest.mark.parametrize("gateways", FLEETS)
