--- a/standins/scale/membership.py
+++ b/standins/scale/membership.py
@@ -23,7 +23,7 @@
 INCARNATION = 1_700_000_000_000
 
 
-def converged(gateways: int, seed: int) -> Net:
+def make_converged_net(gateways: int, seed: int) -> Net:
     """Return a network in which each gateway holds the first claims of all and has no gossip left to send."""
     net = Net(gateways, seed)
     claims = {number: node.view.claims[number] for number, node in net.nodes.items()}
@@ -36,7 +36,7 @@
 
 def steady(gateways: int, seed: int) -> dict[str, float]:
     """Measure the fleet without changes, then the time until all gateways consider a killed one dead."""
-    net = converged(gateways, seed)
+    net = make_converged_net(gateways, seed)
     net.run(2.0 * PERIOD_MS)
     sent, carried, begun = sum(net.sent), sum(net.bytes), time.process_time()
     net.run(net.now + STEADY_PERIODS * PERIOD_MS)
