--- a/standins/scale/membership.py
+++ b/standins/scale/membership.py
@@ -34,7 +34,7 @@
     return net
 
 
-def steady(gateways: int, seed: int) -> dict[str, float]:
+def measure_steady_state(gateways: int, seed: int) -> dict[str, float]:
     """Measure the fleet without changes, then the time until all gateways consider a killed one dead."""
     net = make_converged_net(gateways, seed)
     net.run(2.0 * PERIOD_MS)
@@ -106,5 +106,5 @@
 
 def measure(gateways: int, seed: int) -> dict[str, float]:
     """Measure membership in a fleet of the given size."""
-    found = steady(gateways, seed)
+    found = measure_steady_state(gateways, seed)
     return found | {"members_state": state(gateways), "members_catch_up": catch_up(gateways, seed)}
