--- a/standins/scale/processes.py
+++ b/standins/scale/processes.py
@@ -116,7 +116,7 @@
 
 def common(seed: int) -> dict[str, float]:
     """Measure the datagrams per period of a hollow fleet and of real processes, at the same size."""
-    hollow = membership.steady(COMMON, seed)["members_datagrams"]
+    hollow = membership.measure_steady_state(COMMON, seed)["members_datagrams"]
     return {"common_hollow": hollow, "common_real": asyncio.run(datagrams())}
 
 
--- a/tests/scale/test_scale_growth.py
+++ b/tests/scale/test_scale_growth.py
@@ -45,14 +45,14 @@
 
 
 def test_membership_sends_as_much_in_a_large_fleet_as_in_a_small_one() -> None:
-    small, large = (membership.steady(size, 1) for size in (SMALL, LARGE))
+    small, large = (membership.measure_steady_state(size, 1) for size in (SMALL, LARGE))
     for measure in ("members_datagrams", "members_bytes"):
         assert abs(exponent(small[measure], large[measure])) < CONSTANT, measure
     assert small["members_false"] == large["members_false"] == 0.0
 
 
 def test_the_time_until_all_know_of_a_death_grows_with_the_logarithm_at_the_most() -> None:
-    small, large = (membership.steady(size, 1)["members_detect"] for size in (SMALL, LARGE))
+    small, large = (membership.measure_steady_state(size, 1)["members_detect"] for size in (SMALL, LARGE))
     assert large / small < 1.5 * math.log(LARGE) / math.log(SMALL)
     assert (
         large < membership.MAX_DETECTION_PERIODS / 3.0
