--- a/standins/scale/membership.py
+++ b/standins/scale/membership.py
@@ -75,7 +75,7 @@
     return float(used)
 
 
-def catch_up(gateways: int, seed: int) -> float:
+def measure_catch_up_s(gateways: int, seed: int) -> float:
     """Return the seconds until a newly started detector has heard of all gateways, through pages alone."""
     node = Detector(0, gateways, INCARNATION, FLEET_MARK, PERIOD_MS, Random(seed), 0.0)
     whole = {number: Claim(INCARNATION, State.ALIVE) for number in range(gateways)}
@@ -109,5 +109,5 @@
     found = measure_steady_state(gateways, seed)
     return found | {
         "members_state": measure_state_bytes(gateways),
-        "members_catch_up": catch_up(gateways, seed),
+        "members_catch_up": measure_catch_up_s(gateways, seed),
     }
