--- a/standins/scale/membership.py
+++ b/standins/scale/membership.py
@@ -40,7 +40,7 @@
     net.run(2.0 * PERIOD_MS)
     sent, carried, begun = sum(net.sent), sum(net.bytes), time.process_time()
     net.run(net.now + STEADY_PERIODS * PERIOD_MS)
-    used = time.process_time() - begun
+    cpu_s = time.process_time() - begun
     datagrams = (sum(net.sent) - sent) / gateways / STEADY_PERIODS
     size = (sum(net.bytes) - carried) / gateways / STEADY_PERIODS + UDP_HEADER_BYTES * datagrams
     victim, at = gateways // 2, net.now
@@ -53,7 +53,7 @@
     return {
         "members_datagrams": datagrams,
         "members_bytes": size,
-        "members_cpu": 1e6 * used / gateways / STEADY_PERIODS,
+        "members_cpu": 1e6 * cpu_s / gateways / STEADY_PERIODS,
         "members_detect": (net.now - at) / 1000.0,
         "members_false": float(net.false_deaths),
     }
@@ -70,9 +70,9 @@
         node.hear(number, 0.0)
     node.gossip.told.clear()
     gc.collect()
-    used = tracemalloc.get_traced_memory()[0] - before
+    cpu_s = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
-    return float(used)
+    return float(cpu_s)
 
 
 def measure_catch_up_s(gateways: int, seed: int) -> float:
