--- a/standins/scale/membership.py
+++ b/standins/scale/membership.py
@@ -38,10 +38,10 @@
     """Measure the fleet without changes, then the time until all gateways consider a killed one dead."""
     net = make_converged_net(gateways, seed)
     net.run(2.0 * PERIOD_MS)
-    sent, bytes_before, begun = sum(net.sent), sum(net.bytes), time.process_time()
+    datagrams_before, bytes_before, begun = sum(net.sent), sum(net.bytes), time.process_time()
     net.run(net.now + STEADY_PERIODS * PERIOD_MS)
     cpu_s = time.process_time() - begun
-    datagrams = (sum(net.sent) - sent) / gateways / STEADY_PERIODS
+    datagrams = (sum(net.sent) - datagrams_before) / gateways / STEADY_PERIODS
     size = (sum(net.bytes) - bytes_before) / gateways / STEADY_PERIODS + UDP_HEADER_BYTES * datagrams
     victim, at = gateways // 2, net.now
     net.kill(victim)
