--- a/standins/scale/membership.py
+++ b/standins/scale/membership.py
@@ -38,9 +38,9 @@
     """Measure the fleet without changes, then the time until all gateways consider a killed one dead."""
     net = make_converged_net(gateways, seed)
     net.run(2.0 * PERIOD_MS)
-    datagrams_before, bytes_before, begun = sum(net.sent), sum(net.bytes), time.process_time()
+    datagrams_before, bytes_before, cpu_before_s = sum(net.sent), sum(net.bytes), time.process_time()
     net.run(net.now + STEADY_PERIODS * PERIOD_MS)
-    cpu_s = time.process_time() - begun
+    cpu_s = time.process_time() - cpu_before_s
     datagrams = (sum(net.sent) - datagrams_before) / gateways / STEADY_PERIODS
     size = (sum(net.bytes) - bytes_before) / gateways / STEADY_PERIODS + UDP_HEADER_BYTES * datagrams
     victim, at = gateways // 2, net.now
