--- a/standins/scale/membership.py
+++ b/standins/scale/membership.py
@@ -42,7 +42,9 @@
     net.run(net.now + STEADY_PERIODS * PERIOD_MS)
     cpu_s = time.process_time() - cpu_before_s
     datagrams = (sum(net.sent) - datagrams_before) / gateways / STEADY_PERIODS
-    size = (sum(net.bytes) - bytes_before) / gateways / STEADY_PERIODS + UDP_HEADER_BYTES * datagrams
+    bytes_per_period = (
+        sum(net.bytes) - bytes_before
+    ) / gateways / STEADY_PERIODS + UDP_HEADER_BYTES * datagrams
     victim, at = gateways // 2, net.now
     net.kill(victim)
     others = len(net.nodes)
@@ -52,7 +54,7 @@
         net.run(net.now + PERIOD_MS / 4.0)
     return {
         "members_datagrams": datagrams,
-        "members_bytes": size,
+        "members_bytes": bytes_per_period,
         "members_cpu": 1e6 * cpu_s / gateways / STEADY_PERIODS,
         "members_detect": (net.now - at) / 1000.0,
         "members_false": float(net.false_deaths),
