--- a/standins/scale/membership.py
+++ b/standins/scale/membership.py
@@ -41,10 +41,10 @@
     datagrams_before, bytes_before, cpu_before_s = sum(net.sent), sum(net.bytes), time.process_time()
     net.run(net.now + STEADY_PERIODS * PERIOD_MS)
     cpu_s = time.process_time() - cpu_before_s
-    datagrams = (sum(net.sent) - datagrams_before) / gateways / STEADY_PERIODS
+    datagrams_per_period = (sum(net.sent) - datagrams_before) / gateways / STEADY_PERIODS
     bytes_per_period = (
         sum(net.bytes) - bytes_before
-    ) / gateways / STEADY_PERIODS + UDP_HEADER_BYTES * datagrams
+    ) / gateways / STEADY_PERIODS + UDP_HEADER_BYTES * datagrams_per_period
     victim, at = gateways // 2, net.now
     net.kill(victim)
     others = len(net.nodes)
@@ -53,7 +53,7 @@
     ):
         net.run(net.now + PERIOD_MS / 4.0)
     return {
-        "members_datagrams": datagrams,
+        "members_datagrams": datagrams_per_period,
         "members_bytes": bytes_per_period,
         "members_cpu": 1e6 * cpu_s / gateways / STEADY_PERIODS,
         "members_detect": (net.now - at) / 1000.0,
