--- a/standins/scale/membership.py
+++ b/standins/scale/membership.py
@@ -45,18 +45,19 @@
     bytes_per_period = (
         sum(net.bytes) - bytes_before
     ) / gateways / STEADY_PERIODS + UDP_HEADER_BYTES * datagrams_per_period
-    victim, at = gateways // 2, net.now
+    victim, killed_ms = gateways // 2, net.now
     net.kill(victim)
     others = len(net.nodes)
     while (
-        net.count_believing(victim, State.DEAD) < others and net.now - at < MAX_DETECTION_PERIODS * PERIOD_MS
+        net.count_believing(victim, State.DEAD) < others
+        and net.now - killed_ms < MAX_DETECTION_PERIODS * PERIOD_MS
     ):
         net.run(net.now + PERIOD_MS / 4.0)
     return {
         "members_datagrams": datagrams_per_period,
         "members_bytes": bytes_per_period,
         "members_cpu": 1e6 * cpu_s / gateways / STEADY_PERIODS,
-        "members_detect": (net.now - at) / 1000.0,
+        "members_detect": (net.now - killed_ms) / 1000.0,
         "members_false": float(net.false_deaths),
     }
 
