--- a/standins/scale/membership.py
+++ b/standins/scale/membership.py
@@ -47,9 +47,9 @@
     ) / gateways / STEADY_PERIODS + UDP_HEADER_BYTES * datagrams_per_period
     victim, killed_ms = gateways // 2, net.now
     net.kill(victim)
-    others = len(net.nodes)
+    other_count = len(net.nodes)
     while (
-        net.count_believing(victim, State.DEAD) < others
+        net.count_believing(victim, State.DEAD) < other_count
         and net.now - killed_ms < MAX_DETECTION_PERIODS * PERIOD_MS
     ):
         net.run(net.now + PERIOD_MS / 4.0)
