--- a/standins/scale/membership.py
+++ b/standins/scale/membership.py
@@ -86,13 +86,13 @@
     def answers(out: Datagrams) -> list[tuple[int, bytes]]:
         found = []
         for peer, data in out:
-            word = unpack(data, FLEET_MARK)
-            if word is None or word.kind not in (Kind.PING, Kind.PAGE):
+            message = unpack(data, FLEET_MARK)
+            if message is None or message.kind not in (Kind.PING, Kind.PAGE):
                 continue
-            if word.kind is Kind.PING:
-                answer = MembershipMessage(Kind.ACK, peer, word.number)
+            if message.kind is Kind.PING:
+                answer = MembershipMessage(Kind.ACK, peer, message.number)
             else:
-                numbers = [(word.target + place) % gateways for place in range(gateways)]
+                numbers = [(message.target + place) % gateways for place in range(gateways)]
                 answer = MembershipMessage(Kind.TELL, peer, 0, 0, [(n, whole[n], n) for n in numbers[:64]])
             found.append((peer, pack(answer, FLEET_MARK)))
         return found
