--- a/standins/scale/membership.py
+++ b/standins/scale/membership.py
@@ -81,7 +81,7 @@
 def measure_catch_up_s(gateways: int, seed: int) -> float:
     """Return the seconds until a newly started detector has heard of all gateways, through pages alone."""
     node = Detector(0, gateways, INCARNATION, FLEET_MARK, PERIOD_MS, Random(seed), 0.0)
-    whole = {number: Claim(INCARNATION, State.ALIVE) for number in range(gateways)}
+    claims = {number: Claim(INCARNATION, State.ALIVE) for number in range(gateways)}
 
     def answers(out: Datagrams) -> list[tuple[int, bytes]]:
         found = []
@@ -93,7 +93,7 @@
                 answer = MembershipMessage(Kind.ACK, peer, message.number)
             else:
                 numbers = [(message.target + place) % gateways for place in range(gateways)]
-                answer = MembershipMessage(Kind.TELL, peer, 0, 0, [(n, whole[n], n) for n in numbers[:64]])
+                answer = MembershipMessage(Kind.TELL, peer, 0, 0, [(n, claims[n], n) for n in numbers[:64]])
             found.append((peer, pack(answer, FLEET_MARK)))
         return found
 
