--- a/standins/scale/membership.py
+++ b/standins/scale/membership.py
@@ -83,7 +83,7 @@
     node = Detector(0, gateways, INCARNATION, FLEET_MARK, PERIOD_MS, Random(seed), 0.0)
     claims = {number: Claim(INCARNATION, State.ALIVE) for number in range(gateways)}
 
-    def answers(out: Datagrams) -> list[tuple[int, bytes]]:
+    def answer_datagrams(out: Datagrams) -> list[tuple[int, bytes]]:
         found = []
         for peer, data in out:
             message = unpack(data, FLEET_MARK)
@@ -100,7 +100,7 @@
     now = 0.0
     for tick in range(CATCH_UP_PERIODS * TICKS):
         now = tick * PERIOD_MS / TICKS
-        for peer, data in answers(node.tick(now)):
+        for peer, data in answer_datagrams(node.tick(now)):
             node.receive(peer, data, now)
         if tick % TICKS == 0 and UNHEARD not in node.view.claims.values():
             break
