--- a/standins/scale/membership.py
+++ b/standins/scale/membership.py
@@ -83,9 +83,9 @@
     node = Detector(0, gateways, INCARNATION, FLEET_MARK, PERIOD_MS, Random(seed), 0.0)
     claims = {number: Claim(INCARNATION, State.ALIVE) for number in range(gateways)}
 
-    def answer_datagrams(out: Datagrams) -> list[tuple[int, bytes]]:
+    def answer_datagrams(sent: Datagrams) -> list[tuple[int, bytes]]:
         found = []
-        for peer, data in out:
+        for peer, data in sent:
             message = unpack(data, FLEET_MARK)
             if message is None or message.kind not in (Kind.PING, Kind.PAGE):
                 continue
