--- a/standins/scale/membership.py
+++ b/standins/scale/membership.py
@@ -84,7 +84,7 @@
     claims = {number: Claim(INCARNATION, State.ALIVE) for number in range(gateways)}
 
     def answer_datagrams(sent: Datagrams) -> list[tuple[int, bytes]]:
-        found = []
+        answers = []
         for peer, data in sent:
             message = unpack(data, FLEET_MARK)
             if message is None or message.kind not in (Kind.PING, Kind.PAGE):
@@ -94,8 +94,8 @@
             else:
                 numbers = [(message.target + place) % gateways for place in range(gateways)]
                 answer = MembershipMessage(Kind.TELL, peer, 0, 0, [(n, claims[n], n) for n in numbers[:64]])
-            found.append((peer, pack(answer, FLEET_MARK)))
-        return found
+            answers.append((peer, pack(answer, FLEET_MARK)))
+        return answers
 
     now = 0.0
     for tick in range(CATCH_UP_PERIODS * TICKS):
@@ -109,8 +109,8 @@
 
 def measure(gateways: int, seed: int) -> dict[str, float]:
     """Measure membership in a fleet of the given size."""
-    found = measure_steady_state(gateways, seed)
-    return found | {
+    answers = measure_steady_state(gateways, seed)
+    return answers | {
         "members_state": measure_state_bytes(gateways),
         "members_catch_up": measure_catch_up_s(gateways, seed),
     }
