--- a/standins/scale/membership.py
+++ b/standins/scale/membership.py
@@ -97,14 +97,14 @@
             answers.append((peer, pack(answer, FLEET_MARK)))
         return answers
 
-    now = 0.0
+    now_ms = 0.0
     for tick in range(CATCH_UP_PERIODS * TICKS):
-        now = tick * PERIOD_MS / TICKS
-        for peer, data in answer_datagrams(node.tick(now)):
-            node.receive(peer, data, now)
+        now_ms = tick * PERIOD_MS / TICKS
+        for peer, data in answer_datagrams(node.tick(now_ms)):
+            node.receive(peer, data, now_ms)
         if tick % TICKS == 0 and UNHEARD not in node.view.claims.values():
             break
-    return now / 1000.0
+    return now_ms / 1000.0
 
 
 def measure(gateways: int, seed: int) -> dict[str, float]:
