--- a/standins/scale/processes.py
+++ b/standins/scale/processes.py
@@ -1,7 +1,7 @@
 """Real gateway processes on loopback, for what hollow gateways lack: memory, start time, sockets, datagrams.
 
 One process at a time is started with the server list and the peers of a fleet of the given size; the listed
-servers do not exist, and no request is sent to them. Membership datagrams are counted over COMMON processes
+servers do not exist, and no request is sent to them. Membership datagrams are counted over COMPARISON_SIZE processes
 connected by the stand-in network, and compared with those of a hollow fleet of the same size.
 """
 
@@ -22,7 +22,7 @@
 from standins.scale.plan import Plan, demand_at
 from standins.truth import Truth
 
-COMMON = 10  # processes in the comparison of membership datagrams
+COMPARISON_SIZE = 10  # processes in the comparison of membership datagrams
 READY, SERVING = "INFO n0 ready", "serving on"
 PATIENCE_S, IDLE_S = 20.0, 3.0
 QUIET_PERIODS, FLEET_PERIOD_MS = 15.0, 400.0
@@ -101,22 +101,22 @@
 
 
 async def datagrams() -> float:
-    """Return the mean number of datagrams that each of COMMON processes sends per membership period."""
-    fleet = Fleet(COMMON, 1, period_ms=FLEET_PERIOD_MS)
+    """Return the mean number of datagrams that each of COMPARISON_SIZE processes sends per membership period."""
+    fleet = Fleet(COMPARISON_SIZE, 1, period_ms=FLEET_PERIOD_MS)
     try:
         await fleet.start()
-        await fleet.until({n: {"ALIVE"} for n in range(COMMON)}, patience_s=60.0)
+        await fleet.until({n: {"ALIVE"} for n in range(COMPARISON_SIZE)}, patience_s=60.0)
         await asyncio.sleep(5.0 * FLEET_PERIOD_MS / 1000.0)
         rows = len(fleet.fabric.history)
         await asyncio.sleep(QUIET_PERIODS * FLEET_PERIOD_MS / 1000.0)
-        return (len(fleet.fabric.history) - rows) / COMMON / QUIET_PERIODS
+        return (len(fleet.fabric.history) - rows) / COMPARISON_SIZE / QUIET_PERIODS
     finally:
         await fleet.finish()
 
 
 def common(seed: int) -> dict[str, float]:
     """Measure the datagrams per period of a hollow fleet and of real processes, at the same size."""
-    hollow = membership.measure_steady_state(COMMON, seed)["members_datagrams"]
+    hollow = membership.measure_steady_state(COMPARISON_SIZE, seed)["members_datagrams"]
     return {"common_hollow": hollow, "common_real": asyncio.run(datagrams())}
 
 
