--- a/standins/scale/__main__.py
+++ b/standins/scale/__main__.py
@@ -81,9 +81,9 @@
                 series.values.append(value)
             progress.advance(task)
     if "processes" in groups:
-        progress.update(task, description=f"{processes.COMMON} processes")
+        progress.update(task, description=f"{processes.COMPARISON_SIZE} processes")
         for measure, value in processes.common(seed).items():
-            series_by_measure[measure] = Series(measure, [processes.COMMON], [value])
+            series_by_measure[measure] = Series(measure, [processes.COMPARISON_SIZE], [value])
     peak_mb = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024.0
     return Run(
         RESULTS_VERSION,
