--- a/standins/scale/processes.py
+++ b/standins/scale/processes.py
@@ -23,7 +23,7 @@
 from standins.truth import Truth
 
 COMPARISON_SIZE = 10  # processes in the comparison of membership datagrams
-READY_LINE, SERVING = "INFO n0 ready", "serving on"
+READY_LINE, SERVING_LINE = "INFO n0 ready", "serving on"
 PATIENCE_S, IDLE_S = 20.0, 3.0
 QUIET_PERIODS, FLEET_PERIOD_MS = 15.0, 400.0
 PAGE = os.sysconf("SC_PAGE_SIZE")
