--- a/standins/scale/processes.py
+++ b/standins/scale/processes.py
@@ -24,7 +24,7 @@
 
 COMPARISON_SIZE = 10  # processes in the comparison of membership datagrams
 READY_LINE, SERVING_LINE = "INFO n0 ready", "serving on"
-PATIENCE_S, IDLE_S = 20.0, 3.0
+START_TIMEOUT_S, IDLE_S = 20.0, 3.0
 QUIET_PERIODS, FLEET_PERIOD_MS = 15.0, 400.0
 PAGE = os.sysconf("SC_PAGE_SIZE")
 TICKS_A_SECOND = os.sysconf("SC_CLK_TCK")
@@ -82,7 +82,7 @@
     )
     try:
         assert child.stderr
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(START_TIMEOUT_S):
             while READY_LINE not in (line := (await child.stderr.readline()).decode()):
                 if not line:
                     raise RuntimeError("the gateway process exited before it was ready")
