--- a/standins/scale/processes.py
+++ b/standins/scale/processes.py
@@ -26,13 +26,13 @@
 READY_LINE, SERVING_LINE = "INFO n0 ready", "serving on"
 START_TIMEOUT_S, IDLE_S = 20.0, 3.0
 QUIET_PERIODS, FLEET_PERIOD_MS = 15.0, 400.0
-PAGE = os.sysconf("SC_PAGE_SIZE")
+PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 TICKS_A_SECOND = os.sysconf("SC_CLK_TCK")
 
 
 def resident_mb(pid: int) -> float:
     """Return the resident memory of a process in MB."""
-    return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * PAGE / 1e6
+    return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * PAGE_BYTES / 1e6
 
 
 def processor_s(pid: int) -> float:
