--- a/standins/scale/processes.py
+++ b/standins/scale/processes.py
@@ -27,7 +27,7 @@
 START_TIMEOUT_S, IDLE_S = 20.0, 3.0
 QUIET_PERIODS, FLEET_PERIOD_MS = 15.0, 400.0
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
-TICKS_A_SECOND = os.sysconf("SC_CLK_TCK")
+CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 
 
 def resident_mb(pid: int) -> float:
@@ -38,7 +38,7 @@
 def processor_s(pid: int) -> float:
     """Return the processor time that a process has used, in seconds."""
     fields = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
-    return (int(fields[11]) + int(fields[12])) / TICKS_A_SECOND
+    return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
 
 
 def sockets_of(pid: int) -> int:
