--- a/standins/scale/processes.py
+++ b/standins/scale/processes.py
@@ -25,7 +25,7 @@
 COMPARISON_SIZE = 10  # processes in the comparison of membership datagrams
 READY_LINE, SERVING_LINE = "INFO n0 ready", "serving on"
 START_TIMEOUT_S, IDLE_S = 20.0, 3.0
-QUIET_PERIODS, FLEET_PERIOD_MS = 15.0, 400.0
+STEADY_PERIODS, FLEET_PERIOD_MS = 15.0, 400.0
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 
@@ -108,8 +108,8 @@
         await fleet.until({n: {"ALIVE"} for n in range(COMPARISON_SIZE)}, patience_s=60.0)
         await asyncio.sleep(5.0 * FLEET_PERIOD_MS / 1000.0)
         rows = len(fleet.fabric.history)
-        await asyncio.sleep(QUIET_PERIODS * FLEET_PERIOD_MS / 1000.0)
-        return (len(fleet.fabric.history) - rows) / COMPARISON_SIZE / QUIET_PERIODS
+        await asyncio.sleep(STEADY_PERIODS * FLEET_PERIOD_MS / 1000.0)
+        return (len(fleet.fabric.history) - rows) / COMPARISON_SIZE / STEADY_PERIODS
     finally:
         await fleet.finish()
 
