--- a/standins/scale/processes.py
+++ b/standins/scale/processes.py
@@ -35,7 +35,7 @@
     return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * PAGE_BYTES / 1e6
 
 
-def processor_s(pid: int) -> float:
+def cpu_time_s(pid: int) -> float:
     """Return the processor time that a process has used, in seconds."""
     fields = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
     return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
@@ -86,13 +86,13 @@
             while READY_LINE not in (line := (await child.stderr.readline()).decode()):
                 if not line:
                     raise RuntimeError("the gateway process exited before it was ready")
-        started, used = time.monotonic() - begun, processor_s(child.pid)
+        started, used = time.monotonic() - begun, cpu_time_s(child.pid)
         await asyncio.sleep(IDLE_S)
         return {
             "process_memory": resident_mb(child.pid),
             "process_start": started,
             "process_sockets": float(sockets_of(child.pid)),
-            "process_idle": (processor_s(child.pid) - used) / IDLE_S,
+            "process_idle": (cpu_time_s(child.pid) - used) / IDLE_S,
         }
     finally:
         child.kill()
