--- a/standins/scale/processes.py
+++ b/standins/scale/processes.py
@@ -41,7 +41,7 @@
     return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
 
 
-def sockets_of(pid: int) -> int:
+def count_sockets(pid: int) -> int:
     """Return the number of open sockets of a process."""
     links = [os.readlink(entry) for entry in Path(f"/proc/{pid}/fd").iterdir()]
     return sum(link.startswith("socket:") for link in links)
@@ -91,7 +91,7 @@
         return {
             "process_memory": resident_mb(child.pid),
             "process_start": started,
-            "process_sockets": float(sockets_of(child.pid)),
+            "process_sockets": float(count_sockets(child.pid)),
             "process_idle": (cpu_time_s(child.pid) - used) / IDLE_S,
         }
     finally:
