--- a/standins/scale/processes.py
+++ b/standins/scale/processes.py
@@ -47,7 +47,7 @@
     return sum(link.startswith("socket:") for link in links)
 
 
-def hosts_of(plan: Plan) -> list[dict[str, Any]]:
+def host_entries(plan: Plan) -> list[dict[str, Any]]:
     """Return the server list in the form of the configuration, with the example configuration's zones."""
     kinds = {"box": "box", "parent": "parent", "origin": "origin"}
     return [
@@ -60,7 +60,7 @@
 async def alone(gateways: int) -> dict[str, float]:
     """Start one gateway of a fleet of the given size and measure it while it is idle."""
     plan, truth = Plan(demand_at(gateways)), Truth()
-    bus = Bus(truth, hosts_of(plan), REPLAY_MS)
+    bus = Bus(truth, host_entries(plan), REPLAY_MS)
     await bus.start()
     setup = settings() | {"my_number": 0, "group_size": gateways}
     setup["limits"] = setup.get("limits", {}) | {"peers": True}
