--- a/standins/scale/processes.py
+++ b/standins/scale/processes.py
@@ -57,7 +57,7 @@
     ]  # fmt: skip
 
 
-async def alone(gateways: int) -> dict[str, float]:
+async def measure_idle_process(gateways: int) -> dict[str, float]:
     """Start one gateway of a fleet of the given size and measure it while it is idle."""
     plan, truth = Plan(demand_at(gateways)), Truth()
     bus = Bus(truth, host_entries(plan), REPLAY_MS)
@@ -122,4 +122,4 @@
 
 def measure(gateways: int, seed: int) -> dict[str, float]:
     """Measure one process of a fleet of the given size."""
-    return asyncio.run(alone(gateways))
+    return asyncio.run(measure_idle_process(gateways))
