--- a/standins/scale/processes.py
+++ b/standins/scale/processes.py
@@ -100,7 +100,7 @@
         shutil.rmtree(folder, ignore_errors=True)
 
 
-async def datagrams() -> float:
+async def measure_real_datagrams() -> float:
     """Return the mean number of datagrams that each of COMPARISON_SIZE processes sends per membership period."""
     fleet = Fleet(COMPARISON_SIZE, 1, period_ms=FLEET_PERIOD_MS)
     try:
@@ -117,7 +117,7 @@
 def common(seed: int) -> dict[str, float]:
     """Measure the datagrams per period of a hollow fleet and of real processes, at the same size."""
     hollow = membership.measure_steady_state(COMPARISON_SIZE, seed)["members_datagrams"]
-    return {"common_hollow": hollow, "common_real": asyncio.run(datagrams())}
+    return {"common_hollow": hollow, "common_real": asyncio.run(measure_real_datagrams())}
 
 
 def measure(gateways: int, seed: int) -> dict[str, float]:
