--- a/standins/scale/processes.py
+++ b/standins/scale/processes.py
@@ -114,7 +114,7 @@
         await fleet.finish()
 
 
-def common(seed: int) -> dict[str, float]:
+def measure_comparison(seed: int) -> dict[str, float]:
     """Measure the datagrams per period of a hollow fleet and of real processes, at the same size."""
     hollow = membership.measure_steady_state(COMPARISON_SIZE, seed)["members_datagrams"]
     return {"common_hollow": hollow, "common_real": asyncio.run(measure_real_datagrams())}
