--- a/standins/scale/__main__.py
+++ b/standins/scale/__main__.py
@@ -82,7 +82,7 @@
             progress.advance(task)
     if "processes" in groups:
         progress.update(task, description=f"{processes.COMPARISON_SIZE} processes")
-        for measure, value in processes.common(seed).items():
+        for measure, value in processes.measure_comparison(seed).items():
             series_by_measure[measure] = Series(measure, [processes.COMPARISON_SIZE], [value])
     peak_mb = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024.0
     return Run(
