--- a/standins/scale/processes.py
+++ b/standins/scale/processes.py
@@ -86,13 +86,13 @@
             while READY_LINE not in (line := (await child.stderr.readline()).decode()):
                 if not line:
                     raise RuntimeError("the gateway process exited before it was ready")
-        start_s, used = time.monotonic() - begun_s, cpu_time_s(child.pid)
+        start_s, cpu_before_s = time.monotonic() - begun_s, cpu_time_s(child.pid)
         await asyncio.sleep(IDLE_S)
         return {
             "process_memory": resident_mb(child.pid),
             "process_start": start_s,
             "process_sockets": float(count_sockets(child.pid)),
-            "process_idle": (cpu_time_s(child.pid) - used) / IDLE_S,
+            "process_idle": (cpu_time_s(child.pid) - cpu_before_s) / IDLE_S,
         }
     finally:
         child.kill()
