--- a/standins/scale/processes.py
+++ b/standins/scale/processes.py
@@ -107,9 +107,9 @@
         await fleet.start()
         await fleet.until({n: {"ALIVE"} for n in range(COMPARISON_SIZE)}, patience_s=60.0)
         await asyncio.sleep(5.0 * FLEET_PERIOD_MS / 1000.0)
-        rows = len(fleet.fabric.history)
+        datagrams_before = len(fleet.fabric.history)
         await asyncio.sleep(STEADY_PERIODS * FLEET_PERIOD_MS / 1000.0)
-        return (len(fleet.fabric.history) - rows) / COMPARISON_SIZE / STEADY_PERIODS
+        return (len(fleet.fabric.history) - datagrams_before) / COMPARISON_SIZE / STEADY_PERIODS
     finally:
         await fleet.finish()
 
