--- a/standins/scale/processes.py
+++ b/standins/scale/processes.py
@@ -75,10 +75,10 @@
     }  # fmt: skip
     path = folder / "config.json"
     path.write_text(json.dumps(config))
-    env = {"PATH": os.environ["PATH"], "BALANCER_CONFIG": str(path), "TMPDIR": str(folder)}
+    environment = {"PATH": os.environ["PATH"], "BALANCER_CONFIG": str(path), "TMPDIR": str(folder)}
     begun_s = time.monotonic()
     child = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "hitchtiller", cwd=ROOT, env=env, stderr=asyncio.subprocess.PIPE
+        sys.executable, "-m", "hitchtiller", cwd=ROOT, env=environment, stderr=asyncio.subprocess.PIPE
     )
     try:
         assert child.stderr
