--- a/standins/scale/processes.py
+++ b/standins/scale/processes.py
@@ -62,16 +62,16 @@
     plan, truth = Plan(demand_at(gateways)), Truth()
     bus = Bus(truth, host_entries(plan), REPLAY_MS)
     await bus.start()
-    setup = settings() | {"my_number": 0, "group_size": gateways}
-    setup["limits"] = setup.get("limits", {}) | {"peers": True}
-    setup["family_info"] |= {"instances_by_zone": [0, gateways]}
+    gateway_settings = settings() | {"my_number": 0, "group_size": gateways}
+    gateway_settings["limits"] = gateway_settings.get("limits", {}) | {"peers": True}
+    gateway_settings["family_info"] |= {"instances_by_zone": [0, gateways]}
     folder = Path(tempfile.mkdtemp(prefix="scale-"))
     peers = [f"127.{1 + n // 65_536}.{n // 256 % 256}.{n % 256}:9" for n in range(gateways)]
     peers[0] = "127.0.0.1:0"
     config = {
         "name": "n0", "listen": "127.0.0.1:0", "control": "127.0.0.1:0", "seed": "1",
         "peer_listen": "127.0.0.1:0", "peers": peers, "limits": {"sockets": 512, "memory_mb": 256},
-        "bus": f"127.0.0.1:{bus.port}", "known": bus.begin(), "settings": setup,
+        "bus": f"127.0.0.1:{bus.port}", "known": bus.begin(), "settings": gateway_settings,
     }  # fmt: skip
     path = folder / "config.json"
     path.write_text(json.dumps(config))
