--- a/standins/scale/bounds.py
+++ b/standins/scale/bounds.py
@@ -26,7 +26,7 @@
     found = measure_origin_fills(gateways, misses_per_s, ORIGIN_RUN_S, seed)
     return {
         "origin_peak": float(found.peak_fills),
-        "origin_mean": found.mean,
+        "origin_mean": found.mean_fills,
         "lease_notes": found.lease_notes_per_s(),
     }
 
@@ -79,7 +79,8 @@
         capacity = weight * (share + (1.0 - share) * min(1.0, (window_start_ms - begin_ms) / ramp))
         budget = multiple * capacity * plan.shared_settings.fall_ms / CALL_WORK_MS
         call_count = sum(
-            window_start_ms <= at < window_start_ms + plan.shared_settings.fall_ms for at in call_times_ms
+            window_start_ms <= call_ms < window_start_ms + plan.shared_settings.fall_ms
+            for call_ms in call_times_ms
         )
         worst_share = max(worst_share, call_count / (budget + 2.0 * math.sqrt(budget) + 2.0))
     return worst_share
--- a/standins/scale/processes.py
+++ b/standins/scale/processes.py
@@ -1,8 +1,8 @@
 """Real gateway processes on loopback, for what hollow gateways lack: memory, start time, sockets, datagrams.
 
 One process at a time is started with the server list and the peers of a fleet of the given size; the listed
-servers do not exist, and no request is sent to them. Membership datagrams are counted over COMPARISON_SIZE processes
-connected by the stand-in network, and compared with those of a hollow fleet of the same size.
+servers do not exist, and no request is sent to them. Membership datagrams are counted over COMPARISON_SIZE
+processes connected by the stand-in network, and compared with those of a hollow fleet of the same size.
 """
 
 import asyncio
@@ -101,7 +101,7 @@
 
 
 async def measure_real_datagrams() -> float:
-    """Return the mean number of datagrams that each of COMPARISON_SIZE processes sends per membership period."""
+    """Return the datagrams that each of COMPARISON_SIZE processes sends per membership period, on average."""
     fleet = Fleet(COMPARISON_SIZE, 1, period_ms=FLEET_PERIOD_MS)
     try:
         await fleet.start()
--- a/standins/scale/scenarios.py
+++ b/standins/scale/scenarios.py
@@ -60,7 +60,7 @@
     seed: int = 1,
     schedule_faults: FaultScheduler | None = None,
 ) -> OriginFigures:
-    """Run a fleet in which each gateway gets `misses_per_s` misses per second that only the origin can fill."""
+    """Run a fleet whose gateways each get misses that only the origin can fill, and measure its load."""
     fleet = start_origin_only_fleet(gateways, seed)
     begin_ms = fleet.now_ms + LEASE_SETTLE_MS
     until_ms = begin_ms + 1000.0 * seconds
