--- a/standins/scale/membership.py
+++ b/standins/scale/membership.py
@@ -17,8 +17,8 @@
 from standins.scale.fleet import UDP_HEADER_BYTES
 
 PERIOD_MS = 1_000.0
-STEADY_PERIODS, MAX_DETECTION_PERIODS = 10.0, 60.0  # periods
-CATCH_UP_PERIODS = 20_000
+STEADY_PERIODS, MAX_DETECTION_PERIODS = 10.0, 60.0
+MAX_CATCH_UP_PERIODS = 20_000
 FLEET_MARK = 7
 INCARNATION = 1_700_000_000_000
 
@@ -66,16 +66,16 @@
     """Return the memory, in bytes, of a detector that has heard of all gateways."""
     gc.collect()
     tracemalloc.start()
-    before = tracemalloc.get_traced_memory()[0]
+    bytes_before = tracemalloc.get_traced_memory()[0]
     node = Detector(0, gateways, INCARNATION, FLEET_MARK, PERIOD_MS, Random(1), 0.0)
     for number in range(1, gateways):
         node.view.merge(number, Claim(INCARNATION + number, State.ALIVE), number, 0.0)
         node.hear(number, 0.0)
     node.gossip.told.clear()
     gc.collect()
-    cpu_s = tracemalloc.get_traced_memory()[0] - before
+    state_bytes = tracemalloc.get_traced_memory()[0] - bytes_before
     tracemalloc.stop()
-    return float(cpu_s)
+    return float(state_bytes)
 
 
 def measure_catch_up_s(gateways: int, seed: int) -> float:
@@ -92,13 +92,13 @@
             if message.kind is Kind.PING:
                 answer = MembershipMessage(Kind.ACK, peer, message.number)
             else:
-                numbers = [(message.target + place) % gateways for place in range(gateways)]
+                numbers = [(message.target + offset) % gateways for offset in range(gateways)]
                 answer = MembershipMessage(Kind.TELL, peer, 0, 0, [(n, claims[n], n) for n in numbers[:64]])
             answers.append((peer, pack(answer, FLEET_MARK)))
         return answers
 
     now_ms = 0.0
-    for tick in range(CATCH_UP_PERIODS * TICKS):
+    for tick in range(MAX_CATCH_UP_PERIODS * TICKS):
         now_ms = tick * PERIOD_MS / TICKS
         for peer, data in answer_datagrams(node.tick(now_ms)):
             node.receive(peer, data, now_ms)
@@ -109,8 +109,8 @@
 
 def measure(gateways: int, seed: int) -> dict[str, float]:
     """Measure membership in a fleet of the given size."""
-    answers = measure_steady_state(gateways, seed)
-    return answers | {
+    figures = measure_steady_state(gateways, seed)
+    return figures | {
         "members_state": measure_state_bytes(gateways),
         "members_catch_up": measure_catch_up_s(gateways, seed),
     }
