--- a/standins/scale/bounds.py
+++ b/standins/scale/bounds.py
@@ -10,13 +10,11 @@
 from standins.scale.plan import Plan, demand_at
 from standins.scale.scenarios import measure_origin_fills
 
-MIN_MISSES_PER_S, ORIGIN_RUN_S = (
-    0.5,
-    6.0,
-)  # misses per second at each gateway, far more in all than the bound admits
-MIN_FLEET_MISSES_PER_S = 200.0  # lower bound on misses per second over all gateways
+# Lower bounds on the misses per second at each gateway and over all, which far exceed what the bound admits.
+MIN_MISSES_PER_S, ORIGIN_RUN_S = 0.5, 6.0
+MIN_FLEET_MISSES_PER_S = 200.0
 STEP_MS, COLD_RUN_MS = 50.0, 4_000.0
-CALL_WORK_MS = 400.0
+CALL_WORK_MS = 400.0  # work of one call at the cold server
 SAMPLED_OBJECTS = 2_000
 
 
