--- a/standins/scale/scenarios.py
+++ b/standins/scale/scenarios.py
@@ -28,9 +28,8 @@
         return self.lease_notes / self.gateways / self.seconds
 
 
-FaultScheduler = Callable[
-    [HollowFleet, float], None
-]  # schedules faults in a fleet, given the time when requests begin
+# Schedules faults in a fleet, given the time when requests begin.
+FaultScheduler = Callable[[HollowFleet, float], None]
 
 
 def start_origin_only_fleet(gateways: int, seed: int = 1) -> HollowFleet:
