--- a/standins/scale/processes.py
+++ b/standins/scale/processes.py
@@ -23,7 +23,7 @@
 from standins.truth import Truth
 
 COMPARISON_SIZE = 10  # processes in the comparison of membership datagrams
-READY_LINE, SERVING_LINE = "INFO n0 ready", "serving on"
+READY_LINE, SERVING_LINE = "INFO n0 ready", "serving on"  # parts of the gateway's log lines
 START_TIMEOUT_S, IDLE_S = 20.0, 3.0
 STEADY_PERIODS, FLEET_PERIOD_MS = 15.0, 400.0
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
@@ -48,7 +48,7 @@
 
 
 def host_entries(plan: Plan) -> list[dict[str, Any]]:
-    """Return the server list in the form of the configuration, with the example configuration's zones."""
+    """Return the server list as configuration entries, with the zones and classes of the example."""
     kinds = {"box": "box", "parent": "parent", "origin": "origin"}
     return [
         {"host": m.server, "dial": "127.0.0.1:9", "site": "north" if m.kind == "box" else "hub",
