--- a/tests/scale/test_scale_lease_process.py
+++ b/tests/scale/test_scale_lease_process.py
@@ -1,4 +1,4 @@
-"""A gateway process of a large fleet borrows at the origin over real sockets; the owners are scripted."""
+"""A gateway process of a large fleet requests origin leases from scripted owners over real sockets."""
 
 import asyncio
 import shutil
@@ -18,7 +18,7 @@
 
 
 class Owner(asyncio.DatagramProtocol):
-    """One of the gateways that own a permit; `reply` says what it answers."""
+    """A scripted gateway that owns origin permits; `reply` returns its answer to a lease note."""
 
     def __init__(self, heard: list[LeaseNote], reply: Reply) -> None:
         self.heard, self.reply = heard, reply
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True)
 class Played:
-    """The client's answer, what the owners heard, and the gateway's figures after it."""
+    """The client's answer, the lease notes that the owners received, and the gateway's figures afterwards."""
 
     answer: Answered | None
     heard: list[LeaseNote]
@@ -58,7 +58,7 @@
 
 
 async def play(reply: Reply, until: LeaseKind) -> Played:
-    """Ask one gateway for what only the origin has."""
+    """Request an object that only the origin has; wait until the owners receive a note of kind `until`."""
     loop, rig, heard, transports = (
         asyncio.get_running_loop(),
         Rig(5, script=ServerBehaviour(lacks=True)),
