--- a/tests/scale/test_scale_leases.py
+++ b/tests/scale/test_scale_leases.py
@@ -1,7 +1,7 @@
-"""All gateways together never pass the bound on fills at the origin, whatever happens between them.
+"""All gateways together never exceed the bound on fills at the origin, whatever faults occur between them.
 
-The fleets are hollow: the program's own decisions on a virtual clock and network. The origin counts each fill
-from its start to its end, also when the gateway that asked for it has been killed meanwhile.
+The fleets are hollow: the program's own decision code on a virtual clock and network. Each fill counts from
+its start to its end, even if the gateway that asked for it is killed meanwhile.
 """
 
 import pytest
@@ -18,7 +18,7 @@
 def test_the_origin_is_used_and_its_bound_is_kept_at_any_size(
     gateways: int, misses_per_s: float, seconds: float
 ) -> None:
-    """Each had a fill of its own from 25 gateways on: 2,300 of them 2,300 at once."""
+    """Without leases, each gateway of 25 or more had a fill of its own: 2,300 gateways had 2,300 at once."""
     found = measure_origin_fills(gateways, misses_per_s, seconds)
     assert found.peak_fills <= ORIGIN_FILLS
     assert found.mean >= 0.4 * ORIGIN_FILLS
@@ -30,12 +30,12 @@
 
 
 def loss(fleet: HollowFleet, begin_ms: float) -> None:
-    """Lose a third of the notes, repeat a third of the rest."""
+    """Lose a third of the notes and duplicate a third of the others."""
     fleet.network_faults.loss_share = fleet.network_faults.repeat_share = 0.33
 
 
 def cut(fleet: HollowFleet, begin_ms: float) -> None:
-    """Cut the fleet in two for five seconds, owners on both sides."""
+    """Partition the fleet into two parts for five seconds, with owners in both."""
     middle = min(12, fleet.plan.demand.gateways // 2)
 
     def apart(sender: int, receiver: int) -> bool:
@@ -52,7 +52,7 @@
 
 
 def restarts(fleet: HollowFleet, begin_ms: float) -> None:
-    """Kill seven in ten at once, owners and holders among them, and start them again at once."""
+    """Kill 70% of the gateways, lease owners and holders among them, and restart them at once; twice."""
 
     def again() -> None:
         for number in list(fleet.running):
@@ -65,7 +65,7 @@
 
 
 def stops(fleet: HollowFleet, begin_ms: float) -> None:
-    """Stop half of the processes for longer than a lease's term, holders and owners among them."""
+    """Stop half of the processes, lease owners and holders among them, for longer than a lease term."""
 
     def stop() -> None:
         for number in list(fleet.running):
@@ -80,7 +80,7 @@
 
 
 def views(fleet: HollowFleet, begin_ms: float) -> None:
-    """Have each believe something else of who is in service: alone, half of them, all."""
+    """Give the gateways different views of the share of the fleet in service: itself only, half, or all."""
     shares = (1.0 / fleet.plan.demand.gateways, 0.5, 1.0)
     for number, gateway in fleet.running.items():
         gateway.router.present = lambda share=shares[number % 3]: share  # type: ignore[misc]
