--- a/tests/scale/test_scale_tool.py
+++ b/tests/scale/test_scale_tool.py
@@ -1,4 +1,4 @@
-"""`python -m standins.scale`: same seed, same counts; bad input in one line; the page holds its tables."""
+"""`python -m standins.scale`: reproducible counts, one-line errors, tables that match docs/CAPACITY.md."""
 
 import importlib
 import subprocess
