--- a/tests/scale/test_scale_growth.py
+++ b/tests/scale/test_scale_growth.py
@@ -1,7 +1,7 @@
-"""What one gateway holds and sends does not grow with the fleet, and fleet-wide bounds hold at any size.
+"""A gateway's state and traffic do not grow with the fleet, and fleet-wide bounds hold at any fleet size.
 
-Measured at 100 and 300 gateways for the growth, at 3, 40, 200 and 2,300 for the bounds, with the same
-measures that docs/CAPACITY.md is made from. Counts only: no verdict depends on the machine's speed.
+Growth is measured at 100 and 300 gateways, the bounds at 3, 40, 200 and 2,300, with the same measures as
+those of docs/CAPACITY.md. Only counts and sizes are compared, so that no result depends on the machine's speed.
 """
 
 import math
@@ -14,16 +14,16 @@
 from standins.scale.plan import Plan, demand_at
 
 SMALL, LARGE = 100, 300
-CONSTANT = 0.1  # exponent up to which a figure counts as not growing
+CONSTANT = 0.1  # the highest exponent at which a figure counts as constant
 FLEETS = [3, 40, 200, 2_300]
 
 
 def exponent(small: float, large: float) -> float:
-    """Give the growth from SMALL to LARGE gateways as a power of their number."""
+    """Return the exponent of the growth from SMALL to LARGE gateways."""
     return math.log(large / small) / math.log(LARGE / SMALL)
 
 
-def test_what_a_gateway_holds_does_not_grow_with_the_fleet() -> None:
+def test_gateway_state_does_not_grow_with_the_fleet() -> None:
     small, large = (decisions.measure(size, 1)["router_state"] for size in (SMALL, LARGE))
     assert abs(exponent(small, large)) < CONSTANT
 
@@ -41,7 +41,7 @@
     small, large = (directory.measure(size, 1) for size in (SMALL, LARGE))
     for measure in ("directory_notes", "directory_bytes"):
         assert abs(exponent(small[measure], large[measure])) < CONSTANT, measure
-    assert large["directory_notes"] < 1.0  # a request
+    assert large["directory_notes"] < 1.0  # per request
 
 
 def test_membership_sends_as_much_in_a_large_fleet_as_in_a_small_one() -> None:
@@ -56,7 +56,7 @@
     assert large / small < 1.5 * math.log(LARGE) / math.log(SMALL)
     assert (
         large < membership.MAX_DETECTION_PERIODS / 3.0
-    )  # periods of a second; PATIENCE where some never hear of it
+    )  # periods of one second; MAX_DETECTION_PERIODS if a gateway never hears of it
 
 
 @pytest.mark.parametrize("gateways", FLEETS)
@@ -68,5 +68,5 @@
 
 @pytest.mark.parametrize("gateways", [40, 200])
 def test_with_membership_one_more_gateway_moves_few_homes(gateways: int) -> None:
-    """Without it nearly all homes move: the configured number is the divisor."""
+    """Without membership nearly all objects change home, as the configured gateway count is the divisor."""
     assert bounds.measure_moved_homes(gateways, 1)["homes_moved_members"] < 3.0 / gateways
