--- a/tests/scale/test_scale_growth.py
+++ b/tests/scale/test_scale_growth.py
@@ -28,7 +28,7 @@
     assert abs(exponent(small, large)) < CONSTANT
 
 
-def test_tables_of_objects_are_bounded_however_many_are_asked_for() -> None:
+def test_object_tables_are_bounded_whatever_the_number_of_requested_objects() -> None:
     gateway = decisions.make_full_gateway(Plan(demand_at(SMALL)), decisions.Random(1))
     router = gateway.router
     assert decisions.OBJECT_COUNT > MAX_OBJECTS
