--- a/tests/scale/test_scale_growth.py
+++ b/tests/scale/test_scale_growth.py
@@ -44,7 +44,7 @@
     assert large["directory_notes"] < 1.0  # per request
 
 
-def test_membership_sends_as_much_in_a_large_fleet_as_in_a_small_one() -> None:
+def test_membership_traffic_of_a_gateway_does_not_grow_with_the_fleet() -> None:
     small, large = (membership.measure_steady_state(size, 1) for size in (SMALL, LARGE))
     for measure in ("members_datagrams", "members_bytes"):
         assert abs(exponent(small[measure], large[measure])) < CONSTANT, measure
