--- a/tests/scale/test_scale_growth.py
+++ b/tests/scale/test_scale_growth.py
@@ -51,7 +51,7 @@
     assert small["members_false"] == large["members_false"] == 0.0
 
 
-def test_the_time_until_all_know_of_a_death_grows_with_the_logarithm_at_the_most() -> None:
+def test_death_detection_time_grows_at_most_logarithmically() -> None:
     small, large = (membership.measure_steady_state(size, 1)["members_detect"] for size in (SMALL, LARGE))
     assert large / small < 1.5 * math.log(LARGE) / math.log(SMALL)
     assert (
