--- a/tests/scale/test_scale_growth.py
+++ b/tests/scale/test_scale_growth.py
@@ -15,7 +15,7 @@
 
 SMALL, LARGE = 100, 300
 CONSTANT = 0.1  # the highest exponent at which a figure counts as constant
-FLEETS = [3, 40, 200, 2_300]
+FLEET_SIZES = [3, 40, 200, 2_300]
 
 
 def exponent(small: float, large: float) -> float:
@@ -59,7 +59,7 @@
     )  # periods of one second; MAX_DETECTION_PERIODS if a gateway never hears of it
 
 
-@pytest.mark.parametrize("gateways", FLEETS)
+@pytest.mark.parametrize("gateways", FLEET_SIZES)
 def test_all_gateways_together_stay_within_the_budget_of_a_cold_server(gateways: int) -> None:
     found = bounds.measure_cold_servers(gateways, 1)
     assert 0.0 < found["cold_cache"] <= 1.0
