--- a/tests/scale/test_scale_growth.py
+++ b/tests/scale/test_scale_growth.py
@@ -18,14 +18,14 @@
 FLEET_SIZES = [3, 40, 200, 2_300]
 
 
-def exponent(small: float, large: float) -> float:
+def growth_exponent(small: float, large: float) -> float:
     """Return the exponent of the growth from SMALL to LARGE gateways."""
     return math.log(large / small) / math.log(LARGE / SMALL)
 
 
 def test_gateway_state_does_not_grow_with_the_fleet() -> None:
     small, large = (decisions.measure(size, 1)["router_state"] for size in (SMALL, LARGE))
-    assert abs(exponent(small, large)) < MAX_CONSTANT_EXPONENT
+    assert abs(growth_exponent(small, large)) < MAX_CONSTANT_EXPONENT
 
 
 def test_object_tables_are_bounded_whatever_the_number_of_requested_objects() -> None:
@@ -40,14 +40,14 @@
 def test_directory_notes_of_a_gateway_do_not_grow_with_the_fleet() -> None:
     small, large = (directory.measure(size, 1) for size in (SMALL, LARGE))
     for measure in ("directory_notes", "directory_bytes"):
-        assert abs(exponent(small[measure], large[measure])) < MAX_CONSTANT_EXPONENT, measure
+        assert abs(growth_exponent(small[measure], large[measure])) < MAX_CONSTANT_EXPONENT, measure
     assert large["directory_notes"] < 1.0  # per request
 
 
 def test_membership_traffic_of_a_gateway_does_not_grow_with_the_fleet() -> None:
     small, large = (membership.measure_steady_state(size, 1) for size in (SMALL, LARGE))
     for measure in ("members_datagrams", "members_bytes"):
-        assert abs(exponent(small[measure], large[measure])) < MAX_CONSTANT_EXPONENT, measure
+        assert abs(growth_exponent(small[measure], large[measure])) < MAX_CONSTANT_EXPONENT, measure
     assert small["members_false"] == large["members_false"] == 0.0
 
 
