--- a/tests/scale/test_scale_lease_process.py
+++ b/tests/scale/test_scale_lease_process.py
@@ -102,7 +102,7 @@
     assert (played.figures["origin_leases_granted"], played.figures["origin_fills"]) == (1, 0)
 
 
-def test_a_miss_is_refused_where_no_lease_is_to_be_had() -> None:
+def test_a_miss_is_refused_when_the_owner_denies_the_lease() -> None:
     played = asyncio.run(play(deny, LeaseKind.REQUEST))
     assert played.answer is not None and played.answer.code == frames.REFUSED
     assert [note.kind for note in played.heard] == [LeaseKind.REQUEST]
