--- a/tests/scale/test_scale_lease_process.py
+++ b/tests/scale/test_scale_lease_process.py
@@ -109,6 +109,6 @@
     assert (played.figures["origin_leases_granted"], played.figures["origin_leases_denied"]) == (0, 1)
 
 
-def test_a_miss_is_refused_where_the_owner_does_not_answer() -> None:
+def test_a_miss_is_refused_when_the_owner_does_not_answer() -> None:
     played = asyncio.run(play(silent, LeaseKind.REQUEST))
     assert played.answer is not None and played.answer.code == frames.REFUSED
