--- a/tests/scale/test_scale_lease_process.py
+++ b/tests/scale/test_scale_lease_process.py
@@ -13,7 +13,7 @@
 from standins.parties import ServerBehaviour
 from standins.rig import Rig, settings
 
-MANY, NUMBER = 200, 100
+FLEET_SIZE, NUMBER = 200, 100
 Reply = Callable[[LeaseNote], LeaseNote | None]
 
 
@@ -66,16 +66,16 @@
         [],
     )
     try:
-        peers = ["127.0.0.1:9"] * MANY
+        peers = ["127.0.0.1:9"] * FLEET_SIZE
         for owner in range(ORIGIN_FILLS):
             transport, _ = await loop.create_datagram_endpoint(
                 lambda: Owner(heard, reply), local_addr=("127.0.0.1", 0)
             )
             transports.append(transport)
             peers[owner] = f"127.0.0.1:{transport.get_extra_info('sockname')[1]}"
-        setup = settings() | {"my_number": NUMBER, "group_size": MANY}
+        setup = settings() | {"my_number": NUMBER, "group_size": FLEET_SIZE}
         setup["limits"] = setup.get("limits", {}) | {"peers": True}
-        setup["family_info"] |= {"instances_by_zone": [0, MANY]}
+        setup["family_info"] |= {"instances_by_zone": [0, FLEET_SIZE]}
         rig.lists_parent = False
         rig.config = {"settings": setup, "peers": peers, "peer_listen": "127.0.0.1:0"}
         await rig.start()
