--- a/tests/scale/test_scale_lease_process.py
+++ b/tests/scale/test_scale_lease_process.py
@@ -13,7 +13,7 @@
 from standins.parties import ServerBehaviour
 from standins.rig import Rig, settings
 
-FLEET_SIZE, NUMBER = 200, 100
+FLEET_SIZE, GATEWAY_NUMBER = 200, 100
 Reply = Callable[[LeaseNote], LeaseNote | None]
 
 
@@ -73,7 +73,7 @@
             )
             transports.append(transport)
             peers[owner] = f"127.0.0.1:{transport.get_extra_info('sockname')[1]}"
-        setup = settings() | {"my_number": NUMBER, "group_size": FLEET_SIZE}
+        setup = settings() | {"my_number": GATEWAY_NUMBER, "group_size": FLEET_SIZE}
         setup["limits"] = setup.get("limits", {}) | {"peers": True}
         setup["family_info"] |= {"instances_by_zone": [0, FLEET_SIZE]}
         rig.lists_parent = False
