--- a/tests/scale/test_scale_lease_process.py
+++ b/tests/scale/test_scale_lease_process.py
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True)
-class Played:
+class MissResult:
     """The client's answer, the lease notes that the owners received, and the gateway's figures afterwards."""
 
     answer: Answered | None
@@ -57,7 +57,7 @@
     figures: dict[str, int]
 
 
-async def play(reply: Reply, until: LeaseKind) -> Played:
+async def play(reply: Reply, until: LeaseKind) -> MissResult:
     """Request an object that only the origin has; wait until the owners receive a note of kind `until`."""
     loop, rig, heard, transports = (
         asyncio.get_running_loop(),
@@ -86,7 +86,7 @@
             while not any(note.kind is until for note in heard):
                 await asyncio.sleep(0.01)
         terminal.close()
-        return Played(answer, heard, await rig.figures())
+        return MissResult(answer, heard, await rig.figures())
     finally:
         await rig.kill()
         for transport in transports:
