--- a/tests/scale/test_scale_lease_process.py
+++ b/tests/scale/test_scale_lease_process.py
@@ -95,20 +95,20 @@
 
 
 def test_a_miss_is_filled_under_a_lease_which_is_returned_after_it() -> None:
-    played = asyncio.run(play(grant, LeaseKind.RETURN))
-    assert played.answer is not None and played.answer.code == frames.SERVED
-    assert [note.kind for note in played.heard] == [LeaseKind.REQUEST, LeaseKind.RETURN]
-    assert len({(note.incarnation, note.sequence) for note in played.heard}) == 1
-    assert (played.figures["origin_leases_granted"], played.figures["origin_fills"]) == (1, 0)
+    result = asyncio.run(play(grant, LeaseKind.RETURN))
+    assert result.answer is not None and result.answer.code == frames.SERVED
+    assert [note.kind for note in result.heard] == [LeaseKind.REQUEST, LeaseKind.RETURN]
+    assert len({(note.incarnation, note.sequence) for note in result.heard}) == 1
+    assert (result.figures["origin_leases_granted"], result.figures["origin_fills"]) == (1, 0)
 
 
 def test_a_miss_is_refused_when_the_owner_denies_the_lease() -> None:
-    played = asyncio.run(play(deny, LeaseKind.REQUEST))
-    assert played.answer is not None and played.answer.code == frames.REFUSED
-    assert [note.kind for note in played.heard] == [LeaseKind.REQUEST]
-    assert (played.figures["origin_leases_granted"], played.figures["origin_leases_denied"]) == (0, 1)
+    result = asyncio.run(play(deny, LeaseKind.REQUEST))
+    assert result.answer is not None and result.answer.code == frames.REFUSED
+    assert [note.kind for note in result.heard] == [LeaseKind.REQUEST]
+    assert (result.figures["origin_leases_granted"], result.figures["origin_leases_denied"]) == (0, 1)
 
 
 def test_a_miss_is_refused_when_the_owner_does_not_answer() -> None:
-    played = asyncio.run(play(silent, LeaseKind.REQUEST))
-    assert played.answer is not None and played.answer.code == frames.REFUSED
+    result = asyncio.run(play(silent, LeaseKind.REQUEST))
+    assert result.answer is not None and result.answer.code == frames.REFUSED
