--- a/tests/scale/test_scale_lease_process.py
+++ b/tests/scale/test_scale_lease_process.py
@@ -57,7 +57,7 @@
     figures: dict[str, int]
 
 
-async def play(reply: Reply, until: LeaseKind) -> MissResult:
+async def request_uncached_object(reply: Reply, until: LeaseKind) -> MissResult:
     """Request an object that only the origin has; wait until the owners receive a note of kind `until`."""
     loop, rig, heard, transports = (
         asyncio.get_running_loop(),
@@ -95,7 +95,7 @@
 
 
 def test_a_miss_is_filled_under_a_lease_which_is_returned_after_it() -> None:
-    result = asyncio.run(play(grant, LeaseKind.RETURN))
+    result = asyncio.run(request_uncached_object(grant, LeaseKind.RETURN))
     assert result.answer is not None and result.answer.code == frames.SERVED
     assert [note.kind for note in result.heard] == [LeaseKind.REQUEST, LeaseKind.RETURN]
     assert len({(note.incarnation, note.sequence) for note in result.heard}) == 1
@@ -103,12 +103,12 @@
 
 
 def test_a_miss_is_refused_when_the_owner_denies_the_lease() -> None:
-    result = asyncio.run(play(deny, LeaseKind.REQUEST))
+    result = asyncio.run(request_uncached_object(deny, LeaseKind.REQUEST))
     assert result.answer is not None and result.answer.code == frames.REFUSED
     assert [note.kind for note in result.heard] == [LeaseKind.REQUEST]
     assert (result.figures["origin_leases_granted"], result.figures["origin_leases_denied"]) == (0, 1)
 
 
 def test_a_miss_is_refused_when_the_owner_does_not_answer() -> None:
-    result = asyncio.run(play(silent, LeaseKind.REQUEST))
+    result = asyncio.run(request_uncached_object(silent, LeaseKind.REQUEST))
     assert result.answer is not None and result.answer.code == frames.REFUSED
