--- a/tests/scale/test_scale_lease_process.py
+++ b/tests/scale/test_scale_lease_process.py
@@ -21,7 +21,7 @@
     """A scripted gateway that owns origin permits; `reply` returns its answer to a lease note."""
 
     def __init__(self, heard: list[LeaseNote], reply: Reply) -> None:
-        self.heard, self.reply = heard, reply
+        self.received, self.reply = heard, reply
         self.transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.DatagramTransport) -> None:  # type: ignore[override]
@@ -30,7 +30,7 @@
     def datagram_received(self, data: bytes, address: tuple[str, int]) -> None:
         note = unpack(data)
         if isinstance(note, LeaseNote) and self.transport:
-            self.heard.append(note)
+            self.received.append(note)
             if answer := self.reply(note):
                 self.transport.sendto(pack(answer), address)
 
@@ -97,15 +97,15 @@
 def test_a_miss_is_filled_under_a_lease_which_is_returned_after_it() -> None:
     result = asyncio.run(request_uncached_object(grant, LeaseKind.RETURN))
     assert result.answer is not None and result.answer.code == frames.SERVED
-    assert [note.kind for note in result.heard] == [LeaseKind.REQUEST, LeaseKind.RETURN]
-    assert len({(note.incarnation, note.sequence) for note in result.heard}) == 1
+    assert [note.kind for note in result.received] == [LeaseKind.REQUEST, LeaseKind.RETURN]
+    assert len({(note.incarnation, note.sequence) for note in result.received}) == 1
     assert (result.figures["origin_leases_granted"], result.figures["origin_fills"]) == (1, 0)
 
 
 def test_a_miss_is_refused_when_the_owner_denies_the_lease() -> None:
     result = asyncio.run(request_uncached_object(deny, LeaseKind.REQUEST))
     assert result.answer is not None and result.answer.code == frames.REFUSED
-    assert [note.kind for note in result.heard] == [LeaseKind.REQUEST]
+    assert [note.kind for note in result.received] == [LeaseKind.REQUEST]
     assert (result.figures["origin_leases_granted"], result.figures["origin_leases_denied"]) == (0, 1)
 
 
