--- a/tests/scale/test_scale_lease_process.py
+++ b/tests/scale/test_scale_lease_process.py
@@ -14,13 +14,13 @@
 from standins.rig import Rig, settings
 
 FLEET_SIZE, GATEWAY_NUMBER = 200, 100
-Reply = Callable[[LeaseNote], LeaseNote | None]
+ReplyFunction = Callable[[LeaseNote], LeaseNote | None]
 
 
 class Owner(asyncio.DatagramProtocol):
     """A scripted gateway that owns origin permits; `reply` returns its answer to a lease note."""
 
-    def __init__(self, heard: list[LeaseNote], reply: Reply) -> None:
+    def __init__(self, heard: list[LeaseNote], reply: ReplyFunction) -> None:
         self.received, self.reply = heard, reply
         self.transport: asyncio.DatagramTransport | None = None
 
@@ -57,7 +57,7 @@
     figures: dict[str, int]
 
 
-async def request_uncached_object(reply: Reply, until: LeaseKind) -> MissResult:
+async def request_uncached_object(reply: ReplyFunction, until: LeaseKind) -> MissResult:
     """Request an object that only the origin has; wait until the owners receive a note of kind `until`."""
     loop, rig, heard, transports = (
         asyncio.get_running_loop(),
