--- a/tests/scale/test_scale_lease_process.py
+++ b/tests/scale/test_scale_lease_process.py
@@ -44,7 +44,7 @@
     return LeaseNote(LeaseKind.DENIAL, note.incarnation, note.sequence, 500.0)
 
 
-def silent(note: LeaseNote) -> LeaseNote | None:
+def stay_silent(note: LeaseNote) -> LeaseNote | None:
     return None
 
 
@@ -110,5 +110,5 @@
 
 
 def test_a_miss_is_refused_when_the_owner_does_not_answer() -> None:
-    result = asyncio.run(request_uncached_object(silent, LeaseKind.REQUEST))
+    result = asyncio.run(request_uncached_object(stay_silent, LeaseKind.REQUEST))
     assert result.answer is not None and result.answer.code == frames.REFUSED
