--- a/tests/scale/test_scale_lease_process.py
+++ b/tests/scale/test_scale_lease_process.py
@@ -73,11 +73,11 @@
             )
             transports.append(transport)
             peers[owner] = f"127.0.0.1:{transport.get_extra_info('sockname')[1]}"
-        setup = settings() | {"my_number": GATEWAY_NUMBER, "group_size": FLEET_SIZE}
-        setup["limits"] = setup.get("limits", {}) | {"peers": True}
-        setup["family_info"] |= {"instances_by_zone": [0, FLEET_SIZE]}
+        gateway_settings = settings() | {"my_number": GATEWAY_NUMBER, "group_size": FLEET_SIZE}
+        gateway_settings["limits"] = gateway_settings.get("limits", {}) | {"peers": True}
+        gateway_settings["family_info"] |= {"instances_by_zone": [0, FLEET_SIZE]}
         rig.lists_parent = False
-        rig.config = {"settings": setup, "peers": peers, "peer_listen": "127.0.0.1:0"}
+        rig.config = {"settings": gateway_settings, "peers": peers, "peer_listen": "127.0.0.1:0"}
         await rig.start()
         await rig.launch()
         terminal = await rig.terminal()
