--- a/tests/scale/test_scale_leases.py
+++ b/tests/scale/test_scale_leases.py
@@ -25,7 +25,7 @@
 
 
 @pytest.mark.parametrize("gateways", [25, 40, 200])
-def test_lease_notes_stay_few_where_all_want_a_lease(gateways: int) -> None:
+def test_lease_notes_stay_few_when_every_miss_needs_a_lease(gateways: int) -> None:
     assert measure_origin_fills(gateways, 5.0, 8.0).lease_notes_per_s() < 4.0
 
 
