--- a/tests/scale/test_scale_leases.py
+++ b/tests/scale/test_scale_leases.py
@@ -11,7 +11,7 @@
 from standins.scale.scenarios import FaultScheduler, measure_origin_fills
 
 SIZES = [(3, 20.0, 10.0), (40, 5.0, 10.0), (200, 3.0, 8.0), (2_300, 0.5, 4.0)]  # gateways, misses, seconds
-FAULTY = [(40, 5.0, 15.0), (200, 3.0, 12.0)]
+FAULT_SIZES = [(40, 5.0, 15.0), (200, 3.0, 12.0)]
 
 
 @pytest.mark.parametrize(("gateways", "misses_per_s", "seconds"), SIZES)
@@ -86,7 +86,7 @@
         gateway.router.present = lambda share=shares[number % 3]: share  # type: ignore[misc]
 
 
-@pytest.mark.parametrize(("gateways", "misses_per_s", "seconds"), FAULTY)
+@pytest.mark.parametrize(("gateways", "misses_per_s", "seconds"), FAULT_SIZES)
 @pytest.mark.parametrize("schedule_faults", [loss, cut, restarts, stops, views])
 def test_the_bound_holds_through_faults(
     gateways: int, misses_per_s: float, seconds: float, schedule_faults: FaultScheduler
