--- a/tests/scale/test_scale_leases.py
+++ b/tests/scale/test_scale_leases.py
@@ -29,7 +29,7 @@
     assert measure_origin_fills(gateways, 5.0, 8.0).lease_notes_per_s() < 4.0
 
 
-def loss(fleet: HollowFleet, begin_ms: float) -> None:
+def lose_notes(fleet: HollowFleet, begin_ms: float) -> None:
     """Lose a third of the notes and duplicate a third of the others."""
     fleet.network_faults.loss_share = fleet.network_faults.repeat_share = 0.33
 
@@ -87,7 +87,7 @@
 
 
 @pytest.mark.parametrize(("gateways", "misses_per_s", "seconds"), FAULT_SIZES)
-@pytest.mark.parametrize("schedule_faults", [loss, cut, restarts, stops, views])
+@pytest.mark.parametrize("schedule_faults", [lose_notes, cut, restarts, stops, views])
 def test_the_bound_holds_through_faults(
     gateways: int, misses_per_s: float, seconds: float, schedule_faults: FaultScheduler
 ) -> None:
