--- a/tests/scale/test_scale_leases.py
+++ b/tests/scale/test_scale_leases.py
@@ -34,7 +34,7 @@
     fleet.network_faults.loss_share = fleet.network_faults.repeat_share = 0.33
 
 
-def cut(fleet: HollowFleet, begin_ms: float) -> None:
+def partition_fleet(fleet: HollowFleet, begin_ms: float) -> None:
     """Partition the fleet into two parts for five seconds, with owners in both."""
     middle = min(12, fleet.plan.demand.gateways // 2)
 
@@ -87,7 +87,7 @@
 
 
 @pytest.mark.parametrize(("gateways", "misses_per_s", "seconds"), FAULT_SIZES)
-@pytest.mark.parametrize("schedule_faults", [lose_notes, cut, restarts, stops, views])
+@pytest.mark.parametrize("schedule_faults", [lose_notes, partition_fleet, restarts, stops, views])
 def test_the_bound_holds_through_faults(
     gateways: int, misses_per_s: float, seconds: float, schedule_faults: FaultScheduler
 ) -> None:
