--- a/tests/scale/test_scale_leases.py
+++ b/tests/scale/test_scale_leases.py
@@ -51,7 +51,7 @@
     fleet.schedule(begin_ms + 6_000.0, heal)
 
 
-def restarts(fleet: HollowFleet, begin_ms: float) -> None:
+def restart_gateways(fleet: HollowFleet, begin_ms: float) -> None:
     """Kill 70% of the gateways, lease owners and holders among them, and restart them at once; twice."""
 
     def again() -> None:
@@ -87,7 +87,7 @@
 
 
 @pytest.mark.parametrize(("gateways", "misses_per_s", "seconds"), FAULT_SIZES)
-@pytest.mark.parametrize("schedule_faults", [lose_notes, partition_fleet, restarts, stops, views])
+@pytest.mark.parametrize("schedule_faults", [lose_notes, partition_fleet, restart_gateways, stops, views])
 def test_the_bound_holds_through_faults(
     gateways: int, misses_per_s: float, seconds: float, schedule_faults: FaultScheduler
 ) -> None:
