--- a/tests/scale/test_scale_leases.py
+++ b/tests/scale/test_scale_leases.py
@@ -64,7 +64,7 @@
     fleet.schedule(begin_ms + 3_000.0, again)
 
 
-def stops(fleet: HollowFleet, begin_ms: float) -> None:
+def stop_gateways(fleet: HollowFleet, begin_ms: float) -> None:
     """Stop half of the processes, lease owners and holders among them, for longer than a lease term."""
 
     def stop() -> None:
@@ -87,7 +87,9 @@
 
 
 @pytest.mark.parametrize(("gateways", "misses_per_s", "seconds"), FAULT_SIZES)
-@pytest.mark.parametrize("schedule_faults", [lose_notes, partition_fleet, restart_gateways, stops, views])
+@pytest.mark.parametrize(
+    "schedule_faults", [lose_notes, partition_fleet, restart_gateways, stop_gateways, views]
+)
 def test_the_bound_holds_through_faults(
     gateways: int, misses_per_s: float, seconds: float, schedule_faults: FaultScheduler
 ) -> None:
