--- a/tests/scale/test_scale_leases.py
+++ b/tests/scale/test_scale_leases.py
@@ -79,7 +79,7 @@
     fleet.schedule(begin_ms + 1_000.0, stop)
 
 
-def views(fleet: HollowFleet, begin_ms: float) -> None:
+def vary_fleet_views(fleet: HollowFleet, begin_ms: float) -> None:
     """Give the gateways different views of the share of the fleet in service: itself only, half, or all."""
     shares = (1.0 / fleet.plan.demand.gateways, 0.5, 1.0)
     for number, gateway in fleet.running.items():
@@ -88,7 +88,7 @@
 
 @pytest.mark.parametrize(("gateways", "misses_per_s", "seconds"), FAULT_SIZES)
 @pytest.mark.parametrize(
-    "schedule_faults", [lose_notes, partition_fleet, restart_gateways, stop_gateways, views]
+    "schedule_faults", [lose_notes, partition_fleet, restart_gateways, stop_gateways, vary_fleet_views]
 )
 def test_the_bound_holds_through_faults(
     gateways: int, misses_per_s: float, seconds: float, schedule_faults: FaultScheduler
