--- a/tests/scale/test_scale_leases.py
+++ b/tests/scale/test_scale_leases.py
@@ -38,14 +38,14 @@
     """Partition the fleet into two parts for five seconds, with owners in both."""
     middle = min(12, fleet.plan.demand.gateways // 2)
 
-    def apart(sender: int, receiver: int) -> bool:
+    def is_apart(sender: int, receiver: int) -> bool:
         return (sender < middle) != (receiver < middle)
 
     def heal() -> None:
         fleet.network_faults.is_cut = lambda sender, receiver: False
 
     def begin() -> None:
-        fleet.network_faults.is_cut = apart
+        fleet.network_faults.is_cut = is_apart
 
     fleet.schedule(begin_ms + 1_000.0, begin)
     fleet.schedule(begin_ms + 6_000.0, heal)
