--- a/tests/scale/test_scale_leases.py
+++ b/tests/scale/test_scale_leases.py
@@ -54,14 +54,14 @@
 def restart_gateways(fleet: HollowFleet, begin_ms: float) -> None:
     """Kill 70% of the gateways, lease owners and holders among them, and restart them at once; twice."""
 
-    def again() -> None:
+    def restart_most() -> None:
         for number in list(fleet.running):
             if fleet.rng.random() < 0.7:
                 fleet.kill(number)
                 fleet.start(number)
 
-    fleet.schedule(begin_ms + 2_000.0, again)
-    fleet.schedule(begin_ms + 3_000.0, again)
+    fleet.schedule(begin_ms + 2_000.0, restart_most)
+    fleet.schedule(begin_ms + 3_000.0, restart_most)
 
 
 def stop_gateways(fleet: HollowFleet, begin_ms: float) -> None:
