--- a/tests/scale/test_scale_leases.py
+++ b/tests/scale/test_scale_leases.py
@@ -67,7 +67,7 @@
 def stop_gateways(fleet: HollowFleet, begin_ms: float) -> None:
     """Stop half of the processes, lease owners and holders among them, for longer than a lease term."""
 
-    def stop() -> None:
+    def stop_half() -> None:
         for number in list(fleet.running):
             if fleet.rng.random() < 0.5:
                 fleet.stop(number)
@@ -76,7 +76,7 @@
                     lambda n=number: fleet.resume_process(n),  # type: ignore[misc]
                 )
 
-    fleet.schedule(begin_ms + 1_000.0, stop)
+    fleet.schedule(begin_ms + 1_000.0, stop_half)
 
 
 def vary_fleet_views(fleet: HollowFleet, begin_ms: float) -> None:
