--- a/tests/scale/test_scale_leases.py
+++ b/tests/scale/test_scale_leases.py
@@ -44,10 +44,10 @@
     def heal() -> None:
         fleet.network_faults.is_cut = lambda sender, receiver: False
 
-    def begin() -> None:
+    def start_partition() -> None:
         fleet.network_faults.is_cut = is_apart
 
-    fleet.schedule(begin_ms + 1_000.0, begin)
+    fleet.schedule(begin_ms + 1_000.0, start_partition)
     fleet.schedule(begin_ms + 6_000.0, heal)
 
 
