--- a/tests/scale/test_scale_leases.py
+++ b/tests/scale/test_scale_leases.py
@@ -41,14 +41,14 @@
     def is_apart(sender: int, receiver: int) -> bool:
         return (sender < middle) != (receiver < middle)
 
-    def heal() -> None:
+    def end_partition() -> None:
         fleet.network_faults.is_cut = lambda sender, receiver: False
 
     def start_partition() -> None:
         fleet.network_faults.is_cut = is_apart
 
     fleet.schedule(begin_ms + 1_000.0, start_partition)
-    fleet.schedule(begin_ms + 6_000.0, heal)
+    fleet.schedule(begin_ms + 6_000.0, end_partition)
 
 
 def restart_gateways(fleet: HollowFleet, begin_ms: float) -> None:
