--- a/tests/scale/test_scale_leases.py
+++ b/tests/scale/test_scale_leases.py
@@ -19,9 +19,9 @@
     gateways: int, misses_per_s: float, seconds: float
 ) -> None:
     """Without leases, each gateway of 25 or more had a fill of its own: 2,300 gateways had 2,300 at once."""
-    found = measure_origin_fills(gateways, misses_per_s, seconds)
-    assert found.peak_fills <= ORIGIN_FILLS
-    assert found.mean >= 0.4 * ORIGIN_FILLS
+    figures = measure_origin_fills(gateways, misses_per_s, seconds)
+    assert figures.peak_fills <= ORIGIN_FILLS
+    assert figures.mean >= 0.4 * ORIGIN_FILLS
 
 
 @pytest.mark.parametrize("gateways", [25, 40, 200])
@@ -93,6 +93,6 @@
 def test_the_bound_holds_through_faults(
     gateways: int, misses_per_s: float, seconds: float, schedule_faults: FaultScheduler
 ) -> None:
-    found = measure_origin_fills(gateways, misses_per_s, seconds, schedule_faults=schedule_faults)
-    assert found.peak_fills <= ORIGIN_FILLS
-    assert found.served > 0
+    figures = measure_origin_fills(gateways, misses_per_s, seconds, schedule_faults=schedule_faults)
+    assert figures.peak_fills <= ORIGIN_FILLS
+    assert figures.served > 0
