--- a/tests/scale/test_scale_tool.py
+++ b/tests/scale/test_scale_tool.py
@@ -36,7 +36,7 @@
     assert tables == format_page(load_run(FIGURES), Demand())
 
 
-def test_the_page_is_made_from_four_sizes_over_a_decade() -> None:
+def test_the_page_is_based_on_four_sizes_that_span_a_factor_of_ten() -> None:
     for measure in ("router_state", "origin_peak", "members_datagrams", "process_memory"):
         sizes = load_run(FIGURES).find_series(measure).sizes
         assert len(sizes) >= 4 and max(sizes) >= 10 * min(sizes), measure
