--- a/tests/scale/test_scale_tool.py
+++ b/tests/scale/test_scale_tool.py
@@ -42,7 +42,7 @@
         assert len(sizes) >= 4 and max(sizes) >= 10 * min(sizes), measure
 
 
-def test_every_mechanism_that_the_page_names_is_there() -> None:
+def test_every_mechanism_named_on_the_page_exists() -> None:
     figures, demand = Figures(load_run(FIGURES), 2_300), Demand()
     for table in build_role_tables(figures, demand) + build_event_tables(figures, demand):
         for found in table.rows:
