--- a/tests/scale/test_scale_tool.py
+++ b/tests/scale/test_scale_tool.py
@@ -63,7 +63,7 @@
     return True
 
 
-def test_the_same_seed_gives_the_same_counts_and_another_others() -> None:
+def test_the_same_seed_gives_the_same_counts_and_another_seed_different_ones() -> None:
     first, again, other = (measure_origin_fills(30, 5.0, 3.0, seed) for seed in (1, 1, 2))
     assert first == again
     assert first != other
