--- a/tests/scale/test_scale_tool.py
+++ b/tests/scale/test_scale_tool.py
@@ -69,7 +69,7 @@
     assert first != other
 
 
-def test_a_fit_finds_the_power_and_tells_what_lies_past_its_sizes() -> None:
+def test_a_fit_finds_the_exponent_and_the_extrapolation_factor() -> None:
     sizes = [100, 300, 1_000, 2_300]
     power_law = fit_power_law(sizes, [3.0 * n**0.5 for n in sizes])
     assert power_law is not None
