--- a/tests/scale/test_scale_tool.py
+++ b/tests/scale/test_scale_tool.py
@@ -82,7 +82,7 @@
     assert fit_power_law([100], [3.0]) is None and fit_power_law([100, 200], [0.0, 1.0]) is None
 
 
-def test_what_breaks_first_is_a_rule_before_a_time_before_a_cost_and_within_budget_last() -> None:
+def test_breaking_rows_are_ordered_by_kind_with_rows_within_budget_last() -> None:
     rows = [
         row("cost", 9.0),
         row("time", 3.0, kind="time"),
