--- a/tests/scale/test_scale_tool.py
+++ b/tests/scale/test_scale_tool.py
@@ -96,7 +96,7 @@
     assert row("x", 4.0).crossing(1_000) is None
 
 
-def test_a_measured_size_is_given_as_measured_and_others_by_the_fit() -> None:
+def test_measured_sizes_give_the_measured_value_and_other_sizes_the_fitted_one() -> None:
     series = Series("m", [10, 100], [1.0, 10.0])
     assert series.value_at(100) == 10.0
     assert round(series.value_at(1_000), 6) == 100.0
