--- a/tests/scale/test_scale_tool.py
+++ b/tests/scale/test_scale_tool.py
@@ -102,7 +102,7 @@
     assert round(series.value_at(1_000), 6) == 100.0
 
 
-def test_figures_survive_the_file(tmp_path: Path) -> None:
+def test_a_saved_run_is_loaded_unchanged(tmp_path: Path) -> None:
     run = Run(RESULTS_VERSION, 3, 1.5, 60.0, [Series("m", [1, 2], [0.5, 0.25])])
     save_run(run, tmp_path / "f.json")
     assert load_run(tmp_path / "f.json") == run
