--- a/tests/scale/test_scale_tool.py
+++ b/tests/scale/test_scale_tool.py
@@ -119,7 +119,7 @@
         b'[{"measure": "m", "sizes": [1, 2], "values": [1.0]}]}',
     ],
 )
-def test_a_spoilt_file_is_told(tmp_path: Path, text: bytes) -> None:
+def test_an_invalid_results_file_raises_an_error(tmp_path: Path, text: bytes) -> None:
     file = tmp_path / "f.json"
     file.write_bytes(text)
     with pytest.raises(ResultsError):
