--- a/tests/scale/test_scale_tool.py
+++ b/tests/scale/test_scale_tool.py
@@ -139,7 +139,7 @@
         ("table", "{figures}", "--purges", "-1"),
     ],
 )
-def test_bad_input_gets_one_line_and_exit_2(tmp_path: Path, words: tuple[str, ...]) -> None:
+def test_invalid_input_gives_one_line_and_exit_status_2(tmp_path: Path, words: tuple[str, ...]) -> None:
     spoilt = tmp_path / "spoilt.json"
     spoilt.write_text("{")
     names = {"{file}": str(tmp_path / "none.json"), "{spoilt}": str(spoilt), "{figures}": str(FIGURES)}
