--- a/tests/scale/test_scale_tool.py
+++ b/tests/scale/test_scale_tool.py
@@ -49,13 +49,13 @@
             if found.mechanism == NO_MECHANISM:
                 continue
             words = found.mechanism.split(".")
-            depth = next(n for n in range(len(words), 0, -1) if importable(".".join(words[:n])))
+            depth = next(n for n in range(len(words), 0, -1) if is_importable(".".join(words[:n])))
             thing: object = importlib.import_module(".".join(words[:depth]))
             for word in words[depth:]:
                 thing = getattr(thing, word)
 
 
-def importable(name: str) -> bool:
+def is_importable(name: str) -> bool:
     try:
         importlib.import_module(name)
     except ImportError:
