--- a/tests/scale/test_scale_tool.py
+++ b/tests/scale/test_scale_tool.py
@@ -21,7 +21,7 @@
 BEGIN, END = "<!-- tables: begin -->\n", "<!-- tables: end -->\n"
 
 
-def call(*words: str) -> subprocess.CompletedProcess[str]:
+def run_scale(*words: str) -> subprocess.CompletedProcess[str]:
     command = [sys.executable, "-m", "standins.scale", *words]
     return subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=60, check=False)
 
@@ -143,15 +143,15 @@
     spoilt = tmp_path / "spoilt.json"
     spoilt.write_text("{")
     names = {"{file}": str(tmp_path / "none.json"), "{spoilt}": str(spoilt), "{figures}": str(FIGURES)}
-    found = call(*(names.get(word, word) for word in words))
+    found = run_scale(*(names.get(word, word) for word in words))
     assert found.returncode == 2
     assert len(found.stderr.strip().splitlines()) == 1 and found.stdout == ""
 
 
 def test_measure_writes_what_table_reads_at_any_size(tmp_path: Path) -> None:
     file = tmp_path / "f.json"
-    done = call("measure", "--sizes", "3,6", "--only", "bounds", "--json", str(file))
+    done = run_scale("measure", "--sizes", "3,6", "--only", "bounds", "--json", str(file))
     assert done.returncode == 0, done.stderr
     assert {series.measure for series in load_run(file).series} >= {"origin_peak", "cold_parent"}
-    printed = call("table", str(FIGURES), "--gateways", "4600", "--purges", "38")
+    printed = run_scale("table", str(FIGURES), "--gateways", "4600", "--purges", "38")
     assert printed.returncode == 0 and "extrapolated 2.0x" in printed.stdout
