--- a/tests/scale/test_scale_tool.py
+++ b/tests/scale/test_scale_tool.py
@@ -50,9 +50,9 @@
                 continue
             words = found.mechanism.split(".")
             depth = next(n for n in range(len(words), 0, -1) if is_importable(".".join(words[:n])))
-            thing: object = importlib.import_module(".".join(words[:depth]))
+            target: object = importlib.import_module(".".join(words[:depth]))
             for word in words[depth:]:
-                thing = getattr(thing, word)
+                target = getattr(target, word)
 
 
 def is_importable(name: str) -> bool:
