--- a/tests/scale/test_scale_tool.py
+++ b/tests/scale/test_scale_tool.py
@@ -140,9 +140,9 @@
     ],
 )
 def test_invalid_input_gives_one_line_and_exit_status_2(tmp_path: Path, words: tuple[str, ...]) -> None:
-    spoilt = tmp_path / "spoilt.json"
-    spoilt.write_text("{")
-    names = {"{file}": str(tmp_path / "none.json"), "{spoilt}": str(spoilt), "{figures}": str(FIGURES)}
+    invalid_file = tmp_path / "spoilt.json"
+    invalid_file.write_text("{")
+    names = {"{file}": str(tmp_path / "none.json"), "{spoilt}": str(invalid_file), "{figures}": str(FIGURES)}
     found = run_scale(*(names.get(word, word) for word in words))
     assert found.returncode == 2
     assert len(found.stderr.strip().splitlines()) == 1 and found.stdout == ""
