--- a/tests/scale/test_scale_tool.py
+++ b/tests/scale/test_scale_tool.py
@@ -26,7 +26,9 @@
     return subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=60, check=False)
 
 
-def row(name: str, ratio: float, is_rule: bool = False, kind: str = "cost", exponent: float = 0.0) -> Row:
+def make_row(
+    name: str, ratio: float, is_rule: bool = False, kind: str = "cost", exponent: float = 0.0
+) -> Row:
     return Row(name, ratio, "x", 1.0, exponent=exponent, is_rule=is_rule, kind=kind)
 
 
@@ -84,16 +86,16 @@
 
 def test_breaking_rows_are_ordered_by_kind_with_rows_within_budget_last() -> None:
     rows = [
-        row("cost", 9.0),
-        row("time", 3.0, kind="time"),
-        row("kept", 0.9, is_rule=True),
-        row("rule", 2.0, True),
+        make_row("cost", 9.0),
+        make_row("time", 3.0, kind="time"),
+        make_row("kept", 0.9, is_rule=True),
+        make_row("rule", 2.0, True),
     ]
 
     ordered = find_breaking_rows([Table("t", tuple(rows))])
     assert [found.name for found in ordered] == ["rule", "time", "cost", "kept"]
-    assert row("x", 4.0, exponent=2.0).crossing(1_000) == 500.0
-    assert row("x", 4.0).crossing(1_000) is None
+    assert make_row("x", 4.0, exponent=2.0).crossing(1_000) == 500.0
+    assert make_row("x", 4.0).crossing(1_000) is None
 
 
 def test_measured_sizes_give_the_measured_value_and_other_sizes_the_fitted_one() -> None:
