--- a/tests/scale/test_scale_lease_process.py
+++ b/tests/scale/test_scale_lease_process.py
@@ -20,8 +20,8 @@
 class Owner(asyncio.DatagramProtocol):
     """A scripted gateway that owns origin permits; `reply` returns its answer to a lease note."""
 
-    def __init__(self, heard: list[LeaseNote], reply: ReplyFunction) -> None:
-        self.received, self.reply = heard, reply
+    def __init__(self, received: list[LeaseNote], reply: ReplyFunction) -> None:
+        self.received, self.reply = received, reply
         self.transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.DatagramTransport) -> None:  # type: ignore[override]
@@ -53,13 +53,13 @@
     """The client's answer, the lease notes that the owners received, and the gateway's figures afterwards."""
 
     answer: Answered | None
-    heard: list[LeaseNote]
+    received: list[LeaseNote]
     figures: dict[str, int]
 
 
 async def request_uncached_object(reply: ReplyFunction, until: LeaseKind) -> MissResult:
     """Request an object that only the origin has; wait until the owners receive a note of kind `until`."""
-    loop, rig, heard, transports = (
+    loop, rig, received, transports = (
         asyncio.get_running_loop(),
         Rig(5, script=ServerBehaviour(lacks=True)),
         list[LeaseNote](),
@@ -69,7 +69,7 @@
         peers = ["127.0.0.1:9"] * FLEET_SIZE
         for owner in range(ORIGIN_FILLS):
             transport, _ = await loop.create_datagram_endpoint(
-                lambda: Owner(heard, reply), local_addr=("127.0.0.1", 0)
+                lambda: Owner(received, reply), local_addr=("127.0.0.1", 0)
             )
             transports.append(transport)
             peers[owner] = f"127.0.0.1:{transport.get_extra_info('sockname')[1]}"
@@ -83,10 +83,10 @@
         terminal = await rig.terminal()
         answer = await terminal.ask("files", 77)
         async with asyncio.timeout(5.0):
-            while not any(note.kind is until for note in heard):
+            while not any(note.kind is until for note in received):
                 await asyncio.sleep(0.01)
         terminal.close()
-        return MissResult(answer, heard, await rig.figures())
+        return MissResult(answer, received, await rig.figures())
     finally:
         await rig.kill()
         for transport in transports:
