--- a/tests/scale/test_scale_growth.py
+++ b/tests/scale/test_scale_growth.py
@@ -1,7 +1,8 @@
 """A gateway's state and traffic do not grow with the fleet, and fleet-wide bounds hold at any fleet size.
 
 Growth is measured at 100 and 300 gateways, the bounds at 3, 40, 200 and 2,300, with the same measures as
-those of docs/CAPACITY.md. Only counts and sizes are compared, so that no result depends on the machine's speed.
+those of docs/CAPACITY.md. Only counts and sizes are compared, so that no result depends on how fast the
+machine is.
 """
 
 import math
