--- a/tests/scale/test_scale_tool.py
+++ b/tests/scale/test_scale_tool.py
@@ -21,8 +21,8 @@
 BEGIN, END = "<!-- tables: begin -->\n", "<!-- tables: end -->\n"
 
 
-def run_scale(*words: str) -> subprocess.CompletedProcess[str]:
-    command = [sys.executable, "-m", "standins.scale", *words]
+def run_scale(*arguments: str) -> subprocess.CompletedProcess[str]:
+    command = [sys.executable, "-m", "standins.scale", *arguments]
     return subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=60, check=False)
 
 
@@ -47,14 +47,14 @@
 def test_every_mechanism_named_on_the_page_exists() -> None:
     figures, demand = Figures(load_run(FIGURES), 2_300), Demand()
     for table in build_role_tables(figures, demand) + build_event_tables(figures, demand):
-        for found in table.rows:
-            if found.mechanism == NO_MECHANISM:
+        for table_row in table.rows:
+            if table_row.mechanism == NO_MECHANISM:
                 continue
-            words = found.mechanism.split(".")
-            depth = next(n for n in range(len(words), 0, -1) if is_importable(".".join(words[:n])))
-            target: object = importlib.import_module(".".join(words[:depth]))
-            for word in words[depth:]:
-                target = getattr(target, word)
+            parts = table_row.mechanism.split(".")
+            depth = next(n for n in range(len(parts), 0, -1) if is_importable(".".join(parts[:n])))
+            target: object = importlib.import_module(".".join(parts[:depth]))
+            for part in parts[depth:]:
+                target = getattr(target, part)
 
 
 def is_importable(name: str) -> bool:
@@ -129,25 +129,25 @@
 
 
 @pytest.mark.parametrize(
-    "words",
+    "arguments",
     [
         ("measure", "--sizes", "0", "--json", "{file}"),
         ("measure", "--sizes", "100,x", "--json", "{file}"),
         ("measure", "--sizes", "99999999", "--json", "{file}"),
         ("measure", "--only", "weather", "--json", "{file}"),
         ("table", "{file}"),
-        ("table", "{spoilt}"),
+        ("table", "{invalid}"),
         ("table", "{figures}", "--gateways", "0"),
         ("table", "{figures}", "--purges", "-1"),
     ],
 )
-def test_invalid_input_gives_one_line_and_exit_status_2(tmp_path: Path, words: tuple[str, ...]) -> None:
-    invalid_file = tmp_path / "spoilt.json"
+def test_invalid_input_gives_one_line_and_exit_status_2(tmp_path: Path, arguments: tuple[str, ...]) -> None:
+    invalid_file = tmp_path / "invalid.json"
     invalid_file.write_text("{")
-    names = {"{file}": str(tmp_path / "none.json"), "{spoilt}": str(invalid_file), "{figures}": str(FIGURES)}
-    found = run_scale(*(names.get(word, word) for word in words))
-    assert found.returncode == 2
-    assert len(found.stderr.strip().splitlines()) == 1 and found.stdout == ""
+    paths = {"{file}": str(tmp_path / "none.json"), "{invalid}": str(invalid_file), "{figures}": str(FIGURES)}
+    done = run_scale(*(paths.get(argument, argument) for argument in arguments))
+    assert done.returncode == 2
+    assert len(done.stderr.strip().splitlines()) == 1 and done.stdout == ""
 
 
 def test_measure_writes_what_table_reads_at_any_size(tmp_path: Path) -> None:
