--- a/standins/scale/estimate.py
+++ b/standins/scale/estimate.py
@@ -18,10 +18,10 @@
     unit: str
     budget: float | None = None
     basis: str = "worked out"
-    mechanism: str = NO_MECHANISM  # dotted name of the code responsible, or NONE
+    mechanism: str = NO_MECHANISM  # dotted name of the code responsible, or NO_MECHANISM
     exponent: float = 0.0  # power of the number of gateways with which the figure grows
     is_rule: bool = False  # whether it is a rule or a bound over the whole fleet
-    kind: str = "cost"  # or "time"
+    kind: str = "cost"  # "cost" or "time"
 
     @property
     def ratio(self) -> float | None:
