--- a/standins/scale/assumptions.py
+++ b/standins/scale/assumptions.py
@@ -8,20 +8,16 @@
 LEASE_NOTE_BYTES = 15 + UDP_HEADER_BYTES
 SWEEPS_PER_S = 20.0  # timer sweeps of a gateway per second
 MAX_LINKS_PER_SERVER = 6  # upper limit on connections of one gateway to one server: back/upstreams.py
-LARGEST_LOAD_FACTOR = (
-    4.0  # load of the busiest gateway over the mean; the operators: "some see several times the mean"
-)
+# Load of the busiest gateway over the mean; the operators say that "some see several times the mean".
+LARGEST_LOAD_FACTOR = 4.0
 PURGE_DELIVERY_S = 0.31  # until a gateway receives a purge, measured by the operators
 LIST_CHANGES_PER_EVENT = 3.0  # list changes for one failure or restart of a server: gone, back, warm
-MAX_ANSWERS_PER_S, MAX_MB_PER_S = (
-    6_880.0,
-    272.5,
-)  # of one process on the reference machine: standins.speed (off), standins.haul (large)
-EFFECTS_SHARE = 0.036  # of all requests, run at the origin: the operators' class of charges
+# Throughput of one process on the machine of these measures: standins.speed (off) and standins.haul (large).
+MAX_ANSWERS_PER_S, MAX_MB_PER_S = 6_880.0, 272.5
+EFFECTS_SHARE = 0.036  # share of requests that run at the origin: the operators' class of charges
 DAY_S = 86_400.0
-RELOAD_SIGNAL_S = (
-    1.0  # to send one gateway a file and a signal, by a script that handles the gateways in sequence
-)
+# Time to send one gateway a file and a signal, by a script that handles the gateways in sequence.
+RELOAD_SIGNAL_S = 1.0
 PURGE_DELIVERY_BASIS = "assumed: the operators' 31 to 310 ms"
 LARGEST_LOAD_BASIS = f"assumed: {LARGEST_LOAD_FACTOR:g} x the mean"
 
