--- a/standins/scale/roles_gateway.py
+++ b/standins/scale/roles_gateway.py
@@ -37,6 +37,7 @@
 def build_gateway_data_table(figures: Figures, demand: Demand) -> Table:
     """Build the table of a gateway's data path."""
     gateway_requests_per_s = demand.mean_requests_per_s
+    # 5.7e12 bits per second over the whole fleet, at the reference request rate.
     gateway_mb_per_s = 1e-6 * 5.7e12 / 8.0 * (demand.requests / Demand().requests) / demand.gateways
     decision_cores = gateway_requests_per_s * figures.value_at("decide") / 1e6
     total_cores = gateway_requests_per_s / MAX_ANSWERS_PER_S
