--- a/standins/scale/__main__.py
+++ b/standins/scale/__main__.py
@@ -3,8 +3,8 @@
     python -m standins.scale measure --sizes 100,300,1000,2300 --seed 1 --json FILE
     python -m standins.scale table FILE --gateways 2300 --purges 19
 
-Invalid input gives a one-line message and exit status 2. The same seed gives the same counts; times depend on
-the machine.
+Invalid input gives a one-line message and exit status 2. The same seed gives the same counts; times depend
+on the machine.
 """
 
 import resource
@@ -128,11 +128,11 @@
 
 @main.command()
 @click.argument("file", type=click.Path(path_type=Path))
-@click.option("--gateways", default=REFERENCE_GATEWAYS, show_default=True)
+@click.option("--gateways", default=REFERENCE_GATEWAYS, show_default=True, help="fleet size")
 @click.option("--purges", type=float, help="purges per second")
 @click.option("--caches", type=int, help="number of station caches")
 @click.option("--requests", type=float, help="requests per second, over the whole fleet")
-@click.option("--objects", type=float)
+@click.option("--objects", type=float, help="number of objects")
 def table(
     file: Path,
     gateways: int,
