--- a/standins/scale/roles.py
+++ b/standins/scale/roles.py
@@ -1,4 +1,4 @@
-"""The tables of all roles of the fleet, in the order of the page."""
+"""The tables of all roles of the fleet, in the order of docs/CAPACITY.md."""
 
 from standins.scale.estimate import Figures, Table
 from standins.scale.plan import Demand
