--- a/standins/scale/report.py
+++ b/standins/scale/report.py
@@ -37,7 +37,7 @@
         "| --- | --- | ---: | ---: | --- |",
     ]
     for row in rows:
-        kind, crossing_size = "rule or bound" if row.is_rule else row.kind, row.crossing(gateways)
+        kind, crossing_size = "rule or bound" if row.is_rule else row.kind, row.find_crossing_size(gateways)
         crossing = f"{format_number(crossing_size)} gateways" if crossing_size else "any size"
         crossing = crossing if crossing_size or (row.ratio or 0.0) > 1.0 else "not by size"
         carried = "**none**" if row.mechanism == "none" else f"`{row.mechanism}`"
--- a/tests/scale/test_scale_tool.py
+++ b/tests/scale/test_scale_tool.py
@@ -94,8 +94,8 @@
 
     ordered = find_breaking_rows([Table("t", tuple(rows))])
     assert [found.name for found in ordered] == ["rule", "time", "cost", "kept"]
-    assert make_row("x", 4.0, exponent=2.0).crossing(1_000) == 500.0
-    assert make_row("x", 4.0).crossing(1_000) is None
+    assert make_row("x", 4.0, exponent=2.0).find_crossing_size(1_000) == 500.0
+    assert make_row("x", 4.0).find_crossing_size(1_000) is None
 
 
 def test_measured_sizes_give_the_measured_value_and_other_sizes_the_fitted_one() -> None:
