--- a/standins/scale/estimate.py
+++ b/standins/scale/estimate.py
@@ -28,7 +28,7 @@
         """Return the figure over its budget, or None without a budget."""
         return self.value / self.budget if self.budget else None
 
-    def crossing(self, gateways: int) -> float | None:
+    def find_crossing_size(self, gateways: int) -> float | None:
         """Return the number of gateways at which the budget is exceeded; None if size does not matter."""
         if not self.ratio or self.exponent < 0.05:
             return None
