--- a/standins/scale/estimate.py
+++ b/standins/scale/estimate.py
@@ -120,9 +120,9 @@
         """Add a figure that was given, assumed or calculated, as `basis` says."""
         self.rows.append(Row(name, value, unit, budget, basis, mechanism, exponent, kind=kind))
 
-    def add_measured(self, name: str, measure: str, unit: str, mechanism: str, **more: Any) -> None:
+    def add_measured(self, name: str, measure: str, unit: str, mechanism: str, **row_options: Any) -> None:
         """Add the row of a measure; the arguments are those of `Figures.make_row`."""
-        self.rows.append(self.figures.make_row(name, measure, unit, mechanism, **more))
+        self.rows.append(self.figures.make_row(name, measure, unit, mechanism, **row_options))
 
     def add_row(self, row: Row) -> None:
         """Add a finished row, such as one that several tables share."""
