--- a/standins/scale/estimate.py
+++ b/standins/scale/estimate.py
@@ -84,7 +84,7 @@
         exponent is that of the fit instead of `exponent`.
         """
         figure = self.value_at(measure) if value is None else value
-        power = self.exponent(measure) if follows_fit else exponent
+        growth_exponent = self.exponent(measure) if follows_fit else exponent
         return Row(
             name,
             figure,
@@ -92,7 +92,7 @@
             budget,
             self.describe_basis(measure) + basis_suffix,
             mechanism,
-            power,
+            growth_exponent,
             is_rule,
             kind,
         )
