--- a/standins/scale/estimate.py
+++ b/standins/scale/estimate.py
@@ -83,11 +83,11 @@
         `value` replaces the measured value where the figure is calculated from it; with `follows_fit` the
         exponent is that of the fit instead of `exponent`.
         """
-        figure = self.value_at(measure) if value is None else value
+        figure_value = self.value_at(measure) if value is None else value
         growth_exponent = self.exponent(measure) if follows_fit else exponent
         return Row(
             name,
-            figure,
+            figure_value,
             unit,
             budget,
             self.describe_basis(measure) + basis_suffix,
