--- a/standins/scale/report.py
+++ b/standins/scale/report.py
@@ -69,14 +69,14 @@
 def format_page(run: Run, demand: Demand) -> str:
     """Format all tables for a fleet of the given size."""
     figures = Figures(run, demand.gateways)
-    role_tables, by_event = build_role_tables(figures, demand), build_event_tables(figures, demand)
+    role_tables, event_tables = build_role_tables(figures, demand), build_event_tables(figures, demand)
     parts = [
         "### What breaks first",
         "",
-        format_breaking_rows(find_breaking_rows(role_tables + by_event), demand.gateways),
+        format_breaking_rows(find_breaking_rows(role_tables + event_tables), demand.gateways),
     ]
     parts += ["### Roles", "", *(format_table(table) for table in role_tables)]
-    parts += ["### Events", "", *(format_table(table) for table in by_event)]
+    parts += ["### Events", "", *(format_table(table) for table in event_tables)]
     parts += ["### Measures and fits", "", format_fits(run), format_comparison(run)]
     return "\n".join(parts)
 
