--- a/standins/scale/directory.py
+++ b/standins/scale/directory.py
@@ -67,16 +67,16 @@
     """Measure the notes that a gateway sends per request, and their bytes."""
     plan, rng = Plan(demand_at(gateways)), Random(seed)
     fleet = SingleGatewayFleet(plan, seed)
-    rate = plan.demand.mean_requests_per_s
+    requests_per_s = plan.demand.mean_requests_per_s
     keys = draw_popular_objects(
-        int(plan.demand.objects / gateways), int(rate * (WARM_UP_S + MEASURED_S) * 1.2), seed
+        int(plan.demand.objects / gateways), int(requests_per_s * (WARM_UP_S + MEASURED_S) * 1.2), seed
     )
     begin_ms = fleet.now_ms
 
     def arrive(position: int, until_ms: float, callback: Callable[[int, float, object], None]) -> None:
         if fleet.now_ms <= until_ms and position < len(keys):
             fleet.submit_request(fleet.running_number, keys[position])
-            gap_ms = rng.expovariate(rate / 1000.0)
+            gap_ms = rng.expovariate(requests_per_s / 1000.0)
             fleet.schedule(fleet.now_ms + gap_ms, partial(callback, position + 1, until_ms, callback))
 
     arrive(0, begin_ms + 1000.0 * (WARM_UP_S + MEASURED_S), arrive)  # type: ignore[arg-type]
