--- a/standins/scale/directory.py
+++ b/standins/scale/directory.py
@@ -49,10 +49,10 @@
         objects_here = self.kept_objects.setdefault(get.server, set())
         is_fill = get.source != get.server and request.key not in objects_here
         self.fill_count += is_fill
-        found = request.key in objects_here or get.source != get.server
-        if found:
+        is_served = request.key in objects_here or get.source != get.server
+        if is_served:
             objects_here.add(request.key)
-        status, duration_ms = ("done", CACHE_ANSWER_MS) if found else ("enoent", ROUND_TRIP_MS)
+        status, duration_ms = ("done", CACHE_ANSWER_MS) if is_served else ("enoent", ROUND_TRIP_MS)
         self.schedule(self.now_ms + duration_ms, partial(self.finish_attempt, gateway, get, attempt, status))
 
 
