--- a/standins/scale/directory.py
+++ b/standins/scale/directory.py
@@ -46,12 +46,12 @@
     def send_attempt(self, gateway: HollowGateway, get: api.Get) -> None:
         """Serve objects that the cache keeps; fill the others, or answer a look-up with a miss."""
         attempt, request = gateway.next_attempt(get.id), gateway.open_requests[get.id]
-        objects_here = self.kept_objects.setdefault(get.server, set())
-        is_fill = get.source != get.server and request.key not in objects_here
+        cached_objects = self.kept_objects.setdefault(get.server, set())
+        is_fill = get.source != get.server and request.key not in cached_objects
         self.fill_count += is_fill
-        is_served = request.key in objects_here or get.source != get.server
+        is_served = request.key in cached_objects or get.source != get.server
         if is_served:
-            objects_here.add(request.key)
+            cached_objects.add(request.key)
         status, duration_ms = ("done", CACHE_ANSWER_MS) if is_served else ("enoent", ROUND_TRIP_MS)
         self.schedule(self.now_ms + duration_ms, partial(self.finish_attempt, gateway, get, attempt, status))
 
