--- a/standins/scale/directory.py
+++ b/standins/scale/directory.py
@@ -73,13 +73,13 @@
     )
     begin_ms = fleet.now_ms
 
-    def arrive(position: int, until_ms: float, callback: Callable[[int, float, object], None]) -> None:
+    def submit_next(position: int, until_ms: float, callback: Callable[[int, float, object], None]) -> None:
         if fleet.now_ms <= until_ms and position < len(keys):
             fleet.submit_request(fleet.running_number, keys[position])
             gap_ms = rng.expovariate(requests_per_s / 1000.0)
             fleet.schedule(fleet.now_ms + gap_ms, partial(callback, position + 1, until_ms, callback))
 
-    arrive(0, begin_ms + 1000.0 * (WARM_UP_S + MEASURED_S), arrive)  # type: ignore[arg-type]
+    submit_next(0, begin_ms + 1000.0 * (WARM_UP_S + MEASURED_S), submit_next)  # type: ignore[arg-type]
     fleet.run(begin_ms + 1000.0 * WARM_UP_S)
     notes_before, bytes_before, served_before = (
         sum(fleet.note_counts.values()),
