--- a/standins/scale/directory.py
+++ b/standins/scale/directory.py
@@ -87,8 +87,8 @@
         fleet.answer_counts["served"],
     )
     fleet.run(begin_ms + 1000.0 * (WARM_UP_S + MEASURED_S))
-    requests = fleet.answer_counts["served"] - served_before
+    served_count = fleet.answer_counts["served"] - served_before
     return {
-        "directory_notes": (sum(fleet.note_counts.values()) - notes_before) / requests,
-        "directory_bytes": (fleet.note_bytes - bytes_before) / requests,
+        "directory_notes": (sum(fleet.note_counts.values()) - notes_before) / served_count,
+        "directory_bytes": (fleet.note_bytes - bytes_before) / served_count,
     }
