--- a/standins/scale/bounds.py
+++ b/standins/scale/bounds.py
@@ -21,11 +21,11 @@
 def measure_origin_bound(gateways: int, seed: int) -> dict[str, float]:
     """Measure simultaneous fills at the origin while every miss can be filled there only."""
     misses_per_s = max(MIN_MISSES_PER_S, MIN_FLEET_MISSES_PER_S / gateways)
-    found = measure_origin_fills(gateways, misses_per_s, ORIGIN_RUN_S, seed)
+    figures = measure_origin_fills(gateways, misses_per_s, ORIGIN_RUN_S, seed)
     return {
-        "origin_peak": float(found.peak_fills),
-        "origin_mean": found.mean_fills,
-        "lease_notes": found.lease_notes_per_s(),
+        "origin_peak": float(figures.peak_fills),
+        "origin_mean": figures.mean_fills,
+        "lease_notes": figures.lease_notes_per_s(),
     }
 
 
