--- a/tests/scale/test_scale_growth.py
+++ b/tests/scale/test_scale_growth.py
@@ -62,9 +62,9 @@
 
 @pytest.mark.parametrize("gateways", FLEET_SIZES)
 def test_all_gateways_together_stay_within_the_budget_of_a_cold_server(gateways: int) -> None:
-    found = bounds.measure_cold_servers(gateways, 1)
-    assert 0.0 < found["cold_cache"] <= 1.0
-    assert 0.0 < found["cold_parent"] <= 1.0
+    figures = bounds.measure_cold_servers(gateways, 1)
+    assert 0.0 < figures["cold_cache"] <= 1.0
+    assert 0.0 < figures["cold_parent"] <= 1.0
 
 
 @pytest.mark.parametrize("gateways", [40, 200])
