--- a/standins/scale/processes.py
+++ b/standins/scale/processes.py
@@ -76,7 +76,7 @@
     path = folder / "config.json"
     path.write_text(json.dumps(config))
     environment = {"PATH": os.environ["PATH"], "BALANCER_CONFIG": str(path), "TMPDIR": str(folder)}
-    begun_s = time.monotonic()
+    started_s = time.monotonic()
     child = await asyncio.create_subprocess_exec(
         sys.executable, "-m", "hitchtiller", cwd=ROOT, env=environment, stderr=asyncio.subprocess.PIPE
     )
@@ -86,7 +86,7 @@
             while READY_LINE not in (line := (await child.stderr.readline()).decode()):
                 if not line:
                     raise RuntimeError("the gateway process exited before it was ready")
-        start_s, cpu_before_s = time.monotonic() - begun_s, cpu_time_s(child.pid)
+        start_s, cpu_before_s = time.monotonic() - started_s, cpu_time_s(child.pid)
         await asyncio.sleep(IDLE_S)
         return {
             "process_memory": resident_mb(child.pid),
