--- a/standins/scale/__main__.py
+++ b/standins/scale/__main__.py
@@ -128,11 +128,11 @@
 
 @main.command()
 @click.argument("file", type=click.Path(path_type=Path))
-@click.option("--gateways", default=REFERENCE_GATEWAYS, show_default=True, help="fleet size")
+@click.option("--gateways", default=REFERENCE_GATEWAYS, show_default=True)
 @click.option("--purges", type=float, help="purges per second")
 @click.option("--caches", type=int, help="number of station caches")
 @click.option("--requests", type=float, help="requests per second, over the whole fleet")
-@click.option("--objects", type=float, help="number of objects")
+@click.option("--objects", type=float)
 def table(
     file: Path,
     gateways: int,
