--- a/standins/scale/report.py
+++ b/standins/scale/report.py
@@ -1,76 +1,84 @@
-"""The tables of docs/CAPACITY.md: roles, events, and what breaks first, from the figures of one run."""
+"""The tables of docs/CAPACITY.md from the figures of one run: what breaks first, roles, events and fits."""
 
-from standins.scale.estimate import Figures, Row, Table, basis, number, write_table
-from standins.scale.events import events
+from standins.scale.estimate import Figures, Row, Table, describe_basis, format_number, format_table
+from standins.scale.events import build_event_tables
 from standins.scale.plan import Demand
 from standins.scale.results import Run
-from standins.scale.roles import roles
+from standins.scale.roles import build_role_tables
 
-BREAKS_FROM = 0.5  # of its budget: what is listed as breaking first
-ORDER = {"rule": 0, "time": 1, "cost": 2}
+MIN_BREAKING_SHARE = 0.5  # share of its budget from which a figure is listed as breaking first
+KIND_ORDER = {"rule": 0, "time": 1, "cost": 2}
 
 
-def breaks_first(tables: list[Table]) -> list[Row]:
-    """Give the rows that are near or past their budgets: rules first, then times, then costs, worst first."""
+def find_breaking_rows(tables: list[Table]) -> list[Row]:
+    """Return all rows of rules, and the other rows that are near or over their budgets, each once.
+
+    Rows over their budgets come first. Among them and among the rest, rules precede times and times precede
+    costs; within a kind the highest share of the budget comes first.
+    """
     found: dict[str, Row] = {}
     for table in tables:
         for row in table.rows:
-            if row.ratio is not None and (row.rule or row.ratio >= BREAKS_FROM):
+            if row.ratio is not None and (row.is_rule or row.ratio >= MIN_BREAKING_SHARE):
                 found.setdefault(row.name, row)
-    return sorted(found.values(), key=lambda row: (_rank(row), -(row.ratio or 0.0)))
+    return sorted(found.values(), key=lambda row: (_sort_rank(row), -(row.ratio or 0.0)))
 
 
-def _rank(row: Row) -> int:
-    """Put what is within its budget behind all that is past it."""
-    kind = "rule" if row.rule else row.kind
-    return ORDER[kind] + (0 if (row.ratio or 0.0) > 1.0 else len(ORDER))
+def _sort_rank(row: Row) -> int:
+    """Return the sort rank of a row: by kind, with rows within their budgets after all that exceed them."""
+    kind = "rule" if row.is_rule else row.kind
+    return KIND_ORDER[kind] + (0 if (row.ratio or 0.0) > 1.0 else len(KIND_ORDER))
 
 
-def write_breaks(rows: list[Row], gateways: int) -> str:
-    """Write the list as a table, with the size at which each crosses its budget."""
+def format_breaking_rows(rows: list[Row], gateways: int) -> str:
+    """Format the rows as a Markdown table, with the fleet size at which each exceeds its budget."""
     lines = [
         "| what | kind | of budget | crosses its budget at | carried by |",
         "| --- | --- | ---: | ---: | --- |",
     ]
     for row in rows:
-        kind, at = "rule or bound" if row.rule else row.kind, row.crossing(gateways)
-        crossing = f"{number(at)} gateways" if at else "any size"
-        crossing = crossing if at or (row.ratio or 0.0) > 1.0 else "not by size"
+        kind, crossing_size = "rule or bound" if row.is_rule else row.kind, row.find_crossing_size(gateways)
+        crossing = f"{format_number(crossing_size)} gateways" if crossing_size else "any size"
+        crossing = crossing if crossing_size or (row.ratio or 0.0) > 1.0 else "not by size"
         carried = "**none**" if row.mechanism == "none" else f"`{row.mechanism}`"
         lines.append(f"| {row.name} | {kind} | {row.ratio:.2g} | {crossing} | {carried} |")
     return "\n".join([*lines, ""])
 
 
-def write_fits(run: Run) -> str:
-    """Write each measure with its figures, exponent and residual."""
+def format_fits(run: Run) -> str:
+    """Format all measures as a Markdown table with their values, exponents and residuals."""
     lines = ["| measure | at | figures | exponent | residual |", "| --- | --- | --- | ---: | ---: |"]
     for series in run.series:
-        law = series.fitted()
-        slope = (f"{law.exponent:+.2f}", f"{law.residual:.2f}") if law else ("-", "-")
-        sizes, values = ", ".join(map(str, series.sizes)), ", ".join(map(number, series.values))
+        power_law = series.fit()
+        slope = (f"{power_law.exponent:+.2f}", f"{power_law.residual:.2f}") if power_law else ("-", "-")
+        sizes, values = ", ".join(map(str, series.sizes)), ", ".join(map(format_number, series.values))
         lines.append(f"| {series.measure} | {sizes} | {values} | {slope[0]} | {slope[1]} |")
     return "\n".join([*lines, ""])
 
 
-def write_comparison(run: Run) -> str:
-    """Set the hollow figure against the real processes' at their common size."""
-    hollow, real = run.of("common_hollow"), run.of("common_real")
-    apart = hollow.values[0] / real.values[0] - 1.0
+def format_comparison(run: Run) -> str:
+    """Describe how the datagrams of a hollow fleet compare with those of as many real processes."""
+    hollow, real = run.find_series("common_hollow"), run.find_series("common_real")
+    difference = hollow.values[0] / real.values[0] - 1.0
     return (
         f"At {real.sizes[0]} gateways a hollow one sends {hollow.values[0]:.2f} datagrams of membership a "
-        f"period, a real process {real.values[0]:.2f}: the hollow figure is {apart:+.0%} off.\n"
+        f"period, a real process {real.values[0]:.2f}: the hollow figure is {difference:+.0%} off.\n"
     )
 
 
-def write_page(run: Run, demand: Demand) -> str:
-    """Write all tables for a size."""
+def format_page(run: Run, demand: Demand) -> str:
+    """Format all tables for a fleet of the given size."""
     figures = Figures(run, demand.gateways)
-    by_role, by_event = roles(figures, demand), events(figures, demand)
-    parts = ["### What breaks first", "", write_breaks(breaks_first(by_role + by_event), demand.gateways)]
-    parts += ["### Roles", "", *(write_table(table) for table in by_role)]
-    parts += ["### Events", "", *(write_table(table) for table in by_event)]
-    parts += ["### Measures and fits", "", write_fits(run), write_comparison(run)]
+    role_tables, event_tables = build_role_tables(figures, demand), build_event_tables(figures, demand)
+    parts = [
+        "### What breaks first",
+        "",
+        format_breaking_rows(find_breaking_rows(role_tables + event_tables), demand.gateways),
+    ]
+    parts += ["### Roles", "", *(format_table(table) for table in role_tables)]
+    parts += ["### Events", "", *(format_table(table) for table in event_tables)]
+    parts += ["### Measures and fits", "", format_fits(run), format_comparison(run)]
     return "\n".join(parts)
 
 
-__all__ = ["basis", "breaks_first", "write_page"]
+__all__ = ["describe_basis", "find_breaking_rows", "format_page"]
--- a/standins/scale/roles.py
+++ b/standins/scale/roles.py
@@ -1,24 +1,36 @@
-"""The tables of all roles of the fleet, in the order of the page."""
+"""The tables of all roles of the fleet, in the order of docs/CAPACITY.md."""
 
 from standins.scale.estimate import Figures, Table
 from standins.scale.plan import Demand
-from standins.scale.roles_gateway import gateway_control, gateway_data, home_router, member, subscriber
-from standins.scale.roles_servers import discovery, operator, origin, parent, station_cache
+from standins.scale.roles_gateway import (
+    build_gateway_control_table,
+    build_gateway_data_table,
+    build_home_gateway_table,
+    build_member_table,
+    build_subscriber_table,
+)
+from standins.scale.roles_servers import (
+    build_discovery_table,
+    build_operator_table,
+    build_origin_table,
+    build_parent_table,
+    build_station_cache_table,
+)
 
-ROLES = (
-    gateway_data,
-    gateway_control,
-    home_router,
-    member,
-    subscriber,
-    discovery,
-    station_cache,
-    parent,
-    origin,
-    operator,
+ROLE_TABLE_BUILDERS = (
+    build_gateway_data_table,
+    build_gateway_control_table,
+    build_home_gateway_table,
+    build_member_table,
+    build_subscriber_table,
+    build_discovery_table,
+    build_station_cache_table,
+    build_parent_table,
+    build_origin_table,
+    build_operator_table,
 )
 
 
-def roles(figures: Figures, demand: Demand) -> list[Table]:
-    """Give the tables of all roles."""
-    return [role(figures, demand) for role in ROLES]
+def build_role_tables(figures: Figures, demand: Demand) -> list[Table]:
+    """Return the tables of all roles."""
+    return [build_table(figures, demand) for build_table in ROLE_TABLE_BUILDERS]
--- a/standins/scale/scenarios.py
+++ b/standins/scale/scenarios.py
@@ -1,4 +1,4 @@
-"""Stories that are played on a hollow fleet: all misses need the origin, while things go wrong."""
+"""Scenarios run on a hollow fleet: every miss needs the origin, optionally while faults are injected."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -7,65 +7,70 @@
 from standins.scale.fleet import HollowFleet
 from standins.scale.plan import Plan, demand_at
 
-SETTLE_MS = 11_000.0  # a lease's term and more: owners that have just started lend nothing for it
-OBJECT_BITS = 48
+LEASE_SETTLE_MS = 11_000.0  # longer than a lease term, during which newly started owners grant no leases
+OBJECT_KEY_BITS = 48
 
 
 @dataclass(frozen=True, slots=True)
 class OriginFigures:
-    """What all gateways together did at the origin."""
+    """The load of all gateways together on the origin in one run."""
 
     gateways: int
-    peak: int  # fills at once
-    mean: float  # of them, over the time of the requests
+    peak_fills: int  # highest number of simultaneous fills
+    mean_fills: float  # mean number of simultaneous fills while requests arrive
     served: int
     refused: int
     lease_notes: int
     seconds: float
 
-    def notes_each(self) -> float:
-        """Give the lease notes that a gateway sent a second."""
+    def lease_notes_per_s(self) -> float:
+        """Return the mean number of lease notes that a gateway sent per second."""
         return self.lease_notes / self.gateways / self.seconds
 
 
-Trouble = Callable[[HollowFleet, float], None]  # schedules faults, told when the requests begin
+# Schedules faults in a fleet, given the time when requests begin.
+FaultScheduler = Callable[[HollowFleet, float], None]
 
 
-def origin_only(gateways: int, seed: int = 1) -> HollowFleet:
-    """Make a fleet that is told of its zone's caches and the origin, and of no parent; all run."""
+def start_origin_only_fleet(gateways: int, seed: int = 1) -> HollowFleet:
+    """Start a fleet whose gateways list the caches of their zone and the origin, but no parent."""
     plan = Plan(demand_at(gateways))
-    lists = [(*plan.caches(zone), plan.origin()) for zone in range(plan.demand.zones)]
-    fleet = HollowFleet(plan, seed, lambda number: lists[plan.zone_of(number)])
+    lists_by_zone = [(*plan.caches(zone), plan.origin()) for zone in range(plan.demand.zones)]
+    fleet = HollowFleet(plan, seed, lambda number: lists_by_zone[plan.zone_of(number)])
     for number in range(gateways):
         fleet.start(number)
     return fleet
 
 
-def keep_asking(fleet: HollowFleet, number: int, each_per_s: float, until_ms: float) -> None:
-    """Have a gateway asked for objects that nothing holds, until a time."""
-    if fleet.now > until_ms:
+def send_requests(fleet: HollowFleet, number: int, misses_per_s: float, until_ms: float) -> None:
+    """Send a gateway requests for objects that no server holds, at random intervals, until a time."""
+    if fleet.now_ms > until_ms:
         return
-    if number in fleet.running and number not in fleet.stopped:
-        fleet.ask(number, fleet.rng.getrandbits(OBJECT_BITS))
-    gap = fleet.rng.expovariate(each_per_s / 1000.0)
-    fleet.at(fleet.now + gap, partial(keep_asking, fleet, number, each_per_s, until_ms))
+    if number in fleet.running and number not in fleet.queued_events:
+        fleet.submit_request(number, fleet.rng.getrandbits(OBJECT_KEY_BITS))
+    gap_ms = fleet.rng.expovariate(misses_per_s / 1000.0)
+    fleet.schedule(fleet.now_ms + gap_ms, partial(send_requests, fleet, number, misses_per_s, until_ms))
 
 
-def fills_from_origin(
-    gateways: int, each_per_s: float, seconds: float, seed: int = 1, trouble: Trouble | None = None
+def measure_origin_fills(
+    gateways: int,
+    misses_per_s: float,
+    seconds: float,
+    seed: int = 1,
+    schedule_faults: FaultScheduler | None = None,
 ) -> OriginFigures:
-    """Play misses that only the origin can fill at all gateways; `each_per_s` of them at each."""
-    fleet = origin_only(gateways, seed)
-    begin = fleet.now + SETTLE_MS
-    until = begin + 1000.0 * seconds
+    """Run a fleet whose gateways each get misses that only the origin can fill, and measure its load."""
+    fleet = start_origin_only_fleet(gateways, seed)
+    begin_ms = fleet.now_ms + LEASE_SETTLE_MS
+    until_ms = begin_ms + 1000.0 * seconds
     for number in range(gateways):
-        first = begin + fleet.rng.random() * 1000.0 / each_per_s
-        fleet.at(first, partial(keep_asking, fleet, number, each_per_s, until))
-    if trouble:
-        trouble(fleet, begin)
-    fleet.run(until)
-    fleet.count_fills(0)
-    notes = sum(count for kind, count in fleet.notes.items() if kind.startswith("lease"))
-    answers = (fleet.answers["served"], fleet.answers["refused"])
-    mean = fleet.origin_ms / (1000.0 * seconds)
-    return OriginFigures(gateways, fleet.origin_peak, mean, *answers, notes, seconds)
+        first_ms = begin_ms + fleet.rng.random() * 1000.0 / misses_per_s
+        fleet.schedule(first_ms, partial(send_requests, fleet, number, misses_per_s, until_ms))
+    if schedule_faults:
+        schedule_faults(fleet, begin_ms)
+    fleet.run(until_ms)
+    fleet.update_open_fills(0)
+    lease_note_count = sum(count for kind, count in fleet.note_counts.items() if kind.startswith("lease"))
+    answers = (fleet.answer_counts["served"], fleet.answer_counts["refused"])
+    mean_fills = fleet.origin_fill_ms / (1000.0 * seconds)
+    return OriginFigures(gateways, fleet.peak_origin_fills, mean_fills, *answers, lease_note_count, seconds)
--- a/tests/scale/test_scale_lease_process.py
+++ b/tests/scale/test_scale_lease_process.py
@@ -1,4 +1,4 @@
-"""A gateway process of a large fleet borrows at the origin over real sockets; the owners are scripted."""
+"""A gateway process of a large fleet requests origin leases from scripted owners over real sockets."""
 
 import asyncio
 import shutil
@@ -13,15 +13,15 @@
 from standins.parties import ServerBehaviour
 from standins.rig import Rig, settings
 
-MANY, NUMBER = 200, 100
-Reply = Callable[[LeaseNote], LeaseNote | None]
+FLEET_SIZE, GATEWAY_NUMBER = 200, 100
+ReplyFunction = Callable[[LeaseNote], LeaseNote | None]
 
 
 class Owner(asyncio.DatagramProtocol):
-    """One of the gateways that own a permit; `reply` says what it answers."""
+    """A scripted gateway that owns origin permits; `reply` returns its answer to a lease note."""
 
-    def __init__(self, heard: list[LeaseNote], reply: Reply) -> None:
-        self.heard, self.reply = heard, reply
+    def __init__(self, received: list[LeaseNote], reply: ReplyFunction) -> None:
+        self.received, self.reply = received, reply
         self.transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.DatagramTransport) -> None:  # type: ignore[override]
@@ -30,7 +30,7 @@
     def datagram_received(self, data: bytes, address: tuple[str, int]) -> None:
         note = unpack(data)
         if isinstance(note, LeaseNote) and self.transport:
-            self.heard.append(note)
+            self.received.append(note)
             if answer := self.reply(note):
                 self.transport.sendto(pack(answer), address)
 
@@ -44,49 +44,49 @@
     return LeaseNote(LeaseKind.DENIAL, note.incarnation, note.sequence, 500.0)
 
 
-def silent(note: LeaseNote) -> LeaseNote | None:
+def stay_silent(note: LeaseNote) -> LeaseNote | None:
     return None
 
 
 @dataclass(frozen=True)
-class Played:
-    """The client's answer, what the owners heard, and the gateway's figures after it."""
+class MissResult:
+    """The client's answer, the lease notes that the owners received, and the gateway's figures afterwards."""
 
     answer: Answered | None
-    heard: list[LeaseNote]
+    received: list[LeaseNote]
     figures: dict[str, int]
 
 
-async def play(reply: Reply, until: LeaseKind) -> Played:
-    """Ask one gateway for what only the origin has."""
-    loop, rig, heard, transports = (
+async def request_uncached_object(reply: ReplyFunction, until: LeaseKind) -> MissResult:
+    """Request an object that only the origin has; wait until the owners receive a note of kind `until`."""
+    loop, rig, received, transports = (
         asyncio.get_running_loop(),
         Rig(5, script=ServerBehaviour(lacks=True)),
         list[LeaseNote](),
         [],
     )
     try:
-        peers = ["127.0.0.1:9"] * MANY
+        peers = ["127.0.0.1:9"] * FLEET_SIZE
         for owner in range(ORIGIN_FILLS):
             transport, _ = await loop.create_datagram_endpoint(
-                lambda: Owner(heard, reply), local_addr=("127.0.0.1", 0)
+                lambda: Owner(received, reply), local_addr=("127.0.0.1", 0)
             )
             transports.append(transport)
             peers[owner] = f"127.0.0.1:{transport.get_extra_info('sockname')[1]}"
-        setup = settings() | {"my_number": NUMBER, "group_size": MANY}
-        setup["limits"] = setup.get("limits", {}) | {"peers": True}
-        setup["family_info"] |= {"instances_by_zone": [0, MANY]}
+        gateway_settings = settings() | {"my_number": GATEWAY_NUMBER, "group_size": FLEET_SIZE}
+        gateway_settings["limits"] = gateway_settings.get("limits", {}) | {"peers": True}
+        gateway_settings["family_info"] |= {"instances_by_zone": [0, FLEET_SIZE]}
         rig.lists_parent = False
-        rig.config = {"settings": setup, "peers": peers, "peer_listen": "127.0.0.1:0"}
+        rig.config = {"settings": gateway_settings, "peers": peers, "peer_listen": "127.0.0.1:0"}
         await rig.start()
         await rig.launch()
         terminal = await rig.terminal()
         answer = await terminal.ask("files", 77)
         async with asyncio.timeout(5.0):
-            while not any(note.kind is until for note in heard):
+            while not any(note.kind is until for note in received):
                 await asyncio.sleep(0.01)
         terminal.close()
-        return Played(answer, heard, await rig.figures())
+        return MissResult(answer, received, await rig.figures())
     finally:
         await rig.kill()
         for transport in transports:
@@ -95,20 +95,20 @@
 
 
 def test_a_miss_is_filled_under_a_lease_which_is_returned_after_it() -> None:
-    played = asyncio.run(play(grant, LeaseKind.RETURN))
-    assert played.answer is not None and played.answer.code == frames.SERVED
-    assert [note.kind for note in played.heard] == [LeaseKind.REQUEST, LeaseKind.RETURN]
-    assert len({(note.incarnation, note.sequence) for note in played.heard}) == 1
-    assert (played.figures["origin_leases_granted"], played.figures["origin_fills"]) == (1, 0)
+    result = asyncio.run(request_uncached_object(grant, LeaseKind.RETURN))
+    assert result.answer is not None and result.answer.code == frames.SERVED
+    assert [note.kind for note in result.received] == [LeaseKind.REQUEST, LeaseKind.RETURN]
+    assert len({(note.incarnation, note.sequence) for note in result.received}) == 1
+    assert (result.figures["origin_leases_granted"], result.figures["origin_fills"]) == (1, 0)
 
 
-def test_a_miss_is_refused_where_no_lease_is_to_be_had() -> None:
-    played = asyncio.run(play(deny, LeaseKind.REQUEST))
-    assert played.answer is not None and played.answer.code == frames.REFUSED
-    assert [note.kind for note in played.heard] == [LeaseKind.REQUEST]
-    assert (played.figures["origin_leases_granted"], played.figures["origin_leases_denied"]) == (0, 1)
+def test_a_miss_is_refused_when_the_owner_denies_the_lease() -> None:
+    result = asyncio.run(request_uncached_object(deny, LeaseKind.REQUEST))
+    assert result.answer is not None and result.answer.code == frames.REFUSED
+    assert [note.kind for note in result.received] == [LeaseKind.REQUEST]
+    assert (result.figures["origin_leases_granted"], result.figures["origin_leases_denied"]) == (0, 1)
 
 
-def test_a_miss_is_refused_where_the_owner_does_not_answer() -> None:
-    played = asyncio.run(play(silent, LeaseKind.REQUEST))
-    assert played.answer is not None and played.answer.code == frames.REFUSED
+def test_a_miss_is_refused_when_the_owner_does_not_answer() -> None:
+    result = asyncio.run(request_uncached_object(stay_silent, LeaseKind.REQUEST))
+    assert result.answer is not None and result.answer.code == frames.REFUSED
