--- a/standins/compatibility.py
+++ b/standins/compatibility.py
@@ -373,7 +373,7 @@
         expect("answers that break a rule", [], self.verdicts.wrong)
 
 
-# Datagrams on the wire: their first byte
+# The first byte of datagrams
 ASK, HOLDER, KEPT = 0, 1, 2  # notes on objects
 REQUEST, GRANT, DENIAL, RETURN = 4, 5, 6, 7  # notes on leases
 MEMBERSHIP = 0xA7  # messages on members
@@ -628,7 +628,9 @@
             seen.append(f"{len(HELD_OUT_KEYS)} requests, none to the cache that was disabled")
 
 
-# Operators' files: name, text, exit code of `hitchtiller check`, what has to be told
+# Operators' files
+
+
 FULL_FILE = """
 log {
   form = "json"
@@ -700,7 +702,7 @@
 membership {
 }
 """
-OPERATORS_FILES = (
+OPERATORS_FILES = (  # name, text, exit code of `hitchtiller check`, what has to be told
     ("empty", "", 0, ()),
     ("full", FULL_FILE, 0, ()),
     ("defaults", BARE_FILE, 0, ()),
@@ -825,7 +827,6 @@
 }))
 '''
 FLEET_MARK = 0x5EED_CAFE
-FIRST_LEASE_KIND = 4  # the first byte of a request for a lease; object notes have 0 to 3
 OBJECT_HEAD_BYTES, LEASE_BYTES, WORD_HEAD_BYTES = 13, 15, 20
 REPORT_KIND = 5  # of the membership messages, the one with reports in place of claims
 Values = list[Any]
@@ -865,7 +866,7 @@
 
 def damaged_notes(packed: list[str]) -> list[str]:
     """Return datagrams that no build may take for a note."""
-    objects, leases = [data for data in packed if int(data[:2], 16) < FIRST_LEASE_KIND], packed[4:]
+    objects, leases = [data for data in packed if int(data[:2], 16) < REQUEST], packed[4:]
     cut = [data[: 2 * (OBJECT_HEAD_BYTES - 1)] for data in objects] + [data[:-2] for data in leases]
     longer = [data + "00" for data in leases]
     foreign = ["08" + data[2:] for data in packed]
