--- a/standins/compatibility.py
+++ b/standins/compatibility.py
@@ -1269,6 +1269,7 @@
 # Hand-over
 
 WARM_KEYS, NEXT_KEYS, SLOW_KEYS = range(1, 11), range(21, 31), range(5_000, 5_006)
+UNDER_WAY_S = 0.5  # from the hand-over until servers answer the requests under way
 HAND_OVER_MS = 20_000.0  # the deadline of requests that are under way while the newer process starts
 
 
@@ -1325,6 +1326,7 @@
     served = (await second.figures())["served.files"]
     await site.ask(second, NEXT_KEYS)
     expect("answers by the new process", served + len(NEXT_KEYS), (await second.figures())["served.files"])
+    await asyncio.sleep(UNDER_WAY_S)
     gate.opened.set()
     answers = await asyncio.gather(*under_way)
     expect("codes of the requests under way", [0] * len(SLOW_KEYS), [a.code if a else None for a in answers])
