--- a/hitchtiller/back/upstreams.py
+++ b/hitchtiller/back/upstreams.py
@@ -1,133 +1,167 @@
-"""The pools of connections to all listed servers."""
+"""The pools of connections to all listed servers.
+
+A pool spreads its jobs over a few connections, reassigns jobs that were not written when one closes, and
+prevents a request id that was given up from overtaking its KILL on the way to the same server. The number of
+connections is bounded per server and in total.
+"""
 
 import math
 from collections.abc import Callable
 from functools import partial
 from itertools import count
 
-from hitchtiller.back.jobs import Job, Meter, Pull
-from hitchtiller.back.link import KILLED_MS, Link
+from hitchtiller.back.jobs import Job, MeterJob, PullJob
+from hitchtiller.back.link import LATE_ANSWER_MS, Link
 from hitchtiller.exchange import Attempt
 from hitchtiller.log import ended
-from hitchtiller.news import Listed, Topology
+from hitchtiller.news import ListedServer, Topology
 from hitchtiller.sched import Scheduler, now_ms
 
-MOST_MOVES = 2  # connections that an unwritten job may see end
-FEW, MOST_LINKS = 3, 6  # attempts on one connection from which another opens, and how many of them
-SWEEP_MS = 100.0
+MAX_REASSIGNMENTS = 2  # closed connections after which an unwritten job fails
+# Jobs on one connection from which another one is opened, and how many connections that may lead to.
+SPREAD_JOBS, MAX_LINKS_PER_SERVER = 3, 6
+SWEEP_INTERVAL_MS = 100.0
 
 
 class Pool:
-    """The connections to one process at one address."""
+    """The connections to one server process at one address."""
 
-    def __init__(self, owner: "Upstreams", host: Listed) -> None:
-        """Start without a connection."""
-        self.owner, self.host = owner, host
+    def __init__(self, upstreams: "Upstreams", listed: ListedServer) -> None:
+        """Start without connections."""
+        self.upstreams, self.listed = upstreams, listed
         self.links: list[Link] = []
-        # given up on connections that have ended, since when: of those, on ones that had just spoken junk
-        self.given_up: dict[bytes, float] = {}
-        self.cut: dict[bytes, float] = {}
+        # Times by name of the jobs that were given up on connections that have closed since. Those on
+        # connections closed for malformed data are kept apart.
+        self.abandoned_jobs: dict[bytes, float] = {}
+        self.abandoned_after_junk: dict[bytes, float] = {}
         self.closed = False
 
     def submit(self, job: Job) -> None:
-        """Put a job where few are, else open a connection beside them; in a crowd fill the first."""
-        # an id that was given up goes where its KILL went: on another connection the new PULL may
-        # overtake the KILL, and the server then has one id twice; the same holds for a connection's close.
-        # A server that hangs reads neither before it goes on, so it is not asked again. One that has just
-        # spoken junk reads on: a connection that is opened only now comes up after the close has arrived
-        name, link, crowded, now = job.name, None, None, now_ms()
-        killing = [each for each in self.links if now - each.killed.get(name, -math.inf) < KILLED_MS]
-        if now - self.given_up.get(name, -math.inf) < KILLED_MS or len(killing) > 1:
+        """Queue a job on a lightly loaded connection, else on a new one, else on the first with room."""
+        # An id that was given up is sent only on the connection that carries its KILL: on another one the new
+        # PULL may overtake the KILL, and the server would hold the id twice. The same applies to the close of
+        # a connection. A server that hangs reads neither until it resumes, so the id is not sent to it again.
+        # A server that sent malformed data still reads: a connection opened now is established only after
+        # the close has arrived.
+        name, link, busy_link, now = job.name, None, None, now_ms()
+        kill_links = [
+            each for each in self.links if now - each.killed_jobs.get(name, -math.inf) < LATE_ANSWER_MS
+        ]
+        if now - self.abandoned_jobs.get(name, -math.inf) < LATE_ANSWER_MS or len(kill_links) > 1:
             return job.broken("skipped")
-        if killing:
-            return killing[0].submit(job) if killing[0].keeps(name) else job.broken("skipped")
-        fresh_only = now - self.cut.get(name, -math.inf) < self.owner.times[0]
-        for each in () if fresh_only else self.links:
-            if link is None and each.up and len(each.open) + len(each.waiting) < FEW and each.room(name):
+        if kill_links:
+            return kill_links[0].submit(job) if kill_links[0].accepts(name) else job.broken("skipped")
+        new_only = now - self.abandoned_after_junk.get(name, -math.inf) < self.upstreams.timeouts[0]
+        for each in () if new_only else self.links:
+            if (
+                link is None
+                and each.is_connected
+                and len(each.open_jobs) + len(each.queued_names) < SPREAD_JOBS
+                and each.has_room(name)
+            ):
                 link = each
-            elif crowded is None and each.room(name):
-                crowded = each  # answers that come together are read together: it saves a busy core
+            elif busy_link is None and each.has_room(name):
+                busy_link = each  # answers on one connection are read together, which saves CPU under load
         if link is None:
-            # guards against one reset that ends all there is; what is idle closes by itself
-            fresh = self.owner.open(self) if self._opens(crowded is None) else None
-            link = crowded or fresh
+            # Several connections keep one reset from ending all attempts; idle ones close by themselves.
+            new_link = self.upstreams.open(self) if self._may_open(busy_link is None) else None
+            link = busy_link or new_link
         if link is None:
-            job.broken("skipped")  # a lack of our own, which no server is to be blamed for
+            job.broken("skipped")  # a limit of this gateway, for which the server is not to be blamed
         else:
             link.submit(job)
 
-    def _opens(self, needed: bool) -> bool:
-        if self.closed or self.owner.count >= self.owner.most:
+    def _may_open(self, is_needed: bool) -> bool:
+        if self.closed or self.upstreams.link_count >= self.upstreams.most:
             return False
-        free = self.owner.count < self.owner.most / 2 and len(self.links) < MOST_LINKS
-        return needed or (free and all(link.up for link in self.links))
+        may_spread = (
+            self.upstreams.link_count < self.upstreams.most / 2 and len(self.links) < MAX_LINKS_PER_SERVER
+        )
+        return is_needed or (may_spread and all(link.is_connected for link in self.links))
 
     def cancel(self, job: Job) -> None:
-        """Give a job up wherever it is."""
+        """Cancel a job on whichever connection it is."""
         any(link.cancel(job) for link in self.links)
 
-    def ended(self, link: Link, unwritten: list[Job]) -> None:
-        """Take a connection's end; what was never written goes on another."""
-        if link.stream.code and link in self.links:  # a spoiled one may tell twice
+    def on_link_closed(self, link: Link, unwritten: list[Job]) -> None:
+        """Remove a closed connection and reassign the jobs that were not written on it."""
+        # A retired link reports twice: when it returns its unwritten jobs, and when it closes.
+        if link.stream.code and link in self.links:
             self.links.remove(link)
-            self.owner.count -= 1
-            now, names = now_ms(), link.given_up
-            for told in (self.given_up, self.cut):
-                for name in [name for name, at in told.items() if now - at >= KILLED_MS]:
-                    del told[name]
-            self.given_up |= link.killed
-            (self.cut if link.stream.code == "junk" else self.given_up).update(names)
+            self.upstreams.link_count -= 1
+            now, abandoned = now_ms(), link.abandoned_jobs
+            for remembered in (self.abandoned_jobs, self.abandoned_after_junk):
+                for name in [name for name, at in remembered.items() if now - at >= LATE_ANSWER_MS]:
+                    del remembered[name]
+            self.abandoned_jobs |= link.killed_jobs
+            (self.abandoned_after_junk if link.stream.code == "junk" else self.abandoned_jobs).update(
+                abandoned
+            )
         for job in unwritten:
-            job.moves += 1
-            if job.moves > MOST_MOVES:  # guards against a server that resets whatever is opened
+            job.reassignments += 1
+            # Without a bound, a server that resets every connection would keep the loop busy.
+            if job.reassignments > MAX_REASSIGNMENTS:
                 job.broken("econnrefused")
             else:
                 self.submit(job)
 
     def close(self, code: str) -> None:
-        """End all connections, and with them what is out on them."""
+        """Close all connections and thereby end the attempts on them."""
         self.closed = True
         for link in list(self.links):
             link.close(code)
 
 
 class Upstreams:
-    """Follows the list and carries attempts to the servers on it."""
+    """The server side of the gateway: sends attempts to the listed servers and follows the list."""
+
+    def __init__(
+        self, sched: Scheduler, timeouts: tuple[float, float], jobs_per_link: int, max_links: int
+    ) -> None:
+        """Keep at most `max_links` connections with `jobs_per_link` attempts each.
 
-    def __init__(self, sched: Scheduler, times: tuple[float, float], streams: int, most: int) -> None:
-        """Hold at most `most` connections of `streams` attempts each."""
-        self.sched, self.times, self.streams, self.most = sched, times, streams, most
+        `timeouts` are the connect timeout and the servers' idle timeout in ms.
+        """
+        self.sched, self.timeouts, self.jobs_per_link, self.most = sched, timeouts, jobs_per_link, max_links
         self.pools: dict[str, Pool] = {}
-        self.count = self.opened = 0  # connections that there are, and all that ever were
-        self.numbers = count(1)
+        self.link_count = self.opened = 0  # connections open now, and opened since the start
+        self.probe_numbers = count(1)
         sched.spawn(self._sweep)
 
     def _sweep(self) -> None:
         last = now_ms()
         while True:
-            self.sched.sleep(SWEEP_MS)
+            self.sched.sleep(SWEEP_INTERVAL_MS)
             now = now_ms()
-            if now - last < 2.0 * SWEEP_MS:  # else the lag is ours: answers may lie unread
+            # After a longer pause this process itself lagged, and answers may be unread in the sockets.
+            if now - last < 2.0 * SWEEP_INTERVAL_MS:
                 for link in [link for pool in self.pools.values() for link in pool.links]:
                     link.check(now)
             last = now
 
     def open(self, pool: Pool) -> Link | None:
-        """Start a connection; None if the process has no descriptor left for it."""
-        host = pool.host
+        """Open a connection; return None if the process has no file descriptor left."""
+        listed = pool.listed
         try:
-            link = Link(self.sched, host.member.server, host.address, self.times, self.streams, pool.ended)
+            link = Link(
+                self.sched,
+                listed.member.server,
+                listed.address,
+                self.timeouts,
+                self.jobs_per_link,
+                pool.on_link_closed,
+            )
         except OSError as error:
-            ended("server", host.member.server, "no-descriptor", error.strerror or "")
+            ended("server", listed.member.server, "no-descriptor", error.strerror or "")
             return None
         pool.links.append(link)
-        self.count += 1
+        self.link_count += 1
         self.opened += 1
         return link
 
     def send(self, attempt: Attempt) -> None:
-        """Carry an attempt to its server, once none before it can be out any more."""
-        if (wait_ms := attempt.exchange.hold_ms - now_ms()) > 0.0:
+        """Send an attempt to its server, delayed until no earlier attempt of its request can be running."""
+        if (wait_ms := attempt.exchange.blocked_until_ms - now_ms()) > 0.0:
             self.sched.later(wait_ms, partial(self._send, attempt))
         else:
             self._send(attempt)
@@ -139,42 +173,48 @@
         if pool is None:
             attempt.drop("skipped")
             return
-        attempt.place = (pool, Pull(attempt))
-        pool.submit(attempt.place[1])
+        attempt.back_end_handle = (pool, PullJob(attempt))
+        pool.submit(attempt.back_end_handle[1])
 
     def cancel(self, attempt: Attempt) -> None:
-        """Give an attempt up."""
-        if attempt.place:
-            attempt.place[0].cancel(attempt.place[1])
+        """Cancel an attempt."""
+        if attempt.back_end_handle:
+            attempt.back_end_handle[0].cancel(attempt.back_end_handle[1])
 
-    def probe(self, server: str, report: Callable[[str, dict[str, float]], None]) -> None:
-        """Check a server."""
+    def probe(self, server: str, on_report: Callable[[str, dict[str, float]], None]) -> None:
+        """Probe a server and report its status and load."""
         if pool := self.pools.get(server):
-            pool.submit(Meter(next(self.numbers), report))
+            pool.submit(MeterJob(next(self.probe_numbers), on_report))
         else:
-            report("econnrefused", {})
+            on_report("econnrefused", {})
 
     def follow(self, news: Topology) -> Callable[[], None]:
-        """Take the list's news; a process that started anew, or elsewhere, gets a new pool."""
+        """Apply a change of the list; return a function that closes the pools no longer in use.
+
+        A server process that was restarted, or has another address, gets a new pool.
+        """
         stale: list[Pool] = []
-        listed = {host.member.server for host in news.hosts}
-        gone = [server for server in self.pools if news.whole and server not in listed]
-        for host in news.hosts:
-            member = host.member
+        listed_names = {listed.member.server for listed in news.hosts}
+        removed = [server for server in self.pools if news.whole and server not in listed_names]
+        for listed in news.hosts:
+            member = listed.member
             if member.state == "DELETED":
-                gone.append(member.server)
+                removed.append(member.server)
                 continue
             pool = self.pools.get(member.server)
-            if pool and (pool.host.address, pool.host.member.started_ms) == (host.address, member.started_ms):
-                pool.host = host
+            if pool and (pool.listed.address, pool.listed.member.started_ms) == (
+                listed.address,
+                member.started_ms,
+            ):
+                pool.listed = listed
                 continue
             if pool:
                 stale.append(pool)
-            self.pools[member.server] = Pool(self, host)
-        stale += [self.pools.pop(server) for server in gone if server in self.pools]
+            self.pools[member.server] = Pool(self, listed)
+        stale += [self.pools.pop(server) for server in removed if server in self.pools]
 
-        def settle() -> None:
+        def close_stale() -> None:
             for pool in stale:
                 pool.close("gone")
 
-        return settle
+        return close_stale
--- a/hitchtiller/cli/bench.py
+++ b/hitchtiller/cli/bench.py
@@ -17,7 +17,7 @@
 from hitchtiller.store.files import OsFiles
 from hitchtiller.store.format import Part
 from hitchtiller.store.index import Index, fingerprint, pack_place, unpack_place
-from hitchtiller.store.jobs import Inline
+from hitchtiller.store.jobs import InlineJobs
 from hitchtiller.store.suspect import Proof
 
 MB = 1_000_000
@@ -28,9 +28,11 @@
     files.lock()
     budget = parts * (size + 256) * 2 + 512 * MB
     proof = Proof(recover.Recovered().kept, 0.0)
-    disk = Disk(files, Inline(), Options(budget, 0, 64 * MB // 64 * 64, 64 * MB), recover.Recovered(), proof)
+    disk = Disk(
+        files, InlineJobs(), Options(budget, 0, 64 * MB // 64 * 64, 64 * MB), recover.Recovered(), proof
+    )
     proof.begin(1e12, 1e12)
-    disk.mark_era()
+    disk.mark_epoch()
     block = random.Random(1).randbytes(size + parts % 997 + 997)
     begun, longest = time.perf_counter(), 0.0
     with show.progress() as bar:
@@ -38,7 +40,7 @@
         for number in range(parts):
             body = block[number % 997 : number % 997 + size]
             at = time.perf_counter()
-            disk.put(Part(number, 0, -1, "files", 10**12 + 1, "tag", proof.era), body)
+            disk.put(Part(number, 0, -1, "files", 10**12 + 1, "tag", proof.epoch), body)
             longest = max(longest, time.perf_counter() - at)
             if number % 64 == 0:
                 bar.update(task, completed=number)
@@ -96,7 +98,7 @@
     begun = time.perf_counter()
     found = recover.load(files, use_checkpoint)
     loaded = time.perf_counter() - begun
-    disk = Disk(files, Inline(), Options(1 << 40), found, Proof(found.kept, 0.0))
+    disk = Disk(files, InlineJobs(), Options(1 << 40), found, Proof(found.kept, 0.0))
     got: list[int] = []
     disk.get(0, 0, lambda part, body: got.append(len(body)))
     took = time.perf_counter() - begun
--- a/hitchtiller/cli/serve.py
+++ b/hitchtiller/cli/serve.py
@@ -24,22 +24,22 @@
 def with_store(settings: Store) -> Callable[[Gateway], Callable[[], None]]:
     """Join the tiers to a gateway."""
     from hitchtiller.store.disk import Options
-    from hitchtiller.store.jobs import Threads
+    from hitchtiller.store.jobs import ThreadJobs
     from hitchtiller.store.keeper import Keeper
     from hitchtiller.store.memory import Memory
     from hitchtiller.store.pace import Pace
     from hitchtiller.store.space import Rate
-    from hitchtiller.store.suspect import Kept, Proof
+    from hitchtiller.store.suspect import Proof, SavedProof
     from hitchtiller.store.tier import Tier
 
     def extend(gateway: Gateway) -> Callable[[], None]:
         config, sched = gateway.config, gateway.sched
         weights = {name: share.weight for name, share in settings.share.items()}
         memory = Memory(int(settings.memory_mb * MB), weights, settings.policy)
-        proof = Proof(Kept(), config.settings.purge_done_ms, settings.purge_lag_ms)
+        proof = Proof(SavedProof(), config.settings.purge_done_ms, settings.purge_lag_ms)
         pace = Pace(config.flow_bytes_per_s, config.link_bytes_per_s)
         tier = Tier(gateway.engine, memory, proof, pace, settings.confirm)
-        gateway.bus.heard = tier.heard
+        gateway.bus.on_caught_up = tier.on_caught_up
         if settings.disk is None:
             return lambda: None
         disk = settings.disk
@@ -52,7 +52,7 @@
             checkpoint_ms=disk.checkpoint_s * 1000.0,
         )
         rate = Rate(disk.compact_mb_per_s * MB, disk.compact_busy_mb_per_s * MB, 4.0 * MB)
-        jobs = Threads(sched, disk.readers)
+        jobs = ThreadJobs(sched, disk.readers)
         keeper = Keeper(sched, tier, gateway.front, Path(disk.folder), options, jobs, rate)
         sched.spawn(keeper.run)
         return keeper.finish
@@ -62,7 +62,7 @@
 
 def with_repositories(settings: Repo) -> Callable[[Gateway], None]:
     """Join the second front to a gateway."""
-    from hitchtiller.repo.admission import Doors, GiveWay
+    from hitchtiller.repo.admission import BackgroundLimit, ConnectionLimits
     from hitchtiller.repo.budget import Budget
     from hitchtiller.repo.fetch import Fetcher
     from hitchtiller.repo.front import RepoFront, Times
@@ -71,7 +71,7 @@
 
     def extend(gateway: Gateway) -> None:
         sched, engine = gateway.sched, gateway.engine
-        give_way = GiveWay(on=settings.give_way)
+        give_way = BackgroundLimit(on=settings.give_way)
         fetcher = Fetcher(sched, engine, give_way, Budget(), gateway.config.seed)
         served = [
             Repository(
@@ -82,7 +82,9 @@
         hosts = frozenset(host.strip().lower() for host in settings.hosts.split(",") if host.strip())
         service = Service(engine, fetcher, served, hosts)
         times = Times(settings.header_s * 1e3, settings.idle_s * 1e3, settings.slow_s * 1e3)
-        front = RepoFront(sched, service, Doors(settings.connections, settings.each_address), times)
+        front = RepoFront(
+            sched, service, ConnectionLimits(settings.connections, settings.each_address), times
+        )
         front.listen(read_dial(settings.listen))
         publish(engine.stats, front, fetcher)
 
@@ -104,7 +106,7 @@
         assert gateway.peers, "checked before the start"
         joined = (gateway.sched, gateway.engine, gateway.peers, gateway.bus)
         members = Members(*joined, settings.fleet, settings.period_ms)
-        gateway.front.doubts.append(members.deaf)
+        gateway.front.not_ready_reasons.append(members.isolation_reason)
         gateway.calls.plain["members"] = members.listed
         gateway.calls.named["forget-member"] = members.forget
         gateway.sched.spawn(members.run)
@@ -117,7 +119,7 @@
     """Put the second front's figures where operators read them."""
     way, budget, service = fetcher.give_way, fetcher.budget, front.service
     stats.levels |= {
-        "repo.connections": lambda: front.doors.all,
+        "repo.connections": lambda: front.connection_limits.all,
         "repo.parts_open": lambda: way.open,
         "repo.parts_limit": lambda: int(way.limit),
     }
@@ -126,10 +128,10 @@
         "repo.repeats": lambda: budget.spent,
         "repo.repeats_denied": lambda: budget.denied,
         "repo.gave_way": lambda: way.refused,
-        "repo.turned_away": lambda: sum(front.turned_away.values()),
+        "repo.turned_away": lambda: sum(front.rejected_connections.values()),
         "repo.answers": lambda: sum(service.counts.values()),
         "repo.held_back": lambda: sum(
-            line.held_back for repo in service.repositories for line in repo.lines.values()
+            line.updates_withheld for repo in service.repositories for line in repo.lines.values()
         ),
     }
 
--- a/hitchtiller/cli/store.py
+++ b/hitchtiller/cli/store.py
@@ -13,7 +13,7 @@
 from hitchtiller.store.disk import Disk, Options
 from hitchtiller.store.files import OsFiles
 from hitchtiller.store.index import unpack_place
-from hitchtiller.store.jobs import Inline
+from hitchtiller.store.jobs import InlineJobs
 from hitchtiller.store.space import Rate
 from hitchtiller.store.suspect import Proof
 
@@ -59,7 +59,7 @@
         "records_read": found.scanned,
         "load_ms": round((time.monotonic() - begun) * 1000.0, 1),
         "index_bytes": found.index.room,
-        "era": kept.era,
+        "era": kept.epoch,
         "followed_ms": int(kept.followed_ms),
         "purged_objects": len(found.purges.objects),
         "purged_groups": len(found.purges.groups),
@@ -124,7 +124,7 @@
     if 2 * before + options.segment_bytes > options.budget:
         options = Options(2 * before + 2 * options.segment_bytes, 0, options.segment_bytes, 64 * MB)
     proof = Proof(found.kept, 0.0)
-    disk = Disk(files, Inline(), options, found, proof)
+    disk = Disk(files, InlineJobs(), options, found, proof)
     compactor = Compactor(disk, lambda mark: 16, Rate(1e15, 1e15, 1e15))
     old = sorted(found.segments)
     with show.progress() as bar:
@@ -145,7 +145,7 @@
         "bytes_before": before,
         "bytes_after": after,
         "parts": len(disk.index),
-        "carried": compactor.carried,
+        "carried": compactor.records_copied,
         "segments": len(disk.space.segments),
         "state": state.state,
     }
@@ -190,7 +190,7 @@
                 {
                     "file": file, "object": f"{part.key:016x}", "part": part.part, "group": part.group,
                     "class": part.class_name, "tag": part.tag, "since_ms": part.since_ms, "bytes": len(body),
-                    "era": part.era, "purged": not allowed,
+                    "era": part.epoch, "purged": not allowed,
                 }
             )  # fmt: skip
     files.close()
--- a/hitchtiller/codec/resp.py
+++ b/hitchtiller/codec/resp.py
@@ -1,88 +1,91 @@
-"""RESP arrays of bulk strings, as station caches speak them, and the FIELDS text in them."""
+"""RESP arrays of bulk strings, the protocol of station caches, and the FIELDS text within them."""
 
 import re
 from collections.abc import Iterator, Sequence
 
-MOST_ITEMS = 8
-MOST_BULK = 262_144
-MOST_LINE = 16
-# an answer, up to its body
-HEAD = re.compile(rb"\*4\r\n" + rb"\$(\d{1,5})\r\n([^\r]*)\r\n" * 3 + rb"\$(\d{1,6})\r\n")
+MAX_ITEMS = 8
+MAX_BULK_BYTES = 262_144
+MAX_LINE_BYTES = 16
+# A whole answer up to its body: an array of four bulk strings.
+ANSWER_HEAD = re.compile(rb"\*4\r\n" + rb"\$(\d{1,5})\r\n([^\r]*)\r\n" * 3 + rb"\$(\d{1,6})\r\n")
 
 
 class BadResp(Exception):
-    """The bytes are not what a station cache may send."""
+    """The bytes are not a valid answer of a station cache."""
 
 
 class RespReader:
-    """Feed it bytes, take arrays; unread bytes stay under one array's bound."""
+    """An incremental decoder: feed it bytes and iterate over the arrays.
+
+    Between calls it buffers less than one array.
+    """
 
     def __init__(self) -> None:
-        """Start between arrays."""
+        """Start with an empty buffer."""
         self.buffer = bytearray()
         self.items: list[bytes] = []
-        self.left = 0  # bulk strings still to come in this array
-        self.bulk = -1  # size of the one under way
+        self.remaining_items = 0  # bulk strings missing from the current array
+        self.bulk_size = -1  # size of the current bulk string; -1 while it is unknown
 
     @property
-    def within(self) -> bool:
-        """Tell whether an array has begun that is not whole."""
-        return bool(self.buffer or self.left)
+    def in_array(self) -> bool:
+        """Return whether an array has begun and is not complete."""
+        return bool(self.buffer or self.remaining_items)
 
     def feed(self, data: bytes) -> Iterator[list[bytes]]:
-        """Give the arrays that are whole now; raise BadResp on what can't be one."""
+        """Yield the arrays that are complete; raise BadResp for invalid bytes."""
         self.buffer += data
         start = 0
         try:
             while True:
-                if self.bulk >= 0:
-                    end = start + self.bulk
+                if self.bulk_size >= 0:
+                    end = start + self.bulk_size
                     if len(self.buffer) < end + 2:
                         return
                     if self.buffer[end : end + 2] != b"\r\n":
-                        raise BadResp("bulk string without its end")
+                        raise BadResp("bulk string does not end in CRLF")
                     self.items.append(bytes(memoryview(self.buffer)[start:end]))
-                    start, self.bulk, self.left = end + 2, -1, self.left - 1
-                    if not self.left:
+                    start, self.bulk_size, self.remaining_items = end + 2, -1, self.remaining_items - 1
+                    if not self.remaining_items:
                         items, self.items = self.items, []
                         yield items
                     continue
-                whole = None if self.left else self._whole(start)
+                whole = None if self.remaining_items else self._take_whole_answer(start)
                 if whole:
                     start, items = whole
                     yield items
                     continue
                 mark = self.buffer[start : start + 1]
-                if mark and mark != (b"$" if self.left else b"*"):
-                    raise BadResp(f"unexpected {bytes(self.buffer[start : start + MOST_LINE])!r}")
-                end = self.buffer.find(b"\r\n", start, start + MOST_LINE)
+                if mark and mark != (b"$" if self.remaining_items else b"*"):
+                    raise BadResp(f"unexpected {bytes(self.buffer[start : start + MAX_LINE_BYTES])!r}")
+                end = self.buffer.find(b"\r\n", start, start + MAX_LINE_BYTES)
                 if end < 0:
-                    if len(self.buffer) - start >= MOST_LINE:
-                        raise BadResp("line too long")
+                    if len(self.buffer) - start >= MAX_LINE_BYTES:
+                        raise BadResp("length line is too long")
                     return
                 digits = bytes(self.buffer[start + 1 : end])
                 if not digits.isdigit():
                     raise BadResp(f"unexpected {bytes(self.buffer[start:end])!r}")
                 size, start = int(digits), end + 2
-                if size > (MOST_BULK if self.left else MOST_ITEMS):
-                    raise BadResp(f"size {size}")
-                if self.left:
-                    self.bulk = size
+                if size > (MAX_BULK_BYTES if self.remaining_items else MAX_ITEMS):
+                    raise BadResp(f"size {size} is out of bounds")
+                if self.remaining_items:
+                    self.bulk_size = size
                 else:
-                    self.left = size
+                    self.remaining_items = size
         finally:
             del self.buffer[:start]
 
-    def _whole(self, start: int) -> tuple[int, list[bytes]] | None:
-        """Take an answer that is there as a whole in one step: nearly all are; else None."""
-        match = HEAD.match(self.buffer, start)
+    def _take_whole_answer(self, start: int) -> tuple[int, list[bytes]] | None:
+        """Decode an answer that is buffered completely in one step, the usual case; return None otherwise."""
+        match = ANSWER_HEAD.match(self.buffer, start)
         if not match:
             return None
         size_1, item_1, size_2, item_2, size_3, item_3, size = match.groups()
         body = match.end()
         end = body + int(size)
         sizes = (int(size_1), int(size_2), int(size_3))
-        if int(size) > MOST_BULK or self.buffer[end : end + 2] != b"\r\n":
+        if int(size) > MAX_BULK_BYTES or self.buffer[end : end + 2] != b"\r\n":
             return None
         if sizes != (len(item_1), len(item_2), len(item_3)):
             return None
@@ -90,7 +93,7 @@
 
 
 def write_command(*parts: bytes) -> bytes:
-    """Write one array."""
+    """Encode one array."""
     out = [b"*%d\r\n" % len(parts)]
     for part in parts:
         out += (b"$%d\r\n" % len(part), part, b"\r\n")
@@ -98,7 +101,7 @@
 
 
 def read_fields(data: bytes) -> dict[str, str]:
-    """Read FIELDS; raise BadResp on what is none."""
+    """Parse a FIELDS text; raise BadResp for an invalid one."""
     if data in (b"-", b""):
         return {}
     try:
@@ -106,12 +109,12 @@
     except UnicodeDecodeError:
         raise BadResp("fields are not text") from None
     if not all(sign for _, sign, _ in pairs):
-        raise BadResp("field without a value")
+        raise BadResp("field has no value")
     return {name: value for name, _, value in pairs}
 
 
 def read_report(text: str, names: Sequence[str] = ()) -> dict[str, float]:
-    """Read a load report, `inflight:7;util:0.61`; what is no number is passed over."""
+    """Parse a load report such as `inflight:7;util:0.61`; entries without a number are ignored."""
     report = {}
     for pair in text.split(";"):
         name, _, value = pair.partition(":")
--- a/hitchtiller/engine.py
+++ b/hitchtiller/engine.py
@@ -1,4 +1,9 @@
-"""Carries events to the decisions and their actions out; knows exchanges, no protocol and no socket."""
+"""Event dispatch of one gateway: feeds events to the router and executes the actions that it returns.
+
+Clients, back ends, the event bus and timers turn what happens into events. `Engine` hands them to
+`Router.handle` one at a time and in order, and executes the resulting actions. It works on exchanges (a
+request with its attempts and its final answer) and knows neither protocols nor sockets.
+"""
 
 from collections import deque
 from collections.abc import Callable
@@ -8,246 +13,269 @@
 
 from hitchtiller import interface as api
 from hitchtiller.decide import NEVER_RAN, Router
-from hitchtiller.exchange import FAILED, REFUSED, SERVED, Answer, Ask, Attempt, Clearance, Ending, Exchange
+from hitchtiller.exchange import (
+    FAILED,
+    REFUSED,
+    SERVED,
+    Answer,
+    Attempt,
+    AttemptResult,
+    ClientRequest,
+    Exchange,
+    SendLimits,
+)
 from hitchtiller.log import logger
-from hitchtiller.news import Ban, Event, Topology
+from hitchtiller.news import Event, PurgeNotice, Topology
 from hitchtiller.ops.stats import Stats
 from hitchtiller.routing.effects import Effects
 
 
 class Timer(Protocol):
-    """What a clock gives for a later call."""
+    """A pending call, as returned by `Clock.later`."""
 
     def cancel(self) -> None:
-        """Take the call back."""
+        """Cancel the call."""
 
 
 class Clock(Protocol):
-    """Time in Unix milliseconds, and later calls."""
+    """The current time, and calls after a delay."""
 
     def now_ms(self) -> float:
-        """Read the clock."""
+        """Return the current time in Unix milliseconds."""
 
     def later(self, delay_ms: float, call: Callable[[], object]) -> Timer:
-        """Call later."""
+        """Schedule a call after a delay and return its timer."""
 
 
-class Back(Protocol):
-    """The server side."""
+class BackEnd(Protocol):
+    """The server side: sends attempts and probes to the listed servers."""
 
     def send(self, attempt: Attempt) -> None:
-        """Carry an attempt to its server."""
+        """Send an attempt to its server."""
 
     def cancel(self, attempt: Attempt) -> None:
-        """Give an attempt up; its end is reported by the caller."""
+        """Give up an attempt; the caller reports its end."""
 
     def probe(self, server: str, report: Callable[[str, dict[str, float]], None]) -> None:
-        """Check a server."""
+        """Probe a server; `report` receives the status and the load report."""
 
     def follow(self, news: Topology) -> Callable[[], None]:
-        """Take the list's news; the call that it gives ends what was out on processes that are gone."""
+        """Apply a change of the list of servers.
+
+        Returns a callable that closes the connections to processes that are gone, and so ends the attempts on
+        them.
+        """
 
 
 class Copies(Protocol):
-    """Copies of the gateway's own, asked before the decisions are."""
+    """The gateway's own copies of objects, which are tried before a request goes to the router."""
 
     def take(self, exchange: Exchange) -> bool:
-        """Take a request: True if it is answered, or waits for what may answer it."""
+        """Try to serve a request; return True if it is answered, or waits for a fill or a disk read."""
 
     def may_send(self, exchange: Exchange) -> bool:
-        """Tell whether one more attempt may go out for all that wait for it."""
+        """Return whether one more attempt may be sent on behalf of all requests that wait for this object."""
 
     def cap(self, exchange: Exchange, cap_ms: float, now_ms: float) -> float:
-        """Bound the age of the copy that is asked for further; 0 for no bound."""
+        """Tighten the maximum age (ms) of the copy that a server may answer with; 0 means no bound."""
 
-    def arrived(self, attempt: Attempt, ending: Ending) -> Ending:
-        """Take a served attempt's end, to keep it or to put a confirmed copy's bytes in."""
+    def on_result(self, attempt: Attempt, result: AttemptResult) -> AttemptResult:
+        """Store a served result as a copy, or fill in the body of a copy that the server has confirmed."""
 
-    def instead(self, exchange: Exchange, answer: Answer) -> Answer:
-        """Give what is better than a refusal or a failure, if there is something."""
+    def fallback(self, exchange: Exchange, answer: Answer) -> Answer:
+        """Return a better answer than a refusal or a failure if there is one, else `answer`."""
 
     def over(self, exchange: Exchange, answer: Answer | None) -> None:
-        """Hear of a request's end; None if its client left."""
+        """Handle the end of a request; `answer` is None if it was abandoned."""
 
-    def purged(self, ban: Ban) -> None:
-        """Hear of a purge before the decisions do."""
+    def purged(self, purge: PurgeNotice) -> None:
+        """Handle a purge; called before the router handles it."""
 
 
 class Engine:
-    """The events of one gateway, in order, into `Router.handle`; the actions out."""
+    """Feeds the events of one gateway to `Router.handle` in order and executes the resulting actions."""
 
     def __init__(
         self,
         router: Router,
         clock: Clock,
-        back: Back,
-        tell: Callable[[int, api.PeerNote | api.LeaseNote], None],
+        back: BackEnd,
+        send_note: Callable[[int, api.PeerNote | api.LeaseNote], None],
     ) -> None:
-        """Join the parts."""
-        self.router, self.clock, self.back, self.tell = router, clock, back, tell
+        """Connect the router to the clock, to the back ends and to the other gateways."""
+        self.router, self.clock, self.back, self.send_note = router, clock, back, send_note
         self.open: dict[int, Exchange] = {}
-        self.ids: set[str] = set()  # of what is open, as clients name it
-        self.numbers = count(1)
-        self.events: deque[api.Event] = deque()
+        self.open_ids: set[str] = set()  # ids given by clients, of the open requests
+        self.request_numbers = count(1)
+        self.event_queue: deque[api.Event] = deque()
         self.busy = False
         self.copies: Copies | None = None
         self.effects = Effects(router.settings.classes)
-        self.behind: Callable[[], bool] = bool  # tells whether news may have been missed
-        self.purge_ears: list[Callable[[Ban], object]] = []
-        self.ended_one: Callable[[Exchange, Answer], None] | None = None  # hears of each final answer
+        self.may_lack_events: Callable[[], bool] = bool  # whether bus events may have been missed
+        self.purge_listeners: list[Callable[[PurgeNotice], object]] = []
+        self.on_final_answer: Callable[[Exchange, Answer], None] | None = None  # called for each final answer
         self.stats = Stats(router.settings.classes)
         self.stats.levels = {
             "in_flight": lambda: len(self.open),
             "station_caches_known": lambda: len(router.nodes),
             "station_caches_excluded": lambda: sum(not router.usable(n) for n in router.nodes.values()),
         }
-        if not router.leases.fixed:
-            self.stats.levels["origin_fills"] = lambda: router.leases.out
+        if not router.leases.fixed_fills:
+            self.stats.levels["origin_fills"] = lambda: router.leases.fills_in_flight
             self.stats.counts["origin_leases_granted"] = lambda: router.leases.granted
             self.stats.counts["origin_leases_denied"] = lambda: router.leases.denied
 
     # Client side
 
     def has(self, id: str) -> bool:
-        """Tell whether a request of this id is open, whoever asked."""
-        return id.lower() in self.ids
+        """Return whether a request with this id is open, from any client."""
+        return id.lower() in self.open_ids
 
-    def take(self, ask: Ask, deliver: Callable[[Answer], None]) -> Exchange:
-        """Take a request; `deliver` gets its final answer, unless it leaves."""
-        exchange = Exchange(next(self.numbers), ask, deliver)
+    def take(self, request: ClientRequest, deliver: Callable[[Answer], None]) -> Exchange:
+        """Start handling a request; `deliver` receives its final answer unless the client leaves."""
+        exchange = Exchange(next(self.request_numbers), request, deliver)
         self.open[exchange.number] = exchange
-        self.ids.add(ask.id.lower())
+        self.open_ids.add(request.id.lower())
         self.stats.taken += 1
-        self._worth("asked", exchange)
+        self._count_worth("asked", exchange)
         exchange.taken_ms = self.clock.now_ms()
-        delay = ask.deadline_ms - exchange.taken_ms
-        exchange.guard = self.clock.later(delay, partial(self.expire, exchange)).cancel
-        if self.effects.over(ask.class_name, ask.dedupe, exchange.taken_ms):
-            self.fail(exchange)  # an earlier try may have run, and a repeat would not be dropped any more
+        delay_ms = request.deadline_ms - exchange.taken_ms
+        exchange.cancel_deadline = self.clock.later(delay_ms, partial(self.on_deadline, exchange)).cancel
+        if self.effects.window_passed(request.class_name, request.dedupe, exchange.taken_ms):
+            self.fail(exchange)  # an earlier attempt may have run, and servers no longer drop its repeat
         elif self.copies is None or not self.copies.take(exchange):
             self.decide(exchange)
         return exchange
 
     def decide(self, exchange: Exchange) -> None:
-        """Hand a request to the decisions, once."""
+        """Submit a request to the router, at most once."""
         if exchange.over or exchange.decided:
             return
-        exchange.decided, ask = True, exchange.ask
-        self.give(
+        exchange.decided, request = True, exchange.request
+        self.submit(
             api.Request(
-                exchange.number, ask.class_name, ask.key, ask.deadline_ms, ask.size_kb, ask.group, ask.part
+                exchange.number,
+                request.class_name,
+                request.key,
+                request.deadline_ms,
+                request.size_kb,
+                request.group,
+                request.part,
             )
         )
 
     def leave(self, exchange: Exchange) -> None:
-        """Nobody waits for it any more: stop its attempts."""
+        """Handle a client that left: close the exchange and cancel its attempts."""
         if exchange.close():
             self.stats.left += 1
-            self._worth("left", exchange)
+            self._count_worth("left", exchange)
             self.abandon(exchange)
 
-    def expire(self, exchange: Exchange) -> None:
-        """At the deadline end what is out; answer in place of decisions that did not then."""
+    def on_deadline(self, exchange: Exchange) -> None:
+        """At the deadline, end the attempts in flight; fail the request if the router has not answered it."""
         for attempt in list(exchange.attempts):
             self.cancel(attempt, "etimedout")
         if exchange.over:
             return
-        # guards against a request that stays without an end: one that waits for a peer, or a fault
-        logger.warning("request {} was overdue", exchange.ask.id)
+        # prevents a request without any answer: it may still wait for another gateway, or a fault lost it
+        logger.warning("request {} got no answer before its deadline; failing it", exchange.request.id)
         self.fail(exchange)
 
     def fail(self, exchange: Exchange) -> None:
-        """Answer in place of the decisions, which hear of it as of a client that left."""
+        """Fail a request without the router, and report to the router that its client left."""
         self.finish(exchange, Answer(FAILED))
         self.abandon(exchange)
 
     def abandon(self, exchange: Exchange) -> None:
-        """Tell the decisions that a request is over and cancel what is out for it."""
-        self._drop(exchange)
+        """Tell the router and the copies that a request is over, and cancel its attempts."""
+        self._remove_open(exchange)
         if exchange.decided:
-            self.give(api.Left(exchange.number))
+            self.submit(api.ClientLeft(exchange.number))
         if self.copies:
             self.copies.over(exchange, None)
         for attempt in list(exchange.attempts):
             self.cancel(attempt, "ecanceled")
 
-    def _drop(self, exchange: Exchange) -> None:
+    def _remove_open(self, exchange: Exchange) -> None:
         if self.open.pop(exchange.number, None):
-            self.ids.discard(exchange.ask.id.lower())
+            self.open_ids.discard(exchange.request.id.lower())
 
     def finish(self, exchange: Exchange, answer: Answer) -> None:
-        """Give the final answer, once."""
+        """Deliver the final answer, at most once."""
         if self.copies and answer.kind != SERVED:
-            answer = self.copies.instead(exchange, answer)
-        ask = exchange.ask
-        if answer.kind == REFUSED and not self.effects.harmless(
-            ask.class_name, ask.dedupe, self.clock.now_ms()
+            answer = self.copies.fallback(exchange, answer)
+        request = exchange.request
+        if answer.kind == REFUSED and not self.effects.retry_is_safe(
+            request.class_name, request.dedupe, self.clock.now_ms()
         ):
-            answer = Answer(FAILED)  # a refusal would say that trying again does no harm
-        self._drop(exchange)
+            answer = Answer(FAILED)  # a refusal would tell the client that a retry is safe
+        self._remove_open(exchange)
         if exchange.finish(answer):
-            self.stats.end(exchange.ask.class_name, answer.kind)
-            self._worth(answer.kind, exchange)
-            if self.ended_one:
-                self.ended_one(exchange, answer)
+            self.stats.end(exchange.request.class_name, answer.kind)
+            self._count_worth(answer.kind, exchange)
+            if self.on_final_answer:
+                self.on_final_answer(exchange, answer)
             if self.copies:
                 self.copies.over(exchange, answer)
-        exchange.settle()
+        exchange.release_attempts()
 
-    def _worth(self, what: str, exchange: Exchange) -> None:
-        """Count a request's worth under what became of it; `served` is told apart by its class's aim."""
-        settings, ask = self.router.settings, exchange.ask
-        if (cls := settings.classes.get(ask.class_name)) is None:
+    def _count_worth(self, outcome: str, exchange: Exchange) -> None:
+        """Add a request's worth to the total of its outcome.
+
+        `served` is split into `in_time` and `late` by the aim of the request's class.
+        """
+        settings, request = self.router.settings, exchange.request
+        if (cls := settings.classes.get(request.class_name)) is None:
             return
-        if what == SERVED:
-            work = 1000.0 * ask.size_kb / settings.flow_kb_per_s if settings.flow_kb_per_s else 0.0
-            prompt = self.clock.now_ms() - exchange.taken_ms <= cls.aim_ms + cls.aim_stretch * work
-            what = "in_time" if prompt else "late"
-        self.stats.worth[what] += cls.worth
+        if outcome == SERVED:
+            transfer_ms = 1000.0 * request.size_kb / settings.flow_kb_per_s if settings.flow_kb_per_s else 0.0
+            in_time = self.clock.now_ms() - exchange.taken_ms <= cls.aim_ms + cls.aim_stretch * transfer_ms
+            outcome = "in_time" if in_time else "late"
+        self.stats.worth[outcome] += cls.worth
 
-    # News
+    # Bus events
 
     def news(self, event: Event) -> None:
-        """Take an event of the bus."""
-        if isinstance(event, Ban):
+        """Handle an event of the bus: a purge, or a change of the list of servers."""
+        if isinstance(event, PurgeNotice):
             if self.copies:
                 self.copies.purged(event)
-            for hear in self.purge_ears:
-                hear(event)
-            age = max(0.0, self.clock.now_ms() - event.at_ms)
-            self.give(api.Purged(event.key, event.group, age))
+            for listener in self.purge_listeners:
+                listener(event)
+            age_ms = max(0.0, self.clock.now_ms() - event.at_ms)
+            self.submit(api.Purged(event.key, event.group, age_ms))
             return
-        settle = self.back.follow(event)  # new servers are known before the decisions name them,
-        self.give(api.Members(tuple(host.member for host in event.hosts), whole=event.whole))
-        settle()  # and gone ones end their attempts once the decisions know to go elsewhere
+        close_stale = self.back.follow(event)  # first: servers must be known before the router names them
+        self.submit(api.Members(tuple(host.member for host in event.hosts), whole=event.whole))
+        close_stale()  # last: by now the router retries the attempts that this ends on other servers
 
-    # Decisions
+    # Decisions of the router
 
-    def give(self, event: api.Event) -> None:
-        """Hand an event over; events that come of its actions follow it in order."""
-        self.events.append(event)
+    def submit(self, event: api.Event) -> None:
+        """Submit an event to the router; events that its actions cause are handled after it, in order."""
+        self.event_queue.append(event)
         if self.busy:
             return
         self.busy = True
         try:
-            while self.events:
-                self.step(self.events.popleft())
+            while self.event_queue:
+                self.process_event(self.event_queue.popleft())
         finally:
             self.busy = False
 
-    def step(self, event: api.Event) -> None:
-        """Decide on one event; a fault ends the one request concerned, not the program."""
+    def process_event(self, event: api.Event) -> None:
+        """Handle one event; an exception fails only the request concerned and is logged."""
         try:
             for action in self.router.handle(event, self.clock.now_ms()):
-                self.act(action)
-        except Exception:  # noqa: BLE001  an exception for one request must not lose the others
-            logger.exception("deciding on {} failed", type(event).__name__)
+                self.execute(action)
+        except Exception:  # noqa: BLE001  a fault in one request must not affect the others
+            logger.exception("handling the event {} failed", type(event).__name__)
             exchange = self.open.get(getattr(event, "id", 0))
-            if exchange and not isinstance(event, api.Left):
+            if exchange and not isinstance(event, api.ClientLeft):
                 self.fail(exchange)
 
-    def act(self, action: api.Action) -> None:
-        """Carry out one action."""
+    def execute(self, action: api.Action) -> None:
+        """Execute one action."""
         match action:
             case api.Get():
                 self.send(action)
@@ -261,91 +289,94 @@
                 if exchange := self.open.get(action.id):
                     self.cancel(exchange.attempts[action.attempt], "ecanceled")
             case api.SetTimer():
-                self.clock.later(action.delay_ms, partial(self.give, api.TimerDue(action.token)))
-            case api.Tell():
-                self.tell(action.peer, action.note)
+                self.clock.later(action.delay_ms, partial(self.submit, api.TimerDue(action.token)))
+            case api.SendNote():
+                self.send_note(action.peer, action.note)
             case api.Probe():
-                begun = self.clock.now_ms()
-                self.back.probe(action.server, partial(self.probed, action.server, begun))
+                begun_ms = self.clock.now_ms()
+                self.back.probe(action.server, partial(self.on_probe_result, action.server, begun_ms))
             case api.Log():
                 logger.info("{}", action.text)
             case api.Watch():
-                pass  # the bus tells unasked
+                pass  # the bus sends changes without being asked
 
-    def probed(self, server: str, begun: float, status: str, load: dict[str, float]) -> None:
-        """Take a probe's result."""
-        self.give(api.Probed(server, status, self.clock.now_ms() - begun, load))
+    def on_probe_result(self, server: str, begun_ms: float, status: str, load: dict[str, float]) -> None:
+        """Submit the result of a probe."""
+        self.submit(api.Probed(server, status, self.clock.now_ms() - begun_ms, load))
 
     def send(self, get: api.Get) -> None:
-        """Make an attempt."""
+        """Start an attempt, unless the copies know that none may be sent for this request."""
         exchange = self.open.get(get.id)
         if exchange is None:
             return
         now = self.clock.now_ms()
-        spared = self.copies is not None and not self.copies.may_send(exchange)
-        attempt = Attempt(exchange, get, now, self.clear, self.ended, self.sent)
-        if 0.0 < get.timeout_ms < exchange.ask.deadline_ms - now - 1.0:  # else the deadline ends it
+        withheld = self.copies is not None and not self.copies.may_send(exchange)
+        attempt = Attempt(exchange, get, now, self.authorize, self.on_attempt_end, self.on_attempt_written)
+        if 0.0 < get.timeout_ms < exchange.request.deadline_ms - now - 1.0:  # otherwise the deadline ends it
             timer = self.clock.later(get.timeout_ms, partial(self.cancel, attempt, "etimedout"))
-            attempt.timeout = timer.cancel
-        if spared:
-            attempt.drop("skipped")  # it was never written, so it can't have run
+            attempt.cancel_timer = timer.cancel
+        if withheld:
+            attempt.drop("skipped")  # never written, so it can't have run
         else:
             self.back.send(attempt)
 
-    def clear(self, attempt: Attempt) -> Clearance | None:
-        """Ask the decisions again at the first byte: drains and purges may have come since."""
-        now, ask = self.clock.now_ms(), attempt.exchange.ask
-        if attempt.ended or attempt.exchange.over or self.behind():
+    def authorize(self, attempt: Attempt) -> SendLimits | None:
+        """Check an attempt again just before its first byte is written; None if it must not be sent.
+
+        Drains and purges may have arrived since the router chose the server.
+        """
+        now, request = self.clock.now_ms(), attempt.exchange.request
+        if attempt.ended or attempt.exchange.over or self.may_lack_events():
             return None
         try:
-            node = self.router.nodes.get(attempt.get.server)  # it may have gone meanwhile
-            if not node or not self.effects.may_begin(ask.class_name, ask.dedupe, node.m, now):
+            node = self.router.nodes.get(attempt.get.server)  # None if it was delisted in the meantime
+            if not node or not self.effects.may_begin(request.class_name, request.dedupe, node.member, now):
                 return None
-            cap = self.router.release(attempt.get.id, attempt.shot, now)
-        except Exception:  # noqa: BLE001  it would take a connection's other jobs along
-            logger.exception("clearing an attempt failed")
+            cap = self.router.recheck_send(attempt.get.id, attempt.index, now)
+        except Exception:  # noqa: BLE001  it would end the other attempts of the connection
+            logger.exception("checking an attempt before its first byte failed")
             return None
         if cap is not None and self.copies:
             cap = self.copies.cap(attempt.exchange, cap, now)
         if cap is None:
             return None
-        self.effects.begin(ask.class_name, ask.dedupe, node.m, now)
-        return Clearance(cap, ask.deadline_ms - now)
+        self.effects.begin(request.class_name, request.dedupe, node.member, now)
+        return SendLimits(cap, request.deadline_ms - now)
 
-    def sent(self) -> None:
-        """Count an attempt that was written whole."""
+    def on_attempt_written(self) -> None:
+        """Count an attempt that was written completely."""
         self.stats.attempts += 1
 
-    def cancel(self, attempt: Attempt, word: str) -> None:
-        """Give an attempt up."""
+    def cancel(self, attempt: Attempt, status: str) -> None:
+        """Give up an attempt and end it with `status`."""
         if not attempt.ended:
             self.back.cancel(attempt)
-            attempt.drop(word)
+            attempt.drop(status)
 
-    def ended(self, attempt: Attempt, ending: Ending) -> None:
-        """Take an attempt's end: the first served one is the answer."""
+    def on_attempt_end(self, attempt: Attempt, result: AttemptResult) -> None:
+        """Handle the end of an attempt; the first served one becomes the final answer."""
         exchange = attempt.exchange
-        self.stats.tried(ending.status)
-        if attempt.written and ending.status in NEVER_RAN:
-            self.effects.never_ran(exchange.ask.class_name, exchange.ask.dedupe)
-        if ending.status == "done" and self.copies:
-            ending = self.copies.arrived(attempt, ending)
-        if ending.status == "done" and not exchange.over:
-            answer = Answer(SERVED, ending.body, ending.unchanged, ending.tag, since_ms=ending.since_ms)
+        self.stats.tried(result.status)
+        if attempt.written and result.status in NEVER_RAN:
+            self.effects.never_ran(exchange.request.class_name, exchange.request.dedupe)
+        if result.status == "done" and self.copies:
+            result = self.copies.on_result(attempt, result)
+        if result.status == "done" and not exchange.over:
+            answer = Answer(SERVED, result.body, result.unchanged, result.tag, since_ms=result.since_ms)
             self.finish(exchange, answer)
-        self.give(
+        self.submit(
             api.Outcome(
                 attempt.get.id,
-                attempt.shot,
+                attempt.index,
                 attempt.get.server,
-                ending.status,
+                result.status,
                 self.clock.now_ms() - attempt.sent_ms,
                 closed=exchange.over,
-                note=ending.note,
-                waited_ms=ending.waited_ms,
-                silent=ending.silent,
-                whole=not ending.unchanged and not exchange.confirm,
-                load=ending.load,
+                note=result.note,
+                waited_ms=result.waited_ms,
+                silent=result.silent,
+                whole=not result.unchanged and not exchange.confirm_tag,
+                load=result.load,
             )
         )
-        exchange.settle()
+        exchange.release_attempts()
--- a/hitchtiller/front/client.py
+++ b/hitchtiller/front/client.py
@@ -1,4 +1,8 @@
-"""One client's connection: frames in, requests to the engine, answers out."""
+"""One client's connection: reads frames, passes requests to the engine and writes the answers.
+
+All limits are per connection: the number of open and of queued requests, the unsent bytes above which new
+requests wait, and the time that a partial frame may take. A client that exceeds them is disconnected.
+"""
 
 import math
 from functools import partial
@@ -6,265 +10,293 @@
 
 from hitchtiller.codec import frames
 from hitchtiller.exchange import FAILED, REFUSED, Answer, Exchange
-from hitchtiller.front.asks import BadAsk, read_ask, write_answer
+from hitchtiller.front.asks import RequestError, read_request, write_answer
 from hitchtiller.log import ended
-from hitchtiller.sched import LAGS_MS, Closed, Stream, now_ms
+from hitchtiller.sched import LAG_LIMIT_MS, Closed, Stream, now_ms
 
 if TYPE_CHECKING:
     from hitchtiller.front.server import Front
 
-MOST_OPEN = 32  # requests on one connection
-MOST_HOLES = 64  # stream numbers passed over that may still come
-HIGH_WATER = 1_000_000  # bytes that a client has not taken, from which its requests wait: backpressure
-MOST_EXCESS = 32  # requests past MOST_OPEN that are refused before their sender is taken for a flood
-AT_ONCE = 16  # frames of one connection in a turn: hundreds at once must not hold up the others
-OWED_MS = 2_200.0  # for a first whole frame, or the rest of one
-GROWTH, WHOLE_MS = 32, 6_000.0  # bytes with which that begins anew; until when all of a frame has to be here
-QUIET_MS = 200.0  # without a word, from which a connection is let go: requests may cross frame 3
-PROBE_MS = 1_000.0  # the front's probes come ten times a second, and may keep theirs
-LOOK_MS = 20.0
-LINGER_MS = 1_500.0  # what is unread at a close is read and dropped for so long
+MAX_OPEN_REQUESTS = 32
+MAX_SKIPPED_STREAMS = 64  # skipped stream numbers that may still be used
+HIGH_WATER_BYTES = 1_000_000  # unsent bytes above which new requests of the client wait (backpressure)
+MAX_EXCESS_REQUESTS = 32  # consecutive requests above MAX_OPEN_REQUESTS that are refused before a disconnect
+FRAMES_PER_TURN = 16  # a burst of hundreds of frames must not delay the other connections
+FRAME_TIMEOUT_MS = 2_200.0  # for the first whole frame, and for the rest of a partial one
+# A partial frame that grows by this much starts its timeout again, but has to be complete after MAX_FRAME_MS.
+MIN_GROWTH_BYTES, MAX_FRAME_MS = 32, 6_000.0
+MIN_IDLE_MS = 200.0  # before a drain closes a connection: a request may cross the GOING frame (type 3)
+PROBE_KEEP_MS = 1_000.0  # connections with readiness probes, which come 10 times per second, are kept
+QUEUE_CHECK_MS = 20.0
+DEFAULT_LINGER_MS = 1_500.0  # how long a closing connection reads and drops input
 
 
-class Numbers:
-    """The stream numbers used so far, in bounded space."""
+class StreamNumbers:
+    """The stream numbers that a connection has used, in bounded memory."""
 
     def __init__(self) -> None:
-        """Start with none."""
-        self.top, self.holes = 0, set[int]()
-
-    def use(self, number: int) -> bool:
-        """Use a number; False if it was used before, or never may be."""
-        if number <= self.top:
-            known = number in self.holes
-            self.holes.discard(number)
+        """Start without any used number."""
+        self.highest, self.skipped = 0, set[int]()
+
+    def claim(self, number: int) -> bool:
+        """Mark a number as used; return False if it was used before or is too old to be accepted."""
+        if number <= self.highest:
+            known = number in self.skipped
+            self.skipped.discard(number)
             return known
-        self.holes.update(range(max(self.top + 1, number - MOST_HOLES), number))
-        while len(self.holes) > MOST_HOLES:
-            self.holes.remove(min(self.holes))
-        self.top = number
+        self.skipped.update(range(max(self.highest + 1, number - MAX_SKIPPED_STREAMS), number))
+        while len(self.skipped) > MAX_SKIPPED_STREAMS:
+            self.skipped.remove(min(self.skipped))
+        self.highest = number
         return True
 
 
 class Client:
-    """Reads one connection until it ends; what is open on it then has no one to wait for it."""
-
-    def __init__(self, front: "Front", stream: Stream, peer: str) -> None:
-        """Take an accepted connection."""
-        self.front, self.stream, self.peer = front, stream, peer
-        self.open: dict[int, Exchange] = {}
-        self.numbers = Numbers()
-        self.waiting: dict[int, tuple[frames.Frame, float]] = {}  # requests that came above HIGH_WATER
-        self.rest = 0  # bytes of a frame that is not whole yet
-        self.excess = 0  # requests refused since one was last taken, for want of room on the connection
-        self.closing = ""  # a reason to close once all in hand is answered
-        self.deaf = False  # what comes is dropped: no frame can be told apart, or no answer can be written
-        self.taken = 0
-        self.asked = False  # a whole frame has come
-        self.told = False  # that no new request may come
-        self.probed_ms = -math.inf  # when it asked last whether the gateway is ready
-        self.arrived_ms = self.seen_ms = now_ms()  # when one came last
-        self.owed_ms: float | None = self.seen_ms  # since when the client owes the rest of a frame
-        self.half_ms, self.half = self.seen_ms, 0  # when that frame began, and what was here at `owed_ms`
-        self.linger_ms, self.until_ms = LINGER_MS, math.inf  # how long a close lingers, and until when
+    """One client connection; requests that are open when it ends are abandoned."""
+
+    def __init__(self, front: "Front", stream: Stream, remote_address: str) -> None:
+        """Take over an accepted connection."""
+        self.front, self.stream, self.remote_address = front, stream, remote_address
+        self.open_exchanges: dict[int, Exchange] = {}
+        self.stream_numbers = StreamNumbers()
+        # Requests that arrived while more than HIGH_WATER_BYTES were unsent, with their arrival times.
+        self.queued_requests: dict[int, tuple[frames.Frame, float]] = {}
+        self.incomplete_bytes = 0  # size of a frame that has only partly arrived
+        self.excess_requests = 0  # consecutive requests refused because too many were open
+        self.close_code = ""  # reason code; set once the connection closes after its last answer
+        self.discards_input = False  # input is dropped: it can't be parsed, or can't be answered any more
+        self.accepted_count = 0
+        self.has_sent_frame = False  # a whole frame has arrived
+        self.going_sent = False  # the client was told to send no new requests here
+        self.last_probe_ms = -math.inf  # last READY frame
+        self.arrived_ms = self.last_activity_ms = now_ms()  # last activity: a whole frame or an answer
+        # When the pending frame last grew by MIN_GROWTH_BYTES; None while no frame is due. The first frame is
+        # due from the start.
+        self.frame_progress_ms: float | None = self.last_activity_ms
+        # When that frame began, and how much of it had arrived at frame_progress_ms.
+        self.frame_started_ms, self.frame_progress_bytes = self.last_activity_ms, 0
+        self.linger_ms, self.linger_until_ms = DEFAULT_LINGER_MS, math.inf
 
     def run(self) -> None:
-        """Serve until the connection ends."""
+        """Serve the connection until it ends."""
         reader = frames.FrameReader()
         try:
             while True:
-                fresh = self.stream.drained
+                was_drained = self.stream.drained
                 data = self.stream.read()
-                if fresh:  # else it lay there before the last look: deadlines count from the one before
+                # Left-over data was there at an earlier poll already: its deadlines count from that one.
+                if was_drained:
                     self.arrived_ms = self.front.sched.arrival_ms
-                # guards clients that have gone: the end may lie behind what they asked for in a busy turn
-                if now_ms() - self.arrived_ms > LAGS_MS and self.stream.drained and self.stream.at_end():
+                # After a long turn the end of the stream may already follow the requests in the socket
+                # buffer: requests of a client that has disconnected are not started.
+                if now_ms() - self.arrived_ms > LAG_LIMIT_MS and self.stream.drained and self.stream.at_end():
                     raise Closed("eof")
-                if not self.deaf:
-                    self._take(reader, data)
-                if self.deaf:
+                if not self.discards_input:
+                    self._receive(reader, data)
+                if self.discards_input:
                     self.stream.keep(0)
-                    self.front.sched.sleep(2.0)  # guards the loop against senders of 60 MB at full speed
+                    self.front.sched.sleep(2.0)  # keeps a fast sender of 60 MB from occupying the loop
                 elif not self.stream.drained:
                     self.front.sched.pause()
         except Closed as error:
-            self.stream.close(self.closing or str(error))
+            self.stream.close(self.close_code or str(error))
         finally:
             self.stream.close("fault")
-            self.front.gone(self)
-            ended("client", self.peer, self.stream.code, taken=self.taken, open=len(self.open))
-            self.waiting.clear()
-            exchanges, self.open = list(self.open.values()), {}
+            self.front.remove_client(self)
+            ended(
+                "client",
+                self.remote_address,
+                self.stream.code,
+                taken=self.accepted_count,
+                open=len(self.open_exchanges),
+            )
+            self.queued_requests.clear()
+            exchanges, self.open_exchanges = list(self.open_exchanges.values()), {}
             for exchange in exchanges:
                 self.front.engine.leave(exchange)
 
-    def _take(self, reader: frames.FrameReader, data: bytes) -> None:
-        arrived, begun = self.arrived_ms, now_ms()
+    def _receive(self, reader: frames.FrameReader, data: bytes) -> None:
+        arrived_ms, started_ms = self.arrived_ms, now_ms()
         try:
             for count, frame in enumerate(reader.feed(data), 1):
-                self.asked, self.seen_ms, self.owed_ms = True, begun, None
-                self._frame(frame, arrived)
-                if count % AT_ONCE == 0:
+                self.has_sent_frame, self.last_activity_ms, self.frame_progress_ms = True, started_ms, None
+                self._handle_frame(frame, arrived_ms)
+                if count % FRAMES_PER_TURN == 0:
                     self.front.sched.pause()
                 if self.stream.code:
                     raise Closed(self.stream.code)
-                if self.deaf:
+                if self.discards_input:
                     return
         except frames.BadFrame:
             reader.buffer.clear()
-            self.refuse_all("bad-frame")
-        self.rest = half = len(reader.buffer)
-        self._keep()
-        if half and self.owed_ms is None:
-            self.half_ms = begun
-        # guards requests in pieces: those that took longer than the 2.2 s were cut, though they grew
-        if half and (self.owed_ms is None or half >= self.half + GROWTH):
-            self.owed_ms, self.half = begun, half
-
-    def refuse_all(self, code: str) -> None:
-        """End a connection that can't be read on: tell so, and end all that is open on it at once."""
-        self.deaf = True
-        self._say(0, Answer(FAILED))
-        for stream in list(self.waiting):
-            self._say(stream, Answer(FAILED))
-        self.waiting.clear()
-        for exchange in list(self.open.values()):
+            self.fail_all("bad-frame")
+        self.incomplete_bytes = buffered = len(reader.buffer)
+        self._count_buffered()
+        if buffered and self.frame_progress_ms is None:
+            self.frame_started_ms = started_ms
+        # Progress restarts the timeout: requests that arrived in pieces over more than 2.2 s were cut off
+        # although they kept growing.
+        if buffered and (
+            self.frame_progress_ms is None or buffered >= self.frame_progress_bytes + MIN_GROWTH_BYTES
+        ):
+            self.frame_progress_ms, self.frame_progress_bytes = started_ms, buffered
+
+    def fail_all(self, code: str) -> None:
+        """Answer FAILED on stream 0 and to all open and queued requests, drop further input and close."""
+        self.discards_input = True
+        self._send_answer(0, Answer(FAILED))
+        for stream in list(self.queued_requests):
+            self._send_answer(stream, Answer(FAILED))
+        self.queued_requests.clear()
+        for exchange in list(self.open_exchanges.values()):
             self.front.engine.fail(exchange)
         self.close_when_done(code)
 
-    def overdue(self, now: float) -> str:
-        """Tell why a client should wait no longer, if so."""
-        if self.closing:
-            return self.closing if now > self.until_ms else ""
-        if self.owed_ms is None or (now - self.owed_ms <= OWED_MS and now - self.half_ms <= WHOLE_MS):
+    def timeout_code(self, now: float) -> str:
+        """Return the reason code with which the connection has timed out, or an empty string."""
+        if self.close_code:
+            return self.close_code if now > self.linger_until_ms else ""
+        if self.frame_progress_ms is None or (
+            now - self.frame_progress_ms <= FRAME_TIMEOUT_MS and now - self.frame_started_ms <= MAX_FRAME_MS
+        ):
             return ""
-        return "half" if self.asked else "unasked"
+        return "half" if self.has_sent_frame else "unasked"
 
-    def idle(self) -> bool:
-        """Tell whether nothing is owed on it, and nothing has come that was not read."""
-        return not (self.owes() or self.closing or self.stream.code) and not self.stream.waiting()
+    def is_idle(self) -> bool:
+        """Return whether no answer is pending, no close is under way and no input is unread."""
+        return (
+            not (self.has_pending_answers() or self.close_code or self.stream.code)
+            and not self.stream.waiting()
+        )
 
-    def owes(self) -> bool:
-        """Tell whether an answer is owed on it, or has not gone out."""
-        return bool(self.open or self.waiting or self.stream.size)
+    def has_pending_answers(self) -> bool:
+        """Return whether a request is open or queued, or answer bytes are still unsent."""
+        return bool(self.open_exchanges or self.queued_requests or self.stream.size)
 
-    def answered(self) -> bool:
-        """Tell whether it is being closed and nothing is owed on it any more."""
-        return bool(self.closing) and not self.owes()
+    def is_lingering(self) -> bool:
+        """Return whether the connection is closing and its last answer has been sent."""
+        return bool(self.close_code) and not self.has_pending_answers()
 
-    def _frame(self, frame: frames.Frame, arrived: float) -> None:
+    def _handle_frame(self, frame: frames.Frame, arrived_ms: float) -> None:
         if frame.kind == frames.REQUEST:
-            if self.stream.size <= HIGH_WATER and not self.waiting:
-                self._request(frame, arrived)
-            elif len(self.waiting) < MOST_OPEN and frame.stream not in self.waiting:
-                if not self.waiting:
-                    self.front.sched.spawn(self._take_waiting)
-                self.waiting[frame.stream] = (frame, arrived)
+            if self.stream.size <= HIGH_WATER_BYTES and not self.queued_requests:
+                self._handle_request(frame, arrived_ms)
+            elif len(self.queued_requests) < MAX_OPEN_REQUESTS and frame.stream not in self.queued_requests:
+                if not self.queued_requests:
+                    self.front.sched.spawn(self._process_queued)
+                self.queued_requests[frame.stream] = (frame, arrived_ms)
             else:
-                self._flood()
+                self._fail_flood()
         elif frame.kind == frames.GIVE_UP:
-            self.waiting.pop(frame.stream, None)
-            if exchange := self.open.pop(frame.stream, None):
+            self.queued_requests.pop(frame.stream, None)
+            if exchange := self.open_exchanges.pop(frame.stream, None):
                 self.front.engine.leave(exchange)
         elif frame.kind == frames.READY:
-            self.probed_ms = now_ms()
-            if self.stream.size > HIGH_WATER:
-                return self._flood()
-            code = frames.REFUSED if self.front.told() else frames.SERVED
+            self.last_probe_ms = now_ms()
+            if self.stream.size > HIGH_WATER_BYTES:
+                return self._fail_flood()
+            code = frames.REFUSED if self.front.client_unready_reason() else frames.SERVED
             payload = bytes([code]) + frames.write_fields({})
             self.stream.write(frames.head(frames.READY_ANSWER, frame.stream, len(payload)) + payload)
         else:
-            raise frames.BadFrame(f"type {frame.kind}")
+            raise frames.BadFrame(f"unknown frame type {frame.kind}")
 
-    def _keep(self) -> None:
-        """Count the bytes that are held of what could not be taken yet."""
-        self.stream.keep(self.rest + sum(len(frame.payload) for frame, _ in self.waiting.values()))
+    def _count_buffered(self) -> None:
+        """Report the bytes held in partial frames and queued requests to the stream's accounting."""
+        self.stream.keep(
+            self.incomplete_bytes + sum(len(frame.payload) for frame, _ in self.queued_requests.values())
+        )
 
-    def _flood(self) -> None:
-        """End a client that asks on and on for what it does not take, or for more than it may."""
-        if not self.deaf:
-            self.refuse_all("flood")
+    def _fail_flood(self) -> None:
+        """Disconnect a client that sends too many requests, or keeps sending while it reads no answers."""
+        if not self.discards_input:
+            self.fail_all("flood")
 
-    def _take_waiting(self) -> None:
-        """Take the requests that wait once the client has taken its answers.
+    def _process_queued(self) -> None:
+        """Handle the queued requests once the client has read enough of its answers.
 
-        Meanwhile the connection is read on: a client that gives up, or leaves, is seen at once.
+        Reading goes on meanwhile, so that a GIVE_UP frame or a disconnect is noticed at once.
         """
-        while self.waiting and not self.stream.code:
-            if self.stream.size > HIGH_WATER:
-                self.front.sched.sleep(LOOK_MS)
+        while self.queued_requests and not self.stream.code:
+            if self.stream.size > HIGH_WATER_BYTES:
+                self.front.sched.sleep(QUEUE_CHECK_MS)
                 continue
-            frame, arrived = self.waiting.pop(next(iter(self.waiting)))
-            self._keep()
+            frame, arrived_ms = self.queued_requests.pop(next(iter(self.queued_requests)))
+            self._count_buffered()
             try:
-                self._request(frame, arrived)
+                self._handle_request(frame, arrived_ms)
             except frames.BadFrame:
-                self.refuse_all("bad-frame")
+                self.fail_all("bad-frame")
         if not self.stream.code:
             self._close_if_done()
 
-    def _request(self, frame: frames.Frame, arrived: float) -> None:
+    def _handle_request(self, frame: frames.Frame, arrived_ms: float) -> None:
         stream = frame.stream
-        if stream in self.open:  # guards against two answers under one number
-            raise frames.BadFrame(f"stream {stream} is open")
+        if stream in self.open_exchanges:  # two answers under one number could not be told apart
+            raise frames.BadFrame(f"stream number {stream} is still open")
         stats = self.front.engine.stats
         try:
-            ask = read_ask(frame.payload, self.front.settings, arrived)
-        except BadAsk as error:
+            request = read_request(frame.payload, self.front.settings, arrived_ms)
+        except RequestError as error:
             stats.end(error.class_name, FAILED)
-            self._say(stream, Answer(FAILED))  # never sent on
+            self._send_answer(stream, Answer(FAILED))  # an invalid request is never forwarded
             return
-        fresh = stream != 0 and self.numbers.use(stream)
-        if not fresh or self.front.engine.has(ask.id):  # guards against one id twice at a cache
-            stats.end(ask.class_name, FAILED)
-            self._say(stream, Answer(FAILED))
+        is_new = stream != 0 and self.stream_numbers.claim(stream)
+        # A cache must not get the same request id twice at the same time.
+        if not is_new or self.front.engine.has(request.id):
+            stats.end(request.class_name, FAILED)
+            self._send_answer(stream, Answer(FAILED))
             return
-        self.taken += 1
-        full = len(self.open) >= MOST_OPEN
-        self.excess = self.excess + 1 if full else 0
-        if self.excess > MOST_EXCESS:
-            return self._flood()
-        if full or self.closing or not self.front.takes(arrived):
-            stats.end(ask.class_name, REFUSED)
-            self._say(stream, Answer(REFUSED, wait_ms=self.front.settings.max_retry_after_ms))
+        self.accepted_count += 1
+        is_full = len(self.open_exchanges) >= MAX_OPEN_REQUESTS
+        self.excess_requests = self.excess_requests + 1 if is_full else 0
+        if self.excess_requests > MAX_EXCESS_REQUESTS:
+            return self._fail_flood()
+        if is_full or self.close_code or not self.front.accepts_request(arrived_ms):
+            stats.end(request.class_name, REFUSED)
+            self._send_answer(stream, Answer(REFUSED, wait_ms=self.front.settings.max_retry_after_ms))
             return
-        exchange = self.front.engine.take(ask, partial(self._answer, stream))
+        exchange = self.front.engine.take(request, partial(self._on_answer, stream))
         if not exchange.over:
-            self.open[stream] = exchange
+            self.open_exchanges[stream] = exchange
 
-    def _answer(self, stream: int, answer: Answer) -> None:
-        self.open.pop(stream, None)
-        self.seen_ms = now_ms()
-        self._say(stream, answer)
+    def _on_answer(self, stream: int, answer: Answer) -> None:
+        self.open_exchanges.pop(stream, None)
+        self.last_activity_ms = now_ms()
+        self._send_answer(stream, answer)
         self._close_if_done()
 
-    def _say(self, stream: int, answer: Answer) -> None:
+    def _send_answer(self, stream: int, answer: Answer) -> None:
         self.stream.write(*write_answer(stream, answer))
 
-    def going(self) -> None:
-        """Tell once that no new request may come on this connection."""
-        if not self.told:
-            self.told = True
+    def send_going(self) -> None:
+        """Send a GOING frame once: no new request may be sent on this connection."""
+        if not self.going_sent:
+            self.going_sent = True
             self.stream.write(frames.head(frames.GOING, 0, 0))
 
-    def settled(self, now: float, last: bool) -> bool:
-        """Tell whether it may be closed when all leave: nothing open, nothing unread, no word for a while."""
-        if not self.idle() or now - self.probed_ms <= PROBE_MS:
+    def may_close(self, now: float, final: bool) -> bool:
+        """Return whether a drain may close the connection: it is idle and has no recent probe.
+
+        Unless `final`, a partial frame or activity within MIN_IDLE_MS also keeps it open.
+        """
+        if not self.is_idle() or now - self.last_probe_ms <= PROBE_KEEP_MS:
             return False
-        return last or (not self.stream.kept and now - self.seen_ms > QUIET_MS)
+        return final or (not self.stream.kept and now - self.last_activity_ms > MIN_IDLE_MS)
 
-    def close_when_done(self, code: str, linger_ms: float = LINGER_MS) -> None:
-        """Close after the answers in hand: those requests were taken and must not be lost."""
-        self.closing, self.linger_ms = self.closing or code, linger_ms
+    def close_when_done(self, code: str, linger_ms: float = DEFAULT_LINGER_MS) -> None:
+        """Close once all open requests are answered: they were accepted and must not be lost."""
+        self.close_code, self.linger_ms = self.close_code or code, linger_ms
         self._close_if_done()
 
     def _close_if_done(self) -> None:
-        """Shut writing down and read on for a while, dropping what comes.
+        """If no request is open, shut down the write side and drop input until the linger time is over.
 
-        Guards against a reset for unread bytes, which would take the last answer along. From here on no
-        answer can be written, so what is read is no request of ours: its client sends it again elsewhere.
+        Closing a socket with unread bytes makes the kernel send a reset, which can discard the last answer.
+        After the shutdown no answer can be written, so input is no longer treated as requests: the client
+        sends them again on another connection.
         """
-        if self.closing and not (self.open or self.waiting):
-            self.deaf = True
-            self.until_ms = min(self.until_ms, now_ms() + self.linger_ms)
+        if self.close_code and not (self.open_exchanges or self.queued_requests):
+            self.discards_input = True
+            self.linger_until_ms = min(self.linger_until_ms, now_ms() + self.linger_ms)
             self.stream.finish()
--- a/hitchtiller/membership/detector.py
+++ b/hitchtiller/membership/detector.py
@@ -1,285 +1,343 @@
-"""Who is there: probes, suspicion, and word of it, as a state machine fed with datagrams and the time.
-
-After SWIM and Lifeguard (ideas only): each period a gateway pings one other, in a shuffled round that meets
-each once; without an answer in a share of the period it pings again and asks HELPERS others to ping for it,
-in ROUNDS rounds (at 30% loss one probe in forty then fails for nothing, with one round one in five); without
-any by the period's end it suspects, and tells the suspect so each period until that is settled. A suspect is
-dead after a time that grows with the logarithm of the fleet's size and shrinks with independent witnesses;
-it refutes by a newer incarnation until then, and after. Any datagram is a sign of life: who was heard within
-the last period is not pinged in it, so busy gateways hardly probe.
-
-A gateway doubts itself first. Late ticks (a stopped process, a crowded core) void the probes under way; each
-missed answer, and each refutation of its own, lengthen its periods and suspicions up to DOUBT_MOST steps,
-each answer takes one back. So one that was stopped for 20 s accuses nobody when it wakes.
-
-Bounds, whatever the fleet's size: a gateway and period sends one ping, one more to each suspect that it
-accused itself, for an unanswered ping at most ROUNDS times one ping and HELPERS requests, NEWS words while
-there is news, answers what it is asked, and one page every PAGE_EVERY periods; 4 to 6 datagrams a second
-at a period of 1 s, 10 with 30% of them lost.
+"""Failure detector: probes, suspicions and gossip, as a state machine that is fed datagrams and the time.
+
+The protocol follows the ideas of SWIM and Lifeguard. Each period a gateway pings one other member, in
+shuffled order so that each round reaches every member once. Without an answer within ROUND_SHARE of the
+period it pings again and asks HELPER_COUNT other members to ping on its behalf, in up to MAX_RETRY_ROUNDS
+rounds. At 30% packet loss one probe in forty then fails although its target is alive; with a single round
+it is one in five. Without any answer by the end of the period the gateway suspects the target, and pings
+the suspect each period, which carries the suspicion, until it is refuted or confirmed. A suspect is
+declared dead after a time that grows with the logarithm of the fleet's size and shrinks with the number of
+independent witnesses. It can refute by a newer incarnation before and after that. Any datagram counts as a
+sign of life: a member heard from within the last period is not pinged, so busy gateways hardly probe.
+
+A gateway considers first that it may be slow itself. Late ticks (a stopped process, an overloaded core)
+discard the probes under way. Each missed answer and each claim against itself that it has to refute
+lengthens its periods and suspicion times by a step, up to MAX_SLOWDOWN_STEPS; each answer takes one step
+back. This prevents a process that was stopped for 20 s from accusing others when it resumes.
+
+Bounds, independent of the fleet's size: per period a gateway sends one ping, one more to each suspect that
+it suspected itself, at most MAX_RETRY_ROUNDS times one ping and HELPER_COUNT requests for an unanswered
+ping, GOSSIP_FANOUT messages while there are claims to pass on, its answers to requests, and one sync
+request every SYNC_INTERVAL_PERIODS periods. That is 4 to 6 datagrams a second at a period of 1 s, and 10
+with 30% of them lost.
 """
 
 import math
 from dataclasses import dataclass
 from random import Random
 
-from hitchtiller.membership.evidence import FANOUT, Evidence
+from hitchtiller.membership.evidence import REPORT_FANOUT, Evidence
 from hitchtiller.membership.gossip import Gossip
 from hitchtiller.membership.view import UNHEARD, Change, Claim, State, View
-from hitchtiller.membership.words import ITEMS, REPORTS, Kind, Word, pack, unpack
-
-HELPERS, PAGE_EVERY, START_PAGES = 3, 10, 3
-DIRECT, ROUNDS = 0.3, 2  # of a period, for an answer; rounds of asking again, itself and by helpers
-SUSPECT, SUSPECT_LEAST = 4.0, 2.0  # periods, times log10 of the size (1 at least); with all witnesses
-WITNESSES, NEWS = 3, 2  # from which on a suspicion lasts no longer than the least
-DOUBT_MOST, LATE = 8, 1.5  # steps of doubt; periods between ticks from which on I was late myself
+from hitchtiller.membership.words import MAX_CLAIMS, MAX_REPORTS, Kind, MembershipMessage, pack, unpack
+
+# INITIAL_SYNCS: after a start or a pause each of this many periods sends a sync request
+HELPER_COUNT, SYNC_INTERVAL_PERIODS, INITIAL_SYNCS = 3, 10, 3
+# ROUND_SHARE: share of a period after which the next retry round starts, by this gateway and its helpers
+ROUND_SHARE, MAX_RETRY_ROUNDS = 0.3, 2
+# times log10 of the fleet's size (1 at least): with a single witness, and with FULL_WITNESS_COUNT or more
+MAX_SUSPECT_PERIODS, MIN_SUSPECT_PERIODS = 4.0, 2.0
+FULL_WITNESS_COUNT, GOSSIP_FANOUT = 3, 2
+# LATE_TICK_PERIODS: after a longer gap between two ticks this process itself counts as late
+MAX_SLOWDOWN_STEPS, LATE_TICK_PERIODS = 8, 1.5
 
 Datagrams = list[tuple[int, bytes]]
 
 
 @dataclass(slots=True)
 class Probe:
-    """A ping under way, for myself or for another."""
+    """A ping that awaits its answer, sent for this gateway itself or on behalf of another."""
 
     target: int
     number: int
-    begun_ms: float
-    asked: int = 0  # rounds
-    origin: int = -1  # who asked me to ping, and under which number; -1: myself
-    origin_number: int = 0
+    started_ms: float
+    retry_rounds: int = 0  # rounds started so far
+    requester: int = -1  # the member that asked for this ping; -1: this gateway's own probe
+    requester_probe: int = 0  # the requester's probe number
 
 
 @dataclass(slots=True)
 class Suspicion:
-    """A suspect's time."""
+    """A suspicion that is neither refuted nor confirmed: its start and the members that share it."""
 
-    begun_ms: float
+    started_ms: float
     witnesses: set[int]
 
 
 class Detector:
-    """One gateway's part in membership; calls give the datagrams to send."""
+    """Failure detector of one gateway; its methods return the datagrams to send."""
 
     def __init__(
-        self, me: int, size: int, incarnation: int, fleet: int, period_ms: float, rng: Random, now_ms: float
+        self,
+        own_number: int,
+        size: int,
+        incarnation: int,
+        fleet_id: int,
+        period_ms: float,
+        rng: Random,
+        now_ms: float,
     ) -> None:
-        """Start; `incarnation` is the start's Unix milliseconds."""
-        self.me, self.fleet, self.period_ms, self.rng = me, fleet, period_ms, rng
-        self.view = View(me, size, incarnation)
-        self.gossip, self.evidence = Gossip(size), Evidence(me)
-        self.view.ears.append(self._changed)
-        self.heard: dict[int, float] = {}
+        """Start with an empty view; `incarnation` is the Unix time of the process start in milliseconds."""
+        self.own_number, self.fleet_id, self.period_ms, self.rng = own_number, fleet_id, period_ms, rng
+        self.view = View(own_number, size, incarnation)
+        self.gossip, self.evidence = Gossip(size), Evidence(own_number)
+        self.view.listeners.append(self._queue_gossip)
+        self.last_heard_ms: dict[int, float] = {}
         self.probes: dict[int, Probe] = {}
         self.suspicions: dict[int, Suspicion] = {}
-        self.round: list[int] = []
-        self.numbers, self.periods, self.doubt, self.pages = 0, 0, 0, START_PAGES
-        self.next_ms = self.ticked_ms = now_ms
-        self.sent = self.dropped = 0
-        self.gossip.add(me)
+        self.probe_queue: list[int] = []
+        self.last_probe_number, self.period_count, self.slowdown_steps, self.pages = 0, 0, 0, INITIAL_SYNCS
+        self.next_period_ms = self.last_tick_ms = now_ms
+        self.sent_count = self.dropped_count = 0
+        self.gossip.queue(own_number)
 
-    # What the caller feeds
+    # Input from the caller
 
     def tick(self, now_ms: float) -> Datagrams:
-        """Look at what is due; to be called several times a period."""
-        late = now_ms - self.ticked_ms > LATE * self.period_ms
-        self.ticked_ms = now_ms
-        if late:  # guards against accusing others for a time in which I did not run myself
+        """Do what is due; to be called several times a period."""
+        is_late = now_ms - self.last_tick_ms > LATE_TICK_PERIODS * self.period_ms
+        self.last_tick_ms = now_ms
+        if is_late:  # prevents accusing others for a time in which this process did not run itself
             self.probes.clear()
             for suspicion in self.suspicions.values():
-                suspicion.begun_ms = now_ms
-            self._doubt(2)
-            self.pages = START_PAGES
-            self.next_ms = now_ms
-        out = self._watch(now_ms)
-        self._expire(now_ms)
-        if now_ms >= self.next_ms and not self.view.superseded:
-            self.next_ms = now_ms + self.period_ms * (1.0 + 0.25 * self.doubt)
-            out += self._period(now_ms)
-        return out
+                suspicion.started_ms = now_ms
+            self._slow_down(2)
+            self.pages = INITIAL_SYNCS
+            self.next_period_ms = now_ms
+        datagrams = self._check_probes(now_ms)
+        self._expire_suspicions(now_ms)
+        if now_ms >= self.next_period_ms and not self.view.superseded:
+            self.next_period_ms = now_ms + self.period_ms * (1.0 + 0.25 * self.slowdown_steps)
+            datagrams += self._begin_period(now_ms)
+        return datagrams
 
     def receive(self, sender: int, data: bytes, now_ms: float) -> Datagrams:
-        """Take a datagram from a listed peer; what can't be read is dropped and counted."""
-        word = unpack(data, self.fleet)
-        if word is None or word.sender != sender or sender not in self.view.claims:
-            self.dropped += 1
+        """Handle a datagram from a configured peer; drop and count one that can't be decoded."""
+        message = unpack(data, self.fleet_id)
+        if message is None or message.sender != sender or sender not in self.view.claims:
+            self.dropped_count += 1
             return []
         self.hear(sender, now_ms)
-        for number, claim, by in word.items:
-            if self.view.merge(number, claim, by, now_ms):
-                self._follow(number, by, now_ms)
+        for number, claim, reporter in message.items:
+            if self.view.merge(number, claim, reporter, now_ms):
+                self._on_claim_merged(number, reporter, now_ms)
             elif claim.state is State.SUSPECT and claim == self.view.claims.get(number):
-                self._witness(number, by)
-            elif number == self.me and claim < self.view.claims[number] and not self.view.superseded:
-                self.gossip.add(number)  # its sender has not heard my newer claim: all those words were lost
-        match word.kind:
+                self._add_witness(number, reporter)
+            elif number == self.own_number and claim < self.view.claims[number] and not self.view.superseded:
+                # the sender lacks this gateway's newer claim: all messages that carried it were lost
+                self.gossip.queue(number)
+        match message.kind:
             case Kind.PING:
-                return self._send(sender, Kind.ACK, word.number)
+                return self._compose(sender, Kind.ACK, message.number)
             case Kind.ACK:
-                return self._acked(word, sender)
-            case Kind.ASK if word.target in self.view.claims and word.target != self.me:
-                return self._ping(word.target, now_ms, sender, word.number)
+                return self._handle_ack(message, sender)
+            case Kind.PING_REQ if message.target in self.view.claims and message.target != self.own_number:
+                return self._start_probe(message.target, now_ms, sender, message.number)
             case Kind.PAGE:
-                return self._page(sender, word.target)
+                return self._answer_sync(sender, message.target)
             case Kind.REPORT:
-                self.evidence.take((r for r in word.reports if r.by in self.view.claims), now_ms)
+                self.evidence.add_reports(
+                    (r for r in message.reports if r.witness in self.view.claims), now_ms
+                )
         return []
 
     def hear(self, number: int, now_ms: float) -> None:
-        """Take any sign of life, such as a note on an object."""
-        self.heard[number] = now_ms
+        """Record any sign of life of a member, such as a note about an object."""
+        self.last_heard_ms[number] = now_ms
 
     def leave(self, now_ms: float) -> Datagrams:
-        """Tell a few that I leave by plan."""
+        """Announce to a few members that this gateway leaves as planned."""
         self.view.leave(now_ms)
-        return [d for peer in self._some(HELPERS, ()) for d in self._send(peer, Kind.TELL, 0)]
+        return [
+            d for peer in self._random_members(HELPER_COUNT, ()) for d in self._compose(peer, Kind.TELL, 0)
+        ]
 
     def forget(self, number: int) -> bool:
-        """Forget what is claimed of a number; it is probed again like one never heard of."""
+        """Forget the claim about a number, which is then probed like one never heard of."""
         self.suspicions.pop(number, None)
         return self.view.forget(number)
 
-    def report(self, now_ms: float) -> Datagrams:
-        """Give what is to be said of servers, to a few; nothing while there is no news."""
-        out: Datagrams = []
-        for peer in self._some(FANOUT, ()):
-            if reports := self.evidence.tell(now_ms, REPORTS):
-                out += self._pack(peer, Word(Kind.REPORT, self.me, 0, reports=reports))
-        return out
+    def make_reports(self, now_ms: float) -> Datagrams:
+        """Return reports on servers for a few members; none while there is nothing new to report."""
+        datagrams: Datagrams = []
+        for peer in self._random_members(REPORT_FANOUT, ()):
+            if reports := self.evidence.next_reports(now_ms, MAX_REPORTS):
+                datagrams += self._encode(
+                    peer, MembershipMessage(Kind.REPORT, self.own_number, 0, reports=reports)
+                )
+        return datagrams
 
     # Periods
 
-    def _period(self, now_ms: float) -> Datagrams:
-        self.periods += 1
-        out: Datagrams = []
-        if self.pages or self.periods % PAGE_EVERY == 0:
+    def _begin_period(self, now_ms: float) -> Datagrams:
+        """Start a period: a sync request if due, pings to own suspects, gossip, and the next probe."""
+        self.period_count += 1
+        datagrams: Datagrams = []
+        if self.pages or self.period_count % SYNC_INTERVAL_PERIODS == 0:
             self.pages = max(0, self.pages - 1)
-            for peer in self._some(1, ()):
-                out += self._send(peer, Kind.PAGE, 0, self.rng.randrange(len(self.view.claims)))
-        target = self._next(now_ms)
-        for number, suspicion in self.suspicions.items():  # so that it may refute
-            if self.me in suspicion.witnesses:
-                out += self._send(number, Kind.PING, 0)
+            for peer in self._random_members(1, ()):
+                datagrams += self._compose(peer, Kind.PAGE, 0, self.rng.randrange(len(self.view.claims)))
+        target = self._next_target(now_ms)
+        for number, suspicion in self.suspicions.items():  # carries the suspicion, so that it can be refuted
+            if self.own_number in suspicion.witnesses:
+                datagrams += self._compose(number, Kind.PING, 0)
         if self.gossip.told:
-            for peer in self._some(NEWS, ()):
-                out += self._send(peer, Kind.TELL, 0)
-        return out + self._ping(target, now_ms) if target is not None else out
+            for peer in self._random_members(GOSSIP_FANOUT, ()):
+                datagrams += self._compose(peer, Kind.TELL, 0)
+        return datagrams + self._start_probe(target, now_ms) if target is not None else datagrams
 
-    def _next(self, now_ms: float) -> int | None:
+    def _next_target(self, now_ms: float) -> int | None:
+        """Return the next member of the probe round that was not heard within the last period."""
         for _ in range(2 * len(self.view.claims)):
-            if not self.round:
-                # the dead are tried too, seldom: a cut that heals is noticed by nobody else
-                self.round = [n for n in self.view.in_service() if n != self.me]
-                gone = self.view.states(State.DEAD)
-                self.round += self.rng.sample(gone, min(len(gone), 1 + len(self.round) // 8))
-                self.rng.shuffle(self.round)
-                if not self.round:
+            if not self.probe_queue:
+                # a few dead members are probed too: after a network partition nothing else finds them again
+                self.probe_queue = [n for n in self.view.in_service() if n != self.own_number]
+                dead = self.view.numbers_in(State.DEAD)
+                self.probe_queue += self.rng.sample(dead, min(len(dead), 1 + len(self.probe_queue) // 8))
+                self.rng.shuffle(self.probe_queue)
+                if not self.probe_queue:
                     return None
-            number = self.round.pop()
-            if number in self.view.claims and now_ms - self.heard.get(number, -math.inf) > self.period_ms:
+            number = self.probe_queue.pop()
+            if (
+                number in self.view.claims
+                and now_ms - self.last_heard_ms.get(number, -math.inf) > self.period_ms
+            ):
                 return number
         return None
 
-    def _ping(self, target: int, now_ms: float, origin: int = -1, origin_number: int = 0) -> Datagrams:
-        self.numbers += 1
-        self.probes[self.numbers] = Probe(
-            target, self.numbers, now_ms, ROUNDS if origin >= 0 else 0, origin, origin_number
+    def _start_probe(
+        self, target: int, now_ms: float, requester: int = -1, requester_probe: int = 0
+    ) -> Datagrams:
+        """Ping a member; a probe on behalf of a requester starts no retry rounds of its own."""
+        self.last_probe_number += 1
+        self.probes[self.last_probe_number] = Probe(
+            target,
+            self.last_probe_number,
+            now_ms,
+            MAX_RETRY_ROUNDS if requester >= 0 else 0,
+            requester,
+            requester_probe,
         )
-        return self._send(target, Kind.PING, self.numbers)
+        return self._compose(target, Kind.PING, self.last_probe_number)
 
-    def _acked(self, word: Word, sender: int) -> Datagrams:
-        probe = self.probes.get(word.number)
-        if probe is None or (probe.target != sender and probe.origin >= 0):
+    def _handle_ack(self, message: MembershipMessage, sender: int) -> Datagrams:
+        """End a probe that was answered, and pass the answer on to the requester, if there is one."""
+        probe = self.probes.get(message.number)
+        if probe is None or (probe.target != sender and probe.requester >= 0):
             return []
-        del self.probes[word.number]
-        if probe.origin >= 0:
-            return self._send(probe.origin, Kind.ACK, probe.origin_number)
-        self.doubt = max(0, self.doubt - 1)
+        del self.probes[message.number]
+        if probe.requester >= 0:
+            return self._compose(probe.requester, Kind.ACK, probe.requester_probe)
+        self.slowdown_steps = max(0, self.slowdown_steps - 1)
         return []
 
-    def _watch(self, now_ms: float) -> Datagrams:
-        out: Datagrams = []
+    def _check_probes(self, now_ms: float) -> Datagrams:
+        """Drop answered probes, start retry rounds that are due, and handle probes that timed out."""
+        datagrams: Datagrams = []
         for probe in list(self.probes.values()):
-            age, wait = now_ms - probe.begun_ms, self.period_ms * (1.0 + 0.25 * self.doubt)
-            if self.heard.get(probe.target, -math.inf) >= probe.begun_ms and probe.origin < 0:
+            age_ms, timeout_ms = (
+                now_ms - probe.started_ms,
+                self.period_ms * (1.0 + 0.25 * self.slowdown_steps),
+            )
+            if self.last_heard_ms.get(probe.target, -math.inf) >= probe.started_ms and probe.requester < 0:
                 del self.probes[probe.number]
-            elif probe.asked < ROUNDS and age > DIRECT * wait * (probe.asked + 1):
-                probe.asked += 1
-                out += self._send(probe.target, Kind.PING, probe.number)
-                for helper in self._some(HELPERS, (probe.target,)):
-                    out += self._send(helper, Kind.ASK, probe.number, probe.target)
-            elif age > wait:
+            elif probe.retry_rounds < MAX_RETRY_ROUNDS and age_ms > ROUND_SHARE * timeout_ms * (
+                probe.retry_rounds + 1
+            ):
+                probe.retry_rounds += 1
+                datagrams += self._compose(probe.target, Kind.PING, probe.number)
+                for helper in self._random_members(HELPER_COUNT, (probe.target,)):
+                    datagrams += self._compose(helper, Kind.PING_REQ, probe.number, probe.target)
+            elif age_ms > timeout_ms:
                 del self.probes[probe.number]
-                if probe.origin < 0:
-                    self._missed(probe.target, now_ms)
-        return out
+                if probe.requester < 0:
+                    self._handle_missed_probe(probe.target, now_ms)
+        return datagrams
 
-    def _missed(self, target: int, now_ms: float) -> None:
+    def _handle_missed_probe(self, target: int, now_ms: float) -> None:
+        """Suspect a member after an unanswered probe, or become a witness of an existing suspicion."""
         claim = self.view.claims.get(target)
         if claim is None or claim.state > State.SUSPECT:
             return
         if claim.state is State.SUSPECT:
-            return self._witness(target, self.me)
-        self._doubt(1)
-        if self.view.merge(target, Claim(claim.incarnation, State.SUSPECT), self.me, now_ms):
-            self._follow(target, self.me, now_ms)
+            return self._add_witness(target, self.own_number)
+        self._slow_down(1)
+        if self.view.merge(target, Claim(claim.incarnation, State.SUSPECT), self.own_number, now_ms):
+            self._on_claim_merged(target, self.own_number, now_ms)
 
-    def _expire(self, now_ms: float) -> None:
+    def _expire_suspicions(self, now_ms: float) -> None:
+        """Drop settled suspicions, and declare members dead whose time to refute has passed."""
         for number, suspicion in list(self.suspicions.items()):
             claim = self.view.claims.get(number)
             if claim is None or claim.state is not State.SUSPECT:
                 del self.suspicions[number]
-            elif self.heard.get(number, -math.inf) > suspicion.begun_ms:
-                suspicion.begun_ms = self.heard[number]  # it spoke to me since: its refutation is on its way
-            elif now_ms - suspicion.begun_ms >= self.suspect_ms(len(suspicion.witnesses)):
+            elif self.last_heard_ms.get(number, -math.inf) > suspicion.started_ms:
+                # it has sent a datagram since the suspicion started, so its refutation is on its way
+                suspicion.started_ms = self.last_heard_ms[number]
+            elif now_ms - suspicion.started_ms >= self.suspect_ms(len(suspicion.witnesses)):
                 del self.suspicions[number]
-                self.view.merge(number, Claim(claim.incarnation, State.DEAD), self.me, now_ms)
+                self.view.merge(number, Claim(claim.incarnation, State.DEAD), self.own_number, now_ms)
 
     def suspect_ms(self, witnesses: int) -> float:
-        """Give how long a suspect has to refute, with so many that suspect it."""
-        grown = max(1.0, math.log10(len(self.view.claims)))
-        most, least = SUSPECT * grown, SUSPECT_LEAST * grown
-        share = math.log(min(witnesses, WITNESSES)) / math.log(WITNESSES) if witnesses > 1 else 0.0
-        return self.period_ms * (most - (most - least) * share) * (1.0 + 0.25 * self.doubt)
+        """Return how long a suspect has to refute when it has this many witnesses."""
+        size_factor = max(1.0, math.log10(len(self.view.claims)))
+        max_periods, min_periods = MAX_SUSPECT_PERIODS * size_factor, MIN_SUSPECT_PERIODS * size_factor
+        share = (
+            math.log(min(witnesses, FULL_WITNESS_COUNT)) / math.log(FULL_WITNESS_COUNT)
+            if witnesses > 1
+            else 0.0
+        )
+        return (
+            self.period_ms
+            * (max_periods - (max_periods - min_periods) * share)
+            * (1.0 + 0.25 * self.slowdown_steps)
+        )
 
-    # Word
+    # Claims and messages
 
-    def _follow(self, number: int, source: int, now_ms: float) -> None:
-        if number == self.me:
-            self._doubt(1)  # I was taken for gone: maybe it is I who is late
+    def _on_claim_merged(self, number: int, reporter: int, now_ms: float) -> None:
+        """Act on a claim that changed the view: slow down if it is about this gateway; start a suspicion."""
+        if number == self.own_number:
+            self._slow_down(1)  # others suspected this gateway, so it may be the slow one
         elif self.view.claims[number].state is State.SUSPECT:
-            self.suspicions[number] = Suspicion(now_ms, {source})
+            self.suspicions[number] = Suspicion(now_ms, {reporter})
 
-    def _witness(self, number: int, by: int) -> None:
-        """Count one who suspects too, and pass on the first few of them."""
+    def _add_witness(self, number: int, witness: int) -> None:
+        """Record a further member that holds the suspicion; pass on the first FULL_WITNESS_COUNT of them."""
         suspicion = self.suspicions.get(number)
-        if suspicion and by not in suspicion.witnesses:
-            suspicion.witnesses.add(by)
-            if len(suspicion.witnesses) <= WITNESSES:
-                self.view.said[number] = by
-                self.gossip.add(number)
-
-    def _changed(self, change: Change) -> None:
-        self.gossip.add(change.number)
-
-    def _doubt(self, steps: int) -> None:
-        self.doubt = min(DOUBT_MOST, self.doubt + steps)
-
-    def _some(self, count: int, but: tuple[int, ...]) -> list[int]:
-        others = [n for n in self.view.states(State.ALIVE) if n != self.me and n not in but]
+        if suspicion and witness not in suspicion.witnesses:
+            suspicion.witnesses.add(witness)
+            if len(suspicion.witnesses) <= FULL_WITNESS_COUNT:
+                self.view.reporters[number] = witness
+                self.gossip.queue(number)
+
+    def _queue_gossip(self, change: Change) -> None:
+        self.gossip.queue(change.number)
+
+    def _slow_down(self, steps: int) -> None:
+        """Lengthen this gateway's periods and suspicion times by this many steps."""
+        self.slowdown_steps = min(MAX_SLOWDOWN_STEPS, self.slowdown_steps + steps)
+
+    def _random_members(self, count: int, excluded: tuple[int, ...]) -> list[int]:
+        """Draw up to `count` other members that are believed alive."""
+        others = [n for n in self.view.numbers_in(State.ALIVE) if n != self.own_number and n not in excluded]
         return self.rng.sample(others, min(count, len(others)))
 
-    def _page(self, peer: int, start: int) -> Datagrams:
+    def _answer_sync(self, peer: int, start: int) -> Datagrams:
+        """Answer a sync request with the claims about the numbers from `start` on, as many as fit."""
         size = len(self.view.claims)
         numbers = sorted(self.view.claims, key=lambda n: (n - start) % size)
-        items = self.view.items(numbers)[:ITEMS]
-        return self._pack(peer, Word(Kind.TELL, self.me, 0, 0, items))
+        items = self.view.items(numbers)[:MAX_CLAIMS]
+        return self._encode(peer, MembershipMessage(Kind.TELL, self.own_number, 0, 0, items))
 
-    def _send(self, peer: int, kind: Kind, number: int, target: int = 0) -> Datagrams:
-        # a peer that I hold for gone is told so first: it refutes, or knows that it is superseded
+    def _compose(self, peer: int, kind: Kind, number: int, target: int = 0) -> Datagrams:
+        """Build a message that also carries the claims next to be sent."""
+        # a peer not believed alive gets the claim about itself first: it refutes, or learns it is superseded
         claim = self.view.claims.get(peer, UNHEARD)
-        first = peer if claim.state is not State.ALIVE else None
-        items = self.view.items(self.gossip.take(ITEMS, first))
-        return self._pack(peer, Word(kind, self.me, number, target, items))
+        first_number = peer if claim.state is not State.ALIVE else None
+        items = self.view.items(self.gossip.next_numbers(MAX_CLAIMS, first_number))
+        return self._encode(peer, MembershipMessage(kind, self.own_number, number, target, items))
 
-    def _pack(self, peer: int, word: Word) -> Datagrams:
-        self.sent += 1
-        return [(peer, pack(word, self.fleet))]
+    def _encode(self, peer: int, message: MembershipMessage) -> Datagrams:
+        self.sent_count += 1
+        return [(peer, pack(message, self.fleet_id))]
--- a/hitchtiller/news.py
+++ b/hitchtiller/news.py
@@ -1,4 +1,4 @@
-"""What a gateway hears of servers and purges, however it is told."""
+"""Events about listed servers and purges, independent of how a gateway receives them."""
 
 from dataclasses import dataclass
 
@@ -6,8 +6,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Listed:
-    """A line of the list: the member, and where it listens."""
+class ListedServer:
+    """An entry of the list of servers: the member and the address that it listens on."""
 
     member: api.Member
     address: tuple[str, int]
@@ -15,19 +15,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Topology:
-    """News of the list."""
+    """A change of the list of servers, or with `whole` the complete list."""
 
-    hosts: tuple[Listed, ...]
+    hosts: tuple[ListedServer, ...]
     whole: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Ban:
-    """A purge of an object, or with no key of a group, at a Unix millisecond."""
+class PurgeNotice:
+    """A purge of an object, or without a key of a whole group; `at_ms` is in Unix milliseconds."""
 
     key: int | None
     group: int
     at_ms: float
 
 
-Event = Topology | Ban
+Event = Topology | PurgeNotice
--- a/hitchtiller/repo/fetch.py
+++ b/hitchtiller/repo/fetch.py
@@ -1,8 +1,8 @@
 """Parts by way of the engine: with a deadline, repeated within a budget, in order, within the window.
 
 Greenlets of the loop. Each part is a request like any other: the decision module chooses, repeats and
-refuses. Bounds: the window's parts a body; `GiveWay`'s parts in all; what waits for a place waits in order,
-until its deadline.
+refuses. Bounds: the window's parts a body; `BackgroundLimit`'s parts in all; what waits for a place waits in
+order, until its deadline.
 """
 
 import random
@@ -14,8 +14,8 @@
 from greenlet import getcurrent, greenlet
 
 from hitchtiller.engine import Engine
-from hitchtiller.exchange import REFUSED, SERVED, Answer, Ask, Exchange
-from hitchtiller.repo.admission import GiveWay
+from hitchtiller.exchange import REFUSED, SERVED, Answer, ClientRequest, Exchange
+from hitchtiller.repo.admission import BackgroundLimit
 from hitchtiller.repo.body import Piece
 from hitchtiller.repo.budget import HEDGE_AFTER, HEDGE_LAST, Budget, FileBudget
 from hitchtiller.repo.window import Window
@@ -59,20 +59,20 @@
     """Asks the engine for parts."""
 
     def __init__(
-        self, sched: Scheduler, engine: Engine, give_way: GiveWay, budget: Budget, seed: int
+        self, sched: Scheduler, engine: Engine, give_way: BackgroundLimit, budget: Budget, seed: int
     ) -> None:
         """Share limits and budget among all bodies."""
         self.sched, self.engine, self.give_way, self.budget = sched, engine, give_way, budget
         self.rng = random.Random(seed)
         self.queue: deque[greenlet] = deque()  # who waits for a place
         self.asked = self.came = 0
-        engine.ended_one = self._foreground
+        engine.on_final_answer = self._foreground
 
     def _foreground(self, exchange: Exchange, answer: Answer) -> None:
         """Learn from other classes' answers whether the foreground keeps up."""
-        if exchange.ask.background:
+        if exchange.request.background:
             return
-        now, cls = now_ms(), self.engine.router.settings.classes[exchange.ask.class_name]
+        now, cls = now_ms(), self.engine.router.settings.classes[exchange.request.class_name]
         in_time = answer.kind == SERVED and now - exchange.taken_ms <= cls.aim_ms
         self.give_way.foreground(in_time, now)
 
@@ -132,7 +132,7 @@
                 self.sched.wake(me)
 
         name = f"{source.key:016x}"
-        ask = Ask(
+        ask = ClientRequest(
             f"{self.rng.getrandbits(64):016x}", source.class_name, name, source.key, until,
             part=number, group=source.group, size_kb=PART / 1000.0, background=True,
         )  # fmt: skip
--- a/hitchtiller/repo/front.py
+++ b/hitchtiller/repo/front.py
@@ -14,7 +14,7 @@
 import h11
 
 from hitchtiller.log import ended, logger
-from hitchtiller.repo.admission import Doors
+from hitchtiller.repo.admission import ConnectionLimits
 from hitchtiller.repo.body import Broken
 from hitchtiller.repo.fetch import Failed, Refused
 from hitchtiller.repo.service import Reply, Service, refusal
@@ -218,11 +218,11 @@
 class RepoFront:
     """The listener of the second front."""
 
-    def __init__(self, sched: Scheduler, service: Service, doors: Doors, times: Times) -> None:
-        """Let clients in by `doors`."""
-        self.sched, self.service, self.doors, self.times = sched, service, doors, times
+    def __init__(self, sched: Scheduler, service: Service, doors: ConnectionLimits, times: Times) -> None:
+        """Let clients in by `connection_limits`."""
+        self.sched, self.service, self.connection_limits, self.times = sched, service, doors, times
         self.listener = socket.socket()
-        self.turned_away: dict[str, int] = {}
+        self.rejected_connections: dict[str, int] = {}
         self.accepting = True
 
     def listen(self, address: tuple[str, int]) -> tuple[str, int]:
@@ -247,8 +247,8 @@
                 self.sched.sleep(10.0)  # out of descriptors, or the client left
                 continue
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER)
-            if code := self.doors.enter(address[0]):
-                self.turned_away[code] = self.turned_away.get(code, 0) + 1
+            if code := self.connection_limits.enter(address[0]):
+                self.rejected_connections[code] = self.rejected_connections.get(code, 0) + 1
                 sock.close()
                 ended("repo", f"{address[0]}:{address[1]}", code)
                 continue
@@ -258,4 +258,4 @@
         try:
             Connection(self.sched, self.service, Stream(self.sched, sock), address, self.times).run()
         finally:
-            self.doors.leave(address)
+            self.connection_limits.leave(address)
--- a/hitchtiller/routing/capacity.py
+++ b/hitchtiller/routing/capacity.py
@@ -1,58 +1,76 @@
-"""What a server's link can carry at once, where the list's weights do not say it.
-
-Rooms, crowds, cold budgets and districts' limits are counted in transfers at full pace. Where weights tell
-them (`rough`, `nominal`, `live`) they are taken as told. Where `weights` is `none` each server says 1, a
-fifth or less of what it can do, and a gateway that believes it refuses half of a calm day. What is told
-everywhere is the pace of one transfer and each zone's link in, and a link in is built for what the zone's
-caches miss together. Fewer caches keep less, so in zones of under FEW caches the link in hardly shrinks with
-their number: one cache's link is then SHARE of it; beyond FEW it shrinks as 1 / number.
-A parent's link is built for the zones that one parent serves.
-
-Bounds. A cache's estimate stays in LEAST to MOST transfers. `sure` is the end that guards use, so that cold
-servers are pushed to no more than their multiple also where the middle is too high; docs/deployments.md has
-the error over drawn days of two deployments. Each gateway derives it from the settings and the list alone:
-all 200 get the same, also one that has just started and knows nothing else.
+"""How many transfers each server's link can carry at once: stated by the list's weights, or estimated.
+
+Link capacities, load, cold-start budgets and the limits of zones are counted in transfers at full pace.
+Where the list's weights state a server's transfers (`weights` is `rough`, `nominal` or `live`), they are used
+as stated. Where `weights` is `none`, each server is listed with weight 1, a fifth or less of what it can do;
+a gateway that relied on this weight would refuse half of the requests on a day of normal load. Estimates use
+what deployments do state: the pace of one transfer and the bandwidth of each zone's inbound link. An
+inbound link is sized for what the zone's caches miss together. Fewer caches hold fewer objects, so in zones
+of fewer than SMALL_ZONE_CACHES caches the inbound link hardly shrinks with their number, and one cache's link
+is estimated as CACHE_LINK_SHARE of it. In larger zones the estimate shrinks as 1 / number of caches.
+A parent's link is sized for the zones that one parent serves.
+
+Bounds. A cache's estimate stays within MIN_TRANSFERS to MAX_TRANSFERS. The guards use the lower end of each
+estimate (SAFE_SHARE of it), so that cold servers get no more than their fall multiple even where the estimate
+is too high; docs/deployments.md has the error over generated days of two deployments. Each gateway derives
+the estimates from the settings and the list alone: all 200 gateways get the same ones, including a gateway
+that has just started and knows nothing else.
 """
 
 from collections.abc import Iterable
 
 from hitchtiller.interface import Member, Settings
 
-SHARE, FEW = 0.5, 8.0  # a cache's link over the link in of its zone, up to so many caches there
-PARENT = 3.0  # a parent's link over a zone's link in
-USUAL = 6.0  # transfers of a cache, where not even links are told
-LEAST, MOST, SURE = 2.0, 24.0, 0.65
+# a cache's link over its zone's inbound link, and the number of caches up to which this applies
+CACHE_LINK_SHARE, SMALL_ZONE_CACHES = 0.5, 8.0
+PARENT_LINK_RATIO = 3.0  # a parent's link over a zone's inbound link
+DEFAULT_TRANSFERS = 6.0  # of a cache in a zone whose inbound link is not stated
+MIN_TRANSFERS, MAX_TRANSFERS, SAFE_SHARE = 2.0, 24.0, 0.65  # bounds, and the safe share, of estimates
 
 
 class Capacity:
-    """Transfers at full pace that each listed server carries, told or derived."""
+    """The transfers at full pace that each listed server can carry, stated or estimated."""
 
     def __init__(self, settings: Settings) -> None:
-        """Start from what the settings tell."""
-        flow = settings.flow_kb_per_s
+        """Read the links, and what the weights mean, from the settings."""
+        transfer_kb_per_s = settings.flow_kb_per_s
         links = zip(settings.zones, settings.link_kb_per_s, strict=False)
-        self.feeds = {zone: link / flow for zone, link in links if flow and link > 0.0}
-        self.told, self.live = settings.weights != "none", settings.weights == "live"
-        self.most: dict[str, float] = {}  # live weights shrink with load: the largest is the size
-        self.kinds = (settings.parent_kind, settings.origin_kind)
+        self.zone_transfers = {
+            zone: link / transfer_kb_per_s for zone, link in links if transfer_kb_per_s and link > 0.0
+        }
+        self.has_weights, self.has_live_weights = settings.weights != "none", settings.weights == "live"
+        self.max_weights: dict[str, float] = {}  # live weights shrink under load: the largest is the size
+        self.upper_kinds = (settings.parent_kind, settings.origin_kind)
 
-    def of(self, members: Iterable[Member]) -> dict[str, tuple[float, float]]:
-        """Give each server's transfers at once: the middle of what is likely, and the end that is safe."""
+    def estimate(self, members: Iterable[Member]) -> dict[str, tuple[float, float]]:
+        """Return the transfers that each server can carry at once: the likely number and the safe one."""
         members = list(members)
-        if self.live:
-            self.most = {m.server: max(m.weight, self.most.get(m.server, 0.0)) for m in members}
-            return {name: (weight, weight) for name, weight in self.most.items()}
-        if self.told:
+        if self.has_live_weights:
+            self.max_weights = {m.server: max(m.weight, self.max_weights.get(m.server, 0.0)) for m in members}
+            return {name: (weight, weight) for name, weight in self.max_weights.items()}
+        if self.has_weights:
             return {m.server: (m.weight, m.weight) for m in members}
         caches: dict[str, int] = {}
         for m in members:
-            caches[m.zone] = caches.get(m.zone, 0) + (m.kind not in self.kinds and m.state == "SERVING")
-        return {m.server: (link := self._link(m, caches[m.zone]), SURE * link) for m in members}
-
-    def _link(self, member: Member, caches: int) -> float:
-        if member.kind in self.kinds:
-            mean = sum(self.feeds.values()) / len(self.feeds) if self.feeds else 2.0 * USUAL
-            return max(LEAST, PARENT * mean)
-        if member.zone not in self.feeds:
-            return USUAL
-        return min(MOST, max(LEAST, SHARE * self.feeds[member.zone] / max(1.0, caches / FEW)))
+            caches[m.zone] = caches.get(m.zone, 0) + (m.kind not in self.upper_kinds and m.state == "SERVING")
+        return {
+            m.server: (link := self._estimate_link(m, caches[m.zone]), SAFE_SHARE * link) for m in members
+        }
+
+    def _estimate_link(self, member: Member, caches: int) -> float:
+        if member.kind in self.upper_kinds:
+            mean_transfers = (
+                sum(self.zone_transfers.values()) / len(self.zone_transfers)
+                if self.zone_transfers
+                else 2.0 * DEFAULT_TRANSFERS
+            )
+            return max(MIN_TRANSFERS, PARENT_LINK_RATIO * mean_transfers)
+        if member.zone not in self.zone_transfers:
+            return DEFAULT_TRANSFERS
+        return min(
+            MAX_TRANSFERS,
+            max(
+                MIN_TRANSFERS,
+                CACHE_LINK_SHARE * self.zone_transfers[member.zone] / max(1.0, caches / SMALL_ZONE_CACHES),
+            ),
+        )
--- a/hitchtiller/store/jobs.py
+++ b/hitchtiller/store/jobs.py
@@ -29,7 +29,7 @@
         """Run a call; `done` hears of its result or its error, in the loop. False: the lane is full."""
 
 
-class Inline:
+class InlineJobs:
     """Runs each call at once: for tools and tests."""
 
     def submit(self, lane: str, run: Callable[[], Any], done: Done) -> bool:
@@ -43,7 +43,7 @@
         return True
 
 
-class Threads:
+class ThreadJobs:
     """Worker threads beside one scheduler.
 
     Only `submit` and `done` touch the store's state, both in the loop.
--- a/hitchtiller/store/keeper.py
+++ b/hitchtiller/store/keeper.py
@@ -21,7 +21,7 @@
 from hitchtiller.store.disk import Disk, Options
 from hitchtiller.store.files import OsFiles
 from hitchtiller.store.health import OFF
-from hitchtiller.store.jobs import LOG_LANE, WRITE_LANE, Threads
+from hitchtiller.store.jobs import LOG_LANE, WRITE_LANE, ThreadJobs
 from hitchtiller.store.space import Rate
 from hitchtiller.store.tier import Tier
 
@@ -41,7 +41,7 @@
         front: Front,
         folder: Path,
         options: Options,
-        jobs: Threads,
+        jobs: ThreadJobs,
         rate: Rate,
         open_files: Callable[[Path], OsFiles] = OsFiles,
     ) -> None:
@@ -61,7 +61,7 @@
             self.sched.sleep(wait)
 
     def _wanted(self) -> bool:
-        return not self.front.leave.handed and self.tier.proof.begun
+        return not self.front.leave.superseded and self.tier.proof.begun
 
     def _call(self, run: Callable[[], Any], lane: str = LOG_LANE) -> Any:
         """Run a call off the loop and wait for it in this greenlet; its error is raised here."""
--- a/hitchtiller/store/tier.py
+++ b/hitchtiller/store/tier.py
@@ -10,9 +10,9 @@
 from functools import partial
 
 from hitchtiller.engine import Engine
-from hitchtiller.exchange import REFUSED, SERVED, Answer, Attempt, Ending, Exchange
+from hitchtiller.exchange import REFUSED, SERVED, Answer, Attempt, AttemptResult, Exchange
 from hitchtiller.log import logger
-from hitchtiller.news import Ban
+from hitchtiller.news import PurgeNotice
 from hitchtiller.store.disk import STALL_MS, Disk, steady_ms
 from hitchtiller.store.format import Part
 from hitchtiller.store.index import fingerprint
@@ -53,7 +53,7 @@
         ] = {}  # by request: a copy that may be confirmed, or serve where nothing else does
         self.hits = {"memory": 0, "disk": 0, "joined": 0, "stale": 0}
         self.confirmed = self.refuted = self.misses = self.slow_link = 0
-        self.era = proof.era
+        self.epoch = proof.epoch
         engine.copies = self
         self._publish()
 
@@ -61,7 +61,7 @@
 
     def take(self, exchange: Exchange) -> bool:
         """Look a request up."""
-        ask, now = exchange.ask, self.engine.clock.now_ms()
+        ask, now = exchange.request, self.engine.clock.now_ms()
         if not self.plan.keeps(ask.class_name) or ask.dedupe or ask.body:
             return False
         self.check_clock(now)
@@ -76,12 +76,12 @@
             self._hold(exchange, copy, state, mark)
         else:
             self.memory.missed(ask.class_name, mark)
-        if self.joins.join(exchange.number, mark, ask.have, self.purges.last(ask.key, ask.group)):
+        if self.joins.join(exchange.number, mark, ask.client_tag, self.purges.last(ask.key, ask.group)):
             wait = self.plan.patience_ms(ask, now)
             self.engine.clock.later(wait, partial(self._impatient, exchange))
             return True
         self.misses += 1
-        self.joins.lead(exchange.number, mark, ask.have)
+        self.joins.lead(exchange.number, mark, ask.client_tag)
         return self._read(exchange, mark)
 
     def may_send(self, exchange: Exchange) -> bool:
@@ -91,48 +91,48 @@
     def cap(self, exchange: Exchange, cap_ms: float, now_ms: float) -> float:
         """What confirms a suspect must be from after the gap."""
         copy = self.held.get(exchange.number)
-        if not exchange.confirm or copy is None or copy.part.era == self.proof.era:
+        if not exchange.confirm_tag or copy is None or copy.part.epoch == self.proof.epoch:
             return cap_ms
         return self.plan.cap_ms(now_ms, cap_ms)
 
-    def arrived(self, attempt: Attempt, ending: Ending) -> Ending:
+    def on_result(self, attempt: Attempt, ending: AttemptResult) -> AttemptResult:
         """Keep what came; give a confirmed copy's bytes to a client that has none."""
         exchange, now = attempt.exchange, self.engine.clock.now_ms()
         self.check_clock(now)
         if ending.unchanged:
             return self._kept_on(exchange, ending, now)
         held = self.held.pop(exchange.number, None)
-        part = self.plan.keep(exchange.ask, ending, now)
+        part = self.plan.keep(exchange.request, ending, now)
         if held and held.part.tag != ending.tag:
-            self.refuted += held.part.era != self.proof.era
+            self.refuted += held.part.epoch != self.proof.epoch
             self._forget(fingerprint(held.part.key, held.part.part))
         if part:
             self._keep(part, ending.body)
         return ending
 
-    def _kept_on(self, exchange: Exchange, ending: Ending, now: float) -> Ending:
+    def _kept_on(self, exchange: Exchange, ending: AttemptResult, now: float) -> AttemptResult:
         """Take KEEP: the client's copy holds, or ours, or both."""
-        copy, ask = self.held.pop(exchange.number, None), exchange.ask
+        copy, ask = self.held.pop(exchange.number, None), exchange.request
         ours = copy is not None and copy.part.tag == ending.tag
         if copy and ours and self.proof.confirms(ending.since_ms, now):
             part = copy.part
             fresh = Part(
-                part.key, part.part, part.group, part.class_name, ending.since_ms, part.tag, self.proof.era
+                part.key, part.part, part.group, part.class_name, ending.since_ms, part.tag, self.proof.epoch
             )
             if self.plan.judge(fresh, now) is State.FRESH:
                 self.confirmed += 1
                 self._keep(fresh, copy.body)
-                if not ask.have:
-                    return Ending("done", copy.body, False, ending.tag, ending.load, ending.since_ms)
-        if ask.have:
+                if not ask.client_tag:
+                    return AttemptResult("done", copy.body, False, ending.tag, ending.load, ending.since_ms)
+        if ask.client_tag:
             return ending
         # guards against serving what was not confirmed: no bytes came, and ours are not proven
         self.refuted += 1
-        exchange.confirm = ""
+        exchange.confirm_tag = ""
         self._forget(fingerprint(ask.key, ask.part))
-        return Ending("err", load=ending.load)
+        return AttemptResult("err", load=ending.load)
 
-    def instead(self, exchange: Exchange, answer: Answer) -> Answer:
+    def fallback(self, exchange: Exchange, answer: Answer) -> Answer:
         """Serve a copy within its grace rather than a refusal or a failure."""
         copy = self.held.get(exchange.number)
         if copy is None or self.plan.judge(copy.part, self.engine.clock.now_ms()) not in (
@@ -151,9 +151,9 @@
         if answer and answer.kind == SERVED:
             if number not in self.joins.leads:
                 return
-            ask = exchange.ask
+            ask = exchange.request
             part = Part(
-                ask.key, ask.part, ask.group, ask.class_name, answer.since_ms, answer.tag, self.proof.era
+                ask.key, ask.part, ask.group, ask.class_name, answer.since_ms, answer.tag, self.proof.epoch
             )
             copy = Copy(part, answer.body)
             for then, other in self.joins.served(number, answer.since_ms):
@@ -162,7 +162,7 @@
             for then, other in self.joins.failed(number):
                 self._then(then, other, None, False, answer)
 
-    def purged(self, ban: Ban) -> None:
+    def purged(self, ban: PurgeNotice) -> None:
         """Put a purge in force at once, and make it durable."""
         if self.purges.crowded:
             disk = self.disk.space.oldest_ms() if self.disk else math.inf
@@ -176,7 +176,7 @@
 
     # News
 
-    def heard(self) -> None:
+    def on_caught_up(self) -> None:
         """Hear from the bus that there is nothing more to tell."""
         now = self.engine.clock.now_ms()
         if not self.proof.begun:
@@ -193,11 +193,11 @@
             self._new_era("the clock stepped")
 
     def _new_era(self, why: str) -> None:
-        if self.proof.era != self.era:
-            self.era = self.proof.era
-            logger.warning("copies from before are suspect, era {}: {}", self.era, why)
+        if self.proof.epoch != self.epoch:
+            self.epoch = self.proof.epoch
+            logger.warning("copies from before are suspect, era {}: {}", self.epoch, why)
             if self.disk:
-                self.disk.mark_era()
+                self.disk.mark_epoch()
 
     def attach(self, disk: Disk) -> None:
         """Take a folder's parts into use, with the purges it knows.
@@ -213,10 +213,10 @@
         for key, at in mine.objects.items():
             disk.purge(key, -1, at)
         if self.proof.adopt(disk.log.kept, self.engine.clock.now_ms()):
-            disk.mark_era()
-        if self.proof.era != self.era:
-            logger.info("era {}, the folder's was {}", self.proof.era, disk.log.kept.era)
-            self.era = self.proof.era
+            disk.mark_epoch()
+        if self.proof.epoch != self.epoch:
+            logger.info("era {}, the folder's was {}", self.proof.epoch, disk.log.kept.epoch)
+            self.epoch = self.proof.epoch
 
     def detach(self) -> None:
         """Go on with memory alone."""
@@ -231,19 +231,21 @@
             self._forget(mark)
         elif state is not State.FRESH:
             self.held[exchange.number] = copy
-            if self.confirms and self.plan.may_confirm(exchange.ask):
-                exchange.confirm = part.tag
+            if self.confirms and self.plan.may_confirm(exchange.request):
+                exchange.confirm_tag = part.tag
 
     def _answer(self, exchange: Exchange, copy: Copy, unchanged: bool = False) -> Answer:
         tag = copy.part.tag
-        known = unchanged or (exchange.ask.have == tag and bool(tag))
+        known = unchanged or (exchange.request.client_tag == tag and bool(tag))
         return Answer(SERVED, b"" if known else copy.body, known, tag, since_ms=copy.part.since_ms)
 
     def _serve(self, exchange: Exchange, copy: Copy, tier: str, unchanged: bool = False) -> bool:
         """Answer from a copy when the link comes to it; False if that would be too late."""
         now, answer = self.engine.clock.now_ms(), self._answer(exchange, copy, unchanged)
         size = int(len(copy.body) * KNOWN_SHARE) if answer.unchanged else len(copy.body)
-        if not self.pace.fits(size, now, self.plan.until_ms(exchange.ask, now, self.pace.transfer_ms(size))):
+        if not self.pace.fits(
+            size, now, self.plan.until_ms(exchange.request, now, self.pace.transfer_ms(size))
+        ):
             self.slow_link += 1
             return False
         begin = self.pace.take(size, now)
@@ -265,7 +267,7 @@
 
     def _read(self, exchange: Exchange, mark: int) -> bool:
         """Read a leader's part from disk, if it may be there."""
-        ask, disk = exchange.ask, self.disk
+        ask, disk = exchange.request, self.disk
         if disk is None or exchange.number in self.held or mark not in disk:
             return False
         if not disk.get(ask.key, ask.part, partial(self._read_back, exchange)):
@@ -277,7 +279,7 @@
     def _read_back(self, exchange: Exchange, part: Part | None, body: bytes) -> None:
         """Take what the disk gave: into memory, and to the client if it may be."""
         now = self.engine.clock.now_ms()
-        if part and self.plan.fits(part, exchange.ask):
+        if part and self.plan.fits(part, exchange.request):
             copy, state = Copy(part, body), self.plan.judge(part, now)
             if state is State.FRESH:
                 self.memory.put(part.class_name, part, body)
@@ -329,7 +331,7 @@
                 exchange, answer or Answer(REFUSED, wait_ms=self.engine.router.settings.max_retry_after_ms)
             )
         elif then is not Then.LEAD or not self._read(
-            exchange, fingerprint(exchange.ask.key, exchange.ask.part)
+            exchange, fingerprint(exchange.request.key, exchange.request.part)
         ):
             self.engine.decide(exchange)
 
@@ -343,7 +345,7 @@
         for name in ("joined", "promoted", "impatient", "spared"):
             stats.counts[f"store.join.{name}"] = partial(getattr, self.joins, name)
         stats.levels["store.memory_bytes"] = lambda: self.memory.used
-        stats.levels["store.era"] = lambda: self.proof.era
+        stats.levels["store.era"] = lambda: self.proof.epoch
         for name in ("segments", "parts", "bytes", "dead_bytes", "queued_bytes", "state"):
             stats.levels[f"store.disk.{name}"] = partial(self._disk_figure, name)
         for name in ("puts", "dropped", "reads", "glanced", "torn", "checkpoints"):
--- a/hitchtiller/wirehost.py
+++ b/hitchtiller/wirehost.py
@@ -1,4 +1,4 @@
-"""Adapter: the simulator's JSON lines to and from the policy's interface, one Router per instance."""
+"""Adapter between the simulator's JSON lines and the interface of the decisions, one Router per instance."""
 
 import json
 import sys
@@ -8,16 +8,16 @@
 from hitchtiller import interface as api
 from hitchtiller.codec.notes import pack, unpack
 from hitchtiller.decide import Router
-from hitchtiller.settings import Fields, read_settings
+from hitchtiller.settings import JsonObject, read_settings
 
 __all__ = ["Host", "WireError", "main", "pack", "read_settings", "unpack"]
 
 
 class WireError(Exception):
-    """The input is not the wire: end with one clear line."""
+    """The input does not follow the wire format; the program ends with this error as one line."""
 
 
-def _member(entry: Fields) -> api.Member:
+def _member(entry: JsonObject) -> api.Member:
     return api.Member(
         entry["cache"],
         entry.get("zone", ""),
@@ -29,20 +29,20 @@
     )
 
 
-def _load(f: Fields) -> dict[str, float]:
-    stats = f.get("server_stats") or {}
+def _server_stats(fields: JsonObject) -> dict[str, float]:
+    stats = fields.get("server_stats") or {}
     return dict(stats)
 
 
-def _message(f: Fields) -> api.PeerMessage | None:
+def _peer_message(fields: JsonObject) -> api.PeerMessage | None:
     try:
-        note = unpack(bytes.fromhex(f.get("body", "")))
+        note = unpack(bytes.fromhex(fields.get("body", "")))
     except ValueError:
         note = None
-    return api.PeerMessage(f["neighbour"], note) if note else None
+    return api.PeerMessage(fields["neighbour"], note) if note else None
 
 
-READERS: dict[str, Callable[[Fields], api.Event | None]] = {
+READERS: dict[str, Callable[[JsonObject], api.Event | None]] = {
     "request": lambda f: api.Request(
         f["tid"],
         f["priority"],
@@ -53,7 +53,7 @@
         int(f.get("slice", 0)),
         f.get("resent", False),
     ),
-    "under_way": lambda f: api.Begun(f["tid"], f.get("shot", 0), f["cache"]),
+    "under_way": lambda f: api.StreamBegun(f["tid"], f.get("shot", 0), f["cache"]),
     "attempt_end": lambda f: api.Outcome(
         f["tid"],
         f.get("shot", 0),
@@ -63,65 +63,67 @@
         f.get("ended", False),
         f.get("remark", 0),
         f.get("waited_ms", 0.0),
-        _load(f),
+        _server_stats(f),
     ),
-    "left": lambda f: api.Left(f["tid"]),
+    "left": lambda f: api.ClientLeft(f["tid"]),
     "elapsed": lambda f: api.TimerDue(f["tag"]),
-    "health_result": lambda f: api.Probed(f["cache"], f["disposition"], f.get("spent_ms", 0.0), _load(f)),
-    "message": _message,
+    "health_result": lambda f: api.Probed(
+        f["cache"], f["disposition"], f.get("spent_ms", 0.0), _server_stats(f)
+    ),
+    "message": _peer_message,
     "voided": lambda f: api.Purged(f.get("item"), int(f.get("set_no", -1)), f.get("copy_age_ms", 0.0)),
 }
 
 
-def _get(a: api.Get) -> Fields:
-    manner = a.join * 1 | a.held_only * 2 | a.renew * 8
+def _fetch_fields(action: api.Get) -> JsonObject:
+    flags = action.join * 1 | action.held_only * 2 | action.renew * 8
     return {
-        "tid": a.id,
-        "manner": manner,
-        "copy_age_ms": a.age_ms,
-        "max_wait_ms": a.timeout_ms,
-        "keep": a.keep,
-        "cache": a.server,
-        "feeder": a.source,
+        "tid": action.id,
+        "manner": flags,
+        "copy_age_ms": action.age_ms,
+        "max_wait_ms": action.timeout_ms,
+        "keep": action.keep,
+        "cache": action.server,
+        "feeder": action.source,
     }
 
 
-WRITERS: dict[type, tuple[str, Callable[[Any], Fields]]] = {
-    api.Get: ("fetch_through", _get),
+WRITERS: dict[type, tuple[str, Callable[[Any], JsonObject]]] = {
+    api.Get: ("fetch_through", _fetch_fields),
     api.Cancel: ("cancel", lambda a: {"tid": a.id, "shot": a.attempt}),
     api.Refuse: ("reject", lambda a: {"tid": a.id, "wait_ms": a.retry_after_ms}),
     api.Fail: ("finish_error", lambda a: {"tid": a.id}),
     api.SetTimer: ("schedule", lambda a: {"sleep_for_ms": a.delay_ms, "tag": a.token}),
     api.Probe: ("check", lambda a: {"cache": a.server}),
-    api.Tell: ("signal", lambda a: {"neighbour_id": a.peer, "body": pack(a.note).hex()}),
+    api.SendNote: ("signal", lambda a: {"neighbour_id": a.peer, "body": pack(a.note).hex()}),
     api.Log: ("emit", lambda a: {"message": a.text}),
     api.Watch: ("track", lambda a: {"want": a.on}),
 }
 
 
 class Host:
-    """Holds the instances of one process and carries events to them in order."""
+    """Holds the Router instances of one process and passes events to them in order."""
 
     def __init__(self, out: TextIO) -> None:
-        """Write replies to `out`."""
+        """Create a host without instances that writes replies to `out`."""
         self.out = out
         self.routers: dict[str, Router] = {}
         self.lists: dict[int, tuple[api.Member, ...]] = {}
         self.now_ms = 0.0
 
-    def line(self, text: str) -> None:
-        """Take one line of the wire; raise WireError on what is not the wire."""
+    def handle_line(self, text: str) -> None:
+        """Handle one input line; raise WireError if it does not follow the wire format."""
         try:
             message = json.loads(text)
             ((name, fields),) = message.items()
-            self.message(name, fields)
+            self.handle_message(name, fields)
         except (json.JSONDecodeError, AttributeError) as error:
             raise WireError(f"not a wire message: {text[:80]!r} ({error})") from error
         except (KeyError, ValueError, TypeError) as error:
             raise WireError(f"malformed message: {text[:80]!r} ({error!r})") from error
 
-    def message(self, name: str, fields: Fields) -> None:
-        """Act on one message."""
+    def handle_message(self, name: str, fields: JsonObject) -> None:
+        """Handle one message."""
         if name == "turn":
             self.now_ms = fields["t_ms"]
         elif name == "commit":
@@ -134,22 +136,22 @@
         elif name == "halt":
             self.routers.pop(fields["gateway"], None)
         elif name == "view":
-            self.give(fields["gateway"], self.members(fields))
+            self.deliver(fields["gateway"], self.resolve_members(fields))
         elif name in READERS:
-            self.give(fields["gateway"], READERS[name](fields))
+            self.deliver(fields["gateway"], READERS[name](fields))
         else:
             raise WireError(f"unknown message {name!r}")
 
-    def members(self, fields: Fields) -> api.Members:
-        """Resolve the numbered list that a `view` points at."""
+    def resolve_members(self, fields: JsonObject) -> api.Members:
+        """Return the event for a `view` message, with the numbered list that it refers to."""
         if fields["mode"] == "Error":
             return api.Members((), failed=True)
         if fields["sheet"] not in self.lists:
             raise WireError(f"view of list {fields['sheet']}, which was never given")
         return api.Members(self.lists[fields["sheet"]], whole=fields["mode"] != "Partial")
 
-    def give(self, gateway: str, event: api.Event | None) -> None:
-        """Hand an event to its instance; an exception of the policy is reported, never swallowed."""
+    def deliver(self, gateway: str, event: api.Event | None) -> None:
+        """Pass an event to its instance; an exception of the decisions is reported, not suppressed."""
         router = self.routers.get(gateway)
         if router is None:
             raise WireError(f"event for {gateway!r}, which is not attached")
@@ -157,25 +159,25 @@
             return
         try:
             actions = router.handle(event, self.now_ms)
-        except Exception as error:  # noqa: BLE001  the wire's word for a failed policy is `crash`
+        except Exception as error:  # noqa: BLE001  failed decisions are reported on the wire
             self.write("crash", {"gateway": gateway, "message": f"{type(error).__name__}: {error}"})
             return
         for action in actions:
             name, fields = WRITERS[type(action)]
             self.write(name, {"gateway": gateway, **fields(action)})
 
-    def write(self, name: str, fields: Fields) -> None:
+    def write(self, name: str, fields: JsonObject) -> None:
         """Write one line of the reply."""
         self.out.write(json.dumps({name: fields}, separators=(",", ":")) + "\n")
 
 
 def main() -> int:
-    """Serve standard input until it ends."""
+    """Handle standard input until it ends; return the exit status."""
     host = Host(sys.stdout)
     try:
         for text in sys.stdin:
             if text.strip():
-                host.line(text)
+                host.handle_line(text)
     except WireError as error:
         print(f"hitchtiller: {error}", file=sys.stderr)
         return 2
--- a/standins/detect.py
+++ b/standins/detect.py
@@ -68,7 +68,7 @@
     for kill in range(kills):
         victim, at = (kill * 7 + 1) % size, net.now
         net.kill(victim)
-        while net.believe(victim, State.DEAD, State.LEFT) < len(net.nodes):
+        while net.count_believing(victim, State.DEAD, State.LEFT) < len(net.nodes):
             if net.now - at > PATIENCE * period:
                 break
             net.run(net.now + period / 4.0)
@@ -92,7 +92,7 @@
     try:
         await fleet.start()
         begun = loop.time()
-        fleet.fabric.faults = Faults(lose=loss)
+        fleet.fabric.faults = Faults(loss_share=loss)
         await fleet.until(whole, patience_s=120.0)
         rows, quiet = len(fleet.fabric.history), loop.time()
         await asyncio.sleep(QUIET * period / 1000.0)
@@ -110,7 +110,7 @@
             await fleet.launch(victim)
             await fleet.until({victim: {"ALIVE"}}, patience_s=PATIENCE * period / 1000.0)
         found.hours = (loop.time() - begun) * 1000.0 / period / 3600.0
-        found.false_deaths = len(fleet.called_dead() - killed)
+        found.false_deaths = len(fleet.declared_dead() - killed)
     finally:
         await fleet.finish()
     return found
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -18,10 +18,10 @@
 from pathlib import Path
 from typing import Any
 
-from standins.client import Terminal, Verdicts
+from standins.client import StandInClient, Verdicts
 from standins.fabric import Fabric
-from standins.parties import Bus, Script, Server
-from standins.relay import Relay, Way
+from standins.parties import Bus, Server, ServerBehaviour
+from standins.relay import LinkMode, Relay
 from standins.rig import PORT, REPLAY_MS, ROOT, settings
 from standins.truth import Truth, now_ms
 from standins.watch import Watch
@@ -82,10 +82,10 @@
         """Prepare; nothing is started yet. `weight`, `flow_kb_per_s`: what a cache is told to carry."""
         self.size, self.seed, self.period_ms, self.old = size, seed, period_ms, old
         self.weight, self.flow = weight, flow_kb_per_s
-        self.rng, self.truth, script = random.Random(seed), Truth(), Script()
+        self.rng, self.truth, script = random.Random(seed), Truth(), ServerBehaviour()
         self.caches = [Server(self.truth, script, random.Random(seed + n)) for n in range(3)]
         self.parent = Server(self.truth, script, random.Random(seed + 50))
-        self.origin = Server(self.truth, Script(), random.Random(seed + 51), origin=True)
+        self.origin = Server(self.truth, ServerBehaviour(), random.Random(seed + 51), origin=True)
         self.servers = [*self.caches, self.parent, self.origin]
         self.fabric, self.verdicts = Fabric(size, seed), Verdicts()
         self.wires: dict[tuple[int, str], Relay] = {}  # of a gateway to a server or the bus
@@ -142,7 +142,7 @@
             host = bus.hosts[place]
             host |= news
             bus.change(host, setup["localities"], setup["skus"])
-            if self.wires[number, BUS].way is Way.PASS:
+            if self.wires[number, BUS].way is LinkMode.PASS:
                 self.watch.told(number, host)
 
     async def restart_cache(self, place: int, among: list[int] | None = None) -> None:
@@ -151,16 +151,18 @@
         now = now_ms()
         self.watch.cold.start(name(place), self.weight, now)
         for number in range(self.size):  # its connections end with its process
-            await self.wires[number, name(place)].set(Way.REFUSE)
-            await self.wires[number, name(place)].set(Way.PASS)
+            await self.wires[number, name(place)].set(LinkMode.REFUSE)
+            await self.wires[number, name(place)].set(LinkMode.PASS)
         self.tell(place, among, born_ms=int(now))
 
-    async def wire(self, way: Way, numbers: list[int], targets: list[str] | None = None) -> None:
+    async def wire(self, way: LinkMode, numbers: list[int], targets: list[str] | None = None) -> None:
         """Have a fault between gateways and some of the servers (or all), or the bus."""
         for (number, target), relay in self.wires.items():
             if number in numbers and (targets is None or target in targets):
                 await relay.set(way)
-                if target == BUS and way is Way.PASS:  # what it could not hear counts as told from now on
+                if (
+                    target == BUS and way is LinkMode.PASS
+                ):  # what it could not hear counts as told from now on
                     for host in self.buses[number].hosts:
                         self.watch.told(number, host)
 
@@ -251,7 +253,7 @@
             await asyncio.sleep(self.period_ms / 4000.0)
         raise AssertionError(f"after {patience_s} s {wanted} is not believed: {seen}")
 
-    def called_dead(self, among: list[int] | None = None) -> set[int]:
+    def declared_dead(self, among: list[int] | None = None) -> set[int]:
         """Give the numbers that a running process, or one of these, ever held for dead."""
         judges = [p for number, p in self.running.items() if among is None or number in among]
         lines = (line.split() for process in judges for line in process.lines)
@@ -260,7 +262,7 @@
     async def ask_all(self, count: int = 5) -> None:
         """Have each running gateway serve some requests, judged."""
         for process in list(self.running.values()):
-            terminal = Terminal(self.truth, self.verdicts, random.Random(self.rng.getrandbits(32)))
+            terminal = StandInClient(self.truth, self.verdicts, random.Random(self.rng.getrandbits(32)))
             await terminal.connect(process.port)
             for _ in range(count):
                 if await terminal.read("files", self.rng.randrange(40)) is None:
--- a/standins/gossipnet.py
+++ b/standins/gossipnet.py
@@ -48,7 +48,7 @@
         incarnation = 1_700_000_000_000 + int(begun)
         rng = Random(f"{self.seed}/{number}/{begun}")
         node = Detector(number, self.size, incarnation, 7, self.period_ms, rng, begun)
-        node.view.ears.append(lambda change: self.watch(change.number, change.new.state))
+        node.view.listeners.append(lambda change: self.watch(change.number, change.new.state))
         self.nodes[number] = node
         self.at(begun, lambda: self.turn(number, node))
 
@@ -92,7 +92,7 @@
         """Stop a process where it stands."""
         self.stopped.add(number)
 
-    def go_on(self, number: int) -> None:
+    def resume_process(self, number: int) -> None:
         """Let it go on; what came meanwhile lies in its socket."""
         self.stopped.discard(number)
         for sender, data in self.held.pop(number, []):
@@ -108,7 +108,7 @@
         self.now = until_ms
         return self.now
 
-    def believe(self, number: int, *states: State) -> int:
+    def count_believing(self, number: int, *states: State) -> int:
         """Count the running others that hold a number for one of these."""
         return sum(node.view.claims[number].state in states for n, node in self.nodes.items() if n != number)
 
--- a/standins/lag.py
+++ b/standins/lag.py
@@ -21,20 +21,20 @@
 from hitchtiller import interface as api
 from hitchtiller.decide import Router
 from hitchtiller.engine import Engine
-from hitchtiller.exchange import Answer, Ask, Attempt, Ending
-from hitchtiller.front.leave import Leave
+from hitchtiller.exchange import Answer, Attempt, AttemptResult, ClientRequest
+from hitchtiller.front.leave import DrainControl
 from hitchtiller.front.server import Front
-from hitchtiller.news import Listed, Topology
+from hitchtiller.news import ListedServer, Topology
 from hitchtiller.sched import Clock, Scheduler, now_ms
 from hitchtiller.settings import read_settings
 from hitchtiller.store.disk import Options
 from hitchtiller.store.files import OsFiles
-from hitchtiller.store.jobs import Threads
+from hitchtiller.store.jobs import ThreadJobs
 from hitchtiller.store.keeper import Keeper
 from hitchtiller.store.memory import Memory
 from hitchtiller.store.pace import Pace
 from hitchtiller.store.space import Rate
-from hitchtiller.store.suspect import Kept, Proof
+from hitchtiller.store.suspect import Proof, SavedProof
 from hitchtiller.store.tier import Tier
 from standins.rig import settings
 
@@ -79,11 +79,11 @@
 
     def send(self, attempt: Attempt) -> None:
         """Take an attempt."""
-        attempt.clear(attempt)
+        attempt.authorize(attempt)
         attempt.written = True
-        key = attempt.exchange.ask.key
+        key = attempt.exchange.request.key
         size = 1_000 + key * 7919 % 59_000
-        ending = Ending("done", BODY[:size], False, f"t{key}", since_ms=int(now_ms()))
+        ending = AttemptResult("done", BODY[:size], False, f"t{key}", since_ms=int(now_ms()))
         self.sched.later(1.0, lambda: attempt.end(ending))
 
     def cancel(self, attempt: Attempt) -> None:
@@ -104,23 +104,23 @@
     engine = Engine(Router(setup, seed), Clock(sched), QuickBack(sched), lambda peer, note: None)
     kinds = (("c0", "north", "box"), ("c1", "north", "box"), ("p", "hub", "parent"), ("o", "hub", "origin"))
     members = tuple(
-        Listed(api.Member(n, z, k, "SERVING", weight=50.0), ("127.0.0.1", 1)) for n, z, k in kinds
+        ListedServer(api.Member(n, z, k, "SERVING", weight=50.0), ("127.0.0.1", 1)) for n, z, k in kinds
     )
     engine.news(Topology(members, whole=True))
     folder = Path(tempfile.mkdtemp(prefix="lag-"))
     keeper = jobs = None
     if way != "off":
-        tier = Tier(engine, Memory(4 * MB), Proof(Kept(), 6000.0), Pace(0.0, 0.0))
-        tier.heard()
+        tier = Tier(engine, Memory(4 * MB), Proof(SavedProof(), 6000.0), Pace(0.0, 0.0))
+        tier.on_caught_up()
         front = Front(sched, engine, setup, 10, 10)
-        front.leave = Leave(front)
-        jobs = Threads(sched)
+        front.leave = DrainControl(front)
+        jobs = ThreadJobs(sched)
         options = Options(budget=200 * MB, segment_bytes=8 * MB, checkpoint_ms=2_000.0, sync_ms=200.0)
         make = Stalling if way == "stalled" else OsFiles
         keeper = Keeper(sched, tier, front, folder, options, jobs, Rate(50e6, 5e6, 4e6), make)
         sched.spawn(keeper.run)
         for _ in range(int(seconds)):
-            sched.later(1000.0 * _, tier.heard)
+            sched.later(1000.0 * _, tier.on_caught_up)
     late: list[float] = []
     answers: list[Answer] = []
     begun = time.monotonic()
@@ -139,7 +139,9 @@
                 key = rng.randrange(2_000) if rng.random() < 0.8 else 10_000 + rng.getrandbits(30)
                 name = f"{key:016x}"
                 wait = now_ms() + 2000.0
-                engine.take(Ask(f"{count:016x}", "files", name, key, wait, size_kb=30.0), answers.append)
+                engine.take(
+                    ClientRequest(f"{count:016x}", "files", name, key, wait, size_kb=30.0), answers.append
+                )
             sched.sleep(1.0)
         sched.sleep(50.0)
         sched.stopped = True
--- a/standins/play.py
+++ b/standins/play.py
@@ -14,7 +14,7 @@
 from standins.fabric import Faults
 from standins.fleet import BUS, Fleet
 from standins.load import Load
-from standins.relay import Way
+from standins.relay import LinkMode
 from standins.schedule import Schedule, Step, side, with_steps
 from standins.truth import now_ms
 
@@ -41,11 +41,11 @@
     broken: list[str] = field(default_factory=list)
     history: list[tuple[float, str]] = field(default_factory=list)  # ms since the start, what happened
     counts: dict[str, int] = field(default_factory=dict)
-    met_ms: float = 0.0  # from the end of all faults until one view
+    converged_ms: float = 0.0  # from the end of all faults until one view
     cold: float = 0.0  # the most of a cold cache's bound that was used
 
 
-class Player:
+class SchedulePlayer:
     """Takes the steps of one schedule."""
 
     def __init__(self, schedule: Schedule, say: Callable[[str], None] = lambda text: None) -> None:
@@ -93,7 +93,7 @@
         """End all faults, start what does not run, wait for one view."""
         fleet = self.fleet
         fleet.fabric.faults = Faults()
-        await fleet.wire(Way.PASS, list(range(fleet.size)))
+        await fleet.wire(LinkMode.PASS, list(range(fleet.size)))
         for number in sorted(self.stopped):
             fleet.poke(number, signal.SIGCONT)
         self.stopped.clear()
@@ -102,7 +102,7 @@
                 await fleet.launch(number)
         self.note("all faults ended")
         patience = MEET * fleet.period_ms / 1000.0
-        self.out.met_ms = 1000.0 * await fleet.until(
+        self.out.converged_ms = 1000.0 * await fleet.until(
             {n: {"ALIVE"} for n in range(fleet.size)}, patience_s=patience
         )
         self.note("one view")
@@ -129,7 +129,7 @@
             case "oneway":
                 fleet.fabric.faults.cut = one_way(side(step))
             case "lose":
-                fleet.fabric.faults.lose = step.share
+                fleet.fabric.faults.loss_share = step.share
             case "late":
                 fleet.fabric.faults.repeat = step.share
                 fleet.fabric.faults.delay_ms = (0.0, 1000.0 * step.share)
@@ -137,14 +137,14 @@
                 fleet.fabric.faults.alter = step.share
             case "heal":
                 fleet.fabric.faults = Faults()
-                await fleet.wire(Way.PASS, list(range(fleet.size)))
+                await fleet.wire(LinkMode.PASS, list(range(fleet.size)))
             case "wire" if step.target == BUS and now_ms() - self.purged_ms < QUIET_MS:
                 return False
             case "wire":
                 targets: list[str] | None = None if step.target == "all" else [step.target]
                 if targets is None and now_ms() - self.purged_ms < QUIET_MS:
                     return False
-                await fleet.wire(Way(step.way), [number], targets)
+                await fleet.wire(LinkMode(step.way), [number], targets)
             case "cold":
                 await fleet.restart_cache(number)
             case "drain" | "back":
@@ -158,12 +158,12 @@
 
     def hears(self, number: int) -> bool:
         """Tell whether a gateway's bus reaches it."""
-        return self.fleet.wires[number, BUS].way is Way.PASS and number not in self.stopped
+        return self.fleet.wires[number, BUS].way is LinkMode.PASS and number not in self.stopped
 
 
 def play(schedule: Schedule, say: Callable[[str], None] = lambda text: None) -> Outcome:
     """Play a schedule."""
-    return asyncio.run(Player(schedule, say).play())
+    return asyncio.run(SchedulePlayer(schedule, say).play())
 
 
 def shrink(schedule: Schedule, fails: Callable[[Schedule], bool], most: int = 40) -> tuple[Schedule, int]:
--- a/standins/releases.py
+++ b/standins/releases.py
@@ -16,8 +16,8 @@
 import click
 import msgspec
 
-from standins.parties import Script
-from standins.repo import RepoTruth, Shop, fetch_set
+from standins.parties import ServerBehaviour
+from standins.repo import RepoTruth, ScriptedRepository, fetch_set
 from standins.rig import Rig
 
 
@@ -26,7 +26,7 @@
 ) -> dict[str, Any]:
     """Play it; gives what was seen."""
     rng = random.Random(seed)
-    first = Rig(seed, caches, Script(drop_ms=500.0))
+    first = Rig(seed, caches, ServerBehaviour(drop_ms=500.0))
     truth = RepoTruth()
     first.truth = truth
     for server in (*first.caches, first.parent, first.origin):
@@ -35,7 +35,7 @@
     for number in range(1, gateways):
         rigs.append(Rig(seed + number, 1))
         rigs[-1].share(first)
-    shop = Shop(truth, rng)
+    shop = ScriptedRepository(truth, rng)
     await shop.publish()
     counts: Counter[str] = Counter()
     wrong: list[str] = []
--- a/standins/rig.py
+++ b/standins/rig.py
@@ -12,8 +12,8 @@
 from pathlib import Path
 from typing import Any
 
-from standins.client import Terminal, Verdicts
-from standins.parties import Bus, Script, Server
+from standins.client import StandInClient, Verdicts
+from standins.parties import Bus, Server, ServerBehaviour
 from standins.truth import Truth
 
 PORT = re.compile(r"127\.0\.0\.1:(\d+)")
@@ -50,13 +50,13 @@
 class Rig:
     """Truth, servers, bus and a gateway; all that is drawn is drawn from one seed."""
 
-    def __init__(self, seed: int, caches: int = 2, script: Script | None = None) -> None:
+    def __init__(self, seed: int, caches: int = 2, script: ServerBehaviour | None = None) -> None:
         """Prepare; nothing is started yet."""
         self.rng, self.truth = random.Random(seed), Truth()
-        self.script = script or Script()
+        self.script = script or ServerBehaviour()
         self.caches = [Server(self.truth, self.script, random.Random(seed + n)) for n in range(caches)]
         self.parent = Server(self.truth, self.script, random.Random(seed + 50))
-        self.origin = Server(self.truth, Script(), random.Random(seed + 51), origin=True)
+        self.origin = Server(self.truth, ServerBehaviour(), random.Random(seed + 51), origin=True)
         self.verdicts = Verdicts()
         self.folder = Path(tempfile.mkdtemp(prefix="rig-"))
         (self.folder / "tmp").mkdir()
@@ -191,9 +191,9 @@
         ]
         return {name: int(value) for name, _, value in pairs if value.lstrip("-").isdecimal()}
 
-    async def terminal(self) -> Terminal:
+    async def terminal(self) -> StandInClient:
         """Open a client's connection."""
-        terminal = Terminal(self.truth, self.verdicts, random.Random(self.rng.getrandbits(32)))
+        terminal = StandInClient(self.truth, self.verdicts, random.Random(self.rng.getrandbits(32)))
         await terminal.connect(self.port)
         return terminal
 
--- a/standins/scale/fleet.py
+++ b/standins/scale/fleet.py
@@ -83,7 +83,7 @@
         """Stop a process where it stands."""
         self.stopped[number] = []
 
-    def go_on(self, number: int) -> None:
+    def resume_process(self, number: int) -> None:
         """Let a stopped process go on; what came meanwhile is handled first."""
         gateway = self.running[number]
         for event in self.stopped.pop(number):
@@ -112,10 +112,10 @@
             case api.SetTimer():
                 due = api.TimerDue(action.token)
                 self.at(self.now + max(0.01, action.delay_ms), partial(self.give, gateway, due))
-            case api.Tell():
+            case api.SendNote():
                 self.tell(gateway.number, action)
 
-    def tell(self, sender: int, action: api.Tell) -> None:
+    def tell(self, sender: int, action: api.SendNote) -> None:
         """Carry a note, or not; what no running process takes is lost."""
         data = pack(action.note)
         kind = action.note.kind
@@ -127,7 +127,7 @@
             when = self.now + self.rng.uniform(*DELAY_MS)
             self.at(when, partial(self.deliver, sender, action))
 
-    def deliver(self, sender: int, action: api.Tell) -> None:
+    def deliver(self, sender: int, action: api.SendNote) -> None:
         """Hand a note over."""
         if gateway := self.running.get(action.peer):
             self.give(gateway, api.PeerMessage(sender, action.note))
@@ -144,7 +144,7 @@
         """Carry an attempt to its server, if it is still cleared at its first byte."""
         shot, ask = gateway.shot(get.id), gateway.open.get(get.id)
         end = partial(self.end, gateway, get, shot)
-        if ask is None or gateway.router.release(get.id, shot, self.now) is None:
+        if ask is None or gateway.router.recheck_send(get.id, shot, self.now) is None:
             self.at(self.now, partial(end, "skipped"))
         elif get.source == self.origin:
             self.fill_from_origin(ask, end)
--- a/standins/scale/membership.py
+++ b/standins/scale/membership.py
@@ -12,7 +12,7 @@
 
 from hitchtiller.membership.detector import Datagrams, Detector
 from hitchtiller.membership.view import UNHEARD, Claim, State
-from hitchtiller.membership.words import Kind, Word, pack, unpack
+from hitchtiller.membership.words import Kind, MembershipMessage, pack, unpack
 from standins.gossipnet import TICKS, Net
 from standins.scale.fleet import UDP_HEAD
 
@@ -46,7 +46,7 @@
     victim, at = gateways // 2, net.now
     net.kill(victim)
     others = len(net.nodes)
-    while net.believe(victim, State.DEAD) < others and net.now - at < PATIENCE * PERIOD_MS:
+    while net.count_believing(victim, State.DEAD) < others and net.now - at < PATIENCE * PERIOD_MS:
         net.run(net.now + PERIOD_MS / 4.0)
     return {
         "members_datagrams": datagrams,
@@ -85,10 +85,10 @@
             if word is None or word.kind not in (Kind.PING, Kind.PAGE):
                 continue
             if word.kind is Kind.PING:
-                answer = Word(Kind.ACK, peer, word.number)
+                answer = MembershipMessage(Kind.ACK, peer, word.number)
             else:
                 numbers = [(word.target + place) % gateways for place in range(gateways)]
-                answer = Word(Kind.TELL, peer, 0, 0, [(n, whole[n], n) for n in numbers[:64]])
+                answer = MembershipMessage(Kind.TELL, peer, 0, 0, [(n, whole[n], n) for n in numbers[:64]])
             found.append((peer, pack(answer, FLEET_MARK)))
         return found
 
--- a/standins/world.py
+++ b/standins/world.py
@@ -219,7 +219,7 @@
                 case api.SetTimer():
                     due = api.TimerDue(act.token)
                     self.at(self.now + max(0.01, act.delay_ms), lambda g=gateway, due=due: self.give(g, due))  # type: ignore[misc]
-                case api.Tell():
+                case api.SendNote():
                     if self.rng.random() >= PEER_LOST and act.peer != gateway.number:
                         word = api.PeerMessage(gateway.number, act.note)
                         to = self.gateways[act.peer]
@@ -285,7 +285,7 @@
         end = self.flying.get(name)
         server, source, item = self.servers[get.server], self.servers[get.source], (ask.key, ask.part)
         knows = gateway.router.nodes.get(get.server)
-        told = knows is not None and knows.m.started_ms == max(0.0, server.started_ms)
+        told = knows is not None and knows.member.started_ms == max(0.0, server.started_ms)
         self.cold.reach(get.server, self.made.work_ms[cls.name], self.now, told)
         if end is None:
             return
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,11 +1,11 @@
-"""A small hand-made deployment; nothing of it is a real one's."""
+"""A small made-up deployment and a driver for one Router, shared by the tests."""
 
 from dataclasses import replace
 from typing import Any
 
 import pytest
 from hypothesis import settings as hypothesis_settings
-from known_red import (  # noqa: F401  pytest finds its hooks here
+from known_red import (  # noqa: F401  pytest looks for hooks in this module
     pytest_addoption,
     pytest_collection_modifyitems,
     pytest_configure,
@@ -67,7 +67,7 @@
 
 
 class Bench:
-    """One router, its clock and all that it sent."""
+    """One router with its clock and a record of all attempts that it sent."""
 
     def __init__(self, **changes: Any) -> None:
         self.router = Router(replace(BASE, **changes), 7)
@@ -77,9 +77,9 @@
 
     def give(self, event: api.Event, at: float | None = None) -> list[api.Action]:
         self.now = self.now if at is None else at
-        acts = self.router.handle(event, self.now)
-        self.sent += [(self.now, act) for act in acts if isinstance(act, api.Get)]
-        return acts
+        actions = self.router.handle(event, self.now)
+        self.sent += [(self.now, act) for act in actions if isinstance(act, api.Get)]
+        return actions
 
     def ask(self, id: int, key: int = 1, name: str = "small", **more: Any) -> list[api.Action]:
         size = more.pop("size_kb", 50.0)
@@ -90,8 +90,8 @@
         return self.give(api.Outcome(get.id, shot, get.server, status, 1.0, **more))
 
 
-def gets(acts: list[api.Action]) -> list[api.Get]:
-    return [act for act in acts if isinstance(act, api.Get)]
+def gets(actions: list[api.Action]) -> list[api.Get]:
+    return [act for act in actions if isinstance(act, api.Get)]
 
 
 @pytest.fixture
--- a/tests/ends/test_ends_clients.py
+++ b/tests/ends/test_ends_clients.py
@@ -1,115 +1,115 @@
-"""Clients that leave, cancel, flood or say half a word, each at the worst instant."""
+"""Clients that leave, give up, flood or send partial frames at the worst moments."""
 
 import contextlib
 import socket
 import time
 
-from sides import FrontCase, request
+from sides import FrontCase, request_frame
 
 from hitchtiller.codec import frames
-from hitchtiller.front.client import MOST_EXCESS, MOST_OPEN
+from hitchtiller.front.client import MAX_EXCESS_REQUESTS, MAX_OPEN_REQUESTS
 from hitchtiller.sched import now_ms
 
 
-def cancel(stream: int) -> bytes:
+def give_up_frame(stream: int) -> bytes:
     return frames.head(frames.GIVE_UP, stream, 0)
 
 
-class Gone(FrontCase):
-    def test_a_cancel_is_seen_while_the_connection_is_jammed(self) -> None:
-        """While a megabyte waited unsent nothing was read: attempts went on for up to 5 s."""
-        waits = self.ask(2)
-        self.jam()
-        self.other.sendall(cancel(2))
-        self.until(lambda: bool(self.engine.left), "the cancel lies unread")
-        self.assertEqual(self.engine.left, [self.engine.open[waits].ask.id])
-
-    def test_an_end_is_seen_while_the_connection_is_jammed(self) -> None:
-        self.ask(2)
-        self.jam()
-        self.other.shutdown(socket.SHUT_WR)
-        self.until(lambda: bool(self.engine.left), "the end lies unread")
-
-    def test_what_was_cancelled_while_it_waited_for_a_jam_is_never_begun(self) -> None:
-        self.jam()
-        self.other.sendall(request(2) + request(3) + cancel(2))
-        self.until(lambda: list(self.client.waiting) == [3])
-        self.other.setblocking(False)
-
-        def drained() -> bool:
+class Departures(FrontCase):
+    def test_a_give_up_is_read_while_answers_wait_unsent(self) -> None:
+        """While a megabyte was unsent nothing was read: attempts went on for up to 5 s."""
+        number = self.send_request(2)
+        self.fill_send_buffer()
+        self.client_socket.sendall(give_up_frame(2))
+        self.wait_until(lambda: bool(self.engine.left), "the GIVE_UP frame is not read")
+        self.assertEqual(self.engine.left, [self.engine.open[number].request.id])
+
+    def test_a_disconnect_is_seen_while_answers_wait_unsent(self) -> None:
+        self.send_request(2)
+        self.fill_send_buffer()
+        self.client_socket.shutdown(socket.SHUT_WR)
+        self.wait_until(lambda: bool(self.engine.left), "the disconnect is not read")
+
+    def test_a_queued_request_that_is_given_up_is_never_taken(self) -> None:
+        self.fill_send_buffer()
+        self.client_socket.sendall(request_frame(2) + request_frame(3) + give_up_frame(2))
+        self.wait_until(lambda: list(self.client.queued_requests) == [3])
+        self.client_socket.setblocking(False)
+
+        def has_read_all() -> bool:
             with contextlib.suppress(BlockingIOError):
-                self.other.recv(1_000_000)
+                self.client_socket.recv(1_000_000)
             return len(self.engine.taken) == 2
 
-        self.until(drained, "what waited is taken once its client takes its answers")
-        self.assertEqual(self.client.stream.kept, 0, "and is not counted as held any more")
+        self.wait_until(has_read_all, "a queued request is taken once the client reads its answers")
+        self.assertEqual(self.client.stream.kept, 0, "and its bytes are not counted as buffered any more")
         self.assertEqual(self.engine.taken[1], f"{3:016x}")
 
-    def test_a_request_whose_client_left_behind_it_in_a_busy_turn_is_not_taken(self) -> None:
-        """The end lay behind the request: it was sent on, and the end seen one lagging turn later."""
+    def test_a_request_whose_client_left_during_a_busy_turn_is_not_taken(self) -> None:
+        """The disconnect was read a long turn after the request, which was forwarded in between."""
 
         def busy() -> None:
-            self.other.sendall(request(1))  # both come while the loop does other work
-            self.other.close()
+            self.client_socket.sendall(request_frame(1))  # both arrive while the loop is busy
+            self.client_socket.close()
             time.sleep(0.05)
 
         self.sched.turn()
         self.sched.spawn(busy)
-        self.until(lambda: bool(self.client.stream.code))
+        self.wait_until(lambda: bool(self.client.stream.code))
         self.assertEqual((self.engine.taken, self.client.stream.code), ([], "eof"))
 
-    def test_one_that_gives_up_while_its_connection_is_to_end_is_heard(self) -> None:
-        """From the word to close on, nothing more was parsed: attempts for it went on to its deadline."""
-        self.ask(1)
+    def test_a_give_up_is_read_while_the_connection_is_closing(self) -> None:
+        """Once a close had begun nothing was parsed: attempts went on until the deadline."""
+        self.send_request(1)
         self.client.close_when_done("half")
-        self.other.sendall(cancel(1))
-        self.until(lambda: bool(self.engine.left))
+        self.client_socket.sendall(give_up_frame(1))
+        self.wait_until(lambda: bool(self.engine.left))
 
-    def test_requests_that_come_while_a_connection_is_to_end_are_refused_not_dropped(self) -> None:
-        number = self.ask(1)
+    def test_requests_on_a_closing_connection_are_refused_not_dropped(self) -> None:
+        number = self.send_request(1)
         self.client.close_when_done("half")
-        self.other.sendall(request(2))
-        self.until(lambda: self.engine.stats.total()["refused"] == 1)
+        self.client_socket.sendall(request_frame(2))
+        self.wait_until(lambda: self.engine.stats.total()["refused"] == 1)
         self.engine.answer(number, b"x")
-        answers = [(f.stream, f.payload[0]) for f in frames.FrameReader().feed(self.everything())]
+        answers = [(f.stream, f.payload[0]) for f in frames.FrameReader().feed(self.read_until_end())]
         self.assertEqual(answers, [(2, frames.REFUSED), (1, frames.SERVED)])
 
 
 class Floods(FrontCase):
-    def test_one_that_asks_far_more_than_it_may_is_ended_and_others_are_not(self) -> None:
-        for stream in range(1, MOST_OPEN + 1):
-            self.other.sendall(request(stream))
-        self.until(lambda: len(self.engine.taken) == MOST_OPEN)
-        for stream in range(MOST_OPEN + 1, MOST_OPEN + MOST_EXCESS + 2):
-            self.other.sendall(request(stream))
-        self.until(lambda: self.client.closing == "flood")
-        self.assertEqual(self.client.open, {})
-        self.assertEqual(len(self.engine.taken), MOST_OPEN)
+    def test_a_client_that_floods_requests_is_closed_and_others_are_not(self) -> None:
+        for stream in range(1, MAX_OPEN_REQUESTS + 1):
+            self.client_socket.sendall(request_frame(stream))
+        self.wait_until(lambda: len(self.engine.taken) == MAX_OPEN_REQUESTS)
+        for stream in range(MAX_OPEN_REQUESTS + 1, MAX_OPEN_REQUESTS + MAX_EXCESS_REQUESTS + 2):
+            self.client_socket.sendall(request_frame(stream))
+        self.wait_until(lambda: self.client.close_code == "flood")
+        self.assertEqual(self.client.open_exchanges, {})
+        self.assertEqual(len(self.engine.taken), MAX_OPEN_REQUESTS)
         flooder = self.client
-        self.other.close()
-        self.until(lambda: bool(flooder.stream.code))
+        self.client_socket.close()
+        self.wait_until(lambda: bool(flooder.stream.code))
         self.assertEqual(flooder.stream.code, "flood")
-        self.other = self.connect()
-        self.engine.answer(self.ask(1), b"x")
-
-    def test_one_that_asks_on_and_takes_nothing_is_ended_at_a_bound(self) -> None:
-        """Requests may wait for a jam to end, but no more of them than may be open."""
-        self.jam()
-        for stream in range(2, MOST_OPEN + 3):
-            self.other.sendall(request(stream))
-        self.until(lambda: self.client.closing == "flood")
-        self.assertEqual((len(self.engine.taken), self.client.waiting), (1, {}))
-
-
-class Half(FrontCase):
-    def test_the_rest_of_a_request_that_comes_in_the_instant_of_its_time_out_is_taken(self) -> None:
-        """The sweep closed over the unread rest: a whole request was taken along."""
-        data = request(1)
-        self.other.sendall(data[:20])
-        self.until(lambda: self.client.stream.kept > 0)
-        self.other.sendall(data[20:])  # it lies there unread: the loop has not turned
-        late = now_ms() + 10_000.0
-        self.assertEqual(self.client.overdue(late), "unasked")
-        self.front.sweep(late)
-        self.until(lambda: len(self.engine.taken) == 1)
+        self.client_socket = self.connect()
+        self.engine.answer(self.send_request(1), b"x")
+
+    def test_a_client_that_reads_no_answers_is_closed_at_the_queue_limit(self) -> None:
+        """Requests may be queued while answers are unsent, but no more of them than may be open."""
+        self.fill_send_buffer()
+        for stream in range(2, MAX_OPEN_REQUESTS + 3):
+            self.client_socket.sendall(request_frame(stream))
+        self.wait_until(lambda: self.client.close_code == "flood")
+        self.assertEqual((len(self.engine.taken), self.client.queued_requests), (1, {}))
+
+
+class PartialRequests(FrontCase):
+    def test_the_rest_of_a_request_that_arrives_at_its_timeout_is_read(self) -> None:
+        """The sweep closed the connection although the rest was unread: a whole request was lost."""
+        data = request_frame(1)
+        self.client_socket.sendall(data[:20])
+        self.wait_until(lambda: self.client.stream.kept > 0)
+        self.client_socket.sendall(data[20:])  # unread, as the loop has not run
+        late_ms = now_ms() + 10_000.0
+        self.assertEqual(self.client.timeout_code(late_ms), "unasked")
+        self.front.sweep(late_ms)
+        self.wait_until(lambda: len(self.engine.taken) == 1)
         self.engine.answer(0, b"x")
--- a/tests/ends/test_ends_descriptors.py
+++ b/tests/ends/test_ends_descriptors.py
@@ -1,4 +1,4 @@
-"""No descriptor left: the bus, the links and the listener come back by themselves, and nobody is cut off."""
+"""Without free file descriptors the bus, the links and the listener recover, and no client is lost."""
 
 import os
 import resource
@@ -21,18 +21,18 @@
 from hitchtiller.front.client import Client
 from hitchtiller.front.server import Front
 from hitchtiller.interface import Member
-from hitchtiller.news import Event, Listed, Topology
+from hitchtiller.news import Event, ListedServer, Topology
 from hitchtiller.ops.holdouts import HoldOuts
-from hitchtiller.ops.sign import Sign
+from hitchtiller.ops.sign import ProcessMarker
 from hitchtiller.ops.upgrade import Upgrade
 from hitchtiller.sched import Scheduler, Stream
 
-PATIENCE_S = 5.0
+TIMEOUT_S = 5.0
 
 
 @contextmanager
 def no_descriptors() -> Iterator[None]:
-    """Let the process open nothing more: its limit is the lowest free number."""
+    """Set the descriptor limit to the lowest free number, so that nothing can be opened."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     free = os.dup(0)
     os.close(free)
@@ -43,7 +43,7 @@
         resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
 
 
-class NoDescriptor(unittest.TestCase):
+class NoDescriptors(unittest.TestCase):
     def setUp(self) -> None:
         self.sched = Scheduler()
         self.server = socket.create_server(("127.0.0.1", 0))
@@ -51,38 +51,38 @@
         self.addCleanup(self.server.close)
         self.address = ("127.0.0.1", int(self.server.getsockname()[1]))
 
-    def accepted(self) -> bool:
+    def accept_one(self) -> bool:
         try:
             self.addCleanup(self.server.accept()[0].close)
         except BlockingIOError:
             return False
         return True
 
-    def test_the_subscription_comes_back_by_itself(self) -> None:
-        """`socket.socket()` stood outside the try: the greenlet ended, and no drain was heard again."""
+    def test_the_bus_subscription_recovers(self) -> None:
+        """socket.socket() was outside the try block: the greenlet ended, and later drains were lost."""
         bus = BusLink(self.sched, lambda event: None, self.address, ((), ()))
         with no_descriptors():
             self.sched.spawn(bus.run)
             self.sched.turn()
-        self.assertTrue(run_until(self.sched, self.accepted))
+        self.assertTrue(run_until(self.sched, self.accept_one))
         assert bus.stream
         bus.stream.close("end")
 
-    def test_a_request_for_which_no_connection_opens_was_never_sent(self) -> None:
-        """The fault was raised inside the decision's action: the request failed, its attempt never ended."""
+    def test_a_request_without_a_connection_counts_as_never_sent(self) -> None:
+        """The error was raised within an action: the request failed, and its attempt never ended."""
         back = Upstreams(self.sched, (400.0, 1000.0), 4, 8)
-        back.follow(Topology((Listed(Member("s", "z", "k", "SERVING"), self.address),), True))
+        back.follow(Topology((ListedServer(Member("s", "z", "k", "SERVING"), self.address),), True))
         job = Job()
         with no_descriptors():
             back.pools["s"].submit(job)
-        self.assertEqual(job.ends, ["skipped"], "which proves that nothing ran")
-        self.assertEqual(back.count, 0)
+        self.assertEqual(job.statuses, ["skipped"], "which means that nothing ran")
+        self.assertEqual(back.link_count, 0)
         again = Job()
         back.pools["s"].submit(again)
         self.addCleanup(back.pools["s"].close, "end")
-        self.assertTrue(run_until(self.sched, self.accepted), "the pool opens again")
+        self.assertTrue(run_until(self.sched, self.accept_one), "the pool opens again")
 
-    def test_the_listener_outlives_a_client_that_left_while_it_was_taken(self) -> None:
+    def test_the_listener_survives_a_client_that_leaves_while_it_is_accepted(self) -> None:
         engine: Any = None
         front = Front(self.sched, engine, BASE, 4, 1000)
         address = front.listen(("127.0.0.1", 0))
@@ -104,58 +104,62 @@
         self.assertTrue(run_until(self.sched, lambda: len(front.clients) == 1))
 
 
-class NoLook(unittest.TestCase):
-    """The folder that two versions share can't be read: what was seen last holds."""
+class UnreadableSharedFolder(unittest.TestCase):
+    """The folder that two versions share can't be read: the last known state stays valid."""
 
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
-        older = Sign(Path(folder.name))
+        older = ProcessMarker(Path(folder.name))
         self.addCleanup(older.remove)
-        self.sign = Sign(Path(folder.name))
+        self.sign = ProcessMarker(Path(folder.name))
         self.addCleanup(self.sign.remove)
         self.front: Any = mock.Mock(accepting=True)
         self.front.unready.return_value = "no list yet"
-        self.upgrade = Upgrade(Scheduler(), self.sign, self.front, lambda whole: True, lambda two, mine: None)
+        self.upgrade = Upgrade(
+            Scheduler(), self.sign, self.front, lambda whole: True, lambda two, younger: None
+        )
 
-    def test_the_other_process_is_not_taken_for_gone_and_the_look_goes_on(self) -> None:
-        """The look raised: its greenlet ended, and the gateway was never told to be ready."""
+    def test_the_other_process_still_counts_as_alive(self) -> None:
+        """The check raised an error: its greenlet ended, and the gateway never became ready."""
         self.assertEqual(len(self.upgrade.older()), 1)
         with no_descriptors():
             self.upgrade.look()
         self.assertEqual(len(self.upgrade.older()), 1)
-        self.assertFalse(self.front.accepting, "the older one serves")
+        self.assertFalse(self.front.accepting, "the older process serves")
 
-    def test_a_stop_leaves_all_the_same(self) -> None:
-        """SIGTERM ended in the look's fault: nobody was told to go, and the kill took what was in hand."""
+    def test_a_stop_still_drains_the_clients(self) -> None:
+        """SIGTERM failed with the check: no client got GOING, and the kill ended the open requests."""
         with no_descriptors():
             self.upgrade.stop()
         self.front.leave.stop.assert_called_once()
 
 
-class NoRead(unittest.TestCase):
-    def test_hold_outs_told_while_no_file_can_be_read_are_taken_later(self) -> None:
-        """The fault ended the greenlet, and the file counted as seen."""
+class UnreadableHoldOuts(unittest.TestCase):
+    def test_hold_outs_are_read_once_descriptors_are_free(self) -> None:
+        """The error ended the greenlet, and the file counted as read."""
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         sched, told = Scheduler(), list[Event]()
-        mine, other = (HoldOuts(Path(folder.name), told.append, "origin") for _ in range(2))
-        server = Listed(Member("s-1", "z", "k", "SERVING"), ("127.0.0.1", 1))
-        for each in (mine, other):
+        local_holdouts, other_holdouts = (
+            HoldOuts(Path(folder.name), told.append, "origin") for _ in range(2)
+        )
+        server = ListedServer(Member("s-1", "z", "k", "SERVING"), ("127.0.0.1", 1))
+        for each in (local_holdouts, other_holdouts):
             each.news(Topology((server,), True))
-        sched.spawn(mine.run, sched)
-        other.disable("s-1")
+        sched.spawn(local_holdouts.run, sched)
+        other_holdouts.disable("s-1")
         with no_descriptors():
             end = time.monotonic() + 0.5
             while time.monotonic() < end:
                 sched.later(1.0, lambda: None)
                 sched.turn()
-            self.assertEqual(mine.out, frozenset())
-        self.assertTrue(run_until(sched, lambda: mine.out == {"s-1"}))
+            self.assertEqual(local_holdouts.out, frozenset())
+        self.assertTrue(run_until(sched, lambda: local_holdouts.out == {"s-1"}))
 
 
-class Room(unittest.TestCase):
-    """Who makes room where clients hold all that they may."""
+class MakingRoom(unittest.TestCase):
+    """Which client is closed when the number of clients is at its limit."""
 
     def setUp(self) -> None:
         engine: Any = None
@@ -165,37 +169,37 @@
         self.server = socket.create_server(("127.0.0.1", 0))
         self.addCleanup(self.server.close)
 
-    def client(self) -> tuple[Client, socket.socket]:
+    def add_client(self) -> tuple[Client, socket.socket]:
         other = socket.create_connection(self.server.getsockname())
         self.addCleanup(other.close)
         client = Client(self.front, Stream(self.sched, self.server.accept()[0]), "peer")
         self.addCleanup(client.stream.close, "end")
-        client.asked = True
+        client.has_sent_frame = True
         self.front.clients.add(client)
         return client, other
 
-    def test_one_that_waits_for_its_last_answer_is_not_turned_out(self) -> None:
-        """`closing` alone counted as idle: its open request was lost with the connection."""
-        client, _ = self.client()
+    def test_a_client_waiting_for_its_last_answer_is_not_closed(self) -> None:
+        """A closing client counted as idle: its open request was lost with the connection."""
+        client, _ = self.add_client()
         exchange: Any = mock.Mock(spec=Exchange)
-        client.open[1] = exchange
+        client.open_exchanges[1] = exchange
         client.close_when_done("half")
         self.assertFalse(self.front.make_room())
         self.assertEqual(client.stream.code, "")
 
-    def test_one_whose_answer_has_not_gone_out_is_not_turned_out(self) -> None:
-        client, _ = self.client()
+    def test_a_client_with_an_unsent_answer_is_not_closed(self) -> None:
+        client, _ = self.add_client()
         client.stream.write(bytes(8_000_000))
-        client.closing = "half"
+        client.close_code = "half"
         self.assertFalse(self.front.make_room())
 
-    def test_an_idle_one_goes_before_one_whose_last_answer_is_under_way(self) -> None:
-        lingering, other = self.client()
-        lingering.seen_ms -= 10_000.0
+    def test_an_idle_client_is_closed_before_a_lingering_one(self) -> None:
+        lingering, other = self.add_client()
+        lingering.last_activity_ms -= 10_000.0
         lingering.close_when_done("half")
         other.sendall(b"late")
-        idle, _ = self.client()
+        idle, _ = self.add_client()
         self.assertTrue(self.front.make_room())
         self.assertEqual((lingering.stream.code, idle.stream.code), ("", "full"))
-        self.assertTrue(self.front.make_room(), "but with none idle it makes room all the same")
+        self.assertTrue(self.front.make_room(), "without an idle client the lingering one is closed")
         self.assertEqual(lingering.stream.code, "full")
--- a/tests/repo/test_repo_decide.py
+++ b/tests/repo/test_repo_decide.py
@@ -8,10 +8,10 @@
 from hypothesis import strategies as st
 
 from hitchtiller.repo import conditions, ranges
-from hitchtiller.repo.admission import CEILING, FLOOR, Doors, GiveWay
+from hitchtiller.repo.admission import CEILING, FLOOR, BackgroundLimit, ConnectionLimits
 from hitchtiller.repo.body import HOLD, Assembly, Broken, Piece, Proofs, Restart
 from hitchtiller.repo.budget import Budget, FileBudget
-from hitchtiller.repo.generations import KEPT, Line, Named, State
+from hitchtiller.repo.generations import KEPT, Line, NamedFile, State
 from hitchtiller.repo.paths import BadTarget, object_key, read_target
 from hitchtiller.repo.window import HIGH, MOST, Window
 
@@ -130,11 +130,11 @@
 # Generations
 
 
-def named(**files: str) -> dict[str, Named]:
-    return {name: Named(name, digest) for name, digest in files.items()}
+def named(**files: str) -> dict[str, NamedFile]:
+    return {name: NamedFile(name, digest) for name, digest in files.items()}
 
 
-def served(line: Line, digest: str, files: dict[str, Named], at: float, client: str = "c") -> None:
+def served(line: Line, digest: str, files: dict[str, NamedFile], at: float, client: str = "c") -> None:
     line.saw(digest, files, at, b"")
     for path in files:
         line.found(digest, path)
@@ -147,7 +147,7 @@
     served(line, "g1", named(a="1"), 10.0)
     second = line.saw("g2", named(a="1", b="2"), 20.0, b"")
     assert second.wanted == {"b"} and line.to_look(20.0) is second
-    assert line.serve("c", 20.0).digest == "g1" and line.held_back == 1  # type: ignore[union-attr]
+    assert line.serve("c", 20.0).digest == "g1" and line.updates_withheld == 1  # type: ignore[union-attr]
     line.missing("g2", 20.0)
     assert line.to_look(100.0) is None and line.to_look(600.0) is second
     line.found("g2", "b")
@@ -158,8 +158,8 @@
     line = Line(1000.0)
     served(line, "g1", named(a="1", b="1"), 10.0, "old")
     served(line, "g2", named(a="2", c="2"), 20.0, "new")
-    assert line.permitted("old", "a", 30.0) == Named("a", "1")
-    assert line.permitted("new", "a", 30.0) == Named("a", "2") == line.permitted("stranger", "a", 30.0)
+    assert line.permitted("old", "a", 30.0) == NamedFile("a", "1")
+    assert line.permitted("new", "a", 30.0) == NamedFile("a", "2") == line.permitted("stranger", "a", 30.0)
     assert not line.permitted("new", "b", 30.0), "its index does not name it"
     assert not line.permitted("old", "a", 1021.0) and line.outdated("old", 1021.0)
     assert line.permitted("new", "a", 1021.0)
@@ -172,7 +172,7 @@
     assert line.saw("g1", {}, 30.0, b"").state is State.RETIRED
     generation = line.serve("c", 30.0)
     assert generation and generation.digest == "g1" and line.rolled_back == 1
-    assert line.permitted("c", "a", 31.0) == Named("a", "1")
+    assert line.permitted("c", "a", 31.0) == NamedFile("a", "1")
 
 
 def test_a_cache_that_lags_changes_nothing() -> None:
@@ -306,7 +306,7 @@
 
 
 def test_background_gives_way_when_the_foreground_falls_behind_and_comes_back() -> None:
-    way, now = GiveWay(), 0.0
+    way, now = BackgroundLimit(), 0.0
     for _ in range(400):
         now += 10.0
         way.foreground(in_time=False, now_ms=now)
@@ -323,11 +323,11 @@
         now += 200.0
         way.look(100.0, now)
     assert way.limit == FLOOR, "the loop's lag counts too"
-    assert GiveWay(on=False, open=10**6).admits()
+    assert BackgroundLimit(on=False, open=10**6).admits()
 
 
 def test_doors_are_bounded_in_all_and_by_address() -> None:
-    doors = Doors(3, 2)
+    doors = ConnectionLimits(3, 2)
     assert [doors.enter("a"), doors.enter("a"), doors.enter("a"), doors.enter("b"), doors.enter("c")] == [
         "", "", "too-many-of-one-address", "", "full",
     ]  # fmt: skip
