--- a/standins/compatibility.py
+++ b/standins/compatibility.py
@@ -33,8 +33,8 @@
 
 import click
 
-from standins.client import Terminal, Verdicts
-from standins.parties import Bus, Script, Server
+from standins.client import StandInClient, Verdicts
+from standins.parties import Bus, Server, ServerBehaviour
 from standins.truth import Truth
 
 ROOT = Path(__file__).parent.parent
@@ -271,7 +271,7 @@
     return setup
 
 
-async def hang_up(client: Terminal) -> None:
+async def hang_up(client: StandInClient) -> None:
     """Close a client's connection and wait until its task has ended."""
     client.close()
     if client.task:
@@ -295,10 +295,10 @@
         """
         self.has_leaving = has_leaving
         self.rng, self.truth, self.verdicts = random.Random(seed), Truth(), Verdicts()
-        self.zones, script = zones, Script(lacks=lacks)
+        self.zones, script = zones, ServerBehaviour(lacks=lacks)
         self.caches = [Server(self.truth, script, random.Random(seed + n)) for n, _ in enumerate(zones)]
         self.parent = Server(self.truth, script, random.Random(seed + 50))
-        self.origin = Server(self.truth, Script(), random.Random(seed + 51), origin=True)
+        self.origin = Server(self.truth, ServerBehaviour(), random.Random(seed + 51), origin=True)
         self.fills: Counter[tuple[int, str, int]] = Counter()  # by cache, source and object
         self.looks: Counter[tuple[int, int]] = Counter()  # by cache and object: requests that name no source
         self.bus: Bus | None = None
@@ -354,9 +354,9 @@
         """Return the requests that servers have had."""
         return sum(server.pulls for server in (*self.caches, self.parent, self.origin))
 
-    async def client(self, gateway: Gateway) -> Terminal:
+    async def client(self, gateway: Gateway) -> StandInClient:
         """Return a client that is connected to a gateway."""
-        client = Terminal(self.truth, self.verdicts, random.Random(self.rng.getrandbits(32)))
+        client = StandInClient(self.truth, self.verdicts, random.Random(self.rng.getrandbits(32)))
         await client.connect(gateway.port)
         return client
 
