--- a/standins/parties.py
+++ b/standins/parties.py
@@ -1,6 +1,7 @@
-"""Caches, a district cache, the head office and the event bus on asyncio.
+"""Stand-in station caches, a parent cache, the origin and the event bus, on asyncio.
 
-They fill, lag, fail and break off on a script.
+The servers answer PULL commands from the copies that `Truth` prescribes; a `ServerBehaviour` makes them slow,
+fail, stay silent or close a connection in the middle of an answer.
 """
 
 import asyncio
@@ -17,38 +18,39 @@
 
 @dataclass(slots=True)
 class ServerBehaviour:
-    """How a server behaves; shares are of requests, times in ms."""
+    """How a server behaves; the shares are shares of its requests, from 0 to 1."""
 
     delay_ms: float = 1.0
-    fail: float = 0.0  # answers BROKE
-    silent: float = 0.0  # never answers
-    cut: float = 0.0  # closes in the middle of an answer
-    lacks: bool = False  # answers LACK where it holds no copy and no source is named
-    drop_ms: float = 200.0  # after a purge was told, until which older copies are still held
+    fail: float = 0.0  # answered with BROKE
+    silent: float = 0.0  # never answered
+    cut: float = 0.0  # the connection closes in the middle of the answer
+    lacks: bool = False  # answers LACK if it holds no copy and the request names no source
+    drop_ms: float = 200.0  # from the announcement of a purge until older copies are dropped
 
 
 @dataclass(slots=True)
 class Held:
-    """A copy at a cache."""
+    """A copy that a cache holds, and the time at which it was filled."""
 
     version: int
     since_ms: float
 
 
 class Server:
-    """A station cache, a district cache or, with `origin`, the head office."""
+    """A station cache, a parent cache or, with `origin`, the origin, which always has the current version."""
 
     def __init__(
         self, truth: Truth, script: ServerBehaviour, rng: random.Random, origin: bool = False
     ) -> None:
-        """Start empty."""
+        """Create a server that holds no copy; `rng` draws which requests go wrong."""
         self.truth, self.script, self.rng, self.origin = truth, script, rng, origin
         self.held: dict[tuple[int, int], Held] = {}
         self.pulls = self.kept = 0
         self.asked: dict[tuple[int, int], int] = {}
         self.port = 0
-        self.hook: Callable[[dict[str, str]], Any] | None = None  # awaited before an answer
-        self.ear: Callable[[tuple[str, int], dict[str, str]], None] | None = None  # each PULL: from, fields
+        self.hook: Callable[[dict[str, str]], Any] | None = None  # awaited before each answer
+        # Called for each PULL with the address of the gateway's end of the connection and the fields.
+        self.ear: Callable[[tuple[str, int], dict[str, str]], None] | None = None
 
     async def start(self) -> None:
         """Listen on a free port."""
@@ -78,7 +80,7 @@
             writer.close()
 
     def _copy(self, key: int, part: int, cap_ms: float) -> Held:
-        """Give a copy that will do: the one held, or a fresh one from the head office."""
+        """Return the held copy if no purge and no age limit forbids it, else a new copy of now."""
         now, place = now_ms(), (key, part)
         held = self.held.get(place)
         if held and not self.origin:
@@ -129,9 +131,10 @@
 
 @dataclass(slots=True)
 class Life:
-    """One life of a gateway as the bus numbers it.
+    """The numbered events that the bus has for one run of a gateway process.
 
-    Its list, then the purges of the last while, then what comes.
+    The first event is the list of servers; the recent purges that the configuration repeats follow, then the
+    events that the bus sends. `known` is the part that the gateway's configuration holds already.
     """
 
     events: list[bytes] = field(default_factory=list)
@@ -139,22 +142,23 @@
 
 
 class Bus:
-    """The event bus.
+    """The event bus of one gateway.
 
-    Numbers begin anew with each life, and a start is told the purges of the last `replay_ms`.
+    Event numbers start at 1 for each run of the gateway, and its configuration repeats the purges of the last
+    `replay_ms`.
     """
 
     def __init__(
         self, truth: Truth, hosts: list[dict[str, Any]], replay_ms: float, beat_ms: float = 200.0
     ) -> None:
-        """Tell of these hosts and of the truth's purges."""
+        """Announce these hosts and the purges of `truth`, with a heartbeat every `beat_ms`."""
         self.truth, self.hosts, self.replay_ms, self.beat_ms = truth, hosts, replay_ms, beat_ms
         self.life = Life()
-        self.told = 0  # purges of the truth that the present life has
+        self.told = 0  # the number of the truth's purges that the current run has been given
         self.port = 0
         self.silent = False
-        self.late_ms = 0.0  # by which this gateway hears later than others
-        self.known: dict[str, Any] = {}  # what the present life's configuration holds
+        self.late_ms = 0.0  # extra delay until this gateway is told of a purge
+        self.known: dict[str, Any] = {}  # the events in the configuration of the current run
 
     async def start(self) -> None:
         """Listen on a free port."""
@@ -162,7 +166,7 @@
         self.port = server.sockets[0].getsockname()[1]
 
     def begin(self) -> dict[str, Any]:
-        """Begin a life; gives what its configuration calls `known`."""
+        """Start the events of a new run; return the `known` object for its configuration."""
         self.life = Life()
         topology = {"seq": 1, "whole": True, "hosts": self.hosts}
         self.life.known.append({"offset": 1, "topology": topology})
@@ -181,7 +185,7 @@
         return self.known
 
     def change(self, host: dict[str, Any], zones: list[str], kinds: list[str]) -> None:
-        """Tell that a host has changed; zones and kinds are named in the order of the settings."""
+        """Append an event for a changed host; `zones` and `kinds` are in the order of the settings."""
         ip, _, port = host["dial"].rpartition(":")
         record = RECORD.pack(
             int(host["host"].removeprefix("s-"), 16), bytes(map(int, ip.split("."))), int(port),
@@ -200,7 +204,7 @@
         self.life.events.append(len(payload).to_bytes(4, "big") + payload)
 
     def tell(self) -> None:
-        """Put into the present life what has come due."""
+        """Append an event for each purge whose announcement is due."""
         now = now_ms()
         while (
             self.told < len(self.truth.purges) and self.truth.purges[self.told].told_ms + self.late_ms <= now
