--- a/standins/parties.py
+++ b/standins/parties.py
@@ -29,7 +29,7 @@
 
 
 @dataclass(slots=True)
-class Held:
+class CachedCopy:
     """A copy that a cache holds, and the time at which it was filled."""
 
     version: int
@@ -44,7 +44,7 @@
     ) -> None:
         """Create a server that holds no copy; `rng` draws which requests go wrong."""
         self.truth, self.script, self.rng, self.origin = truth, script, rng, origin
-        self.held: dict[tuple[int, int], Held] = {}
+        self.held: dict[tuple[int, int], CachedCopy] = {}
         self.pulls = self.kept = 0
         self.asked: dict[tuple[int, int], int] = {}
         self.port = 0
@@ -79,7 +79,7 @@
         finally:
             writer.close()
 
-    def _copy(self, key: int, part: int, cap_ms: float) -> Held:
+    def _copy(self, key: int, part: int, cap_ms: float) -> CachedCopy:
         """Return the held copy if no purge and no age limit forbids it, else a new copy of now."""
         now, place = now_ms(), (key, part)
         held = self.held.get(place)
@@ -88,7 +88,7 @@
             gone = any(p.told_ms + self.script.drop_ms <= now for p in newer)
             if not gone and (not cap_ms or now - held.since_ms <= cap_ms):
                 return held
-        held = self.held[place] = Held(self.truth.version(key, now), now)
+        held = self.held[place] = CachedCopy(self.truth.version(key, now), now)
         return held
 
     async def _pull(
