--- a/standins/parties.py
+++ b/standins/parties.py
@@ -130,7 +130,7 @@
 
 
 @dataclass(slots=True)
-class Life:
+class BusSession:
     """The numbered events that the bus has for one run of a gateway process.
 
     The first event is the list of servers; the recent purges that the configuration repeats follow, then the
@@ -153,7 +153,7 @@
     ) -> None:
         """Announce these hosts and the purges of `truth`, with a heartbeat every `beat_ms`."""
         self.truth, self.hosts, self.replay_ms, self.beat_ms = truth, hosts, replay_ms, beat_ms
-        self.life = Life()
+        self.life = BusSession()
         self.told = 0  # the number of the truth's purges that the current run has been given
         self.port = 0
         self.silent = False
@@ -167,7 +167,7 @@
 
     def begin(self) -> dict[str, Any]:
         """Start the events of a new run; return the `known` object for its configuration."""
-        self.life = Life()
+        self.life = BusSession()
         topology = {"seq": 1, "whole": True, "hosts": self.hosts}
         self.life.known.append({"offset": 1, "topology": topology})
         self.life.events.append(b"")
