--- a/standins/parties.py
+++ b/standins/parties.py
@@ -40,10 +40,10 @@
     """A station cache, a parent cache or, with `origin`, the origin, which always has the current version."""
 
     def __init__(
-        self, truth: Truth, script: ServerBehaviour, rng: random.Random, origin: bool = False
+        self, truth: Truth, behaviour: ServerBehaviour, rng: random.Random, origin: bool = False
     ) -> None:
         """Create a server that holds no copy; `rng` draws which requests go wrong."""
-        self.truth, self.script, self.rng, self.origin = truth, script, rng, origin
+        self.truth, self.behaviour, self.rng, self.origin = truth, behaviour, rng, origin
         self.held: dict[tuple[int, int], CachedCopy] = {}
         self.pulls = self.kept = 0
         self.asked: dict[tuple[int, int], int] = {}
@@ -85,7 +85,7 @@
         held = self.held.get(place)
         if held and not self.origin:
             newer = [p for p in self.truth.concerning(key) if held.since_ms <= p.at_ms]
-            gone = any(p.told_ms + self.script.drop_ms <= now for p in newer)
+            gone = any(p.told_ms + self.behaviour.drop_ms <= now for p in newer)
             if not gone and (not cap_ms or now - held.since_ms <= cap_ms):
                 return held
         held = self.held[place] = CachedCopy(self.truth.version(key, now), now)
@@ -99,16 +99,16 @@
         if "dedupe" in fields:
             self.truth.effect(fields["dedupe"])
         self.asked[key, part] = self.asked.get((key, part), 0) + 1
-        script, draw = self.script, self.rng.random()
+        behaviour, draw = self.behaviour, self.rng.random()
         if self.hook:
             await self.hook(fields)
-        await asyncio.sleep(script.delay_ms / 1000.0)
-        if draw < script.silent or name in killed:
+        await asyncio.sleep(behaviour.delay_ms / 1000.0)
+        if draw < behaviour.silent or name in killed:
             return
-        if draw < script.silent + script.fail:
+        if draw < behaviour.silent + behaviour.fail:
             writer.write(resp.write_command(name, b"BROKE", b"-", b""))
             return
-        if script.lacks and "up" not in fields and (key, part) not in self.held:
+        if behaviour.lacks and "up" not in fields and (key, part) not in self.held:
             writer.write(resp.write_command(name, b"LACK", b"-", b""))
             return
         copy = self._copy(key, part, float(fields.get("cap", 0)))
@@ -119,7 +119,7 @@
             writer.write(resp.write_command(name, b"KEEP", since, b""))
             return
         answer = resp.write_command(name, b"DONE", since, self.truth.body(key, part, copy.version))
-        if draw < script.silent + script.fail + script.cut:
+        if draw < behaviour.silent + behaviour.fail + behaviour.cut:
             writer.write(answer[: len(answer) // 2])
             writer.close()
         elif not writer.is_closing():
