--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -147,7 +147,7 @@
 
     async def restart_cache(self, place: int, among: list[int] | None = None) -> None:
         """Start a cache anew, cold and empty; the buses of `among` tell of it at once."""
-        self.servers[place].held.clear()
+        self.servers[place].copies.clear()
         now = now_ms()
         self.watch.cold.start(name(place), self.weight, now)
         for number in range(self.size):  # its connections end with its process
--- a/standins/parties.py
+++ b/standins/parties.py
@@ -44,7 +44,7 @@
     ) -> None:
         """Create a server that holds no copy; `rng` draws which requests go wrong."""
         self.truth, self.behaviour, self.rng, self.origin = truth, behaviour, rng, origin
-        self.held: dict[tuple[int, int], CachedCopy] = {}
+        self.copies: dict[tuple[int, int], CachedCopy] = {}
         self.pulls = self.kept = 0
         self.asked: dict[tuple[int, int], int] = {}
         self.port = 0
@@ -82,13 +82,13 @@
     def _copy(self, key: int, part: int, cap_ms: float) -> CachedCopy:
         """Return the held copy if no purge and no age limit forbids it, else a new copy of now."""
         now, place = now_ms(), (key, part)
-        held = self.held.get(place)
+        held = self.copies.get(place)
         if held and not self.origin:
             newer = [p for p in self.truth.concerning(key) if held.since_ms <= p.at_ms]
             gone = any(p.told_ms + self.behaviour.drop_ms <= now for p in newer)
             if not gone and (not cap_ms or now - held.since_ms <= cap_ms):
                 return held
-        held = self.held[place] = CachedCopy(self.truth.version(key, now), now)
+        held = self.copies[place] = CachedCopy(self.truth.version(key, now), now)
         return held
 
     async def _pull(
@@ -108,7 +108,7 @@
         if draw < behaviour.silent + behaviour.fail:
             writer.write(resp.write_command(name, b"BROKE", b"-", b""))
             return
-        if behaviour.lacks and "up" not in fields and (key, part) not in self.held:
+        if behaviour.lacks and "up" not in fields and (key, part) not in self.copies:
             writer.write(resp.write_command(name, b"LACK", b"-", b""))
             return
         copy = self._copy(key, part, float(fields.get("cap", 0)))
