--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -109,7 +109,7 @@
         self.fabric.start()
         for place, server in enumerate(self.servers):
             await server.start()
-            server.ear = partial(self._heard, name(place))
+            server.on_pull = partial(self._heard, name(place))
         for number in range(self.size):
             for place, server in enumerate(self.servers):
                 await self._relay(number, name(place), server)
--- a/standins/parties.py
+++ b/standins/parties.py
@@ -50,7 +50,7 @@
         self.port = 0
         self.hook: Callable[[dict[str, str]], Any] | None = None  # awaited before each answer
         # Called for each PULL with the address of the gateway's end of the connection and the fields.
-        self.ear: Callable[[tuple[str, int], dict[str, str]], None] | None = None
+        self.on_pull: Callable[[tuple[str, int], dict[str, str]], None] | None = None
 
     async def start(self) -> None:
         """Listen on a free port."""
@@ -69,8 +69,8 @@
                         killed.add(name)
                     elif word == b"PULL":
                         fields = resp.read_fields(rest[0])
-                        if self.ear:
-                            self.ear(peer, fields)
+                        if self.on_pull:
+                            self.on_pull(peer, fields)
                         task = asyncio.create_task(self._pull(writer, name, fields, killed))
                         tasks.add(task)
                         task.add_done_callback(tasks.discard)
