--- a/standins/parties.py
+++ b/standins/parties.py
@@ -46,7 +46,7 @@
         self.truth, self.behaviour, self.rng, self.origin = truth, behaviour, rng, origin
         self.copies: dict[tuple[int, int], CachedCopy] = {}
         self.pulls = self.kept = 0
-        self.asked: dict[tuple[int, int], int] = {}
+        self.pull_counts: dict[tuple[int, int], int] = {}
         self.port = 0
         self.hook: Callable[[dict[str, str]], Any] | None = None  # awaited before each answer
         # Called for each PULL with the address of the gateway's end of the connection and the fields.
@@ -98,7 +98,7 @@
         key, part = int(fields["name"], 16), int(fields["piece"])
         if "dedupe" in fields:
             self.truth.effect(fields["dedupe"])
-        self.asked[key, part] = self.asked.get((key, part), 0) + 1
+        self.pull_counts[key, part] = self.pull_counts.get((key, part), 0) + 1
         behaviour, draw = self.behaviour, self.rng.random()
         if self.hook:
             await self.hook(fields)
