--- a/standins/parties.py
+++ b/standins/parties.py
@@ -21,7 +21,7 @@
     """How a server behaves; the shares are shares of its requests, from 0 to 1."""
 
     delay_ms: float = 1.0
-    fail: float = 0.0  # answered with BROKE
+    fail_share: float = 0.0  # answered with BROKE
     silent: float = 0.0  # never answered
     cut: float = 0.0  # the connection closes in the middle of the answer
     lacks: bool = False  # answers LACK if it holds no copy and the request names no source
@@ -105,7 +105,7 @@
         await asyncio.sleep(behaviour.delay_ms / 1000.0)
         if draw < behaviour.silent or name in killed:
             return
-        if draw < behaviour.silent + behaviour.fail:
+        if draw < behaviour.silent + behaviour.fail_share:
             writer.write(resp.write_command(name, b"BROKE", b"-", b""))
             return
         if behaviour.lacks and "up" not in fields and (key, part) not in self.copies:
@@ -119,7 +119,7 @@
             writer.write(resp.write_command(name, b"KEEP", since, b""))
             return
         answer = resp.write_command(name, b"DONE", since, self.truth.body(key, part, copy.version))
-        if draw < behaviour.silent + behaviour.fail + behaviour.cut:
+        if draw < behaviour.silent + behaviour.fail_share + behaviour.cut:
             writer.write(answer[: len(answer) // 2])
             writer.close()
         elif not writer.is_closing():
