--- a/standins/parties.py
+++ b/standins/parties.py
@@ -22,7 +22,7 @@
 
     delay_ms: float = 1.0
     fail_share: float = 0.0  # answered with BROKE
-    silent: float = 0.0  # never answered
+    silent_share: float = 0.0  # never answered
     cut: float = 0.0  # the connection closes in the middle of the answer
     lacks: bool = False  # answers LACK if it holds no copy and the request names no source
     drop_ms: float = 200.0  # from the announcement of a purge until older copies are dropped
