--- a/standins/parties.py
+++ b/standins/parties.py
@@ -23,7 +23,7 @@
     delay_ms: float = 1.0
     fail_share: float = 0.0  # answered with BROKE
     silent_share: float = 0.0  # never answered
-    cut: float = 0.0  # the connection closes in the middle of the answer
+    cut_share: float = 0.0  # the connection closes in the middle of the answer
     lacks: bool = False  # answers LACK if it holds no copy and the request names no source
     drop_ms: float = 200.0  # from the announcement of a purge until older copies are dropped
 
@@ -119,7 +119,7 @@
             writer.write(resp.write_command(name, b"KEEP", since, b""))
             return
         answer = resp.write_command(name, b"DONE", since, self.truth.body(key, part, copy.version))
-        if draw < behaviour.silent + behaviour.fail_share + behaviour.cut:
+        if draw < behaviour.silent + behaviour.fail_share + behaviour.cut_share:
             writer.write(answer[: len(answer) // 2])
             writer.close()
         elif not writer.is_closing():
