--- a/standins/parties.py
+++ b/standins/parties.py
@@ -25,7 +25,7 @@
     silent_share: float = 0.0  # never answered
     cut_share: float = 0.0  # the connection closes in the middle of the answer
     lacks: bool = False  # answers LACK if it holds no copy and the request names no source
-    drop_ms: float = 200.0  # from the announcement of a purge until older copies are dropped
+    purge_delay_ms: float = 200.0  # from the announcement of a purge until older copies are dropped
 
 
 @dataclass(slots=True)
@@ -85,7 +85,7 @@
         held = self.copies.get(place)
         if held and not self.origin:
             newer = [p for p in self.truth.concerning(key) if held.since_ms <= p.at_ms]
-            gone = any(p.told_ms + self.behaviour.drop_ms <= now for p in newer)
+            gone = any(p.told_ms + self.behaviour.purge_delay_ms <= now for p in newer)
             if not gone and (not cap_ms or now - held.since_ms <= cap_ms):
                 return held
         held = self.copies[place] = CachedCopy(self.truth.version(key, now), now)
--- a/standins/releases.py
+++ b/standins/releases.py
@@ -26,7 +26,7 @@
 ) -> dict[str, Any]:
     """Play it; gives what was seen."""
     rng = random.Random(seed)
-    first = Rig(seed, caches, ServerBehaviour(drop_ms=500.0))
+    first = Rig(seed, caches, ServerBehaviour(purge_delay_ms=500.0))
     truth = RepoTruth()
     first.truth = truth
     for server in (*first.caches, first.parent, first.origin):
