--- a/standins/parties.py
+++ b/standins/parties.py
@@ -153,7 +153,7 @@
     ) -> None:
         """Announce these hosts and the purges of `truth`, with a heartbeat every `beat_ms`."""
         self.truth, self.hosts, self.replay_ms, self.beat_ms = truth, hosts, replay_ms, beat_ms
-        self.life = BusSession()
+        self.session = BusSession()
         self.told = 0  # the number of the truth's purges that the current run has been given
         self.port = 0
         self.silent = False
@@ -167,21 +167,21 @@
 
     def begin(self) -> dict[str, Any]:
         """Start the events of a new run; return the `known` object for its configuration."""
-        self.life = BusSession()
+        self.session = BusSession()
         topology = {"seq": 1, "whole": True, "hosts": self.hosts}
-        self.life.known.append({"offset": 1, "topology": topology})
-        self.life.events.append(b"")
+        self.session.known.append({"offset": 1, "topology": topology})
+        self.session.events.append(b"")
         now = now_ms()
         for purge in self.truth.purges:
             if purge.told_ms + self.late_ms <= now and now - purge.at_ms <= self.replay_ms:
                 self._add(purge)
-                number = len(self.life.events)
+                number = len(self.session.events)
                 ban: dict[str, Any] = (
                     {"tag": purge.group} if purge.key is None else {"url": f"{purge.key:016x}"}
                 )
-                self.life.known.append({"offset": number, "ban": ban | {"ts": int(purge.at_ms)}})
+                self.session.known.append({"offset": number, "ban": ban | {"ts": int(purge.at_ms)}})
         self.told = sum(purge.told_ms + self.late_ms <= now for purge in self.truth.purges)
-        self.known = {"offset": len(self.life.events), "batch": self.life.known}
+        self.known = {"offset": len(self.session.events), "batch": self.session.known}
         return self.known
 
     def change(self, host: dict[str, Any], zones: list[str], kinds: list[str]) -> None:
@@ -192,16 +192,16 @@
             HEALTHS.index(host["health"]), zones.index(host["site"]), kinds.index(host["class"]),
             host["block"], int(1000 * host["share"]), int(host["born_ms"]),
         )  # fmt: skip
-        payload = HEAD.pack(len(self.life.events) + 1, CHANGES) + record
-        self.life.events.append(len(payload).to_bytes(4, "big") + payload)
+        payload = HEAD.pack(len(self.session.events) + 1, CHANGES) + record
+        self.session.events.append(len(payload).to_bytes(4, "big") + payload)
 
     def _add(self, purge: Purge) -> None:
-        number = len(self.life.events) + 1
+        number = len(self.session.events) + 1
         if purge.key is not None:
             payload = HEAD.pack(number, 3) + struct.pack(">QQ", purge.key, int(purge.at_ms))
         else:
             payload = HEAD.pack(number, 4) + struct.pack(">HQ", purge.group, int(purge.at_ms))
-        self.life.events.append(len(payload).to_bytes(4, "big") + payload)
+        self.session.events.append(len(payload).to_bytes(4, "big") + payload)
 
     def tell(self) -> None:
         """Append an event for each purge whose announcement is due."""
@@ -215,13 +215,13 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
             last = int.from_bytes(await reader.readexactly(8), "big")
-            life, beat = self.life, 0.0
-            while life is self.life and not writer.is_closing():
+            session, beat = self.session, 0.0
+            while session is self.session and not writer.is_closing():
                 self.tell()
                 if not self.silent:
-                    for event in life.events[last:]:
+                    for event in session.events[last:]:
                         writer.write(event)
-                    last = len(life.events)
+                    last = len(session.events)
                     if now_ms() - beat >= self.beat_ms:
                         beat = now_ms()
                         writer.write((9).to_bytes(4, "big") + HEAD.pack(last, 0))
