--- a/standins/parties.py
+++ b/standins/parties.py
@@ -149,10 +149,10 @@
     """
 
     def __init__(
-        self, truth: Truth, hosts: list[dict[str, Any]], replay_ms: float, beat_ms: float = 200.0
+        self, truth: Truth, hosts: list[dict[str, Any]], replay_ms: float, heartbeat_ms: float = 200.0
     ) -> None:
         """Announce these hosts and the purges of `truth`, with a heartbeat every `beat_ms`."""
-        self.truth, self.hosts, self.replay_ms, self.beat_ms = truth, hosts, replay_ms, beat_ms
+        self.truth, self.hosts, self.replay_ms, self.heartbeat_ms = truth, hosts, replay_ms, heartbeat_ms
         self.session = BusSession()
         self.told = 0  # the number of the truth's purges that the current run has been given
         self.port = 0
@@ -222,7 +222,7 @@
                     for event in session.events[last:]:
                         writer.write(event)
                     last = len(session.events)
-                    if now_ms() - beat >= self.beat_ms:
+                    if now_ms() - beat >= self.heartbeat_ms:
                         beat = now_ms()
                         writer.write((9).to_bytes(4, "big") + HEAD.pack(last, 0))
                     await writer.drain()
