--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -141,7 +141,7 @@
             bus = self.buses[number]
             host = bus.hosts[place]
             host |= news
-            bus.change(host, setup["localities"], setup["skus"])
+            bus.announce_host(host, setup["localities"], setup["skus"])
             if self.wires[number, BUS].way is LinkMode.PASS:
                 self.watch.told(number, host)
 
--- a/standins/parties.py
+++ b/standins/parties.py
@@ -184,7 +184,7 @@
         self.known = {"offset": len(self.session.events), "batch": self.session.known}
         return self.known
 
-    def change(self, host: dict[str, Any], zones: list[str], kinds: list[str]) -> None:
+    def announce_host(self, host: dict[str, Any], zones: list[str], kinds: list[str]) -> None:
         """Append an event for a changed host; `zones` and `kinds` are in the order of the settings."""
         ip, _, port = host["dial"].rpartition(":")
         record = RECORD.pack(
