--- a/standins/parties.py
+++ b/standins/parties.py
@@ -203,7 +203,7 @@
             payload = HEAD.pack(number, 4) + struct.pack(">HQ", purge.group, int(purge.at_ms))
         self.session.events.append(len(payload).to_bytes(4, "big") + payload)
 
-    def tell(self) -> None:
+    def append_due_purges(self) -> None:
         """Append an event for each purge whose announcement is due."""
         now = now_ms()
         while (
@@ -217,7 +217,7 @@
             last = int.from_bytes(await reader.readexactly(8), "big")
             session, beat = self.session, 0.0
             while session is self.session and not writer.is_closing():
-                self.tell()
+                self.append_due_purges()
                 if not self.silent:
                     for event in session.events[last:]:
                         writer.write(event)
