--- a/standins/parties.py
+++ b/standins/parties.py
@@ -157,7 +157,7 @@
         self.told = 0  # the number of the truth's purges that the current run has been given
         self.port = 0
         self.silent = False
-        self.late_ms = 0.0  # extra delay until this gateway is told of a purge
+        self.extra_delay_ms = 0.0  # extra delay until this gateway is told of a purge
         self.known: dict[str, Any] = {}  # the events in the configuration of the current run
 
     async def start(self) -> None:
@@ -173,14 +173,14 @@
         self.session.events.append(b"")
         now = now_ms()
         for purge in self.truth.purges:
-            if purge.told_ms + self.late_ms <= now and now - purge.at_ms <= self.replay_ms:
+            if purge.told_ms + self.extra_delay_ms <= now and now - purge.at_ms <= self.replay_ms:
                 self._add(purge)
                 number = len(self.session.events)
                 ban: dict[str, Any] = (
                     {"tag": purge.group} if purge.key is None else {"url": f"{purge.key:016x}"}
                 )
                 self.session.known.append({"offset": number, "ban": ban | {"ts": int(purge.at_ms)}})
-        self.told = sum(purge.told_ms + self.late_ms <= now for purge in self.truth.purges)
+        self.told = sum(purge.told_ms + self.extra_delay_ms <= now for purge in self.truth.purges)
         self.known = {"offset": len(self.session.events), "batch": self.session.known}
         return self.known
 
@@ -207,7 +207,8 @@
         """Append an event for each purge whose announcement is due."""
         now = now_ms()
         while (
-            self.told < len(self.truth.purges) and self.truth.purges[self.told].told_ms + self.late_ms <= now
+            self.told < len(self.truth.purges)
+            and self.truth.purges[self.told].told_ms + self.extra_delay_ms <= now
         ):
             self._add(self.truth.purges[self.told])
             self.told += 1
--- a/standins/releases.py
+++ b/standins/releases.py
@@ -62,7 +62,9 @@
             rig.repositories()
             await rig.start()
         for number, rig in enumerate(rigs):
-            rig.bus.late_ms = 300.0 * (number % 2)  # one gateway hears of everything later than another
+            rig.bus.extra_delay_ms = 300.0 * (
+                number % 2
+            )  # one gateway hears of everything later than another
             await rig.launch()
         await asyncio.gather(publish(), *(client(number) for number in range(clients)))
         figures = [await rig.figures() for rig in rigs]
