--- a/standins/parties.py
+++ b/standins/parties.py
@@ -126,7 +126,7 @@
             writer.write(answer)
 
 
-HEALTHS = ("Ready", "Terminating", "Gone")
+HEALTH_VALUES = ("Ready", "Terminating", "Gone")
 
 
 @dataclass(slots=True)
@@ -189,7 +189,7 @@
         ip, _, port = host["dial"].rpartition(":")
         record = RECORD.pack(
             int(host["host"].removeprefix("s-"), 16), bytes(map(int, ip.split("."))), int(port),
-            HEALTHS.index(host["health"]), zones.index(host["site"]), kinds.index(host["class"]),
+            HEALTH_VALUES.index(host["health"]), zones.index(host["site"]), kinds.index(host["class"]),
             host["block"], int(1000 * host["share"]), int(host["born_ms"]),
         )  # fmt: skip
         payload = HEAD.pack(len(self.session.events) + 1, CHANGES) + record
