--- a/standins/parties.py
+++ b/standins/parties.py
@@ -103,9 +103,9 @@
         if self.hook:
             await self.hook(fields)
         await asyncio.sleep(behaviour.delay_ms / 1000.0)
-        if draw < behaviour.silent or name in killed:
+        if draw < behaviour.silent_share or name in killed:
             return
-        if draw < behaviour.silent + behaviour.fail_share:
+        if draw < behaviour.silent_share + behaviour.fail_share:
             writer.write(resp.write_command(name, b"BROKE", b"-", b""))
             return
         if behaviour.lacks and "up" not in fields and (key, part) not in self.copies:
@@ -119,7 +119,7 @@
             writer.write(resp.write_command(name, b"KEEP", since, b""))
             return
         answer = resp.write_command(name, b"DONE", since, self.truth.body(key, part, copy.version))
-        if draw < behaviour.silent + behaviour.fail_share + behaviour.cut_share:
+        if draw < behaviour.silent_share + behaviour.fail_share + behaviour.cut_share:
             writer.write(answer[: len(answer) // 2])
             writer.close()
         elif not writer.is_closing():
@@ -151,7 +151,7 @@
     def __init__(
         self, truth: Truth, hosts: list[dict[str, Any]], replay_ms: float, heartbeat_ms: float = 200.0
     ) -> None:
-        """Announce these hosts and the purges of `truth`, with a heartbeat every `beat_ms`."""
+        """Announce these hosts and the purges of `truth`, with a heartbeat every `heartbeat_ms`."""
         self.truth, self.hosts, self.replay_ms, self.heartbeat_ms = truth, hosts, replay_ms, heartbeat_ms
         self.session = BusSession()
         self.told = 0  # the number of the truth's purges that the current run has been given
@@ -216,15 +216,15 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
             last = int.from_bytes(await reader.readexactly(8), "big")
-            session, beat = self.session, 0.0
+            session, last_beat_ms = self.session, 0.0
             while session is self.session and not writer.is_closing():
                 self.append_due_purges()
                 if not self.silent:
                     for event in session.events[last:]:
                         writer.write(event)
                     last = len(session.events)
-                    if now_ms() - beat >= self.heartbeat_ms:
-                        beat = now_ms()
+                    if now_ms() - last_beat_ms >= self.heartbeat_ms:
+                        last_beat_ms = now_ms()
                         writer.write((9).to_bytes(4, "big") + HEAD.pack(last, 0))
                     await writer.drain()
                 await asyncio.sleep(0.01)
