--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -1,9 +1,10 @@
-"""Several gateway processes among stand-ins, with faults between them.
+"""Several gateway processes among stand-in servers, with faults between them.
 
-One truth, one set of caches, a district and head office for all; a fabric between the gateways, a relay
-between each of them and each server, and its bus. Processes are killed, stopped, let go on, told to end,
-upgraded and started again; what clients get is judged by `Verdicts`, what servers are asked by `Watch`, and
-what gateways believe of one another is read by their operators' calls.
+All gateways share one `Truth`, three station caches, a parent cache and the origin. A `Fabric` carries
+datagrams between the gateways; a `Relay` stands between each gateway and each server, and between each
+gateway and its event bus. Processes can be killed, stopped, resumed, terminated, upgraded and started again.
+`Verdicts` judges what clients receive and `Watch` what servers are sent; the gateways' views of one another
+are read by the operators' calls.
 """
 
 import asyncio
@@ -30,23 +31,23 @@
 
 
 def name(place: int) -> str:
-    """Name the server at a place: the caches, then the district, then head office."""
+    """Return the id of the server with this index: caches come first, then the parent, then the origin."""
     return f"s-{place:08x}"
 
 
 class Process:
-    """One life of one gateway."""
+    """One run of one gateway process."""
 
     def __init__(self, number: int) -> None:
-        """Nothing runs yet."""
+        """Prepare; the process is not started yet."""
         self.number, self.port, self.control = number, 0, 0
         self.lines: list[str] = []
         self.child: asyncio.subprocess.Process | None = None
         self.reader: asyncio.Task[None] | None = None
-        self.ready, self.serving = asyncio.Event(), False  # `serving`: a front would send clients here
+        self.ready, self.serving = asyncio.Event(), False  # `serving`: clients may be sent here
 
     async def read(self) -> None:
-        """Keep the log."""
+        """Read the process's log, and from it the ports and whether the process is ready."""
         assert self.child and self.child.stderr
         while raw := await self.child.stderr.readline():
             line = raw.decode().rstrip()
@@ -59,7 +60,7 @@
                 self.ready.set()
 
     async def call(self, line: str) -> list[str]:
-        """Make an operator's call."""
+        """Send an operator's call; return the lines of the answer."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.control)
         writer.write(line.encode() + b"\n")
         data = await asyncio.wait_for(reader.read(-1), 10.0)
@@ -67,19 +68,22 @@
         return data.decode().splitlines()
 
     async def members(self) -> dict[int, str]:
-        """Give what it believes of each number, by state."""
+        """Return the state that this process holds of each gateway, by number."""
         rows = [line.split("|") for line in await self.call("members")]
         return {int(row[0]): row[1] for row in rows if row[0].isdecimal()}
 
 
 class Fleet:
-    """`size` gateways; `old` numbers run without membership, as an older version would."""
+    """A fleet of `size` gateways; those in `old` run without membership, as an older version would."""
 
     def __init__(
         self, size: int, seed: int, period_ms: float = 200.0, old: tuple[int, ...] = (),
         weight: float = 50.0, flow_kb_per_s: float = 60_000.0,
     ) -> None:  # fmt: skip
-        """Prepare; nothing is started yet. `weight`, `flow_kb_per_s`: what a cache is told to carry."""
+        """Prepare; nothing is started yet.
+
+        `weight` and `flow_kb_per_s` are the capacity of a cache that the gateways are told.
+        """
         self.size, self.seed, self.period_ms, self.old = size, seed, period_ms, old
         self.weight, self.flow = weight, flow_kb_per_s
         self.rng, self.truth, script = random.Random(seed), Truth(), ServerBehaviour()
@@ -88,24 +92,24 @@
         self.origin = Server(self.truth, ServerBehaviour(), random.Random(seed + 51), origin=True)
         self.servers = [*self.caches, self.parent, self.origin]
         self.fabric, self.verdicts = Fabric(size, seed), Verdicts()
-        self.wires: dict[tuple[int, str], Relay] = {}  # of a gateway to a server or the bus
+        self.wires: dict[tuple[int, str], Relay] = {}  # by gateway, and server or bus
         self.buses: dict[int, Bus] = {}
         self.setups = {number: self.setup(number) for number in range(size)}
         self.watch = Watch(self.setups[0], weight)
         self.folder = Path(tempfile.mkdtemp(prefix="fleet-"))
         self.running: dict[int, Process] = {}
-        self.leavers: list[Callable[[Process], None]] = []  # clients, told of a process that will not answer
-        self.faults: list[str] = []  # processes that ended by themselves, tracebacks in logs
+        self.leavers: list[Callable[[Process], None]] = []  # called with a process that went
+        self.faults: list[str] = []  # processes that ended by themselves, and tracebacks in logs
 
     def setup(self, number: int) -> dict[str, Any]:
-        """Give a gateway's settings."""
+        """Return the settings of a gateway."""
         setup = settings() | {"my_number": number, "group_size": self.size}
         setup["limits"] = setup.get("limits", {}) | {"peers": True}
         setup["family_info"] |= {"instances_by_zone": [0, self.size], "stream_kb_per_s": self.flow}
         return setup
 
     async def start(self) -> None:
-        """Start servers, fabric, relays and all gateways, and wait until each is ready."""
+        """Start the servers, the fabric, the relays and all gateways, and wait until each is ready."""
         self.fabric.start()
         for place, server in enumerate(self.servers):
             await server.start()
@@ -135,7 +139,7 @@
         self.watch.asked(server, peer, fields.get("up", ""), 1000.0 * size / self.flow)
 
     def tell(self, place: int, among: list[int] | None = None, **news: Any) -> None:
-        """Have the buses tell of a change of a server: `health`, `born_ms`."""
+        """Announce a server's new `health` or `born_ms` on the buses of `among`, or of all gateways."""
         setup = self.setups[0]
         for number in among if among is not None else range(self.size):
             bus = self.buses[number]
@@ -146,28 +150,27 @@
                 self.watch.told(number, host)
 
     async def restart_cache(self, place: int, among: list[int] | None = None) -> None:
-        """Start a cache anew, cold and empty; the buses of `among` tell of it at once."""
+        """Restart a cache cold and empty; the buses of `among` announce it at once."""
         self.servers[place].copies.clear()
         now = now_ms()
         self.watch.cold.start(name(place), self.weight, now)
-        for number in range(self.size):  # its connections end with its process
+        for number in range(self.size):  # the cache's connections end with its process
             await self.wires[number, name(place)].set(LinkMode.REFUSE)
             await self.wires[number, name(place)].set(LinkMode.PASS)
         self.tell(place, among, born_ms=int(now))
 
     async def wire(self, way: LinkMode, numbers: list[int], targets: list[str] | None = None) -> None:
-        """Have a fault between gateways and some of the servers (or all), or the bus."""
+        """Set the mode of the links between these gateways and `targets`, or all servers and the bus."""
         for (number, target), relay in self.wires.items():
             if number in numbers and (targets is None or target in targets):
                 await relay.set(way)
-                if (
-                    target == BUS and way is LinkMode.PASS
-                ):  # what it could not hear counts as told from now on
+                if target == BUS and way is LinkMode.PASS:
+                    # What the gateway missed counts as announced from now on.
                     for host in self.buses[number].hosts:
                         self.watch.told(number, host)
 
     async def launch(self, number: int, fleet: str = "", beside: bool = False) -> Process:
-        """Start a gateway's next life, or a new version beside the one that runs."""
+        """Start a gateway's next process; with `beside`, while the present one still runs (an upgrade)."""
         bus, place = self.buses[number], self.fabric.address(number)
         config: dict[str, Any] = {
             "name": f"n{number}", "listen": "127.0.0.1:0", "control": "127.0.0.1:0",
@@ -199,7 +202,7 @@
         return process
 
     async def upgrade(self, number: int) -> Process:
-        """Start a new version beside the one that runs, and end the older one once the new one is ready."""
+        """Start a new process beside the present one, and terminate the older once the new one is ready."""
         old, new = self.running[number], await self.launch(number, beside=True)
         self.running[number] = new
         old.serving = False
@@ -216,7 +219,7 @@
             leave(process)
 
     def poke(self, number: int, which: int) -> None:
-        """Stop a process where it stands (SIGSTOP), or let it go on (SIGCONT)."""
+        """Suspend a process (SIGSTOP) or resume it (SIGCONT)."""
         process = self.running[number]
         assert process.child
         if which == signal.SIGSTOP:
@@ -225,7 +228,7 @@
         process.serving = process.serving or which == signal.SIGCONT
 
     async def end(self, number: int, which: int = signal.SIGKILL) -> int:
-        """End a process; gives its exit code."""
+        """End a process by a signal; return its exit code."""
         process = self.running.pop(number)
         assert process.child and process.reader
         process.serving = False
@@ -242,7 +245,10 @@
     async def until(
         self, wanted: dict[int, set[str]], among: list[int] | None = None, patience_s: float = 30.0
     ) -> float:
-        """Wait until each of `among` believes what is wanted of the numbers; gives the time it took."""
+        """Wait until each of `among` holds each gateway in one of its `wanted` states; return the seconds.
+
+        Raises AssertionError after `patience_s`.
+        """
         loop = asyncio.get_running_loop()
         begun, seen = loop.time(), dict[int, dict[int, str]]()
         while loop.time() - begun < patience_s:
@@ -251,26 +257,26 @@
             if all(view[n] in states for view in seen.values() for n, states in wanted.items()):
                 return loop.time() - begun
             await asyncio.sleep(self.period_ms / 4000.0)
-        raise AssertionError(f"after {patience_s} s {wanted} is not believed: {seen}")
+        raise AssertionError(f"views after {patience_s} s are {seen}; wanted are {wanted}")
 
     def declared_dead(self, among: list[int] | None = None) -> set[int]:
-        """Give the numbers that a running process, or one of these, ever held for dead."""
+        """Return the gateways that a running process of `among` (or any) ever declared dead in its log."""
         judges = [p for number, p in self.running.items() if among is None or number in among]
         lines = (line.split() for process in judges for line in process.lines)
         return {int(words[4]) for words in lines if words[3:4] == ["member"] and words[5:6] == ["DEAD"]}
 
     async def ask_all(self, count: int = 5) -> None:
-        """Have each running gateway serve some requests, judged."""
+        """Send each running gateway `count` requests and judge the answers."""
         for process in list(self.running.values()):
             terminal = StandInClient(self.truth, self.verdicts, random.Random(self.rng.getrandbits(32)))
             await terminal.connect(process.port)
             for _ in range(count):
                 if await terminal.read("files", self.rng.randrange(40)) is None:
-                    self.faults.append(f"n{process.number} broke a request off")
+                    self.faults.append(f"n{process.number} closed a connection with a request open")
             terminal.close()
 
     async def finish(self) -> None:
-        """End all, and look for what ended by itself."""
+        """End all processes; record those that had ended by themselves."""
         for process in list(self.running.values()):
             if process.child and process.child.returncode is not None:
                 self.faults.append(f"n{process.number} ended by itself: {process.child.returncode}")
@@ -284,7 +290,10 @@
 
 
 def tell(fleet: Fleet, story: Callable[[Fleet], Awaitable[None]]) -> Fleet:
-    """Start a fleet, wait until it is whole, tell a story of faults, ask all, end, and judge it all."""
+    """Start a fleet, run a scenario of faults on it, ask every gateway, end the fleet and judge the run.
+
+    The scenario starts once all gateways hold one another alive.
+    """
 
     async def run() -> None:
         try:
@@ -298,5 +307,5 @@
     asyncio.run(run())
     broken = fleet.faults + fleet.verdicts.wrong + fleet.watch.broken + fleet.truth.twice
     assert broken == [], broken
-    assert fleet.verdicts.counts["served"] >= 5, "a fleet that serves nothing breaks nothing"
+    assert fleet.verdicts.counts["served"] >= 5, "too few answers were served for the checks to mean anything"
     return fleet
