--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -98,7 +98,7 @@
         self.watch = Watch(self.setups[0], weight)
         self.folder = Path(tempfile.mkdtemp(prefix="fleet-"))
         self.running: dict[int, Process] = {}
-        self.leavers: list[Callable[[Process], None]] = []  # called with a process that went
+        self.gone_listeners: list[Callable[[Process], None]] = []  # called with a process that went
         self.faults: list[str] = []  # processes that ended by themselves, and tracebacks in logs
 
     def setup(self, number: int) -> dict[str, Any]:
@@ -215,7 +215,7 @@
 
     def _leave(self, process: Process) -> None:
         process.serving = False
-        for leave in self.leavers:
+        for leave in self.gone_listeners:
             leave(process)
 
     def poke(self, number: int, which: int) -> None:
--- a/standins/load.py
+++ b/standins/load.py
@@ -39,7 +39,7 @@
     def start(self) -> None:
         """Begin."""
         self.on = True
-        self.fleet.leavers.append(self.leave)
+        self.fleet.gone_listeners.append(self.leave)
         self.tasks = [asyncio.create_task(self._stream(n)) for n in self.numbers]
 
     async def stop(self) -> None:
@@ -49,7 +49,7 @@
         await asyncio.gather(*self.asks)
         for terminal in self.terminals.values():
             terminal.close()
-        self.fleet.leavers.remove(self.leave)
+        self.fleet.gone_listeners.remove(self.leave)
 
     async def until(self, answers: int, among: list[int] | None = None) -> None:
         """Wait until each of the gateways has given so many answers more."""
