--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -113,7 +113,7 @@
         self.fabric.start()
         for place, server in enumerate(self.servers):
             await server.start()
-            server.on_pull = partial(self._heard, name(place))
+            server.on_pull = partial(self._record_pull, name(place))
         for number in range(self.size):
             for place, server in enumerate(self.servers):
                 await self._relay(number, name(place), server)
@@ -134,7 +134,7 @@
         return {"host": name(place), "dial": dial, "class": kind, "block": 0, "health": "Ready", "born_ms": 0,
                 "site": "north" if kind == "box" else "hub", "share": self.weight}  # fmt: skip
 
-    def _heard(self, server: str, peer: tuple[str, int], fields: dict[str, str]) -> None:
+    def _record_pull(self, server: str, peer: tuple[str, int], fields: dict[str, str]) -> None:
         size = self.truth.size(int(fields["name"], 16), int(fields["piece"])) / 1000.0
         self.watch.asked(server, peer, fields.get("up", ""), 1000.0 * size / self.flow)
 
