--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -213,7 +213,7 @@
         self._look(old)
         return new
 
-    def _leave(self, process: Process) -> None:
+    def _notify_process_gone(self, process: Process) -> None:
         process.serving = False
         for leave in self.gone_listeners:
             leave(process)
@@ -223,7 +223,7 @@
         process = self.running[number]
         assert process.child
         if which == signal.SIGSTOP:
-            self._leave(process)
+            self._notify_process_gone(process)
         process.child.send_signal(which)
         process.serving = process.serving or which == signal.SIGCONT
 
@@ -235,7 +235,7 @@
         process.child.send_signal(which)
         code = await asyncio.wait_for(process.child.wait(), 10.0)
         await process.reader
-        self._leave(process)
+        self._notify_process_gone(process)
         self._look(process)
         return code
 
