--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -210,7 +210,7 @@
         old.child.send_signal(signal.SIGTERM)
         assert await asyncio.wait_for(old.child.wait(), 10.0) == 0
         await old.reader
-        self._look(old)
+        self._collect_tracebacks(old)
         return new
 
     def _notify_process_gone(self, process: Process) -> None:
@@ -236,10 +236,10 @@
         code = await asyncio.wait_for(process.child.wait(), 10.0)
         await process.reader
         self._notify_process_gone(process)
-        self._look(process)
+        self._collect_tracebacks(process)
         return code
 
-    def _look(self, process: Process) -> None:
+    def _collect_tracebacks(self, process: Process) -> None:
         self.faults += [f"n{process.number}: {line}" for line in process.lines if "Traceback" in line]
 
     async def until(
