--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -116,14 +116,14 @@
             server.on_pull = partial(self._record_pull, name(place))
         for number in range(self.size):
             for place, server in enumerate(self.servers):
-                await self._relay(number, name(place), server)
+                await self._start_relay(number, name(place), server)
             hosts = [self._host(number, place) for place in range(len(self.servers))]
             bus = self.buses[number] = Bus(self.truth, hosts, REPLAY_MS)
             await bus.start()
-            await self._relay(number, BUS, bus)
+            await self._start_relay(number, BUS, bus)
         await asyncio.gather(*(self.launch(number) for number in range(self.size)))
 
-    async def _relay(self, number: int, target: str, server: Server | Bus) -> None:
+    async def _start_relay(self, number: int, target: str, server: Server | Bus) -> None:
         relay = Relay(lambda: ("127.0.0.1", server.port), self.watch.ends, number)
         self.wires[number, target] = relay
         await relay.start()
