--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -85,7 +85,7 @@
         `weight` and `flow_kb_per_s` are the capacity of a cache that the gateways are told.
         """
         self.size, self.seed, self.period_ms, self.old = size, seed, period_ms, old
-        self.weight, self.flow = weight, flow_kb_per_s
+        self.weight, self.flow_kb_per_s = weight, flow_kb_per_s
         self.rng, self.truth, script = random.Random(seed), Truth(), ServerBehaviour()
         self.caches = [Server(self.truth, script, random.Random(seed + n)) for n in range(3)]
         self.parent = Server(self.truth, script, random.Random(seed + 50))
@@ -105,7 +105,7 @@
         """Return the settings of a gateway."""
         setup = settings() | {"my_number": number, "group_size": self.size}
         setup["limits"] = setup.get("limits", {}) | {"peers": True}
-        setup["family_info"] |= {"instances_by_zone": [0, self.size], "stream_kb_per_s": self.flow}
+        setup["family_info"] |= {"instances_by_zone": [0, self.size], "stream_kb_per_s": self.flow_kb_per_s}
         return setup
 
     async def start(self) -> None:
@@ -136,7 +136,7 @@
 
     def _record_pull(self, server: str, peer: tuple[str, int], fields: dict[str, str]) -> None:
         size = self.truth.size(int(fields["name"], 16), int(fields["piece"])) / 1000.0
-        self.watch.asked(server, peer, fields.get("up", ""), 1000.0 * size / self.flow)
+        self.watch.asked(server, peer, fields.get("up", ""), 1000.0 * size / self.flow_kb_per_s)
 
     def tell(self, place: int, among: list[int] | None = None, **news: Any) -> None:
         """Announce a server's new `health` or `born_ms` on the buses of `among`, or of all gateways."""
