--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -289,7 +289,7 @@
         self.fabric.close()
 
 
-def tell(fleet: Fleet, story: Callable[[Fleet], Awaitable[None]]) -> Fleet:
+def tell(fleet: Fleet, scenario: Callable[[Fleet], Awaitable[None]]) -> Fleet:
     """Start a fleet, run a scenario of faults on it, ask every gateway, end the fleet and judge the run.
 
     The scenario starts once all gateways hold one another alive.
@@ -299,7 +299,7 @@
         try:
             await fleet.start()
             await fleet.until({n: {"ALIVE"} for n in range(fleet.size) if n not in fleet.old})
-            await story(fleet)
+            await scenario(fleet)
             await fleet.ask_all()
         finally:
             await fleet.finish()
