--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -138,13 +138,13 @@
         size = self.truth.size(int(fields["name"], 16), int(fields["piece"])) / 1000.0
         self.watch.asked(server, peer, fields.get("up", ""), 1000.0 * size / self.flow_kb_per_s)
 
-    def tell(self, place: int, among: list[int] | None = None, **news: Any) -> None:
+    def tell(self, place: int, among: list[int] | None = None, **changes: Any) -> None:
         """Announce a server's new `health` or `born_ms` on the buses of `among`, or of all gateways."""
         setup = self.setups[0]
         for number in among if among is not None else range(self.size):
             bus = self.buses[number]
             host = bus.hosts[place]
-            host |= news
+            host |= changes
             bus.announce_host(host, setup["localities"], setup["skus"])
             if self.wires[number, BUS].way is LinkMode.PASS:
                 self.watch.told(number, host)
