--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -46,7 +46,7 @@
         self.reader: asyncio.Task[None] | None = None
         self.ready, self.serving = asyncio.Event(), False  # `serving`: clients may be sent here
 
-    async def read(self) -> None:
+    async def read_log(self) -> None:
         """Read the process's log, and from it the ports and whether the process is ready."""
         assert self.child and self.child.stderr
         while raw := await self.child.stderr.readline():
@@ -194,7 +194,7 @@
         process.child = await asyncio.create_subprocess_exec(
             *command, cwd=ROOT, env=env, stderr=asyncio.subprocess.PIPE, limit=1 << 20
         )
-        process.reader = asyncio.create_task(process.read())
+        process.reader = asyncio.create_task(process.read_log())
         if not beside:
             self.running[number] = process
         await asyncio.wait_for(process.ready.wait(), 30.0)
