--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -98,7 +98,7 @@
         self.watch = Watch(self.setups[0], weight)
         self.folder = Path(tempfile.mkdtemp(prefix="fleet-"))
         self.running: dict[int, Process] = {}
-        self.gone_listeners: list[Callable[[Process], None]] = []  # called with a process that went
+        self.gone_listeners: list[Callable[[Process], None]] = []  # called when a process is gone
         self.faults: list[str] = []  # processes that ended by themselves, and tracebacks in logs
 
     def setup(self, number: int) -> dict[str, Any]:
@@ -215,8 +215,8 @@
 
     def _notify_process_gone(self, process: Process) -> None:
         process.serving = False
-        for leave in self.gone_listeners:
-            leave(process)
+        for listener in self.gone_listeners:
+            listener(process)
 
     def poke(self, number: int, which: int) -> None:
         """Suspend a process (SIGSTOP) or resume it (SIGCONT)."""
