--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -92,7 +92,7 @@
         self.origin = Server(self.truth, ServerBehaviour(), random.Random(seed + 51), origin=True)
         self.servers = [*self.caches, self.parent, self.origin]
         self.fabric, self.verdicts = Fabric(size, seed), Verdicts()
-        self.wires: dict[tuple[int, str], Relay] = {}  # by gateway, and server or bus
+        self.relays: dict[tuple[int, str], Relay] = {}  # by gateway, and server or bus
         self.buses: dict[int, Bus] = {}
         self.setups = {number: self.setup(number) for number in range(size)}
         self.watch = Watch(self.setups[0], weight)
@@ -125,7 +125,7 @@
 
     async def _start_relay(self, number: int, target: str, server: Server | Bus) -> None:
         relay = Relay(lambda: ("127.0.0.1", server.port), self.watch.ends, number)
-        self.wires[number, target] = relay
+        self.relays[number, target] = relay
         await relay.start()
 
     def _host(self, number: int, place: int) -> dict[str, Any]:
@@ -146,7 +146,7 @@
             host = bus.hosts[place]
             host |= changes
             bus.announce_host(host, setup["localities"], setup["skus"])
-            if self.wires[number, BUS].way is LinkMode.PASS:
+            if self.relays[number, BUS].way is LinkMode.PASS:
                 self.watch.told(number, host)
 
     async def restart_cache(self, place: int, among: list[int] | None = None) -> None:
@@ -155,13 +155,13 @@
         now = now_ms()
         self.watch.cold.start(name(place), self.weight, now)
         for number in range(self.size):  # the cache's connections end with its process
-            await self.wires[number, name(place)].set(LinkMode.REFUSE)
-            await self.wires[number, name(place)].set(LinkMode.PASS)
+            await self.relays[number, name(place)].set(LinkMode.REFUSE)
+            await self.relays[number, name(place)].set(LinkMode.PASS)
         self.tell(place, among, born_ms=int(now))
 
     async def wire(self, way: LinkMode, numbers: list[int], targets: list[str] | None = None) -> None:
         """Set the mode of the links between these gateways and `targets`, or all servers and the bus."""
-        for (number, target), relay in self.wires.items():
+        for (number, target), relay in self.relays.items():
             if number in numbers and (targets is None or target in targets):
                 await relay.set(way)
                 if target == BUS and way is LinkMode.PASS:
@@ -284,7 +284,7 @@
             if (child := self.running[number].child) and child.returncode is None:
                 child.send_signal(signal.SIGCONT)
                 await self.end(number)
-        for relay in self.wires.values():
+        for relay in self.relays.values():
             relay.close()
         self.fabric.close()
 
--- a/standins/play.py
+++ b/standins/play.py
@@ -158,7 +158,7 @@
 
     def hears(self, number: int) -> bool:
         """Tell whether a gateway's bus reaches it."""
-        return self.fleet.wires[number, BUS].way is LinkMode.PASS and number not in self.stopped
+        return self.fleet.relays[number, BUS].way is LinkMode.PASS and number not in self.stopped
 
 
 def play(schedule: Schedule, say: Callable[[str], None] = lambda text: None) -> Outcome:
