--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -130,7 +130,7 @@
 
     def _host(self, number: int, place: int) -> dict[str, Any]:
         kind = {3: "parent", 4: "origin"}.get(place, "box")
-        dial = f"127.0.0.1:{self.wires[number, name(place)].port}"
+        dial = f"127.0.0.1:{self.relays[number, name(place)].port}"
         return {"host": name(place), "dial": dial, "class": kind, "block": 0, "health": "Ready", "born_ms": 0,
                 "site": "north" if kind == "box" else "hub", "share": self.weight}  # fmt: skip
 
@@ -175,7 +175,7 @@
         config: dict[str, Any] = {
             "name": f"n{number}", "listen": "127.0.0.1:0", "control": "127.0.0.1:0",
             "seed": f"{number + 1:x}",
-            "limits": {"sockets": 256, "memory_mb": 512}, "bus": f"127.0.0.1:{self.wires[number, BUS].port}",
+            "limits": {"sockets": 256, "memory_mb": 512}, "bus": f"127.0.0.1:{self.relays[number, BUS].port}",
             "known": bus.known if beside else bus.begin(), "settings": self.setups[number],
             "peer_listen": f"{place[0]}:{place[1]}",
             "peers": self.fabric.peers(number),
