--- a/standins/world.py
+++ b/standins/world.py
@@ -1,10 +1,11 @@
-"""Made-up deployments, and a small world that drives the decisions alone, in virtual time.
-
-`draw` makes a deployment from a seed: what it tells (weights, sizes, notes, links) and what it allows
-(direct, siblings, joins, peers) varies freely, also in ways that no deployment has yet. `World` plays caches
-with a link each, parents, an origin, a list that comes late, purges, drains and cold starts against one
-Router a gateway, and feeds the judges in `rules.py`. It models what the decisions can notice, no more: a
-transfer's stretch is settled when it begins, parents and the origin are never short.
+"""Random deployments, and a simulation in virtual time that drives the decisions (`Router`) alone.
+
+`draw` makes a deployment from a seed. What the deployment discloses (weights, sizes, notes, links) and what
+it allows (direct, siblings, joins, peers) varies freely, also in ways that no real deployment has yet.
+`World` simulates caches with one link each, parents, an origin, a list of servers that arrives late, purges,
+drains and cold starts for one Router per gateway, and feeds the checkers in `rules.py`. It models only what
+the decisions can observe: the duration of a transfer is fixed when it starts, and parents and the origin
+never run out of capacity.
 """
 
 import heapq
@@ -19,25 +20,28 @@
 from hitchtiller.decide import NEVER_RAN, Router
 from standins import rules
 
+# Delays: gateway to server, fill from a held copy, fill by the origin, mean until a list change arrives.
 WAY_MS, NEAR_MS, ORIGIN_MS, NOTICE_MS = 2.0, 10.0, 60.0, 700.0
+# Objects; the longest delay until a gateway is told of a purge; delay and loss of notes between gateways.
 OBJECTS, PURGE_TOLD_MS, PEER_MS, PEER_LOST = 120, 150.0, 5.0, 0.05
+# Which of the notes 1 to 10 on an outcome a deployment passes on, by its setting `notes`.
 NOTES = {"none": (), "hit": (1, 2, 2, 4, 5), "all": (1, 2, 3, 4, 5, 6, 7, 8, 9, 10)}
 
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """What is told of it, and what is true."""
+    """A deployment: what the gateways are told of it (settings, members) and its real capacities."""
 
     settings: api.Settings
     members: tuple[api.Member, ...]
-    links: dict[str, float]  # transfers at full pace
-    work_ms: dict[str, float]  # mean sending time by class
-    share: dict[str, float]  # of the requests
+    links: dict[str, float]  # by server: how many transfers its link carries at full speed
+    work_ms: dict[str, float]  # by class: the mean time that its transfers take on an idle link
+    share: dict[str, float]  # by class: its part of the requests
     sizes_told: bool
 
 
 def draw(seed: int) -> Deployment:
-    """Draw a deployment; the same seed gives the same one."""
+    """Return a random deployment; the same seed gives the same one."""
     rng = Random(seed)
     zones = [f"z{n}" for n in range(rng.randint(1, 12))]
     weights = rng.choice(["none", "nominal", "rough", "live"])
@@ -93,22 +97,22 @@
 
 @dataclass(slots=True, eq=False)
 class Server:
-    """A cache, parent or the origin, as it really is."""
+    """The true state of a cache, a parent or the origin."""
 
     member: api.Member
     link: float
-    kept: dict[tuple[int, int], float] = field(default_factory=dict)  # part to when the origin gave it out
+    kept: dict[tuple[int, int], float] = field(default_factory=dict)  # by part: when the origin served it
     out: int = 0
     started_ms: float = -math.inf
 
     def drop(self, key: int, made_ms: float) -> None:
-        """Drop an object's copies from before a purge."""
+        """Drop the copies of an object that the origin served before `made_ms`, the time of a purge."""
         self.kept = {item: at for item, at in self.kept.items() if item[0] != key or at >= made_ms}
 
 
 @dataclass(slots=True, eq=False)
 class Gateway:
-    """One gateway's decisions, and what it holds."""
+    """One gateway: its Router, and its open requests by id."""
 
     number: int
     zone: str
@@ -117,10 +121,10 @@
 
 
 class World:
-    """Plays one deployment; `judges` and `ends` tell what came of it."""
+    """A simulation of one deployment; `broken` lists broken rules, `ends` counts how requests ended."""
 
     def __init__(self, made: Deployment, seed: int) -> None:
-        """Start warm, at time 0."""
+        """Start at time 0 with warm caches that hold every part."""
         self.made, self.rng, self.now, self.s = made, Random(seed), 0.0, made.settings
         self.calls: list[tuple[float, int, Callable[[], None]]] = []
         self.order, self.ids = count(), count(1)
@@ -129,8 +133,8 @@
         self.answers, self.effects = rules.Answers(), rules.Effects()
         self.drains, self.purges = rules.Drains(s.drain_grace_ms), rules.Purges(s.purge_grace_ms)
         self.cold = rules.ColdStarts(s.fall_multiple, s.fall_ms, s.cold_share, s.cold_ms)
-        self.made_at: dict[int, float] = {}  # when an object was last purged
-        self.ends: Counter[tuple[str, str]] = Counter()  # by class: served, late, refused, failed, left
+        self.made_at: dict[int, float] = {}  # by object: when it was last purged
+        self.ends: Counter[tuple[str, str]] = Counter()  # by class: served, late, refused, failed, none
         self.sizes: dict[tuple[str, int], float] = {}
         self.cancelled: set[tuple[int, int, int]] = set()
         self.flying: dict[tuple[int, int, int], Callable[[str, int, float], None]] = {}
@@ -138,30 +142,30 @@
             if server.member.kind in ("small", "large"):
                 server.kept = {(key, part): -1.0 for key in range(OBJECTS) for part in range(3)}
         self.gateways = list[Gateway]()
-        for zone, many in zip(s.zones, s.gateways_in_zone, strict=True):
-            for _ in range(many):
+        for zone, gateway_count in zip(s.zones, s.gateways_in_zone, strict=True):
+            for _ in range(gateway_count):
                 number = len(self.gateways)
-                mine = replace(s, my_number=number, my_zone=zone)
-                self.gateways.append(Gateway(number, zone, Router(mine, seed * 1000 + number)))
+                own_settings = replace(s, my_number=number, my_zone=zone)
+                self.gateways.append(Gateway(number, zone, Router(own_settings, seed * 1000 + number)))
         for gateway in self.gateways:
             self.give(gateway, api.Members(made.members, whole=True))
 
     @property
     def broken(self) -> list[str]:
-        """Give all the breaks that the judges saw."""
+        """Return the violations that all checkers have found."""
         judges = (self.answers, self.effects, self.drains, self.cold, self.purges)
         return [text for judge in judges for text in judge.broken]
 
     def at(self, when_ms: float, call: Callable[[], None]) -> None:
-        """Call at a time."""
+        """Schedule a call at a virtual time."""
         heapq.heappush(self.calls, (when_ms, next(self.order), call))
 
     def play(self, load: float, length_ms: float) -> None:
-        """Offer this share of what each zone's caches can send, then wait until all is over."""
+        """Offer a load, as a share of what each zone's caches can send, and run until all requests end."""
         mean = sum(self.made.work_ms[n] * w for n, w in self.made.share.items()) / sum(
             self.made.share.values()
         )
-        for zone in dict.fromkeys(g.zone for g in self.gateways):  # not a set: its order changes by process
+        for zone in dict.fromkeys(g.zone for g in self.gateways):  # a set's order differs by process
             able = sum(x.link for x in self.servers.values() if x.member.zone == zone)
             self.at(self.now, lambda z=zone, gap=mean / (load * able): self.arrive(z, gap, length_ms))  # type: ignore[misc]
         until = length_ms + 8_000.0
@@ -171,7 +175,7 @@
         self.answers.end()
 
     def arrive(self, zone: str, gap_ms: float, until_ms: float) -> None:
-        """Take a request from a client, and wait for the next."""
+        """Create a client's request for a gateway of a zone, and schedule the next one."""
         if self.now > until_ms:
             return
         self.at(self.now + self.rng.expovariate(1.0 / gap_ms), lambda: self.arrive(zone, gap_ms, until_ms))
@@ -189,21 +193,21 @@
         self.give(gateway, ask)
 
     def work(self, name: str, key: int) -> float:
-        """Give an object's sending time, the same each time."""
+        """Return the transfer time of an object in ms; it stays the same within a run."""
         if (name, key) not in self.sizes:
             mean = self.made.work_ms[name]
             self.sizes[name, key] = min(4.0 * mean, mean * self.rng.lognormvariate(-0.18, 0.6))
         return self.sizes[name, key]
 
     def expire(self, gateway: Gateway, id: int, begun: float) -> None:
-        """End what is out at the deadline; the gateway still owes its answer then."""
+        """Time out a request's attempts at its deadline; the gateway must still answer the request."""
         for name in [n for n in self.flying if n[0] == gateway.number and n[1] == id]:
             self.flying[name]("etimedout", 0, 0.0)
         if ask := gateway.open.pop(id, None):
             self.ends[ask.class_name, "none"] += 1
 
     def give(self, gateway: Gateway, event: api.Event) -> None:
-        """Hand an event to a gateway's decisions and carry its actions out."""
+        """Pass an event to a gateway's Router and carry out the resulting actions."""
         if isinstance(event, api.Members):
             for member in event.members:
                 self.drains.heard(gateway.number, member.server, member.state == "SERVING", self.now)
@@ -226,7 +230,7 @@
                         self.at(self.now + PEER_MS, lambda to=to, word=word: self.give(to, word))  # type: ignore[misc]
 
     def finish(self, gateway: Gateway, id: int, how: str) -> None:
-        """Take a final answer."""
+        """Record the final answer to a request."""
         ask = gateway.open.pop(id, None)
         self.answers.answered(id, self.now)
         if ask:
@@ -236,27 +240,27 @@
                 self.effects.refused(id, cls.effect, cls.key_scope)
 
     def send(self, gateway: Gateway, get: api.Get) -> None:
-        """Carry an attempt to its server, as the rules see it."""
+        """Send an attempt to its server, and report it to the checkers."""
         ask = gateway.open.get(get.id)
         server = self.servers[get.server]
         if ask is None:
-            self.answers.broken.append(f"{get.id}: sent after its end")
+            self.answers.broken.append(f"{get.id}: an attempt was sent after the request's end")
             return
         cls, sent = self.s.classes[ask.class_name], self.now
-        shot = next(n for n in range(99) if (gateway.number, get.id, n) not in self.cancelled)
-        name, member = (gateway.number, get.id, shot), server.member
+        attempt = next(n for n in range(99) if (gateway.number, get.id, n) not in self.cancelled)
+        name, member = (gateway.number, get.id, attempt), server.member
         self.cancelled.add(name)
-        for touched in {get.server, get.source}:
-            self.drains.sent(gateway.number, touched, sent)
+        for used_server in {get.server, get.source}:
+            self.drains.sent(gateway.number, used_server, sent)
         self.effects.sent(
             get.id, sent, cls.effect, cls.key_scope, cls.repeat_window_ms, member.zone, member.cell
         )
-        holding = [False]
+        holds_link = [False]
 
         def end(status: str, note: int, waited: float, made: float = 0.0) -> None:
             if self.flying.pop(name, None) is None:
                 return
-            server.out -= holding[0]
+            server.out -= holds_link[0]
             self.effects.ended(get.id, sent, status in NEVER_RAN, member.zone, member.cell)
             if status == "done" and not cls.write:
                 self.purges.served(gateway.number, ask.key, sent, made)
@@ -273,15 +277,15 @@
             )
 
         self.flying[name] = end
-        self.at(sent + WAY_MS, lambda: self.reach(gateway, get, ask, cls, name, holding))
+        self.at(sent + WAY_MS, lambda: self.serve_attempt(gateway, get, ask, cls, name, holds_link))
         if 0.0 < get.timeout_ms < ask.deadline_ms - sent:
             self.at(sent + get.timeout_ms, lambda: end("etimedout", 0, 0.0))
 
-    def reach(
+    def serve_attempt(
         self, gateway: Gateway, get: api.Get, ask: api.Request, cls: api.ClassSettings,
-        name: tuple[int, int, int], holding: list[bool],
+        name: tuple[int, int, int], holds_link: list[bool],
     ) -> None:  # fmt: skip
-        """Look up, fill and serve at the server."""
+        """Handle an attempt at its server: look the copy up, fill it from the source if needed, and serve."""
         end = self.flying.get(name)
         server, source, item = self.servers[get.server], self.servers[get.source], (ask.key, ask.part)
         knows = gateway.router.nodes.get(get.server)
@@ -312,33 +316,33 @@
             if get.keep and not cls.write:
                 server.kept[item] = made
         server.out += 1
-        holding[0] = True
+        holds_link[0] = True
         warm = min(1.0, (self.now - server.started_ms) / self.s.cold_ms)
         able = server.link * (self.s.cold_share + (1.0 - self.s.cold_share) * warm)
         took = waited + self.work(cls.name, ask.key) * max(1.0, server.out / able)
         self.at(self.now + took, lambda: end("done", note, waited, made))  # type: ignore[call-arg]
 
-    # Troubles
+    # Faults and changes
 
     def tell(self, *members: api.Member) -> None:
-        """Have the list's change reach each gateway, seconds apart."""
+        """Deliver a change of the list to each gateway, each after a random delay."""
         for gateway in self.gateways:
             when = self.now + NOTICE_MS * (0.5 + self.rng.random())
             self.at(when, lambda g=gateway: self.give(g, api.Members(members)))  # type: ignore[misc]
 
     def drain(self, name: str) -> None:
-        """Have a cache drain."""
+        """Announce that a cache is draining."""
         self.tell(replace(self.servers[name].member, state="DRAINING"))
 
     def restart(self, name: str) -> None:
-        """Have a cache come back, cold and empty."""
+        """Restart a cache cold and empty, and announce it."""
         server = self.servers[name]
         server.kept, server.started_ms = {}, self.now
         self.cold.start(name, server.link, self.now)
         self.tell(replace(server.member, started_ms=self.now))
 
     def purge(self, key: int) -> None:
-        """Purge an object; the gateways hear of it a little later, caches drop theirs later still."""
+        """Purge an object; gateways are told a little later, and caches drop their copies later still."""
         made = self.made_at[key] = self.now
         for server in self.servers.values():
             self.at(self.now + self.s.purge_done_ms * self.rng.random(), lambda s=server: s.drop(key, made))  # type: ignore[misc]
