--- a/standins/world.py
+++ b/standins/world.py
@@ -21,7 +21,7 @@
 from standins import rules
 
 # Delays: gateway to server, fill from a held copy, fill by the origin, mean until a list change arrives.
-WAY_MS, NEAR_MS, ORIGIN_MS, NOTICE_MS = 2.0, 10.0, 60.0, 700.0
+LINK_DELAY_MS, NEAR_MS, ORIGIN_MS, NOTICE_MS = 2.0, 10.0, 60.0, 700.0
 # Objects; the longest delay until a gateway is told of a purge; delay and loss of notes between gateways.
 OBJECTS, PURGE_TOLD_MS, PEER_MS, PEER_LOST = 120, 150.0, 5.0, 0.05
 # Which of the notes 1 to 10 on an outcome a deployment passes on, by its setting `notes`.
@@ -277,7 +277,7 @@
             )
 
         self.flying[name] = end
-        self.at(sent + WAY_MS, lambda: self.serve_attempt(gateway, get, ask, cls, name, holds_link))
+        self.at(sent + LINK_DELAY_MS, lambda: self.serve_attempt(gateway, get, ask, cls, name, holds_link))
         if 0.0 < get.timeout_ms < ask.deadline_ms - sent:
             self.at(sent + get.timeout_ms, lambda: end("etimedout", 0, 0.0))
 
@@ -299,12 +299,12 @@
         made, held = server.kept.get(item, -math.inf), item in server.kept
         purged = self.made_at.get(ask.key, -math.inf)
         waited, note = 0.0, 1
-        if cls.write or not held or made < self.now - WAY_MS - age:
+        if cls.write or not held or made < self.now - LINK_DELAY_MS - age:
             if source is server and server.member.kind != "origin":
                 return end("enoent", 0, 0.0)
             holds = source.kept.get(item, -math.inf)
             if source.member.kind in ("small", "large"):
-                if cls.write or item not in source.kept or holds < self.now - WAY_MS - age:
+                if cls.write or item not in source.kept or holds < self.now - LINK_DELAY_MS - age:
                     return end("enoent", 8, NEAR_MS)
                 made, waited, note = holds, NEAR_MS, 2
             elif not cls.write and item in source.kept and holds >= max(purged, self.now - age):
