--- a/standins/world.py
+++ b/standins/world.py
@@ -21,7 +21,7 @@
 from standins import rules
 
 # Delays: gateway to server, fill from a held copy, fill by the origin, mean until a list change arrives.
-LINK_DELAY_MS, HELD_FILL_MS, ORIGIN_MS, NOTICE_MS = 2.0, 10.0, 60.0, 700.0
+LINK_DELAY_MS, HELD_FILL_MS, ORIGIN_FILL_MS, NOTICE_MS = 2.0, 10.0, 60.0, 700.0
 # Objects; the longest delay until a gateway is told of a purge; delay and loss of notes between gateways.
 OBJECTS, PURGE_TOLD_MS, PEER_MS, PEER_LOST = 120, 150.0, 5.0, 0.05
 # Which of the notes 1 to 10 on an outcome a deployment passes on, by its setting `notes`.
@@ -310,7 +310,7 @@
             elif not cls.write and item in source.kept and holds >= max(purged, self.now - age):
                 made, waited, note = holds, HELD_FILL_MS, 2
             else:
-                made, waited, note = self.now, ORIGIN_MS, 3
+                made, waited, note = self.now, ORIGIN_FILL_MS, 3
                 if not cls.write and source.member.kind == "parent":
                     source.kept[item] = made
             if get.keep and not cls.write:
