--- a/standins/world.py
+++ b/standins/world.py
@@ -21,7 +21,7 @@
 from standins import rules
 
 # Delays: gateway to server, fill from a held copy, fill by the origin, mean until a list change arrives.
-LINK_DELAY_MS, HELD_FILL_MS, ORIGIN_FILL_MS, NOTICE_MS = 2.0, 10.0, 60.0, 700.0
+LINK_DELAY_MS, HELD_FILL_MS, ORIGIN_FILL_MS, LIST_DELAY_MS = 2.0, 10.0, 60.0, 700.0
 # Objects; the longest delay until a gateway is told of a purge; delay and loss of notes between gateways.
 OBJECTS, PURGE_TOLD_MS, PEER_MS, PEER_LOST = 120, 150.0, 5.0, 0.05
 # Which of the notes 1 to 10 on an outcome a deployment passes on, by its setting `notes`.
@@ -327,7 +327,7 @@
     def tell(self, *members: api.Member) -> None:
         """Deliver a change of the list to each gateway, each after a random delay."""
         for gateway in self.gateways:
-            when = self.now + NOTICE_MS * (0.5 + self.rng.random())
+            when = self.now + LIST_DELAY_MS * (0.5 + self.rng.random())
             self.at(when, lambda g=gateway: self.give(g, api.Members(members)))  # type: ignore[misc]
 
     def drain(self, name: str) -> None:
