--- a/standins/world.py
+++ b/standins/world.py
@@ -23,7 +23,7 @@
 # Delays: gateway to server, fill from a held copy, fill by the origin, mean until a list change arrives.
 LINK_DELAY_MS, HELD_FILL_MS, ORIGIN_FILL_MS, LIST_DELAY_MS = 2.0, 10.0, 60.0, 700.0
 # Objects; the longest delay until a gateway is told of a purge; delay and loss of notes between gateways.
-OBJECTS, PURGE_TOLD_MS, PEER_MS, PEER_LOST = 120, 150.0, 5.0, 0.05
+OBJECTS, PURGE_DELAY_MS, PEER_MS, PEER_LOST = 120, 150.0, 5.0, 0.05
 # Which of the notes 1 to 10 on an outcome a deployment passes on, by its setting `notes`.
 NOTES = {"none": (), "hit": (1, 2, 2, 4, 5), "all": (1, 2, 3, 4, 5, 6, 7, 8, 9, 10)}
 
@@ -347,7 +347,7 @@
         for server in self.servers.values():
             self.at(self.now + self.s.purge_done_ms * self.rng.random(), lambda s=server: s.drop(key, made))  # type: ignore[misc]
         for gateway in self.gateways:
-            when = self.now + PURGE_TOLD_MS * self.rng.random()
+            when = self.now + PURGE_DELAY_MS * self.rng.random()
 
             def hear(gateway: Gateway = gateway) -> None:
                 self.purges.heard(gateway.number, key, made, self.now)
