--- a/standins/world.py
+++ b/standins/world.py
@@ -23,7 +23,7 @@
 # Delays: gateway to server, fill from a held copy, fill by the origin, mean until a list change arrives.
 LINK_DELAY_MS, HELD_FILL_MS, ORIGIN_FILL_MS, LIST_DELAY_MS = 2.0, 10.0, 60.0, 700.0
 # Objects; the longest delay until a gateway is told of a purge; delay and loss of notes between gateways.
-OBJECTS, PURGE_DELAY_MS, PEER_DELAY_MS, PEER_LOST = 120, 150.0, 5.0, 0.05
+OBJECTS, PURGE_DELAY_MS, PEER_DELAY_MS, PEER_LOSS_SHARE = 120, 150.0, 5.0, 0.05
 # Which of the notes 1 to 10 on an outcome a deployment passes on, by its setting `notes`.
 NOTES = {"none": (), "hit": (1, 2, 2, 4, 5), "all": (1, 2, 3, 4, 5, 6, 7, 8, 9, 10)}
 
@@ -224,7 +224,7 @@
                     due = api.TimerDue(act.token)
                     self.at(self.now + max(0.01, act.delay_ms), lambda g=gateway, due=due: self.give(g, due))  # type: ignore[misc]
                 case api.SendNote():
-                    if self.rng.random() >= PEER_LOST and act.peer != gateway.number:
+                    if self.rng.random() >= PEER_LOSS_SHARE and act.peer != gateway.number:
                         word = api.PeerMessage(gateway.number, act.note)
                         to = self.gateways[act.peer]
                         self.at(self.now + PEER_DELAY_MS, lambda to=to, word=word: self.give(to, word))  # type: ignore[misc]
