--- a/standins/world.py
+++ b/standins/world.py
@@ -25,7 +25,7 @@
 # Objects; the longest delay until a gateway is told of a purge; delay and loss of notes between gateways.
 OBJECTS, PURGE_DELAY_MS, PEER_DELAY_MS, PEER_LOSS_SHARE = 120, 150.0, 5.0, 0.05
 # Which of the notes 1 to 10 on an outcome a deployment passes on, by its setting `notes`.
-NOTES = {"none": (), "hit": (1, 2, 2, 4, 5), "all": (1, 2, 3, 4, 5, 6, 7, 8, 9, 10)}
+NOTES_BY_LEVEL = {"none": (), "hit": (1, 2, 2, 4, 5), "all": (1, 2, 3, 4, 5, 6, 7, 8, 9, 10)}
 
 
 @dataclass(frozen=True, slots=True)
@@ -269,7 +269,7 @@
                 took = self.now - (ask.deadline_ms - cls.deadline_ms)
                 aim = cls.aim_ms + cls.aim_stretch * self.work(ask.class_name, ask.key)
                 self.finish(gateway, get.id, "served" if took <= aim else "late")
-            told = NOTES[self.s.notes]
+            told = NOTES_BY_LEVEL[self.s.notes]
             note = told[note - 1] if 0 < note <= len(told) else 0
             wait = waited if self.s.notes == "all" else 0.0
             self.give(
