--- a/standins/world.py
+++ b/standins/world.py
@@ -101,13 +101,13 @@
 
     member: api.Member
     link: float
-    kept: dict[tuple[int, int], float] = field(default_factory=dict)  # by part: when the origin served it
+    copies: dict[tuple[int, int], float] = field(default_factory=dict)  # by part: when the origin served it
     out: int = 0
     started_ms: float = -math.inf
 
     def drop(self, key: int, made_ms: float) -> None:
         """Drop the copies of an object that the origin served before `made_ms`, the time of a purge."""
-        self.kept = {item: at for item, at in self.kept.items() if item[0] != key or at >= made_ms}
+        self.copies = {item: at for item, at in self.copies.items() if item[0] != key or at >= made_ms}
 
 
 @dataclass(slots=True, eq=False)
@@ -140,7 +140,7 @@
         self.flying: dict[tuple[int, int, int], Callable[[str, int, float], None]] = {}
         for server in self.servers.values():
             if server.member.kind in ("small", "large"):
-                server.kept = {(key, part): -1.0 for key in range(OBJECTS) for part in range(3)}
+                server.copies = {(key, part): -1.0 for key in range(OBJECTS) for part in range(3)}
         self.gateways = list[Gateway]()
         for zone, gateway_count in zip(s.zones, s.gateways_in_zone, strict=True):
             for _ in range(gateway_count):
@@ -296,25 +296,25 @@
         if server.out >= 5 * server.link:
             return end("busy", 0, 0.0)
         age = min(get.age_ms or math.inf, cls.fresh_ms + cls.grace_ms or math.inf)
-        made, held = server.kept.get(item, -math.inf), item in server.kept
+        made, held = server.copies.get(item, -math.inf), item in server.copies
         purged = self.made_at.get(ask.key, -math.inf)
         waited, note = 0.0, 1
         if cls.write or not held or made < self.now - LINK_DELAY_MS - age:
             if source is server and server.member.kind != "origin":
                 return end("enoent", 0, 0.0)
-            holds = source.kept.get(item, -math.inf)
+            holds = source.copies.get(item, -math.inf)
             if source.member.kind in ("small", "large"):
-                if cls.write or item not in source.kept or holds < self.now - LINK_DELAY_MS - age:
+                if cls.write or item not in source.copies or holds < self.now - LINK_DELAY_MS - age:
                     return end("enoent", 8, HELD_FILL_MS)
                 made, waited, note = holds, HELD_FILL_MS, 2
-            elif not cls.write and item in source.kept and holds >= max(purged, self.now - age):
+            elif not cls.write and item in source.copies and holds >= max(purged, self.now - age):
                 made, waited, note = holds, HELD_FILL_MS, 2
             else:
                 made, waited, note = self.now, ORIGIN_FILL_MS, 3
                 if not cls.write and source.member.kind == "parent":
-                    source.kept[item] = made
+                    source.copies[item] = made
             if get.keep and not cls.write:
-                server.kept[item] = made
+                server.copies[item] = made
         server.out += 1
         holds_link[0] = True
         warm = min(1.0, (self.now - server.started_ms) / self.s.cold_ms)
@@ -337,7 +337,7 @@
     def restart(self, name: str) -> None:
         """Restart a cache cold and empty, and announce it."""
         server = self.servers[name]
-        server.kept, server.started_ms = {}, self.now
+        server.copies, server.started_ms = {}, self.now
         self.cold.start(name, server.link, self.now)
         self.tell(replace(server.member, started_ms=self.now))
 
