--- a/standins/world.py
+++ b/standins/world.py
@@ -102,7 +102,7 @@
     member: api.Member
     link: float
     copies: dict[tuple[int, int], float] = field(default_factory=dict)  # by part: when the origin served it
-    out: int = 0
+    transfers: int = 0
     started_ms: float = -math.inf
 
     def drop(self, key: int, made_ms: float) -> None:
@@ -260,7 +260,7 @@
         def end(status: str, note: int, waited: float, made: float = 0.0) -> None:
             if self.flying.pop(name, None) is None:
                 return
-            server.out -= holds_link[0]
+            server.transfers -= holds_link[0]
             self.effects.ended(get.id, sent, status in NEVER_RAN, member.zone, member.cell)
             if status == "done" and not cls.write:
                 self.purges.served(gateway.number, ask.key, sent, made)
@@ -293,7 +293,7 @@
         self.cold.reach(get.server, self.made.work_ms[cls.name], self.now, told)
         if end is None:
             return
-        if server.out >= 5 * server.link:
+        if server.transfers >= 5 * server.link:
             return end("busy", 0, 0.0)
         age = min(get.age_ms or math.inf, cls.fresh_ms + cls.grace_ms or math.inf)
         made, held = server.copies.get(item, -math.inf), item in server.copies
@@ -315,11 +315,11 @@
                     source.copies[item] = made
             if get.keep and not cls.write:
                 server.copies[item] = made
-        server.out += 1
+        server.transfers += 1
         holds_link[0] = True
         warm = min(1.0, (self.now - server.started_ms) / self.s.cold_ms)
         able = server.link * (self.s.cold_share + (1.0 - self.s.cold_share) * warm)
-        took = waited + self.work(cls.name, ask.key) * max(1.0, server.out / able)
+        took = waited + self.work(cls.name, ask.key) * max(1.0, server.transfers / able)
         self.at(self.now + took, lambda: end("done", note, waited, made))  # type: ignore[call-arg]
 
     # Faults and changes
