--- a/standins/world.py
+++ b/standins/world.py
@@ -105,7 +105,7 @@
     transfers: int = 0
     started_ms: float = -math.inf
 
-    def drop(self, key: int, made_ms: float) -> None:
+    def drop_copies(self, key: int, made_ms: float) -> None:
         """Drop the copies of an object that the origin served before `made_ms`, the time of a purge."""
         self.copies = {item: at for item, at in self.copies.items() if item[0] != key or at >= made_ms}
 
@@ -345,7 +345,9 @@
         """Purge an object; gateways are told a little later, and caches drop their copies later still."""
         made = self.made_at[key] = self.now
         for server in self.servers.values():
-            self.at(self.now + self.s.purge_done_ms * self.rng.random(), lambda s=server: s.drop(key, made))  # type: ignore[misc]
+            self.at(
+                self.now + self.s.purge_done_ms * self.rng.random(), lambda s=server: s.drop_copies(key, made)
+            )  # type: ignore[misc]
         for gateway in self.gateways:
             when = self.now + PURGE_DELAY_MS * self.rng.random()
 
