--- a/standins/world.py
+++ b/standins/world.py
@@ -117,7 +117,7 @@
     number: int
     zone: str
     router: Router
-    open: dict[int, api.Request] = field(default_factory=dict)
+    open_requests: dict[int, api.Request] = field(default_factory=dict)
 
 
 class World:
@@ -186,7 +186,7 @@
         size = work * self.s.flow_kb_per_s / 1000.0 if self.made.sizes_told else 0.0
         part = self.rng.randrange(3) if name == "large" else 0
         ask = api.Request(id, name, key, self.now + cls.deadline_ms, size, key % 16, part)
-        gateway.open[id] = ask
+        gateway.open_requests[id] = ask
         self.answers.taken(id, ask.deadline_ms)
         begun = self.now
         self.at(ask.deadline_ms, lambda: self.expire(gateway, id, begun))
@@ -203,7 +203,7 @@
         """Time out a request's attempts at its deadline; the gateway must still answer the request."""
         for name in [n for n in self.flying if n[0] == gateway.number and n[1] == id]:
             self.flying[name]("etimedout", 0, 0.0)
-        if ask := gateway.open.pop(id, None):
+        if ask := gateway.open_requests.pop(id, None):
             self.ends[ask.class_name, "none"] += 1
 
     def give(self, gateway: Gateway, event: api.Event) -> None:
@@ -231,7 +231,7 @@
 
     def finish(self, gateway: Gateway, id: int, how: str) -> None:
         """Record the final answer to a request."""
-        ask = gateway.open.pop(id, None)
+        ask = gateway.open_requests.pop(id, None)
         self.answers.answered(id, self.now)
         if ask:
             cls = self.s.classes[ask.class_name]
@@ -241,7 +241,7 @@
 
     def send(self, gateway: Gateway, get: api.Get) -> None:
         """Send an attempt to its server, and report it to the checkers."""
-        ask = gateway.open.get(get.id)
+        ask = gateway.open_requests.get(get.id)
         server = self.servers[get.server]
         if ask is None:
             self.answers.broken.append(f"{get.id}: an attempt was sent after the request's end")
@@ -264,8 +264,8 @@
             self.effects.ended(get.id, sent, status in NEVER_RAN, member.zone, member.cell)
             if status == "done" and not cls.write:
                 self.purges.served(gateway.number, ask.key, sent, made)
-            closed = status == "done" or get.id not in gateway.open
-            if status == "done" and get.id in gateway.open:
+            closed = status == "done" or get.id not in gateway.open_requests
+            if status == "done" and get.id in gateway.open_requests:
                 took = self.now - (ask.deadline_ms - cls.deadline_ms)
                 aim = cls.aim_ms + cls.aim_stretch * self.work(ask.class_name, ask.key)
                 self.finish(gateway, get.id, "served" if took <= aim else "late")
