--- a/standins/world.py
+++ b/standins/world.py
@@ -127,7 +127,7 @@
         """Start at time 0 with warm caches that hold every part."""
         self.made, self.rng, self.now, self.s = made, Random(seed), 0.0, made.settings
         self.calls: list[tuple[float, int, Callable[[], None]]] = []
-        self.order, self.ids = count(), count(1)
+        self.sequence, self.ids = count(), count(1)
         self.servers = {m.server: Server(m, made.links[m.server]) for m in made.members}
         s = self.s
         self.answers, self.effects = rules.Answers(), rules.Effects()
@@ -158,7 +158,7 @@
 
     def at(self, when_ms: float, call: Callable[[], None]) -> None:
         """Schedule a call at a virtual time."""
-        heapq.heappush(self.calls, (when_ms, next(self.order), call))
+        heapq.heappush(self.calls, (when_ms, next(self.sequence), call))
 
     def play(self, load: float, length_ms: float) -> None:
         """Offer a load, as a share of what each zone's caches can send, and run until all requests end."""
