--- a/standins/world.py
+++ b/standins/world.py
@@ -127,7 +127,7 @@
         """Start at time 0 with warm caches that hold every part."""
         self.made, self.rng, self.now, self.s = made, Random(seed), 0.0, made.settings
         self.calls: list[tuple[float, int, Callable[[], None]]] = []
-        self.sequence, self.ids = count(), count(1)
+        self.sequence, self.request_ids = count(), count(1)
         self.servers = {m.server: Server(m, made.links[m.server]) for m in made.members}
         s = self.s
         self.answers, self.effects = rules.Answers(), rules.Effects()
@@ -182,7 +182,7 @@
         gateway = self.rng.choice([g for g in self.gateways if g.zone == zone])
         name = self.rng.choices(list(self.made.share), list(self.made.share.values()))[0]
         cls, key = self.s.classes[name], min(OBJECTS - 1, int(OBJECTS * self.rng.random() ** 3))
-        work, id = self.work(name, key), next(self.ids)
+        work, id = self.work(name, key), next(self.request_ids)
         size = work * self.s.flow_kb_per_s / 1000.0 if self.made.sizes_told else 0.0
         part = self.rng.randrange(3) if name == "large" else 0
         ask = api.Request(id, name, key, self.now + cls.deadline_ms, size, key % 16, part)
