--- a/standins/world.py
+++ b/standins/world.py
@@ -133,7 +133,7 @@
         self.answers, self.effects = rules.Answers(), rules.Effects()
         self.drains, self.purges = rules.Drains(s.drain_grace_ms), rules.Purges(s.purge_grace_ms)
         self.cold = rules.ColdStarts(s.fall_multiple, s.fall_ms, s.cold_share, s.cold_ms)
-        self.made_at: dict[int, float] = {}  # by object: when it was last purged
+        self.purged_at_ms: dict[int, float] = {}  # by object: when it was last purged
         self.ends: Counter[tuple[str, str]] = Counter()  # by class: served, late, refused, failed, none
         self.sizes: dict[tuple[str, int], float] = {}
         self.cancelled: set[tuple[int, int, int]] = set()
@@ -297,7 +297,7 @@
             return end("busy", 0, 0.0)
         age = min(get.age_ms or math.inf, cls.fresh_ms + cls.grace_ms or math.inf)
         made, held = server.copies.get(item, -math.inf), item in server.copies
-        purged = self.made_at.get(ask.key, -math.inf)
+        purged = self.purged_at_ms.get(ask.key, -math.inf)
         waited, note = 0.0, 1
         if cls.write or not held or made < self.now - LINK_DELAY_MS - age:
             if source is server and server.member.kind != "origin":
@@ -343,7 +343,7 @@
 
     def purge(self, key: int) -> None:
         """Purge an object; gateways are told a little later, and caches drop their copies later still."""
-        made = self.made_at[key] = self.now
+        made = self.purged_at_ms[key] = self.now
         for server in self.servers.values():
             self.at(
                 self.now + self.s.purge_done_ms * self.rng.random(), lambda s=server: s.drop_copies(key, made)
