--- a/standins/world.py
+++ b/standins/world.py
@@ -136,7 +136,7 @@
         self.purged_at_ms: dict[int, float] = {}  # by object: when it was last purged
         self.ends: Counter[tuple[str, str]] = Counter()  # by class: served, late, refused, failed, none
         self.sizes: dict[tuple[str, int], float] = {}
-        self.cancelled: set[tuple[int, int, int]] = set()
+        self.sent_attempts: set[tuple[int, int, int]] = set()
         self.flying: dict[tuple[int, int, int], Callable[[str, int, float], None]] = {}
         for server in self.servers.values():
             if server.member.kind in ("small", "large"):
@@ -247,9 +247,9 @@
             self.answers.broken.append(f"{get.id}: an attempt was sent after the request's end")
             return
         cls, sent = self.s.classes[ask.class_name], self.now
-        attempt = next(n for n in range(99) if (gateway.number, get.id, n) not in self.cancelled)
+        attempt = next(n for n in range(99) if (gateway.number, get.id, n) not in self.sent_attempts)
         name, member = (gateway.number, get.id, attempt), server.member
-        self.cancelled.add(name)
+        self.sent_attempts.add(name)
         for used_server in {get.server, get.source}:
             self.drains.sent(gateway.number, used_server, sent)
         self.effects.sent(
