--- a/standins/world.py
+++ b/standins/world.py
@@ -137,7 +137,7 @@
         self.ends: Counter[tuple[str, str]] = Counter()  # by class: served, late, refused, failed, none
         self.sizes: dict[tuple[str, int], float] = {}
         self.sent_attempts: set[tuple[int, int, int]] = set()
-        self.flying: dict[tuple[int, int, int], Callable[[str, int, float], None]] = {}
+        self.open_attempts: dict[tuple[int, int, int], Callable[[str, int, float], None]] = {}
         for server in self.servers.values():
             if server.member.kind in ("small", "large"):
                 server.copies = {(key, part): -1.0 for key in range(OBJECTS) for part in range(3)}
@@ -201,8 +201,8 @@
 
     def expire(self, gateway: Gateway, id: int, begun: float) -> None:
         """Time out a request's attempts at its deadline; the gateway must still answer the request."""
-        for name in [n for n in self.flying if n[0] == gateway.number and n[1] == id]:
-            self.flying[name]("etimedout", 0, 0.0)
+        for name in [n for n in self.open_attempts if n[0] == gateway.number and n[1] == id]:
+            self.open_attempts[name]("etimedout", 0, 0.0)
         if ask := gateway.open_requests.pop(id, None):
             self.ends[ask.class_name, "none"] += 1
 
@@ -218,7 +218,7 @@
                 case api.Refuse() | api.Fail():
                     self.finish(gateway, act.id, "refused" if isinstance(act, api.Refuse) else "failed")
                 case api.Cancel():
-                    if end := self.flying.get((gateway.number, act.id, act.attempt)):
+                    if end := self.open_attempts.get((gateway.number, act.id, act.attempt)):
                         self.at(self.now, lambda end=end: end("ecanceled", 0, 0.0))  # type: ignore[misc]
                 case api.SetTimer():
                     due = api.TimerDue(act.token)
@@ -258,7 +258,7 @@
         holds_link = [False]
 
         def end(status: str, note: int, waited: float, made: float = 0.0) -> None:
-            if self.flying.pop(name, None) is None:
+            if self.open_attempts.pop(name, None) is None:
                 return
             server.transfers -= holds_link[0]
             self.effects.ended(get.id, sent, status in NEVER_RAN, member.zone, member.cell)
@@ -276,7 +276,7 @@
                 gateway, api.Outcome(*name[1:], get.server, status, self.now - sent, closed, note, wait)
             )
 
-        self.flying[name] = end
+        self.open_attempts[name] = end
         self.at(sent + LINK_DELAY_MS, lambda: self.serve_attempt(gateway, get, ask, cls, name, holds_link))
         if 0.0 < get.timeout_ms < ask.deadline_ms - sent:
             self.at(sent + get.timeout_ms, lambda: end("etimedout", 0, 0.0))
@@ -286,7 +286,7 @@
         name: tuple[int, int, int], holds_link: list[bool],
     ) -> None:  # fmt: skip
         """Handle an attempt at its server: look the copy up, fill it from the source if needed, and serve."""
-        end = self.flying.get(name)
+        end = self.open_attempts.get(name)
         server, source, item = self.servers[get.server], self.servers[get.source], (ask.key, ask.part)
         knows = gateway.router.nodes.get(get.server)
         told = knows is not None and knows.m.started_ms == max(0.0, server.started_ms)
