--- a/standins/world.py
+++ b/standins/world.py
@@ -126,7 +126,7 @@
     def __init__(self, made: Deployment, seed: int) -> None:
         """Start at time 0 with warm caches that hold every part."""
         self.made, self.rng, self.now, self.s = made, Random(seed), 0.0, made.settings
-        self.calls: list[tuple[float, int, Callable[[], None]]] = []
+        self.scheduled_calls: list[tuple[float, int, Callable[[], None]]] = []
         self.sequence, self.request_ids = count(), count(1)
         self.servers = {m.server: Server(m, made.links[m.server]) for m in made.members}
         s = self.s
@@ -158,7 +158,7 @@
 
     def at(self, when_ms: float, call: Callable[[], None]) -> None:
         """Schedule a call at a virtual time."""
-        heapq.heappush(self.calls, (when_ms, next(self.sequence), call))
+        heapq.heappush(self.scheduled_calls, (when_ms, next(self.sequence), call))
 
     def play(self, load: float, length_ms: float) -> None:
         """Offer a load, as a share of what each zone's caches can send, and run until all requests end."""
@@ -169,8 +169,8 @@
             able = sum(x.link for x in self.servers.values() if x.member.zone == zone)
             self.at(self.now, lambda z=zone, gap=mean / (load * able): self.arrive(z, gap, length_ms))  # type: ignore[misc]
         until = length_ms + 8_000.0
-        while self.calls and self.calls[0][0] <= until:
-            self.now, _, call = heapq.heappop(self.calls)
+        while self.scheduled_calls and self.scheduled_calls[0][0] <= until:
+            self.now, _, call = heapq.heappop(self.scheduled_calls)
             call()
         self.answers.end()
 
