--- a/standins/world.py
+++ b/standins/world.py
@@ -167,18 +167,20 @@
         )
         for zone in dict.fromkeys(g.zone for g in self.gateways):  # a set's order differs by process
             able = sum(x.link for x in self.servers.values() if x.member.zone == zone)
-            self.at(self.now, lambda z=zone, gap=mean / (load * able): self.arrive(z, gap, length_ms))  # type: ignore[misc]
+            self.at(self.now, lambda z=zone, gap=mean / (load * able): self.create_request(z, gap, length_ms))  # type: ignore[misc]
         until = length_ms + 8_000.0
         while self.scheduled_calls and self.scheduled_calls[0][0] <= until:
             self.now, _, call = heapq.heappop(self.scheduled_calls)
             call()
         self.answers.end()
 
-    def arrive(self, zone: str, gap_ms: float, until_ms: float) -> None:
+    def create_request(self, zone: str, gap_ms: float, until_ms: float) -> None:
         """Create a client's request for a gateway of a zone, and schedule the next one."""
         if self.now > until_ms:
             return
-        self.at(self.now + self.rng.expovariate(1.0 / gap_ms), lambda: self.arrive(zone, gap_ms, until_ms))
+        self.at(
+            self.now + self.rng.expovariate(1.0 / gap_ms), lambda: self.create_request(zone, gap_ms, until_ms)
+        )
         gateway = self.rng.choice([g for g in self.gateways if g.zone == zone])
         name = self.rng.choices(list(self.made.share), list(self.made.share.values()))[0]
         cls, key = self.s.classes[name], min(OBJECTS - 1, int(OBJECTS * self.rng.random() ** 3))
