--- a/standins/world.py
+++ b/standins/world.py
@@ -191,7 +191,7 @@
         gateway.open_requests[id] = ask
         self.answers.taken(id, ask.deadline_ms)
         begun = self.now
-        self.at(ask.deadline_ms, lambda: self.expire(gateway, id, begun))
+        self.at(ask.deadline_ms, lambda: self.expire_request(gateway, id, begun))
         self.give(gateway, ask)
 
     def work(self, name: str, key: int) -> float:
@@ -201,7 +201,7 @@
             self.sizes[name, key] = min(4.0 * mean, mean * self.rng.lognormvariate(-0.18, 0.6))
         return self.sizes[name, key]
 
-    def expire(self, gateway: Gateway, id: int, begun: float) -> None:
+    def expire_request(self, gateway: Gateway, id: int, begun: float) -> None:
         """Time out a request's attempts at its deadline; the gateway must still answer the request."""
         for name in [n for n in self.open_attempts if n[0] == gateway.number and n[1] == id]:
             self.open_attempts[name]("etimedout", 0, 0.0)
