--- a/standins/world.py
+++ b/standins/world.py
@@ -148,7 +148,7 @@
                 own_settings = replace(s, my_number=number, my_zone=zone)
                 self.gateways.append(Gateway(number, zone, Router(own_settings, seed * 1000 + number)))
         for gateway in self.gateways:
-            self.give(gateway, api.Members(made.members, whole=True))
+            self.handle_event(gateway, api.Members(made.members, whole=True))
 
     @property
     def broken(self) -> list[str]:
@@ -192,7 +192,7 @@
         self.answers.taken(id, ask.deadline_ms)
         begun = self.now
         self.at(ask.deadline_ms, lambda: self.expire_request(gateway, id, begun))
-        self.give(gateway, ask)
+        self.handle_event(gateway, ask)
 
     def work(self, name: str, key: int) -> float:
         """Return the transfer time of an object in ms; it stays the same within a run."""
@@ -208,7 +208,7 @@
         if ask := gateway.open_requests.pop(id, None):
             self.ends[ask.class_name, "none"] += 1
 
-    def give(self, gateway: Gateway, event: api.Event) -> None:
+    def handle_event(self, gateway: Gateway, event: api.Event) -> None:
         """Pass an event to a gateway's Router and carry out the resulting actions."""
         if isinstance(event, api.Members):
             for member in event.members:
@@ -224,12 +224,17 @@
                         self.at(self.now, lambda end=end: end("ecanceled", 0, 0.0))  # type: ignore[misc]
                 case api.SetTimer():
                     due = api.TimerDue(act.token)
-                    self.at(self.now + max(0.01, act.delay_ms), lambda g=gateway, due=due: self.give(g, due))  # type: ignore[misc]
+                    self.at(
+                        self.now + max(0.01, act.delay_ms),
+                        lambda g=gateway, due=due: self.handle_event(g, due),
+                    )  # type: ignore[misc]
                 case api.SendNote():
                     if self.rng.random() >= PEER_LOSS_SHARE and act.peer != gateway.number:
                         word = api.PeerMessage(gateway.number, act.note)
                         to = self.gateways[act.peer]
-                        self.at(self.now + PEER_DELAY_MS, lambda to=to, word=word: self.give(to, word))  # type: ignore[misc]
+                        self.at(
+                            self.now + PEER_DELAY_MS, lambda to=to, word=word: self.handle_event(to, word)
+                        )  # type: ignore[misc]
 
     def finish(self, gateway: Gateway, id: int, how: str) -> None:
         """Record the final answer to a request."""
@@ -274,7 +279,7 @@
             told = NOTES_BY_LEVEL[self.s.notes]
             note = told[note - 1] if 0 < note <= len(told) else 0
             wait = waited if self.s.notes == "all" else 0.0
-            self.give(
+            self.handle_event(
                 gateway, api.Outcome(*name[1:], get.server, status, self.now - sent, closed, note, wait)
             )
 
@@ -330,7 +335,7 @@
         """Deliver a change of the list to each gateway, each after a random delay."""
         for gateway in self.gateways:
             when = self.now + LIST_DELAY_MS * (0.5 + self.rng.random())
-            self.at(when, lambda g=gateway: self.give(g, api.Members(members)))  # type: ignore[misc]
+            self.at(when, lambda g=gateway: self.handle_event(g, api.Members(members)))  # type: ignore[misc]
 
     def drain(self, name: str) -> None:
         """Announce that a cache is draining."""
@@ -355,6 +360,6 @@
 
             def hear(gateway: Gateway = gateway) -> None:
                 self.purges.heard(gateway.number, key, made, self.now)
-                self.give(gateway, api.Purged(key, key % 16, self.now - made))
+                self.handle_event(gateway, api.Purged(key, key % 16, self.now - made))
 
             self.at(when, hear)
