--- a/standins/world.py
+++ b/standins/world.py
@@ -218,7 +218,9 @@
                 case api.Get():
                     self.send(gateway, act)
                 case api.Refuse() | api.Fail():
-                    self.finish(gateway, act.id, "refused" if isinstance(act, api.Refuse) else "failed")
+                    self.record_answer(
+                        gateway, act.id, "refused" if isinstance(act, api.Refuse) else "failed"
+                    )
                 case api.Cancel():
                     if end := self.open_attempts.get((gateway.number, act.id, act.attempt)):
                         self.at(self.now, lambda end=end: end("ecanceled", 0, 0.0))  # type: ignore[misc]
@@ -236,7 +238,7 @@
                             self.now + PEER_DELAY_MS, lambda to=to, word=word: self.handle_event(to, word)
                         )  # type: ignore[misc]
 
-    def finish(self, gateway: Gateway, id: int, how: str) -> None:
+    def record_answer(self, gateway: Gateway, id: int, how: str) -> None:
         """Record the final answer to a request."""
         ask = gateway.open_requests.pop(id, None)
         self.answers.answered(id, self.now)
@@ -275,7 +277,7 @@
             if status == "done" and get.id in gateway.open_requests:
                 took = self.now - (ask.deadline_ms - cls.deadline_ms)
                 aim = cls.aim_ms + cls.aim_stretch * self.work(ask.class_name, ask.key)
-                self.finish(gateway, get.id, "served" if took <= aim else "late")
+                self.record_answer(gateway, get.id, "served" if took <= aim else "late")
             told = NOTES_BY_LEVEL[self.s.notes]
             note = told[note - 1] if 0 < note <= len(told) else 0
             wait = waited if self.s.notes == "all" else 0.0
