--- a/standins/world.py
+++ b/standins/world.py
@@ -216,7 +216,7 @@
         for act in gateway.router.handle(event, self.now):
             match act:
                 case api.Get():
-                    self.send(gateway, act)
+                    self.send_attempt(gateway, act)
                 case api.Refuse() | api.Fail():
                     self.record_answer(
                         gateway, act.id, "refused" if isinstance(act, api.Refuse) else "failed"
@@ -248,7 +248,7 @@
             if how == "refused":
                 self.effects.refused(id, cls.effect, cls.key_scope)
 
-    def send(self, gateway: Gateway, get: api.Get) -> None:
+    def send_attempt(self, gateway: Gateway, get: api.Get) -> None:
         """Send an attempt to its server, and report it to the checkers."""
         ask = gateway.open_requests.get(get.id)
         server = self.servers[get.server]
