--- a/standins/world.py
+++ b/standins/world.py
@@ -333,7 +333,7 @@
 
     # Faults and changes
 
-    def tell(self, *members: api.Member) -> None:
+    def announce(self, *members: api.Member) -> None:
         """Deliver a change of the list to each gateway, each after a random delay."""
         for gateway in self.gateways:
             when = self.now + LIST_DELAY_MS * (0.5 + self.rng.random())
@@ -341,14 +341,14 @@
 
     def drain(self, name: str) -> None:
         """Announce that a cache is draining."""
-        self.tell(replace(self.servers[name].member, state="DRAINING"))
+        self.announce(replace(self.servers[name].member, state="DRAINING"))
 
     def restart(self, name: str) -> None:
         """Restart a cache cold and empty, and announce it."""
         server = self.servers[name]
         server.copies, server.started_ms = {}, self.now
         self.cold.start(name, server.link, self.now)
-        self.tell(replace(server.member, started_ms=self.now))
+        self.announce(replace(server.member, started_ms=self.now))
 
     def purge(self, key: int) -> None:
         """Purge an object; gateways are told a little later, and caches drop their copies later still."""
