--- a/standins/world.py
+++ b/standins/world.py
@@ -228,15 +228,16 @@
                     due = api.TimerDue(act.token)
                     self.at(
                         self.now + max(0.01, act.delay_ms),
-                        lambda g=gateway, due=due: self.handle_event(g, due),
-                    )  # type: ignore[misc]
+                        lambda g=gateway, due=due: self.handle_event(g, due),  # type: ignore[misc]
+                    )
                 case api.SendNote():
                     if self.rng.random() >= PEER_LOSS_SHARE and act.peer != gateway.number:
-                        word = api.PeerMessage(gateway.number, act.note)
+                        note = api.PeerMessage(gateway.number, act.note)
                         to = self.gateways[act.peer]
                         self.at(
-                            self.now + PEER_DELAY_MS, lambda to=to, word=word: self.handle_event(to, word)
-                        )  # type: ignore[misc]
+                            self.now + PEER_DELAY_MS,
+                            lambda to=to, note=note: self.handle_event(to, note),  # type: ignore[misc]
+                        )
 
     def record_answer(self, gateway: Gateway, id: int, how: str) -> None:
         """Record the final answer to a request."""
@@ -355,8 +356,9 @@
         made = self.purged_at_ms[key] = self.now
         for server in self.servers.values():
             self.at(
-                self.now + self.s.purge_done_ms * self.rng.random(), lambda s=server: s.drop_copies(key, made)
-            )  # type: ignore[misc]
+                self.now + self.s.purge_done_ms * self.rng.random(),
+                lambda s=server: s.drop_copies(key, made),  # type: ignore[misc]
+            )
         for gateway in self.gateways:
             when = self.now + PURGE_DELAY_MS * self.rng.random()
 
