--- a/standins/rig.py
+++ b/standins/rig.py
@@ -1,4 +1,4 @@
-"""One gateway process among stand-ins: started, spoken to, killed and started again."""
+"""One gateway process among stand-in servers, which tests can start, query, kill and start again."""
 
 import asyncio
 import copy
@@ -18,13 +18,13 @@
 
 PORT = re.compile(r"127\.0\.0\.1:(\d+)")
 ROOT = Path(__file__).parent.parent
-REPLAY_MS = 1_500.0  # what a start is told again; the platform has 6 s
-LAG_MS = 600.0  # from a purge until the bus has it, at the most
-FRESH_MS = 1_500.0  # of the class `lookups`
+REPLAY_MS = 1_500.0  # age of the purges that a starting gateway is told again; the real platform has 6 s
+LAG_MS = 600.0  # longest time from a purge until the bus announces it
+FRESH_MS = 1_500.0  # lifetime of copies of the class `lookups`
 
 
 def settings() -> dict[str, Any]:
-    """Give the example's settings with a class whose copies age, and with shorter replays."""
+    """Return the settings of examples/config.json with one more class, whose copies expire, and REPLAY_MS."""
     setup: dict[str, Any] = copy.deepcopy(
         json.loads((ROOT / "examples" / "config.json").read_text())["settings"]
     )
@@ -48,10 +48,10 @@
 
 
 class Rig:
-    """Truth, servers, bus and a gateway; all that is drawn is drawn from one seed."""
+    """A `Truth`, servers, an event bus and one gateway process; all randomness comes from one seed."""
 
     def __init__(self, seed: int, caches: int = 2, script: ServerBehaviour | None = None) -> None:
-        """Prepare; nothing is started yet."""
+        """Prepare; nothing is started yet. `script` is the behaviour of the caches and the parent."""
         self.rng, self.truth = random.Random(seed), Truth()
         self.script = script or ServerBehaviour()
         self.caches = [Server(self.truth, self.script, random.Random(seed + n)) for n in range(caches)]
@@ -69,11 +69,11 @@
         self.cwd = ROOT
         self.memory_mb = 512
         self.lists_parent = True
-        self.config: dict[str, Any] = {}  # what a gateway's configuration has beside the usual
+        self.config: dict[str, Any] = {}  # added to the gateway's configuration, or replaces its keys
         self.tasks: set[asyncio.Task[None]] = set()
 
     def share(self, other: "Rig") -> None:
-        """Stand among another rig's servers; call before either is started."""
+        """Use another rig's servers; call before either rig is started."""
         self.truth, self.caches, self.parent, self.origin = (
             other.truth,
             other.caches,
@@ -82,7 +82,7 @@
         )
 
     async def start(self) -> None:
-        """Start the servers, those that are not up yet, and the bus."""
+        """Start the bus, and the servers that do not run yet."""
         hosts = []
         for place, server in enumerate([*self.caches, self.parent, self.origin]):
             if not server.port:
@@ -99,7 +99,10 @@
         await self.bus.start()
 
     def disk(self, **more: Any) -> None:
-        """Switch both tiers on, with a folder that lasts as long as this rig."""
+        """Enable the memory and disk tiers, with a folder that stays over restarts of the gateway.
+
+        The keywords become settings of the `disk` block, `memory_mb` of the `store` block.
+        """
         options = {"budget_mb": 24, "segment_mb": 2, "sync_ms": 100, "checkpoint_s": 0.5} | more
         memory = options.pop("memory_mb", 1)
         lines = "\n".join(f"    {name} = {value}" for name, value in options.items())
@@ -110,7 +113,7 @@
         )
 
     def repositories(self, kind: str = "simple", **more: Any) -> None:
-        """Switch the second front on, for one repository below `pypi/` or `debian/`."""
+        """Enable the repository front with one repository; the keywords become settings of its block."""
         options = {"each_address": 64, "connections": 600} | more
         lines = "\n".join(f"  {name} = {value}" for name, value in options.items())
         self.hcl += (
@@ -119,7 +122,7 @@
         )
 
     async def launch(self, wait_ready: bool = True) -> None:
-        """Start the gateway's next life."""
+        """Start the gateway process."""
         config = {
             "name": "n0", "listen": "127.0.0.1:0", "control": "127.0.0.1:0", "seed": "1",
             "limits": {"sockets": 512, "memory_mb": self.memory_mb}, "bus": f"127.0.0.1:{self.bus.port}",
@@ -145,7 +148,7 @@
             task.add_done_callback(self.tasks.discard)
 
     async def expect(self, text: str, patience_s: float = 15.0) -> str:
-        """Read the log until a line holds the text."""
+        """Read the log until a line contains the text; return that line."""
         assert self.process and self.process.stderr
         async with asyncio.timeout(patience_s):
             while raw := await self.process.stderr.readline():
@@ -167,7 +170,7 @@
             lines.append(raw.decode().rstrip())
 
     async def logged(self, text: str, patience_s: float = 10.0) -> str:
-        """Wait until the log, which is read in the background, holds a text."""
+        """Wait until the log, which is read in the background, contains a text; return its line."""
         async with asyncio.timeout(patience_s):
             while True:
                 for line in self.lines:
@@ -176,7 +179,7 @@
                 await asyncio.sleep(0.01)
 
     async def call(self, line: str) -> list[str]:
-        """Make an operator's call."""
+        """Send an operator's call; return the lines of the answer."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.control)
         writer.write(line.encode() + b"\n")
         data = await reader.read(-1)
@@ -184,7 +187,7 @@
         return data.decode().splitlines()
 
     async def figures(self) -> dict[str, int]:
-        """Give the gateway's figures by name."""
+        """Return the gateway's statistics by name, without the prefix."""
         pairs = [
             line.removeprefix("svc.").partition("|")[0].rpartition(":")
             for line in await self.call("show-stat")
@@ -192,20 +195,20 @@
         return {name: int(value) for name, _, value in pairs if value.lstrip("-").isdecimal()}
 
     async def terminal(self) -> StandInClient:
-        """Open a client's connection."""
+        """Return a client connected to the gateway."""
         terminal = StandInClient(self.truth, self.verdicts, random.Random(self.rng.getrandbits(32)))
         await terminal.connect(self.port)
         return terminal
 
     async def kill(self) -> None:
-        """End the gateway as a power cut ends a process."""
+        """Kill the gateway (SIGKILL), so that it ends without any cleanup, as in a power failure."""
         if self.process and self.process.returncode is None:
             self.process.kill()
         if self.process:
             await self.process.wait()
 
     async def terminate(self) -> int:
-        """Let the gateway end in order; gives its exit code."""
+        """Terminate the gateway (SIGTERM) and return its exit code."""
         assert self.process
         self.process.terminate()
         return await asyncio.wait_for(self.process.wait(), 10.0)
