--- a/standins/rules.py
+++ b/standins/rules.py
@@ -16,7 +16,7 @@
 
     broken: list[str] = field(default_factory=list)
     deadlines_ms: dict[object, float] = field(default_factory=dict)
-    over: set[object] = field(default_factory=set)
+    answered_requests: set[object] = field(default_factory=set)
 
     def taken(self, request: object, deadline_ms: float) -> None:
         """Record an accepted request."""
@@ -24,15 +24,17 @@
 
     def answered(self, request: object, now_ms: float) -> None:
         """Record a final answer of any kind."""
-        if request in self.over:
+        if request in self.answered_requests:
             self.broken.append(f"{request}: a second answer")
         elif now_ms > self.deadlines_ms[request] + SLACK_MS:
             self.broken.append(f"{request}: answered {now_ms - self.due[request]:.0f} ms late")
-        self.over.add(request)
+        self.answered_requests.add(request)
 
     def end(self) -> None:
         """Report the requests that have no answer at the end of the run."""
-        self.broken += [f"{request}: no answer" for request in self.deadlines_ms if request not in self.over]
+        self.broken += [
+            f"{request}: no answer" for request in self.deadlines_ms if request not in self.answered_requests
+        ]
 
 
 @dataclass(slots=True)
