--- a/standins/rules.py
+++ b/standins/rules.py
@@ -42,7 +42,7 @@
     """Checks that no request that may have run is sent again unless its class allows that."""
 
     broken: list[str] = field(default_factory=list)
-    ran: dict[object, tuple[float, str, int]] = field(default_factory=dict)
+    possibly_ran: dict[object, tuple[float, str, int]] = field(default_factory=dict)
     out: set[object] = field(default_factory=set)
 
     def sent(
@@ -54,7 +54,7 @@
         if request in self.out:
             self.broken.append(f"{request}: two attempts at the same time")
         self.out.add(request)
-        if (first := self.ran.get(request)) is None:
+        if (first := self.possibly_ran.get(request)) is None:
             return
         since, its_zone, its_cell = first
         same = {"zone": zone == its_zone, "cell": cell == its_cell}.get(scope, True)
@@ -65,11 +65,13 @@
         """Record the end of an attempt."""
         self.out.discard(request)
         if not never_ran:
-            self.ran.setdefault(request, (sent_ms, zone, cell))
+            self.possibly_ran.setdefault(request, (sent_ms, zone, cell))
 
     def refused(self, request: object, effect: str, scope: str) -> None:
         """Record a refusal, which tells the client that it can safely try again."""
-        if request in self.ran and not (effect == "repeatable" or (effect == "by_key" and scope == "all")):
+        if request in self.possibly_ran and not (
+            effect == "repeatable" or (effect == "by_key" and scope == "all")
+        ):
             self.broken.append(f"{request}: refused though it may have run")
 
 
