--- a/standins/rules.py
+++ b/standins/rules.py
@@ -43,7 +43,7 @@
 
     broken: list[str] = field(default_factory=list)
     possibly_ran: dict[object, tuple[float, str, int]] = field(default_factory=dict)
-    out: set[object] = field(default_factory=set)
+    open_attempts: set[object] = field(default_factory=set)
 
     def sent(
         self, request: object, now_ms: float, effect: str, scope: str, window_ms: float, zone: str, cell: int
@@ -51,9 +51,9 @@
         """Record an attempt; `scope` says which servers drop a repeat of it by its key."""
         if effect == "repeatable":
             return
-        if request in self.out:
+        if request in self.open_attempts:
             self.broken.append(f"{request}: two attempts at the same time")
-        self.out.add(request)
+        self.open_attempts.add(request)
         if (first := self.possibly_ran.get(request)) is None:
             return
         since, its_zone, its_cell = first
@@ -63,7 +63,7 @@
 
     def ended(self, request: object, sent_ms: float, never_ran: bool, zone: str, cell: int) -> None:
         """Record the end of an attempt."""
-        self.out.discard(request)
+        self.open_attempts.discard(request)
         if not never_ran:
             self.possibly_ran.setdefault(request, (sent_ms, zone, cell))
 
