--- a/standins/rig.py
+++ b/standins/rig.py
@@ -20,7 +20,7 @@
 ROOT = Path(__file__).parent.parent
 REPLAY_MS = 1_500.0  # age of the purges that a starting gateway is told again; the real platform has 6 s
 LAG_MS = 600.0  # longest time from a purge until the bus announces it
-FRESH_MS = 1_500.0  # lifetime of copies of the class `lookups`
+LOOKUPS_LIFETIME_MS = 1_500.0  # lifetime of copies of the class `lookups`
 
 
 def settings() -> dict[str, Any]:
@@ -37,7 +37,7 @@
     }
     setup["classes"].append(lookups)
     info = setup["family_info"]
-    info |= {"uncached": [False, True, False], "lifetime_by_class_ms": [0.0, 0.0, FRESH_MS]}
+    info |= {"uncached": [False, True, False], "lifetime_by_class_ms": [0.0, 0.0, LOOKUPS_LIFETIME_MS]}
     info |= {
         "grace_for_ms": [0.0, 0.0, 1000.0],
         "gone_everywhere_ms": REPLAY_MS,
