--- a/standins/kills.py
+++ b/standins/kills.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from standins.client import StandInClient
-from standins.rig import LAG_MS, REPLAY_MS, Rig
+from standins.rig import MAX_PURGE_LAG_MS, REPLAY_MS, Rig
 from standins.truth import now_ms
 
 OBJECTS, SCAN = 300, 0.2
@@ -38,7 +38,7 @@
     rng = random.Random(rig.rng.getrandbits(32))
     while True:
         await asyncio.sleep(rng.expovariate(a_second))
-        told = now_ms() + rng.uniform(31.0, min(310.0, LAG_MS))
+        told = now_ms() + rng.uniform(31.0, min(310.0, MAX_PURGE_LAG_MS))
         if rng.random() < 0.03:
             rig.truth.purge(None, rng.randrange(rig.truth.groups), told)
         else:
@@ -85,7 +85,9 @@
         for terminal in terminals:
             terminal.close()
         if rig.rng.random() < 0.25:
-            await asyncio.sleep((REPLAY_MS + LAG_MS) / 1000.0)  # long enough for purges to be missed
+            await asyncio.sleep(
+                (REPLAY_MS + MAX_PURGE_LAG_MS) / 1000.0
+            )  # long enough for purges to be missed
         if tick:
             click.echo(f"\rround {number + 1} of {many}, wrong {len(rig.verdicts.wrong)}", nl=False, err=True)
     purging.cancel()
--- a/standins/rig.py
+++ b/standins/rig.py
@@ -19,7 +19,7 @@
 PORT = re.compile(r"127\.0\.0\.1:(\d+)")
 ROOT = Path(__file__).parent.parent
 REPLAY_MS = 1_500.0  # age of the purges that a starting gateway is told again; the real platform has 6 s
-LAG_MS = 600.0  # longest time from a purge until the bus announces it
+MAX_PURGE_LAG_MS = 600.0  # longest time from a purge until the bus announces it
 LOOKUPS_LIFETIME_MS = 1_500.0  # lifetime of copies of the class `lookups`
 
 
