--- a/standins/rig.py
+++ b/standins/rig.py
@@ -72,7 +72,7 @@
         self.config: dict[str, Any] = {}  # added to the gateway's configuration, or replaces its keys
         self.tasks: set[asyncio.Task[None]] = set()
 
-    def share(self, other: "Rig") -> None:
+    def share_servers_of(self, other: "Rig") -> None:
         """Use another rig's servers; call before either rig is started."""
         self.truth, self.caches, self.parent, self.origin = (
             other.truth,
