--- a/standins/releases.py
+++ b/standins/releases.py
@@ -34,7 +34,7 @@
     rigs = [first]
     for number in range(1, gateways):
         rigs.append(Rig(seed + number, 1))
-        rigs[-1].share(first)
+        rigs[-1].share_servers_of(first)
     shop = ScriptedRepository(truth, rng)
     await shop.publish()
     counts: Counter[str] = Counter()
--- a/standins/rig.py
+++ b/standins/rig.py
@@ -108,7 +108,7 @@
         lines = "\n".join(f"    {name} = {value}" for name, value in options.items())
         folder = self.folder / "store"
         self.hcl = (
-            f"store {{\n  memory_mb = {memory}\n  purge_lag_ms = {LAG_MS}\n  disk {{\n"
+            f"store {{\n  memory_mb = {memory}\n  purge_lag_ms = {MAX_PURGE_LAG_MS}\n  disk {{\n"
             f'    folder = "{folder}"\n{lines}\n  }}\n}}\n'
         )
 
