--- a/standins/client.py
+++ b/standins/client.py
@@ -1,4 +1,4 @@
-"""A terminal on asyncio: asks on one connection, and has every answer judged against the truth."""
+"""A client on asyncio that sends requests on one connection and checks every answer against a `Truth`."""
 
 import asyncio
 import random
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True)
 class Answered:
-    """A final answer as the client got it."""
+    """A final answer as the client received it."""
 
     code: int
     fields: dict[str, str]
@@ -22,7 +22,7 @@
 
 @dataclass(slots=True)
 class Verdicts:
-    """What all clients together saw; `wrong` holds a line for each answer that breaks a rule."""
+    """The results of all clients together; `wrong` has a line for each answer that breaks a rule."""
 
     counts: Counter[str] = field(default_factory=Counter)
     wrong: list[str] = field(default_factory=list)
@@ -30,20 +30,20 @@
 
 
 class StandInClient:
-    """One connection; `ask` waits for the answer, None if the connection ended first."""
+    """A client with one connection and, like real clients, some copies of its own."""
 
     def __init__(self, truth: Truth, verdicts: Verdicts, rng: random.Random) -> None:
-        """Judge by a truth, and count in verdicts that several share."""
+        """Prepare a client that judges by `truth` and counts in `verdicts`, which clients may share."""
         self.truth, self.verdicts, self.rng = truth, verdicts, rng
         self.streams, self.open = 0, dict[int, asyncio.Future[frames.Frame | None]]()
-        self.tags: dict[tuple[int, int], tuple[str, bytes]] = {}  # what this client keeps itself
+        self.tags: dict[tuple[int, int], tuple[str, bytes]] = {}  # the client's own copies
         self.writer: asyncio.StreamWriter | None = None
         self.task: asyncio.Task[None] | None = None
-        self.going = False  # the gateway wants no new request here
+        self.going = False  # the gateway has announced that it accepts no new request on this connection
 
     @property
     def ended(self) -> bool:
-        """Tell whether a new request should go elsewhere."""
+        """Return whether a new request needs another connection."""
         return self.going or self.task is None or self.task.done()
 
     async def connect(self, port: int) -> None:
@@ -80,7 +80,11 @@
         have: str = "",
         keyed: str = "",
     ) -> Answered | None:
-        """Ask for a part; None where the connection ended before the answer."""
+        """Request a part and return the answer, or None if the connection ended first.
+
+        `have` is the tag of the client's own copy, `keyed` the key of an effect. An answer that does not come
+        within `wait_ms` and one more second is counted as lost, and the result is None too.
+        """
         assert self.writer and self.task
         if self.task.done():
             return None
@@ -107,7 +111,7 @@
             frame = await asyncio.wait_for(waiting, wait_ms / 1000.0 + 1.0)
         except TimeoutError:
             self.verdicts.counts["lost"] += 1
-            self.verdicts.wrong.append(f"no answer for {key:x}/{part} within its time and a second more")
+            self.verdicts.wrong.append(f"no answer for {key:x}/{part} by 1 s after its deadline")
             return None
         if frame is None:
             return None
@@ -117,7 +121,7 @@
     async def read(
         self, class_name: str, key: int, part: int = 0, wait_ms: float = 2000.0
     ) -> Answered | None:
-        """Ask as a client with copies of its own does, and judge the answer."""
+        """Request a part, naming the client's own copy if there is one, and judge the answer."""
         have, mine = self.tags.get((key, part), ("", b""))
         got = await self.ask(class_name, key, part, wait_ms, have)
         counts = self.verdicts.counts
@@ -139,12 +143,12 @@
     async def effect(
         self, class_name: str, key: int, dedupe: str, wait_ms: float = 2000.0
     ) -> Answered | None:
-        """Ask for an effect under its key."""
+        """Request an effect under its key."""
         got = await self.ask(class_name, key, 0, wait_ms, "", dedupe)
         self.verdicts.counts["broken off" if got is None else f"effect {got.code}"] += 1
         return got
 
     def close(self) -> None:
-        """End the connection."""
+        """Close the connection."""
         if self.writer:
             self.writer.close()
