--- a/standins/rules.py
+++ b/standins/rules.py
@@ -84,18 +84,18 @@
 
     grace_ms: float
     broken: list[str] = field(default_factory=list)
-    told_at: dict[tuple[int, str], float] = field(default_factory=dict)
+    told_at_ms: dict[tuple[int, str], float] = field(default_factory=dict)
 
     def heard(self, gateway: int, server: str, serving: bool, now_ms: float) -> None:
         """Record the state of a server that a gateway was told."""
         if serving:
-            self.told_at.pop((gateway, server), None)
+            self.told_at_ms.pop((gateway, server), None)
         else:
-            self.told_at.setdefault((gateway, server), now_ms)
+            self.told_at_ms.setdefault((gateway, server), now_ms)
 
     def sent(self, gateway: int, server: str, now_ms: float) -> None:
         """Record that a gateway sent a request to a server or named it as a source."""
-        since = self.told_at.get((gateway, server))
+        since = self.told_at_ms.get((gateway, server))
         if since is not None and now_ms > since + self.grace_ms:
             self.broken.append(f"{server}: gateway {gateway} sent {now_ms - since:.0f} ms after it was told")
 
@@ -152,14 +152,14 @@
 
     grace_ms: float
     broken: list[str] = field(default_factory=list)
-    told_at: dict[tuple[int, int], tuple[float, float]] = field(default_factory=dict)
+    told_at_ms: dict[tuple[int, int], tuple[float, float]] = field(default_factory=dict)
 
     def heard(self, gateway: int, key: int, made_ms: float, now_ms: float) -> None:
         """Record that a gateway is told now of a purge made at `made_ms`."""
-        self.told_at[gateway, key] = (made_ms, now_ms)
+        self.told_at_ms[gateway, key] = (made_ms, now_ms)
 
     def served(self, gateway: int, key: int, sent_ms: float, copy_ms: float) -> None:
         """Record an answer to an attempt of `sent_ms` from a copy that the origin served at `copy_ms`."""
-        made, since = self.told_at.get((gateway, key), (0.0, sent_ms))
+        made, since = self.told_at_ms.get((gateway, key), (0.0, sent_ms))
         if sent_ms > since + self.grace_ms and copy_ms < made:
             self.broken.append(f"{key}: a copy {made - copy_ms:.0f} ms older than its purge")
