--- a/standins/client.py
+++ b/standins/client.py
@@ -39,12 +39,12 @@
         self.tags: dict[tuple[int, int], tuple[str, bytes]] = {}  # the client's own copies
         self.writer: asyncio.StreamWriter | None = None
         self.task: asyncio.Task[None] | None = None
-        self.going = False  # the gateway has announced that it accepts no new request on this connection
+        self.is_leaving = False  # the gateway has announced that it accepts no new request on this connection
 
     @property
     def ended(self) -> bool:
         """Return whether a new request needs another connection."""
-        return self.going or self.task is None or self.task.done()
+        return self.is_leaving or self.task is None or self.task.done()
 
     async def connect(self, port: int) -> None:
         """Open the connection."""
@@ -56,7 +56,7 @@
         try:
             while data := await reader.read(262_144):
                 for frame in answers.feed(data):
-                    self.going = self.going or frame.kind == frames.GOING
+                    self.is_leaving = self.is_leaving or frame.kind == frames.GOING
                     waiting = self.open.pop(frame.stream, None)
                     if frame.kind == frames.ANSWER and waiting and not waiting.done():
                         waiting.set_result(frame)
