--- a/standins/client.py
+++ b/standins/client.py
@@ -42,7 +42,7 @@
         self.is_leaving = False  # the gateway has announced that it accepts no new request on this connection
 
     @property
-    def ended(self) -> bool:
+    def needs_new_connection(self) -> bool:
         """Return whether a new request needs another connection."""
         return self.is_leaving or self.task is None or self.task.done()
 
--- a/standins/load.py
+++ b/standins/load.py
@@ -70,7 +70,7 @@
             process = self.fleet.running.get(number)
             if process and process.serving:
                 terminal = self.terminals.get(process)
-                if terminal is None or terminal.ended:
+                if terminal is None or terminal.needs_new_connection:
                     terminal = await self._connect(process)
                 if terminal and len(terminal.open) < OPEN:
                     ask = asyncio.create_task(self._ask(number, terminal))
