--- a/standins/client.py
+++ b/standins/client.py
@@ -35,7 +35,7 @@
     def __init__(self, truth: Truth, verdicts: Verdicts, rng: random.Random) -> None:
         """Prepare a client that judges by `truth` and counts in `verdicts`, which clients may share."""
         self.truth, self.verdicts, self.rng = truth, verdicts, rng
-        self.streams, self.open = 0, dict[int, asyncio.Future[frames.Frame | None]]()
+        self.last_stream, self.open = 0, dict[int, asyncio.Future[frames.Frame | None]]()
         self.tags: dict[tuple[int, int], tuple[str, bytes]] = {}  # the client's own copies
         self.writer: asyncio.StreamWriter | None = None
         self.task: asyncio.Task[None] | None = None
@@ -88,8 +88,8 @@
         assert self.writer and self.task
         if self.task.done():
             return None
-        self.streams += 1
-        stream, sent = self.streams, now_ms()
+        self.last_stream += 1
+        stream, sent = self.last_stream, now_ms()
         fields = {
             "c": class_name,
             "i": f"{self.rng.getrandbits(64):016x}",
