--- a/standins/client.py
+++ b/standins/client.py
@@ -35,7 +35,7 @@
     def __init__(self, truth: Truth, verdicts: Verdicts, rng: random.Random) -> None:
         """Prepare a client that judges by `truth` and counts in `verdicts`, which clients may share."""
         self.truth, self.verdicts, self.rng = truth, verdicts, rng
-        self.last_stream, self.open = 0, dict[int, asyncio.Future[frames.Frame | None]]()
+        self.last_stream, self.pending = 0, dict[int, asyncio.Future[frames.Frame | None]]()
         self.tags: dict[tuple[int, int], tuple[str, bytes]] = {}  # the client's own copies
         self.writer: asyncio.StreamWriter | None = None
         self.task: asyncio.Task[None] | None = None
@@ -57,7 +57,7 @@
             while data := await reader.read(262_144):
                 for frame in answers.feed(data):
                     self.is_leaving = self.is_leaving or frame.kind == frames.GOING
-                    waiting = self.open.pop(frame.stream, None)
+                    waiting = self.pending.pop(frame.stream, None)
                     if frame.kind == frames.ANSWER and waiting and not waiting.done():
                         waiting.set_result(frame)
                     elif frame.kind == frames.ANSWER and frame.stream:
@@ -66,10 +66,10 @@
         except (ConnectionError, frames.BadFrame):
             pass
         finally:
-            for waiting in self.open.values():
+            for waiting in self.pending.values():
                 if not waiting.done():
                     waiting.set_result(None)
-            self.open.clear()
+            self.pending.clear()
 
     async def ask(
         self,
@@ -105,7 +105,7 @@
         if keyed:
             fields["k"] = keyed
         payload = frames.write_fields(fields)
-        waiting = self.open[stream] = asyncio.get_running_loop().create_future()
+        waiting = self.pending[stream] = asyncio.get_running_loop().create_future()
         self.writer.write(frames.head(frames.REQUEST, stream, len(payload)) + payload)
         try:
             frame = await asyncio.wait_for(waiting, wait_ms / 1000.0 + 1.0)
--- a/standins/load.py
+++ b/standins/load.py
@@ -72,7 +72,7 @@
                 terminal = self.terminals.get(process)
                 if terminal is None or terminal.needs_new_connection:
                     terminal = await self._connect(process)
-                if terminal and len(terminal.open) < OPEN:
+                if terminal and len(terminal.pending) < OPEN:
                     ask = asyncio.create_task(self._ask(number, terminal))
                     self.asks.add(ask)
                     ask.add_done_callback(self.asks.discard)
