--- a/standins/client.py
+++ b/standins/client.py
@@ -36,7 +36,7 @@
         """Prepare a client that judges by `truth` and counts in `verdicts`, which clients may share."""
         self.truth, self.verdicts, self.rng = truth, verdicts, rng
         self.last_stream, self.pending = 0, dict[int, asyncio.Future[frames.Frame | None]]()
-        self.tags: dict[tuple[int, int], tuple[str, bytes]] = {}  # the client's own copies
+        self.own_copies: dict[tuple[int, int], tuple[str, bytes]] = {}  # the client's own copies
         self.writer: asyncio.StreamWriter | None = None
         self.task: asyncio.Task[None] | None = None
         self.is_leaving = False  # the gateway has announced that it accepts no new request on this connection
@@ -122,7 +122,7 @@
         self, class_name: str, key: int, part: int = 0, wait_ms: float = 2000.0
     ) -> Answered | None:
         """Request a part, naming the client's own copy if there is one, and judge the answer."""
-        have, mine = self.tags.get((key, part), ("", b""))
+        have, mine = self.own_copies.get((key, part), ("", b""))
         got = await self.ask(class_name, key, part, wait_ms, have)
         counts = self.verdicts.counts
         if got is None:
@@ -137,7 +137,7 @@
                 self.verdicts.wrong.append(f"{verdict}: {key:x}/{part}, {got.fields}, {len(body)} bytes")
             self.verdicts.waits_ms.append(got.received_ms - got.sent_ms)
             if self.rng.random() < 0.3 and "ver" in got.fields:
-                self.tags[key, part] = (got.fields["ver"], body)
+                self.own_copies[key, part] = (got.fields["ver"], body)
         return got
 
     async def effect(
