--- a/standins/client.py
+++ b/standins/client.py
@@ -122,7 +122,7 @@
         self, class_name: str, key: int, part: int = 0, wait_ms: float = 2000.0
     ) -> Answered | None:
         """Request a part, naming the client's own copy if there is one, and judge the answer."""
-        have, mine = self.own_copies.get((key, part), ("", b""))
+        have, own_body = self.own_copies.get((key, part), ("", b""))
         got = await self.ask(class_name, key, part, wait_ms, have)
         counts = self.verdicts.counts
         if got is None:
@@ -130,7 +130,7 @@
             return None
         counts[{0: "served", 11: "refused", 5: "failed"}.get(got.code, "odd code")] += 1
         if got.code == 0:
-            body = mine if got.fields.get("unchanged") else got.body
+            body = own_body if got.fields.get("unchanged") else got.body
             verdict = self.truth.judge(key, part, body, got.sent_ms, got.received_ms)
             if verdict:
                 counts[verdict] += 1
