--- a/standins/client.py
+++ b/standins/client.py
@@ -77,7 +77,7 @@
         key: int,
         part: int = 0,
         wait_ms: float = 2000.0,
-        have: str = "",
+        own_tag: str = "",
         keyed: str = "",
     ) -> Answered | None:
         """Request a part and return the answer, or None if the connection ended first.
@@ -100,8 +100,8 @@
         }
         if (group := self.truth.group(key)) >= 0:
             fields["lot"] = str(group)
-        if have:
-            fields["ver"] = have
+        if own_tag:
+            fields["ver"] = own_tag
         if keyed:
             fields["k"] = keyed
         payload = frames.write_fields(fields)
@@ -122,8 +122,8 @@
         self, class_name: str, key: int, part: int = 0, wait_ms: float = 2000.0
     ) -> Answered | None:
         """Request a part, naming the client's own copy if there is one, and judge the answer."""
-        have, own_body = self.own_copies.get((key, part), ("", b""))
-        got = await self.ask(class_name, key, part, wait_ms, have)
+        own_tag, own_body = self.own_copies.get((key, part), ("", b""))
+        got = await self.ask(class_name, key, part, wait_ms, own_tag)
         counts = self.verdicts.counts
         if got is None:
             counts["broken off"] += 1
