--- a/standins/client.py
+++ b/standins/client.py
@@ -78,7 +78,7 @@
         part: int = 0,
         wait_ms: float = 2000.0,
         own_tag: str = "",
-        keyed: str = "",
+        effect_key: str = "",
     ) -> Answered | None:
         """Request a part and return the answer, or None if the connection ended first.
 
@@ -102,8 +102,8 @@
             fields["lot"] = str(group)
         if own_tag:
             fields["ver"] = own_tag
-        if keyed:
-            fields["k"] = keyed
+        if effect_key:
+            fields["k"] = effect_key
         payload = frames.write_fields(fields)
         waiting = self.pending[stream] = asyncio.get_running_loop().create_future()
         self.writer.write(frames.head(frames.REQUEST, stream, len(payload)) + payload)
