--- a/standins/client.py
+++ b/standins/client.py
@@ -115,8 +115,8 @@
             return None
         if frame is None:
             return None
-        told, end = frames.read_fields(frame.payload, 1)
-        return Answered(frame.payload[0], told, frame.payload[end:], sent, now_ms())
+        answer_fields, end = frames.read_fields(frame.payload, 1)
+        return Answered(frame.payload[0], answer_fields, frame.payload[end:], sent, now_ms())
 
     async def read(
         self, class_name: str, key: int, part: int = 0, wait_ms: float = 2000.0
