--- a/standins/play.py
+++ b/standins/play.py
@@ -1,9 +1,10 @@
-"""Plays a schedule of faults on real processes, judges it, and makes a failing one smaller.
+"""Plays a schedule of faults on real processes, checks the run, and reduces a failing schedule.
 
-After the last step all faults end, what does not run is started, and the fleet has MEET periods to hold one
-view with all alive. Judged are then: every request of a running gateway one answer, bodies and ages right,
-effects once, drains and cold starts over all gateways together, no process that ended by itself, no
-traceback, views that met. What happened is kept as rows, with their times from the start.
+After the last step all faults end, gateways that do not run are started, and the fleet has MEET periods until
+all gateways hold one view, with all alive. Then these are checked: a running gateway gives every request one
+answer, bodies and their ages are right, effects run once, drains and cold starts hold over all gateways
+together, no process ended by itself, no log has a traceback, and the views have converged. The history of the
+run is kept as rows with their times since its start.
 """
 
 import asyncio
@@ -18,38 +19,38 @@
 from standins.schedule import Schedule, Step, side, with_steps
 from standins.truth import now_ms
 
-MEET = 150  # periods, from the end of all faults
-QUIET_MS = 1_500.0  # between a purge and a bus that falls silent: what a bus has counts as told
-PURGED = 100.0  # ms until the buses have a purge
+MEET = 150  # periods from the end of all faults in which the views must converge
+QUIET_MS = 1_500.0  # from a purge until a bus may be cut: a purge counts as announced once the buses have it
+PURGED = 100.0  # ms until the buses announce a purge
 
 
 def both_ways(one: set[int]) -> Callable[[int, int], bool]:
-    """Cut a side from all others."""
+    """Return a filter that cuts all datagrams between one side and all others."""
     return lambda a, b: (a in one) != (b in one)
 
 
 def one_way(one: set[int]) -> Callable[[int, int], bool]:
-    """Have the others not hear a side, which hears them."""
+    """Return a filter that cuts the datagrams from one side to the others, but not those to it."""
     return lambda a, b: a in one and b not in one
 
 
 @dataclass(slots=True)
 class Outcome:
-    """What came of a schedule."""
+    """The results of a schedule."""
 
     schedule: Schedule
     broken: list[str] = field(default_factory=list)
-    history: list[tuple[float, str]] = field(default_factory=list)  # ms since the start, what happened
+    history: list[tuple[float, str]] = field(default_factory=list)  # ms since the start, event
     counts: dict[str, int] = field(default_factory=dict)
-    converged_ms: float = 0.0  # from the end of all faults until one view
-    cold: float = 0.0  # the most of a cold cache's bound that was used
+    converged_ms: float = 0.0  # from the end of all faults until all views agreed
+    cold: float = 0.0  # the largest used share of a cold cache's bound
 
 
 class SchedulePlayer:
-    """Takes the steps of one schedule."""
+    """Plays one schedule on a fleet of its own; `say` is called with each event."""
 
     def __init__(self, schedule: Schedule, say: Callable[[str], None] = lambda text: None) -> None:
-        """Prepare."""
+        """Prepare; nothing is started yet."""
         self.schedule, self.say = schedule, say
         self.fleet = Fleet(schedule.size, schedule.seed, schedule.period_ms, weight=4.0, flow_kb_per_s=300.0)
         self.out, self.begun = Outcome(schedule), now_ms()
@@ -57,7 +58,7 @@
         self.purged_ms = 0.0
 
     async def play(self) -> Outcome:
-        """Play it all."""
+        """Play the whole schedule and return its results."""
         fleet, load = self.fleet, Load(self.fleet, self.schedule.load)
         try:
             await fleet.start()
@@ -73,8 +74,8 @@
             await load.stop()
         except AssertionError as error:
             self.out.broken.append(str(error)[:500])
-        except OSError as error:  # also of a time that ran out
-            self.out.broken.append(f"a gateway answers no more, or does not start: {error!r}")
+        except OSError as error:  # TimeoutError is one too
+            self.out.broken.append(f"a gateway does not answer or does not start: {error!r}")
         finally:
             load.on = False
             await fleet.finish()
@@ -85,12 +86,12 @@
         return found
 
     def note(self, text: str) -> None:
-        """Keep a row of the history."""
+        """Add a row to the history."""
         self.out.history.append((round(now_ms() - self.begun, 1), text.strip()))
         self.say(text.strip())
 
     async def end(self) -> None:
-        """End all faults, start what does not run, wait for one view."""
+        """End all faults, start the gateways that do not run, and wait until all views agree."""
         fleet = self.fleet
         fleet.fabric.faults = Faults()
         await fleet.wire(LinkMode.PASS, list(range(fleet.size)))
@@ -108,7 +109,7 @@
         self.note("one view")
 
     async def take(self, step: Step) -> bool:
-        """Take one step; False if it can't be taken now."""
+        """Apply one step; return False if it can't be applied now."""
         fleet, number = self.fleet, step.number
         runs = number in fleet.running and number not in self.stopped
         match step.do:
@@ -157,17 +158,20 @@
         return True
 
     def hears(self, number: int) -> bool:
-        """Tell whether a gateway's bus reaches it."""
+        """Return whether a gateway runs and receives the events of its bus."""
         return self.fleet.relays[number, BUS].way is LinkMode.PASS and number not in self.stopped
 
 
 def play(schedule: Schedule, say: Callable[[str], None] = lambda text: None) -> Outcome:
-    """Play a schedule."""
+    """Play a schedule and return its results."""
     return asyncio.run(SchedulePlayer(schedule, say).play())
 
 
 def shrink(schedule: Schedule, fails: Callable[[Schedule], bool], most: int = 40) -> tuple[Schedule, int]:
-    """Leave steps out by halves, quarters and so on while it still fails; gives it and the plays needed."""
+    """Reduce a failing schedule by leaving out halves, quarters and so on of its steps while it still fails.
+
+    Returns the reduced schedule and the number of plays, at most `most`.
+    """
     steps, size, plays = schedule.steps, max(1, len(schedule.steps) // 2), 0
     while steps and plays < most:
         for place in range(0, len(steps), size):
