--- a/standins/client.py
+++ b/standins/client.py
@@ -82,8 +82,8 @@
     ) -> Answered | None:
         """Request a part and return the answer, or None if the connection ended first.
 
-        `have` is the tag of the client's own copy, `keyed` the key of an effect. An answer that does not come
-        within `wait_ms` and one more second is counted as lost, and the result is None too.
+        `own_tag` is the tag of the client's own copy, `effect_key` the key of an effect. An answer that does
+        not come within `wait_ms` and one more second counts as lost, and the result is None too.
         """
         assert self.writer and self.task
         if self.task.done():
