--- a/standins/play.py
+++ b/standins/play.py
@@ -19,7 +19,7 @@
 from standins.schedule import Schedule, Step, side, with_steps
 from standins.truth import now_ms
 
-MEET = 150  # periods from the end of all faults in which the views must converge
+MAX_CONVERGENCE_PERIODS = 150  # periods from the end of all faults in which the views must converge
 QUIET_MS = 1_500.0  # from a purge until a bus may be cut: a purge counts as announced once the buses have it
 PURGED = 100.0  # ms until the buses announce a purge
 
@@ -102,7 +102,7 @@
             if number not in fleet.running:
                 await fleet.launch(number)
         self.note("all faults ended")
-        patience = MEET * fleet.period_ms / 1000.0
+        patience = MAX_CONVERGENCE_PERIODS * fleet.period_ms / 1000.0
         self.out.converged_ms = 1000.0 * await fleet.until(
             {n: {"ALIVE"} for n in range(fleet.size)}, patience_s=patience
         )
