--- a/standins/play.py
+++ b/standins/play.py
@@ -20,7 +20,9 @@
 from standins.truth import now_ms
 
 MAX_CONVERGENCE_PERIODS = 150  # periods from the end of all faults in which the views must converge
-QUIET_MS = 1_500.0  # from a purge until a bus may be cut: a purge counts as announced once the buses have it
+PURGE_SETTLE_MS = (
+    1_500.0  # from a purge until a bus may be cut: a purge counts as announced once the buses have it
+)
 PURGED = 100.0  # ms until the buses announce a purge
 
 
@@ -139,11 +141,11 @@
             case "heal":
                 fleet.fabric.faults = Faults()
                 await fleet.wire(LinkMode.PASS, list(range(fleet.size)))
-            case "wire" if step.target == BUS and now_ms() - self.purged_ms < QUIET_MS:
+            case "wire" if step.target == BUS and now_ms() - self.purged_ms < PURGE_SETTLE_MS:
                 return False
             case "wire":
                 targets: list[str] | None = None if step.target == "all" else [step.target]
-                if targets is None and now_ms() - self.purged_ms < QUIET_MS:
+                if targets is None and now_ms() - self.purged_ms < PURGE_SETTLE_MS:
                     return False
                 await fleet.wire(LinkMode(step.way), [number], targets)
             case "cold":
