--- a/standins/play.py
+++ b/standins/play.py
@@ -23,7 +23,7 @@
 PURGE_SETTLE_MS = (
     1_500.0  # from a purge until a bus may be cut: a purge counts as announced once the buses have it
 )
-PURGED = 100.0  # ms until the buses announce a purge
+PURGE_DELAY_MS = 100.0  # ms until the buses announce a purge
 
 
 def both_ways(one: set[int]) -> Callable[[int, int], bool]:
@@ -153,7 +153,7 @@
             case "drain" | "back":
                 fleet.tell(number, health="Terminating" if step.do == "drain" else "Ready")
             case "purge" if all(self.hears(n) for n in range(fleet.size)):
-                self.purged_ms = now_ms() + PURGED
+                self.purged_ms = now_ms() + PURGE_DELAY_MS
                 fleet.truth.purge(None, fleet.rng.randrange(fleet.truth.groups), self.purged_ms)
             case _:
                 return False
