--- a/standins/play.py
+++ b/standins/play.py
@@ -26,7 +26,7 @@
 PURGE_DELAY_MS = 100.0  # ms until the buses announce a purge
 
 
-def both_ways(one: set[int]) -> Callable[[int, int], bool]:
+def cut_both_ways(one: set[int]) -> Callable[[int, int], bool]:
     """Return a filter that cuts all datagrams between one side and all others."""
     return lambda a, b: (a in one) != (b in one)
 
@@ -128,7 +128,7 @@
             case "upgrade" if runs and self.hears(number):
                 await fleet.upgrade(number)
             case "cut":
-                fleet.fabric.faults.cut = both_ways(side(step))
+                fleet.fabric.faults.cut = cut_both_ways(side(step))
             case "oneway":
                 fleet.fabric.faults.cut = one_way(side(step))
             case "lose":
