--- a/standins/play.py
+++ b/standins/play.py
@@ -31,7 +31,7 @@
     return lambda a, b: (a in one) != (b in one)
 
 
-def one_way(one: set[int]) -> Callable[[int, int], bool]:
+def cut_from(one: set[int]) -> Callable[[int, int], bool]:
     """Return a filter that cuts the datagrams from one side to the others, but not those to it."""
     return lambda a, b: a in one and b not in one
 
@@ -130,7 +130,7 @@
             case "cut":
                 fleet.fabric.faults.cut = cut_both_ways(side(step))
             case "oneway":
-                fleet.fabric.faults.cut = one_way(side(step))
+                fleet.fabric.faults.cut = cut_from(side(step))
             case "lose":
                 fleet.fabric.faults.loss_share = step.share
             case "late":
