--- a/standins/play.py
+++ b/standins/play.py
@@ -26,14 +26,14 @@
 PURGE_DELAY_MS = 100.0  # ms until the buses announce a purge
 
 
-def cut_both_ways(one: set[int]) -> Callable[[int, int], bool]:
+def cut_both_ways(cut_side: set[int]) -> Callable[[int, int], bool]:
     """Return a filter that cuts all datagrams between one side and all others."""
-    return lambda a, b: (a in one) != (b in one)
+    return lambda a, b: (a in cut_side) != (b in cut_side)
 
 
-def cut_from(one: set[int]) -> Callable[[int, int], bool]:
+def cut_from(cut_side: set[int]) -> Callable[[int, int], bool]:
     """Return a filter that cuts the datagrams from one side to the others, but not those to it."""
-    return lambda a, b: a in one and b not in one
+    return lambda a, b: a in cut_side and b not in cut_side
 
 
 @dataclass(slots=True)
