--- a/standins/play.py
+++ b/standins/play.py
@@ -69,7 +69,7 @@
             for step in self.schedule.steps:
                 await asyncio.sleep(step.after * fleet.period_ms / 1000.0)
                 taken = await self.take(step)
-                self.note(f"{step.do} {step.number if step.number >= 0 else step.side} {step.target}"
+                self.record(f"{step.do} {step.number if step.number >= 0 else step.side} {step.target}"
                           + ("" if taken else ", passed over"))  # fmt: skip
             await self.end()
             await load.until(5)
@@ -87,7 +87,7 @@
         found.counts, found.cold = dict(fleet.verdicts.counts), fleet.watch.cold.most
         return found
 
-    def note(self, text: str) -> None:
+    def record(self, text: str) -> None:
         """Add a row to the history."""
         self.out.history.append((round(now_ms() - self.begun, 1), text.strip()))
         self.say(text.strip())
@@ -103,12 +103,12 @@
         for number in range(fleet.size):
             if number not in fleet.running:
                 await fleet.launch(number)
-        self.note("all faults ended")
+        self.record("all faults ended")
         patience = MAX_CONVERGENCE_PERIODS * fleet.period_ms / 1000.0
         self.out.converged_ms = 1000.0 * await fleet.until(
             {n: {"ALIVE"} for n in range(fleet.size)}, patience_s=patience
         )
-        self.note("one view")
+        self.record("one view")
 
     async def take(self, step: Step) -> bool:
         """Apply one step; return False if it can't be applied now."""
