--- a/standins/play.py
+++ b/standins/play.py
@@ -55,7 +55,7 @@
         """Prepare; nothing is started yet."""
         self.schedule, self.say = schedule, say
         self.fleet = Fleet(schedule.size, schedule.seed, schedule.period_ms, weight=4.0, flow_kb_per_s=300.0)
-        self.out, self.begun = Outcome(schedule), now_ms()
+        self.out, self.started_ms = Outcome(schedule), now_ms()
         self.stopped: set[int] = set()
         self.purged_ms = 0.0
 
@@ -89,7 +89,7 @@
 
     def record(self, text: str) -> None:
         """Add a row to the history."""
-        self.out.history.append((round(now_ms() - self.begun, 1), text.strip()))
+        self.out.history.append((round(now_ms() - self.started_ms, 1), text.strip()))
         self.say(text.strip())
 
     async def end(self) -> None:
