--- a/standins/play.py
+++ b/standins/play.py
@@ -125,7 +125,7 @@
             case "go" if number in self.stopped:
                 fleet.poke(number, signal.SIGCONT)
                 self.stopped.discard(number)
-            case "upgrade" if runs and self.hears(number):
+            case "upgrade" if runs and self.receives_bus(number):
                 await fleet.upgrade(number)
             case "cut":
                 fleet.fabric.faults.cut = cut_both_ways(side(step))
@@ -152,14 +152,14 @@
                 await fleet.restart_cache(number)
             case "drain" | "back":
                 fleet.tell(number, health="Terminating" if step.do == "drain" else "Ready")
-            case "purge" if all(self.hears(n) for n in range(fleet.size)):
+            case "purge" if all(self.receives_bus(n) for n in range(fleet.size)):
                 self.purged_ms = now_ms() + PURGE_DELAY_MS
                 fleet.truth.purge(None, fleet.rng.randrange(fleet.truth.groups), self.purged_ms)
             case _:
                 return False
         return True
 
-    def hears(self, number: int) -> bool:
+    def receives_bus(self, number: int) -> bool:
         """Return whether a gateway runs and receives the events of its bus."""
         return self.fleet.relays[number, BUS].way is LinkMode.PASS and number not in self.stopped
 
