--- a/standins/play.py
+++ b/standins/play.py
@@ -55,7 +55,7 @@
         """Prepare; nothing is started yet."""
         self.schedule, self.say = schedule, say
         self.fleet = Fleet(schedule.size, schedule.seed, schedule.period_ms, weight=4.0, flow_kb_per_s=300.0)
-        self.out, self.started_ms = Outcome(schedule), now_ms()
+        self.outcome, self.started_ms = Outcome(schedule), now_ms()
         self.stopped: set[int] = set()
         self.purged_ms = 0.0
 
@@ -75,13 +75,13 @@
             await load.until(5)
             await load.stop()
         except AssertionError as error:
-            self.out.broken.append(str(error)[:500])
+            self.outcome.broken.append(str(error)[:500])
         except OSError as error:  # TimeoutError is one too
-            self.out.broken.append(f"a gateway does not answer or does not start: {error!r}")
+            self.outcome.broken.append(f"a gateway does not answer or does not start: {error!r}")
         finally:
             load.on = False
             await fleet.finish()
-        found = self.out
+        found = self.outcome
         found.broken += fleet.faults + fleet.verdicts.wrong + fleet.watch.broken
         found.broken += [f"effect {key} ran twice" for key in fleet.truth.twice]
         found.counts, found.cold = dict(fleet.verdicts.counts), fleet.watch.cold.most
@@ -89,7 +89,7 @@
 
     def record(self, text: str) -> None:
         """Add a row to the history."""
-        self.out.history.append((round(now_ms() - self.started_ms, 1), text.strip()))
+        self.outcome.history.append((round(now_ms() - self.started_ms, 1), text.strip()))
         self.say(text.strip())
 
     async def end(self) -> None:
@@ -105,7 +105,7 @@
                 await fleet.launch(number)
         self.record("all faults ended")
         patience = MAX_CONVERGENCE_PERIODS * fleet.period_ms / 1000.0
-        self.out.converged_ms = 1000.0 * await fleet.until(
+        self.outcome.converged_ms = 1000.0 * await fleet.until(
             {n: {"ALIVE"} for n in range(fleet.size)}, patience_s=patience
         )
         self.record("one view")
