--- a/standins/play.py
+++ b/standins/play.py
@@ -51,9 +51,9 @@
 class SchedulePlayer:
     """Plays one schedule on a fleet of its own; `say` is called with each event."""
 
-    def __init__(self, schedule: Schedule, say: Callable[[str], None] = lambda text: None) -> None:
+    def __init__(self, schedule: Schedule, on_event: Callable[[str], None] = lambda text: None) -> None:
         """Prepare; nothing is started yet."""
-        self.schedule, self.say = schedule, say
+        self.schedule, self.on_event = schedule, on_event
         self.fleet = Fleet(schedule.size, schedule.seed, schedule.period_ms, weight=4.0, flow_kb_per_s=300.0)
         self.outcome, self.started_ms = Outcome(schedule), now_ms()
         self.stopped: set[int] = set()
@@ -90,7 +90,7 @@
     def record(self, text: str) -> None:
         """Add a row to the history."""
         self.outcome.history.append((round(now_ms() - self.started_ms, 1), text.strip()))
-        self.say(text.strip())
+        self.on_event(text.strip())
 
     async def end(self) -> None:
         """End all faults, start the gateways that do not run, and wait until all views agree."""
@@ -164,9 +164,9 @@
         return self.fleet.relays[number, BUS].way is LinkMode.PASS and number not in self.stopped
 
 
-def play(schedule: Schedule, say: Callable[[str], None] = lambda text: None) -> Outcome:
+def play(schedule: Schedule, on_event: Callable[[str], None] = lambda text: None) -> Outcome:
     """Play a schedule and return its results."""
-    return asyncio.run(SchedulePlayer(schedule, say).play())
+    return asyncio.run(SchedulePlayer(schedule, on_event).play())
 
 
 def shrink(schedule: Schedule, fails: Callable[[Schedule], bool], most: int = 40) -> tuple[Schedule, int]:
