--- a/standins/play.py
+++ b/standins/play.py
@@ -177,10 +177,10 @@
     steps, size, plays = schedule.steps, max(1, len(schedule.steps) // 2), 0
     while steps and plays < most:
         for place in range(0, len(steps), size):
-            less = steps[:place] + steps[place + size :]
+            fewer = steps[:place] + steps[place + size :]
             plays += 1
-            if fails(with_steps(schedule, less)):
-                steps = less
+            if fails(with_steps(schedule, fewer)):
+                steps = fewer
                 break
             if plays >= most:
                 break
