--- a/standins/play.py
+++ b/standins/play.py
@@ -1,8 +1,8 @@
 """Plays a schedule of faults on real processes, checks the run, and reduces a failing schedule.
 
-After the last step all faults end, gateways that do not run are started, and the fleet has MEET periods until
-all gateways hold one view, with all alive. Then these are checked: a running gateway gives every request one
-answer, bodies and their ages are right, effects run once, drains and cold starts hold over all gateways
+After the last step all faults end, gateways that do not run are started, and within MAX_CONVERGENCE_PERIODS
+all gateways must hold one view, with all alive. Then these are checked: a running gateway gives every request
+one answer, bodies and their ages are right, effects run once, drains and cold starts hold over all gateways
 together, no process ended by itself, no log has a traceback, and the views have converged. The history of the
 run is kept as rows with their times since its start.
 """
@@ -49,7 +49,7 @@
 
 
 class SchedulePlayer:
-    """Plays one schedule on a fleet of its own; `say` is called with each event."""
+    """Plays one schedule on a fleet of its own; `on_event` is called with each event."""
 
     def __init__(self, schedule: Schedule, on_event: Callable[[str], None] = lambda text: None) -> None:
         """Prepare; nothing is started yet."""
