--- a/standins/schedule.py
+++ b/standins/schedule.py
@@ -1,15 +1,15 @@
-"""Schedules of faults: files (HCL) that say what befalls a fleet and when, and draws of them from a seed.
+"""Schedules of faults: HCL files that list the faults of a fleet and their times, and random schedules.
 
     seed = 7
     size = 4
     step "01" {
       do    = "cut"
-      after = 6          # periods of the protocol since the step before
-      side  = "0,1"      # these from all others
+      after = 6          # membership periods since the previous step
+      side  = "0,1"      # the gateways that are cut from all others
     }
 
-A step that can't be taken (a kill of what does not run) is passed over and told, so that any part of a
-schedule is a schedule: that is how a failing one is made smaller.
+A step that can't be applied (such as a kill of a gateway that does not run) is skipped and recorded. So every
+subset of a schedule's steps is a schedule too, which reducing a failing schedule needs.
 """
 
 from random import Random
@@ -30,6 +30,7 @@
 WAYS: tuple[Fault, ...] = get_args(Fault)[1:]
 TARGETS: tuple[Target, ...] = get_args(Target)[1:]
 ONE = ("kill", "start", "stop", "go", "end", "upgrade", "wire")  # steps that concern one gateway
+# Steps that have a share, and steps that concern one cache.
 SHARE = ("lose", "late", "alter")
 CACHE = ("cold", "drain", "back")
 CACHES = 3
@@ -48,7 +49,7 @@
 
 
 class Schedule(Struct, frozen=True, forbid_unknown_fields=True):
-    """What befalls one fleet."""
+    """The faults of one fleet, by step name, and the load on it."""
 
     seed: Annotated[int, Meta(ge=0, description="a whole number from 0")]
     size: Annotated[int, Meta(ge=2, le=40, description="gateways, from 2 to 40")] = 4
@@ -58,17 +59,17 @@
 
     @property
     def steps(self) -> list[Step]:
-        """Give the steps in order."""
+        """Return the steps in the order of their names."""
         return [self.step[name] for name in sorted(self.step)]
 
 
 def side(step: Step) -> set[int]:
-    """Give the gateways of a step's side."""
+    """Return the gateways of a step's side."""
     return {int(word) for word in step.side.split(",") if word.strip().isdecimal()}
 
 
 def read_schedule(text: str, name: str) -> Schedule:
-    """Read and check a schedule; BadFile with each problem, its line and what to write instead."""
+    """Read and check a schedule; raise BadFile with each problem, its line and what to write instead."""
     made = read_model(Schedule, text, name, lambda values, settings: _check(values, settings, name))
     return made
 
@@ -98,7 +99,7 @@
 
 
 def write_schedule(schedule: Schedule) -> str:
-    """Write a schedule as a file that reads back to the same."""
+    """Return a schedule as the text of a file that reads back as the same schedule."""
     lines = [f"{key} = {value}" for key, value in asdict(schedule).items() if key != "step"]
     plain = asdict(Step("heal"))
     for place, step in enumerate(schedule.steps, 1):
@@ -111,12 +112,12 @@
 
 
 def with_steps(schedule: Schedule, steps: list[Step]) -> Schedule:
-    """Give the same fleet other steps."""
+    """Return the schedule with other steps, for the same fleet and load."""
     return replace(schedule, step={f"{place:03d}": step for place, step in enumerate(steps, 1)})
 
 
 def draw(seed: int, size: int = 4, count: int = 12) -> Schedule:
-    """Draw a schedule: faults of every kind, most of which end again by a later step."""
+    """Return a random schedule with faults of every kind; the same seed gives the same one."""
     rng, steps = Random(f"schedule {seed}"), list[Step]()
     for _ in range(count):
         do = rng.choice(DO)
