--- a/standins/schedule.py
+++ b/standins/schedule.py
@@ -29,7 +29,7 @@
 DO: tuple[Do, ...] = get_args(Do)
 WAYS: tuple[Fault, ...] = get_args(Fault)[1:]
 TARGETS: tuple[Target, ...] = get_args(Target)[1:]
-ONE = ("kill", "start", "stop", "go", "end", "upgrade", "wire")  # steps that concern one gateway
+GATEWAY_STEPS = ("kill", "start", "stop", "go", "end", "upgrade", "wire")  # steps that concern one gateway
 # Steps that have a share, and steps that concern one cache.
 SHARE = ("lose", "late", "alter")
 CACHE = ("cold", "drain", "back")
@@ -83,7 +83,7 @@
         given = {each.name: each.value for each in block.inside}
         lines = {each.name: each.line for each in block.inside}
         do, number = given.get("do"), given.get("number", -1)
-        most = size if do in ONE else CACHES if do in CACHE else None
+        most = size if do in GATEWAY_STEPS else CACHES if do in CACHE else None
         if most is not None and not 0 <= int(number) < most:
             what = f"{do!r} with number = {number}"
             text = f"write a number from 0 to {most - 1}"
@@ -122,7 +122,7 @@
     for _ in range(count):
         do = rng.choice(DO)
         step = Step(do, round(rng.uniform(1.0, 12.0), 1))
-        if do in ONE:
+        if do in GATEWAY_STEPS:
             step = replace(step, number=rng.randrange(size))
         if do in CACHE:
             step = replace(step, number=rng.randrange(CACHES))
