--- a/standins/schedule.py
+++ b/standins/schedule.py
@@ -31,7 +31,7 @@
 TARGETS: tuple[Target, ...] = get_args(Target)[1:]
 GATEWAY_STEPS = ("kill", "start", "stop", "go", "end", "upgrade", "wire")  # steps that concern one gateway
 # Steps that have a share, and steps that concern one cache.
-SHARE = ("lose", "late", "alter")
+SHARE_STEPS = ("lose", "late", "alter")
 CACHE = ("cold", "drain", "back")
 CACHES = 3
 
@@ -129,7 +129,7 @@
         if do in ("cut", "oneway"):
             cut = rng.sample(range(size), rng.randint(1, size - 1))
             step = replace(step, side=",".join(map(str, sorted(cut))))
-        if do in SHARE:
+        if do in SHARE_STEPS:
             step = replace(step, share=round(rng.uniform(0.1, 0.5), 2))
         if do == "wire":
             step = replace(step, way=rng.choice(WAYS), target=rng.choice(TARGETS))
