--- a/standins/schedule.py
+++ b/standins/schedule.py
@@ -32,7 +32,7 @@
 GATEWAY_STEPS = ("kill", "start", "stop", "go", "end", "upgrade", "wire")  # steps that concern one gateway
 # Steps that have a share, and steps that concern one cache.
 SHARE_STEPS = ("lose", "late", "alter")
-CACHE = ("cold", "drain", "back")
+CACHE_STEPS = ("cold", "drain", "back")
 CACHES = 3
 
 
@@ -83,7 +83,7 @@
         given = {each.name: each.value for each in block.inside}
         lines = {each.name: each.line for each in block.inside}
         do, number = given.get("do"), given.get("number", -1)
-        most = size if do in GATEWAY_STEPS else CACHES if do in CACHE else None
+        most = size if do in GATEWAY_STEPS else CACHES if do in CACHE_STEPS else None
         if most is not None and not 0 <= int(number) < most:
             what = f"{do!r} with number = {number}"
             text = f"write a number from 0 to {most - 1}"
@@ -124,7 +124,7 @@
         step = Step(do, round(rng.uniform(1.0, 12.0), 1))
         if do in GATEWAY_STEPS:
             step = replace(step, number=rng.randrange(size))
-        if do in CACHE:
+        if do in CACHE_STEPS:
             step = replace(step, number=rng.randrange(CACHES))
         if do in ("cut", "oneway"):
             cut = rng.sample(range(size), rng.randint(1, size - 1))
