--- a/standins/schedule.py
+++ b/standins/schedule.py
@@ -33,7 +33,7 @@
 # Steps that have a share, and steps that concern one cache.
 SHARE_STEPS = ("lose", "late", "alter")
 CACHE_STEPS = ("cold", "drain", "back")
-CACHES = 3
+CACHE_COUNT = 3
 
 
 class Step(Struct, frozen=True, forbid_unknown_fields=True):
@@ -83,7 +83,7 @@
         given = {each.name: each.value for each in block.inside}
         lines = {each.name: each.line for each in block.inside}
         do, number = given.get("do"), given.get("number", -1)
-        most = size if do in GATEWAY_STEPS else CACHES if do in CACHE_STEPS else None
+        most = size if do in GATEWAY_STEPS else CACHE_COUNT if do in CACHE_STEPS else None
         if most is not None and not 0 <= int(number) < most:
             what = f"{do!r} with number = {number}"
             text = f"write a number from 0 to {most - 1}"
@@ -125,7 +125,7 @@
         if do in GATEWAY_STEPS:
             step = replace(step, number=rng.randrange(size))
         if do in CACHE_STEPS:
-            step = replace(step, number=rng.randrange(CACHES))
+            step = replace(step, number=rng.randrange(CACHE_COUNT))
         if do in ("cut", "oneway"):
             cut = rng.sample(range(size), rng.randint(1, size - 1))
             step = replace(step, side=",".join(map(str, sorted(cut))))
