--- a/standins/schedule.py
+++ b/standins/schedule.py
@@ -27,7 +27,7 @@
 Fault = Literal["", "refuse", "reset", "silent", "half", "slow"]
 Target = Literal["", "bus", "s-00000000", "s-00000001", "s-00000002", "s-00000003", "s-00000004", "all"]
 DO: tuple[Do, ...] = get_args(Do)
-WAYS: tuple[Fault, ...] = get_args(Fault)[1:]
+FAULTS: tuple[Fault, ...] = get_args(Fault)[1:]
 TARGETS: tuple[Target, ...] = get_args(Target)[1:]
 GATEWAY_STEPS = ("kill", "start", "stop", "go", "end", "upgrade", "wire")  # steps that concern one gateway
 # Steps that have a share, and steps that concern one cache.
@@ -44,7 +44,7 @@
     number: Annotated[int, Meta(ge=-1, le=999, description="a gateway's or a cache's number")] = -1
     side: Annotated[str, Meta(description='gateways cut from all others, such as "0,1"')] = ""
     share: Annotated[float, Meta(ge=0, le=1, description="a share from 0 to 1")] = 0.0
-    way: Annotated[Fault, Meta(description="one of " + ", ".join(WAYS))] = ""
+    way: Annotated[Fault, Meta(description="one of " + ", ".join(FAULTS))] = ""
     target: Annotated[Target, Meta(description="one of " + ", ".join(TARGETS))] = ""
 
 
@@ -132,7 +132,7 @@
         if do in SHARE_STEPS:
             step = replace(step, share=round(rng.uniform(0.1, 0.5), 2))
         if do == "wire":
-            step = replace(step, way=rng.choice(WAYS), target=rng.choice(TARGETS))
+            step = replace(step, way=rng.choice(FAULTS), target=rng.choice(TARGETS))
         steps.append(step)
     return with_steps(Schedule(seed, size), steps)
 
