--- a/standins/schedule.py
+++ b/standins/schedule.py
@@ -101,11 +101,11 @@
 def write_schedule(schedule: Schedule) -> str:
     """Return a schedule as the text of a file that reads back as the same schedule."""
     lines = [f"{key} = {value}" for key, value in asdict(schedule).items() if key != "step"]
-    plain = asdict(Step("heal"))
+    defaults = asdict(Step("heal"))
     for place, step in enumerate(schedule.steps, 1):
         lines += ["", f'step "{place:03d}" {{', f'  do = "{step.do}"']
         for key, value in asdict(step).items():
-            if key != "do" and value != plain[key]:
+            if key != "do" and value != defaults[key]:
                 lines.append(f"  {key} = " + (f'"{value}"' if isinstance(value, str) else f"{value}"))
         lines.append("}")
     return "\n".join(lines) + "\n"
