--- a/standins/schedule.py
+++ b/standins/schedule.py
@@ -83,8 +83,8 @@
         given = {each.name: each.value for each in block.inside}
         lines = {each.name: each.line for each in block.inside}
         do, number = given.get("do"), given.get("number", -1)
-        most = size if do in GATEWAY_STEPS else CACHE_COUNT if do in CACHE_STEPS else None
-        if most is not None and not 0 <= int(number) < most:
+        number_limit = size if do in GATEWAY_STEPS else CACHE_COUNT if do in CACHE_STEPS else None
+        if number_limit is not None and not 0 <= int(number) < number_limit:
             what = f"{do!r} with number = {number}"
             text = f"write a number from 0 to {most - 1}"
             problems.append(Problem(name, lines.get("number", block.line), what, text))
