--- a/standins/schedule.py
+++ b/standins/schedule.py
@@ -20,17 +20,16 @@
 
 from hitchtiller.operator.read import BadFile, Problem, Setting, read_model
 
-Do = Literal[
+StepKind = Literal[
     "kill", "start", "stop", "go", "end", "upgrade", "cut", "oneway", "lose", "late", "alter", "heal", "wire",
     "cold", "drain", "back", "purge",
 ]  # fmt: skip
 Fault = Literal["", "refuse", "reset", "silent", "half", "slow"]
 Target = Literal["", "bus", "s-00000000", "s-00000001", "s-00000002", "s-00000003", "s-00000004", "all"]
-KINDS: tuple[Do, ...] = get_args(Do)
+STEP_KINDS: tuple[StepKind, ...] = get_args(StepKind)
 FAULTS: tuple[Fault, ...] = get_args(Fault)[1:]
 TARGETS: tuple[Target, ...] = get_args(Target)[1:]
-GATEWAY_STEPS = ("kill", "start", "stop", "go", "end", "upgrade", "wire")  # steps that concern one gateway
-# Steps that have a share, and steps that concern one cache.
+GATEWAY_STEPS = ("kill", "start", "stop", "go", "end", "upgrade", "wire")
 SHARE_STEPS = ("lose", "late", "alter")
 CACHE_STEPS = ("cold", "drain", "back")
 CACHE_COUNT = 3
@@ -39,7 +38,7 @@
 class Step(Struct, frozen=True, forbid_unknown_fields=True):
     """One fault, or its end."""
 
-    do: Annotated[Do, Meta(description="one of " + ", ".join(KINDS))]
+    do: Annotated[StepKind, Meta(description="one of " + ", ".join(STEP_KINDS))]
     after: Annotated[float, Meta(ge=0, le=1000, description="periods from 0 to 1000")] = 0.0
     number: Annotated[int, Meta(ge=-1, le=999, description="a gateway's or a cache's number")] = -1
     side: Annotated[str, Meta(description='gateways cut from all others, such as "0,1"')] = ""
@@ -70,8 +69,8 @@
 
 def read_schedule(text: str, name: str) -> Schedule:
     """Read and check a schedule; raise BadFile with each problem, its line and what to write instead."""
-    made = read_model(Schedule, text, name, lambda values, settings: _check(values, settings, name))
-    return made
+    schedule = read_model(Schedule, text, name, lambda values, settings: _check(values, settings, name))
+    return schedule
 
 
 def _check(values: dict[str, object], settings: tuple[Setting, ...], name: str) -> list[Problem]:
@@ -86,7 +85,7 @@
         number_limit = size if do in GATEWAY_STEPS else CACHE_COUNT if do in CACHE_STEPS else None
         if number_limit is not None and not 0 <= int(number) < number_limit:
             what = f"{do!r} with number = {number}"
-            text = f"write a number from 0 to {most - 1}"
+            text = f"write a number from 0 to {number_limit - 1}"
             problems.append(Problem(name, lines.get("number", block.line), what, text))
         parts = str(given.get("side", "")).split(",")
         if do in ("cut", "oneway") and not all(p.strip().isdecimal() and int(p) < size for p in parts):
@@ -120,7 +119,7 @@
     """Return a random schedule with faults of every kind; the same seed gives the same one."""
     rng, steps = Random(f"schedule {seed}"), list[Step]()
     for _ in range(count):
-        do = rng.choice(KINDS)
+        do = rng.choice(STEP_KINDS)
         step = Step(do, round(rng.uniform(1.0, 12.0), 1))
         if do in GATEWAY_STEPS:
             step = replace(step, number=rng.randrange(size))
