--- a/standins/relay.py
+++ b/standins/relay.py
@@ -1,15 +1,15 @@
-"""TCP between a gateway and a server or the bus, with faults: a relay of its own for each pair.
+"""TCP relays with faults between a gateway and a server or the bus; each such pair has a relay of its own.
 
-A gateway dials the relay's port, which is the same for all its lives; the relay dials whoever `target` names
-then. So one gateway can be cut from a server that all others still reach. Every fault begins and ends by a
-call, and holds for connections that are open as well as for new ones.
+A gateway connects to the relay's port, which stays the same when the gateway restarts; the relay connects to
+the address that `target` returns at that time. So one gateway can be cut from a server that all others still
+reach. A call starts and ends each fault, which affects open connections as well as new ones.
 
-| way | what a gateway meets |
+| mode | what a gateway observes |
 | --- | --- |
 | PASS | the server |
-| REFUSE | nobody listens: new connections are refused, open ones reset |
+| REFUSE | nothing listens: new connections are refused, open ones reset |
 | RESET | each connection is accepted, and reset at its first byte |
-| SILENT | bytes wait in both directions until the fault ends; after FORGET_S they are lost, by a reset |
+| SILENT | bytes wait in both directions until the fault ends; after FORGET_S a reset drops them |
 | HALF | bytes pass towards the server; its answers wait |
 | SLOW | `SLOW_BYTES` a second in each direction |
 """
@@ -23,12 +23,12 @@
 
 SLOW_BYTES = 20_000.0
 CHUNK = 16_384
-FORGET_S = 2.0  # of silence, after which a network has forgotten its connections: nothing comes later still
-LINGER = struct.pack("ii", 1, 0)  # a close with it is a reset
+FORGET_S = 2.0  # a network that was silent for longer has dropped its connections: held bytes never arrive
+LINGER = struct.pack("ii", 1, 0)  # SO_LINGER with time 0: the close sends a reset
 
 
 class LinkMode(Enum):
-    """What befalls a pair's connections."""
+    """The state of a pair's connections: normal, or a fault."""
 
     PASS = "pass"
     REFUSE = "refuse"
@@ -39,12 +39,15 @@
 
 
 class Relay:
-    """One pair's way."""
+    """The relay between one gateway and one server or bus."""
 
     def __init__(
         self, target: Callable[[], tuple[str, int]], ends: dict[tuple[str, int], int], number: int
     ) -> None:
-        """Carry to whoever `target` names; `ends` gets each connection's own end, for gateway `number`."""
+        """Relay to the address that `target` returns.
+
+        `ends` gets the local address of each connection to it, with the `number` of the gateway.
+        """
         self.target, self.way, self.port = target, LinkMode.PASS, 0
         self.ends, self.number, self.since = ends, number, 0.0
         self.server: asyncio.Server | None = None
@@ -53,14 +56,14 @@
         self.tasks: set[asyncio.Task[None]] = set()
 
     async def start(self) -> None:
-        """Listen, at the same port as before if there was one."""
+        """Listen on a free port, or on the same one as before."""
         self.server = await asyncio.start_server(self._carry, "127.0.0.1", self.port, reuse_address=True)
         self.port = self.server.sockets[0].getsockname()[1]
         for gate in self.gates.values():
             gate.set()
 
     async def set(self, way: LinkMode) -> None:
-        """Have another fault from now on, or none."""
+        """Change the mode of open and new connections."""
         if way is self.way:
             return
         old, self.way = self.way, way
@@ -80,7 +83,7 @@
             await self.start()
 
     def close(self) -> None:
-        """End it."""
+        """Stop listening and reset all connections."""
         if self.server:
             self.server.close()
         self._reset_all()
@@ -118,7 +121,7 @@
                 for pump in pumps:
                     pump.cancel()
         except (OSError, asyncio.CancelledError):
-            self._reset(writer)  # nobody is there behind the relay
+            self._reset(writer)  # the target can't be reached
         finally:
             for one in (writer, far):
                 if one:
@@ -136,7 +139,7 @@
             await self.gates[up].wait()
 
     async def _held(self, data: bytes, reader: asyncio.StreamReader, gate: asyncio.Event) -> bytes:
-        """Hold bytes while nothing passes; nothing comes of them if their sender's end comes before that."""
+        """Hold bytes while the gate is closed; drop them if their sender closes the connection meanwhile."""
         while data and not gate.is_set():
             passes, more = asyncio.ensure_future(gate.wait()), asyncio.ensure_future(reader.read(CHUNK))
             await asyncio.wait((passes, more), return_when=asyncio.FIRST_COMPLETED)
