--- a/standins/relay.py
+++ b/standins/relay.py
@@ -21,7 +21,7 @@
 from collections.abc import Callable
 from enum import Enum
 
-SLOW_BYTES = 20_000.0
+SLOW_BYTES_PER_S = 20_000.0
 CHUNK = 16_384
 FORGET_S = 2.0  # a network that was silent for longer has dropped its connections: held bytes never arrive
 LINGER = struct.pack("ii", 1, 0)  # SO_LINGER with time 0: the close sends a reset
@@ -133,7 +133,7 @@
         with contextlib.suppress(OSError):
             while data := await self._held(await reader.read(CHUNK), reader, self.gates[up]):
                 if self.way is LinkMode.SLOW:
-                    await asyncio.sleep(len(data) / SLOW_BYTES)
+                    await asyncio.sleep(len(data) / SLOW_BYTES_PER_S)
                 writer.write(data)
                 await writer.drain()
             await self.gates[up].wait()
