--- a/standins/relay.py
+++ b/standins/relay.py
@@ -22,7 +22,7 @@
 from enum import Enum
 
 SLOW_BYTES_PER_S = 20_000.0
-CHUNK = 16_384
+CHUNK_BYTES = 16_384
 FORGET_S = 2.0  # a network that was silent for longer has dropped its connections: held bytes never arrive
 LINGER = struct.pack("ii", 1, 0)  # SO_LINGER with time 0: the close sends a reset
 
@@ -131,7 +131,7 @@
 
     async def _pump(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, up: bool) -> None:
         with contextlib.suppress(OSError):
-            while data := await self._held(await reader.read(CHUNK), reader, self.gates[up]):
+            while data := await self._held(await reader.read(CHUNK_BYTES), reader, self.gates[up]):
                 if self.way is LinkMode.SLOW:
                     await asyncio.sleep(len(data) / SLOW_BYTES_PER_S)
                 writer.write(data)
@@ -141,7 +141,7 @@
     async def _held(self, data: bytes, reader: asyncio.StreamReader, gate: asyncio.Event) -> bytes:
         """Hold bytes while the gate is closed; drop them if their sender closes the connection meanwhile."""
         while data and not gate.is_set():
-            passes, more = asyncio.ensure_future(gate.wait()), asyncio.ensure_future(reader.read(CHUNK))
+            passes, more = asyncio.ensure_future(gate.wait()), asyncio.ensure_future(reader.read(CHUNK_BYTES))
             await asyncio.wait((passes, more), return_when=asyncio.FIRST_COMPLETED)
             passes.cancel()
             if more.done():
