--- a/standins/relay.py
+++ b/standins/relay.py
@@ -24,7 +24,7 @@
 SLOW_BYTES_PER_S = 20_000.0
 CHUNK_BYTES = 16_384
 FORGET_S = 2.0  # a network that was silent for longer has dropped its connections: held bytes never arrive
-LINGER = struct.pack("ii", 1, 0)  # SO_LINGER with time 0: the close sends a reset
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER with time 0: the close sends a reset
 
 
 class LinkMode(Enum):
@@ -97,7 +97,7 @@
     def _reset(self, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(OSError):
             sock: socket.socket = writer.get_extra_info("socket")
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER)
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         writer.transport.abort()
 
     async def _carry(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
