--- a/standins/relay.py
+++ b/standins/relay.py
@@ -48,7 +48,7 @@
 
         `ends` gets the local address of each connection to it, with the `number` of the gateway.
         """
-        self.target, self.way, self.port = target, LinkMode.PASS, 0
+        self.target, self.mode, self.port = target, LinkMode.PASS, 0
         self.ends, self.number, self.since = ends, number, 0.0
         self.server: asyncio.Server | None = None
         self.gates = {up: asyncio.Event() for up in (True, False)}  # towards the server, and back
@@ -62,21 +62,21 @@
         for gate in self.gates.values():
             gate.set()
 
-    async def set(self, way: LinkMode) -> None:
+    async def set(self, mode: LinkMode) -> None:
         """Change the mode of open and new connections."""
-        if way is self.way:
+        if mode is self.mode:
             return
-        old, self.way = self.way, way
+        old, self.mode = self.mode, mode
         now = asyncio.get_running_loop().time()
         if old in (LinkMode.SILENT, LinkMode.HALF) and now - self.since > FORGET_S:
             self._reset_all()
         self.since = now
         for up, gate in self.gates.items():
-            blocked = way is LinkMode.SILENT or (way is LinkMode.HALF and not up)
+            blocked = mode is LinkMode.SILENT or (mode is LinkMode.HALF and not up)
             gate.clear() if blocked else gate.set()
-        if way in (LinkMode.REFUSE, LinkMode.RESET):
+        if mode in (LinkMode.REFUSE, LinkMode.RESET):
             self._reset_all()
-        if way is LinkMode.REFUSE and self.server:
+        if mode is LinkMode.REFUSE and self.server:
             self.server.close()
             self.server = None
         elif old is LinkMode.REFUSE:
@@ -107,14 +107,14 @@
         self.writers.add(writer)
         far: asyncio.StreamWriter | None = None
         try:
-            if self.way is LinkMode.RESET:
+            if self.mode is LinkMode.RESET:
                 await reader.read(1)
                 return self._reset(writer)
             far_reader, far = await asyncio.open_connection(*self.target())
             self.writers.add(far)
             self.ends[far.get_extra_info("sockname")] = self.number
             ways = (self._pump(reader, far, True), self._pump(far_reader, writer, False))
-            pumps = [asyncio.ensure_future(way) for way in ways]
+            pumps = [asyncio.ensure_future(mode) for mode in ways]
             try:
                 await asyncio.wait(pumps, return_when=asyncio.FIRST_COMPLETED)
             finally:
@@ -132,7 +132,7 @@
     async def _pump(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, up: bool) -> None:
         with contextlib.suppress(OSError):
             while data := await self._held(await reader.read(CHUNK_BYTES), reader, self.gates[up]):
-                if self.way is LinkMode.SLOW:
+                if self.mode is LinkMode.SLOW:
                     await asyncio.sleep(len(data) / SLOW_BYTES_PER_S)
                 writer.write(data)
                 await writer.drain()
