--- a/standins/relay.py
+++ b/standins/relay.py
@@ -49,7 +49,7 @@
         `ends` gets the local address of each connection to it, with the `number` of the gateway.
         """
         self.target, self.mode, self.port = target, LinkMode.PASS, 0
-        self.ends, self.number, self.since = ends, number, 0.0
+        self.ends, self.number, self.changed_s = ends, number, 0.0
         self.server: asyncio.Server | None = None
         self.gates = {up: asyncio.Event() for up in (True, False)}  # towards the server, and back
         self.writers: set[asyncio.StreamWriter] = set()
@@ -68,9 +68,9 @@
             return
         old, self.mode = self.mode, mode
         now = asyncio.get_running_loop().time()
-        if old in (LinkMode.SILENT, LinkMode.HALF) and now - self.since > FORGET_S:
+        if old in (LinkMode.SILENT, LinkMode.HALF) and now - self.changed_s > FORGET_S:
             self._reset_all()
-        self.since = now
+        self.changed_s = now
         for up, gate in self.gates.items():
             blocked = mode is LinkMode.SILENT or (mode is LinkMode.HALF and not up)
             gate.clear() if blocked else gate.set()
