--- a/standins/relay.py
+++ b/standins/relay.py
@@ -51,7 +51,7 @@
         self.target, self.mode, self.port = target, LinkMode.PASS, 0
         self.ends, self.number, self.changed_s = ends, number, 0.0
         self.server: asyncio.Server | None = None
-        self.gates = {up: asyncio.Event() for up in (True, False)}  # towards the server, and back
+        self.open_gates = {up: asyncio.Event() for up in (True, False)}  # towards the server, and back
         self.writers: set[asyncio.StreamWriter] = set()
         self.tasks: set[asyncio.Task[None]] = set()
 
@@ -59,7 +59,7 @@
         """Listen on a free port, or on the same one as before."""
         self.server = await asyncio.start_server(self._carry, "127.0.0.1", self.port, reuse_address=True)
         self.port = self.server.sockets[0].getsockname()[1]
-        for gate in self.gates.values():
+        for gate in self.open_gates.values():
             gate.set()
 
     async def set(self, mode: LinkMode) -> None:
@@ -71,7 +71,7 @@
         if old in (LinkMode.SILENT, LinkMode.HALF) and now - self.changed_s > FORGET_S:
             self._reset_all()
         self.changed_s = now
-        for up, gate in self.gates.items():
+        for up, gate in self.open_gates.items():
             blocked = mode is LinkMode.SILENT or (mode is LinkMode.HALF and not up)
             gate.clear() if blocked else gate.set()
         if mode in (LinkMode.REFUSE, LinkMode.RESET):
@@ -131,12 +131,12 @@
 
     async def _pump(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, up: bool) -> None:
         with contextlib.suppress(OSError):
-            while data := await self._held(await reader.read(CHUNK_BYTES), reader, self.gates[up]):
+            while data := await self._held(await reader.read(CHUNK_BYTES), reader, self.open_gates[up]):
                 if self.mode is LinkMode.SLOW:
                     await asyncio.sleep(len(data) / SLOW_BYTES_PER_S)
                 writer.write(data)
                 await writer.drain()
-            await self.gates[up].wait()
+            await self.open_gates[up].wait()
 
     async def _held(self, data: bytes, reader: asyncio.StreamReader, gate: asyncio.Event) -> bytes:
         """Hold bytes while the gate is closed; drop them if their sender closes the connection meanwhile."""
