--- a/standins/relay.py
+++ b/standins/relay.py
@@ -131,14 +131,18 @@
 
     async def _pump(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, up: bool) -> None:
         with contextlib.suppress(OSError):
-            while data := await self._held(await reader.read(CHUNK_BYTES), reader, self.open_gates[up]):
+            while data := await self._hold_while_closed(
+                await reader.read(CHUNK_BYTES), reader, self.open_gates[up]
+            ):
                 if self.mode is LinkMode.SLOW:
                     await asyncio.sleep(len(data) / SLOW_BYTES_PER_S)
                 writer.write(data)
                 await writer.drain()
             await self.open_gates[up].wait()
 
-    async def _held(self, data: bytes, reader: asyncio.StreamReader, gate: asyncio.Event) -> bytes:
+    async def _hold_while_closed(
+        self, data: bytes, reader: asyncio.StreamReader, gate: asyncio.Event
+    ) -> bytes:
         """Hold bytes while the gate is closed; drop them if their sender closes the connection meanwhile."""
         while data and not gate.is_set():
             passes, more = asyncio.ensure_future(gate.wait()), asyncio.ensure_future(reader.read(CHUNK_BYTES))
