--- a/standins/relay.py
+++ b/standins/relay.py
@@ -57,7 +57,9 @@
 
     async def start(self) -> None:
         """Listen on a free port, or on the same one as before."""
-        self.server = await asyncio.start_server(self._carry, "127.0.0.1", self.port, reuse_address=True)
+        self.server = await asyncio.start_server(
+            self._relay_connection, "127.0.0.1", self.port, reuse_address=True
+        )
         self.port = self.server.sockets[0].getsockname()[1]
         for gate in self.open_gates.values():
             gate.set()
@@ -100,7 +102,7 @@
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         writer.transport.abort()
 
-    async def _carry(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _relay_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         task = asyncio.current_task()
         assert task
         self.tasks.add(task)
