--- a/standins/schedule.py
+++ b/standins/schedule.py
@@ -26,7 +26,7 @@
 ]  # fmt: skip
 Fault = Literal["", "refuse", "reset", "silent", "half", "slow"]
 Target = Literal["", "bus", "s-00000000", "s-00000001", "s-00000002", "s-00000003", "s-00000004", "all"]
-STEP_KINDS: tuple[StepKind, ...] = get_args(StepKind)
+DO: tuple[StepKind, ...] = get_args(StepKind)
 FAULTS: tuple[Fault, ...] = get_args(Fault)[1:]
 TARGETS: tuple[Target, ...] = get_args(Target)[1:]
 GATEWAY_STEPS = ("kill", "start", "stop", "go", "end", "upgrade", "wire")
@@ -38,7 +38,7 @@
 class Step(Struct, frozen=True, forbid_unknown_fields=True):
     """One fault, or its end."""
 
-    do: Annotated[StepKind, Meta(description="one of " + ", ".join(STEP_KINDS))]
+    do: Annotated[StepKind, Meta(description="one of " + ", ".join(DO))]
     after: Annotated[float, Meta(ge=0, le=1000, description="periods from 0 to 1000")] = 0.0
     number: Annotated[int, Meta(ge=-1, le=999, description="a gateway's or a cache's number")] = -1
     side: Annotated[str, Meta(description='gateways cut from all others, such as "0,1"')] = ""
@@ -119,7 +119,7 @@
     """Return a random schedule with faults of every kind; the same seed gives the same one."""
     rng, steps = Random(f"schedule {seed}"), list[Step]()
     for _ in range(count):
-        do = rng.choice(STEP_KINDS)
+        do = rng.choice(DO)
         step = Step(do, round(rng.uniform(1.0, 12.0), 1))
         if do in GATEWAY_STEPS:
             step = replace(step, number=rng.randrange(size))
