--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -146,7 +146,7 @@
             host = bus.hosts[place]
             host |= changes
             bus.announce_host(host, setup["localities"], setup["skus"])
-            if self.relays[number, BUS].way is LinkMode.PASS:
+            if self.relays[number, BUS].mode is LinkMode.PASS:
                 self.watch.told(number, host)
 
     async def restart_cache(self, place: int, among: list[int] | None = None) -> None:
@@ -155,16 +155,16 @@
         now = now_ms()
         self.watch.cold.start(name(place), self.weight, now)
         for number in range(self.size):  # the cache's connections end with its process
-            await self.relays[number, name(place)].set(LinkMode.REFUSE)
-            await self.relays[number, name(place)].set(LinkMode.PASS)
+            await self.relays[number, name(place)].set_mode(LinkMode.REFUSE)
+            await self.relays[number, name(place)].set_mode(LinkMode.PASS)
         self.tell(place, among, born_ms=int(now))
 
-    async def wire(self, way: LinkMode, numbers: list[int], targets: list[str] | None = None) -> None:
+    async def wire(self, mode: LinkMode, numbers: list[int], targets: list[str] | None = None) -> None:
         """Set the mode of the links between these gateways and `targets`, or all servers and the bus."""
         for (number, target), relay in self.relays.items():
             if number in numbers and (targets is None or target in targets):
-                await relay.set(way)
-                if target == BUS and way is LinkMode.PASS:
+                await relay.set_mode(mode)
+                if target == BUS and mode is LinkMode.PASS:
                     # What the gateway missed counts as announced from now on.
                     for host in self.buses[number].hosts:
                         self.watch.told(number, host)
--- a/standins/play.py
+++ b/standins/play.py
@@ -161,7 +161,7 @@
 
     def receives_bus(self, number: int) -> bool:
         """Return whether a gateway runs and receives the events of its bus."""
-        return self.fleet.relays[number, BUS].way is LinkMode.PASS and number not in self.stopped
+        return self.fleet.relays[number, BUS].mode is LinkMode.PASS and number not in self.stopped
 
 
 def play(schedule: Schedule, on_event: Callable[[str], None] = lambda text: None) -> Outcome:
--- a/standins/relay.py
+++ b/standins/relay.py
@@ -11,7 +11,7 @@
 | RESET | each connection is accepted, and reset at its first byte |
 | SILENT | bytes wait in both directions until the fault ends; after FORGET_S a reset drops them |
 | HALF | bytes pass towards the server; its answers wait |
-| SLOW | `SLOW_BYTES` a second in each direction |
+| SLOW | `SLOW_BYTES_PER_S` in each direction |
 """
 
 import asyncio
@@ -64,7 +64,7 @@
         for gate in self.open_gates.values():
             gate.set()
 
-    async def set(self, mode: LinkMode) -> None:
+    async def set_mode(self, mode: LinkMode) -> None:
         """Change the mode of open and new connections."""
         if mode is self.mode:
             return
@@ -115,8 +115,8 @@
             far_reader, far = await asyncio.open_connection(*self.target())
             self.writers.add(far)
             self.ends[far.get_extra_info("sockname")] = self.number
-            ways = (self._pump(reader, far, True), self._pump(far_reader, writer, False))
-            pumps = [asyncio.ensure_future(mode) for mode in ways]
+            directions = (self._pump(reader, far, True), self._pump(far_reader, writer, False))
+            pumps = [asyncio.ensure_future(direction) for direction in directions]
             try:
                 await asyncio.wait(pumps, return_when=asyncio.FIRST_COMPLETED)
             finally:
