--- a/standins/fabric.py
+++ b/standins/fabric.py
@@ -1,9 +1,9 @@
-"""The network between gateways, with faults: sockets of its own for each ordered pair, one poller for all.
+"""The datagram network between gateways, with faults: one socket for each ordered pair, read by one loop.
 
-A gateway knows a peer by the address that a datagram comes from, and that must be the one in its own `peers`.
-So S(i, j) stands for i towards j: j's list names it for i; what j sends to it is carried on to i's own
-address out of S(j, i), which i's list names for j. Every datagram is a row of the history: when, from, to,
-its size, what became of it.
+A gateway identifies a peer by the source address of a datagram, which must be the one in its own `peers`.
+Therefore socket S(i, j) represents i towards j: j's list has it as the address of i. What j sends to it is
+forwarded to i's real address out of S(j, i), which i's list has as the address of j. Every datagram is a row
+of the history: time, sender, receiver, size and result.
 """
 
 import asyncio
@@ -17,7 +17,7 @@
 
 @dataclass(slots=True)
 class Faults:
-    """What befalls datagrams; shares from 0 to 1, times in ms."""
+    """The faults of datagrams; `cut(sender, receiver)` returns whether all datagrams are lost."""
 
     loss_share: float = 0.0
     repeat: float = 0.0
@@ -27,7 +27,7 @@
 
 
 class Fabric:
-    """Carries datagrams among `size` gateways; `peers(i)` is i's list, `address(i)` where it listens."""
+    """Forwards datagrams among `size` gateways."""
 
     def __init__(self, size: int, seed: int) -> None:
         """Open the sockets."""
@@ -43,20 +43,20 @@
                     sock.bind(("127.0.0.1", 0))
 
     def start(self) -> None:
-        """Carry from now on, in the running loop."""
+        """Start to forward datagrams, in the running event loop."""
         loop = asyncio.get_running_loop()
         for (i, j), sock in self.socks.items():
             loop.add_reader(sock.fileno(), self._read, i, j, sock)
 
     def close(self) -> None:
-        """End it."""
+        """Stop forwarding and close the sockets."""
         loop = asyncio.get_running_loop()
         for sock in self.socks.values():
             loop.remove_reader(sock.fileno())
             sock.close()
 
     def address(self, number: int) -> tuple[str, int]:
-        """Find a free address for a gateway to listen at; the same for all its lives."""
+        """Return the address on which a gateway is to listen; it stays the same when the gateway restarts."""
         if number not in self.home:
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
                 sock.bind(("127.0.0.1", 0))
@@ -64,7 +64,7 @@
         return self.home[number]
 
     def peers(self, number: int) -> list[str]:
-        """Give a gateway's list of peers, by number; its own place is where it listens."""
+        """Return a gateway's list of peers by number; its own entry is the address on which it listens."""
         names = []
         for other in range(self.size):
             place = self.address(number) if other == number else self.socks[other, number].getsockname()
@@ -72,7 +72,7 @@
         return names
 
     def _read(self, i: int, j: int, sock: socket.socket) -> None:
-        """Take what j sent to S(i, j): it is meant for i."""
+        """Read what gateway j has sent to S(i, j), which is for i, and apply the faults."""
         while True:
             try:
                 data, sender = sock.recvfrom(2048)
@@ -98,4 +98,6 @@
         try:
             self.socks[j, i].sendto(data, self.home[i])
         except OSError:
-            self.history.append((now_ms(), j, i, len(data), "unsent"))  # a closed socket, or a dead process
+            self.history.append(
+                (now_ms(), j, i, len(data), "unsent")
+            )  # a closed socket, or a process that ended
