--- a/standins/gossipnet.py
+++ b/standins/gossipnet.py
@@ -1,7 +1,7 @@
-"""Gateways' membership over a simulated network in virtual time: loss, delay, repeats, cuts, kills and stops.
+"""Membership over a simulated network in virtual time: loss, delay, repeats, cuts, kills and suspension.
 
-The detectors are the program's own; only the network and the clock are made up. Everything is drawn from one
-seed, so a run that fails is played again by its seed.
+The detectors are the program's own; only the network and the clock are simulated. All randomness comes from
+one seed, so a failing run can be repeated.
 """
 
 import heapq
@@ -12,17 +12,17 @@
 from hitchtiller.membership.detector import Datagrams, Detector
 from hitchtiller.membership.view import State
 
-TICKS = 4  # a period
+TICKS = 4  # per membership period
 
 
 class Net:
-    """A fleet of detectors; `cut` tells whether a datagram from one to another is lost for sure."""
+    """A fleet of detectors; `cut(sender, receiver)` returns whether all datagrams are lost."""
 
     def __init__(
         self, size: int, seed: int, period_ms: float = 1000.0, loss: float = 0.0, repeat: float = 0.0,
         delay_ms: tuple[float, float] = (2.0, 39.0),
     ) -> None:  # fmt: skip
-        """Start all, spread over a period."""
+        """Start all gateways at random times within the first period."""
         self.size, self.rng, self.now = size, Random(seed), 0.0
         self.seed, self.period_ms = seed, period_ms
         self.loss, self.repeat, self.delay_ms = loss, repeat, delay_ms
@@ -31,19 +31,19 @@
         self.order = count()
         self.nodes: dict[int, Detector] = {}
         self.stopped: set[int] = set()
-        self.held: dict[int, list[tuple[int, bytes]]] = {}  # what came while a process was stopped
+        self.held: dict[int, list[tuple[int, bytes]]] = {}  # received while a process was suspended
         self.sent = [0] * size
         self.bytes = [0] * size
-        self.false_deaths = 0  # a member that runs, held for dead by somebody
+        self.false_deaths = 0  # how often a detector declared a running member dead
         for number in range(size):
             self.start(number, self.rng.random() * period_ms)
 
     def at(self, when_ms: float, call: Callable[[], None]) -> None:
-        """Call at a time."""
+        """Schedule a call at a virtual time."""
         heapq.heappush(self.calls, (when_ms, next(self.order), call))
 
     def start(self, number: int, after_ms: float = 0.0) -> None:
-        """Start a process of this number; it knows nothing."""
+        """Start a process with this number; it has no knowledge of the others."""
         begun = self.now + after_ms
         incarnation = 1_700_000_000_000 + int(begun)
         rng = Random(f"{self.seed}/{number}/{begun}")
@@ -53,11 +53,11 @@
         self.at(begun, lambda: self.turn(number, node))
 
     def watch(self, number: int, state: State) -> None:
-        """Count who is wrongly held for dead."""
+        """Count a change of a view that declares a running member dead."""
         self.false_deaths += state is State.DEAD and number in self.nodes
 
     def turn(self, number: int, node: Detector) -> None:
-        """Tick a process that still runs."""
+        """Give a process its tick, unless it has ended or is suspended, and schedule the next one."""
         if self.nodes.get(number) is not node:
             return
         if number not in self.stopped:
@@ -65,7 +65,7 @@
         self.at(self.now + self.period_ms / TICKS, lambda: self.turn(number, node))
 
     def post(self, sender: int, out: Datagrams) -> None:
-        """Carry datagrams, or not."""
+        """Send datagrams, subject to cuts, loss, repeats and delay."""
         for to, data in out:
             self.sent[sender] += 1
             self.bytes[sender] += len(data)
@@ -76,7 +76,7 @@
                 self.at(when, lambda to=to, data=data: self.deliver(sender, to, data))  # type: ignore[misc]
 
     def deliver(self, sender: int, to: int, data: bytes) -> None:
-        """Hand a datagram over; a stopped process finds it when it wakes."""
+        """Deliver a datagram; a suspended process receives it when it resumes."""
         node = self.nodes.get(to)
         if to in self.stopped:
             self.held.setdefault(to, []).append((sender, data))
@@ -84,22 +84,22 @@
             self.post(to, node.receive(sender, data, self.now))
 
     def kill(self, *numbers: int) -> None:
-        """End processes without a word."""
+        """End processes without notice to the others."""
         for number in numbers:
             del self.nodes[number]
 
     def stop(self, number: int) -> None:
-        """Stop a process where it stands."""
+        """Suspend a process."""
         self.stopped.add(number)
 
     def resume_process(self, number: int) -> None:
-        """Let it go on; what came meanwhile lies in its socket."""
+        """Resume a suspended process; it receives the datagrams that have arrived meanwhile."""
         self.stopped.discard(number)
         for sender, data in self.held.pop(number, []):
             self.deliver(sender, number, data)
 
     def run(self, until_ms: float, done: Callable[[], bool] = lambda: False) -> float:
-        """Let time pass until then, or until it is done; gives the time."""
+        """Advance the virtual time to `until_ms`, or until `done` returns True; return the time."""
         while self.calls and self.calls[0][0] <= until_ms:
             self.now, _, call = heapq.heappop(self.calls)
             call()
@@ -109,10 +109,10 @@
         return self.now
 
     def count_believing(self, number: int, *states: State) -> int:
-        """Count the running others that hold a number for one of these."""
+        """Return how many of the other running processes hold this gateway in one of these states."""
         return sum(node.view.claims[number].state in states for n, node in self.nodes.items() if n != number)
 
     def agree(self) -> bool:
-        """Tell whether all that run hold the same view."""
+        """Return whether all running processes hold the same view."""
         views = [node.view.claims for node in self.nodes.values()]
         return all(view == views[0] for view in views)
