--- a/standins/fabric.py
+++ b/standins/fabric.py
@@ -92,9 +92,9 @@
             for _ in range(1 + (draw() < faults.repeat)):
                 delay = self.rng.uniform(*faults.delay_ms) / 1000.0
                 self.history.append((now_ms(), j, i, len(data), "passed"))
-                asyncio.get_running_loop().call_later(delay, self._pass, i, j, data)
+                asyncio.get_running_loop().call_later(delay, self._forward, i, j, data)
 
-    def _pass(self, i: int, j: int, data: bytes) -> None:
+    def _forward(self, i: int, j: int, data: bytes) -> None:
         try:
             self.socks[j, i].sendto(data, self.home[i])
         except OSError:
