--- a/standins/fabric.py
+++ b/standins/fabric.py
@@ -65,11 +65,11 @@
 
     def peers(self, number: int) -> list[str]:
         """Return a gateway's list of peers by number; its own entry is the address on which it listens."""
-        names = []
+        addresses = []
         for other in range(self.size):
             place = self.address(number) if other == number else self.socks[other, number].getsockname()
-            names.append(f"{place[0]}:{place[1]}")
-        return names
+            addresses.append(f"{place[0]}:{place[1]}")
+        return addresses
 
     def _read(self, i: int, j: int, sock: socket.socket) -> None:
         """Read what gateway j has sent to S(i, j), which is for i, and apply the faults."""
