--- a/standins/gossipnet.py
+++ b/standins/gossipnet.py
@@ -28,7 +28,7 @@
         self.loss, self.repeat, self.delay_ms = loss, repeat, delay_ms
         self.cut: Callable[[int, int], bool] = lambda a, b: False
         self.calls: list[tuple[float, int, Callable[[], None]]] = []
-        self.order = count()
+        self.sequence = count()
         self.nodes: dict[int, Detector] = {}
         self.stopped: set[int] = set()
         self.held: dict[int, list[tuple[int, bytes]]] = {}  # received while a process was suspended
@@ -40,7 +40,7 @@
 
     def at(self, when_ms: float, call: Callable[[], None]) -> None:
         """Schedule a call at a virtual time."""
-        heapq.heappush(self.calls, (when_ms, next(self.order), call))
+        heapq.heappush(self.calls, (when_ms, next(self.sequence), call))
 
     def start(self, number: int, after_ms: float = 0.0) -> None:
         """Start a process with this number; it has no knowledge of the others."""
