--- a/standins/gossipnet.py
+++ b/standins/gossipnet.py
@@ -27,7 +27,7 @@
         self.seed, self.period_ms = seed, period_ms
         self.loss, self.repeat, self.delay_ms = loss, repeat, delay_ms
         self.cut: Callable[[int, int], bool] = lambda a, b: False
-        self.calls: list[tuple[float, int, Callable[[], None]]] = []
+        self.scheduled_calls: list[tuple[float, int, Callable[[], None]]] = []
         self.sequence = count()
         self.nodes: dict[int, Detector] = {}
         self.stopped: set[int] = set()
@@ -40,7 +40,7 @@
 
     def at(self, when_ms: float, call: Callable[[], None]) -> None:
         """Schedule a call at a virtual time."""
-        heapq.heappush(self.calls, (when_ms, next(self.sequence), call))
+        heapq.heappush(self.scheduled_calls, (when_ms, next(self.sequence), call))
 
     def start(self, number: int, after_ms: float = 0.0) -> None:
         """Start a process with this number; it has no knowledge of the others."""
@@ -100,8 +100,8 @@
 
     def run(self, until_ms: float, done: Callable[[], bool] = lambda: False) -> float:
         """Advance the virtual time to `until_ms`, or until `done` returns True; return the time."""
-        while self.calls and self.calls[0][0] <= until_ms:
-            self.now, _, call = heapq.heappop(self.calls)
+        while self.scheduled_calls and self.scheduled_calls[0][0] <= until_ms:
+            self.now, _, call = heapq.heappop(self.scheduled_calls)
             call()
             if done():
                 return self.now
