--- a/standins/gossipnet.py
+++ b/standins/gossipnet.py
@@ -31,7 +31,7 @@
         self.sequence = count()
         self.nodes: dict[int, Detector] = {}
         self.stopped: set[int] = set()
-        self.held: dict[int, list[tuple[int, bytes]]] = {}  # received while a process was suspended
+        self.undelivered: dict[int, list[tuple[int, bytes]]] = {}  # received while a process was suspended
         self.sent = [0] * size
         self.bytes = [0] * size
         self.false_deaths = 0  # how often a detector declared a running member dead
@@ -79,7 +79,7 @@
         """Deliver a datagram; a suspended process receives it when it resumes."""
         node = self.nodes.get(to)
         if to in self.stopped:
-            self.held.setdefault(to, []).append((sender, data))
+            self.undelivered.setdefault(to, []).append((sender, data))
         elif node:
             self.post(to, node.receive(sender, data, self.now))
 
@@ -95,7 +95,7 @@
     def resume_process(self, number: int) -> None:
         """Resume a suspended process; it receives the datagrams that have arrived meanwhile."""
         self.stopped.discard(number)
-        for sender, data in self.held.pop(number, []):
+        for sender, data in self.undelivered.pop(number, []):
             self.deliver(sender, number, data)
 
     def run(self, until_ms: float, done: Callable[[], bool] = lambda: False) -> float:
