--- a/standins/gossipnet.py
+++ b/standins/gossipnet.py
@@ -48,11 +48,11 @@
         incarnation = 1_700_000_000_000 + int(begun)
         rng = Random(f"{self.seed}/{number}/{begun}")
         node = Detector(number, self.size, incarnation, 7, self.period_ms, rng, begun)
-        node.view.listeners.append(lambda change: self.watch(change.number, change.new.state))
+        node.view.listeners.append(lambda change: self.count_false_death(change.number, change.new.state))
         self.nodes[number] = node
         self.at(begun, lambda: self.turn(number, node))
 
-    def watch(self, number: int, state: State) -> None:
+    def count_false_death(self, number: int, state: State) -> None:
         """Count a change of a view that declares a running member dead."""
         self.false_deaths += state is State.DEAD and number in self.nodes
 
