--- a/standins/explore.py
+++ b/standins/explore.py
@@ -1,19 +1,19 @@
-"""Every interleaving of a small fleet, to a stated depth: kills, starts, suspicions, words lost or repeated.
-
-The model is the shipped module: views are `View` objects, their merges, refutations and restarts the
-program's own; only who acts next is chosen here, and all choices are taken. A word is a whole view at the
-time when it was sent; it may be delivered at any later time, again and again, or never, so loss, delay,
-repeats and cuts of any shape are all among the paths. In each state reached
-
-- the parts of a fleet-wide bound that all running gateways may spend, each by its own view
-  (`shares.spend`), sum to no more than the bound, whatever each believes;
-- a claim that a member made of itself is never invented by another: no view holds an incarnation that
-  its owner has not had;
-- once all running gateways have told each other all they hold, twice around, their views are equal and
-  none of them is held for gone.
-
-`python -m standins.explore --size 3 --depth 7` prints the states visited. Bound: each state costs some
-microseconds and is kept as a tuple; the paths of length n are walked breadth first.
+"""Model checking of membership: every interleaving of a small fleet's events up to a given depth.
+
+The events are kills, starts, suspicions, and messages that are lost or repeated. The model uses the program's
+own module: views are `View` objects with its merges, refutations and restarts; only the order of the events
+is chosen here, and all orders are explored. A message is a whole view at the time when it was sent. It may be
+delivered at any later time, repeatedly or never, so loss, delay, repeats and cuts of any shape are all
+covered. In each reached state
+
+- the parts of a fleet-wide bound that all running gateways may use, each by its own view
+  (`shares.capped_share`), sum to no more than the bound, whatever the views are;
+- no member invents a claim for another: no view has an incarnation that its owner never had;
+- once all running gateways have exchanged their views, in two rounds, the views are equal and no running
+  gateway is considered gone.
+
+`python -m standins.explore --size 3 --depth 7` prints the number of states. Cost: each state takes some
+microseconds and is stored as a tuple; the search is breadth first.
 """
 
 import argparse
@@ -24,48 +24,48 @@
 from hitchtiller.membership.shares import capped_share
 from hitchtiller.membership.view import Claim, State, View
 
-BOUND, WANTED = 1.0, 0.8  # of the bound: what the fleet would use at most if it were whole
-STARTS = 2  # lives of each number, at most
-Told = tuple[tuple[int, int], ...]  # a view: incarnation and state by number; () for one that does not run
-Word = tuple[int, Told]  # sender, what it held
-Place = tuple[tuple[Told, ...], tuple[int, ...], frozenset[Word]]  # views, lives begun, words under way
+BOUND, WANTED = 1.0, 0.8  # the fleet's bound, and how much of it a complete fleet would use at most
+STARTS = 2  # the most times that each gateway starts
+Told = tuple[tuple[int, int], ...]  # a view: incarnation and state by number; () if the gateway does not run
+Word = tuple[int, Told]  # a message: its sender and the sender's view
+Place = tuple[tuple[Told, ...], tuple[int, ...], frozenset[Word]]  # views, starts so far, messages in transit
 
 
 @dataclass(slots=True)
 class Found:
-    """What a search saw."""
+    """The results of a search."""
 
     states: int = 0
     depth: int = 0
-    most: float = 0.0  # the largest sum of parts, of the bound
-    broken: list[str] | None = None
+    most: float = 0.0  # the largest sum of the gateways' parts of the bound
+    broken: list[str] | None = None  # the last event, the broken invariant and the state
 
 
 def thaw(me: int, told: Told) -> View:
-    """Make a view again."""
+    """Return the `View` object of a frozen view."""
     view = View(me, len(told), told[me][0])
     view.claims = {n: Claim(incarnation, State(state)) for n, (incarnation, state) in enumerate(told)}
     return view
 
 
 def freeze(view: View) -> Told:
-    """Give a view as a value."""
+    """Return a view as a hashable value."""
     return tuple((claim.incarnation, int(claim.state)) for _, claim in sorted(view.claims.items()))
 
 
 def incarnation(number: int, life: int) -> int:
-    """Give the incarnation with which a life begins; refutations count up from there."""
+    """Return the incarnation with which a gateway starts; refutations count up from there."""
     return 1000 * (life + 1) + number
 
 
 def merge(view: View, told: Told) -> None:
-    """Take all claims of a word in."""
+    """Merge all claims of a message into a view."""
     for number, (which, state) in enumerate(told):
         view.merge(number, Claim(which, State(state)), 0, 0.0)
 
 
 def steps(place: Place, words: int) -> Iterator[tuple[str, Place]]:
-    """Give all that may happen next, by name; at most `words` different words are under way."""
+    """Yield every possible next event, as text, with its state; at most `words` messages are in transit."""
     views, lives, flying = place
     size = len(views)
     for i in range(size):
@@ -81,14 +81,14 @@
             yield f"send {i}", (views, lives, flying | {word})
         for j in range(size):
             state = views[i][j][1]
-            if j != i and state < State.DEAD:  # a probe failed, or a suspicion ran out: rightly or not
+            if j != i and state < State.DEAD:  # a probe failed or a suspicion expired, rightly or not
                 view = thaw(i, views[i])
                 view.merge(j, Claim(views[i][j][0], State(state + 1)), i, 0.0)
                 yield f"{i} doubts {j}", (_with(views, i, freeze(view)), lives, flying)
     for sender, told in flying:
         yield f"lose {sender}'s", (views, lives, flying - {(sender, told)})
         for i in range(size):
-            if views[i] and i != sender:  # it stays under way: it may come again
+            if views[i] and i != sender:  # the message stays in transit, as it may be repeated
                 view = thaw(i, views[i])
                 merge(view, told)
                 after = freeze(view)
@@ -101,7 +101,7 @@
 
 
 def parts(views: tuple[Told, ...]) -> float:
-    """Sum what all that run may spend, each by its own view."""
+    """Return the sum of the parts that all running gateways may use, each by its own view."""
     size, total = len(views), 0.0
     for told in views:
         if told:
@@ -111,7 +111,7 @@
 
 
 def judge(place: Place) -> str:
-    """Name the first invariant that a state breaks; nothing if it breaks none."""
+    """Return the first invariant that a state breaks as a sentence, or an empty text."""
     views, lives, _ = place
     if parts(views) > BOUND + 1e-9:
         return f"the parts sum to {parts(views):.3f} of the bound"
@@ -129,13 +129,13 @@
                 merge(met[j], freeze(met[i]))
     ends = {freeze(view) for view in met.values()}
     if len(ends) > 1:
-        return "views differ after all was told"
+        return "views differ after a full exchange"
     gone = [i for i in running for end in ends if end[i][1] >= State.DEAD]
-    return f"{gone} run and are held for gone after all was told" if gone else ""
+    return f"{gone} run and are held for gone after a full exchange" if gone else ""
 
 
 def search(size: int, depth: int, words: int = 2) -> Found:
-    """Walk all paths of `depth` steps from a fleet that is whole; stops at the first broken invariant."""
+    """Search all paths of up to `depth` events from a complete fleet; stop at the first broken invariant."""
     views = tuple(freeze(View(i, size, incarnation(i, 0))) for i in range(size))
     whole = [thaw(i, told) for i, told in enumerate(views)]
     for view in whole:
@@ -161,11 +161,11 @@
 
 
 def main() -> None:
-    """Search as told on the command line."""
-    parser = argparse.ArgumentParser(description="search all interleavings of a small fleet")
+    """Run a search with the options of the command line."""
+    parser = argparse.ArgumentParser(description="search all interleavings of a small fleet's events")
     parser.add_argument("--size", type=int, default=3)
     parser.add_argument("--depth", type=int, default=6)
-    parser.add_argument("--words", type=int, default=2, help="different words under way at once")
+    parser.add_argument("--words", type=int, default=2, help="the most different messages in transit at once")
     args = parser.parse_args()
     begun = time.monotonic()
     found = search(args.size, args.depth, args.words)
