--- a/standins/explore.py
+++ b/standins/explore.py
@@ -26,9 +26,13 @@
 
 BOUND, WANTED = 1.0, 0.8  # the fleet's bound, and how much of it a complete fleet would use at most
 STARTS = 2  # the most times that each gateway starts
-Told = tuple[tuple[int, int], ...]  # a view: incarnation and state by number; () if the gateway does not run
-Word = tuple[int, Told]  # a message: its sender and the sender's view
-Place = tuple[tuple[Told, ...], tuple[int, ...], frozenset[Word]]  # views, starts so far, messages in transit
+FrozenView = tuple[
+    tuple[int, int], ...
+]  # a view: incarnation and state by number; () if the gateway does not run
+Word = tuple[int, FrozenView]  # a message: its sender and the sender's view
+Place = tuple[
+    tuple[FrozenView, ...], tuple[int, ...], frozenset[Word]
+]  # views, starts so far, messages in transit
 
 
 @dataclass(slots=True)
@@ -41,14 +45,14 @@
     broken: list[str] | None = None  # the last event, the broken invariant and the state
 
 
-def thaw(me: int, told: Told) -> View:
+def thaw(me: int, told: FrozenView) -> View:
     """Return the `View` object of a frozen view."""
     view = View(me, len(told), told[me][0])
     view.claims = {n: Claim(incarnation, State(state)) for n, (incarnation, state) in enumerate(told)}
     return view
 
 
-def freeze(view: View) -> Told:
+def freeze(view: View) -> FrozenView:
     """Return a view as a hashable value."""
     return tuple((claim.incarnation, int(claim.state)) for _, claim in sorted(view.claims.items()))
 
@@ -58,7 +62,7 @@
     return 1000 * (life + 1) + number
 
 
-def merge(view: View, told: Told) -> None:
+def merge(view: View, told: FrozenView) -> None:
     """Merge all claims of a message into a view."""
     for number, (which, state) in enumerate(told):
         view.merge(number, Claim(which, State(state)), 0, 0.0)
@@ -96,11 +100,11 @@
                     yield f"{sender}'s reaches {i}", (_with(views, i, after), lives, flying)
 
 
-def _with(views: tuple[Told, ...], place: int, told: Told) -> tuple[Told, ...]:
+def _with(views: tuple[FrozenView, ...], place: int, told: FrozenView) -> tuple[FrozenView, ...]:
     return (*views[:place], told, *views[place + 1 :])
 
 
-def parts(views: tuple[Told, ...]) -> float:
+def parts(views: tuple[FrozenView, ...]) -> float:
     """Return the sum of the parts that all running gateways may use, each by its own view."""
     size, total = len(views), 0.0
     for told in views:
