--- a/standins/explore.py
+++ b/standins/explore.py
@@ -29,9 +29,9 @@
 FrozenView = tuple[
     tuple[int, int], ...
 ]  # a view: incarnation and state by number; () if the gateway does not run
-Word = tuple[int, FrozenView]  # a message: its sender and the sender's view
+Message = tuple[int, FrozenView]  # a message: its sender and the sender's view
 Place = tuple[
-    tuple[FrozenView, ...], tuple[int, ...], frozenset[Word]
+    tuple[FrozenView, ...], tuple[int, ...], frozenset[Message]
 ]  # views, starts so far, messages in transit
 
 
