--- a/standins/explore.py
+++ b/standins/explore.py
@@ -30,7 +30,7 @@
     tuple[int, int], ...
 ]  # a view: incarnation and state by number; () if the gateway does not run
 Message = tuple[int, FrozenView]  # a message: its sender and the sender's view
-Place = tuple[
+FleetState = tuple[
     tuple[FrozenView, ...], tuple[int, ...], frozenset[Message]
 ]  # views, starts so far, messages in transit
 
@@ -68,7 +68,7 @@
         view.merge(number, Claim(which, State(state)), 0, 0.0)
 
 
-def steps(place: Place, words: int) -> Iterator[tuple[str, Place]]:
+def steps(place: FleetState, words: int) -> Iterator[tuple[str, FleetState]]:
     """Yield every possible next event, as text, with its state; at most `words` messages are in transit."""
     views, lives, flying = place
     size = len(views)
@@ -114,7 +114,7 @@
     return total
 
 
-def judge(place: Place) -> str:
+def judge(place: FleetState) -> str:
     """Return the first invariant that a state breaks as a sentence, or an empty text."""
     views, lives, _ = place
     if parts(views) > BOUND + 1e-9:
@@ -145,7 +145,7 @@
     for view in whole:
         for told in views:
             merge(view, told)
-    begin: Place = (tuple(map(freeze, whole)), (1,) * size, frozenset())
+    begin: FleetState = (tuple(map(freeze, whole)), (1,) * size, frozenset())
     found, seen, edge = Found(), {begin: ""}, [begin]
     while edge and found.depth < depth:
         found.depth, after = found.depth + 1, []
