--- a/standins/explore.py
+++ b/standins/explore.py
@@ -36,7 +36,7 @@
 
 
 @dataclass(slots=True)
-class Found:
+class SearchResult:
     """The results of a search."""
 
     states: int = 0
@@ -138,7 +138,7 @@
     return f"{gone} run and are held for gone after a full exchange" if gone else ""
 
 
-def search(size: int, depth: int, words: int = 2) -> Found:
+def search(size: int, depth: int, words: int = 2) -> SearchResult:
     """Search all paths of up to `depth` events from a complete fleet; stop at the first broken invariant."""
     views = tuple(freeze(View(i, size, incarnation(i, 0))) for i in range(size))
     whole = [thaw(i, told) for i, told in enumerate(views)]
@@ -146,7 +146,7 @@
         for told in views:
             merge(view, told)
     begin: FleetState = (tuple(map(freeze, whole)), (1,) * size, frozenset())
-    found, seen, edge = Found(), {begin: ""}, [begin]
+    found, seen, edge = SearchResult(), {begin: ""}, [begin]
     while edge and found.depth < depth:
         found.depth, after = found.depth + 1, []
         for place in edge:
