--- a/standins/explore.py
+++ b/standins/explore.py
@@ -25,7 +25,7 @@
 from hitchtiller.membership.view import Claim, State, View
 
 BOUND, WANTED = 1.0, 0.8  # the fleet's bound, and how much of it a complete fleet would use at most
-STARTS = 2  # the most times that each gateway starts
+MAX_STARTS = 2  # the most times that each gateway starts
 FrozenView = tuple[
     tuple[int, int], ...
 ]  # a view: incarnation and state by number; () if the gateway does not run
@@ -74,7 +74,7 @@
     size = len(views)
     for i in range(size):
         if not views[i]:
-            if lives[i] < STARTS:
+            if lives[i] < MAX_STARTS:
                 fresh = View(i, size, incarnation(i, lives[i]))
                 begun = tuple(n + (k == i) for k, n in enumerate(lives))
                 yield f"start {i}", (_with(views, i, freeze(fresh)), begun, flying)
