--- a/standins/explore.py
+++ b/standins/explore.py
@@ -24,7 +24,7 @@
 from hitchtiller.membership.shares import capped_share
 from hitchtiller.membership.view import Claim, State, View
 
-BOUND, WANTED = 1.0, 0.8  # the fleet's bound, and how much of it a complete fleet would use at most
+BOUND, WANTED_SHARE = 1.0, 0.8  # the fleet's bound, and how much of it a complete fleet would use at most
 MAX_STARTS = 2  # the most times that each gateway starts
 FrozenView = tuple[
     tuple[int, int], ...
@@ -110,7 +110,7 @@
     for told in views:
         if told:
             serving = sum(state < State.DEAD for _, state in told)
-            total += capped_share(BOUND, WANTED, size, serving)
+            total += capped_share(BOUND, WANTED_SHARE, size, serving)
     return total
 
 
