--- a/standins/explore.py
+++ b/standins/explore.py
@@ -68,7 +68,7 @@
         view.merge(number, Claim(which, State(state)), 0, 0.0)
 
 
-def steps(place: FleetState, words: int) -> Iterator[tuple[str, FleetState]]:
+def next_states(place: FleetState, words: int) -> Iterator[tuple[str, FleetState]]:
     """Yield every possible next event, as text, with its state; at most `words` messages are in transit."""
     views, lives, flying = place
     size = len(views)
@@ -150,7 +150,7 @@
     while edge and found.depth < depth:
         found.depth, after = found.depth + 1, []
         for place in edge:
-            for named, new in steps(place, words):
+            for named, new in next_states(place, words):
                 if new in seen:
                     continue
                 seen[new] = ""
