--- a/standins/explore.py
+++ b/standins/explore.py
@@ -104,7 +104,7 @@
     return (*views[:place], told, *views[place + 1 :])
 
 
-def parts(views: tuple[FrozenView, ...]) -> float:
+def sum_of_parts(views: tuple[FrozenView, ...]) -> float:
     """Return the sum of the parts that all running gateways may use, each by its own view."""
     size, total = len(views), 0.0
     for told in views:
@@ -117,7 +117,7 @@
 def judge(place: FleetState) -> str:
     """Return the first invariant that a state breaks as a sentence, or an empty text."""
     views, lives, _ = place
-    if parts(views) > BOUND + 1e-9:
+    if sum_of_parts(views) > BOUND + 1e-9:
         return f"the parts sum to {parts(views):.3f} of the bound"
     for i, told in enumerate(views):
         for j, (which, _) in enumerate(told):
@@ -155,7 +155,7 @@
                     continue
                 seen[new] = ""
                 after.append(new)
-                found.most = max(found.most, parts(new[0]))
+                found.most = max(found.most, sum_of_parts(new[0]))
                 if wrong := judge(new):
                     found.states, found.broken = len(seen), [named, wrong, repr(new)]
                     return found
