--- a/standins/explore.py
+++ b/standins/explore.py
@@ -62,7 +62,7 @@
     return 1000 * (life + 1) + number
 
 
-def merge(view: View, told: FrozenView) -> None:
+def merge_message(view: View, told: FrozenView) -> None:
     """Merge all claims of a message into a view."""
     for number, (which, state) in enumerate(told):
         view.merge(number, Claim(which, State(state)), 0, 0.0)
@@ -94,7 +94,7 @@
         for i in range(size):
             if views[i] and i != sender:  # the message stays in transit, as it may be repeated
                 view = thaw(i, views[i])
-                merge(view, told)
+                merge_message(view, told)
                 after = freeze(view)
                 if after != views[i]:
                     yield f"{sender}'s reaches {i}", (_with(views, i, after), lives, flying)
@@ -130,7 +130,7 @@
     for _ in range(2):
         for i in running:
             for j in running:
-                merge(met[j], freeze(met[i]))
+                merge_message(met[j], freeze(met[i]))
     ends = {freeze(view) for view in met.values()}
     if len(ends) > 1:
         return "views differ after a full exchange"
@@ -144,7 +144,7 @@
     whole = [thaw(i, told) for i, told in enumerate(views)]
     for view in whole:
         for told in views:
-            merge(view, told)
+            merge_message(view, told)
     begin: FleetState = (tuple(map(freeze, whole)), (1,) * size, frozenset())
     found, seen, edge = SearchResult(), {begin: ""}, [begin]
     while edge and found.depth < depth:
