--- a/standins/explore.py
+++ b/standins/explore.py
@@ -48,7 +48,9 @@
 def thaw(me: int, told: FrozenView) -> View:
     """Return the `View` object of a frozen view."""
     view = View(me, len(told), told[me][0])
-    view.claims = {n: Claim(incarnation, State(state)) for n, (incarnation, state) in enumerate(told)}
+    view.claims = {
+        n: Claim(first_incarnation, State(state)) for n, (first_incarnation, state) in enumerate(told)
+    }
     return view
 
 
@@ -57,7 +59,7 @@
     return tuple((claim.incarnation, int(claim.state)) for _, claim in sorted(view.claims.items()))
 
 
-def incarnation(number: int, life: int) -> int:
+def first_incarnation(number: int, life: int) -> int:
     """Return the incarnation with which a gateway starts; refutations count up from there."""
     return 1000 * (life + 1) + number
 
@@ -75,7 +77,7 @@
     for i in range(size):
         if not views[i]:
             if lives[i] < MAX_STARTS:
-                fresh = View(i, size, incarnation(i, lives[i]))
+                fresh = View(i, size, first_incarnation(i, lives[i]))
                 begun = tuple(n + (k == i) for k, n in enumerate(lives))
                 yield f"start {i}", (_with(views, i, freeze(fresh)), begun, flying)
             continue
@@ -122,7 +124,8 @@
     for i, told in enumerate(views):
         for j, (which, _) in enumerate(told):
             if which and not any(
-                incarnation(j, life) <= which < incarnation(j, life) + 900 for life in range(lives[j])
+                first_incarnation(j, life) <= which < first_incarnation(j, life) + 900
+                for life in range(lives[j])
             ):
                 return f"{i} holds an incarnation {which} of {j} that it never had"
     running = [i for i, told in enumerate(views) if told]
@@ -140,7 +143,7 @@
 
 def search(size: int, depth: int, words: int = 2) -> SearchResult:
     """Search all paths of up to `depth` events from a complete fleet; stop at the first broken invariant."""
-    views = tuple(freeze(View(i, size, incarnation(i, 0))) for i in range(size))
+    views = tuple(freeze(View(i, size, first_incarnation(i, 0))) for i in range(size))
     whole = [thaw(i, told) for i, told in enumerate(views)]
     for view in whole:
         for told in views:
