--- a/standins/explore.py
+++ b/standins/explore.py
@@ -72,34 +72,34 @@
 
 def next_states(place: FleetState, words: int) -> Iterator[tuple[str, FleetState]]:
     """Yield every possible next event, as text, with its state; at most `words` messages are in transit."""
-    views, lives, flying = place
+    views, lives, in_transit = place
     size = len(views)
     for i in range(size):
         if not views[i]:
             if lives[i] < MAX_STARTS:
                 fresh = View(i, size, first_incarnation(i, lives[i]))
                 begun = tuple(n + (k == i) for k, n in enumerate(lives))
-                yield f"start {i}", (_with(views, i, freeze(fresh)), begun, flying)
+                yield f"start {i}", (_with(views, i, freeze(fresh)), begun, in_transit)
             continue
-        yield f"kill {i}", (_with(views, i, ()), lives, flying)
+        yield f"kill {i}", (_with(views, i, ()), lives, in_transit)
         word = (i, views[i])
-        if word not in flying and len(flying) < words:
-            yield f"send {i}", (views, lives, flying | {word})
+        if word not in in_transit and len(in_transit) < words:
+            yield f"send {i}", (views, lives, in_transit | {word})
         for j in range(size):
             state = views[i][j][1]
             if j != i and state < State.DEAD:  # a probe failed or a suspicion expired, rightly or not
                 view = thaw(i, views[i])
                 view.merge(j, Claim(views[i][j][0], State(state + 1)), i, 0.0)
-                yield f"{i} doubts {j}", (_with(views, i, freeze(view)), lives, flying)
-    for sender, told in flying:
-        yield f"lose {sender}'s", (views, lives, flying - {(sender, told)})
+                yield f"{i} doubts {j}", (_with(views, i, freeze(view)), lives, in_transit)
+    for sender, told in in_transit:
+        yield f"lose {sender}'s", (views, lives, in_transit - {(sender, told)})
         for i in range(size):
             if views[i] and i != sender:  # the message stays in transit, as it may be repeated
                 view = thaw(i, views[i])
                 merge_message(view, told)
                 after = freeze(view)
                 if after != views[i]:
-                    yield f"{sender}'s reaches {i}", (_with(views, i, after), lives, flying)
+                    yield f"{sender}'s reaches {i}", (_with(views, i, after), lives, in_transit)
 
 
 def _with(views: tuple[FrozenView, ...], place: int, told: FrozenView) -> tuple[FrozenView, ...]:
