--- a/standins/explore.py
+++ b/standins/explore.py
@@ -72,34 +72,34 @@
 
 def next_states(place: FleetState, words: int) -> Iterator[tuple[str, FleetState]]:
     """Yield every possible next event, as text, with its state; at most `words` messages are in transit."""
-    views, lives, in_transit = place
+    views, start_counts, in_transit = place
     size = len(views)
     for i in range(size):
         if not views[i]:
-            if lives[i] < MAX_STARTS:
-                fresh = View(i, size, first_incarnation(i, lives[i]))
-                begun = tuple(n + (k == i) for k, n in enumerate(lives))
+            if start_counts[i] < MAX_STARTS:
+                fresh = View(i, size, first_incarnation(i, start_counts[i]))
+                begun = tuple(n + (k == i) for k, n in enumerate(start_counts))
                 yield f"start {i}", (_with(views, i, freeze(fresh)), begun, in_transit)
             continue
-        yield f"kill {i}", (_with(views, i, ()), lives, in_transit)
+        yield f"kill {i}", (_with(views, i, ()), start_counts, in_transit)
         word = (i, views[i])
         if word not in in_transit and len(in_transit) < words:
-            yield f"send {i}", (views, lives, in_transit | {word})
+            yield f"send {i}", (views, start_counts, in_transit | {word})
         for j in range(size):
             state = views[i][j][1]
             if j != i and state < State.DEAD:  # a probe failed or a suspicion expired, rightly or not
                 view = thaw(i, views[i])
                 view.merge(j, Claim(views[i][j][0], State(state + 1)), i, 0.0)
-                yield f"{i} doubts {j}", (_with(views, i, freeze(view)), lives, in_transit)
+                yield f"{i} doubts {j}", (_with(views, i, freeze(view)), start_counts, in_transit)
     for sender, told in in_transit:
-        yield f"lose {sender}'s", (views, lives, in_transit - {(sender, told)})
+        yield f"lose {sender}'s", (views, start_counts, in_transit - {(sender, told)})
         for i in range(size):
             if views[i] and i != sender:  # the message stays in transit, as it may be repeated
                 view = thaw(i, views[i])
                 merge_message(view, told)
                 after = freeze(view)
                 if after != views[i]:
-                    yield f"{sender}'s reaches {i}", (_with(views, i, after), lives, in_transit)
+                    yield f"{sender}'s reaches {i}", (_with(views, i, after), start_counts, in_transit)
 
 
 def _with(views: tuple[FrozenView, ...], place: int, told: FrozenView) -> tuple[FrozenView, ...]:
@@ -118,14 +118,14 @@
 
 def judge(place: FleetState) -> str:
     """Return the first invariant that a state breaks as a sentence, or an empty text."""
-    views, lives, _ = place
+    views, start_counts, _ = place
     if sum_of_parts(views) > BOUND + 1e-9:
         return f"the parts sum to {parts(views):.3f} of the bound"
     for i, told in enumerate(views):
         for j, (which, _) in enumerate(told):
             if which and not any(
                 first_incarnation(j, life) <= which < first_incarnation(j, life) + 900
-                for life in range(lives[j])
+                for life in range(start_counts[j])
             ):
                 return f"{i} holds an incarnation {which} of {j} that it never had"
     running = [i for i, told in enumerate(views) if told]
