--- a/standins/explore.py
+++ b/standins/explore.py
@@ -70,7 +70,7 @@
         view.merge(number, Claim(which, State(state)), 0, 0.0)
 
 
-def next_states(place: FleetState, words: int) -> Iterator[tuple[str, FleetState]]:
+def next_states(place: FleetState, max_messages: int) -> Iterator[tuple[str, FleetState]]:
     """Yield every possible next event, as text, with its state; at most `words` messages are in transit."""
     views, start_counts, in_transit = place
     size = len(views)
@@ -83,7 +83,7 @@
             continue
         yield f"kill {i}", (_with(views, i, ()), start_counts, in_transit)
         word = (i, views[i])
-        if word not in in_transit and len(in_transit) < words:
+        if word not in in_transit and len(in_transit) < max_messages:
             yield f"send {i}", (views, start_counts, in_transit | {word})
         for j in range(size):
             state = views[i][j][1]
@@ -141,7 +141,7 @@
     return f"{gone} run and are held for gone after a full exchange" if gone else ""
 
 
-def search(size: int, depth: int, words: int = 2) -> SearchResult:
+def search(size: int, depth: int, max_messages: int = 2) -> SearchResult:
     """Search all paths of up to `depth` events from a complete fleet; stop at the first broken invariant."""
     views = tuple(freeze(View(i, size, first_incarnation(i, 0))) for i in range(size))
     whole = [thaw(i, told) for i, told in enumerate(views)]
@@ -153,7 +153,7 @@
     while edge and found.depth < depth:
         found.depth, after = found.depth + 1, []
         for place in edge:
-            for named, new in next_states(place, words):
+            for named, new in next_states(place, max_messages):
                 if new in seen:
                     continue
                 seen[new] = ""
