--- a/standins/explore.py
+++ b/standins/explore.py
@@ -45,11 +45,11 @@
     broken: list[str] | None = None  # the last event, the broken invariant and the state
 
 
-def thaw(me: int, told: FrozenView) -> View:
+def thaw(me: int, frozen: FrozenView) -> View:
     """Return the `View` object of a frozen view."""
-    view = View(me, len(told), told[me][0])
+    view = View(me, len(frozen), frozen[me][0])
     view.claims = {
-        n: Claim(first_incarnation, State(state)) for n, (first_incarnation, state) in enumerate(told)
+        n: Claim(first_incarnation, State(state)) for n, (first_incarnation, state) in enumerate(frozen)
     }
     return view
 
@@ -64,9 +64,9 @@
     return 1000 * (life + 1) + number
 
 
-def merge_message(view: View, told: FrozenView) -> None:
+def merge_message(view: View, frozen: FrozenView) -> None:
     """Merge all claims of a message into a view."""
-    for number, (which, state) in enumerate(told):
+    for number, (which, state) in enumerate(frozen):
         view.merge(number, Claim(which, State(state)), 0, 0.0)
 
 
@@ -91,27 +91,27 @@
                 view = thaw(i, views[i])
                 view.merge(j, Claim(views[i][j][0], State(state + 1)), i, 0.0)
                 yield f"{i} doubts {j}", (_with(views, i, freeze(view)), start_counts, in_transit)
-    for sender, told in in_transit:
-        yield f"lose {sender}'s", (views, start_counts, in_transit - {(sender, told)})
+    for sender, frozen in in_transit:
+        yield f"lose {sender}'s", (views, start_counts, in_transit - {(sender, frozen)})
         for i in range(size):
             if views[i] and i != sender:  # the message stays in transit, as it may be repeated
                 view = thaw(i, views[i])
-                merge_message(view, told)
+                merge_message(view, frozen)
                 after = freeze(view)
                 if after != views[i]:
                     yield f"{sender}'s reaches {i}", (_with(views, i, after), start_counts, in_transit)
 
 
-def _with(views: tuple[FrozenView, ...], place: int, told: FrozenView) -> tuple[FrozenView, ...]:
-    return (*views[:place], told, *views[place + 1 :])
+def _with(views: tuple[FrozenView, ...], place: int, frozen: FrozenView) -> tuple[FrozenView, ...]:
+    return (*views[:place], frozen, *views[place + 1 :])
 
 
 def sum_of_parts(views: tuple[FrozenView, ...]) -> float:
     """Return the sum of the parts that all running gateways may use, each by its own view."""
     size, total = len(views), 0.0
-    for told in views:
-        if told:
-            serving = sum(state < State.DEAD for _, state in told)
+    for frozen in views:
+        if frozen:
+            serving = sum(state < State.DEAD for _, state in frozen)
             total += capped_share(BOUND, WANTED_SHARE, size, serving)
     return total
 
@@ -121,14 +121,14 @@
     views, start_counts, _ = place
     if sum_of_parts(views) > BOUND + 1e-9:
         return f"the parts sum to {parts(views):.3f} of the bound"
-    for i, told in enumerate(views):
-        for j, (which, _) in enumerate(told):
+    for i, frozen in enumerate(views):
+        for j, (which, _) in enumerate(frozen):
             if which and not any(
                 first_incarnation(j, life) <= which < first_incarnation(j, life) + 900
                 for life in range(start_counts[j])
             ):
                 return f"{i} holds an incarnation {which} of {j} that it never had"
-    running = [i for i, told in enumerate(views) if told]
+    running = [i for i, frozen in enumerate(views) if frozen]
     met = {i: thaw(i, views[i]) for i in running}
     for _ in range(2):
         for i in running:
@@ -144,10 +144,10 @@
 def search(size: int, depth: int, max_messages: int = 2) -> SearchResult:
     """Search all paths of up to `depth` events from a complete fleet; stop at the first broken invariant."""
     views = tuple(freeze(View(i, size, first_incarnation(i, 0))) for i in range(size))
-    whole = [thaw(i, told) for i, told in enumerate(views)]
+    whole = [thaw(i, frozen) for i, frozen in enumerate(views)]
     for view in whole:
-        for told in views:
-            merge_message(view, told)
+        for frozen in views:
+            merge_message(view, frozen)
     begin: FleetState = (tuple(map(freeze, whole)), (1,) * size, frozenset())
     found, seen, edge = SearchResult(), {begin: ""}, [begin]
     while edge and found.depth < depth:
