--- a/standins/explore.py
+++ b/standins/explore.py
@@ -149,10 +149,10 @@
         for frozen in views:
             merge_message(view, frozen)
     begin: FleetState = (tuple(map(freeze, whole)), (1,) * size, frozenset())
-    found, seen, edge = SearchResult(), {begin: ""}, [begin]
-    while edge and found.depth < depth:
+    found, seen, frontier = SearchResult(), {begin: ""}, [begin]
+    while frontier and found.depth < depth:
         found.depth, after = found.depth + 1, []
-        for place in edge:
+        for place in frontier:
             for named, new in next_states(place, max_messages):
                 if new in seen:
                     continue
@@ -162,7 +162,7 @@
                 if wrong := judge(new):
                     found.states, found.broken = len(seen), [named, wrong, repr(new)]
                     return found
-        edge = after
+        frontier = after
     found.states = len(seen)
     return found
 
