--- a/standins/explore.py
+++ b/standins/explore.py
@@ -129,12 +129,12 @@
             ):
                 return f"{i} holds an incarnation {which} of {j} that it never had"
     running = [i for i, frozen in enumerate(views) if frozen]
-    met = {i: thaw(i, views[i]) for i in running}
+    merged = {i: thaw(i, views[i]) for i in running}
     for _ in range(2):
         for i in running:
             for j in running:
-                merge_message(met[j], freeze(met[i]))
-    ends = {freeze(view) for view in met.values()}
+                merge_message(merged[j], freeze(merged[i]))
+    ends = {freeze(view) for view in merged.values()}
     if len(ends) > 1:
         return "views differ after a full exchange"
     gone = [i for i in running for end in ends if end[i][1] >= State.DEAD]
