--- a/standins/explore.py
+++ b/standins/explore.py
@@ -82,9 +82,9 @@
                 yield f"start {i}", (_with(views, i, freeze(fresh)), begun, in_transit)
             continue
         yield f"kill {i}", (_with(views, i, ()), start_counts, in_transit)
-        word = (i, views[i])
-        if word not in in_transit and len(in_transit) < max_messages:
-            yield f"send {i}", (views, start_counts, in_transit | {word})
+        message = (i, views[i])
+        if message not in in_transit and len(in_transit) < max_messages:
+            yield f"send {i}", (views, start_counts, in_transit | {message})
         for j in range(size):
             state = views[i][j][1]
             if j != i and state < State.DEAD:  # a probe failed or a suspicion expired, rightly or not
