--- a/standins/explore.py
+++ b/standins/explore.py
@@ -26,13 +26,11 @@
 
 BOUND, WANTED_SHARE = 1.0, 0.8  # the fleet's bound, and how much of it a complete fleet would use at most
 MAX_STARTS = 2  # the most times that each gateway starts
-FrozenView = tuple[
-    tuple[int, int], ...
-]  # a view: incarnation and state by number; () if the gateway does not run
-Message = tuple[int, FrozenView]  # a message: its sender and the sender's view
-FleetState = tuple[
-    tuple[FrozenView, ...], tuple[int, ...], frozenset[Message]
-]  # views, starts so far, messages in transit
+# A view: incarnation and state by number; () if the gateway does not run.
+FrozenView = tuple[tuple[int, int], ...]
+Message = tuple[int, FrozenView]  # the sender, and its view
+# Views, starts so far, and messages in transit.
+FleetState = tuple[tuple[FrozenView, ...], tuple[int, ...], frozenset[Message]]
 
 
 @dataclass(slots=True)
@@ -45,12 +43,10 @@
     broken: list[str] | None = None  # the last event, the broken invariant and the state
 
 
-def thaw(me: int, frozen: FrozenView) -> View:
+def thaw(number: int, frozen: FrozenView) -> View:
     """Return the `View` object of a frozen view."""
-    view = View(me, len(frozen), frozen[me][0])
-    view.claims = {
-        n: Claim(first_incarnation, State(state)) for n, (first_incarnation, state) in enumerate(frozen)
-    }
+    view = View(number, len(frozen), frozen[number][0])
+    view.claims = {n: Claim(incarnation, State(state)) for n, (incarnation, state) in enumerate(frozen)}
     return view
 
 
@@ -59,20 +55,20 @@
     return tuple((claim.incarnation, int(claim.state)) for _, claim in sorted(view.claims.items()))
 
 
-def first_incarnation(number: int, life: int) -> int:
+def first_incarnation(number: int, start: int) -> int:
     """Return the incarnation with which a gateway starts; refutations count up from there."""
-    return 1000 * (life + 1) + number
+    return 1000 * (start + 1) + number
 
 
 def merge_message(view: View, frozen: FrozenView) -> None:
     """Merge all claims of a message into a view."""
-    for number, (which, state) in enumerate(frozen):
-        view.merge(number, Claim(which, State(state)), 0, 0.0)
+    for number, (incarnation, state) in enumerate(frozen):
+        view.merge(number, Claim(incarnation, State(state)), 0, 0.0)
 
 
-def next_states(place: FleetState, max_messages: int) -> Iterator[tuple[str, FleetState]]:
-    """Yield every possible next event, as text, with its state; at most `words` messages are in transit."""
-    views, start_counts, in_transit = place
+def next_states(fleet: FleetState, max_messages: int) -> Iterator[tuple[str, FleetState]]:
+    """Yield each possible next event, as text, with its state; `max_messages` bounds those in transit."""
+    views, start_counts, in_transit = fleet
     size = len(views)
     for i in range(size):
         if not views[i]:
@@ -102,8 +98,8 @@
                     yield f"{sender}'s reaches {i}", (_with(views, i, after), start_counts, in_transit)
 
 
-def _with(views: tuple[FrozenView, ...], place: int, frozen: FrozenView) -> tuple[FrozenView, ...]:
-    return (*views[:place], frozen, *views[place + 1 :])
+def _with(views: tuple[FrozenView, ...], number: int, frozen: FrozenView) -> tuple[FrozenView, ...]:
+    return (*views[:number], frozen, *views[number + 1 :])
 
 
 def sum_of_parts(views: tuple[FrozenView, ...]) -> float:
@@ -116,18 +112,18 @@
     return total
 
 
-def judge(place: FleetState) -> str:
+def judge(fleet: FleetState) -> str:
     """Return the first invariant that a state breaks as a sentence, or an empty text."""
-    views, start_counts, _ = place
+    views, start_counts, _ = fleet
     if sum_of_parts(views) > BOUND + 1e-9:
-        return f"the parts sum to {parts(views):.3f} of the bound"
+        return f"the parts sum to {sum_of_parts(views):.3f} of the bound"
     for i, frozen in enumerate(views):
-        for j, (which, _) in enumerate(frozen):
-            if which and not any(
-                first_incarnation(j, life) <= which < first_incarnation(j, life) + 900
-                for life in range(start_counts[j])
+        for j, (incarnation, _) in enumerate(frozen):
+            if incarnation and not any(
+                first_incarnation(j, start) <= incarnation < first_incarnation(j, start) + 900
+                for start in range(start_counts[j])
             ):
-                return f"{i} holds an incarnation {which} of {j} that it never had"
+                return f"{i} holds an incarnation {incarnation} of {j} that it never had"
     running = [i for i, frozen in enumerate(views) if frozen]
     merged = {i: thaw(i, views[i]) for i in running}
     for _ in range(2):
@@ -152,8 +148,8 @@
     found, seen, frontier = SearchResult(), {begin: ""}, [begin]
     while frontier and found.depth < depth:
         found.depth, after = found.depth + 1, []
-        for place in frontier:
-            for named, new in next_states(place, max_messages):
+        for fleet in frontier:
+            for named, new in next_states(fleet, max_messages):
                 if new in seen:
                     continue
                 seen[new] = ""
