--- a/standins/detect.py
+++ b/standins/detect.py
@@ -1,12 +1,13 @@
-"""How soon a death is known to all, what it costs, and how often a live gateway is held for dead.
+"""Measures membership: how soon all know of a death, its cost, and how often live gateways are declared dead.
 
     python -m standins.detect --sizes 5,40,200,1000 --loss 0,0.05,0.3 --kills 8 --plot cost.png
     python -m standins.detect --processes 40 --kills 5
 
-In virtual time the detectors are the program's own on a simulated network; with `--processes` they are
-whole gateways on loopback, with the loss made by the fabric. Each kill is followed by a start, and by quiet
-until the fleet is whole again. False deaths are counted over all views and all of the time; messages and
-bytes only over quiet time, so that the storm of starts is not in them. Times are in periods: all scale.
+In virtual time the program's own detectors run on a simulated network; with `--processes` whole gateways run
+on loopback, and the fabric causes the loss. Each kill is followed by a start and by time without faults until
+the fleet is complete again. False deaths are counted over all views and the whole run; messages and bytes
+only while nothing happens, which leaves out the burst when all gateways start. Times are in membership
+periods, as all of them scale with the period.
 """
 
 import argparse
@@ -20,12 +21,13 @@
 from hitchtiller.membership.view import State
 from standins.gossipnet import Net
 
-SETTLE, QUIET, PATIENCE = 12.0, 15.0, 60.0  # periods
+# In periods: to settle after a start, to count messages, and the longest wait until a death is known.
+SETTLE, QUIET, PATIENCE = 12.0, 15.0, 60.0
 
 
 @dataclass(slots=True)
 class Figures:
-    """What was seen at one size and loss; times in ms of a period of `period_ms`."""
+    """The results for one fleet size and loss; times are in ms, with periods of `period_ms`."""
 
     where: str
     size: int
@@ -33,12 +35,12 @@
     period_ms: float
     known_ms: list[float] = field(default_factory=list)
     false_deaths: int = 0
-    hours: float = 0.0  # of virtual or real time, scaled to periods of one second
-    messages: float = 0.0  # a gateway and period, in quiet
+    hours: float = 0.0  # virtual or real time, scaled to periods of one second
+    messages: float = 0.0  # per gateway and period, without faults; `bytes` too
     bytes: float = 0.0
 
     def row(self) -> str:
-        """Write it as a line of a table."""
+        """Return the results as a row of a table."""
         known = sorted(self.known_ms)
         most = known[min(len(known) - 1, int(0.99 * len(known)))]
         rate = self.false_deaths / self.hours if self.hours else 0.0
@@ -56,7 +58,7 @@
 
 
 def virtual(size: int, loss: float, kills: int, seed: int) -> Figures:
-    """Measure in virtual time."""
+    """Measure detectors on a simulated network in virtual time."""
     net = Net(size, seed=seed, loss=loss)
     period, found = net.period_ms, Figures("virtual time", size, loss, net.period_ms)
     net.run(SETTLE * period)
@@ -80,7 +82,7 @@
 
 
 async def processes(size: int, loss: float, kills: int, seed: int) -> Figures:
-    """Measure with whole gateways."""
+    """Measure with real gateway processes."""
     from standins.fabric import Faults
     from standins.fleet import Fleet
 
@@ -117,7 +119,7 @@
 
 
 def plot(found: list[Figures], file: str) -> None:
-    """Draw the cost of a gateway over the fleet's size, a line for each loss."""
+    """Plot the cost per gateway over the fleet's size, with a line for each loss."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -136,7 +138,7 @@
 
 
 def main() -> None:
-    """Measure as told on the command line."""
+    """Run the measurements that the command line asks for."""
     parser = argparse.ArgumentParser(description="measure membership's detection")
     parser.add_argument("--sizes", default="5,40,200")
     parser.add_argument("--processes", default="", help="sizes of fleets of real processes instead")
@@ -145,7 +147,9 @@
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--plot", default="")
     parser.add_argument("--json", action="store_true")
-    parser.add_argument("--read", nargs="*", default=[], help="figures of runs with --json, instead of a run")
+    parser.add_argument(
+        "--read", nargs="*", default=[], help="files with the output of --json, instead of a run"
+    )
     args = parser.parse_args()
     found = []
     for file in args.read:
