--- a/standins/truth.py
+++ b/standins/truth.py
@@ -1,7 +1,7 @@
-"""What was right when: for every object, part and moment the bytes that the head office would have given out.
+"""The correct bytes of every object and part at any time: those that the origin would have served.
 
-Times are Unix milliseconds of this machine. Bodies are made from object, part and version, so that any answer
-can be judged whole, and an answer of mixed bytes fits no version.
+Times are Unix milliseconds of this machine. A body is computed from object, part and version, so that every
+answer can be checked completely, and an answer that mixes versions matches none.
 """
 
 import time
@@ -9,38 +9,38 @@
 
 import xxhash
 
-GRACE_MS = 1_050.0  # the rule's second, and what every limit is longer on sockets
+GRACE_MS = 1_050.0  # the purge rule allows 1 s; all limits are 50 ms longer over real sockets
 
 
 def now_ms() -> float:
-    """Read the clock."""
+    """Return the present time."""
     return time.time() * 1000.0
 
 
 def make_body(key: int, part: int, version: int, size: int) -> bytes:
-    """Make a part's bytes."""
+    """Return the bytes of a part's version."""
     seed = xxhash.xxh3_128(f"{key}/{part}/{version}").digest()
     return (seed * (size // 16 + 1))[:size]
 
 
 def tag_of(key: int, version: int) -> str:
-    """Make the tag of a version."""
+    """Return the tag of an object's version."""
     return f"{xxhash.xxh3_64_intdigest(f'{key}:{version}'):016x}"
 
 
 @dataclass(slots=True)
 class Purge:
-    """A purge of an object or, with no key, of a group."""
+    """A purge of an object or, without a key, of a group."""
 
     key: int | None
     group: int
     at_ms: float
-    told_ms: float  # when the bus had it
+    told_ms: float  # when the bus announces it
 
 
 @dataclass(slots=True)
 class Truth:
-    """The head office's objects and their versions."""
+    """The origin's objects with their versions, and the effects that have run."""
 
     groups: int = 16
     small: int = 500
@@ -48,30 +48,29 @@
     purges: list[Purge] = field(default_factory=list)
     by_key: dict[int, list[Purge]] = field(default_factory=dict)
     by_group: dict[int, list[Purge]] = field(default_factory=dict)
-    window_ms: float = 6_000.0  # in which a repeat of an effect is known by its key, and dropped
-    ran: dict[str, float] = field(default_factory=dict)  # effects by key: when they ran first
-    twice: list[str] = field(default_factory=list)  # those that ran again
+    window_ms: float = 6_000.0  # time in which a repeated effect is recognized by its key and dropped
+    ran: dict[str, float] = field(default_factory=dict)  # by key of an effect: when it ran first
+    twice: list[str] = field(default_factory=list)  # keys of effects that ran again
 
     def effect(self, key: str) -> None:
-        """Run an effect, unless its key is known."""
+        """Run an effect, unless its key was used within the window."""
         now = now_ms()
         if now - self.ran.setdefault(key, now) > self.window_ms:
             self.twice.append(key)
 
     def group(self, key: int) -> int:
-        """Give an object's group."""
+        """Return the group of an object."""
         return key % self.groups
 
     def size(self, key: int, part: int) -> int:
-        """Give a part's size: many small ones, few large."""
+        """Return the size of a part in bytes: many are small, few are large."""
         draw = xxhash.xxh3_64_intdigest(f"size {key} {part}") / 2**64
         return int(self.small + (self.large - self.small) * draw**4)
 
     def purge(self, key: int | None, group: int, told_ms: float) -> Purge:
-        """Purge now; the bus will have it at `told_ms`."""
-        told_ms = max(
-            [told_ms, *(purge.told_ms for purge in self.purges[-1:])]
-        )  # told in the order of their times
+        """Purge now; the bus announces it at `told_ms`, or with an earlier purge that is announced later."""
+        # Purges are announced in the order of their times.
+        told_ms = max([told_ms, *(purge.told_ms for purge in self.purges[-1:])])
         purge = Purge(key, self.group(key) if key is not None else group, now_ms(), told_ms)
         self.purges.append(purge)
         if key is not None:
@@ -81,27 +80,31 @@
         return purge
 
     def concerning(self, key: int) -> list[Purge]:
-        """Give the purges that concern an object."""
+        """Return the purges of an object and of its group."""
         return self.by_key.get(key, []) + self.by_group.get(self.group(key), [])
 
     def version(self, key: int, at_ms: float) -> int:
-        """Give the version in force at a time: one more with each purge."""
+        """Return an object's version at a time; each purge increases it by one."""
         return sum(purge.at_ms <= at_ms for purge in self.concerning(key))
 
     def body(self, key: int, part: int, version: int) -> bytes:
-        """Give a version's bytes."""
+        """Return the bytes of a part's version."""
         return make_body(key, part, version, self.size(key, part))
 
     def tag(self, key: int, version: int) -> str:
-        """Give a version's tag."""
+        """Return the tag of an object's version."""
         return tag_of(key, version)
 
     def judge(self, key: int, part: int, body: bytes, sent_ms: float, got_ms: float) -> str:
-        """Judge an answer to a request of `sent_ms`: "" if it is right, else "torn" or "old"."""
+        """Check an answer that came at `got_ms` to a request of `sent_ms`.
+
+        Returns "" if it is right, "torn" if its bytes match no version, "old" if it misses a purge that was
+        announced more than GRACE_MS before the request.
+        """
         newest = self.version(key, got_ms)
         version = next((v for v in range(newest, -1, -1) if self.body(key, part, v) == body), None)
         if version is None:
             return "torn"
         told = sum(purge.told_ms + GRACE_MS <= sent_ms for purge in self.concerning(key))
-        # versions count purges in the order of their times, and they are told in that order too
+        # Versions count purges in the order of their times, which is the order of their announcements.
         return "old" if version < told else ""
