--- a/standins/detect.py
+++ b/standins/detect.py
@@ -22,7 +22,7 @@
 from standins.gossipnet import Net
 
 # In periods: to settle after a start, to count messages, and the longest wait until a death is known.
-SETTLE, QUIET, PATIENCE = 12.0, 15.0, 60.0
+SETTLE_PERIODS, QUIET, PATIENCE = 12.0, 15.0, 60.0
 
 
 @dataclass(slots=True)
@@ -61,7 +61,7 @@
     """Measure detectors on a simulated network in virtual time."""
     net = Net(size, seed=seed, loss=loss)
     period, found = net.period_ms, Figures("virtual time", size, loss, net.period_ms)
-    net.run(SETTLE * period)
+    net.run(SETTLE_PERIODS * period)
     sent, carried, begun = sum(net.sent), sum(net.bytes), net.now
     net.run(net.now + QUIET * period)
     periods = (net.now - begun) / period
@@ -76,7 +76,7 @@
             net.run(net.now + period / 4.0)
         found.known_ms.append(net.now - at)
         net.start(victim)
-        net.run(net.now + SETTLE * period)
+        net.run(net.now + SETTLE_PERIODS * period)
     found.false_deaths, found.hours = net.false_deaths, net.now / period / 3600.0
     return found
 
