--- a/standins/detect.py
+++ b/standins/detect.py
@@ -22,7 +22,7 @@
 from standins.gossipnet import Net
 
 # In periods: to settle after a start, to count messages, and the longest wait until a death is known.
-SETTLE_PERIODS, QUIET, PATIENCE = 12.0, 15.0, 60.0
+SETTLE_PERIODS, QUIET_PERIODS, PATIENCE = 12.0, 15.0, 60.0
 
 
 @dataclass(slots=True)
@@ -63,7 +63,7 @@
     period, found = net.period_ms, Figures("virtual time", size, loss, net.period_ms)
     net.run(SETTLE_PERIODS * period)
     sent, carried, begun = sum(net.sent), sum(net.bytes), net.now
-    net.run(net.now + QUIET * period)
+    net.run(net.now + QUIET_PERIODS * period)
     periods = (net.now - begun) / period
     found.messages = (sum(net.sent) - sent) / size / periods
     found.bytes = (sum(net.bytes) - carried) / size / periods
@@ -97,7 +97,7 @@
         fleet.fabric.faults = Faults(loss_share=loss)
         await fleet.until(whole, patience_s=120.0)
         rows, quiet = len(fleet.fabric.history), loop.time()
-        await asyncio.sleep(QUIET * period / 1000.0)
+        await asyncio.sleep(QUIET_PERIODS * period / 1000.0)
         periods = (loop.time() - quiet) * 1000.0 / period
         carried = fleet.fabric.history[rows:]
         found.messages = len(carried) / size / periods
