--- a/standins/detect.py
+++ b/standins/detect.py
@@ -22,7 +22,7 @@
 from standins.gossipnet import Net
 
 # In periods: to settle after a start, to count messages, and the longest wait until a death is known.
-SETTLE_PERIODS, QUIET_PERIODS, PATIENCE = 12.0, 15.0, 60.0
+SETTLE_PERIODS, QUIET_PERIODS, MAX_WAIT_PERIODS = 12.0, 15.0, 60.0
 
 
 @dataclass(slots=True)
@@ -71,7 +71,7 @@
         victim, at = (kill * 7 + 1) % size, net.now
         net.kill(victim)
         while net.count_believing(victim, State.DEAD, State.LEFT) < len(net.nodes):
-            if net.now - at > PATIENCE * period:
+            if net.now - at > MAX_WAIT_PERIODS * period:
                 break
             net.run(net.now + period / 4.0)
         found.known_ms.append(net.now - at)
@@ -107,10 +107,10 @@
             killed.add(victim)
             at = loop.time()
             await fleet.end(victim)
-            await fleet.until({victim: {"DEAD"}}, patience_s=PATIENCE * period / 1000.0)
+            await fleet.until({victim: {"DEAD"}}, patience_s=MAX_WAIT_PERIODS * period / 1000.0)
             found.known_ms.append(1000.0 * (loop.time() - at))
             await fleet.launch(victim)
-            await fleet.until({victim: {"ALIVE"}}, patience_s=PATIENCE * period / 1000.0)
+            await fleet.until({victim: {"ALIVE"}}, patience_s=MAX_WAIT_PERIODS * period / 1000.0)
         found.hours = (loop.time() - begun) * 1000.0 / period / 3600.0
         found.false_deaths = len(fleet.declared_dead() - killed)
     finally:
