--- a/standins/detect.py
+++ b/standins/detect.py
@@ -81,7 +81,7 @@
     return found
 
 
-async def processes(size: int, loss: float, kills: int, seed: int) -> Figures:
+async def measure_processes(size: int, loss: float, kills: int, seed: int) -> Figures:
     """Measure with real gateway processes."""
     from standins.fabric import Faults
     from standins.fleet import Fleet
@@ -162,7 +162,7 @@
     for loss in map(float, args.loss.split(",")):
         for size in map(int, (args.processes or args.sizes).split(",")):
             if args.processes:
-                one = asyncio.run(processes(size, loss, args.kills, args.seed))
+                one = asyncio.run(measure_processes(size, loss, args.kills, args.seed))
             else:
                 one = virtual(size, loss, args.kills, args.seed)
             found.append(one)
