--- a/standins/detect.py
+++ b/standins/detect.py
@@ -42,7 +42,7 @@
     def row(self) -> str:
         """Return the results as a row of a table."""
         known = sorted(self.known_ms)
-        most = known[min(len(known) - 1, int(0.99 * len(known)))]
+        percentile_99 = known[min(len(known) - 1, int(0.99 * len(known)))]
         rate = self.false_deaths / self.hours if self.hours else 0.0
         return (
             f"| {self.where} | {self.size} | {self.loss:g} | {median(known) / self.period_ms:.1f} | "
