--- a/standins/detect.py
+++ b/standins/detect.py
@@ -41,8 +41,8 @@
 
     def row(self) -> str:
         """Return the results as a row of a table."""
-        known = sorted(self.known_ms)
-        percentile_99 = known[min(len(known) - 1, int(0.99 * len(known)))]
+        sorted_ms = sorted(self.known_ms)
+        percentile_99 = sorted_ms[min(len(sorted_ms) - 1, int(0.99 * len(sorted_ms)))]
         rate = self.false_deaths / self.hours if self.hours else 0.0
         return (
             f"| {self.where} | {self.size} | {self.loss:g} | {median(known) / self.period_ms:.1f} | "
