--- a/standins/detect.py
+++ b/standins/detect.py
@@ -89,13 +89,13 @@
     fleet = Fleet(size, seed, period_ms=400.0)
     found, period = Figures("processes", size, loss, fleet.period_ms), fleet.period_ms
     loop = asyncio.get_running_loop()
-    whole = {n: {"ALIVE"} for n in range(size)}
+    all_alive = {n: {"ALIVE"} for n in range(size)}
     killed = set[int]()
     try:
         await fleet.start()
         begun = loop.time()
         fleet.fabric.faults = Faults(loss_share=loss)
-        await fleet.until(whole, patience_s=120.0)
+        await fleet.until(all_alive, patience_s=120.0)
         rows, quiet = len(fleet.fabric.history), loop.time()
         await asyncio.sleep(QUIET_PERIODS * period / 1000.0)
         periods = (loop.time() - quiet) * 1000.0 / period
