--- a/standins/parties.py
+++ b/standins/parties.py
@@ -85,7 +85,7 @@
         held = self.copies.get(place)
         if held and not self.origin:
             newer = [p for p in self.truth.concerning(key) if held.since_ms <= p.at_ms]
-            gone = any(p.told_ms + self.behaviour.purge_delay_ms <= now for p in newer)
+            gone = any(p.announced_ms + self.behaviour.purge_delay_ms <= now for p in newer)
             if not gone and (not cap_ms or now - held.since_ms <= cap_ms):
                 return held
         held = self.copies[place] = CachedCopy(self.truth.version(key, now), now)
@@ -173,14 +173,14 @@
         self.session.events.append(b"")
         now = now_ms()
         for purge in self.truth.purges:
-            if purge.told_ms + self.extra_delay_ms <= now and now - purge.at_ms <= self.replay_ms:
+            if purge.announced_ms + self.extra_delay_ms <= now and now - purge.at_ms <= self.replay_ms:
                 self._add(purge)
                 number = len(self.session.events)
                 ban: dict[str, Any] = (
                     {"tag": purge.group} if purge.key is None else {"url": f"{purge.key:016x}"}
                 )
                 self.session.known.append({"offset": number, "ban": ban | {"ts": int(purge.at_ms)}})
-        self.told = sum(purge.told_ms + self.extra_delay_ms <= now for purge in self.truth.purges)
+        self.told = sum(purge.announced_ms + self.extra_delay_ms <= now for purge in self.truth.purges)
         self.known = {"offset": len(self.session.events), "batch": self.session.known}
         return self.known
 
@@ -208,7 +208,7 @@
         now = now_ms()
         while (
             self.told < len(self.truth.purges)
-            and self.truth.purges[self.told].told_ms + self.extra_delay_ms <= now
+            and self.truth.purges[self.told].announced_ms + self.extra_delay_ms <= now
         ):
             self._add(self.truth.purges[self.told])
             self.told += 1
--- a/standins/truth.py
+++ b/standins/truth.py
@@ -35,7 +35,7 @@
     key: int | None
     group: int
     at_ms: float
-    told_ms: float  # when the bus announces it
+    announced_ms: float  # when the bus announces it
 
 
 @dataclass(slots=True)
@@ -67,11 +67,11 @@
         draw = xxhash.xxh3_64_intdigest(f"size {key} {part}") / 2**64
         return int(self.small + (self.large - self.small) * draw**4)
 
-    def purge(self, key: int | None, group: int, told_ms: float) -> Purge:
+    def purge(self, key: int | None, group: int, announced_ms: float) -> Purge:
         """Purge now; the bus announces it at `told_ms`, or with an earlier purge that is announced later."""
         # Purges are announced in the order of their times.
-        told_ms = max([told_ms, *(purge.told_ms for purge in self.purges[-1:])])
-        purge = Purge(key, self.group(key) if key is not None else group, now_ms(), told_ms)
+        announced_ms = max([announced_ms, *(purge.announced_ms for purge in self.purges[-1:])])
+        purge = Purge(key, self.group(key) if key is not None else group, now_ms(), announced_ms)
         self.purges.append(purge)
         if key is not None:
             self.by_key.setdefault(key, []).append(purge)
@@ -105,6 +105,6 @@
         version = next((v for v in range(newest, -1, -1) if self.body(key, part, v) == body), None)
         if version is None:
             return "torn"
-        told = sum(purge.told_ms + GRACE_MS <= sent_ms for purge in self.concerning(key))
+        told = sum(purge.announced_ms + GRACE_MS <= sent_ms for purge in self.concerning(key))
         # Versions count purges in the order of their times, which is the order of their announcements.
         return "old" if version < told else ""
