--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -305,7 +305,7 @@
             await fleet.finish()
 
     asyncio.run(run())
-    broken = fleet.faults + fleet.verdicts.wrong + fleet.watch.broken + fleet.truth.twice
+    broken = fleet.faults + fleet.verdicts.wrong + fleet.watch.broken + fleet.truth.repeated_effects
     assert broken == [], broken
     assert fleet.verdicts.counts["served"] >= 5, "too few answers were served for the checks to mean anything"
     return fleet
--- a/standins/play.py
+++ b/standins/play.py
@@ -83,7 +83,7 @@
             await fleet.finish()
         found = self.outcome
         found.broken += fleet.faults + fleet.verdicts.wrong + fleet.watch.broken
-        found.broken += [f"effect {key} ran twice" for key in fleet.truth.twice]
+        found.broken += [f"effect {key} ran twice" for key in fleet.truth.repeated_effects]
         found.counts, found.cold = dict(fleet.verdicts.counts), fleet.watch.cold.most
         return found
 
