--- a/standins/truth.py
+++ b/standins/truth.py
@@ -48,14 +48,14 @@
     purges: list[Purge] = field(default_factory=list)
     by_key: dict[int, list[Purge]] = field(default_factory=dict)
     by_group: dict[int, list[Purge]] = field(default_factory=dict)
-    window_ms: float = 6_000.0  # time in which a repeated effect is recognized by its key and dropped
+    repeat_window_ms: float = 6_000.0  # time in which a repeated effect is recognized by its key and dropped
     first_run_ms: dict[str, float] = field(default_factory=dict)  # by key of an effect: when it ran first
     repeated_effects: list[str] = field(default_factory=list)  # keys of effects that ran again
 
     def effect(self, key: str) -> None:
         """Run an effect, unless its key was used within the window."""
         now = now_ms()
-        if now - self.first_run_ms.setdefault(key, now) > self.window_ms:
+        if now - self.first_run_ms.setdefault(key, now) > self.repeat_window_ms:
             self.repeated_effects.append(key)
 
     def group(self, key: int) -> int:
