--- a/standins/repo.py
+++ b/standins/repo.py
@@ -41,7 +41,7 @@
         """All is of one group."""
         return GROUP
 
-    def concerning(self, key: int) -> list[Purge]:
+    def purges_of(self, key: int) -> list[Purge]:
         """Give the purges of a path, and of all of it."""
         return self.by_key.get(key, []) + self.by_group.get(GROUP, [])
 
--- a/standins/truth.py
+++ b/standins/truth.py
@@ -79,13 +79,13 @@
             self.by_group.setdefault(group, []).append(purge)
         return purge
 
-    def concerning(self, key: int) -> list[Purge]:
+    def purges_of(self, key: int) -> list[Purge]:
         """Return the purges of an object and of its group."""
         return self.by_key.get(key, []) + self.by_group.get(self.group(key), [])
 
     def version(self, key: int, at_ms: float) -> int:
         """Return an object's version at a time; each purge increases it by one."""
-        return sum(purge.at_ms <= at_ms for purge in self.concerning(key))
+        return sum(purge.at_ms <= at_ms for purge in self.purges_of(key))
 
     def body(self, key: int, part: int, version: int) -> bytes:
         """Return the bytes of a part's version."""
@@ -105,6 +105,6 @@
         version = next((v for v in range(newest, -1, -1) if self.body(key, part, v) == body), None)
         if version is None:
             return "torn"
-        told = sum(purge.announced_ms + GRACE_MS <= sent_ms for purge in self.concerning(key))
+        told = sum(purge.announced_ms + GRACE_MS <= sent_ms for purge in self.purges_of(key))
         # Versions count purges in the order of their times, which is the order of their announcements.
         return "old" if version < told else ""
