--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -136,7 +136,7 @@
 
     def _record_pull(self, server: str, peer: tuple[str, int], fields: dict[str, str]) -> None:
         size = self.truth.size(int(fields["name"], 16), int(fields["piece"])) / 1000.0
-        self.watch.asked(server, peer, fields.get("up", ""), 1000.0 * size / self.flow_kb_per_s)
+        self.watch.record_request(server, peer, fields.get("up", ""), 1000.0 * size / self.flow_kb_per_s)
 
     def tell(self, place: int, among: list[int] | None = None, **changes: Any) -> None:
         """Announce a server's new `health` or `born_ms` on the buses of `among`, or of all gateways."""
--- a/standins/watch.py
+++ b/standins/watch.py
@@ -31,7 +31,7 @@
         self.drains.heard(number, host["host"], host["health"] == "Ready", now_ms())
         self.born[number, host["host"]] = host["born_ms"]
 
-    def asked(self, server: str, peer: tuple[str, int], source: str, work_ms: float) -> None:
+    def record_request(self, server: str, peer: tuple[str, int], source: str, work_ms: float) -> None:
         """Record a request at a server, and the source that it names."""
         number, now = self.ends.get(peer, -1), now_ms()
         self.reached[number, server] = self.reached.get((number, server), 0) + 1
