--- a/standins/watch.py
+++ b/standins/watch.py
@@ -23,13 +23,15 @@
             rules["overload_factor"], rules["tip_after_ms"], rules["start_capacity"], rules["ramp_time_ms"]
         )
         self.ends: dict[tuple[str, int], int] = {}  # gateway by the address of its relay's connection
-        self.born: dict[tuple[int, str], float] = {}  # by gateway and server: the announced start
+        self.announced_start_ms: dict[
+            tuple[int, str], float
+        ] = {}  # by gateway and server: the announced start
         self.reached: dict[tuple[int, str], int] = {}  # requests by gateway and server
 
     def told(self, number: int, host: dict[str, Any]) -> None:
         """Record what a bus announced to a gateway about a server."""
         self.drains.heard(number, host["host"], host["health"] == "Ready", now_ms())
-        self.born[number, host["host"]] = host["born_ms"]
+        self.announced_start_ms[number, host["host"]] = host["born_ms"]
 
     def record_request(self, server: str, peer: tuple[str, int], source: str, work_ms: float) -> None:
         """Record a request at a server, and the source that it names."""
@@ -38,7 +40,9 @@
         for name in (server, source) if source else (server,):
             self.drains.sent(number, name, now)
         started = self.cold.started.get(server, (0.0, 0.0))[0]
-        self.cold.reach(server, work_ms, now, self.born.get((number, server), 0.0) >= int(started))
+        self.cold.reach(
+            server, work_ms, now, self.announced_start_ms.get((number, server), 0.0) >= int(started)
+        )
 
     @property
     def broken(self) -> list[str]:
