--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -124,7 +124,7 @@
         await asyncio.gather(*(self.launch(number) for number in range(self.size)))
 
     async def _start_relay(self, number: int, target: str, server: Server | Bus) -> None:
-        relay = Relay(lambda: ("127.0.0.1", server.port), self.watch.ends, number)
+        relay = Relay(lambda: ("127.0.0.1", server.port), self.watch.gateway_by_address, number)
         self.relays[number, target] = relay
         await relay.start()
 
--- a/standins/watch.py
+++ b/standins/watch.py
@@ -22,7 +22,9 @@
         self.cold = ColdStarts(
             rules["overload_factor"], rules["tip_after_ms"], rules["start_capacity"], rules["ramp_time_ms"]
         )
-        self.ends: dict[tuple[str, int], int] = {}  # gateway by the address of its relay's connection
+        self.gateway_by_address: dict[
+            tuple[str, int], int
+        ] = {}  # gateway by the address of its relay's connection
         self.announced_start_ms: dict[
             tuple[int, str], float
         ] = {}  # by gateway and server: the announced start
@@ -35,7 +37,7 @@
 
     def record_request(self, server: str, peer: tuple[str, int], source: str, work_ms: float) -> None:
         """Record a request at a server, and the source that it names."""
-        number, now = self.ends.get(peer, -1), now_ms()
+        number, now = self.gateway_by_address.get(peer, -1), now_ms()
         self.reached[number, server] = self.reached.get((number, server), 0) + 1
         for name in (server, source) if source else (server,):
             self.drains.sent(number, name, now)
