--- a/standins/relay.py
+++ b/standins/relay.py
@@ -42,14 +42,17 @@
     """The relay between one gateway and one server or bus."""
 
     def __init__(
-        self, target: Callable[[], tuple[str, int]], ends: dict[tuple[str, int], int], number: int
+        self,
+        target: Callable[[], tuple[str, int]],
+        gateway_by_address: dict[tuple[str, int], int],
+        number: int,
     ) -> None:
         """Relay to the address that `target` returns.
 
         `ends` gets the local address of each connection to it, with the `number` of the gateway.
         """
         self.target, self.mode, self.port = target, LinkMode.PASS, 0
-        self.ends, self.number, self.changed_s = ends, number, 0.0
+        self.gateway_by_address, self.number, self.changed_s = gateway_by_address, number, 0.0
         self.server: asyncio.Server | None = None
         self.open_gates = {up: asyncio.Event() for up in (True, False)}  # towards the server, and back
         self.writers: set[asyncio.StreamWriter] = set()
@@ -114,7 +117,7 @@
                 return self._reset(writer)
             far_reader, far = await asyncio.open_connection(*self.target())
             self.writers.add(far)
-            self.ends[far.get_extra_info("sockname")] = self.number
+            self.gateway_by_address[far.get_extra_info("sockname")] = self.number
             directions = (self._pump(reader, far, True), self._pump(far_reader, writer, False))
             pumps = [asyncio.ensure_future(direction) for direction in directions]
             try:
