--- a/standins/detect.py
+++ b/standins/detect.py
@@ -41,12 +41,12 @@
 
     def row(self) -> str:
         """Return the results as a row of a table."""
-        sorted_ms = sorted(self.known_ms)
-        percentile_99 = sorted_ms[min(len(sorted_ms) - 1, int(0.99 * len(sorted_ms)))]
+        known = sorted(self.known_ms)
+        p99 = known[min(len(known) - 1, int(0.99 * len(known)))]
         rate = self.false_deaths / self.hours if self.hours else 0.0
         return (
             f"| {self.where} | {self.size} | {self.loss:g} | {median(known) / self.period_ms:.1f} | "
-            f"{most / self.period_ms:.1f} | {len(known)} | {self.false_deaths} in {self.hours * 60:.1f} min "
+            f"{p99 / self.period_ms:.1f} | {len(known)} | {self.false_deaths} in {self.hours * 60:.1f} min "
             f"({rate:.1f} an hour) | {self.messages:.1f} | {self.bytes:.0f} |"
         )
 
--- a/standins/relay.py
+++ b/standins/relay.py
@@ -49,7 +49,7 @@
     ) -> None:
         """Relay to the address that `target` returns.
 
-        `ends` gets the local address of each connection to it, with the `number` of the gateway.
+        `gateway_by_address` gets the local address of each connection, with the `number` of the gateway.
         """
         self.target, self.mode, self.port = target, LinkMode.PASS, 0
         self.gateway_by_address, self.number, self.changed_s = gateway_by_address, number, 0.0
--- a/standins/truth.py
+++ b/standins/truth.py
@@ -68,7 +68,7 @@
         return int(self.small + (self.large - self.small) * draw**4)
 
     def purge(self, key: int | None, group: int, announced_ms: float) -> Purge:
-        """Purge now; the bus announces it at `told_ms`, or with an earlier purge that is announced later."""
+        """Purge now; the bus announces it at `announced_ms`, or later with the purge before it."""
         # Purges are announced in the order of their times.
         announced_ms = max([announced_ms, *(purge.announced_ms for purge in self.purges[-1:])])
         purge = Purge(key, self.group(key) if key is not None else group, now_ms(), announced_ms)
