--- a/standins/files.py
+++ b/standins/files.py
@@ -1,9 +1,9 @@
-"""A folder that loses what was not made durable: for crashes at any call, torn at any byte, in any order.
+"""A simulated folder that can lose everything that is not durable, for tests of crashes.
 
-Writes go to a list; `sync` makes a file's writes durable, `sync_folder` the names. `crash` gives the folder
-as a machine would find it: durable bytes, and of the rest any subset, each write cut to whole sectors or not
-at all, applied in any order. Any call can be made to fail by a plan. All that is drawn comes from one
-generator.
+Writes are collected; `sync` makes a file's writes durable, `sync_folder` the names. `crash` returns the
+folder as the machine could find it after a crash: the durable bytes, and any subset of the other writes,
+each whole or without some of its sectors, applied in any order. `faults` can make any call fail. All
+randomness comes from one generator.
 """
 
 import errno
@@ -15,18 +15,18 @@
 
 
 class Crash(BaseException):
-    """The machine stops in the middle of a call; nothing in the program may catch it."""
+    """The machine stops in the middle of a call; not an Exception, so that the program does not catch it."""
 
 
 @dataclass(slots=True)
 class Node:
-    """One file: what is durable, and the writes since."""
+    """One file: its durable bytes, and the writes since the last sync."""
 
     durable: bytearray = field(default_factory=bytearray)
     waiting: list[tuple[int, bytes]] = field(default_factory=list)
 
     def content(self) -> bytearray:
-        """Give what a reader sees now."""
+        """Return the bytes that a reader sees now."""
         data = bytearray(self.durable)
         for offset, piece in self.waiting:
             put(data, offset, piece)
@@ -34,25 +34,25 @@
 
 
 def put(data: bytearray, offset: int, piece: bytes) -> None:
-    """Write into a byte array, with zeros where there was nothing."""
+    """Write into a byte array, which grows with zeros up to `offset` if it is shorter."""
     if len(data) < offset:
         data.extend(bytes(offset - len(data)))
     data[offset : offset + len(piece)] = piece
 
 
 class SimFiles:
-    """The store's `Files`, in memory."""
+    """An implementation of the store's `Files` in memory."""
 
     def __init__(self, rng: random.Random | None = None) -> None:
         """Start with an empty folder."""
         self.rng = rng or random.Random(0)
-        self.nodes: dict[str, Node] = {}  # as names stand now
-        self.kept: dict[str, Node] = {}  # as they stood when they were last durable
-        self.moves: list[tuple[str, str, str]] = []  # names made, renamed and removed since, in order
+        self.nodes: dict[str, Node] = {}  # by present name
+        self.kept: dict[str, Node] = {}  # by the name that is durable
+        self.moves: list[tuple[str, str, str]] = []  # creations, renames and removals since, in order
         self.calls = 0
-        self.crash_at = 0  # the call in whose middle the machine stops
-        self.faults: dict[str, Callable[[str], OSError | None]] = {}
-        self.synced: dict[str, int] = {}  # by file, up to where a sync has covered it
+        self.crash_at = 0  # the number of the call in which the machine stops
+        self.faults: dict[str, Callable[[str], OSError | None]] = {}  # by kind of call
+        self.synced: dict[str, int] = {}  # by file: the length that its last sync covered
 
     def _call(self, kind: str, name: str) -> None:
         self.calls += 1
@@ -69,11 +69,11 @@
         return self.nodes[name]
 
     def names(self) -> list[str]:
-        """Give the names of all files."""
+        """Return the names of all files."""
         return list(self.nodes)
 
     def size(self, name: str) -> int:
-        """Give a file's length."""
+        """Return the length of a file."""
         return len(self._node(name).content())
 
     def read(self, name: str, offset: int, size: int) -> bytes:
@@ -82,11 +82,11 @@
         return bytes(self._node(name).content()[offset : offset + size])
 
     def glance(self, name: str, offset: int, size: int) -> bytes | None:
-        """Nothing here is ever cached."""
+        """Return None, as no bytes are in a page cache here."""
         return None
 
     def write(self, name: str, offset: int, data: bytes) -> None:
-        """Write; a crash in the middle leaves any beginning of it."""
+        """Write bytes; a crash during the call keeps a random prefix of them."""
         if name not in self.nodes:
             self.nodes[name] = Node()
             self.moves.append(("make", name, ""))
@@ -98,23 +98,23 @@
         self.nodes[name].waiting.append((offset, bytes(data)))
 
     def sync(self, name: str) -> None:
-        """Make a file's bytes durable; a crash in the middle leaves it open which."""
+        """Make a file's bytes durable; a crash during the call can still lose any of them."""
         node = self._node(name)
         self._call("sync", name)
         node.durable, node.waiting = node.content(), []
         self.synced[name] = len(node.durable)
         if name not in self.kept and ("make", name, "") in self.moves:
-            # as common file systems do it: syncing a new file makes its name durable too
+            # As in common file systems, syncing a new file makes its name durable too.
             self.kept[name] = node
             self.moves.remove(("make", name, ""))
 
     def sync_folder(self) -> None:
-        """Make the names durable."""
+        """Make the names of all files durable."""
         self._call("sync", "")
         self.kept, self.moves = dict(self.nodes), []
 
     def rename(self, old: str, new: str) -> None:
-        """Give a file another name."""
+        """Rename a file."""
         node = self._node(old)
         self._call("rename", old)
         self.nodes[new] = node
@@ -128,9 +128,11 @@
             self.moves.append(("remove", name, ""))
 
     def crash(self) -> "SimFiles":
-        """Give the folder as the next start finds it."""
+        """Return the folder as the next start could find it."""
         rng, names = self.rng, dict(self.kept)
-        for kind, old, new in self.moves[: rng.randrange(len(self.moves) + 1)]:  # names change in order
+        for kind, old, new in self.moves[
+            : rng.randrange(len(self.moves) + 1)
+        ]:  # they become durable in order
             node = names.get(old)
             if kind == "make":
                 names[old] = self._made(old)
@@ -147,19 +149,19 @@
             for offset, piece in left:
                 put(data, offset, self._torn(piece))
             if rng.random() < 0.1 and len(data) > len(node.durable):
-                del data[rng.randrange(len(node.durable), len(data)) :]  # its length was not durable
+                del data[rng.randrange(len(node.durable), len(data)) :]  # the length was not durable
             fresh.nodes[name] = fresh.kept[name] = Node(data)
         return fresh
 
     def _made(self, name: str) -> Node:
-        """Find a made file under whatever name it has now."""
+        """Return a created file, which may have been renamed since."""
         for kind, old, new in self.moves:
             if kind == "rename" and old == name and new in self.nodes:
                 return self.nodes[new]
         return self.nodes.get(name, Node())
 
     def _torn(self, piece: bytes) -> bytes:
-        """Keep a write whole, or with some sectors as they might have been before."""
+        """Return a write whole, or with zeros in some of its sectors."""
         if self.rng.random() < 0.6:
             return piece
         data = bytearray(piece)
