--- a/standins/files.py
+++ b/standins/files.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(slots=True)
-class Node:
+class SimFile:
     """One file: its durable bytes, and the writes since the last sync."""
 
     durable: bytearray = field(default_factory=bytearray)
@@ -46,8 +46,8 @@
     def __init__(self, rng: random.Random | None = None) -> None:
         """Start with an empty folder."""
         self.rng = rng or random.Random(0)
-        self.nodes: dict[str, Node] = {}  # by present name
-        self.kept: dict[str, Node] = {}  # by the name that is durable
+        self.nodes: dict[str, SimFile] = {}  # by present name
+        self.kept: dict[str, SimFile] = {}  # by the name that is durable
         self.moves: list[tuple[str, str, str]] = []  # creations, renames and removals since, in order
         self.calls = 0
         self.crash_at = 0  # the number of the call in which the machine stops
@@ -63,7 +63,7 @@
         if self.calls == self.crash_at:
             raise Crash
 
-    def _node(self, name: str) -> Node:
+    def _node(self, name: str) -> SimFile:
         if name not in self.nodes:
             raise FileNotFoundError(errno.ENOENT, "no such file", name)
         return self.nodes[name]
@@ -88,7 +88,7 @@
     def write(self, name: str, offset: int, data: bytes) -> None:
         """Write bytes; a crash during the call keeps a random prefix of them."""
         if name not in self.nodes:
-            self.nodes[name] = Node()
+            self.nodes[name] = SimFile()
             self.moves.append(("make", name, ""))
         try:
             self._call("write", name)
@@ -150,15 +150,15 @@
                 put(data, offset, self._torn(piece))
             if rng.random() < 0.1 and len(data) > len(node.durable):
                 del data[rng.randrange(len(node.durable), len(data)) :]  # the length was not durable
-            fresh.nodes[name] = fresh.kept[name] = Node(data)
+            fresh.nodes[name] = fresh.kept[name] = SimFile(data)
         return fresh
 
-    def _made(self, name: str) -> Node:
+    def _made(self, name: str) -> SimFile:
         """Return a created file, which may have been renamed since."""
         for kind, old, new in self.moves:
             if kind == "rename" and old == name and new in self.nodes:
                 return self.nodes[new]
-        return self.nodes.get(name, Node())
+        return self.nodes.get(name, SimFile())
 
     def _torn(self, piece: bytes) -> bytes:
         """Return a write whole, or with zeros in some of its sectors."""
