--- a/standins/files.py
+++ b/standins/files.py
@@ -29,11 +29,11 @@
         """Return the bytes that a reader sees now."""
         data = bytearray(self.durable)
         for offset, piece in self.waiting:
-            put(data, offset, piece)
+            write_into(data, offset, piece)
         return data
 
 
-def put(data: bytearray, offset: int, piece: bytes) -> None:
+def write_into(data: bytearray, offset: int, piece: bytes) -> None:
     """Write into a byte array, which grows with zeros up to `offset` if it is shorter."""
     if len(data) < offset:
         data.extend(bytes(offset - len(data)))
@@ -147,7 +147,7 @@
             left = [piece for piece in node.waiting if rng.random() < 0.7]
             rng.shuffle(left)
             for offset, piece in left:
-                put(data, offset, self._torn(piece))
+                write_into(data, offset, self._torn(piece))
             if rng.random() < 0.1 and len(data) > len(node.durable):
                 del data[rng.randrange(len(node.durable), len(data)) :]  # the length was not durable
             fresh.nodes[name] = fresh.kept[name] = SimFile(data)
