--- a/standins/files.py
+++ b/standins/files.py
@@ -47,7 +47,7 @@
         """Start with an empty folder."""
         self.rng = rng or random.Random(0)
         self.nodes: dict[str, SimFile] = {}  # by present name
-        self.kept: dict[str, SimFile] = {}  # by the name that is durable
+        self.durable_names: dict[str, SimFile] = {}  # by the name that is durable
         self.moves: list[tuple[str, str, str]] = []  # creations, renames and removals since, in order
         self.calls = 0
         self.crash_at = 0  # the number of the call in which the machine stops
@@ -103,15 +103,15 @@
         self._call("sync", name)
         node.durable, node.waiting = node.content(), []
         self.synced[name] = len(node.durable)
-        if name not in self.kept and ("make", name, "") in self.moves:
+        if name not in self.durable_names and ("make", name, "") in self.moves:
             # As in common file systems, syncing a new file makes its name durable too.
-            self.kept[name] = node
+            self.durable_names[name] = node
             self.moves.remove(("make", name, ""))
 
     def sync_folder(self) -> None:
         """Make the names of all files durable."""
         self._call("sync", "")
-        self.kept, self.moves = dict(self.nodes), []
+        self.durable_names, self.moves = dict(self.nodes), []
 
     def rename(self, old: str, new: str) -> None:
         """Rename a file."""
@@ -129,7 +129,7 @@
 
     def crash(self) -> "SimFiles":
         """Return the folder as the next start could find it."""
-        rng, names = self.rng, dict(self.kept)
+        rng, names = self.rng, dict(self.durable_names)
         for kind, old, new in self.moves[
             : rng.randrange(len(self.moves) + 1)
         ]:  # they become durable in order
@@ -150,7 +150,7 @@
                 write_into(data, offset, self._torn(piece))
             if rng.random() < 0.1 and len(data) > len(node.durable):
                 del data[rng.randrange(len(node.durable), len(data)) :]  # the length was not durable
-            fresh.nodes[name] = fresh.kept[name] = SimFile(data)
+            fresh.nodes[name] = fresh.durable_names[name] = SimFile(data)
         return fresh
 
     def _made(self, name: str) -> SimFile:
