--- a/standins/files.py
+++ b/standins/files.py
@@ -48,7 +48,7 @@
         self.rng = rng or random.Random(0)
         self.nodes: dict[str, SimFile] = {}  # by present name
         self.durable_names: dict[str, SimFile] = {}  # by the name that is durable
-        self.moves: list[tuple[str, str, str]] = []  # creations, renames and removals since, in order
+        self.name_changes: list[tuple[str, str, str]] = []  # creations, renames and removals since, in order
         self.calls = 0
         self.crash_at = 0  # the number of the call in which the machine stops
         self.faults: dict[str, Callable[[str], OSError | None]] = {}  # by kind of call
@@ -89,7 +89,7 @@
         """Write bytes; a crash during the call keeps a random prefix of them."""
         if name not in self.nodes:
             self.nodes[name] = SimFile()
-            self.moves.append(("make", name, ""))
+            self.name_changes.append(("make", name, ""))
         try:
             self._call("write", name)
         except Crash:
@@ -103,15 +103,15 @@
         self._call("sync", name)
         node.durable, node.waiting = node.content(), []
         self.synced[name] = len(node.durable)
-        if name not in self.durable_names and ("make", name, "") in self.moves:
+        if name not in self.durable_names and ("make", name, "") in self.name_changes:
             # As in common file systems, syncing a new file makes its name durable too.
             self.durable_names[name] = node
-            self.moves.remove(("make", name, ""))
+            self.name_changes.remove(("make", name, ""))
 
     def sync_folder(self) -> None:
         """Make the names of all files durable."""
         self._call("sync", "")
-        self.durable_names, self.moves = dict(self.nodes), []
+        self.durable_names, self.name_changes = dict(self.nodes), []
 
     def rename(self, old: str, new: str) -> None:
         """Rename a file."""
@@ -119,19 +119,19 @@
         self._call("rename", old)
         self.nodes[new] = node
         del self.nodes[old]
-        self.moves.append(("rename", old, new))
+        self.name_changes.append(("rename", old, new))
 
     def remove(self, name: str) -> None:
         """Remove a file."""
         self._call("remove", name)
         if self.nodes.pop(name, None):
-            self.moves.append(("remove", name, ""))
+            self.name_changes.append(("remove", name, ""))
 
     def crash(self) -> "SimFiles":
         """Return the folder as the next start could find it."""
         rng, names = self.rng, dict(self.durable_names)
-        for kind, old, new in self.moves[
-            : rng.randrange(len(self.moves) + 1)
+        for kind, old, new in self.name_changes[
+            : rng.randrange(len(self.name_changes) + 1)
         ]:  # they become durable in order
             node = names.get(old)
             if kind == "make":
@@ -155,7 +155,7 @@
 
     def _made(self, name: str) -> SimFile:
         """Return a created file, which may have been renamed since."""
-        for kind, old, new in self.moves:
+        for kind, old, new in self.name_changes:
             if kind == "rename" and old == name and new in self.nodes:
                 return self.nodes[new]
         return self.nodes.get(name, SimFile())
