--- a/standins/files.py
+++ b/standins/files.py
@@ -52,7 +52,7 @@
         self.calls = 0
         self.crash_at = 0  # the number of the call in which the machine stops
         self.faults: dict[str, Callable[[str], OSError | None]] = {}  # by kind of call
-        self.synced: dict[str, int] = {}  # by file: the length that its last sync covered
+        self.synced_bytes: dict[str, int] = {}  # by file: the length that its last sync covered
 
     def _call(self, kind: str, name: str) -> None:
         self.calls += 1
@@ -102,7 +102,7 @@
         node = self._node(name)
         self._call("sync", name)
         node.durable, node.waiting = node.content(), []
-        self.synced[name] = len(node.durable)
+        self.synced_bytes[name] = len(node.durable)
         if name not in self.durable_names and ("make", name, "") in self.name_changes:
             # As in common file systems, syncing a new file makes its name durable too.
             self.durable_names[name] = node
