--- a/standins/files.py
+++ b/standins/files.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-SECTOR = 512
+SECTOR_BYTES = 512
 
 
 class Crash(BaseException):
@@ -165,7 +165,7 @@
         if self.rng.random() < 0.6:
             return piece
         data = bytearray(piece)
-        for at in range(0, len(data), SECTOR):
+        for at in range(0, len(data), SECTOR_BYTES):
             if self.rng.random() < 0.3:
-                data[at : at + SECTOR] = bytes(len(data[at : at + SECTOR]))
+                data[at : at + SECTOR_BYTES] = bytes(len(data[at : at + SECTOR_BYTES]))
         return bytes(data)
