--- a/standins/files.py
+++ b/standins/files.py
@@ -135,7 +135,7 @@
         ]:  # they become durable in order
             node = names.get(old)
             if kind == "make":
-                names[old] = self._made(old)
+                names[old] = self._find_created(old)
             elif kind == "remove":
                 names.pop(old, None)
             elif node:
@@ -153,7 +153,7 @@
             fresh.nodes[name] = fresh.durable_names[name] = SimFile(data)
         return fresh
 
-    def _made(self, name: str) -> SimFile:
+    def _find_created(self, name: str) -> SimFile:
         """Return a created file, which may have been renamed since."""
         for kind, old, new in self.name_changes:
             if kind == "rename" and old == name and new in self.nodes:
