--- a/standins/files.py
+++ b/standins/files.py
@@ -147,7 +147,7 @@
             left = [piece for piece in node.waiting if rng.random() < 0.7]
             rng.shuffle(left)
             for offset, piece in left:
-                write_into(data, offset, self._torn(piece))
+                write_into(data, offset, self._tear(piece))
             if rng.random() < 0.1 and len(data) > len(node.durable):
                 del data[rng.randrange(len(node.durable), len(data)) :]  # the length was not durable
             fresh.nodes[name] = fresh.durable_names[name] = SimFile(data)
@@ -160,7 +160,7 @@
                 return self.nodes[new]
         return self.nodes.get(name, SimFile())
 
-    def _torn(self, piece: bytes) -> bytes:
+    def _tear(self, piece: bytes) -> bytes:
         """Return a write whole, or with zeros in some of its sectors."""
         if self.rng.random() < 0.6:
             return piece
