--- a/standins/load.py
+++ b/standins/load.py
@@ -1,9 +1,9 @@
-"""Clients of a fleet: a steady stream of requests to each gateway that runs, all judged.
+"""Clients of a fleet: a steady stream of requests to each running gateway, with every answer checked.
 
-A client goes where the front would send it: to a process that says it is ready, until that one says it is
-going, is killed, or is stopped where it stands (the fleet closes its clients' connections then, as a front
-does). What is in the air when a process is killed ends without an answer and counts as broken off; every
-request that a running gateway took has to have its one answer.
+Clients connect as a load balancer in front of the gateways would have it: to a process that is ready, until
+that process announces that it is leaving, is killed, or is suspended (the fleet then closes its clients'
+connections, as a load balancer does). Requests that are open when a process is killed get no answer and count
+as broken off; every request that a running gateway has accepted must get exactly one answer.
 """
 
 import asyncio
@@ -16,16 +16,16 @@
 if TYPE_CHECKING:
     from standins.fleet import Fleet, Process
 
-OPEN, OBJECTS, EFFECTS = 24, 400, 0.05  # requests open on a connection; share of effects
+OPEN, OBJECTS, EFFECTS = 24, 400, 0.05  # most open requests on a connection, objects, share of effects
 
 
 class Load:
-    """So many requests a second to each gateway, from `start` to `stop`."""
+    """A constant number of requests per second to each gateway, from `start` to `stop`."""
 
     def __init__(
         self, fleet: "Fleet", each_per_s: float, objects: int = OBJECTS, numbers: list[int] | None = None
     ) -> None:
-        """Prepare; all gateways are asked, or those of `numbers`."""
+        """Prepare; requests go to all gateways, or to those in `numbers`."""
         self.numbers = numbers if numbers is not None else list(range(fleet.size))
         self.fleet, self.pause_s, self.objects = fleet, 1.0 / each_per_s, objects
         self.rng = random.Random(fleet.rng.getrandbits(32))
@@ -37,13 +37,13 @@
         self.on = False
 
     def start(self) -> None:
-        """Begin."""
+        """Start the requests."""
         self.on = True
         self.fleet.gone_listeners.append(self.leave)
         self.tasks = [asyncio.create_task(self._stream(n)) for n in self.numbers]
 
     async def stop(self) -> None:
-        """End, once all that is open has its answer."""
+        """Stop, once all open requests have ended."""
         self.on = False
         await asyncio.gather(*self.tasks)
         await asyncio.gather(*self.asks)
@@ -52,7 +52,7 @@
         self.fleet.gone_listeners.remove(self.leave)
 
     async def until(self, answers: int, among: list[int] | None = None) -> None:
-        """Wait until each of the gateways has given so many answers more."""
+        """Wait until each gateway (of `among`, if given) has sent this many more answers."""
         numbers = among if among is not None else [n for n in self.numbers if n in self.fleet.running]
         before = dict(self.answered)
         async with asyncio.timeout(60.0):
@@ -60,7 +60,7 @@
                 await asyncio.sleep(0.01)
 
     def leave(self, process: "Process") -> None:
-        """Close the clients' connection to a process that will not answer."""
+        """Close the clients' connection to a process that no longer answers."""
         if terminal := self.terminals.pop(process, None):
             terminal.close()
 
