--- a/standins/repo.py
+++ b/standins/repo.py
@@ -1,9 +1,9 @@
-"""A repository that publishes on a script, and terminals that fetch an index and what it names.
+"""A scripted package repository, and clients that fetch an index and the files that it names.
 
-Every publication of a path is a purge of its object, told to gateways a little later, in whatever order the
-script has the index and its files; caches lag behind and hold old bytes. A terminal's set is judged by the
-digests of the very index that it was given: a body that ended well and does not fit is a broken rule, whoever
-would have noticed.
+Each publication of a path is a purge of its object, which gateways are told a little later; the index and
+its files are published in any order, and caches may hold old bytes for some time. A client checks the files
+by the digests in the index that it received. A complete body that does not match its digest breaks a rule,
+even if a real client would have noticed.
 """
 
 import asyncio
@@ -23,56 +23,56 @@
 
 
 class RepoTruth(Truth):
-    """The head office's paths and their versions."""
+    """The origin's paths and their versions; an object is a path, and all objects are in one group."""
 
     def __init__(self, name: str = "r") -> None:
-        """Hold nothing yet."""
+        """Start with no path; `name` is the repository's name, from which object keys are computed."""
         super().__init__()
         self.name = name
         self.texts: dict[int, list[tuple[float, bytes | None]]] = {}
 
     def publish(self, path: str, data: bytes | None, told_after_ms: float = 100.0) -> None:
-        """Give out a path anew, or take it away with None."""
+        """Publish new bytes for a path, or remove the path if `data` is None."""
         key = object_key(self.name, path)
         purge = self.purge(key, -1, now_ms() + told_after_ms)
         self.texts.setdefault(key, []).append((purge.at_ms, data))
 
     def group(self, key: int) -> int:
-        """All is of one group."""
+        """Return the one group of all objects."""
         return GROUP
 
     def purges_of(self, key: int) -> list[Purge]:
-        """Give the purges of a path, and of all of it."""
+        """Return the purges of a path and of the group."""
         return self.by_key.get(key, []) + self.by_group.get(GROUP, [])
 
     def version(self, key: int, at_ms: float) -> int:
-        """Give the version in force: one more with each publication; a purge of the group makes none."""
+        """Return the version at a time; publications increase it by one, purges of the group do not."""
         return sum(at <= at_ms for at, _ in self.texts.get(key, ()))
 
     def size(self, key: int, part: int) -> int:
-        """Untold."""
+        """Return the most bytes that a part can have; real sizes are not disclosed."""
         return PART
 
     def _text(self, key: int, version: int) -> bytes | None:
         return self.texts[key][version - 1][1] if version else None
 
     def body(self, key: int, part: int, version: int) -> bytes:
-        """Give a part's bytes; nothing for what is not there."""
+        """Return the bytes of a part, which are empty for a path that does not exist."""
         return (self._text(key, version) or b"")[part * PART : (part + 1) * PART]
 
     def tag(self, key: int, version: int) -> str:
-        """Give a version's tag."""
+        """Return the tag of a version, or the tag for a path that does not exist."""
         return ABSENT if self._text(key, version) is None else tag_of(key, version)
 
 
 def wheel(name: str, release: int, size: int) -> bytes:
-    """Make a file's bytes."""
+    """Return the bytes of a file in a release."""
     seed = hashlib.sha256(f"{name} {release}".encode()).digest()
     return (seed * (size // 32 + 1))[:size]
 
 
 def page(files: dict[str, bytes]) -> bytes:
-    """Write a project's page."""
+    """Return a project's index page in HTML, with the digests of its files."""
     rows = [
         f'<a href="../../files/{name}#sha256={hashlib.sha256(data).hexdigest()}">{name}</a><br/>'
         for name, data in files.items()
@@ -83,7 +83,7 @@
 
 @dataclass(slots=True)
 class ScriptedRepository:
-    """Publishes a project's releases: the same paths with other bytes, and one path more each time."""
+    """Publishes the releases of a project: each has the same paths with new bytes, and one more path."""
 
     truth: RepoTruth
     rng: random.Random
@@ -93,7 +93,7 @@
     files: dict[str, bytes] = field(default_factory=dict)
 
     async def publish(self, back_to: int = 0) -> None:
-        """Publish the next release, or an older one again, in an order that is drawn."""
+        """Publish the next release, or an older one again, with its paths in a random order."""
         self.release += 1
         number = back_to or self.release
         files = {n: wheel(n, number, s) for n, s in zip(self.names, self.sizes, strict=True)}
@@ -116,7 +116,7 @@
 
 @dataclass(slots=True)
 class Got:
-    """One answer; `whole` tells whether its body ended as HTTP has it end."""
+    """One answer; `whole` is whether its body was complete by the rules of HTTP."""
 
     status: int
     headers: dict[str, str]
@@ -132,7 +132,7 @@
     cut: int = 0,
     method: str = "GET",
 ) -> Got:
-    """Ask once on a connection of its own; with `cut` leave after so many bytes of body."""
+    """Send one request on a new connection; with `cut`, close it after that many bytes of the body."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port, local_addr=(source, 0))
     http = h11.Connection(h11.CLIENT)
     fields = [("Host", "127.0.0.1"), ("Connection", "close"), *(headers or {}).items()]
@@ -168,7 +168,10 @@
 async def fetch_set(
     port: int, source: str, rng: random.Random, counts: Counter[str], wrong: list[str]
 ) -> bool:
-    """Fetch index and files as a terminal does, again until all fits; False if that never came to be."""
+    """Fetch an index and its files as a client does, and start again until all digests match.
+
+    Returns False, with an entry in `wrong`, if that fails 60 times.
+    """
     kind, path = Simple(), "/simple/simple/demo/"
     for _ in range(60):
         index = await get(port, path, source=source)
@@ -198,7 +201,7 @@
                     await asyncio.sleep(rng.uniform(0.1, 0.4))
             digest = hashlib.sha256(body).hexdigest()
             if got.whole and got.status in (200, 206) and digest != file.digest:
-                wrong.append(f"{name}: a whole body that does not fit the index that was given")
+                wrong.append(f"{name}: a whole body that does not match the digest in the served index")
             if digest != file.digest:
                 fits = False
                 break
@@ -206,5 +209,5 @@
             counts["sets"] += 1
             return True
         counts["sets begun anew"] += 1
-    wrong.append(f"{source}: never had a whole set")
+    wrong.append(f"{source}: never received a consistent set of files")
     return False
