--- a/standins/repo.py
+++ b/standins/repo.py
@@ -115,7 +115,7 @@
 
 
 @dataclass(slots=True)
-class Got:
+class HttpAnswer:
     """One answer; `whole` is whether its body was complete by the rules of HTTP."""
 
     status: int
@@ -131,12 +131,12 @@
     source: str = "127.0.0.1",
     cut: int = 0,
     method: str = "GET",
-) -> Got:
+) -> HttpAnswer:
     """Send one request on a new connection; with `cut`, close it after that many bytes of the body."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port, local_addr=(source, 0))
     http = h11.Connection(h11.CLIENT)
     fields = [("Host", "127.0.0.1"), ("Connection", "close"), *(headers or {}).items()]
-    got = Got(0, {}, b"", False)
+    got = HttpAnswer(0, {}, b"", False)
     pieces: list[bytes] = []
     try:
         data = http.send(h11.Request(method=method, target=path, headers=fields))
