--- a/standins/repo.py
+++ b/standins/repo.py
@@ -65,7 +65,7 @@
         return ABSENT if self._text(key, version) is None else tag_of(key, version)
 
 
-def wheel(name: str, release: int, size: int) -> bytes:
+def file_bytes(name: str, release: int, size: int) -> bytes:
     """Return the bytes of a file in a release."""
     seed = hashlib.sha256(f"{name} {release}".encode()).digest()
     return (seed * (size // 32 + 1))[:size]
@@ -96,10 +96,10 @@
         """Publish the next release, or an older one again, with its paths in a random order."""
         self.release += 1
         number = back_to or self.release
-        files = {n: wheel(n, number, s) for n, s in zip(self.names, self.sizes, strict=True)}
+        files = {n: file_bytes(n, number, s) for n, s in zip(self.names, self.sizes, strict=True)}
         if number > 1:
             extra = f"demo-2.{number}-py3-none-any.whl"
-            files[extra] = wheel(extra, number, 5_000)
+            files[extra] = file_bytes(extra, number, 5_000)
         self.files = files
         steps = [("simple/demo/", page(files)), *((f"files/{name}", data) for name, data in files.items())]
         order = self.rng.choice(("index first", "files first", "mixed"))
