--- a/standins/repo.py
+++ b/standins/repo.py
@@ -53,16 +53,16 @@
         """Return the most bytes that a part can have; real sizes are not disclosed."""
         return PART
 
-    def _text(self, key: int, version: int) -> bytes | None:
+    def _published(self, key: int, version: int) -> bytes | None:
         return self.publications[key][version - 1][1] if version else None
 
     def body(self, key: int, part: int, version: int) -> bytes:
         """Return the bytes of a part, which are empty for a path that does not exist."""
-        return (self._text(key, version) or b"")[part * PART : (part + 1) * PART]
+        return (self._published(key, version) or b"")[part * PART : (part + 1) * PART]
 
     def tag(self, key: int, version: int) -> str:
         """Return the tag of a version, or the tag for a path that does not exist."""
-        return ABSENT if self._text(key, version) is None else tag_of(key, version)
+        return ABSENT if self._published(key, version) is None else tag_of(key, version)
 
 
 def file_bytes(name: str, release: int, size: int) -> bytes:
