--- a/standins/releases.py
+++ b/standins/releases.py
@@ -52,7 +52,7 @@
     async def publish() -> None:
         for number in range(releases):
             await asyncio.sleep(seconds / (releases + 1) * rng.uniform(0.5, 1.5))
-            await shop.publish(back_to=max(1, shop.release - 2) if number % 5 == 4 else 0)
+            await shop.publish(older_release=max(1, shop.release - 2) if number % 5 == 4 else 0)
             if number % 4 == 1:  # two within a second
                 await shop.publish()
 
--- a/standins/repo.py
+++ b/standins/repo.py
@@ -92,10 +92,10 @@
     release: int = 0
     files: dict[str, bytes] = field(default_factory=dict)
 
-    async def publish(self, back_to: int = 0) -> None:
+    async def publish(self, older_release: int = 0) -> None:
         """Publish the next release, or an older one again, with its paths in a random order."""
         self.release += 1
-        number = back_to or self.release
+        number = older_release or self.release
         files = {n: file_bytes(n, number, s) for n, s in zip(self.names, self.sizes, strict=True)}
         if number > 1:
             extra = f"demo-2.{number}-py3-none-any.whl"
