--- a/standins/repo.py
+++ b/standins/repo.py
@@ -31,10 +31,10 @@
         self.name = name
         self.publications: dict[int, list[tuple[float, bytes | None]]] = {}
 
-    def publish(self, path: str, data: bytes | None, told_after_ms: float = 100.0) -> None:
+    def publish(self, path: str, data: bytes | None, announced_after_ms: float = 100.0) -> None:
         """Publish new bytes for a path, or remove the path if `data` is None."""
         key = object_key(self.name, path)
-        purge = self.purge(key, -1, now_ms() + told_after_ms)
+        purge = self.purge(key, -1, now_ms() + announced_after_ms)
         self.publications.setdefault(key, []).append((purge.at_ms, data))
 
     def group(self, key: int) -> int:
