--- a/standins/repo.py
+++ b/standins/repo.py
@@ -184,9 +184,9 @@
         for name, file in named.items():
             body, tag = b"", ""
             for _ in range(6):
-                ask = {"Range": f"bytes={len(body)}-", "If-Range": tag} if body and tag else {}
+                range_headers = {"Range": f"bytes={len(body)}-", "If-Range": tag} if body and tag else {}
                 cut = rng.randrange(1, 600_000) if rng.random() < 0.1 else 0
-                got = await get(port, f"/simple/{name}", ask, source, cut)
+                got = await get(port, f"/simple/{name}", range_headers, source, cut)
                 counts[f"file {got.status}" + ("" if got.whole else " broken off")] += 1
                 if got.status == 206:
                     body += got.body
