--- a/standins/repo.py
+++ b/standins/repo.py
@@ -180,7 +180,7 @@
             await asyncio.sleep(rng.uniform(0.1, 0.4))
             continue
         named = kind.parse("simple/demo/", index.body).files
-        fits = True
+        is_consistent = True
         for name, file in named.items():
             body, tag = b"", ""
             for _ in range(6):
@@ -203,9 +203,9 @@
             if got.whole and got.status in (200, 206) and digest != file.digest:
                 wrong.append(f"{name}: a whole body that does not match the digest in the served index")
             if digest != file.digest:
-                fits = False
+                is_consistent = False
                 break
-        if fits:
+        if is_consistent:
             counts["sets"] += 1
             return True
         counts["sets begun anew"] += 1
