--- a/standins/load.py
+++ b/standins/load.py
@@ -16,7 +16,11 @@
 if TYPE_CHECKING:
     from standins.fleet import Fleet, Process
 
-OPEN, OBJECTS, EFFECTS = 24, 400, 0.05  # most open requests on a connection, objects, share of effects
+MAX_OPEN_REQUESTS, OBJECTS, EFFECTS = (
+    24,
+    400,
+    0.05,
+)  # most open requests on a connection, objects, share of effects
 
 
 class Load:
@@ -72,7 +76,7 @@
                 terminal = self.terminals.get(process)
                 if terminal is None or terminal.needs_new_connection:
                     terminal = await self._connect(process)
-                if terminal and len(terminal.pending) < OPEN:
+                if terminal and len(terminal.pending) < MAX_OPEN_REQUESTS:
                     ask = asyncio.create_task(self._ask(number, terminal))
                     self.asks.add(ask)
                     ask.add_done_callback(self.asks.discard)
