--- a/standins/load.py
+++ b/standins/load.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from standins.fleet import Fleet, Process
 
-MAX_OPEN_REQUESTS, OBJECTS, EFFECTS = (
+MAX_OPEN_REQUESTS, OBJECTS, EFFECT_SHARE = (
     24,
     400,
     0.05,
@@ -94,7 +94,7 @@
         return terminal
 
     async def _ask(self, number: int, terminal: StandInClient) -> None:
-        if self.rng.random() < EFFECTS:
+        if self.rng.random() < EFFECT_SHARE:
             key = f"{self.rng.getrandbits(128):032x}"
             got = await terminal.effect("charge", self.rng.randrange(self.objects), key)
         else:
