--- a/standins/load.py
+++ b/standins/load.py
@@ -34,7 +34,7 @@
         self.fleet, self.pause_s, self.objects = fleet, 1.0 / each_per_s, objects
         self.rng = random.Random(fleet.rng.getrandbits(32))
         self.terminals: dict[Process, StandInClient] = {}
-        self.asks: set[asyncio.Task[None]] = set()
+        self.request_tasks: set[asyncio.Task[None]] = set()
         self.tasks: list[asyncio.Task[None]] = []
         self.served: Counter[int] = Counter()  # by gateway
         self.answered: Counter[int] = Counter()
@@ -50,7 +50,7 @@
         """Stop, once all open requests have ended."""
         self.on = False
         await asyncio.gather(*self.tasks)
-        await asyncio.gather(*self.asks)
+        await asyncio.gather(*self.request_tasks)
         for terminal in self.terminals.values():
             terminal.close()
         self.fleet.gone_listeners.remove(self.leave)
@@ -78,8 +78,8 @@
                     terminal = await self._connect(process)
                 if terminal and len(terminal.pending) < MAX_OPEN_REQUESTS:
                     ask = asyncio.create_task(self._ask(number, terminal))
-                    self.asks.add(ask)
-                    ask.add_done_callback(self.asks.discard)
+                    self.request_tasks.add(ask)
+                    ask.add_done_callback(self.request_tasks.discard)
             await asyncio.sleep(self.pause_s)
 
     async def _connect(self, process: "Process") -> StandInClient | None:
