--- a/standins/load.py
+++ b/standins/load.py
@@ -38,17 +38,17 @@
         self.tasks: list[asyncio.Task[None]] = []
         self.served: Counter[int] = Counter()  # by gateway
         self.answered: Counter[int] = Counter()
-        self.on = False
+        self.is_running = False
 
     def start(self) -> None:
         """Start the requests."""
-        self.on = True
+        self.is_running = True
         self.fleet.gone_listeners.append(self.leave)
         self.tasks = [asyncio.create_task(self._stream(n)) for n in self.numbers]
 
     async def stop(self) -> None:
         """Stop, once all open requests have ended."""
-        self.on = False
+        self.is_running = False
         await asyncio.gather(*self.tasks)
         await asyncio.gather(*self.request_tasks)
         for terminal in self.terminals.values():
@@ -70,7 +70,7 @@
 
     async def _stream(self, number: int) -> None:
         await asyncio.sleep(self.rng.random() * self.pause_s)
-        while self.on:
+        while self.is_running:
             process = self.fleet.running.get(number)
             if process and process.serving:
                 terminal = self.terminals.get(process)
--- a/standins/play.py
+++ b/standins/play.py
@@ -79,7 +79,7 @@
         except OSError as error:  # TimeoutError is one too
             self.outcome.broken.append(f"a gateway does not answer or does not start: {error!r}")
         finally:
-            load.on = False
+            load.is_running = False
             await fleet.finish()
         found = self.outcome
         found.broken += fleet.faults + fleet.verdicts.wrong + fleet.watch.broken
