--- a/standins/load.py
+++ b/standins/load.py
@@ -43,7 +43,7 @@
     def start(self) -> None:
         """Start the requests."""
         self.is_running = True
-        self.fleet.gone_listeners.append(self.leave)
+        self.fleet.gone_listeners.append(self.close_connection)
         self.tasks = [asyncio.create_task(self._stream(n)) for n in self.numbers]
 
     async def stop(self) -> None:
@@ -53,7 +53,7 @@
         await asyncio.gather(*self.request_tasks)
         for terminal in self.terminals.values():
             terminal.close()
-        self.fleet.gone_listeners.remove(self.leave)
+        self.fleet.gone_listeners.remove(self.close_connection)
 
     async def until(self, answers: int, among: list[int] | None = None) -> None:
         """Wait until each gateway (of `among`, if given) has sent this many more answers."""
@@ -63,7 +63,7 @@
             while any(self.answered[n] - before.get(n, 0) < answers for n in numbers):
                 await asyncio.sleep(0.01)
 
-    def leave(self, process: "Process") -> None:
+    def close_connection(self, process: "Process") -> None:
         """Close the clients' connection to a process that no longer answers."""
         if terminal := self.terminals.pop(process, None):
             terminal.close()
