--- a/standins/load.py
+++ b/standins/load.py
@@ -31,7 +31,7 @@
     ) -> None:
         """Prepare; requests go to all gateways, or to those in `numbers`."""
         self.numbers = numbers if numbers is not None else list(range(fleet.size))
-        self.fleet, self.pause_s, self.objects = fleet, 1.0 / each_per_s, objects
+        self.fleet, self.interval_s, self.objects = fleet, 1.0 / each_per_s, objects
         self.rng = random.Random(fleet.rng.getrandbits(32))
         self.terminals: dict[Process, StandInClient] = {}
         self.request_tasks: set[asyncio.Task[None]] = set()
@@ -69,7 +69,7 @@
             terminal.close()
 
     async def _stream(self, number: int) -> None:
-        await asyncio.sleep(self.rng.random() * self.pause_s)
+        await asyncio.sleep(self.rng.random() * self.interval_s)
         while self.is_running:
             process = self.fleet.running.get(number)
             if process and process.serving:
@@ -80,7 +80,7 @@
                     ask = asyncio.create_task(self._ask(number, terminal))
                     self.request_tasks.add(ask)
                     ask.add_done_callback(self.request_tasks.discard)
-            await asyncio.sleep(self.pause_s)
+            await asyncio.sleep(self.interval_s)
 
     async def _connect(self, process: "Process") -> StandInClient | None:
         terminal = StandInClient(
