--- a/standins/load.py
+++ b/standins/load.py
@@ -27,11 +27,11 @@
     """A constant number of requests per second to each gateway, from `start` to `stop`."""
 
     def __init__(
-        self, fleet: "Fleet", each_per_s: float, objects: int = OBJECTS, numbers: list[int] | None = None
+        self, fleet: "Fleet", requests_per_s: float, objects: int = OBJECTS, numbers: list[int] | None = None
     ) -> None:
         """Prepare; requests go to all gateways, or to those in `numbers`."""
         self.numbers = numbers if numbers is not None else list(range(fleet.size))
-        self.fleet, self.interval_s, self.objects = fleet, 1.0 / each_per_s, objects
+        self.fleet, self.interval_s, self.objects = fleet, 1.0 / requests_per_s, objects
         self.rng = random.Random(fleet.rng.getrandbits(32))
         self.terminals: dict[Process, StandInClient] = {}
         self.request_tasks: set[asyncio.Task[None]] = set()
