--- a/standins/load.py
+++ b/standins/load.py
@@ -33,7 +33,7 @@
         self.numbers = numbers if numbers is not None else list(range(fleet.size))
         self.fleet, self.interval_s, self.objects = fleet, 1.0 / requests_per_s, objects
         self.rng = random.Random(fleet.rng.getrandbits(32))
-        self.terminals: dict[Process, StandInClient] = {}
+        self.clients: dict[Process, StandInClient] = {}
         self.request_tasks: set[asyncio.Task[None]] = set()
         self.tasks: list[asyncio.Task[None]] = []
         self.served: Counter[int] = Counter()  # by gateway
@@ -51,7 +51,7 @@
         self.is_running = False
         await asyncio.gather(*self.tasks)
         await asyncio.gather(*self.request_tasks)
-        for terminal in self.terminals.values():
+        for terminal in self.clients.values():
             terminal.close()
         self.fleet.gone_listeners.remove(self.close_connection)
 
@@ -65,7 +65,7 @@
 
     def close_connection(self, process: "Process") -> None:
         """Close the clients' connection to a process that no longer answers."""
-        if terminal := self.terminals.pop(process, None):
+        if terminal := self.clients.pop(process, None):
             terminal.close()
 
     async def _stream(self, number: int) -> None:
@@ -73,7 +73,7 @@
         while self.is_running:
             process = self.fleet.running.get(number)
             if process and process.serving:
-                terminal = self.terminals.get(process)
+                terminal = self.clients.get(process)
                 if terminal is None or terminal.needs_new_connection:
                     terminal = await self._connect(process)
                 if terminal and len(terminal.pending) < MAX_OPEN_REQUESTS:
@@ -90,7 +90,7 @@
             await terminal.connect(process.port)
         except OSError:
             return None
-        self.terminals[process] = terminal
+        self.clients[process] = terminal
         return terminal
 
     async def _ask(self, number: int, terminal: StandInClient) -> None:
