--- a/standins/repo.py
+++ b/standins/repo.py
@@ -29,13 +29,13 @@
         """Start with no path; `name` is the repository's name, from which object keys are computed."""
         super().__init__()
         self.name = name
-        self.publications: dict[int, list[tuple[float, bytes | None]]] = {}
+        self.texts: dict[int, list[tuple[float, bytes | None]]] = {}
 
     def publish(self, path: str, data: bytes | None, announced_after_ms: float = 100.0) -> None:
         """Publish new bytes for a path, or remove the path if `data` is None."""
         key = object_key(self.name, path)
         purge = self.purge(key, -1, now_ms() + announced_after_ms)
-        self.publications.setdefault(key, []).append((purge.at_ms, data))
+        self.texts.setdefault(key, []).append((purge.at_ms, data))
 
     def group(self, key: int) -> int:
         """Return the one group of all objects."""
@@ -47,14 +47,14 @@
 
     def version(self, key: int, at_ms: float) -> int:
         """Return the version at a time; publications increase it by one, purges of the group do not."""
-        return sum(at <= at_ms for at, _ in self.publications.get(key, ()))
+        return sum(at <= at_ms for at, _ in self.texts.get(key, ()))
 
     def size(self, key: int, part: int) -> int:
         """Return the most bytes that a part can have; real sizes are not disclosed."""
         return PART
 
     def _published(self, key: int, version: int) -> bytes | None:
-        return self.publications[key][version - 1][1] if version else None
+        return self.texts[key][version - 1][1] if version else None
 
     def body(self, key: int, part: int, version: int) -> bytes:
         """Return the bytes of a part, which are empty for a path that does not exist."""
--- a/standins/rush.py
+++ b/standins/rush.py
@@ -30,7 +30,7 @@
         self.plain = Truth()
 
     def _is_plain(self, key: int) -> bool:
-        return key not in self.publications and key < 1 << 20
+        return key not in self.texts and key < 1 << 20
 
     def body(self, key: int, part: int, version: int) -> bytes:
         """Give a part's bytes."""
