--- a/standins/load.py
+++ b/standins/load.py
@@ -51,8 +51,8 @@
         self.is_running = False
         await asyncio.gather(*self.tasks)
         await asyncio.gather(*self.request_tasks)
-        for terminal in self.clients.values():
-            terminal.close()
+        for client in self.clients.values():
+            client.close()
         self.fleet.gone_listeners.remove(self.close_connection)
 
     async def until(self, answers: int, among: list[int] | None = None) -> None:
@@ -65,39 +65,37 @@
 
     def close_connection(self, process: "Process") -> None:
         """Close the clients' connection to a process that no longer answers."""
-        if terminal := self.clients.pop(process, None):
-            terminal.close()
+        if client := self.clients.pop(process, None):
+            client.close()
 
     async def _stream(self, number: int) -> None:
         await asyncio.sleep(self.rng.random() * self.interval_s)
         while self.is_running:
             process = self.fleet.running.get(number)
             if process and process.serving:
-                terminal = self.clients.get(process)
-                if terminal is None or terminal.needs_new_connection:
-                    terminal = await self._connect(process)
-                if terminal and len(terminal.pending) < MAX_OPEN_REQUESTS:
-                    ask = asyncio.create_task(self._ask(number, terminal))
+                client = self.clients.get(process)
+                if client is None or client.needs_new_connection:
+                    client = await self._connect(process)
+                if client and len(client.pending) < MAX_OPEN_REQUESTS:
+                    ask = asyncio.create_task(self._ask(number, client))
                     self.request_tasks.add(ask)
                     ask.add_done_callback(self.request_tasks.discard)
             await asyncio.sleep(self.interval_s)
 
     async def _connect(self, process: "Process") -> StandInClient | None:
-        terminal = StandInClient(
-            self.fleet.truth, self.fleet.verdicts, random.Random(self.rng.getrandbits(32))
-        )
+        client = StandInClient(self.fleet.truth, self.fleet.verdicts, random.Random(self.rng.getrandbits(32)))
         try:
-            await terminal.connect(process.port)
+            await client.connect(process.port)
         except OSError:
             return None
-        self.clients[process] = terminal
-        return terminal
+        self.clients[process] = client
+        return client
 
-    async def _ask(self, number: int, terminal: StandInClient) -> None:
+    async def _ask(self, number: int, client: StandInClient) -> None:
         if self.rng.random() < EFFECT_SHARE:
             key = f"{self.rng.getrandbits(128):032x}"
-            got = await terminal.effect("charge", self.rng.randrange(self.objects), key)
+            got = await client.effect("charge", self.rng.randrange(self.objects), key)
         else:
-            got = await terminal.read("files", int(self.objects * self.rng.random() ** 2))
+            got = await client.read("files", int(self.objects * self.rng.random() ** 2))
         self.answered[number] += got is not None
         self.served[number] += got is not None and got.code == 0
