--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -268,12 +268,12 @@
     async def ask_all(self, count: int = 5) -> None:
         """Send each running gateway `count` requests and judge the answers."""
         for process in list(self.running.values()):
-            terminal = StandInClient(self.truth, self.verdicts, random.Random(self.rng.getrandbits(32)))
-            await terminal.connect(process.port)
+            client = StandInClient(self.truth, self.verdicts, random.Random(self.rng.getrandbits(32)))
+            await client.connect(process.port)
             for _ in range(count):
-                if await terminal.read("files", self.rng.randrange(40)) is None:
+                if await client.read("files", self.rng.randrange(40)) is None:
                     self.faults.append(f"n{process.number} closed a connection with a request open")
-            terminal.close()
+            client.close()
 
     async def finish(self) -> None:
         """End all processes; record those that had ended by themselves."""
