--- a/standins/fuzz.py
+++ b/standins/fuzz.py
@@ -1,9 +1,9 @@
-"""Feeds the second front's parsers drawn and mutated bytes; any error but their own ends the run.
+"""Fuzzes the parsers of the repository front with random and mutated bytes.
 
     python -m standins.fuzz --seconds 600
 
-Hypothesis draws; each round has a seed of its own, so that a find is repeated by its seed. Exit code 1 on a
-find.
+Any exception but the parsers' own ends the run with exit code 1. Hypothesis makes the inputs; each round has
+its own seed, with which a finding can be repeated.
 """
 
 import contextlib
@@ -41,7 +41,7 @@
 
 @st.composite
 def mutated(draw: st.DrawFn) -> bytes:
-    """Take a seed and cut, repeat, swap or overwrite stretches of it."""
+    """Return a sample input with some parts deleted, inserted, replaced or repeated."""
     data = bytearray(draw(st.sampled_from(SEEDS)))
     for _ in range(draw(st.integers(0, 6))):
         at = draw(st.integers(0, len(data)))
@@ -59,7 +59,7 @@
 
 
 def feed(data: bytes) -> None:
-    """Give the bytes to every parser."""
+    """Pass the bytes to every parser."""
     text = data.decode("latin-1")
     for kind, path in (
         ("simple", "simple/demo/"), ("debian", "dists/s/Release"), ("debian", "dists/s/main/Packages"),
@@ -87,7 +87,7 @@
 
 
 def round_of(number: int, examples: int) -> Callable[[], None]:
-    """Make one round, to be run with no argument."""
+    """Return one round as a function without arguments; `number` is its seed."""
     quiet = [HealthCheck.too_slow, HealthCheck.filter_too_much]
 
     @seed(number)
