--- a/standins/speed.py
+++ b/standins/speed.py
@@ -1,9 +1,9 @@
-"""Answers a second through a real gateway: from memory, from disk, and through the stand-in cache.
+"""Measures answers per second of a real gateway: from memory, from disk, and from a stand-in cache.
 
     python -m standins.speed --seconds 4 --seeds 3
 
-Clients run in processes of their own; the ways take turns on each seed, so that ratios hold on a noisy
-machine.
+The clients run in separate processes. The three ways take turns on each seed, so that their ratios are
+comparable on a machine with other load.
 """
 
 import asyncio
@@ -23,7 +23,7 @@
 
 
 def load(port: int, keys: list[int], seconds: float, busy: int, seed: int) -> int:
-    """Ask from a process of its own; gives the answers served."""
+    """Send requests until the time is over, in a process of its own; return the number of served answers."""
 
     async def run() -> int:
         truth, rng = Truth(small=20_000, large=20_001), random.Random(seed)
@@ -45,11 +45,11 @@
 
 
 async def one_way(way: str, seed: int, seconds: float, processes: int, pool: Any) -> dict[str, Any]:
-    """Start a gateway for one way, warm it, and measure."""
+    """Start a gateway for one way, fill its copies, and measure."""
     rig = Rig(seed)
     rig.truth.small, rig.truth.large = 20_000, 20_001
     if way != "off":
-        # memory for all, or for next to nothing, so that hits are read from disk
+        # Memory for all copies, or for almost none, so that hits are read from disk.
         rig.disk(budget_mb=200, segment_mb=8, memory_mb=40 if way == "memory" else 0.1, queue_mb=32)
     await rig.start()
     try:
@@ -81,7 +81,7 @@
 @click.option("--seeds", default=3, show_default=True, type=click.IntRange(1, 20))
 @click.option("--processes", default=3, show_default=True, type=click.IntRange(1, 16))
 def main(seconds: float, seeds: int, processes: int) -> None:
-    """Compare answers a second of 20 kB."""
+    """Compare the answers per second for bodies of 20 kB."""
     ways, rows = ("off", "memory", "disk"), []
     with multiprocessing.get_context("spawn").Pool(processes) as pool:
         for seed in range(1, seeds + 1):
