--- a/standins/haul.py
+++ b/standins/haul.py
@@ -1,8 +1,9 @@
-"""How much goes through the second front: one large file, many small ones, and what slow readers cost.
+"""Measures the throughput of the repository front: a large file, many small files, and slow readers.
 
     python -m standins.haul --mb 500 --files 10000 --slow 200
 
-Each figure stands beside the same parts asked of a stand-in cache alone, over the platform's protocol.
+For comparison, the same parts are also requested directly from a stand-in cache, by the protocol of the back
+ends.
 """
 
 import asyncio
@@ -23,7 +24,7 @@
 
 
 async def straight(port: int, key: int, parts: int, busy: int) -> int:
-    """Ask a cache for a file's parts on one connection; gives the bytes that came."""
+    """Request the parts of a file from a cache on one connection; return the number of received bytes."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port, limit=1 << 22)
     answers, came, asked = resp.RespReader(), 0, 0
 
@@ -47,12 +48,12 @@
 
 
 def resident(pid: int) -> int:
-    """Give a process's resident bytes."""
+    """Return the resident memory of a process in bytes."""
     return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * 4096
 
 
 async def play(mb: int, files: int, slow: int, seed: int) -> dict[str, Any]:
-    """Measure all three."""
+    """Measure all three cases."""
     rig, truth = Rig(seed, 1), RepoTruth()
     rig.truth = truth
     for server in (*rig.caches, rig.parent, rig.origin):
@@ -131,7 +132,7 @@
 @click.option("--slow", default=200, show_default=True, type=click.IntRange(0, 2000))
 @click.option("--seed", default=1, show_default=True)
 def main(mb: int, files: int, slow: int, seed: int) -> None:
-    """Measure what goes through the second front."""
+    """Measure the throughput of the repository front."""
     click.echo(msgspec.json.format(msgspec.json.encode(asyncio.run(play(mb, files, slow, seed)))).decode())
 
 
