--- a/standins/lag.py
+++ b/standins/lag.py
@@ -1,10 +1,10 @@
-"""How late the loop is with the tier off, with a busy disk, and with a disk that stalls for 2 s.
+"""Measures the event loop's delay with the tiers off, with a busy disk, and with a disk that stalls for 2 s.
 
     python -m standins.lag --seconds 8 --seeds 3
 
-One process: the real scheduler, engine, tiers, threads and files; a back that answers after a millisecond,
-requests at a given rate, and a greenlet that wants to wake every millisecond. The three ways take turns on
-each seed.
+Everything runs in one process: the real scheduler, engine, tiers, threads and files, a back end that answers
+after 1 ms, requests at a constant rate, and a greenlet that measures its wake-up every millisecond. The three
+ways take turns on each seed.
 """
 
 import random
@@ -43,7 +43,7 @@
 
 
 class Stalling(OsFiles):
-    """A folder whose calls all hang for 2 s, once in 3 s."""
+    """A folder in which all calls hang for the first 2 s of every 3 s."""
 
     def _stall(self) -> None:
         phase = time.monotonic() % 3.0
@@ -51,34 +51,34 @@
             time.sleep(2.0 - phase)
 
     def read(self, name: str, offset: int, size: int) -> bytes:
-        """Read late."""
+        """Read, after any stall."""
         self._stall()
         return super().read(name, offset, size)
 
     def glance(self, name: str, offset: int, size: int) -> bytes | None:
-        """Have nothing cached while it hangs."""
+        """Return cached bytes, but nothing during a stall."""
         return None if time.monotonic() % 3.0 < 2.0 else super().glance(name, offset, size)
 
     def write(self, name: str, offset: int, data: bytes) -> None:
-        """Write late."""
+        """Write, after any stall."""
         self._stall()
         super().write(name, offset, data)
 
     def sync(self, name: str) -> None:
-        """Be durable late."""
+        """Sync, after any stall."""
         self._stall()
         super().sync(name)
 
 
 class QuickBack:
-    """Answers each attempt a millisecond later."""
+    """A back end that answers each attempt after 1 ms."""
 
     def __init__(self, sched: Scheduler) -> None:
-        """Answer by a scheduler's timers."""
+        """Prepare to answer by the timers of `sched`."""
         self.sched = sched
 
     def send(self, attempt: Attempt) -> None:
-        """Take an attempt."""
+        """Accept an attempt and schedule its answer."""
         attempt.authorize(attempt)
         attempt.written = True
         key = attempt.exchange.request.key
@@ -87,18 +87,18 @@
         self.sched.later(1.0, lambda: attempt.end(ending))
 
     def cancel(self, attempt: Attempt) -> None:
-        """Nothing is out that could be stopped."""
+        """Ignore the cancellation: the answer comes anyway."""
 
     def probe(self, server: str, report: Any) -> None:
-        """Never asked."""
+        """Do nothing: probes are not used here."""
 
     def follow(self, news: Topology) -> Any:
-        """Take the list."""
+        """Accept a list of servers; it changes nothing here."""
         return lambda: None
 
 
 def one(way: str, seed: int, seconds: float, rate: float) -> dict[str, float]:
-    """Run one way; gives the lateness of wake-ups in ms and what was served."""
+    """Run one way; return the delay of wake-ups in ms, the served answers and the disk's counts."""
     sched, rng = Scheduler(), random.Random(seed)
     setup = read_settings(settings())
     engine = Engine(Router(setup, seed), Clock(sched), QuickBack(sched), lambda peer, note: None)
@@ -170,7 +170,7 @@
 @click.option("--seeds", default=3, show_default=True, type=click.IntRange(1, 50))
 @click.option("--rate", default=800.0, show_default=True, type=click.FloatRange(1.0, 10_000.0))
 def main(seconds: float, seeds: int, rate: float) -> None:
-    """Compare the loop's lateness; times in ms."""
+    """Compare the delay of the event loop; times are in ms."""
     ways = ("off", "busy", "stalled")
     turns = [(way, seed) for seed in range(1, seeds + 1) for way in ways]
     rows: list[dict[str, Any]] = [
