--- a/standins/rush.py
+++ b/standins/rush.py
@@ -1,8 +1,10 @@
-"""A release rush against card look-ups: their share in time without it, and with it, giving way or not.
+"""Measures how a rush of release downloads delays look-ups, with the repository front giving way or not.
 
     python -m standins.rush --seconds 8 --seeds 3
 
-The ways take turns on each seed. Look-ups come at a steady rate, also while they are late.
+The result is the share of look-ups answered in time: without a rush, with one that gives way, and with
+one that does not. The three ways take turns on each seed. Look-ups start at a constant rate, also while
+earlier ones are late.
 """
 
 import asyncio
@@ -22,10 +24,10 @@
 
 
 class Both(RepoTruth):
-    """A repository's paths, and objects of the platform's kind for all other keys."""
+    """A repository's paths, and ordinary objects for all keys below 2**20 that are no path."""
 
     def __init__(self) -> None:
-        """Hold nothing yet."""
+        """Start with no path."""
         super().__init__()
         self.plain = Truth()
 
@@ -33,22 +35,22 @@
         return key not in self.texts and key < 1 << 20
 
     def body(self, key: int, part: int, version: int) -> bytes:
-        """Give a part's bytes."""
+        """Return the bytes of a part."""
         return (
             self.plain.body(key, part, version) if self._is_plain(key) else super().body(key, part, version)
         )
 
     def tag(self, key: int, version: int) -> str:
-        """Give a version's tag."""
+        """Return the tag of a version."""
         return self.plain.tag(key, version) if self._is_plain(key) else super().tag(key, version)
 
     def size(self, key: int, part: int) -> int:
-        """Give a part's size."""
+        """Return the size of a part in bytes."""
         return self.plain.size(key, part) if self._is_plain(key) else super().size(key, part)
 
 
 async def one(way: str, seed: int, seconds: float, rate: float, pullers: int) -> dict[str, Any]:
-    """Play one way."""
+    """Run one way and return its results."""
     rig, truth = Rig(seed, 4), Both()
     rig.truth = truth
     for server in (*rig.caches, rig.parent, rig.origin):
@@ -106,7 +108,7 @@
 @click.option("--rate", default=150.0, show_default=True, type=click.FloatRange(1.0, 2000.0))
 @click.option("--pullers", default=40, show_default=True, type=click.IntRange(1, 200))
 def main(seconds: float, seeds: int, rate: float, pullers: int) -> None:
-    """Compare look-ups without a rush, with one that gives way, and with one that does not."""
+    """Compare look-ups without a rush of downloads, with one that gives way, and with one that does not."""
     ways, rows = ("calm", "give way", "rush"), list[dict[str, Any]]()
     for seed in range(1, seeds + 1):
         for way in ways:
