--- a/standins/kills.py
+++ b/standins/kills.py
@@ -1,10 +1,10 @@
-"""Kills a gateway at random moments under load, again and again, and judges every answer after each restart.
+"""Kills a gateway under load at random times, repeatedly, and checks every answer, also after the restarts.
 
     python -m standins.kills --rounds 200
 
-Load: Zipf-like reads of two classes, a fifth of them for objects wanted once, with purges of objects and
-groups all the time, also while the gateway is down. Exit code 1 if any answer was torn, older than a purge
-told, doubled or lost.
+The load is reads of two classes with a Zipf-like distribution, a fifth of them for objects that are read only
+once. Objects and groups are purged all the time, also while the gateway is down. The exit code is 1 if any
+answer was torn, older than an announced purge, sent twice or lost.
 """
 
 import asyncio
@@ -34,7 +34,7 @@
 
 
 async def purge_on(rig: Rig, a_second: float) -> None:
-    """Purge objects, and now and then a group, for ever."""
+    """Purge objects, and in 3 % of the cases a group, until cancelled."""
     rng = random.Random(rig.rng.getrandbits(32))
     while True:
         await asyncio.sleep(rng.expovariate(a_second))
@@ -46,7 +46,7 @@
 
 
 async def ask_on(rig: Rig, terminal: StandInClient, busy: int) -> None:
-    """Keep some reads open on a connection until it ends."""
+    """Keep `busy` reads open on a connection until it ends."""
     rng = terminal.rng
 
     async def one() -> None:
@@ -61,7 +61,7 @@
 
 
 async def rounds(rig: Rig, many: int, tick: bool) -> Counter[str]:
-    """Play rounds; gives what happened."""
+    """Run the rounds; return counts of their events."""
     seen: Counter[str] = Counter()
     purging = asyncio.create_task(purge_on(rig, 8.0))
     for number in range(many):
@@ -85,9 +85,7 @@
         for terminal in terminals:
             terminal.close()
         if rig.rng.random() < 0.25:
-            await asyncio.sleep(
-                (REPLAY_MS + MAX_PURGE_LAG_MS) / 1000.0
-            )  # long enough for purges to be missed
+            await asyncio.sleep((REPLAY_MS + MAX_PURGE_LAG_MS) / 1000.0)  # long enough to miss purges
         if tick:
             click.echo(f"\rround {number + 1} of {many}, wrong {len(rig.verdicts.wrong)}", nl=False, err=True)
     purging.cancel()
@@ -95,7 +93,7 @@
 
 
 async def play(seed: int, many: int, tick: bool = False) -> dict[str, object]:
-    """Play a whole run from a seed."""
+    """Run `many` rounds from a seed and return the results."""
     rig = Rig(seed)
     rig.disk()
     await rig.start()
@@ -120,7 +118,7 @@
 @click.option("--seed", default=1, show_default=True)
 @click.option("--lanes", default=4, show_default=True, type=click.IntRange(1, 32), help="Runs side by side.")
 def main(many: int, seed: int, lanes: int) -> None:
-    """Kill a gateway at random moments and judge all that it serves."""
+    """Kill a gateway at random times and check everything that it serves."""
 
     async def all_lanes() -> list[dict[str, object]]:
         share = [many // lanes + (n < many % lanes) for n in range(lanes)]
