--- a/standins/releases.py
+++ b/standins/releases.py
@@ -1,9 +1,9 @@
-"""Terminals fetch while releases are purged and published again: does every one end with a consistent set?
+"""Checks that clients get consistent sets of files while releases are purged and published.
 
     python -m standins.releases --clients 200 --releases 20 --caches 14 --gateways 3
 
-Exit code 1 if a whole body did not fit the index that its client was given, or a client never had a whole
-set.
+The exit code is 1 if a complete body did not match the index that its client had received, or a client never
+received a consistent set.
 """
 
 import asyncio
@@ -24,7 +24,7 @@
 async def play(
     seed: int, clients: int, releases: int, caches: int, gateways: int, seconds: float
 ) -> dict[str, Any]:
-    """Play it; gives what was seen."""
+    """Run the clients and the releases; return the results."""
     rng = random.Random(seed)
     first = Rig(seed, caches, ServerBehaviour(purge_delay_ms=500.0))
     truth = RepoTruth()
@@ -53,7 +53,7 @@
         for number in range(releases):
             await asyncio.sleep(seconds / (releases + 1) * rng.uniform(0.5, 1.5))
             await shop.publish(older_release=max(1, shop.release - 2) if number % 5 == 4 else 0)
-            if number % 4 == 1:  # two within a second
+            if number % 4 == 1:  # two releases within a second
                 await shop.publish()
 
     try:
@@ -62,9 +62,8 @@
             rig.repositories()
             await rig.start()
         for number, rig in enumerate(rigs):
-            rig.bus.extra_delay_ms = 300.0 * (
-                number % 2
-            )  # one gateway hears of everything later than another
+            # Every second gateway is told of purges later than the others.
+            rig.bus.extra_delay_ms = 300.0 * (number % 2)
             await rig.launch()
         await asyncio.gather(publish(), *(client(number) for number in range(clients)))
         figures = [await rig.figures() for rig in rigs]
@@ -91,7 +90,7 @@
 @click.option("--gateways", default=3, show_default=True, type=click.IntRange(1, 10))
 @click.option("--seconds", default=30.0, show_default=True, type=click.FloatRange(1.0, 600.0))
 def main(**options: Any) -> None:
-    """Publish releases under terminals that fetch them."""
+    """Publish releases while clients fetch them."""
     result = asyncio.run(play(**options))
     click.echo(msgspec.json.format(msgspec.json.encode(result)).decode())
     raise SystemExit(bool(result["wrong"]))
