--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Scripted stand-ins for what the gateway speaks to, and checkers of the rules; loopback only."""
+"""Scripted stand-ins for the systems that a gateway talks to, and checkers of the rules; loopback only."""
