--- a/standins/crashpoints.py
+++ b/standins/crashpoints.py
@@ -1,12 +1,12 @@
-"""Crashes a disk tier between and inside its file calls, and judges what the next start serves.
+"""Crashes a disk tier between and during its file calls, and checks what the next start serves.
 
     python -m standins.crashpoints --points 2000
 
-A point is a run of puts, purges, checkpoints and compactions on a folder in memory that stops at one call;
-what was not durable is kept, torn, reordered or lost at random. The next start, which the bus tells only the
-purges of the last while, must serve only bytes that were once right, none that any purge forbids, and must
-have all that an fsync had covered. Several crashes follow each other on one folder. Exit code 1 if anything
-was served wrongly or lost.
+A point is a run of puts, purges, checkpoints and compactions on a simulated folder that stops at one call;
+writes that were not durable are kept, torn, reordered or lost at random. The next start, to which the bus
+repeats only recent purges, must serve only bytes that were once correct and that no purge forbids, and must
+still have every part that an fsync had covered. Several crashes follow each other on one folder. The exit
+code is 1 if anything was served wrongly or lost.
 """
 
 import random
@@ -33,19 +33,20 @@
 
 @dataclass(slots=True)
 class Model:
-    """A plain model of what was told and acknowledged; times in ms of its own clock."""
+    """The expected state: announced purges and durable parts; times are in ms of a clock of its own."""
 
     now: float = 1_000_000.0
-    version: dict[int, int] = field(default_factory=dict)  # in force, by object
-    told: dict[int, float] = field(default_factory=dict)  # the last purge, acknowledged or not
-    durable: dict[int, tuple[int, int]] = field(default_factory=dict)  # places covered by an fsync
+    version: dict[int, int] = field(default_factory=dict)  # current version by object
+    told: dict[int, float] = field(default_factory=dict)  # by object: time of its last purge
+    # By entry of the index: segment and offset of a part that an fsync covers.
+    durable: dict[int, tuple[int, int]] = field(default_factory=dict)
 
 
 class Run:
-    """One folder through several lives."""
+    """One folder through several starts and crashes of its disk tier."""
 
     def __init__(self, seed: int) -> None:
-        """Draw all from the seed."""
+        """Start with an empty folder; all randomness comes from the seed."""
         self.rng = random.Random(seed)
         self.files = SimFiles(self.rng)
         self.model = Model()
@@ -54,19 +55,19 @@
         self.disk: Disk | None = None
 
     def open(self) -> Disk:
-        """Start as a gateway does: read the folder, hear the bus, take over the era."""
+        """Start the tier as a gateway does: read the folder, apply the bus's purges, record the new epoch."""
         found = recover.load(self.files)
         proof = Proof(found.kept, REPLAY_MS, 100.0)
         disk = self.disk = Disk(self.files, InlineJobs(), OPTIONS, found, proof)
         self.counts["gaps"] += proof.begin(self.model.now, self.model.now)
         disk.mark_epoch()
-        for key, at in self.model.told.items():  # the bus tells those of the last while again
+        for key, at in self.model.told.items():  # the bus repeats recent ones
             if at >= self.model.now - REPLAY_MS:
                 disk.purge(key, -1, at)
         return disk
 
     def live(self, steps: int) -> None:
-        """Work until the crash, or for so many steps."""
+        """Perform this many random operations, or fewer if the crash comes."""
         disk, model, rng = self.disk or self.open(), self.model, self.rng
         compactor = Compactor(disk, lambda mark: mark & 3, Rate(1e12, 1e12, 1e12))
         for _ in range(steps):
@@ -93,7 +94,7 @@
             self._note_durable(disk)
 
     def _note_durable(self, disk: Disk) -> None:
-        """Note which parts an fsync of their segment has covered, with the place they have."""
+        """Record the parts that an fsync of their segment covers, with their segment and offset."""
         self.model.durable.clear()
         for mark, place in disk.index.items():
             id, at, length = unpack_place(place)
@@ -102,8 +103,8 @@
                 self.model.durable[mark] = (id, at)
 
     def crash(self) -> None:
-        """Stop the machine, and give the folder as it is found."""
-        if self.disk:  # what compaction let go of in the step that was cut short is not lost but evicted
+        """Crash the machine, and continue with a folder as the next start could find it."""
+        if self.disk:  # parts that an interrupted compaction step had dropped are evicted, not lost
             index = self.disk.index
             self.model.durable = {
                 mark: place for mark, place in self.model.durable.items() if index.get(mark)
@@ -114,11 +115,11 @@
         self.model.now += self.rng.choice((10.0, 500.0, 5_000.0))
 
     def judge(self) -> None:
-        """Start, and look at all that could be served."""
+        """Start the tier, and check everything that it could serve."""
         disk, model = self.open(), self.model
         where = {mark: unpack_place(place)[:2] for mark, place in disk.index.items()}
         for mark, place in model.durable.items():
-            # a compaction may have carried it on; what counts is that it is there
+            # A compaction may have moved the part; it only has to be present.
             if mark not in where:
                 self.wrong.append(f"lost: a part that an fsync covered at {place}")
         for key in range(KEYS):
@@ -142,7 +143,7 @@
 
 
 def point(seed: int, crashes: int = 4) -> Run:
-    """Play one seed: `crashes` lives on one folder, each ended at a random call."""
+    """Run one seed: `crashes` starts on one folder, each ended by a crash at a random call."""
     run = Run(seed)
     for _ in range(crashes):
         run.files.crash_at = run.files.calls + run.rng.randrange(1, 400)
