--- a/standins/crashpoints.py
+++ b/standins/crashpoints.py
@@ -37,7 +37,7 @@
 
     now: float = 1_000_000.0
     version: dict[int, int] = field(default_factory=dict)  # current version by object
-    told: dict[int, float] = field(default_factory=dict)  # by object: time of its last purge
+    purged_ms: dict[int, float] = field(default_factory=dict)  # by object: time of its last purge
     # By entry of the index: segment and offset of a part that an fsync covers.
     durable: dict[int, tuple[int, int]] = field(default_factory=dict)
 
@@ -61,7 +61,7 @@
         disk = self.disk = Disk(self.files, InlineJobs(), OPTIONS, found, proof)
         self.counts["gaps"] += proof.begin(self.model.now, self.model.now)
         disk.mark_epoch()
-        for key, at in self.model.told.items():  # the bus repeats recent ones
+        for key, at in self.model.purged_ms.items():  # the bus repeats recent ones
             if at >= self.model.now - REPLAY_MS:
                 disk.purge(key, -1, at)
         return disk
@@ -79,7 +79,7 @@
                 disk.put(part, make_body(key, 0, version, rng.randrange(10, 6_000)))
             elif draw < 0.77:
                 model.version[key] = model.version.get(key, 0) + 1
-                model.told[key] = model.now
+                model.purged_ms[key] = model.now
                 disk.purge(key, -1, model.now)
             elif draw < 0.85:
                 disk.sync()
