--- a/standins/crashpoints.py
+++ b/standins/crashpoints.py
@@ -91,9 +91,9 @@
             else:
                 while compactor.step(model.now, False):
                     pass
-            self._note_durable(disk)
+            self._record_durable(disk)
 
-    def _note_durable(self, disk: Disk) -> None:
+    def _record_durable(self, disk: Disk) -> None:
         """Record the parts that an fsync of their segment covers, with their segment and offset."""
         self.model.durable.clear()
         for mark, place in disk.index.items():
