--- a/standins/crashpoints.py
+++ b/standins/crashpoints.py
@@ -123,11 +123,11 @@
             if mark not in where:
                 self.wrong.append(f"lost: a part that an fsync covered at {place}")
         for key in range(KEYS):
-            disk.get(key, 0, lambda part, body, key=key: self._served(key, part, body))  # type: ignore[misc]
+            disk.get(key, 0, lambda part, body, key=key: self._check_part(key, part, body))  # type: ignore[misc]
         self.counts["crashes"] += 1
         self.counts["parts"] += len(disk.index)
 
-    def _served(self, key: int, part: Part | None, body: bytes) -> None:
+    def _check_part(self, key: int, part: Part | None, body: bytes) -> None:
         disk, model = self.disk, self.model
         if part is None or disk is None:
             self.counts["unreadable"] += 1
