--- a/standins/kills.py
+++ b/standins/kills.py
@@ -20,7 +20,7 @@
 from standins.truth import now_ms
 
 OBJECTS, ONE_TIME_SHARE = 300, 0.2
-ONCE = 1 << 40
+FIRST_ONE_TIME_KEY = 1 << 40
 JUDGED = ("torn", "old", "lost", "second answer", "served", "refused", "failed", "broken off")
 COUNTED = (
     "store.hits.memory",
@@ -53,7 +53,7 @@
         while terminal.task and not terminal.task.done():
             key = min(int(rng.paretovariate(0.7)), OBJECTS)
             if rng.random() < ONE_TIME_SHARE:
-                key = ONCE + rng.getrandbits(32)
+                key = FIRST_ONE_TIME_KEY + rng.getrandbits(32)
             cls = "lookups" if key % 3 == 0 else "files"
             await terminal.read(cls, key, rng.randrange(2))
 
