--- a/standins/kills.py
+++ b/standins/kills.py
@@ -21,7 +21,7 @@
 
 OBJECTS, ONE_TIME_SHARE = 300, 0.2
 FIRST_ONE_TIME_KEY = 1 << 40
-JUDGED = ("torn", "old", "lost", "second answer", "served", "refused", "failed", "broken off")
+VERDICT_NAMES = ("torn", "old", "lost", "second answer", "served", "refused", "failed", "broken off")
 COUNTED = (
     "store.hits.memory",
     "store.hits.disk",
@@ -107,7 +107,7 @@
         "seed": seed,
         "rounds": many,
         "wrong": rig.verdicts.wrong[:20],
-        **{name: counts[name] for name in JUDGED},
+        **{name: counts[name] for name in VERDICT_NAMES},
         "purges": len(rig.truth.purges),
         **dict(sorted(seen.items())),
     }
