--- a/standins/kills.py
+++ b/standins/kills.py
@@ -22,7 +22,7 @@
 OBJECTS, ONE_TIME_SHARE = 300, 0.2
 FIRST_ONE_TIME_KEY = 1 << 40
 VERDICT_NAMES = ("torn", "old", "lost", "second answer", "served", "refused", "failed", "broken off")
-COUNTED = (
+FIGURE_NAMES = (
     "store.hits.memory",
     "store.hits.disk",
     "store.hits.joined",
@@ -76,7 +76,7 @@
         load = [asyncio.create_task(ask_on(rig, terminal, 6)) for terminal in terminals]
         await asyncio.sleep(rig.rng.uniform(0.1, 1.6))
         with_figures = await rig.figures()
-        for name in COUNTED:
+        for name in FIGURE_NAMES:
             seen[name] += with_figures.get(name, 0)
         seen["suspect starts"] += any("suspect" in line or "era" in line for line in rig.lines)
         await asyncio.sleep(rig.rng.uniform(0.0, 0.05))
