--- a/standins/kills.py
+++ b/standins/kills.py
@@ -33,7 +33,7 @@
 )
 
 
-async def purge_on(rig: Rig, a_second: float) -> None:
+async def purge_continuously(rig: Rig, a_second: float) -> None:
     """Purge objects, and in 3 % of the cases a group, until cancelled."""
     rng = random.Random(rig.rng.getrandbits(32))
     while True:
@@ -63,7 +63,7 @@
 async def rounds(rig: Rig, many: int, tick: bool) -> Counter[str]:
     """Run the rounds; return counts of their events."""
     seen: Counter[str] = Counter()
-    purging = asyncio.create_task(purge_on(rig, 8.0))
+    purging = asyncio.create_task(purge_continuously(rig, 8.0))
     for number in range(many):
         early = rig.rng.random() < 0.1
         await rig.launch(wait_ready=not early)
