--- a/standins/kills.py
+++ b/standins/kills.py
@@ -45,7 +45,7 @@
             rig.truth.purge(min(int(rng.paretovariate(0.7)), OBJECTS), -1, told)
 
 
-async def ask_on(rig: Rig, terminal: StandInClient, busy: int) -> None:
+async def read_continuously(rig: Rig, terminal: StandInClient, busy: int) -> None:
     """Keep `busy` reads open on a connection until it ends."""
     rng = terminal.rng
 
@@ -73,7 +73,7 @@
             seen["killed while starting"] += 1
             continue
         terminals = [await rig.terminal() for _ in range(4)]
-        load = [asyncio.create_task(ask_on(rig, terminal, 6)) for terminal in terminals]
+        load = [asyncio.create_task(read_continuously(rig, terminal, 6)) for terminal in terminals]
         await asyncio.sleep(rig.rng.uniform(0.1, 1.6))
         with_figures = await rig.figures()
         for name in FIGURE_NAMES:
