--- a/standins/kills.py
+++ b/standins/kills.py
@@ -33,11 +33,11 @@
 )
 
 
-async def purge_continuously(rig: Rig, a_second: float) -> None:
+async def purge_continuously(rig: Rig, purges_per_s: float) -> None:
     """Purge objects, and in 3 % of the cases a group, until cancelled."""
     rng = random.Random(rig.rng.getrandbits(32))
     while True:
-        await asyncio.sleep(rng.expovariate(a_second))
+        await asyncio.sleep(rng.expovariate(purges_per_s))
         told = now_ms() + rng.uniform(31.0, min(310.0, MAX_PURGE_LAG_MS))
         if rng.random() < 0.03:
             rig.truth.purge(None, rng.randrange(rig.truth.groups), told)
