--- a/standins/kills.py
+++ b/standins/kills.py
@@ -45,7 +45,7 @@
             rig.truth.purge(min(int(rng.paretovariate(0.7)), OBJECTS), -1, told)
 
 
-async def read_continuously(rig: Rig, terminal: StandInClient, busy: int) -> None:
+async def read_continuously(rig: Rig, terminal: StandInClient, open_reads: int) -> None:
     """Keep `busy` reads open on a connection until it ends."""
     rng = terminal.rng
 
@@ -57,7 +57,7 @@
             cls = "lookups" if key % 3 == 0 else "files"
             await terminal.read(cls, key, rng.randrange(2))
 
-    await asyncio.gather(*(one() for _ in range(busy)))
+    await asyncio.gather(*(one() for _ in range(open_reads)))
 
 
 async def rounds(rig: Rig, many: int, tick: bool) -> Counter[str]:
