--- a/standins/kills.py
+++ b/standins/kills.py
@@ -60,7 +60,7 @@
     await asyncio.gather(*(one() for _ in range(open_reads)))
 
 
-async def rounds(rig: Rig, many: int, tick: bool) -> Counter[str]:
+async def rounds(rig: Rig, many: int, shows_progress: bool) -> Counter[str]:
     """Run the rounds; return counts of their events."""
     seen: Counter[str] = Counter()
     purging = asyncio.create_task(purge_continuously(rig, 8.0))
@@ -86,19 +86,19 @@
             terminal.close()
         if rig.rng.random() < 0.25:
             await asyncio.sleep((REPLAY_MS + MAX_PURGE_LAG_MS) / 1000.0)  # long enough to miss purges
-        if tick:
+        if shows_progress:
             click.echo(f"\rround {number + 1} of {many}, wrong {len(rig.verdicts.wrong)}", nl=False, err=True)
     purging.cancel()
     return seen
 
 
-async def play(seed: int, many: int, tick: bool = False) -> dict[str, object]:
+async def play(seed: int, many: int, shows_progress: bool = False) -> dict[str, object]:
     """Run `many` rounds from a seed and return the results."""
     rig = Rig(seed)
     rig.disk()
     await rig.start()
     try:
-        seen = await rounds(rig, many, tick)
+        seen = await rounds(rig, many, shows_progress)
     finally:
         await rig.kill()
         shutil.rmtree(rig.folder, ignore_errors=True)
