--- a/standins/kills.py
+++ b/standins/kills.py
@@ -60,7 +60,7 @@
     await asyncio.gather(*(one() for _ in range(open_reads)))
 
 
-async def rounds(rig: Rig, many: int, shows_progress: bool) -> Counter[str]:
+async def run_rounds(rig: Rig, many: int, shows_progress: bool) -> Counter[str]:
     """Run the rounds; return counts of their events."""
     seen: Counter[str] = Counter()
     purging = asyncio.create_task(purge_continuously(rig, 8.0))
@@ -98,7 +98,7 @@
     rig.disk()
     await rig.start()
     try:
-        seen = await rounds(rig, many, shows_progress)
+        seen = await run_rounds(rig, many, shows_progress)
     finally:
         await rig.kill()
         shutil.rmtree(rig.folder, ignore_errors=True)
