--- a/standins/kills.py
+++ b/standins/kills.py
@@ -65,9 +65,9 @@
     seen: Counter[str] = Counter()
     purging = asyncio.create_task(purge_continuously(rig, 8.0))
     for number in range(many):
-        early = rig.rng.random() < 0.1
-        await rig.launch(wait_ready=not early)
-        if early:  # killed while it starts
+        is_early_kill = rig.rng.random() < 0.1
+        await rig.launch(wait_ready=not is_early_kill)
+        if is_early_kill:  # killed while it starts
             await asyncio.sleep(rig.rng.uniform(0.05, 0.6))
             await rig.kill()
             seen["killed while starting"] += 1
