--- a/standins/kills.py
+++ b/standins/kills.py
@@ -75,9 +75,9 @@
         terminals = [await rig.terminal() for _ in range(4)]
         load = [asyncio.create_task(read_continuously(rig, terminal, 6)) for terminal in terminals]
         await asyncio.sleep(rig.rng.uniform(0.1, 1.6))
-        with_figures = await rig.figures()
+        figures = await rig.figures()
         for name in FIGURE_NAMES:
-            seen[name] += with_figures.get(name, 0)
+            seen[name] += figures.get(name, 0)
         seen["suspect starts"] += any("suspect" in line or "era" in line for line in rig.lines)
         await asyncio.sleep(rig.rng.uniform(0.0, 0.05))
         await rig.kill()
