--- a/standins/kills.py
+++ b/standins/kills.py
@@ -62,7 +62,7 @@
 
 async def run_rounds(rig: Rig, many: int, shows_progress: bool) -> Counter[str]:
     """Run the rounds; return counts of their events."""
-    seen: Counter[str] = Counter()
+    event_counts: Counter[str] = Counter()
     purging = asyncio.create_task(purge_continuously(rig, 8.0))
     for number in range(many):
         is_early_kill = rig.rng.random() < 0.1
@@ -70,15 +70,15 @@
         if is_early_kill:  # killed while it starts
             await asyncio.sleep(rig.rng.uniform(0.05, 0.6))
             await rig.kill()
-            seen["killed while starting"] += 1
+            event_counts["killed while starting"] += 1
             continue
         terminals = [await rig.terminal() for _ in range(4)]
         load = [asyncio.create_task(read_continuously(rig, terminal, 6)) for terminal in terminals]
         await asyncio.sleep(rig.rng.uniform(0.1, 1.6))
         figures = await rig.figures()
         for name in FIGURE_NAMES:
-            seen[name] += figures.get(name, 0)
-        seen["suspect starts"] += any("suspect" in line or "era" in line for line in rig.lines)
+            event_counts[name] += figures.get(name, 0)
+        event_counts["suspect starts"] += any("suspect" in line or "era" in line for line in rig.lines)
         await asyncio.sleep(rig.rng.uniform(0.0, 0.05))
         await rig.kill()
         await asyncio.gather(*load)
@@ -89,7 +89,7 @@
         if shows_progress:
             click.echo(f"\rround {number + 1} of {many}, wrong {len(rig.verdicts.wrong)}", nl=False, err=True)
     purging.cancel()
-    return seen
+    return event_counts
 
 
 async def play(seed: int, many: int, shows_progress: bool = False) -> dict[str, object]:
@@ -98,7 +98,7 @@
     rig.disk()
     await rig.start()
     try:
-        seen = await run_rounds(rig, many, shows_progress)
+        event_counts = await run_rounds(rig, many, shows_progress)
     finally:
         await rig.kill()
         shutil.rmtree(rig.folder, ignore_errors=True)
@@ -109,7 +109,7 @@
         "wrong": rig.verdicts.wrong[:20],
         **{name: counts[name] for name in VERDICT_NAMES},
         "purges": len(rig.truth.purges),
-        **dict(sorted(seen.items())),
+        **dict(sorted(event_counts.items())),
     }
 
 
