--- a/standins/kills.py
+++ b/standins/kills.py
@@ -72,8 +72,8 @@
             await rig.kill()
             event_counts["killed while starting"] += 1
             continue
-        terminals = [await rig.terminal() for _ in range(4)]
-        load = [asyncio.create_task(read_continuously(rig, terminal, 6)) for terminal in terminals]
+        clients = [await rig.terminal() for _ in range(4)]
+        load = [asyncio.create_task(read_continuously(rig, terminal, 6)) for terminal in clients]
         await asyncio.sleep(rig.rng.uniform(0.1, 1.6))
         figures = await rig.figures()
         for name in FIGURE_NAMES:
@@ -82,7 +82,7 @@
         await asyncio.sleep(rig.rng.uniform(0.0, 0.05))
         await rig.kill()
         await asyncio.gather(*load)
-        for terminal in terminals:
+        for terminal in clients:
             terminal.close()
         if rig.rng.random() < 0.25:
             await asyncio.sleep((REPLAY_MS + MAX_PURGE_LAG_MS) / 1000.0)  # long enough to miss purges
