--- a/standins/kills.py
+++ b/standins/kills.py
@@ -45,17 +45,17 @@
             rig.truth.purge(min(int(rng.paretovariate(0.7)), OBJECTS), -1, told)
 
 
-async def read_continuously(rig: Rig, terminal: StandInClient, open_reads: int) -> None:
+async def read_continuously(rig: Rig, client: StandInClient, open_reads: int) -> None:
     """Keep `busy` reads open on a connection until it ends."""
-    rng = terminal.rng
+    rng = client.rng
 
     async def one() -> None:
-        while terminal.task and not terminal.task.done():
+        while client.task and not client.task.done():
             key = min(int(rng.paretovariate(0.7)), OBJECTS)
             if rng.random() < ONE_TIME_SHARE:
                 key = FIRST_ONE_TIME_KEY + rng.getrandbits(32)
             cls = "lookups" if key % 3 == 0 else "files"
-            await terminal.read(cls, key, rng.randrange(2))
+            await client.read(cls, key, rng.randrange(2))
 
     await asyncio.gather(*(one() for _ in range(open_reads)))
 
@@ -73,7 +73,7 @@
             event_counts["killed while starting"] += 1
             continue
         clients = [await rig.terminal() for _ in range(4)]
-        load = [asyncio.create_task(read_continuously(rig, terminal, 6)) for terminal in clients]
+        load = [asyncio.create_task(read_continuously(rig, client, 6)) for client in clients]
         await asyncio.sleep(rig.rng.uniform(0.1, 1.6))
         figures = await rig.figures()
         for name in FIGURE_NAMES:
@@ -82,8 +82,8 @@
         await asyncio.sleep(rig.rng.uniform(0.0, 0.05))
         await rig.kill()
         await asyncio.gather(*load)
-        for terminal in clients:
-            terminal.close()
+        for client in clients:
+            client.close()
         if rig.rng.random() < 0.25:
             await asyncio.sleep((REPLAY_MS + MAX_PURGE_LAG_MS) / 1000.0)  # long enough to miss purges
         if shows_progress:
