--- a/standins/kills.py
+++ b/standins/kills.py
@@ -120,7 +120,7 @@
 def main(many: int, seed: int, lanes: int) -> None:
     """Kill a gateway at random times and check everything that it serves."""
 
-    async def all_lanes() -> list[dict[str, object]]:
+    async def run_lanes() -> list[dict[str, object]]:
         share = [many // lanes + (n < many % lanes) for n in range(lanes)]
         return list(
             await asyncio.gather(
@@ -128,7 +128,7 @@
             )
         )
 
-    results = asyncio.run(all_lanes())
+    results = asyncio.run(run_lanes())
     total: Counter[str] = Counter()
     for result in results:
         total.update(
