--- a/standins/releases.py
+++ b/standins/releases.py
@@ -35,8 +35,8 @@
     for number in range(1, gateways):
         rigs.append(Rig(seed + number, 1))
         rigs[-1].share_servers_of(first)
-    shop = ScriptedRepository(truth, rng)
-    await shop.publish()
+    repository = ScriptedRepository(truth, rng)
+    await repository.publish()
     counts: Counter[str] = Counter()
     wrong: list[str] = []
     took: list[float] = []
@@ -52,9 +52,9 @@
     async def publish() -> None:
         for number in range(releases):
             await asyncio.sleep(seconds / (releases + 1) * rng.uniform(0.5, 1.5))
-            await shop.publish(older_release=max(1, shop.release - 2) if number % 5 == 4 else 0)
+            await repository.publish(older_release=max(1, repository.release - 2) if number % 5 == 4 else 0)
             if number % 4 == 1:  # two releases within a second
-                await shop.publish()
+                await repository.publish()
 
     try:
         for rig in rigs:
@@ -76,7 +76,7 @@
         name: sum(each.get(name, 0) for each in figures) for name in figures[0] if name.startswith("repo.")
     }
     return {
-        "clients": clients, "releases": shop.release, "sets": counts["sets"], "wrong": wrong[:20],
+        "clients": clients, "releases": repository.release, "sets": counts["sets"], "wrong": wrong[:20],
         "median_s": round(took[len(took) // 2], 2), "slowest_s": round(took[-1], 2),
         **dict(sorted(counts.items())), **sums,
     }  # fmt: skip
