--- a/standins/releases.py
+++ b/standins/releases.py
@@ -42,11 +42,11 @@
     took: list[float] = []
 
     async def client(number: int) -> None:
-        own = random.Random(seed * 1000 + number)
-        await asyncio.sleep(own.uniform(0.0, seconds))
+        client_rng = random.Random(seed * 1000 + number)
+        await asyncio.sleep(client_rng.uniform(0.0, seconds))
         begun = time.monotonic()
         source = f"127.0.{1 + number // 250}.{1 + number % 250}"
-        await fetch_set(rigs[number % len(rigs)].http, source, own, counts, wrong)
+        await fetch_set(rigs[number % len(rigs)].http, source, client_rng, counts, wrong)
         took.append(time.monotonic() - begun)
 
     async def publish() -> None:
