--- a/standins/releases.py
+++ b/standins/releases.py
@@ -39,7 +39,7 @@
     await repository.publish()
     counts: Counter[str] = Counter()
     wrong: list[str] = []
-    took: list[float] = []
+    durations_s: list[float] = []
 
     async def client(number: int) -> None:
         client_rng = random.Random(seed * 1000 + number)
@@ -47,7 +47,7 @@
         begun = time.monotonic()
         source = f"127.0.{1 + number // 250}.{1 + number % 250}"
         await fetch_set(rigs[number % len(rigs)].http, source, client_rng, counts, wrong)
-        took.append(time.monotonic() - begun)
+        durations_s.append(time.monotonic() - begun)
 
     async def publish() -> None:
         for number in range(releases):
@@ -71,13 +71,13 @@
         for rig in rigs:
             await rig.kill()
             shutil.rmtree(rig.folder, ignore_errors=True)
-    took.sort()
+    durations_s.sort()
     sums = {
         name: sum(each.get(name, 0) for each in figures) for name in figures[0] if name.startswith("repo.")
     }
     return {
         "clients": clients, "releases": repository.release, "sets": counts["sets"], "wrong": wrong[:20],
-        "median_s": round(took[len(took) // 2], 2), "slowest_s": round(took[-1], 2),
+        "median_s": round(durations_s[len(durations_s) // 2], 2), "slowest_s": round(durations_s[-1], 2),
         **dict(sorted(counts.items())), **sums,
     }  # fmt: skip
 
