--- a/standins/rush.py
+++ b/standins/rush.py
@@ -23,7 +23,7 @@
 AIM_MS = 250.0
 
 
-class Both(RepoTruth):
+class MixedTruth(RepoTruth):
     """A repository's paths, and ordinary objects for all keys below 2**20 that are no path."""
 
     def __init__(self) -> None:
@@ -51,7 +51,7 @@
 
 async def one(way: str, seed: int, seconds: float, rate: float, pullers: int) -> dict[str, Any]:
     """Run one way and return its results."""
-    rig, truth = Rig(seed, 4), Both()
+    rig, truth = Rig(seed, 4), MixedTruth()
     rig.truth = truth
     for server in (*rig.caches, rig.parent, rig.origin):
         server.truth = truth
