--- a/standins/rush.py
+++ b/standins/rush.py
@@ -29,7 +29,7 @@
     def __init__(self) -> None:
         """Start with no path."""
         super().__init__()
-        self.plain = Truth()
+        self.objects = Truth()
 
     def _is_plain(self, key: int) -> bool:
         return key not in self.texts and key < 1 << 20
@@ -37,16 +37,16 @@
     def body(self, key: int, part: int, version: int) -> bytes:
         """Return the bytes of a part."""
         return (
-            self.plain.body(key, part, version) if self._is_plain(key) else super().body(key, part, version)
+            self.objects.body(key, part, version) if self._is_plain(key) else super().body(key, part, version)
         )
 
     def tag(self, key: int, version: int) -> str:
         """Return the tag of a version."""
-        return self.plain.tag(key, version) if self._is_plain(key) else super().tag(key, version)
+        return self.objects.tag(key, version) if self._is_plain(key) else super().tag(key, version)
 
     def size(self, key: int, part: int) -> int:
         """Return the size of a part in bytes."""
-        return self.plain.size(key, part) if self._is_plain(key) else super().size(key, part)
+        return self.objects.size(key, part) if self._is_plain(key) else super().size(key, part)
 
 
 async def one(way: str, seed: int, seconds: float, rate: float, pullers: int) -> dict[str, Any]:
