--- a/standins/rush.py
+++ b/standins/rush.py
@@ -49,7 +49,7 @@
         return self.objects.size(key, part) if self._is_plain(key) else super().size(key, part)
 
 
-async def one(way: str, seed: int, seconds: float, rate: float, pullers: int) -> dict[str, Any]:
+async def run_way(way: str, seed: int, seconds: float, rate: float, pullers: int) -> dict[str, Any]:
     """Run one way and return its results."""
     rig, truth = Rig(seed, 4), MixedTruth()
     rig.truth = truth
@@ -112,7 +112,7 @@
     ways, rows = ("calm", "give way", "rush"), list[dict[str, Any]]()
     for seed in range(1, seeds + 1):
         for way in ways:
-            rows.append(asyncio.run(one(way, seed, seconds, rate, pullers)))
+            rows.append(asyncio.run(run_way(way, seed, seconds, rate, pullers)))
             click.echo(msgspec.json.encode(rows[-1]))
     for way in ways:
         share = float(np.median([row["in_time"] for row in rows if row["way"] == way]))
