--- a/standins/rush.py
+++ b/standins/rush.py
@@ -75,7 +75,7 @@
                 got = await get(rig.http, "/simple/files/big-1.0.tar.gz", source=source)
                 done += got.status == 200 and got.whole
 
-        async def look(number: int) -> None:
+        async def look_up(number: int) -> None:
             begun = now_ms()
             got = await terminals[number % 8].ask("lookups", rig.rng.randrange(1, 5000), wait_ms=2500.0)
             waits.append(now_ms() - begun if got and got.code == 0 else 1e9)
@@ -84,7 +84,7 @@
         await asyncio.sleep(1.0)
         tasks = list[asyncio.Task[None]]()
         while now_ms() < until:
-            tasks.append(asyncio.create_task(look(len(tasks))))
+            tasks.append(asyncio.create_task(look_up(len(tasks))))
             await asyncio.sleep(1.0 / rate)
         await asyncio.gather(*tasks)
         figures = await rig.figures()
