--- a/standins/rush.py
+++ b/standins/rush.py
@@ -67,7 +67,7 @@
         terminals = [await rig.terminal() for _ in range(8)]
         until = now_ms() + seconds * 1000.0
 
-        async def pull(number: int) -> None:
+        async def download(number: int) -> None:
             nonlocal done
             source = f"127.0.2.{1 + number}"
             while now_ms() < until:
@@ -80,7 +80,7 @@
             got = await terminals[number % 8].ask("lookups", rig.rng.randrange(1, 5000), wait_ms=2500.0)
             waits.append(now_ms() - begun if got and got.code == 0 else 1e9)
 
-        rush = [asyncio.create_task(pull(n)) for n in range(pullers if way != "calm" else 0)]
+        rush = [asyncio.create_task(download(n)) for n in range(pullers if way != "calm" else 0)]
         await asyncio.sleep(1.0)
         tasks = list[asyncio.Task[None]]()
         while now_ms() < until:
