--- a/standins/rush.py
+++ b/standins/rush.py
@@ -64,7 +64,7 @@
     done = 0
     try:
         await rig.launch()
-        terminals = [await rig.terminal() for _ in range(8)]
+        clients = [await rig.terminal() for _ in range(8)]
         until = now_ms() + seconds * 1000.0
 
         async def download(number: int) -> None:
@@ -77,7 +77,7 @@
 
         async def look_up(number: int) -> None:
             begun = now_ms()
-            got = await terminals[number % 8].ask("lookups", rig.rng.randrange(1, 5000), wait_ms=2500.0)
+            got = await clients[number % 8].ask("lookups", rig.rng.randrange(1, 5000), wait_ms=2500.0)
             waits.append(now_ms() - begun if got and got.code == 0 else 1e9)
 
         rush = [asyncio.create_task(download(n)) for n in range(pullers if way != "calm" else 0)]
