--- a/standins/speed.py
+++ b/standins/speed.py
@@ -44,7 +44,7 @@
     return asyncio.run(run())
 
 
-async def one_way(way: str, seed: int, seconds: float, processes: int, pool: Any) -> dict[str, Any]:
+async def measure_way(way: str, seed: int, seconds: float, processes: int, pool: Any) -> dict[str, Any]:
     """Start a gateway for one way, fill its copies, and measure."""
     rig = Rig(seed)
     rig.truth.small, rig.truth.large = 20_000, 20_001
@@ -86,7 +86,7 @@
     with multiprocessing.get_context("spawn").Pool(processes) as pool:
         for seed in range(1, seeds + 1):
             for way in ways:
-                rows.append(asyncio.run(one_way(way, seed, seconds, processes, pool)))
+                rows.append(asyncio.run(measure_way(way, seed, seconds, processes, pool)))
                 click.echo(msgspec.json.encode(rows[-1]))
     for way in ways:
         median = float(np.median([row["per_s"] for row in rows if row["way"] == way]))
