--- a/standins/speed.py
+++ b/standins/speed.py
@@ -22,7 +22,7 @@
 from standins.truth import Truth
 
 
-def load(port: int, keys: list[int], seconds: float, busy: int, seed: int) -> int:
+def count_served(port: int, keys: list[int], seconds: float, busy: int, seed: int) -> int:
     """Send requests until the time is over, in a process of its own; return the number of served answers."""
 
     async def run() -> int:
@@ -65,7 +65,7 @@
         before = await rig.figures()
         loop = asyncio.get_running_loop()
         asked = [(rig.port, keys, seconds, 16, n) for n in range(processes)]
-        jobs = [loop.run_in_executor(None, pool.apply, load, each) for each in asked]
+        jobs = [loop.run_in_executor(None, pool.apply, count_served, each) for each in asked]
         served = sum(await asyncio.gather(*jobs))
         after = await rig.figures()
         hits = {k: after[k] - before[k] for k in after if k.startswith("store.hits.")}
