--- a/standins/speed.py
+++ b/standins/speed.py
@@ -22,7 +22,7 @@
 from standins.truth import Truth
 
 
-def count_served(port: int, keys: list[int], seconds: float, busy: int, seed: int) -> int:
+def count_served(port: int, keys: list[int], seconds: float, open_requests: int, seed: int) -> int:
     """Send requests until the time is over, in a process of its own; return the number of served answers."""
 
     async def run() -> int:
@@ -37,7 +37,7 @@
                 got = await terminal.ask("files", rng.choice(keys))
                 served += bool(got and got.code == 0)
 
-        await asyncio.gather(*(one() for _ in range(busy)))
+        await asyncio.gather(*(one() for _ in range(open_requests)))
         terminal.close()
         return served
 
