--- a/standins/speed.py
+++ b/standins/speed.py
@@ -31,13 +31,13 @@
         await terminal.connect(port)
         served, until = 0, time.monotonic() + seconds
 
-        async def one() -> None:
+        async def send_requests() -> None:
             nonlocal served
             while time.monotonic() < until:
                 got = await terminal.ask("files", rng.choice(keys))
                 served += bool(got and got.code == 0)
 
-        await asyncio.gather(*(one() for _ in range(open_requests)))
+        await asyncio.gather(*(send_requests() for _ in range(open_requests)))
         terminal.close()
         return served
 
