--- a/standins/speed.py
+++ b/standins/speed.py
@@ -27,18 +27,18 @@
 
     async def run() -> int:
         truth, rng = Truth(small=20_000, large=20_001), random.Random(seed)
-        terminal = StandInClient(truth, Verdicts(), rng)
-        await terminal.connect(port)
+        client = StandInClient(truth, Verdicts(), rng)
+        await client.connect(port)
         served, until = 0, time.monotonic() + seconds
 
         async def send_requests() -> None:
             nonlocal served
             while time.monotonic() < until:
-                got = await terminal.ask("files", rng.choice(keys))
+                got = await client.ask("files", rng.choice(keys))
                 served += bool(got and got.code == 0)
 
         await asyncio.gather(*(send_requests() for _ in range(open_requests)))
-        terminal.close()
+        client.close()
         return served
 
     return asyncio.run(run())
@@ -57,11 +57,11 @@
         if way != "off":
             await rig.logged("store open")
         keys = list(range(1, 1001))
-        terminal = await rig.terminal()
+        client = await rig.terminal()
         for _ in range(2):
             for start in range(0, len(keys), 16):
-                await asyncio.gather(*(terminal.ask("files", key) for key in keys[start : start + 16]))
-        terminal.close()
+                await asyncio.gather(*(client.ask("files", key) for key in keys[start : start + 16]))
+        client.close()
         before = await rig.figures()
         loop = asyncio.get_running_loop()
         asked = [(rig.port, keys, seconds, 16, n) for n in range(processes)]
