--- a/standins/haul.py
+++ b/standins/haul.py
@@ -23,7 +23,7 @@
 from standins.rig import Rig
 
 
-async def straight(port: int, key: int, parts: int, busy: int) -> int:
+async def fetch_from_cache(port: int, key: int, parts: int, busy: int) -> int:
     """Request the parts of a file from a cache on one connection; return the number of received bytes."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port, limit=1 << 22)
     answers, came, asked = resp.RespReader(), 0, 0
@@ -77,7 +77,7 @@
         assert got.status == 200 and got.whole and len(got.body) == len(big)
         found["large_mb_per_s"] = round(mb / took, 1)
         begun = time.monotonic()
-        came = await straight(
+        came = await fetch_from_cache(
             rig.caches[0].port, object_key("r", "files/big-1.0.tar.gz"), -(-len(big) // PART), 8
         )
         found["large_cache_alone_mb_per_s"] = round(came / 1e6 / (time.monotonic() - begun), 1)
@@ -96,7 +96,7 @@
         found["small_wrong"] = wrong
         begun = time.monotonic()
         for name in list(small)[: min(files, 2000)]:
-            await straight(rig.caches[0].port, object_key("r", f"files/{name}"), 1, 1)
+            await fetch_from_cache(rig.caches[0].port, object_key("r", f"files/{name}"), 1, 1)
         found["small_cache_alone_per_s"] = round(min(files, 2000) / (time.monotonic() - begun))
         before = resident(rig.process.pid)
         readers = []
