--- a/standins/haul.py
+++ b/standins/haul.py
@@ -47,7 +47,7 @@
     return came
 
 
-def resident(pid: int) -> int:
+def resident_bytes(pid: int) -> int:
     """Return the resident memory of a process in bytes."""
     return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * 4096
 
@@ -98,7 +98,7 @@
         for name in list(small)[: min(files, 2000)]:
             await fetch_from_cache(rig.caches[0].port, object_key("r", f"files/{name}"), 1, 1)
         found["small_cache_alone_per_s"] = round(min(files, 2000) / (time.monotonic() - begun))
-        before = resident(rig.process.pid)
+        before = resident_bytes(rig.process.pid)
         readers = []
         for _ in range(slow):
             reader, writer = await asyncio.open_connection("127.0.0.1", rig.http, limit=4096)
@@ -109,7 +109,7 @@
             await asyncio.sleep(0.1)
             for reader, _ in readers:
                 await reader.read(100)
-            peak = max(peak, resident(rig.process.pid))
+            peak = max(peak, resident_bytes(rig.process.pid))
         figures = await rig.figures()
         found |= {
             "slow_readers": slow,
