--- a/standins/haul.py
+++ b/standins/haul.py
@@ -23,7 +23,7 @@
 from standins.rig import Rig
 
 
-async def fetch_from_cache(port: int, key: int, parts: int, busy: int) -> int:
+async def fetch_from_cache(port: int, key: int, parts: int, open_requests: int) -> int:
     """Request the parts of a file from a cache on one connection; return the number of received bytes."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port, limit=1 << 22)
     answers, came, asked = resp.RespReader(), 0, 0
@@ -34,7 +34,7 @@
         writer.write(resp.write_command(b"PULL", b"%016x" % asked, fields, b""))
         asked += 1
 
-    for _ in range(min(busy, parts)):
+    for _ in range(min(open_requests, parts)):
         ask()
     done = 0
     while done < parts:
