--- a/standins/haul.py
+++ b/standins/haul.py
@@ -26,7 +26,7 @@
 async def fetch_from_cache(port: int, key: int, parts: int, open_requests: int) -> int:
     """Request the parts of a file from a cache on one connection; return the number of received bytes."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port, limit=1 << 22)
-    answers, came, asked = resp.RespReader(), 0, 0
+    answers, received, asked = resp.RespReader(), 0, 0
 
     def ask() -> None:
         nonlocal asked
@@ -40,11 +40,11 @@
     while done < parts:
         for items in answers.feed(await reader.read(1 << 20)):
             done += 1
-            came += len(items[3])
+            received += len(items[3])
             if asked < parts:
                 ask()
     writer.close()
-    return came
+    return received
 
 
 def resident_bytes(pid: int) -> int:
@@ -77,10 +77,10 @@
         assert got.status == 200 and got.whole and len(got.body) == len(big)
         found["large_mb_per_s"] = round(mb / took, 1)
         begun = time.monotonic()
-        came = await fetch_from_cache(
+        received = await fetch_from_cache(
             rig.caches[0].port, object_key("r", "files/big-1.0.tar.gz"), -(-len(big) // PART), 8
         )
-        found["large_cache_alone_mb_per_s"] = round(came / 1e6 / (time.monotonic() - begun), 1)
+        found["large_cache_alone_mb_per_s"] = round(received / 1e6 / (time.monotonic() - begun), 1)
         names = iter(small)
         wrong = 0
 
