--- a/standins/haul.py
+++ b/standins/haul.py
@@ -52,7 +52,7 @@
     return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * 4096
 
 
-async def play(mb: int, files: int, slow: int, seed: int) -> dict[str, Any]:
+async def measure(mb: int, files: int, slow: int, seed: int) -> dict[str, Any]:
     """Measure all three cases."""
     rig, truth = Rig(seed, 1), RepoTruth()
     rig.truth = truth
@@ -133,7 +133,7 @@
 @click.option("--seed", default=1, show_default=True)
 def main(mb: int, files: int, slow: int, seed: int) -> None:
     """Measure the throughput of the repository front."""
-    click.echo(msgspec.json.format(msgspec.json.encode(asyncio.run(play(mb, files, slow, seed)))).decode())
+    click.echo(msgspec.json.format(msgspec.json.encode(asyncio.run(measure(mb, files, slow, seed)))).decode())
 
 
 if __name__ == "__main__":
