--- a/standins/lag.py
+++ b/standins/lag.py
@@ -42,7 +42,7 @@
 BODY = random.Random(1).randbytes(60_000)
 
 
-class Stalling(OsFiles):
+class StallingFiles(OsFiles):
     """A folder in which all calls hang for the first 2 s of every 3 s."""
 
     def _stall(self) -> None:
@@ -116,7 +116,7 @@
         front.leave = DrainControl(front)
         jobs = ThreadJobs(sched)
         options = Options(budget=200 * MB, segment_bytes=8 * MB, checkpoint_ms=2_000.0, sync_ms=200.0)
-        make = Stalling if way == "stalled" else OsFiles
+        make = StallingFiles if way == "stalled" else OsFiles
         keeper = Keeper(sched, tier, front, folder, options, jobs, Rate(50e6, 5e6, 4e6), make)
         sched.spawn(keeper.run)
         for _ in range(int(seconds)):
