--- a/standins/lag.py
+++ b/standins/lag.py
@@ -70,7 +70,7 @@
         super().sync(name)
 
 
-class QuickBack:
+class FastBackEnd:
     """A back end that answers each attempt after 1 ms."""
 
     def __init__(self, sched: Scheduler) -> None:
@@ -101,7 +101,7 @@
     """Run one way; return the delay of wake-ups in ms, the served answers and the disk's counts."""
     sched, rng = Scheduler(), random.Random(seed)
     setup = read_settings(settings())
-    engine = Engine(Router(setup, seed), Clock(sched), QuickBack(sched), lambda peer, note: None)
+    engine = Engine(Router(setup, seed), Clock(sched), FastBackEnd(sched), lambda peer, note: None)
     kinds = (("c0", "north", "box"), ("c1", "north", "box"), ("p", "hub", "parent"), ("o", "hub", "origin"))
     members = tuple(
         ListedServer(api.Member(n, z, k, "SERVING", weight=50.0), ("127.0.0.1", 1)) for n, z, k in kinds
