--- a/standins/lag.py
+++ b/standins/lag.py
@@ -97,7 +97,7 @@
         return lambda: None
 
 
-def one(way: str, seed: int, seconds: float, rate: float) -> dict[str, float]:
+def measure_way(way: str, seed: int, seconds: float, rate: float) -> dict[str, float]:
     """Run one way; return the delay of wake-ups in ms, the served answers and the disk's counts."""
     sched, rng = Scheduler(), random.Random(seed)
     setup = read_settings(settings())
@@ -174,7 +174,7 @@
     ways = ("off", "busy", "stalled")
     turns = [(way, seed) for seed in range(1, seeds + 1) for way in ways]
     rows: list[dict[str, Any]] = [
-        {"way": way, "seed": seed, **one(way, seed, seconds, rate)} for way, seed in turns
+        {"way": way, "seed": seed, **measure_way(way, seed, seconds, rate)} for way, seed in turns
     ]
     for row in rows:
         shown = {name: round(v, 3) if isinstance(v, float) else v for name, v in row.items()}
