--- a/standins/lag.py
+++ b/standins/lag.py
@@ -125,7 +125,7 @@
     answers: list[Answer] = []
     begun = time.monotonic()
 
-    def watch() -> None:
+    def measure_delay() -> None:
         while True:
             due = time.monotonic() + 0.001
             sched.sleep(1.0)
@@ -146,7 +146,7 @@
         sched.sleep(50.0)
         sched.stopped = True
 
-    sched.spawn(watch)
+    sched.spawn(measure_delay)
     sched.spawn(ask)
     sched.run()
     disk = keeper.disk if keeper else None
