--- a/standins/lag.py
+++ b/standins/lag.py
@@ -131,7 +131,7 @@
             sched.sleep(1.0)
             late.append((time.monotonic() - due) * 1000.0)
 
-    def ask() -> None:
+    def send_requests() -> None:
         count = 0
         while time.monotonic() - begun < seconds:
             for _ in range(int((time.monotonic() - begun) * rate) - count):
@@ -147,7 +147,7 @@
         sched.stopped = True
 
     sched.spawn(measure_delay)
-    sched.spawn(ask)
+    sched.spawn(send_requests)
     sched.run()
     disk = keeper.disk if keeper else None
     result = {
