--- a/standins/lag.py
+++ b/standins/lag.py
@@ -121,7 +121,7 @@
         sched.spawn(keeper.run)
         for _ in range(int(seconds)):
             sched.later(1000.0 * _, tier.on_caught_up)
-    late: list[float] = []
+    delays_ms: list[float] = []
     answers: list[Answer] = []
     begun = time.monotonic()
 
@@ -129,7 +129,7 @@
         while True:
             due = time.monotonic() + 0.001
             sched.sleep(1.0)
-            late.append((time.monotonic() - due) * 1000.0)
+            delays_ms.append((time.monotonic() - due) * 1000.0)
 
     def send_requests() -> None:
         count = 0
@@ -151,9 +151,9 @@
     sched.run()
     disk = keeper.disk if keeper else None
     result = {
-        "p50": float(np.percentile(late, 50)),
-        "p99": float(np.percentile(late, 99)),
-        "worst": max(late),
+        "p50": float(np.percentile(delays_ms, 50)),
+        "p99": float(np.percentile(delays_ms, 99)),
+        "worst": max(delays_ms),
         "served": float(sum(answer.kind == "served" for answer in answers)),
         "disk_reads": float(disk.counts.reads if disk else 0),
         "disk_puts": float(disk.counts.puts if disk else 0),
