--- a/standins/fuzz.py
+++ b/standins/fuzz.py
@@ -58,7 +58,7 @@
     return bytes(data)
 
 
-def feed(data: bytes) -> None:
+def parse_everywhere(data: bytes) -> None:
     """Pass the bytes to every parser."""
     text = data.decode("latin-1")
     for kind, path in (
@@ -94,7 +94,7 @@
     @settings(max_examples=examples, deadline=None, database=None, suppress_health_check=quiet)
     @given(st.one_of(mutated(), st.binary(max_size=600)))
     def run(data: bytes) -> None:
-        feed(data)
+        parse_everywhere(data)
 
     return run
 
