--- a/standins/fuzz.py
+++ b/standins/fuzz.py
@@ -86,7 +86,7 @@
                 break
 
 
-def round_of(number: int, examples: int) -> Callable[[], None]:
+def make_round(number: int, examples: int) -> Callable[[], None]:
     """Return one round as a function without arguments; `number` is its seed."""
     quiet = [HealthCheck.too_slow, HealthCheck.filter_too_much]
 
@@ -109,7 +109,7 @@
         if time.monotonic() >= until:
             break
         try:
-            round_of(number, 500)()
+            make_round(number, 500)()
         except Exception as error:
             click.echo(f"found in round {number}: {error!r}")
             raise SystemExit(1) from error
