--- a/standins/fuzz.py
+++ b/standins/fuzz.py
@@ -24,7 +24,7 @@
 from hitchtiller.repo.paths import BadTarget, read_target
 
 A = "a" * 64
-SEEDS = [
+SAMPLE_INPUTS = [
     b'<!DOCTYPE html><meta name="pypi:repository-version" content="1.0">'
     b'<a href="../../f/x-1.whl#sha256=' + A.encode() + b'">',
     b'{"meta":{"api-version":"1.1"},"name":"demo","files":'
@@ -42,7 +42,7 @@
 @st.composite
 def mutated(draw: st.DrawFn) -> bytes:
     """Return a sample input with some parts deleted, inserted, replaced or repeated."""
-    data = bytearray(draw(st.sampled_from(SEEDS)))
+    data = bytearray(draw(st.sampled_from(SAMPLE_INPUTS)))
     for _ in range(draw(st.integers(0, 6))):
         at = draw(st.integers(0, len(data)))
         size = draw(st.integers(0, 12))
