--- a/standins/fuzz.py
+++ b/standins/fuzz.py
@@ -23,12 +23,12 @@
 from hitchtiller.repo.kinds import BadIndex, make
 from hitchtiller.repo.paths import BadTarget, read_target
 
-A = "a" * 64
+DIGEST = "a" * 64
 SAMPLE_INPUTS = [
     b'<!DOCTYPE html><meta name="pypi:repository-version" content="1.0">'
-    b'<a href="../../f/x-1.whl#sha256=' + A.encode() + b'">',
+    b'<a href="../../f/x-1.whl#sha256=' + DIGEST.encode() + b'">',
     b'{"meta":{"api-version":"1.1"},"name":"demo","files":'
-    b'[{"filename":"x","url":"/x","hashes":{"sha256":"' + A.encode() + b'"}}]}',
+    b'[{"filename":"x","url":"/x","hashes":{"sha256":"' + DIGEST.encode() + b'"}}]}',
     f"Origin: x\nSHA256:\n {A} 100 main/Packages\n".encode(),
     f"Package: x\nFilename: pool/x.deb\nSize: 7\nSHA256: {A}\n".encode(),
     b"-----BEGIN PGP SIGNED MESSAGE-----\nHash: x\n\nSHA256:\n-----BEGIN PGP SIGNATURE-----\n",
