--- a/standins/fuzz.py
+++ b/standins/fuzz.py
@@ -29,8 +29,8 @@
     b'<a href="../../f/x-1.whl#sha256=' + DIGEST.encode() + b'">',
     b'{"meta":{"api-version":"1.1"},"name":"demo","files":'
     b'[{"filename":"x","url":"/x","hashes":{"sha256":"' + DIGEST.encode() + b'"}}]}',
-    f"Origin: x\nSHA256:\n {A} 100 main/Packages\n".encode(),
-    f"Package: x\nFilename: pool/x.deb\nSize: 7\nSHA256: {A}\n".encode(),
+    f"Origin: x\nSHA256:\n {DIGEST} 100 main/Packages\n".encode(),
+    f"Package: x\nFilename: pool/x.deb\nSize: 7\nSHA256: {DIGEST}\n".encode(),
     b"-----BEGIN PGP SIGNED MESSAGE-----\nHash: x\n\nSHA256:\n-----BEGIN PGP SIGNATURE-----\n",
     gzip.compress(b"Package: x\n"),
     lzma.compress(b"Package: x\n"),
