--- a/standins/kills.py
+++ b/standins/kills.py
@@ -46,7 +46,7 @@
 
 
 async def read_continuously(rig: Rig, client: StandInClient, open_reads: int) -> None:
-    """Keep `busy` reads open on a connection until it ends."""
+    """Keep `open_reads` reads open on a connection until it ends."""
     rng = client.rng
 
     async def one() -> None:
