--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,7 +1,8 @@
-"""Tests that fail for a known fault: pytest's `--known-red FILE` passes over just these.
+"""Pytest plugin that tolerates the failures of tests with a known fault, listed by `--known-red FILE`.
 
-They are run and printed. The file has a line for each: `TEST, CAUSE, ISSUE`, three at most. A fourth, one
-that can't be read, or one that names no test there is ends the run with an error.
+The listed tests run, and their results are printed. The file has one line for each, `TEST, CAUSE, ISSUE`, and
+at most three lines. A fourth line, a malformed one, or one that names no existing test ends the run with an
+error.
 """
 
 from collections.abc import Generator, Sequence
@@ -15,7 +16,7 @@
 
 
 def read(path: Path) -> dict[str, str]:
-    """Read the file: causes and issues by test; UsageError for what can't be used."""
+    """Return the causes and issues in the file by test; raise UsageError if it is malformed."""
     lines = [line.strip() for line in path.read_text().splitlines() if line.strip()]
     if len(lines) > MOST:
         raise pytest.UsageError(f"{path}: {len(lines)} lines, {MOST} at most")
@@ -29,18 +30,18 @@
 
 
 def pytest_addoption(parser: pytest.Parser) -> None:
-    """Add the option."""
+    """Add the option `--known-red`."""
     parser.addoption("--known-red", metavar="FILE", help="pass over the failures that FILE lists")
 
 
 def pytest_configure(config: pytest.Config) -> None:
-    """Read the file."""
+    """Read the file that the option names."""
     name = config.getoption("--known-red")
     config.stash[KEY] = read(Path(name)) if name else {}
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: Sequence[pytest.Item]) -> None:
-    """Check that each line names a test there is."""
+    """Raise UsageError if a line names no collected test."""
     missing = set(config.stash[KEY]) - {item.nodeid for item in items}
     if missing:
         raise pytest.UsageError(f"known-red names no test there is: {', '.join(sorted(missing))}")
@@ -50,7 +51,7 @@
 def pytest_runtest_makereport(
     item: pytest.Item, call: pytest.CallInfo[None]
 ) -> Generator[None, pytest.TestReport, pytest.TestReport]:
-    """Turn a listed test's failure into an expected one."""
+    """Report the failure of a listed test as an expected failure."""
     report = yield
     if report.failed and item.nodeid in item.config.stash[KEY]:
         report.outcome, report.wasxfail = "skipped", f"known red: {item.config.stash[KEY][item.nodeid]}"
@@ -58,7 +59,7 @@
 
 
 def pytest_terminal_summary(terminalreporter: TerminalReporter) -> None:
-    """Print each, with what became of it."""
+    """Print each listed test with its result."""
     known = terminalreporter.config.stash[KEY]
     failed = {report.nodeid for report in terminalreporter.getreports("xfailed")}
     for test, why in known.items():
