--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""KNOWN-RED.txt: just the listed failures are passed over, run and printed; a bad file fails the run."""
+"""Tests of --known-red: only listed failures are tolerated, and all are printed; a bad file is an error."""
 
 import shutil
 import subprocess
@@ -12,7 +12,7 @@
 
 
 def run(folder: Path, listed: str | None, tests: str = TESTS) -> tuple[int, str]:
-    """Run some tests with a list; gives pytest's exit code and what it printed."""
+    """Run pytest on `tests` with a list of known failures; return its exit code and output."""
     shutil.copy(HERE / "known_red.py", folder / "conftest.py")
     (folder / "test_it.py").write_text(tests)
     (folder / "pytest.ini").write_text("[pytest]\n")
