--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -11,14 +11,14 @@
 import pytest
 from _pytest.terminal import TerminalReporter
 
-MOST = 3
+MAX_LINES = 3
 KEY = pytest.StashKey[dict[str, str]]()
 
 
 def read(path: Path) -> dict[str, str]:
     """Return the causes and issues in the file by test; raise UsageError if it is malformed."""
     lines = [line.strip() for line in path.read_text().splitlines() if line.strip()]
-    if len(lines) > MOST:
+    if len(lines) > MAX_LINES:
         raise pytest.UsageError(f"{path}: {len(lines)} lines, {MOST} at most")
     known = {}
     for line in lines:
