--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -15,7 +15,7 @@
 KEY = pytest.StashKey[dict[str, str]]()
 
 
-def read(path: Path) -> dict[str, str]:
+def read_known_failures(path: Path) -> dict[str, str]:
     """Return the causes and issues in the file by test; raise UsageError if it is malformed."""
     lines = [line.strip() for line in path.read_text().splitlines() if line.strip()]
     if len(lines) > MAX_LINES:
@@ -37,7 +37,7 @@
 def pytest_configure(config: pytest.Config) -> None:
     """Read the file that the option names."""
     name = config.getoption("--known-red")
-    config.stash[KEY] = read(Path(name)) if name else {}
+    config.stash[KEY] = read_known_failures(Path(name)) if name else {}
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: Sequence[pytest.Item]) -> None:
