--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -22,10 +22,10 @@
         raise pytest.UsageError(f"{path}: {len(lines)} lines, {MOST} at most")
     known = {}
     for line in lines:
-        test, *why = (part.strip() for part in line.split(",", 2))
-        if len(why) < 2 or not all((test, *why)):
+        test, *cause_and_issue = (part.strip() for part in line.split(",", 2))
+        if len(cause_and_issue) < 2 or not all((test, *cause_and_issue)):
             raise pytest.UsageError(f"{path}: no 'test, cause, issue': {line}")
-        known[test] = ", ".join(why)
+        known[test] = ", ".join(cause_and_issue)
     return known
 
 
@@ -62,5 +62,5 @@
     """Print each listed test with its result."""
     known = terminalreporter.config.stash[KEY]
     failed = {report.nodeid for report in terminalreporter.getreports("xfailed")}
-    for test, why in known.items():
+    for test, cause_and_issue in known.items():
         terminalreporter.write_line(f"KNOWN-RED {'failed' if test in failed else 'passed'} {test}: {why}")
