--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -24,7 +24,7 @@
     return done.returncode, done.stdout + done.stderr
 
 
-def test_without_the_file_there_is_no_exception(tmp_path: Path) -> None:
+def test_without_the_option_every_failure_counts(tmp_path: Path) -> None:
     code, said = run(tmp_path, None)
     assert code == 1 and "2 failed, 1 passed" in said
 
