--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -29,7 +29,7 @@
     assert code == 1 and "2 failed, 1 passed" in said
 
 
-def test_just_the_listed_failure_is_passed_over_and_printed(tmp_path: Path) -> None:
+def test_only_the_listed_failure_is_tolerated_and_it_is_printed(tmp_path: Path) -> None:
     code, said = run(tmp_path, "test_it.py::test_red, the cause, issue 1\n")
     assert code == 1 and "1 failed, 1 passed, 1 xfailed" in said
     assert "KNOWN-RED failed test_it.py::test_red: the cause, issue 1" in said
