--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -35,7 +35,9 @@
     assert "KNOWN-RED failed test_it.py::test_red: the cause, issue 1" in said
 
 
-def test_with_all_listed_the_run_passes_and_one_that_passes_is_told(tmp_path: Path) -> None:
+def test_the_run_passes_with_all_failures_listed_and_a_listed_test_that_passes_is_printed(
+    tmp_path: Path,
+) -> None:
     listed = "".join(f"test_it.py::test_{name}, cause, 1\n" for name in ("red", "other_red", "green"))
     code, said = run(tmp_path, listed)
     assert code == 0 and "1 passed, 2 xfailed" in said
