--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -52,6 +52,6 @@
         ("".join(f"test_it.py::test_{n}, cause, 1\n" for n in range(4)), "4 lines, 3 at most"),
     ],
 )
-def test_a_bad_list_fails_the_run(tmp_path: Path, listed: str, said: str) -> None:
+def test_a_malformed_list_fails_the_run(tmp_path: Path, listed: str, said: str) -> None:
     code, printed = run(tmp_path, listed, "def test_red(): pass\n")
     assert code != 0 and said in printed
