--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -19,7 +19,7 @@
     """Return the causes and issues in the file by test; raise UsageError if it is malformed."""
     lines = [line.strip() for line in path.read_text().splitlines() if line.strip()]
     if len(lines) > MAX_LINES:
-        raise pytest.UsageError(f"{path}: {len(lines)} lines, {MOST} at most")
+        raise pytest.UsageError(f"{path}: {len(lines)} lines, {MAX_LINES} at most")
     known = {}
     for line in lines:
         test, *cause_and_issue = (part.strip() for part in line.split(",", 2))
@@ -31,7 +31,7 @@
 
 def pytest_addoption(parser: pytest.Parser) -> None:
     """Add the option `--known-red`."""
-    parser.addoption("--known-red", metavar="FILE", help="pass over the failures that FILE lists")
+    parser.addoption("--known-red", metavar="FILE", help="tolerate the failures that FILE lists")
 
 
 def pytest_configure(config: pytest.Config) -> None:
@@ -63,4 +63,6 @@
     known = terminalreporter.config.stash[KEY]
     failed = {report.nodeid for report in terminalreporter.getreports("xfailed")}
     for test, cause_and_issue in known.items():
-        terminalreporter.write_line(f"KNOWN-RED {'failed' if test in failed else 'passed'} {test}: {why}")
+        terminalreporter.write_line(
+            f"KNOWN-RED {'failed' if test in failed else 'passed'} {test}: {cause_and_issue}"
+        )
