--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The five rules, guard by guard, without the bench."""
+"""Tests of the checks by which the Router keeps each of the five rules."""
 
 import math
 from dataclasses import replace
@@ -14,7 +14,7 @@
 
 
 def find_spread_key(bench: Bench) -> int:
-    """Ask for one object until its width shows in a look-up."""
+    """Request one object until it is spread over several caches, which a look-up shows; return its key."""
     for id in range(1000, 1100):
         (get,) = gets(bench.ask(id, key=9, size_kb=400.0))
         bench.end(get, "done", closed=True, note=1)
@@ -79,7 +79,7 @@
 def test_what_may_have_run_is_not_refused(name: str, final: type) -> None:
     bench = Bench()
     (get,) = gets(bench.ask(1, name=name))
-    bench.now = 2000.0  # past the window, too
+    bench.now = 2000.0  # after the repeat window
     (act,) = finals(bench.end(get, "err"))
     assert isinstance(act, final)
 
@@ -220,7 +220,7 @@
 
 
 def test_a_cold_parent_is_shared_by_few_of_many_gateways_and_not_starved() -> None:
-    """Several routers flood one cold parent: never above its multiple over the fall time, never nothing."""
+    """Many routers send to one cold parent: in each second more than nothing, and at most its multiple."""
     routers, sent = 70, [0.0] * 6
     cold = (*FLEET[:4], replace(FLEET[4], started_ms=1.0), *FLEET[6:])
     for number in range(routers):
@@ -238,7 +238,7 @@
 
 
 def test_a_cache_that_refused_a_connection_is_taken_as_cold_until_the_list_tells() -> None:
-    """Its process is gone and comes back empty, maybe before a late list says it started anew."""
+    """The cache's process has ended, and it may be back and empty before a late list announces its start."""
     bench = Bench()
     bench.router.mean = dict.fromkeys(bench.router.mean, 400.0)
     node = bench.router.nodes["c0"]
@@ -249,8 +249,8 @@
     refused = bench.router.nodes[get.server]
     assert refused.refused_ms == 5000.0 and bench.router.cold_rate(refused) < math.inf
     refused.blame = 0.5
-    bench.give(api.Members(FLEET, whole=True), 6000.0)  # the old record again: it tells nothing new
+    bench.give(api.Members(FLEET, whole=True), 6000.0)  # the unchanged record has no news
     assert refused.blame == 0.5 and bench.router.cold_rate(refused) < math.inf
     told = tuple(replace(m, started_ms=-20_000.0) if m.server == get.server else m for m in FLEET)
-    bench.give(api.Members(told, whole=True), 6100.0)  # the list tells its start: that wins
+    bench.give(api.Members(told, whole=True), 6100.0)  # the announced start takes precedence
     assert refused.refused_ms == 0.0 and bench.router.cold_rate(refused) == math.inf
