--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -9,7 +9,7 @@
 from hitchtiller import interface as api
 
 
-def finals(acts: list[api.Action]) -> list[api.Action]:
+def final_answers(acts: list[api.Action]) -> list[api.Action]:
     return [act for act in acts if isinstance(act, api.Refuse | api.Fail)]
 
 
@@ -29,7 +29,7 @@
 def test_a_time_out_at_the_deadline_is_answered_at_once(bench: Bench) -> None:
     (get,) = gets(bench.ask(1))
     bench.now = 3000.0
-    assert finals(bench.end(get, "etimedout")) and not bench.router.held
+    assert final_answers(bench.end(get, "etimedout")) and not bench.router.held
 
 
 def test_a_request_held_for_its_home_goes_on_when_home_is_silent() -> None:
@@ -51,7 +51,7 @@
 
 def test_no_usable_server_at_all_is_answered_at_once(bench: Bench) -> None:
     bench.give(api.Members((), whole=True))
-    (final,) = finals(bench.ask(1))
+    (final,) = final_answers(bench.ask(1))
     assert isinstance(final, api.Refuse) and final.retry_after_ms > 0.0
 
 
@@ -62,7 +62,7 @@
     while gets(acts):
         (get,) = gets(acts)
         acts = bench.end(get, "busy", len(bench.sent) - 1)
-    assert len(finals(acts)) == 1 and len(bench.sent) <= limit
+    assert len(final_answers(acts)) == 1 and len(bench.sent) <= limit
 
 
 def test_left_and_late_outcomes_of_forgotten_ids_are_passed_over(bench: Bench) -> None:
@@ -80,7 +80,7 @@
     bench = Bench()
     (get,) = gets(bench.ask(1, name=name))
     bench.now = 2000.0  # after the repeat window
-    (act,) = finals(bench.end(get, "err"))
+    (act,) = final_answers(bench.end(get, "err"))
     assert isinstance(act, final)
 
 
