--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -26,7 +26,7 @@
 # Rule 1
 
 
-def test_a_time_out_at_the_deadline_is_answered_at_once(bench: Bench) -> None:
+def test_a_time_out_at_the_deadline_answers_the_request_at_once(bench: Bench) -> None:
     (get,) = gets(bench.ask(1))
     bench.now = 3000.0
     assert final_answers(bench.end(get, "etimedout")) and not bench.router.held
