--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -32,7 +32,7 @@
     assert final_answers(bench.end(get, "etimedout")) and not bench.router.held
 
 
-def test_a_request_held_for_its_home_goes_on_when_home_is_silent() -> None:
+def test_a_request_that_waits_for_its_home_gateway_is_filled_when_the_gateway_does_not_answer() -> None:
     bench = Bench(group_size=50)
     find_spread_key(bench)
     (look,) = gets(bench.ask(1, key=9, size_kb=400.0))
