--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -42,7 +42,7 @@
     assert fill.id == 1 and fill.source in ("p0", "p1")
 
 
-def test_near_the_deadline_home_is_not_asked() -> None:
+def test_the_home_gateway_is_not_asked_near_the_deadline() -> None:
     bench = Bench(group_size=50)
     find_spread_key(bench)
     (look,) = gets(bench.ask(1, key=9, size_kb=400.0, life_ms=60.0))
