--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -49,7 +49,7 @@
     assert gets(bench.end(look, "enoent"))
 
 
-def test_no_usable_server_at_all_is_answered_at_once(bench: Bench) -> None:
+def test_a_request_without_any_usable_server_is_refused_at_once(bench: Bench) -> None:
     bench.give(api.Members((), whole=True))
     (final,) = final_answers(bench.ask(1))
     assert isinstance(final, api.Refuse) and final.retry_after_ms > 0.0
