--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -65,7 +65,7 @@
     assert len(final_answers(acts)) == 1 and len(bench.sent) <= limit
 
 
-def test_left_and_late_outcomes_of_forgotten_ids_are_passed_over(bench: Bench) -> None:
+def test_late_outcomes_and_departures_of_forgotten_requests_are_ignored(bench: Bench) -> None:
     (get,) = gets(bench.ask(1))
     bench.give(api.ClientLeft(1))
     assert bench.end(get, "etimedout") == [] and bench.end(get, "done", 4) == []
