--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -76,7 +76,7 @@
 
 
 @pytest.mark.parametrize(("name", "final"), [("once", api.Fail), ("keyed", api.Fail)])
-def test_what_may_have_run_is_not_refused(name: str, final: type) -> None:
+def test_an_effect_that_may_have_run_fails_and_is_not_refused(name: str, final: type) -> None:
     bench = Bench()
     (get,) = gets(bench.ask(1, name=name))
     bench.now = 2000.0  # after the repeat window
