--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -84,7 +84,7 @@
     assert isinstance(act, final)
 
 
-def test_once_is_sent_again_only_after_proof(bench: Bench) -> None:
+def test_an_effect_of_kind_once_is_sent_again_only_if_it_certainly_did_not_run(bench: Bench) -> None:
     (get,) = gets(bench.ask(1, name="once"))
     (again,) = gets(bench.end(get, "busy"))
     assert not gets(bench.end(again, "econnreset", 1))
