--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -90,7 +90,7 @@
     assert not gets(bench.end(again, "econnreset", 1))
 
 
-def test_keyed_stays_in_its_window_and_scope(bench: Bench) -> None:
+def test_an_effect_with_a_key_is_sent_again_only_within_its_window(bench: Bench) -> None:
     (get,) = gets(bench.ask(1, name="keyed"))
     bench.now = 100.0
     (again,) = gets(bench.end(get, "err"))
