--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -98,7 +98,7 @@
     assert not gets(bench.end(again, "err", 1))
 
 
-def test_a_keyed_repeat_stays_in_its_cell() -> None:
+def test_a_repeat_with_a_key_of_scope_cell_goes_to_the_same_server() -> None:
     keyed = api.ClassSettings("k", 800.0, 3000.0, effect="by_key", key_scope="cell", repeat_window_ms=1000.0)
     bench = Bench(classes={"k": keyed})
     cells = [replace(m, cell=n) for n, m in enumerate(FLEET)]
