--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -107,7 +107,7 @@
     assert all(act.server == get.server for act in gets(bench.end(get, "err")))
 
 
-def test_once_has_no_window_whatever_the_settings_say() -> None:
+def test_an_effect_of_kind_once_has_no_repeat_window_even_if_one_is_set() -> None:
     once = api.ClassSettings("k", 800.0, 3000.0, effect="once", repeat_window_ms=9000.0)
     bench = Bench(classes={"k": once})
     (get,) = gets(bench.ask(1, name="k"))
