--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -114,7 +114,7 @@
     assert not gets(bench.end(get, "err"))
 
 
-def test_a_late_peer_answer_sends_nothing_past_the_end() -> None:
+def test_an_answer_of_a_peer_after_the_deadline_sends_nothing() -> None:
     bench = Bench(group_size=50)
     find_spread_key(bench)
     (look,) = gets(bench.ask(1, key=9, size_kb=400.0, life_ms=200.0))
