--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -136,7 +136,7 @@
             bench.end(get, "done", closed=True)
 
 
-def test_what_a_whole_list_lacks_is_gone(bench: Bench) -> None:
+def test_a_server_missing_from_a_whole_list_gets_no_request(bench: Bench) -> None:
     bench.give(api.Members(tuple(m for m in FLEET if m.server != "c1"), whole=True))
     sent = [get for id in range(60) for get in gets(bench.ask(id, key=id, size_kb=1.0))]
     assert sent and all(get.server != "c1" for get in sent)
