--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -142,7 +142,7 @@
     assert sent and all(get.server != "c1" for get in sent)
 
 
-def test_a_drained_sibling_is_no_source_though_its_entry_stands() -> None:
+def test_a_draining_sibling_is_no_source_even_if_the_directory_names_it() -> None:
     bench = Bench()
     find_spread_key(bench)
     bench.give(api.PeerMessage(0, api.PeerNote("kept", 9, 0, "d0")))
