--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -157,7 +157,7 @@
 @pytest.mark.parametrize(
     ("cold", "weight", "share", "ramp"), [("c0", 8.0, 0.2, 10_000.0), ("p0", 30.0, 0.1, 20_000.0)]
 )
-def test_a_cold_server_keeps_its_budget_over_any_span(
+def test_a_cold_server_gets_at_most_its_budget_in_any_second(
     cold: str, weight: float, share: float, ramp: float
 ) -> None:
     bench = Bench(notes="none", siblings="none")
