--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -190,7 +190,7 @@
 # Rule 5
 
 
-def test_a_purge_bounds_the_age_until_all_copies_are_gone(bench: Bench) -> None:
+def test_a_purge_limits_the_age_of_copies_until_all_old_ones_are_gone(bench: Bench) -> None:
     bench.give(api.Purged(1, 5, 80.0), 1000.0)
     bench.give(api.Purged(None, 6, 80.0))
     for key, group in ((1, 5), (2, 6)):
