--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -203,7 +203,7 @@
     assert other.age_ms == 0.0
 
 
-def test_a_bound_is_kept_past_the_sweep_and_dropped_when_done(bench: Bench) -> None:
+def test_a_purge_is_kept_over_a_sweep_and_dropped_once_it_is_done(bench: Bench) -> None:
     bench.give(api.Purged(1, 5, 0.0), 1000.0)
     bench.give(api.TimerDue("sweep"), 6900.0)
     assert bench.router.purges
