--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -211,7 +211,7 @@
     assert not bench.router.purges
 
 
-def test_entries_from_before_a_purge_are_not_used() -> None:
+def test_directory_entries_from_before_a_purge_are_not_used() -> None:
     bench = Bench()
     bench.give(api.PeerMessage(0, api.PeerNote("kept", 9, 0, "d0", 4)), 100.0)
     assert bench.router.candidate((9, 0), "z1", "c0")
