--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -237,7 +237,7 @@
         assert 0.1 * able < sent[second] <= 2.0 * able
 
 
-def test_a_cache_that_refused_a_connection_is_taken_as_cold_until_the_list_tells() -> None:
+def test_a_cache_that_refused_a_connection_counts_as_cold_until_the_list_announces_its_start() -> None:
     """The cache's process has ended, and it may be back and empty before a late list announces its start."""
     bench = Bench()
     bench.router.mean = dict.fromkeys(bench.router.mean, 400.0)
