--- a/standins/parties.py
+++ b/standins/parties.py
@@ -64,10 +64,10 @@
         peer = writer.get_extra_info("peername")
         try:
             while data := await reader.read(65_536):
-                for word, name, *rest in commands.feed(data):
-                    if word == b"KILL":
+                for command, name, *rest in commands.feed(data):
+                    if command == b"KILL":
                         killed.add(name)
-                    elif word == b"PULL":
+                    elif command == b"PULL":
                         fields = resp.read_fields(rest[0])
                         if self.on_pull:
                             self.on_pull(peer, fields)
