--- a/standins/parties.py
+++ b/standins/parties.py
@@ -59,19 +59,19 @@
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         commands = resp.RespReader()
-        killed: set[bytes] = set()
+        cancelled_ids: set[bytes] = set()
         tasks = set()
         peer = writer.get_extra_info("peername")
         try:
             while data := await reader.read(65_536):
                 for command, name, *rest in commands.feed(data):
                     if command == b"KILL":
-                        killed.add(name)
+                        cancelled_ids.add(name)
                     elif command == b"PULL":
                         fields = resp.read_fields(rest[0])
                         if self.on_pull:
                             self.on_pull(peer, fields)
-                        task = asyncio.create_task(self._pull(writer, name, fields, killed))
+                        task = asyncio.create_task(self._pull(writer, name, fields, cancelled_ids))
                         tasks.add(task)
                         task.add_done_callback(tasks.discard)
         except (ConnectionError, resp.BadResp, asyncio.CancelledError):
@@ -92,7 +92,7 @@
         return held
 
     async def _pull(
-        self, writer: asyncio.StreamWriter, name: bytes, fields: dict[str, str], killed: set[bytes]
+        self, writer: asyncio.StreamWriter, name: bytes, fields: dict[str, str], cancelled_ids: set[bytes]
     ) -> None:
         self.pulls += 1
         key, part = int(fields["name"], 16), int(fields["piece"])
@@ -103,7 +103,7 @@
         if self.hook:
             await self.hook(fields)
         await asyncio.sleep(behaviour.delay_ms / 1000.0)
-        if draw < behaviour.silent_share or name in killed:
+        if draw < behaviour.silent_share or name in cancelled_ids:
             return
         if draw < behaviour.silent_share + behaviour.fail_share:
             writer.write(resp.write_command(name, b"BROKE", b"-", b""))
