--- a/standins/parties.py
+++ b/standins/parties.py
@@ -85,8 +85,8 @@
         held = self.copies.get(place)
         if held and not self.origin:
             newer = [p for p in self.truth.purges_of(key) if held.since_ms <= p.at_ms]
-            gone = any(p.announced_ms + self.behaviour.purge_delay_ms <= now for p in newer)
-            if not gone and (not cap_ms or now - held.since_ms <= cap_ms):
+            is_purged = any(p.announced_ms + self.behaviour.purge_delay_ms <= now for p in newer)
+            if not is_purged and (not cap_ms or now - held.since_ms <= cap_ms):
                 return held
         held = self.copies[place] = CachedCopy(self.truth.version(key, now), now)
         return held
