--- a/standins/parties.py
+++ b/standins/parties.py
@@ -84,8 +84,8 @@
         now, place = now_ms(), (key, part)
         held = self.copies.get(place)
         if held and not self.origin:
-            newer = [p for p in self.truth.purges_of(key) if held.since_ms <= p.at_ms]
-            is_purged = any(p.announced_ms + self.behaviour.purge_delay_ms <= now for p in newer)
+            later_purges = [p for p in self.truth.purges_of(key) if held.since_ms <= p.at_ms]
+            is_purged = any(p.announced_ms + self.behaviour.purge_delay_ms <= now for p in later_purges)
             if not is_purged and (not cap_ms or now - held.since_ms <= cap_ms):
                 return held
         held = self.copies[place] = CachedCopy(self.truth.version(key, now), now)
