--- a/standins/truth.py
+++ b/standins/truth.py
@@ -105,6 +105,6 @@
         version = next((v for v in range(newest, -1, -1) if self.body(key, part, v) == body), None)
         if version is None:
             return "torn"
-        told = sum(purge.announced_ms + GRACE_MS <= sent_ms for purge in self.purges_of(key))
+        announced_count = sum(purge.announced_ms + GRACE_MS <= sent_ms for purge in self.purges_of(key))
         # Versions count purges in the order of their times, which is the order of their announcements.
-        return "old" if version < told else ""
+        return "old" if version < announced_count else ""
