--- a/standins/truth.py
+++ b/standins/truth.py
@@ -95,13 +95,13 @@
         """Return the tag of an object's version."""
         return tag_of(key, version)
 
-    def judge(self, key: int, part: int, body: bytes, sent_ms: float, got_ms: float) -> str:
+    def judge(self, key: int, part: int, body: bytes, sent_ms: float, received_ms: float) -> str:
         """Check an answer that came at `got_ms` to a request of `sent_ms`.
 
         Returns "" if it is right, "torn" if its bytes match no version, "old" if it misses a purge that was
         announced more than GRACE_MS before the request.
         """
-        newest = self.version(key, got_ms)
+        newest = self.version(key, received_ms)
         version = next((v for v in range(newest, -1, -1) if self.body(key, part, v) == body), None)
         if version is None:
             return "torn"
