--- a/standins/rules.py
+++ b/standins/rules.py
@@ -132,13 +132,13 @@
         while window[0][0] <= now_ms - self.window_ms:
             window.popleft()
         warm = min(1.0, (now_ms - began) / self.ramp_ms) if self.ramp_ms else 1.0
-        able = link * (self.share + (1.0 - self.share) * warm)
+        capacity = link * (self.share + (1.0 - self.share) * warm)
         if warm < 1.0:
             # The latest attempt does not count: alone it can exceed the bound of a small cold server, which
             # is no overload. A window counts if two thirds of its work came from informed senders.
             work = sum(work for _, work, _ in window) - work_ms
             knew = sum(work for _, work, told in window if told) >= 2.0 / 3.0 * (work + work_ms)
-            used = work / (self.multiple * able * self.window_ms)
+            used = work / (self.multiple * capacity * self.window_ms)
             self.most = max(self.most, used if knew else 0.0)
             if used > 1.0 and knew:
                 self.broken.append(
