--- a/standins/rules.py
+++ b/standins/rules.py
@@ -131,9 +131,9 @@
         window.append((now_ms, work_ms, told))
         while window[0][0] <= now_ms - self.window_ms:
             window.popleft()
-        warm = min(1.0, (now_ms - began) / self.ramp_ms) if self.ramp_ms else 1.0
-        capacity = link * (self.share + (1.0 - self.share) * warm)
-        if warm < 1.0:
+        warm_share = min(1.0, (now_ms - began) / self.ramp_ms) if self.ramp_ms else 1.0
+        capacity = link * (self.share + (1.0 - self.share) * warm_share)
+        if warm_share < 1.0:
             # The latest attempt does not count: alone it can exceed the bound of a small cold server, which
             # is no overload. A window counts if two thirds of its work came from informed senders.
             work = sum(work for _, work, _ in window) - work_ms
