--- a/standins/rules.py
+++ b/standins/rules.py
@@ -138,9 +138,9 @@
             # is no overload. A window counts if two thirds of its work came from informed senders.
             work = sum(work for _, work, _ in window) - work_ms
             senders_knew = sum(work for _, work, told in window if told) >= 2.0 / 3.0 * (work + work_ms)
-            used = work / (self.multiple * capacity * self.window_ms)
-            self.most = max(self.most, used if senders_knew else 0.0)
-            if used > 1.0 and senders_knew:
+            used_share = work / (self.multiple * capacity * self.window_ms)
+            self.most = max(self.most, used_share if senders_knew else 0.0)
+            if used_share > 1.0 and senders_knew:
                 self.broken.append(
                     f"{server}: {used:.2f} of its bound {now_ms - began:.0f} ms after its start"
                 )
