--- a/standins/rules.py
+++ b/standins/rules.py
@@ -126,12 +126,12 @@
         """Record work that reaches a server, accepted or not; `told`: its sender knew of the start."""
         if server not in self.started:
             return
-        began, link = self.started[server]
+        start_ms, link = self.started[server]
         window = self.sent[server]
         window.append((now_ms, work_ms, told))
         while window[0][0] <= now_ms - self.window_ms:
             window.popleft()
-        warm_share = min(1.0, (now_ms - began) / self.ramp_ms) if self.ramp_ms else 1.0
+        warm_share = min(1.0, (now_ms - start_ms) / self.ramp_ms) if self.ramp_ms else 1.0
         capacity = link * (self.share + (1.0 - self.share) * warm_share)
         if warm_share < 1.0:
             # The latest attempt does not count: alone it can exceed the bound of a small cold server, which
