--- a/standins/world.py
+++ b/standins/world.py
@@ -166,8 +166,10 @@
             self.made.share.values()
         )
         for zone in dict.fromkeys(g.zone for g in self.gateways):  # a set's order differs by process
-            able = sum(x.link for x in self.servers.values() if x.member.zone == zone)
-            self.at(self.now, lambda z=zone, gap=mean / (load * able): self.create_request(z, gap, length_ms))  # type: ignore[misc]
+            capacity = sum(x.link for x in self.servers.values() if x.member.zone == zone)
+            self.at(
+                self.now, lambda z=zone, gap=mean / (load * capacity): self.create_request(z, gap, length_ms)
+            )  # type: ignore[misc]
         until = length_ms + 8_000.0
         while self.scheduled_calls and self.scheduled_calls[0][0] <= until:
             self.now, _, call = heapq.heappop(self.scheduled_calls)
@@ -328,8 +330,8 @@
         server.transfers += 1
         holds_link[0] = True
         warm = min(1.0, (self.now - server.started_ms) / self.s.cold_ms)
-        able = server.link * (self.s.cold_share + (1.0 - self.s.cold_share) * warm)
-        took = waited + self.work(cls.name, ask.key) * max(1.0, server.transfers / able)
+        capacity = server.link * (self.s.cold_share + (1.0 - self.s.cold_share) * warm)
+        took = waited + self.work(cls.name, ask.key) * max(1.0, server.transfers / capacity)
         self.at(self.now + took, lambda: end("done", note, waited, made))  # type: ignore[call-arg]
 
     # Faults and changes
