--- a/standins/world.py
+++ b/standins/world.py
@@ -329,8 +329,8 @@
                 server.copies[item] = made
         server.transfers += 1
         holds_link[0] = True
-        warm = min(1.0, (self.now - server.started_ms) / self.s.cold_ms)
-        capacity = server.link * (self.s.cold_share + (1.0 - self.s.cold_share) * warm)
+        warm_share = min(1.0, (self.now - server.started_ms) / self.s.cold_ms)
+        capacity = server.link * (self.s.cold_share + (1.0 - self.s.cold_share) * warm_share)
         took = waited + self.work(cls.name, ask.key) * max(1.0, server.transfers / capacity)
         self.at(self.now + took, lambda: end("done", note, waited, made))  # type: ignore[call-arg]
 
