--- a/standins/world.py
+++ b/standins/world.py
@@ -300,8 +300,8 @@
         """Handle an attempt at its server: look the copy up, fill it from the source if needed, and serve."""
         end = self.open_attempts.get(name)
         server, source, item = self.servers[get.server], self.servers[get.source], (ask.key, ask.part)
-        knows = gateway.router.nodes.get(get.server)
-        told = knows is not None and knows.m.started_ms == max(0.0, server.started_ms)
+        node = gateway.router.nodes.get(get.server)
+        told = node is not None and node.m.started_ms == max(0.0, server.started_ms)
         self.cold.reach(get.server, self.made.work_ms[cls.name], self.now, told)
         if end is None:
             return
