--- a/standins/world.py
+++ b/standins/world.py
@@ -57,12 +57,12 @@
         }
         members.append(api.Member(name, zone, kind, "SERVING", weight=told[weights]))
 
-    feeds, gateways = [0.0], [0]
+    zone_links, gateways = [0.0], [0]
     for zone in zones:
         caches = [rng.uniform(4.0, 10.0) for _ in range(rng.randint(2, 6))]
         for n, link in enumerate(caches):
             add(f"{zone}-c{n}", zone, rng.choice(["small", "large"]), link)
-        feeds.append(flow * sum(caches) / len(caches) / rng.uniform(0.4, 0.6))
+        zone_links.append(flow * sum(caches) / len(caches) / rng.uniform(0.4, 0.6))
         gateways.append(rng.randint(1, 3) if len(zones) < 5 else 1)
     add("p0", "hub", "parent", 30.0)
     add("p1", "hub", "parent", 40.0)
@@ -82,7 +82,7 @@
     work["effect"], share["effect"] = 20.0, 0.04
     settings = api.Settings(
         my_number=0, group_size=sum(gateways), my_zone=zones[0], zones=("hub", *zones),
-        hub_of=(0,) * (len(zones) + 1), gateways_in_zone=tuple(gateways), link_kb_per_s=tuple(feeds),
+        hub_of=(0,) * (len(zones) + 1), gateways_in_zone=tuple(gateways), link_kb_per_s=tuple(zone_links),
         classes=classes, parent_kind="parent", origin_kind="origin", flow_kb_per_s=flow, weights=weights,
         direct=rng.random() < 0.5, joins=rng.random() < 0.5, siblings=rng.choice(["none", "location", "any"]),
         notes=rng.choice(["none", "hit", "all"]), peers=rng.random() < 0.7, cancel=rng.random() < 0.7,
