--- a/standins/play.py
+++ b/standins/play.py
@@ -68,9 +68,9 @@
             load.start()
             for step in self.schedule.steps:
                 await asyncio.sleep(step.after * fleet.period_ms / 1000.0)
-                taken = await self.take(step)
+                is_applied = await self.take(step)
                 self.record(f"{step.do} {step.number if step.number >= 0 else step.side} {step.target}"
-                          + ("" if taken else ", passed over"))  # fmt: skip
+                          + ("" if is_applied else ", passed over"))  # fmt: skip
             await self.end()
             await load.until(5)
             await load.stop()
