--- a/standins/play.py
+++ b/standins/play.py
@@ -113,19 +113,19 @@
     async def take(self, step: Step) -> bool:
         """Apply one step; return False if it can't be applied now."""
         fleet, number = self.fleet, step.number
-        runs = number in fleet.running and number not in self.stopped
+        is_running = number in fleet.running and number not in self.stopped
         match step.do:
-            case "kill" | "end" if runs:
+            case "kill" | "end" if is_running:
                 await fleet.end(number, signal.SIGKILL if step.do == "kill" else signal.SIGTERM)
             case "start" if number not in fleet.running:
                 await fleet.launch(number)
-            case "stop" if runs:
+            case "stop" if is_running:
                 fleet.poke(number, signal.SIGSTOP)
                 self.stopped.add(number)
             case "go" if number in self.stopped:
                 fleet.poke(number, signal.SIGCONT)
                 self.stopped.discard(number)
-            case "upgrade" if runs and self.receives_bus(number):
+            case "upgrade" if is_running and self.receives_bus(number):
                 await fleet.upgrade(number)
             case "cut":
                 fleet.fabric.faults.cut = cut_both_ways(side(step))
