--- a/standins/play.py
+++ b/standins/play.py
@@ -104,9 +104,9 @@
             if number not in fleet.running:
                 await fleet.launch(number)
         self.record("all faults ended")
-        patience = MAX_CONVERGENCE_PERIODS * fleet.period_ms / 1000.0
+        patience_s = MAX_CONVERGENCE_PERIODS * fleet.period_ms / 1000.0
         self.outcome.converged_ms = 1000.0 * await fleet.until(
-            {n: {"ALIVE"} for n in range(fleet.size)}, patience_s=patience
+            {n: {"ALIVE"} for n in range(fleet.size)}, patience_s=patience_s
         )
         self.record("one view")
 
