--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -261,8 +261,8 @@
 
     def declared_dead(self, among: list[int] | None = None) -> set[int]:
         """Return the gateways that a running process of `among` (or any) ever declared dead in its log."""
-        judges = [p for number, p in self.running.items() if among is None or number in among]
-        lines = (line.split() for process in judges for line in process.lines)
+        processes = [p for number, p in self.running.items() if among is None or number in among]
+        lines = (line.split() for process in processes for line in process.lines)
         return {int(words[4]) for words in lines if words[3:4] == ["member"] and words[5:6] == ["DEAD"]}
 
     async def ask_all(self, count: int = 5) -> None:
