--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -250,11 +250,11 @@
         Raises AssertionError after `patience_s`.
         """
         loop = asyncio.get_running_loop()
-        started_s, seen = loop.time(), dict[int, dict[int, str]]()
+        started_s, views = loop.time(), dict[int, dict[int, str]]()
         while loop.time() - started_s < patience_s:
             for number in among if among is not None else sorted(set(self.running) - set(self.old)):
-                seen[number] = await self.running[number].members()
-            if all(view[n] in states for view in seen.values() for n, states in wanted.items()):
+                views[number] = await self.running[number].members()
+            if all(view[n] in states for view in views.values() for n, states in wanted.items()):
                 return loop.time() - started_s
             await asyncio.sleep(self.period_ms / 4000.0)
         raise AssertionError(f"views after {patience_s} s are {seen}; wanted are {wanted}")
