--- a/standins/schedule.py
+++ b/standins/schedule.py
@@ -79,19 +79,19 @@
     for block in settings:
         if block.name != "step" or block.inside is None:
             continue
-        given = {each.name: each.value for each in block.inside}
+        values_by_name = {each.name: each.value for each in block.inside}
         lines = {each.name: each.line for each in block.inside}
-        do, number = given.get("do"), given.get("number", -1)
+        do, number = values_by_name.get("do"), values_by_name.get("number", -1)
         number_limit = size if do in GATEWAY_STEPS else CACHE_COUNT if do in CACHE_STEPS else None
         if number_limit is not None and not 0 <= int(number) < number_limit:
             what = f"{do!r} with number = {number}"
             text = f"write a number from 0 to {number_limit - 1}"
             problems.append(Problem(name, lines.get("number", block.line), what, text))
-        parts = str(given.get("side", "")).split(",")
+        parts = str(values_by_name.get("side", "")).split(",")
         if do in ("cut", "oneway") and not all(p.strip().isdecimal() and int(p) < size for p in parts):
             text = f'write numbers from 0 to {size - 1}, such as side = "0,1"'
             problems.append(Problem(name, lines.get("side", block.line), f"{do!r} without a side", text))
-        if do == "wire" and not (given.get("way") and given.get("target")):
+        if do == "wire" and not (values_by_name.get("way") and values_by_name.get("target")):
             text = 'write way = "silent" and target = "bus"'
             problems.append(Problem(name, block.line, "'wire' without a way and a target", text))
     return problems
