--- a/standins/crashpoints.py
+++ b/standins/crashpoints.py
@@ -117,10 +117,10 @@
     def judge(self) -> None:
         """Start the tier, and check everything that it could serve."""
         disk, model = self.open(), self.model
-        where = {mark: unpack_place(place)[:2] for mark, place in disk.index.items()}
+        indexed_places = {mark: unpack_place(place)[:2] for mark, place in disk.index.items()}
         for mark, place in model.durable.items():
             # A compaction may have moved the part; it only has to be present.
-            if mark not in where:
+            if mark not in indexed_places:
                 self.wrong.append(f"lost: a part that an fsync covered at {place}")
         for key in range(KEYS):
             disk.get(key, 0, lambda part, body, key=key: self._check_part(key, part, body))  # type: ignore[misc]
