--- a/standins/rig.py
+++ b/standins/rig.py
@@ -188,11 +188,11 @@
 
     async def figures(self) -> dict[str, int]:
         """Return the gateway's statistics by name, without the prefix."""
-        pairs = [
+        rows = [
             line.removeprefix("svc.").partition("|")[0].rpartition(":")
             for line in await self.call("show-stat")
         ]
-        return {name: int(value) for name, _, value in pairs if value.lstrip("-").isdecimal()}
+        return {name: int(value) for name, _, value in rows if value.lstrip("-").isdecimal()}
 
     async def terminal(self) -> StandInClient:
         """Return a client connected to the gateway."""
