--- a/standins/load.py
+++ b/standins/load.py
@@ -94,8 +94,8 @@
     async def _ask(self, number: int, client: StandInClient) -> None:
         if self.rng.random() < EFFECT_SHARE:
             key = f"{self.rng.getrandbits(128):032x}"
-            got = await client.effect("charge", self.rng.randrange(self.objects), key)
+            answer = await client.effect("charge", self.rng.randrange(self.objects), key)
         else:
-            got = await client.read("files", int(self.objects * self.rng.random() ** 2))
-        self.answered[number] += got is not None
-        self.served[number] += got is not None and got.code == 0
+            answer = await client.read("files", int(self.objects * self.rng.random() ** 2))
+        self.answered[number] += answer is not None
+        self.served[number] += answer is not None and answer.code == 0
