--- a/standins/client.py
+++ b/standins/client.py
@@ -123,30 +123,30 @@
     ) -> Answered | None:
         """Request a part, naming the client's own copy if there is one, and judge the answer."""
         own_tag, own_body = self.own_copies.get((key, part), ("", b""))
-        got = await self.ask(class_name, key, part, wait_ms, own_tag)
+        answer = await self.ask(class_name, key, part, wait_ms, own_tag)
         counts = self.verdicts.counts
-        if got is None:
+        if answer is None:
             counts["broken off"] += 1
             return None
-        counts[{0: "served", 11: "refused", 5: "failed"}.get(got.code, "odd code")] += 1
-        if got.code == 0:
-            body = own_body if got.fields.get("unchanged") else got.body
-            verdict = self.truth.judge(key, part, body, got.sent_ms, got.received_ms)
+        counts[{0: "served", 11: "refused", 5: "failed"}.get(answer.code, "odd code")] += 1
+        if answer.code == 0:
+            body = own_body if answer.fields.get("unchanged") else answer.body
+            verdict = self.truth.judge(key, part, body, answer.sent_ms, answer.received_ms)
             if verdict:
                 counts[verdict] += 1
                 self.verdicts.wrong.append(f"{verdict}: {key:x}/{part}, {got.fields}, {len(body)} bytes")
-            self.verdicts.waits_ms.append(got.received_ms - got.sent_ms)
-            if self.rng.random() < 0.3 and "ver" in got.fields:
-                self.own_copies[key, part] = (got.fields["ver"], body)
-        return got
+            self.verdicts.waits_ms.append(answer.received_ms - answer.sent_ms)
+            if self.rng.random() < 0.3 and "ver" in answer.fields:
+                self.own_copies[key, part] = (answer.fields["ver"], body)
+        return answer
 
     async def effect(
         self, class_name: str, key: int, dedupe: str, wait_ms: float = 2000.0
     ) -> Answered | None:
         """Request an effect under its key."""
-        got = await self.ask(class_name, key, 0, wait_ms, "", dedupe)
-        self.verdicts.counts["broken off" if got is None else f"effect {got.code}"] += 1
-        return got
+        answer = await self.ask(class_name, key, 0, wait_ms, "", dedupe)
+        self.verdicts.counts["broken off" if answer is None else f"effect {got.code}"] += 1
+        return answer
 
     def close(self) -> None:
         """Close the connection."""
