--- a/standins/client.py
+++ b/standins/client.py
@@ -134,7 +134,7 @@
             verdict = self.truth.judge(key, part, body, answer.sent_ms, answer.received_ms)
             if verdict:
                 counts[verdict] += 1
-                self.verdicts.wrong.append(f"{verdict}: {key:x}/{part}, {got.fields}, {len(body)} bytes")
+                self.verdicts.wrong.append(f"{verdict}: {key:x}/{part}, {answer.fields}, {len(body)} bytes")
             self.verdicts.waits_ms.append(answer.received_ms - answer.sent_ms)
             if self.rng.random() < 0.3 and "ver" in answer.fields:
                 self.own_copies[key, part] = (answer.fields["ver"], body)
@@ -145,7 +145,7 @@
     ) -> Answered | None:
         """Request an effect under its key."""
         answer = await self.ask(class_name, key, 0, wait_ms, "", dedupe)
-        self.verdicts.counts["broken off" if answer is None else f"effect {got.code}"] += 1
+        self.verdicts.counts["broken off" if answer is None else f"effect {answer.code}"] += 1
         return answer
 
     def close(self) -> None:
--- a/standins/fabric.py
+++ b/standins/fabric.py
@@ -80,16 +80,16 @@
                 return
             if sender != self.home.get(j):
                 continue
-            faults, random_share = self.faults, self.rng.random
-            if faults.cut(j, i) or random_share() < faults.loss_share:
+            faults, draw_share = self.faults, self.rng.random
+            if faults.cut(j, i) or draw_share() < faults.loss_share:
                 self.history.append((now_ms(), j, i, len(data), "lost"))
                 continue
-            if random_share() < faults.alter:
+            if draw_share() < faults.alter:
                 place = self.rng.randrange(len(data))
                 data = (
                     data[:place] + bytes((data[place] ^ (1 + self.rng.randrange(255)),)) + data[place + 1 :]
                 )
-            for _ in range(1 + (random_share() < faults.repeat)):
+            for _ in range(1 + (draw_share() < faults.repeat)):
                 delay = self.rng.uniform(*faults.delay_ms) / 1000.0
                 self.history.append((now_ms(), j, i, len(data), "passed"))
                 asyncio.get_running_loop().call_later(delay, self._forward, i, j, data)
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -257,7 +257,7 @@
             if all(view[n] in states for view in views.values() for n, states in wanted.items()):
                 return loop.time() - started_s
             await asyncio.sleep(self.period_ms / 4000.0)
-        raise AssertionError(f"views after {patience_s} s are {seen}; wanted are {wanted}")
+        raise AssertionError(f"views after {patience_s} s are {views}; wanted are {wanted}")
 
     def declared_dead(self, among: list[int] | None = None) -> set[int]:
         """Return the gateways that a running process of `among` (or any) ever declared dead in its log."""
--- a/standins/rules.py
+++ b/standins/rules.py
@@ -142,7 +142,7 @@
             self.most = max(self.most, used_share if senders_knew else 0.0)
             if used_share > 1.0 and senders_knew:
                 self.broken.append(
-                    f"{server}: {used:.2f} of its bound {now_ms - began:.0f} ms after its start"
+                    f"{server}: {used_share:.2f} of its bound {now_ms - start_ms:.0f} ms after its start"
                 )
 
 
--- a/standins/truth.py
+++ b/standins/truth.py
@@ -96,7 +96,7 @@
         return tag_of(key, version)
 
     def judge(self, key: int, part: int, body: bytes, sent_ms: float, received_ms: float) -> str:
-        """Check an answer that came at `got_ms` to a request of `sent_ms`.
+        """Check an answer that came at `received_ms` to a request of `sent_ms`.
 
         Returns "" if it is right, "torn" if its bytes match no version, "old" if it misses a purge that was
         announced more than GRACE_MS before the request.
--- a/standins/world.py
+++ b/standins/world.py
@@ -168,8 +168,9 @@
         for zone in dict.fromkeys(g.zone for g in self.gateways):  # a set's order differs by process
             capacity = sum(x.link for x in self.servers.values() if x.member.zone == zone)
             self.at(
-                self.now, lambda z=zone, gap=mean / (load * capacity): self.create_request(z, gap, length_ms)
-            )  # type: ignore[misc]
+                self.now,
+                lambda z=zone, gap=mean / (load * capacity): self.create_request(z, gap, length_ms),  # type: ignore[misc]
+            )
         until = length_ms + 8_000.0
         while self.scheduled_calls and self.scheduled_calls[0][0] <= until:
             self.now, _, call = heapq.heappop(self.scheduled_calls)
