--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -220,7 +220,7 @@
 
 
 def test_a_cold_parent_is_shared_by_few_of_many_gateways_and_not_starved() -> None:
-    """Many routers send to one cold parent: in each second more than nothing, and at most its multiple."""
+    """Many routers send to one cold parent: per second at least a tenth of its capacity, at most twice it."""
     routers, sent = 70, [0.0] * 6
     cold = (*FLEET[:4], replace(FLEET[4], started_ms=1.0), *FLEET[6:])
     for number in range(routers):
