--- a/standins/world.py
+++ b/standins/world.py
@@ -242,14 +242,14 @@
                             lambda to=to, note=note: self.handle_event(to, note),  # type: ignore[misc]
                         )
 
-    def record_answer(self, gateway: Gateway, id: int, how: str) -> None:
+    def record_answer(self, gateway: Gateway, id: int, result: str) -> None:
         """Record the final answer to a request."""
         ask = gateway.open_requests.pop(id, None)
         self.answers.answered(id, self.now)
         if ask:
             cls = self.s.classes[ask.class_name]
-            self.ends[ask.class_name, how] += 1
-            if how == "refused":
+            self.ends[ask.class_name, result] += 1
+            if result == "refused":
                 self.effects.refused(id, cls.effect, cls.key_scope)
 
     def send_attempt(self, gateway: Gateway, get: api.Get) -> None:
