--- a/standins/world.py
+++ b/standins/world.py
@@ -187,14 +187,14 @@
         gateway = self.rng.choice([g for g in self.gateways if g.zone == zone])
         name = self.rng.choices(list(self.made.share), list(self.made.share.values()))[0]
         cls, key = self.s.classes[name], min(OBJECTS - 1, int(OBJECTS * self.rng.random() ** 3))
-        work, id = self.work(name, key), next(self.request_ids)
+        work, request_id = self.work(name, key), next(self.request_ids)
         size = work * self.s.flow_kb_per_s / 1000.0 if self.made.sizes_told else 0.0
         part = self.rng.randrange(3) if name == "large" else 0
-        ask = api.Request(id, name, key, self.now + cls.deadline_ms, size, key % 16, part)
-        gateway.open_requests[id] = ask
-        self.answers.taken(id, ask.deadline_ms)
+        ask = api.Request(request_id, name, key, self.now + cls.deadline_ms, size, key % 16, part)
+        gateway.open_requests[request_id] = ask
+        self.answers.taken(request_id, ask.deadline_ms)
         begun = self.now
-        self.at(ask.deadline_ms, lambda: self.expire_request(gateway, id, begun))
+        self.at(ask.deadline_ms, lambda: self.expire_request(gateway, request_id, begun))
         self.handle_event(gateway, ask)
 
     def work(self, name: str, key: int) -> float:
@@ -204,11 +204,11 @@
             self.sizes[name, key] = min(4.0 * mean, mean * self.rng.lognormvariate(-0.18, 0.6))
         return self.sizes[name, key]
 
-    def expire_request(self, gateway: Gateway, id: int, begun: float) -> None:
+    def expire_request(self, gateway: Gateway, request_id: int, begun: float) -> None:
         """Time out a request's attempts at its deadline; the gateway must still answer the request."""
-        for name in [n for n in self.open_attempts if n[0] == gateway.number and n[1] == id]:
+        for name in [n for n in self.open_attempts if n[0] == gateway.number and n[1] == request_id]:
             self.open_attempts[name]("etimedout", 0, 0.0)
-        if ask := gateway.open_requests.pop(id, None):
+        if ask := gateway.open_requests.pop(request_id, None):
             self.ends[ask.class_name, "none"] += 1
 
     def handle_event(self, gateway: Gateway, event: api.Event) -> None:
@@ -242,15 +242,15 @@
                             lambda to=to, note=note: self.handle_event(to, note),  # type: ignore[misc]
                         )
 
-    def record_answer(self, gateway: Gateway, id: int, result: str) -> None:
+    def record_answer(self, gateway: Gateway, request_id: int, result: str) -> None:
         """Record the final answer to a request."""
-        ask = gateway.open_requests.pop(id, None)
-        self.answers.answered(id, self.now)
+        ask = gateway.open_requests.pop(request_id, None)
+        self.answers.answered(request_id, self.now)
         if ask:
             cls = self.s.classes[ask.class_name]
             self.ends[ask.class_name, result] += 1
             if result == "refused":
-                self.effects.refused(id, cls.effect, cls.key_scope)
+                self.effects.refused(request_id, cls.effect, cls.key_scope)
 
     def send_attempt(self, gateway: Gateway, get: api.Get) -> None:
         """Send an attempt to its server, and report it to the checkers."""
