--- a/standins/world.py
+++ b/standins/world.py
@@ -279,9 +279,9 @@
                 self.purges.served(gateway.number, ask.key, sent, made)
             closed = status == "done" or get.id not in gateway.open_requests
             if status == "done" and get.id in gateway.open_requests:
-                took = self.now - (ask.deadline_ms - cls.deadline_ms)
+                duration_ms = self.now - (ask.deadline_ms - cls.deadline_ms)
                 aim = cls.aim_ms + cls.aim_stretch * self.work(ask.class_name, ask.key)
-                self.record_answer(gateway, get.id, "served" if took <= aim else "late")
+                self.record_answer(gateway, get.id, "served" if duration_ms <= aim else "late")
             told = NOTES_BY_LEVEL[self.s.notes]
             note = told[note - 1] if 0 < note <= len(told) else 0
             wait = waited if self.s.notes == "all" else 0.0
@@ -332,8 +332,8 @@
         holds_link[0] = True
         warm_share = min(1.0, (self.now - server.started_ms) / self.s.cold_ms)
         capacity = server.link * (self.s.cold_share + (1.0 - self.s.cold_share) * warm_share)
-        took = waited + self.work(cls.name, ask.key) * max(1.0, server.transfers / capacity)
-        self.at(self.now + took, lambda: end("done", note, waited, made))  # type: ignore[call-arg]
+        duration_ms = waited + self.work(cls.name, ask.key) * max(1.0, server.transfers / capacity)
+        self.at(self.now + duration_ms, lambda: end("done", note, waited, made))  # type: ignore[call-arg]
 
     # Faults and changes
 
