--- a/standins/world.py
+++ b/standins/world.py
@@ -270,7 +270,7 @@
         )
         holds_link = [False]
 
-        def end(status: str, note: int, waited: float, made: float = 0.0) -> None:
+        def end(status: str, note: int, waited_ms: float, made: float = 0.0) -> None:
             if self.open_attempts.pop(name, None) is None:
                 return
             server.transfers -= holds_link[0]
@@ -284,7 +284,7 @@
                 self.record_answer(gateway, get.id, "served" if duration_ms <= aim else "late")
             told = NOTES_BY_LEVEL[self.s.notes]
             note = told[note - 1] if 0 < note <= len(told) else 0
-            wait = waited if self.s.notes == "all" else 0.0
+            wait = waited_ms if self.s.notes == "all" else 0.0
             self.handle_event(
                 gateway, api.Outcome(*name[1:], get.server, status, self.now - sent, closed, note, wait)
             )
@@ -311,7 +311,7 @@
         age = min(get.age_ms or math.inf, cls.fresh_ms + cls.grace_ms or math.inf)
         made, held = server.copies.get(item, -math.inf), item in server.copies
         purged = self.purged_at_ms.get(ask.key, -math.inf)
-        waited, note = 0.0, 1
+        waited_ms, note = 0.0, 1
         if cls.write or not held or made < self.now - LINK_DELAY_MS - age:
             if source is server and server.member.kind != "origin":
                 return end("enoent", 0, 0.0)
@@ -319,11 +319,11 @@
             if source.member.kind in ("small", "large"):
                 if cls.write or item not in source.copies or holds < self.now - LINK_DELAY_MS - age:
                     return end("enoent", 8, HELD_FILL_MS)
-                made, waited, note = holds, HELD_FILL_MS, 2
+                made, waited_ms, note = holds, HELD_FILL_MS, 2
             elif not cls.write and item in source.copies and holds >= max(purged, self.now - age):
-                made, waited, note = holds, HELD_FILL_MS, 2
+                made, waited_ms, note = holds, HELD_FILL_MS, 2
             else:
-                made, waited, note = self.now, ORIGIN_FILL_MS, 3
+                made, waited_ms, note = self.now, ORIGIN_FILL_MS, 3
                 if not cls.write and source.member.kind == "parent":
                     source.copies[item] = made
             if get.keep and not cls.write:
@@ -332,8 +332,8 @@
         holds_link[0] = True
         warm_share = min(1.0, (self.now - server.started_ms) / self.s.cold_ms)
         capacity = server.link * (self.s.cold_share + (1.0 - self.s.cold_share) * warm_share)
-        duration_ms = waited + self.work(cls.name, ask.key) * max(1.0, server.transfers / capacity)
-        self.at(self.now + duration_ms, lambda: end("done", note, waited, made))  # type: ignore[call-arg]
+        duration_ms = waited_ms + self.work(cls.name, ask.key) * max(1.0, server.transfers / capacity)
+        self.at(self.now + duration_ms, lambda: end("done", note, waited_ms, made))  # type: ignore[call-arg]
 
     # Faults and changes
 
