--- a/standins/world.py
+++ b/standins/world.py
@@ -216,27 +216,27 @@
         if isinstance(event, api.Members):
             for member in event.members:
                 self.drains.heard(gateway.number, member.server, member.state == "SERVING", self.now)
-        for act in gateway.router.handle(event, self.now):
-            match act:
+        for action in gateway.router.handle(event, self.now):
+            match action:
                 case api.Get():
-                    self.send_attempt(gateway, act)
+                    self.send_attempt(gateway, action)
                 case api.Refuse() | api.Fail():
                     self.record_answer(
-                        gateway, act.id, "refused" if isinstance(act, api.Refuse) else "failed"
+                        gateway, action.id, "refused" if isinstance(action, api.Refuse) else "failed"
                     )
                 case api.Cancel():
-                    if end := self.open_attempts.get((gateway.number, act.id, act.attempt)):
+                    if end := self.open_attempts.get((gateway.number, action.id, action.attempt)):
                         self.at(self.now, lambda end=end: end("ecanceled", 0, 0.0))  # type: ignore[misc]
                 case api.SetTimer():
-                    due = api.TimerDue(act.token)
+                    due = api.TimerDue(action.token)
                     self.at(
-                        self.now + max(0.01, act.delay_ms),
+                        self.now + max(0.01, action.delay_ms),
                         lambda g=gateway, due=due: self.handle_event(g, due),  # type: ignore[misc]
                     )
                 case api.SendNote():
-                    if self.rng.random() >= PEER_LOSS_SHARE and act.peer != gateway.number:
-                        note = api.PeerMessage(gateway.number, act.note)
-                        to = self.gateways[act.peer]
+                    if self.rng.random() >= PEER_LOSS_SHARE and action.peer != gateway.number:
+                        note = api.PeerMessage(gateway.number, action.note)
+                        to = self.gateways[action.peer]
                         self.at(
                             self.now + PEER_DELAY_MS,
                             lambda to=to, note=note: self.handle_event(to, note),  # type: ignore[misc]
