--- a/standins/world.py
+++ b/standins/world.py
@@ -49,13 +49,13 @@
 
     def add(name: str, zone: str, kind: str, link: float) -> None:
         links[name] = link
-        told = {
+        weight_by_setting = {
             "none": 1.0,
             "nominal": round(link) or 1.0,
             "rough": link * rng.uniform(0.85, 1.2),
             "live": link,
         }
-        members.append(api.Member(name, zone, kind, "SERVING", weight=told[weights]))
+        members.append(api.Member(name, zone, kind, "SERVING", weight=weight_by_setting[weights]))
 
     zone_links, gateways = [0.0], [0]
     for zone in zones:
@@ -282,8 +282,8 @@
                 duration_ms = self.now - (ask.deadline_ms - cls.deadline_ms)
                 aim = cls.aim_ms + cls.aim_stretch * self.work(ask.class_name, ask.key)
                 self.record_answer(gateway, get.id, "served" if duration_ms <= aim else "late")
-            told = NOTES_BY_LEVEL[self.s.notes]
-            note = told[note - 1] if 0 < note <= len(told) else 0
+            passed_notes = NOTES_BY_LEVEL[self.s.notes]
+            note = passed_notes[note - 1] if 0 < note <= len(passed_notes) else 0
             wait = waited_ms if self.s.notes == "all" else 0.0
             self.handle_event(
                 gateway, api.Outcome(*name[1:], get.server, status, self.now - sent, closed, note, wait)
@@ -302,8 +302,8 @@
         end = self.open_attempts.get(name)
         server, source, item = self.servers[get.server], self.servers[get.source], (ask.key, ask.part)
         node = gateway.router.nodes.get(get.server)
-        told = node is not None and node.m.started_ms == max(0.0, server.started_ms)
-        self.cold.reach(get.server, self.made.work_ms[cls.name], self.now, told)
+        sender_knew = node is not None and node.m.started_ms == max(0.0, server.started_ms)
+        self.cold.reach(get.server, self.made.work_ms[cls.name], self.now, sender_knew)
         if end is None:
             return
         if server.transfers >= 5 * server.link:
@@ -365,8 +365,8 @@
         for gateway in self.gateways:
             when = self.now + PURGE_DELAY_MS * self.rng.random()
 
-            def hear(gateway: Gateway = gateway) -> None:
+            def announce_purge(gateway: Gateway = gateway) -> None:
                 self.purges.heard(gateway.number, key, made, self.now)
                 self.handle_event(gateway, api.Purged(key, key % 16, self.now - made))
 
-            self.at(when, hear)
+            self.at(when, announce_purge)
