--- a/standins/fabric.py
+++ b/standins/fabric.py
@@ -67,8 +67,8 @@
         """Return a gateway's list of peers by number; its own entry is the address on which it listens."""
         addresses = []
         for other in range(self.size):
-            place = self.address(number) if other == number else self.socks[other, number].getsockname()
-            addresses.append(f"{place[0]}:{place[1]}")
+            address = self.address(number) if other == number else self.socks[other, number].getsockname()
+            addresses.append(f"{address[0]}:{address[1]}")
         return addresses
 
     def _read(self, i: int, j: int, sock: socket.socket) -> None:
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -171,13 +171,13 @@
 
     async def launch(self, number: int, fleet: str = "", beside: bool = False) -> Process:
         """Start a gateway's next process; with `beside`, while the present one still runs (an upgrade)."""
-        bus, place = self.buses[number], self.fabric.address(number)
+        bus, address = self.buses[number], self.fabric.address(number)
         config: dict[str, Any] = {
             "name": f"n{number}", "listen": "127.0.0.1:0", "control": "127.0.0.1:0",
             "seed": f"{number + 1:x}",
             "limits": {"sockets": 256, "memory_mb": 512}, "bus": f"127.0.0.1:{self.relays[number, BUS].port}",
             "known": bus.known if beside else bus.begin(), "settings": self.setups[number],
-            "peer_listen": f"{place[0]}:{place[1]}",
+            "peer_listen": f"{address[0]}:{address[1]}",
             "peers": self.fabric.peers(number),
         }  # fmt: skip
         folder = self.folder / f"n{number}"
