--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -218,21 +218,21 @@
         for listener in self.gone_listeners:
             listener(process)
 
-    def poke(self, number: int, which: int) -> None:
+    def poke(self, number: int, signal_number: int) -> None:
         """Suspend a process (SIGSTOP) or resume it (SIGCONT)."""
         process = self.running[number]
         assert process.child
-        if which == signal.SIGSTOP:
+        if signal_number == signal.SIGSTOP:
             self._notify_process_gone(process)
-        process.child.send_signal(which)
-        process.serving = process.serving or which == signal.SIGCONT
+        process.child.send_signal(signal_number)
+        process.serving = process.serving or signal_number == signal.SIGCONT
 
-    async def end(self, number: int, which: int = signal.SIGKILL) -> int:
+    async def end(self, number: int, signal_number: int = signal.SIGKILL) -> int:
         """End a process by a signal; return its exit code."""
         process = self.running.pop(number)
         assert process.child and process.reader
         process.serving = False
-        process.child.send_signal(which)
+        process.child.send_signal(signal_number)
         code = await asyncio.wait_for(process.child.wait(), 10.0)
         await process.reader
         self._notify_process_gone(process)
