--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -30,7 +30,7 @@
 BUS = "bus"
 
 
-def name(place: int) -> str:
+def name(server_index: int) -> str:
     """Return the id of the server with this index: caches come first, then the parent, then the origin."""
     return f"s-{place:08x}"
 
@@ -111,13 +111,13 @@
     async def start(self) -> None:
         """Start the servers, the fabric, the relays and all gateways, and wait until each is ready."""
         self.fabric.start()
-        for place, server in enumerate(self.servers):
+        for server_index, server in enumerate(self.servers):
             await server.start()
-            server.on_pull = partial(self._record_pull, name(place))
+            server.on_pull = partial(self._record_pull, name(server_index))
         for number in range(self.size):
-            for place, server in enumerate(self.servers):
-                await self._start_relay(number, name(place), server)
-            hosts = [self._host(number, place) for place in range(len(self.servers))]
+            for server_index, server in enumerate(self.servers):
+                await self._start_relay(number, name(server_index), server)
+            hosts = [self._host(number, server_index) for server_index in range(len(self.servers))]
             bus = self.buses[number] = Bus(self.truth, hosts, REPLAY_MS)
             await bus.start()
             await self._start_relay(number, BUS, bus)
@@ -128,36 +128,36 @@
         self.relays[number, target] = relay
         await relay.start()
 
-    def _host(self, number: int, place: int) -> dict[str, Any]:
-        kind = {3: "parent", 4: "origin"}.get(place, "box")
+    def _host(self, number: int, server_index: int) -> dict[str, Any]:
+        kind = {3: "parent", 4: "origin"}.get(server_index, "box")
         dial = f"127.0.0.1:{self.relays[number, name(place)].port}"
-        return {"host": name(place), "dial": dial, "class": kind, "block": 0, "health": "Ready", "born_ms": 0,
+        return {"host": name(server_index), "dial": dial, "class": kind, "block": 0, "health": "Ready", "born_ms": 0,
                 "site": "north" if kind == "box" else "hub", "share": self.weight}  # fmt: skip
 
     def _record_pull(self, server: str, peer: tuple[str, int], fields: dict[str, str]) -> None:
         size = self.truth.size(int(fields["name"], 16), int(fields["piece"])) / 1000.0
         self.watch.record_request(server, peer, fields.get("up", ""), 1000.0 * size / self.flow_kb_per_s)
 
-    def tell(self, place: int, among: list[int] | None = None, **changes: Any) -> None:
+    def tell(self, server_index: int, among: list[int] | None = None, **changes: Any) -> None:
         """Announce a server's new `health` or `born_ms` on the buses of `among`, or of all gateways."""
         setup = self.setups[0]
         for number in among if among is not None else range(self.size):
             bus = self.buses[number]
-            host = bus.hosts[place]
+            host = bus.hosts[server_index]
             host |= changes
             bus.announce_host(host, setup["localities"], setup["skus"])
             if self.relays[number, BUS].mode is LinkMode.PASS:
                 self.watch.told(number, host)
 
-    async def restart_cache(self, place: int, among: list[int] | None = None) -> None:
+    async def restart_cache(self, server_index: int, among: list[int] | None = None) -> None:
         """Restart a cache cold and empty; the buses of `among` announce it at once."""
-        self.servers[place].copies.clear()
+        self.servers[server_index].copies.clear()
         now = now_ms()
-        self.watch.cold.start(name(place), self.weight, now)
+        self.watch.cold.start(name(server_index), self.weight, now)
         for number in range(self.size):  # the cache's connections end with its process
-            await self.relays[number, name(place)].set_mode(LinkMode.REFUSE)
-            await self.relays[number, name(place)].set_mode(LinkMode.PASS)
-        self.tell(place, among, born_ms=int(now))
+            await self.relays[number, name(server_index)].set_mode(LinkMode.REFUSE)
+            await self.relays[number, name(server_index)].set_mode(LinkMode.PASS)
+        self.tell(server_index, among, born_ms=int(now))
 
     async def wire(self, mode: LinkMode, numbers: list[int], targets: list[str] | None = None) -> None:
         """Set the mode of the links between these gateways and `targets`, or all servers and the bus."""
