--- a/standins/fabric.py
+++ b/standins/fabric.py
@@ -85,9 +85,11 @@
                 self.history.append((now_ms(), j, i, len(data), "lost"))
                 continue
             if draw_share() < faults.alter:
-                place = self.rng.randrange(len(data))
+                position = self.rng.randrange(len(data))
                 data = (
-                    data[:place] + bytes((data[place] ^ (1 + self.rng.randrange(255)),)) + data[place + 1 :]
+                    data[:position]
+                    + bytes((data[position] ^ (1 + self.rng.randrange(255)),))
+                    + data[position + 1 :]
                 )
             for _ in range(1 + (draw_share() < faults.repeat)):
                 delay = self.rng.uniform(*faults.delay_ms) / 1000.0
