--- a/standins/truth.py
+++ b/standins/truth.py
@@ -64,8 +64,8 @@
 
     def size(self, key: int, part: int) -> int:
         """Return the size of a part in bytes: many are small, few are large."""
-        draw = xxhash.xxh3_64_intdigest(f"size {key} {part}") / 2**64
-        return int(self.small + (self.large - self.small) * draw**4)
+        share = xxhash.xxh3_64_intdigest(f"size {key} {part}") / 2**64
+        return int(self.small + (self.large - self.small) * share**4)
 
     def purge(self, key: int | None, group: int, announced_ms: float) -> Purge:
         """Purge now; the bus announces it at `announced_ms`, or later with the purge before it."""
