--- a/standins/schedule.py
+++ b/standins/schedule.py
@@ -87,8 +87,8 @@
             what = f"{do!r} with number = {number}"
             text = f"write a number from 0 to {number_limit - 1}"
             problems.append(Problem(name, lines.get("number", block.line), what, text))
-        parts = str(values_by_name.get("side", "")).split(",")
-        if do in ("cut", "oneway") and not all(p.strip().isdecimal() and int(p) < size for p in parts):
+        side_numbers = str(values_by_name.get("side", "")).split(",")
+        if do in ("cut", "oneway") and not all(p.strip().isdecimal() and int(p) < size for p in side_numbers):
             text = f'write numbers from 0 to {size - 1}, such as side = "0,1"'
             problems.append(Problem(name, lines.get("side", block.line), f"{do!r} without a side", text))
         if do == "wire" and not (values_by_name.get("way") and values_by_name.get("target")):
