--- a/standins/rig.py
+++ b/standins/rig.py
@@ -84,12 +84,12 @@
     async def start(self) -> None:
         """Start the bus, and the servers that do not run yet."""
         hosts = []
-        for place, server in enumerate([*self.caches, self.parent, self.origin]):
+        for server_index, server in enumerate([*self.caches, self.parent, self.origin]):
             if not server.port:
                 await server.start()
             if server is self.parent and not self.lists_parent:
                 continue
-            kind = {len(self.caches): "parent", len(self.caches) + 1: "origin"}.get(place, "box")
+            kind = {len(self.caches): "parent", len(self.caches) + 1: "origin"}.get(server_index, "box")
             site = "north" if kind == "box" else "hub"
             hosts.append(
                 {"host": f"s-{place:08x}", "dial": f"127.0.0.1:{server.port}", "site": site, "class": kind,
