--- a/standins/crashpoints.py
+++ b/standins/crashpoints.py
@@ -72,21 +72,21 @@
         compactor = Compactor(disk, lambda mark: mark & 3, Rate(1e12, 1e12, 1e12))
         for _ in range(steps):
             model.now += rng.uniform(1.0, 400.0)
-            key, draw = rng.randrange(KEYS), rng.random()
-            if draw < 0.62:
+            key, random_share = rng.randrange(KEYS), rng.random()
+            if random_share < 0.62:
                 version = model.version.get(key, 0)
                 part = Part(key, 0, key % 4, "files", int(model.now), f"v{version}", disk.proof.epoch)
                 disk.put(part, make_body(key, 0, version, rng.randrange(10, 6_000)))
-            elif draw < 0.77:
+            elif random_share < 0.77:
                 model.version[key] = model.version.get(key, 0) + 1
                 model.purged_ms[key] = model.now
                 disk.purge(key, -1, model.now)
-            elif draw < 0.85:
+            elif random_share < 0.85:
                 disk.sync()
-            elif draw < 0.9:
+            elif random_share < 0.9:
                 disk.proof.follow(model.now)
                 disk.mark_followed()
-            elif draw < 0.94:
+            elif random_share < 0.94:
                 disk.save()
             else:
                 while compactor.step(model.now, False):
