--- a/standins/parties.py
+++ b/standins/parties.py
@@ -81,14 +81,14 @@
 
     def _copy(self, key: int, part: int, cap_ms: float) -> CachedCopy:
         """Return the held copy if no purge and no age limit forbids it, else a new copy of now."""
-        now, place = now_ms(), (key, part)
-        held = self.copies.get(place)
+        now, part_key = now_ms(), (key, part)
+        held = self.copies.get(part_key)
         if held and not self.origin:
             later_purges = [p for p in self.truth.purges_of(key) if held.since_ms <= p.at_ms]
             is_purged = any(p.announced_ms + self.behaviour.purge_delay_ms <= now for p in later_purges)
             if not is_purged and (not cap_ms or now - held.since_ms <= cap_ms):
                 return held
-        held = self.copies[place] = CachedCopy(self.truth.version(key, now), now)
+        held = self.copies[part_key] = CachedCopy(self.truth.version(key, now), now)
         return held
 
     async def _pull(
