--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -32,7 +32,7 @@
 
 def name(server_index: int) -> str:
     """Return the id of the server with this index: caches come first, then the parent, then the origin."""
-    return f"s-{place:08x}"
+    return f"s-{server_index:08x}"
 
 
 class Process:
@@ -130,9 +130,9 @@
 
     def _host(self, number: int, server_index: int) -> dict[str, Any]:
         kind = {3: "parent", 4: "origin"}.get(server_index, "box")
-        dial = f"127.0.0.1:{self.relays[number, name(place)].port}"
-        return {"host": name(server_index), "dial": dial, "class": kind, "block": 0, "health": "Ready", "born_ms": 0,
-                "site": "north" if kind == "box" else "hub", "share": self.weight}  # fmt: skip
+        dial = f"127.0.0.1:{self.relays[number, name(server_index)].port}"
+        return {"host": name(server_index), "dial": dial, "class": kind, "block": 0, "health": "Ready",
+                "born_ms": 0, "site": "north" if kind == "box" else "hub", "share": self.weight}  # fmt: skip
 
     def _record_pull(self, server: str, peer: tuple[str, int], fields: dict[str, str]) -> None:
         size = self.truth.size(int(fields["name"], 16), int(fields["piece"])) / 1000.0
--- a/standins/rig.py
+++ b/standins/rig.py
@@ -92,8 +92,8 @@
             kind = {len(self.caches): "parent", len(self.caches) + 1: "origin"}.get(server_index, "box")
             zone = "north" if kind == "box" else "hub"
             hosts.append(
-                {"host": f"s-{place:08x}", "dial": f"127.0.0.1:{server.port}", "site": zone, "class": kind,
-                 "block": 0, "health": "Ready", "share": 50, "born_ms": 0}
+                {"host": f"s-{server_index:08x}", "dial": f"127.0.0.1:{server.port}", "site": zone,
+                 "class": kind, "block": 0, "health": "Ready", "share": 50, "born_ms": 0}
             )  # fmt: skip
         self.bus = Bus(self.truth, hosts, REPLAY_MS)
         await self.bus.start()
