--- a/standins/gossipnet.py
+++ b/standins/gossipnet.py
@@ -50,19 +50,19 @@
         node = Detector(number, self.size, incarnation, 7, self.period_ms, rng, begun)
         node.view.listeners.append(lambda change: self.count_false_death(change.number, change.new.state))
         self.nodes[number] = node
-        self.at(begun, lambda: self.tick(number, node))
+        self.at(begun, lambda: self.tick_process(number, node))
 
     def count_false_death(self, number: int, state: State) -> None:
         """Count a change of a view that declares a running member dead."""
         self.false_deaths += state is State.DEAD and number in self.nodes
 
-    def tick(self, number: int, node: Detector) -> None:
+    def tick_process(self, number: int, node: Detector) -> None:
         """Give a process its tick, unless it has ended or is suspended, and schedule the next one."""
         if self.nodes.get(number) is not node:
             return
         if number not in self.stopped:
             self.post(number, node.tick(self.now))
-        self.at(self.now + self.period_ms / TICKS, lambda: self.tick(number, node))
+        self.at(self.now + self.period_ms / TICKS, lambda: self.tick_process(number, node))
 
     def post(self, sender: int, out: Datagrams) -> None:
         """Send datagrams, subject to cuts, loss, repeats and delay."""
