--- a/standins/compatibility/environment.py
+++ b/standins/compatibility/environment.py
@@ -97,7 +97,7 @@
             await server.start()
         self.hosts = self._listed_hosts(has_parent)
         for number, cache in enumerate(self.caches):
-            cache.ear = partial(self._record_request, number)
+            cache.on_pull = partial(self._record_request, number)
         self._bus = await self.new_bus()
 
     def _listed_hosts(self, has_parent: bool) -> list[dict[str, Any]]:
--- a/standins/parties.py
+++ b/standins/parties.py
@@ -1,6 +1,7 @@
-"""Caches, a district cache, the head office and the event bus on asyncio.
+"""Stand-in station caches, a parent cache, the origin and the event bus, on asyncio.
 
-They fill, lag, fail and break off on a script.
+The servers answer PULL commands from the copies that `Truth` prescribes; a `ServerBehaviour` makes them slow,
+fail, stay silent or close a connection in the middle of an answer.
 """
 
 import asyncio
@@ -17,38 +18,39 @@
 
 @dataclass(slots=True)
 class ServerBehaviour:
-    """How a server behaves; shares are of requests, times in ms."""
+    """How a server behaves; the shares are shares of its requests, from 0 to 1."""
 
     delay_ms: float = 1.0
-    fail: float = 0.0  # answers BROKE
-    silent: float = 0.0  # never answers
-    cut: float = 0.0  # closes in the middle of an answer
-    lacks: bool = False  # answers LACK where it holds no copy and no source is named
-    drop_ms: float = 200.0  # after a purge was told, until which older copies are still held
+    fail_share: float = 0.0  # answered with BROKE
+    silent_share: float = 0.0  # never answered
+    cut_share: float = 0.0  # the connection closes in the middle of the answer
+    lacks: bool = False  # answers LACK if it holds no copy and the request names no source
+    purge_delay_ms: float = 200.0  # from the announcement of a purge until older copies are dropped
 
 
 @dataclass(slots=True)
-class Held:
-    """A copy at a cache."""
+class CachedCopy:
+    """A copy that a cache holds, and the time at which it was filled."""
 
     version: int
     since_ms: float
 
 
 class Server:
-    """A station cache, a district cache or, with `origin`, the head office."""
+    """A station cache, a parent cache or, with `origin`, the origin, which always has the current version."""
 
     def __init__(
-        self, truth: Truth, script: ServerBehaviour, rng: random.Random, origin: bool = False
+        self, truth: Truth, behaviour: ServerBehaviour, rng: random.Random, origin: bool = False
     ) -> None:
-        """Start empty."""
-        self.truth, self.script, self.rng, self.origin = truth, script, rng, origin
-        self.held: dict[tuple[int, int], Held] = {}
+        """Create a server that holds no copy; `rng` draws which requests go wrong."""
+        self.truth, self.behaviour, self.rng, self.origin = truth, behaviour, rng, origin
+        self.copies: dict[tuple[int, int], CachedCopy] = {}
         self.pulls = self.kept = 0
-        self.asked: dict[tuple[int, int], int] = {}
+        self.pull_counts: dict[tuple[int, int], int] = {}
         self.port = 0
-        self.hook: Callable[[dict[str, str]], Any] | None = None  # awaited before an answer
-        self.ear: Callable[[tuple[str, int], dict[str, str]], None] | None = None  # each PULL: from, fields
+        self.hook: Callable[[dict[str, str]], Any] | None = None  # awaited before each answer
+        # Called for each PULL with the address of the gateway's end of the connection and the fields.
+        self.on_pull: Callable[[tuple[str, int], dict[str, str]], None] | None = None
 
     async def start(self) -> None:
         """Listen on a free port."""
@@ -57,19 +59,19 @@
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         commands = resp.RespReader()
-        killed: set[bytes] = set()
+        cancelled_ids: set[bytes] = set()
         tasks = set()
         peer = writer.get_extra_info("peername")
         try:
             while data := await reader.read(65_536):
-                for word, name, *rest in commands.feed(data):
-                    if word == b"KILL":
-                        killed.add(name)
-                    elif word == b"PULL":
+                for command, name, *rest in commands.feed(data):
+                    if command == b"KILL":
+                        cancelled_ids.add(name)
+                    elif command == b"PULL":
                         fields = resp.read_fields(rest[0])
-                        if self.ear:
-                            self.ear(peer, fields)
-                        task = asyncio.create_task(self._pull(writer, name, fields, killed))
+                        if self.on_pull:
+                            self.on_pull(peer, fields)
+                        task = asyncio.create_task(self._pull(writer, name, fields, cancelled_ids))
                         tasks.add(task)
                         task.add_done_callback(tasks.discard)
         except (ConnectionError, resp.BadResp, asyncio.CancelledError):
@@ -77,36 +79,36 @@
         finally:
             writer.close()
 
-    def _copy(self, key: int, part: int, cap_ms: float) -> Held:
-        """Give a copy that will do: the one held, or a fresh one from the head office."""
-        now, place = now_ms(), (key, part)
-        held = self.held.get(place)
+    def _copy(self, key: int, part: int, cap_ms: float) -> CachedCopy:
+        """Return the held copy if no purge and no age limit forbids it, else a new copy of now."""
+        now, part_key = now_ms(), (key, part)
+        held = self.copies.get(part_key)
         if held and not self.origin:
-            newer = [p for p in self.truth.concerning(key) if held.since_ms <= p.at_ms]
-            gone = any(p.told_ms + self.script.drop_ms <= now for p in newer)
-            if not gone and (not cap_ms or now - held.since_ms <= cap_ms):
+            later_purges = [p for p in self.truth.purges_of(key) if held.since_ms <= p.at_ms]
+            is_purged = any(p.announced_ms + self.behaviour.purge_delay_ms <= now for p in later_purges)
+            if not is_purged and (not cap_ms or now - held.since_ms <= cap_ms):
                 return held
-        held = self.held[place] = Held(self.truth.version(key, now), now)
+        held = self.copies[part_key] = CachedCopy(self.truth.version(key, now), now)
         return held
 
     async def _pull(
-        self, writer: asyncio.StreamWriter, name: bytes, fields: dict[str, str], killed: set[bytes]
+        self, writer: asyncio.StreamWriter, name: bytes, fields: dict[str, str], cancelled_ids: set[bytes]
     ) -> None:
         self.pulls += 1
         key, part = int(fields["name"], 16), int(fields["piece"])
         if "dedupe" in fields:
             self.truth.effect(fields["dedupe"])
-        self.asked[key, part] = self.asked.get((key, part), 0) + 1
-        script, draw = self.script, self.rng.random()
+        self.pull_counts[key, part] = self.pull_counts.get((key, part), 0) + 1
+        behaviour, draw = self.behaviour, self.rng.random()
         if self.hook:
             await self.hook(fields)
-        await asyncio.sleep(script.delay_ms / 1000.0)
-        if draw < script.silent or name in killed:
+        await asyncio.sleep(behaviour.delay_ms / 1000.0)
+        if draw < behaviour.silent_share or name in cancelled_ids:
             return
-        if draw < script.silent + script.fail:
+        if draw < behaviour.silent_share + behaviour.fail_share:
             writer.write(resp.write_command(name, b"BROKE", b"-", b""))
             return
-        if script.lacks and "up" not in fields and (key, part) not in self.held:
+        if behaviour.lacks and "up" not in fields and (key, part) not in self.copies:
             writer.write(resp.write_command(name, b"LACK", b"-", b""))
             return
         copy = self._copy(key, part, float(fields.get("cap", 0)))
@@ -117,21 +119,22 @@
             writer.write(resp.write_command(name, b"KEEP", since, b""))
             return
         answer = resp.write_command(name, b"DONE", since, self.truth.body(key, part, copy.version))
-        if draw < script.silent + script.fail + script.cut:
+        if draw < behaviour.silent_share + behaviour.fail_share + behaviour.cut_share:
             writer.write(answer[: len(answer) // 2])
             writer.close()
         elif not writer.is_closing():
             writer.write(answer)
 
 
-HEALTHS = ("Ready", "Terminating", "Gone")
+HEALTH_VALUES = ("Ready", "Terminating", "Gone")
 
 
 @dataclass(slots=True)
-class Life:
-    """One life of a gateway as the bus numbers it.
+class BusSession:
+    """The numbered events that the bus has for one run of a gateway process.
 
-    Its list, then the purges of the last while, then what comes.
+    The first event is the list of servers; the recent purges that the configuration repeats follow, then the
+    events that the bus sends. `known` is the part that the gateway's configuration holds already.
     """
 
     events: list[bytes] = field(default_factory=list)
@@ -139,22 +142,23 @@
 
 
 class Bus:
-    """The event bus.
+    """The event bus of one gateway.
 
-    Numbers begin anew with each life, and a start is told the purges of the last `replay_ms`.
+    Event numbers start at 1 for each run of the gateway, and its configuration repeats the purges of the last
+    `replay_ms`.
     """
 
     def __init__(
-        self, truth: Truth, hosts: list[dict[str, Any]], replay_ms: float, beat_ms: float = 200.0
+        self, truth: Truth, hosts: list[dict[str, Any]], replay_ms: float, heartbeat_ms: float = 200.0
     ) -> None:
-        """Tell of these hosts and of the truth's purges."""
-        self.truth, self.hosts, self.replay_ms, self.beat_ms = truth, hosts, replay_ms, beat_ms
-        self.life = Life()
-        self.told = 0  # purges of the truth that the present life has
+        """Announce these hosts and the purges of `truth`, with a heartbeat every `heartbeat_ms`."""
+        self.truth, self.hosts, self.replay_ms, self.heartbeat_ms = truth, hosts, replay_ms, heartbeat_ms
+        self.session = BusSession()
+        self.told = 0  # the number of the truth's purges that the current run has been given
         self.port = 0
         self.silent = False
-        self.late_ms = 0.0  # by which this gateway hears later than others
-        self.known: dict[str, Any] = {}  # what the present life's configuration holds
+        self.extra_delay_ms = 0.0  # extra delay until this gateway is told of a purge
+        self.known: dict[str, Any] = {}  # the events in the configuration of the current run
 
     async def start(self) -> None:
         """Listen on a free port."""
@@ -162,48 +166,49 @@
         self.port = server.sockets[0].getsockname()[1]
 
     def begin(self) -> dict[str, Any]:
-        """Begin a life; gives what its configuration calls `known`."""
-        self.life = Life()
+        """Start the events of a new run; return the `known` object for its configuration."""
+        self.session = BusSession()
         topology = {"seq": 1, "whole": True, "hosts": self.hosts}
-        self.life.known.append({"offset": 1, "topology": topology})
-        self.life.events.append(b"")
+        self.session.known.append({"offset": 1, "topology": topology})
+        self.session.events.append(b"")
         now = now_ms()
         for purge in self.truth.purges:
-            if purge.told_ms + self.late_ms <= now and now - purge.at_ms <= self.replay_ms:
+            if purge.announced_ms + self.extra_delay_ms <= now and now - purge.at_ms <= self.replay_ms:
                 self._add(purge)
-                number = len(self.life.events)
+                number = len(self.session.events)
                 ban: dict[str, Any] = (
                     {"tag": purge.group} if purge.key is None else {"url": f"{purge.key:016x}"}
                 )
-                self.life.known.append({"offset": number, "ban": ban | {"ts": int(purge.at_ms)}})
-        self.told = sum(purge.told_ms + self.late_ms <= now for purge in self.truth.purges)
-        self.known = {"offset": len(self.life.events), "batch": self.life.known}
+                self.session.known.append({"offset": number, "ban": ban | {"ts": int(purge.at_ms)}})
+        self.told = sum(purge.announced_ms + self.extra_delay_ms <= now for purge in self.truth.purges)
+        self.known = {"offset": len(self.session.events), "batch": self.session.known}
         return self.known
 
-    def change(self, host: dict[str, Any], zones: list[str], kinds: list[str]) -> None:
-        """Tell that a host has changed; zones and kinds are named in the order of the settings."""
+    def announce_host(self, host: dict[str, Any], zones: list[str], kinds: list[str]) -> None:
+        """Append an event for a changed host; `zones` and `kinds` are in the order of the settings."""
         ip, _, port = host["dial"].rpartition(":")
         record = RECORD.pack(
             int(host["host"].removeprefix("s-"), 16), bytes(map(int, ip.split("."))), int(port),
-            HEALTHS.index(host["health"]), zones.index(host["site"]), kinds.index(host["class"]),
+            HEALTH_VALUES.index(host["health"]), zones.index(host["site"]), kinds.index(host["class"]),
             host["block"], int(1000 * host["share"]), int(host["born_ms"]),
         )  # fmt: skip
-        payload = HEAD.pack(len(self.life.events) + 1, CHANGES) + record
-        self.life.events.append(len(payload).to_bytes(4, "big") + payload)
+        payload = HEAD.pack(len(self.session.events) + 1, CHANGES) + record
+        self.session.events.append(len(payload).to_bytes(4, "big") + payload)
 
     def _add(self, purge: Purge) -> None:
-        number = len(self.life.events) + 1
+        number = len(self.session.events) + 1
         if purge.key is not None:
             payload = HEAD.pack(number, 3) + struct.pack(">QQ", purge.key, int(purge.at_ms))
         else:
             payload = HEAD.pack(number, 4) + struct.pack(">HQ", purge.group, int(purge.at_ms))
-        self.life.events.append(len(payload).to_bytes(4, "big") + payload)
+        self.session.events.append(len(payload).to_bytes(4, "big") + payload)
 
-    def tell(self) -> None:
-        """Put into the present life what has come due."""
+    def append_due_purges(self) -> None:
+        """Append an event for each purge whose announcement is due."""
         now = now_ms()
         while (
-            self.told < len(self.truth.purges) and self.truth.purges[self.told].told_ms + self.late_ms <= now
+            self.told < len(self.truth.purges)
+            and self.truth.purges[self.told].announced_ms + self.extra_delay_ms <= now
         ):
             self._add(self.truth.purges[self.told])
             self.told += 1
@@ -211,15 +216,15 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
             last = int.from_bytes(await reader.readexactly(8), "big")
-            life, beat = self.life, 0.0
-            while life is self.life and not writer.is_closing():
-                self.tell()
+            session, last_beat_ms = self.session, 0.0
+            while session is self.session and not writer.is_closing():
+                self.append_due_purges()
                 if not self.silent:
-                    for event in life.events[last:]:
+                    for event in session.events[last:]:
                         writer.write(event)
-                    last = len(life.events)
-                    if now_ms() - beat >= self.beat_ms:
-                        beat = now_ms()
+                    last = len(session.events)
+                    if now_ms() - last_beat_ms >= self.heartbeat_ms:
+                        last_beat_ms = now_ms()
                         writer.write((9).to_bytes(4, "big") + HEAD.pack(last, 0))
                     await writer.drain()
                 await asyncio.sleep(0.01)
--- a/standins/play.py
+++ b/standins/play.py
@@ -1,9 +1,10 @@
-"""Plays a schedule of faults on real processes, judges it, and makes a failing one smaller.
+"""Plays a schedule of faults on real processes, checks the run, and reduces a failing schedule.
 
-After the last step all faults end, what does not run is started, and the fleet has MEET periods to hold one
-view with all alive. Judged are then: every request of a running gateway one answer, bodies and ages right,
-effects once, drains and cold starts over all gateways together, no process that ended by itself, no
-traceback, views that met. What happened is kept as rows, with their times from the start.
+After the last step all faults end, gateways that do not run are started, and within MAX_CONVERGENCE_PERIODS
+all gateways must hold one view, with all alive. Then these are checked: a running gateway gives every request
+one answer, bodies and their ages are right, effects run once, drains and cold starts hold over all gateways
+together, no process ended by itself, no log has a traceback, and the views have converged. The history of the
+run is kept as rows with their times since its start.
 """
 
 import asyncio
@@ -18,46 +19,48 @@
 from standins.schedule import Schedule, Step, side, with_steps
 from standins.truth import now_ms
 
-MEET = 150  # periods, from the end of all faults
-QUIET_MS = 1_500.0  # between a purge and a bus that falls silent: what a bus has counts as told
-PURGED = 100.0  # ms until the buses have a purge
+MAX_CONVERGENCE_PERIODS = 150  # periods from the end of all faults in which the views must converge
+PURGE_SETTLE_MS = (
+    1_500.0  # from a purge until a bus may be cut: a purge counts as announced once the buses have it
+)
+PURGE_DELAY_MS = 100.0  # ms until the buses announce a purge
 
 
-def both_ways(one: set[int]) -> Callable[[int, int], bool]:
-    """Cut a side from all others."""
-    return lambda a, b: (a in one) != (b in one)
+def cut_both_ways(cut_side: set[int]) -> Callable[[int, int], bool]:
+    """Return a filter that cuts all datagrams between one side and all others."""
+    return lambda a, b: (a in cut_side) != (b in cut_side)
 
 
-def one_way(one: set[int]) -> Callable[[int, int], bool]:
-    """Have the others not hear a side, which hears them."""
-    return lambda a, b: a in one and b not in one
+def cut_from(cut_side: set[int]) -> Callable[[int, int], bool]:
+    """Return a filter that cuts the datagrams from one side to the others, but not those to it."""
+    return lambda a, b: a in cut_side and b not in cut_side
 
 
 @dataclass(slots=True)
 class Outcome:
-    """What came of a schedule."""
+    """The results of a schedule."""
 
     schedule: Schedule
     broken: list[str] = field(default_factory=list)
-    history: list[tuple[float, str]] = field(default_factory=list)  # ms since the start, what happened
+    history: list[tuple[float, str]] = field(default_factory=list)  # ms since the start, event
     counts: dict[str, int] = field(default_factory=dict)
-    converged_ms: float = 0.0  # from the end of all faults until one view
-    cold: float = 0.0  # the most of a cold cache's bound that was used
+    converged_ms: float = 0.0  # from the end of all faults until all views agreed
+    cold: float = 0.0  # the largest used share of a cold cache's bound
 
 
 class SchedulePlayer:
-    """Takes the steps of one schedule."""
+    """Plays one schedule on a fleet of its own; `on_event` is called with each event."""
 
-    def __init__(self, schedule: Schedule, say: Callable[[str], None] = lambda text: None) -> None:
-        """Prepare."""
-        self.schedule, self.say = schedule, say
+    def __init__(self, schedule: Schedule, on_event: Callable[[str], None] = lambda text: None) -> None:
+        """Prepare; nothing is started yet."""
+        self.schedule, self.on_event = schedule, on_event
         self.fleet = Fleet(schedule.size, schedule.seed, schedule.period_ms, weight=4.0, flow_kb_per_s=300.0)
-        self.out, self.begun = Outcome(schedule), now_ms()
+        self.outcome, self.started_ms = Outcome(schedule), now_ms()
         self.stopped: set[int] = set()
         self.purged_ms = 0.0
 
     async def play(self) -> Outcome:
-        """Play it all."""
+        """Play the whole schedule and return its results."""
         fleet, load = self.fleet, Load(self.fleet, self.schedule.load)
         try:
             await fleet.start()
@@ -65,32 +68,32 @@
             load.start()
             for step in self.schedule.steps:
                 await asyncio.sleep(step.after * fleet.period_ms / 1000.0)
-                taken = await self.take(step)
-                self.note(f"{step.do} {step.number if step.number >= 0 else step.side} {step.target}"
-                          + ("" if taken else ", passed over"))  # fmt: skip
+                is_applied = await self.take(step)
+                self.record(f"{step.do} {step.number if step.number >= 0 else step.side} {step.target}"
+                          + ("" if is_applied else ", passed over"))  # fmt: skip
             await self.end()
             await load.until(5)
             await load.stop()
         except AssertionError as error:
-            self.out.broken.append(str(error)[:500])
-        except OSError as error:  # also of a time that ran out
-            self.out.broken.append(f"a gateway answers no more, or does not start: {error!r}")
+            self.outcome.broken.append(str(error)[:500])
+        except OSError as error:  # TimeoutError is one too
+            self.outcome.broken.append(f"a gateway does not answer or does not start: {error!r}")
         finally:
-            load.on = False
+            load.is_running = False
             await fleet.finish()
-        found = self.out
+        found = self.outcome
         found.broken += fleet.faults + fleet.verdicts.wrong + fleet.watch.broken
-        found.broken += [f"effect {key} ran twice" for key in fleet.truth.twice]
+        found.broken += [f"effect {key} ran twice" for key in fleet.truth.repeated_effects]
         found.counts, found.cold = dict(fleet.verdicts.counts), fleet.watch.cold.most
         return found
 
-    def note(self, text: str) -> None:
-        """Keep a row of the history."""
-        self.out.history.append((round(now_ms() - self.begun, 1), text.strip()))
-        self.say(text.strip())
+    def record(self, text: str) -> None:
+        """Add a row to the history."""
+        self.outcome.history.append((round(now_ms() - self.started_ms, 1), text.strip()))
+        self.on_event(text.strip())
 
     async def end(self) -> None:
-        """End all faults, start what does not run, wait for one view."""
+        """End all faults, start the gateways that do not run, and wait until all views agree."""
         fleet = self.fleet
         fleet.fabric.faults = Faults()
         await fleet.wire(LinkMode.PASS, list(range(fleet.size)))
@@ -100,34 +103,34 @@
         for number in range(fleet.size):
             if number not in fleet.running:
                 await fleet.launch(number)
-        self.note("all faults ended")
-        patience = MEET * fleet.period_ms / 1000.0
-        self.out.converged_ms = 1000.0 * await fleet.until(
-            {n: {"ALIVE"} for n in range(fleet.size)}, patience_s=patience
+        self.record("all faults ended")
+        patience_s = MAX_CONVERGENCE_PERIODS * fleet.period_ms / 1000.0
+        self.outcome.converged_ms = 1000.0 * await fleet.until(
+            {n: {"ALIVE"} for n in range(fleet.size)}, patience_s=patience_s
         )
-        self.note("one view")
+        self.record("one view")
 
     async def take(self, step: Step) -> bool:
-        """Take one step; False if it can't be taken now."""
+        """Apply one step; return False if it can't be applied now."""
         fleet, number = self.fleet, step.number
-        runs = number in fleet.running and number not in self.stopped
+        is_running = number in fleet.running and number not in self.stopped
         match step.do:
-            case "kill" | "end" if runs:
+            case "kill" | "end" if is_running:
                 await fleet.end(number, signal.SIGKILL if step.do == "kill" else signal.SIGTERM)
             case "start" if number not in fleet.running:
                 await fleet.launch(number)
-            case "stop" if runs:
+            case "stop" if is_running:
                 fleet.poke(number, signal.SIGSTOP)
                 self.stopped.add(number)
             case "go" if number in self.stopped:
                 fleet.poke(number, signal.SIGCONT)
                 self.stopped.discard(number)
-            case "upgrade" if runs and self.hears(number):
+            case "upgrade" if is_running and self.receives_bus(number):
                 await fleet.upgrade(number)
             case "cut":
-                fleet.fabric.faults.cut = both_ways(side(step))
+                fleet.fabric.faults.cut = cut_both_ways(side(step))
             case "oneway":
-                fleet.fabric.faults.cut = one_way(side(step))
+                fleet.fabric.faults.cut = cut_from(side(step))
             case "lose":
                 fleet.fabric.faults.loss_share = step.share
             case "late":
@@ -138,43 +141,46 @@
             case "heal":
                 fleet.fabric.faults = Faults()
                 await fleet.wire(LinkMode.PASS, list(range(fleet.size)))
-            case "wire" if step.target == BUS and now_ms() - self.purged_ms < QUIET_MS:
+            case "wire" if step.target == BUS and now_ms() - self.purged_ms < PURGE_SETTLE_MS:
                 return False
             case "wire":
                 targets: list[str] | None = None if step.target == "all" else [step.target]
-                if targets is None and now_ms() - self.purged_ms < QUIET_MS:
+                if targets is None and now_ms() - self.purged_ms < PURGE_SETTLE_MS:
                     return False
                 await fleet.wire(LinkMode(step.way), [number], targets)
             case "cold":
                 await fleet.restart_cache(number)
             case "drain" | "back":
                 fleet.tell(number, health="Terminating" if step.do == "drain" else "Ready")
-            case "purge" if all(self.hears(n) for n in range(fleet.size)):
-                self.purged_ms = now_ms() + PURGED
+            case "purge" if all(self.receives_bus(n) for n in range(fleet.size)):
+                self.purged_ms = now_ms() + PURGE_DELAY_MS
                 fleet.truth.purge(None, fleet.rng.randrange(fleet.truth.groups), self.purged_ms)
             case _:
                 return False
         return True
 
-    def hears(self, number: int) -> bool:
-        """Tell whether a gateway's bus reaches it."""
-        return self.fleet.wires[number, BUS].way is LinkMode.PASS and number not in self.stopped
+    def receives_bus(self, number: int) -> bool:
+        """Return whether a gateway runs and receives the events of its bus."""
+        return self.fleet.relays[number, BUS].mode is LinkMode.PASS and number not in self.stopped
 
 
-def play(schedule: Schedule, say: Callable[[str], None] = lambda text: None) -> Outcome:
-    """Play a schedule."""
-    return asyncio.run(SchedulePlayer(schedule, say).play())
+def play(schedule: Schedule, on_event: Callable[[str], None] = lambda text: None) -> Outcome:
+    """Play a schedule and return its results."""
+    return asyncio.run(SchedulePlayer(schedule, on_event).play())
 
 
 def shrink(schedule: Schedule, fails: Callable[[Schedule], bool], most: int = 40) -> tuple[Schedule, int]:
-    """Leave steps out by halves, quarters and so on while it still fails; gives it and the plays needed."""
+    """Reduce a failing schedule by leaving out halves, quarters and so on of its steps while it still fails.
+
+    Returns the reduced schedule and the number of plays, at most `most`.
+    """
     steps, size, plays = schedule.steps, max(1, len(schedule.steps) // 2), 0
     while steps and plays < most:
         for place in range(0, len(steps), size):
-            less = steps[:place] + steps[place + size :]
+            fewer = steps[:place] + steps[place + size :]
             plays += 1
-            if fails(with_steps(schedule, less)):
-                steps = less
+            if fails(with_steps(schedule, fewer)):
+                steps = fewer
                 break
             if plays >= most:
                 break
--- a/standins/releases.py
+++ b/standins/releases.py
@@ -1,9 +1,9 @@
-"""Terminals fetch while releases are purged and published again: does every one end with a consistent set?
+"""Checks that clients get consistent sets of files while releases are purged and published.
 
     python -m standins.releases --clients 200 --releases 20 --caches 14 --gateways 3
 
-Exit code 1 if a whole body did not fit the index that its client was given, or a client never had a whole
-set.
+The exit code is 1 if a complete body did not match the index that its client had received, or a client never
+received a consistent set.
 """
 
 import asyncio
@@ -24,9 +24,9 @@
 async def play(
     seed: int, clients: int, releases: int, caches: int, gateways: int, seconds: float
 ) -> dict[str, Any]:
-    """Play it; gives what was seen."""
+    """Run the clients and the releases; return the results."""
     rng = random.Random(seed)
-    first = Rig(seed, caches, ServerBehaviour(drop_ms=500.0))
+    first = Rig(seed, caches, ServerBehaviour(purge_delay_ms=500.0))
     truth = RepoTruth()
     first.truth = truth
     for server in (*first.caches, first.parent, first.origin):
@@ -34,27 +34,27 @@
     rigs = [first]
     for number in range(1, gateways):
         rigs.append(Rig(seed + number, 1))
-        rigs[-1].share(first)
-    shop = ScriptedRepository(truth, rng)
-    await shop.publish()
+        rigs[-1].share_servers_of(first)
+    repository = ScriptedRepository(truth, rng)
+    await repository.publish()
     counts: Counter[str] = Counter()
     wrong: list[str] = []
-    took: list[float] = []
+    durations_s: list[float] = []
 
     async def client(number: int) -> None:
-        own = random.Random(seed * 1000 + number)
-        await asyncio.sleep(own.uniform(0.0, seconds))
+        client_rng = random.Random(seed * 1000 + number)
+        await asyncio.sleep(client_rng.uniform(0.0, seconds))
         begun = time.monotonic()
         source = f"127.0.{1 + number // 250}.{1 + number % 250}"
-        await fetch_set(rigs[number % len(rigs)].http, source, own, counts, wrong)
-        took.append(time.monotonic() - begun)
+        await fetch_set(rigs[number % len(rigs)].http, source, client_rng, counts, wrong)
+        durations_s.append(time.monotonic() - begun)
 
     async def publish() -> None:
         for number in range(releases):
             await asyncio.sleep(seconds / (releases + 1) * rng.uniform(0.5, 1.5))
-            await shop.publish(back_to=max(1, shop.release - 2) if number % 5 == 4 else 0)
-            if number % 4 == 1:  # two within a second
-                await shop.publish()
+            await repository.publish(older_release=max(1, repository.release - 2) if number % 5 == 4 else 0)
+            if number % 4 == 1:  # two releases within a second
+                await repository.publish()
 
     try:
         for rig in rigs:
@@ -62,7 +62,8 @@
             rig.repositories()
             await rig.start()
         for number, rig in enumerate(rigs):
-            rig.bus.late_ms = 300.0 * (number % 2)  # one gateway hears of everything later than another
+            # Every second gateway is told of purges later than the others.
+            rig.bus.extra_delay_ms = 300.0 * (number % 2)
             await rig.launch()
         await asyncio.gather(publish(), *(client(number) for number in range(clients)))
         figures = [await rig.figures() for rig in rigs]
@@ -70,13 +71,13 @@
         for rig in rigs:
             await rig.kill()
             shutil.rmtree(rig.folder, ignore_errors=True)
-    took.sort()
+    durations_s.sort()
     sums = {
         name: sum(each.get(name, 0) for each in figures) for name in figures[0] if name.startswith("repo.")
     }
     return {
-        "clients": clients, "releases": shop.release, "sets": counts["sets"], "wrong": wrong[:20],
-        "median_s": round(took[len(took) // 2], 2), "slowest_s": round(took[-1], 2),
+        "clients": clients, "releases": repository.release, "sets": counts["sets"], "wrong": wrong[:20],
+        "median_s": round(durations_s[len(durations_s) // 2], 2), "slowest_s": round(durations_s[-1], 2),
         **dict(sorted(counts.items())), **sums,
     }  # fmt: skip
 
@@ -89,7 +90,7 @@
 @click.option("--gateways", default=3, show_default=True, type=click.IntRange(1, 10))
 @click.option("--seconds", default=30.0, show_default=True, type=click.FloatRange(1.0, 600.0))
 def main(**options: Any) -> None:
-    """Publish releases under terminals that fetch them."""
+    """Publish releases while clients fetch them."""
     result = asyncio.run(play(**options))
     click.echo(msgspec.json.format(msgspec.json.encode(result)).decode())
     raise SystemExit(bool(result["wrong"]))
