--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -47,7 +47,7 @@
 ASK_AGAIN_MS = 500.0  # wait before a silent home gateway, or discovery, is asked again
 
 # Guards
-ORIGIN_FILLS = 24  # simultaneous fills from the origin, of all gateways together: its link is thin
+MAX_ORIGIN_FILLS = 24  # simultaneous fills from the origin, of all gateways together: its link is thin
 WINDOW_MARGIN_MS = 100.0  # kept from the end of a time window, for clock differences and network delay
 
 # Server health
@@ -118,7 +118,7 @@
         self.link_transfers = link_kb_per_s / (settings.flow_kb_per_s or math.inf) or 8.0
         self.link_known = link_kb_per_s > 0.0 and settings.flow_kb_per_s > 0.0
         self.cold_guard = ColdGuard(settings)
-        self.leases, self.lease_waiters = OriginLeases(settings, ORIGIN_FILLS), list[OpenRequest]()
+        self.leases, self.lease_waiters = OriginLeases(settings, MAX_ORIGIN_FILLS), list[OpenRequest]()
 
     def handle(self, event: api.Event, now_ms: float) -> list[api.Action]:
         """Decide on one event; the returned actions are to be carried out in their order."""
--- a/standins/scale/events.py
+++ b/standins/scale/events.py
@@ -1,6 +1,6 @@
 """Tables of the cost and duration of events, such as failures and purges, at the planned fleet size."""
 
-from hitchtiller.decide import ORIGIN_FILLS
+from hitchtiller.decide import MAX_ORIGIN_FILLS
 from standins.scale.assumptions import (
     DAY_S,
     LIST_CHANGES_PER_EVENT,
@@ -98,7 +98,7 @@
     )
     table.add_given(
         "leases of owners among them that nobody lends",
-        ORIGIN_FILLS * lost_gateways / demand.gateways,
+        MAX_ORIGIN_FILLS * lost_gateways / demand.gateways,
         "permits",
         "owners spread over sites",
         LEASES,
@@ -211,7 +211,7 @@
     )
     table.add_given(
         "lease owners in their first term at a time",
-        ORIGIN_FILLS * 10.1 / DAY_S,
+        MAX_ORIGIN_FILLS * 10.1 / DAY_S,
         "permits",
         "a term of 10.1 s each",
         LEASES,
--- a/standins/scale/shared_rows.py
+++ b/standins/scale/shared_rows.py
@@ -1,6 +1,6 @@
 """Rows that appear both in the table of a role and in that of an event."""
 
-from hitchtiller.decide import ORIGIN_FILLS
+from hitchtiller.decide import MAX_ORIGIN_FILLS
 from standins.scale.assumptions import RELOAD_SIGNAL_S
 from standins.scale.estimate import Figures, Row
 from standins.scale.mechanisms import COLD_GUARD, LEASES
@@ -17,7 +17,7 @@
 
 def origin_fills_row(figures: Figures) -> Row:
     """Return the row of simultaneous fills at the origin."""
-    name, budget = "fills at once, all gateways", float(ORIGIN_FILLS)
+    name, budget = "fills at once, all gateways", float(MAX_ORIGIN_FILLS)
     return figures.make_row(name, "origin_peak", "fills", LEASES, budget=budget, is_rule=True)
 
 
--- a/tests/routing/test_routing_leases.py
+++ b/tests/routing/test_routing_leases.py
@@ -8,7 +8,7 @@
 
 from hitchtiller import interface as api
 from hitchtiller.codec.notes import pack, unpack
-from hitchtiller.decide import ORIGIN_FILLS
+from hitchtiller.decide import MAX_ORIGIN_FILLS
 from hitchtiller.interface import LeaseKind, LeaseNote
 from hitchtiller.routing.leases import CLOCK_MARGIN_MS, IDLE_MS, RETRY_MS, OriginLeases
 
@@ -17,7 +17,7 @@
 
 def make_leases(number: int, start_ms: float = START_MS, settled: bool = True) -> OriginLeases:
     """Create one gateway's leases in a fleet of FLEET_SIZE; a settled gateway is past its first term."""
-    gateway = OriginLeases(replace(BASE, my_number=number, group_size=FLEET_SIZE), ORIGIN_FILLS)
+    gateway = OriginLeases(replace(BASE, my_number=number, group_size=FLEET_SIZE), MAX_ORIGIN_FILLS)
     gateway.start(start_ms)
     if settled:
         gateway.grants_from_ms = start_ms
@@ -47,13 +47,13 @@
 
 
 def test_small_fleets_have_a_fixed_number_of_fills_and_send_no_notes() -> None:
-    for size in (1, 3, 9, ORIGIN_FILLS):
-        gateway = OriginLeases(replace(BASE, group_size=size), ORIGIN_FILLS)
+    for size in (1, 3, 9, MAX_ORIGIN_FILLS):
+        gateway = OriginLeases(replace(BASE, group_size=size), MAX_ORIGIN_FILLS)
         fills = 0
         while gateway.may_begin(START_MS, 0.0):
             gateway.record_fill_start(0.0)
             fills += 1
-        assert fills == ORIGIN_FILLS // size
+        assert fills == MAX_ORIGIN_FILLS // size
         assert gateway.request_lease(0.0) == []
 
 
@@ -137,7 +137,7 @@
     late_grant = replace(first_request, kind=LeaseKind.GRANT)
     ((recipient, returned),) = holder.receive(first_owner, late_grant, later_ms + 1.0)
     assert recipient == first_owner and returned == replace(first_request, kind=LeaseKind.RETURN)
-    other_owner = (second_owner + 1) % ORIGIN_FILLS
+    other_owner = (second_owner + 1) % MAX_ORIGIN_FILLS
     grant = replace(second_request, kind=LeaseKind.GRANT)
     ((recipient, _),) = holder.receive(other_owner, grant, later_ms + 2.0)
     assert recipient == other_owner and holder.held_lease is None
@@ -166,7 +166,7 @@
 
 
 def test_a_gateway_without_a_permit_grants_nothing() -> None:
-    assert is_denied(make_leases(ORIGIN_FILLS), 100, START_MS + 60_000.0)
+    assert is_denied(make_leases(MAX_ORIGIN_FILLS), 100, START_MS + 60_000.0)
 
 
 def test_a_lease_with_a_fill_in_flight_is_not_returned() -> None:
@@ -180,8 +180,8 @@
 
 def test_without_notes_between_gateways_owners_use_their_own_permits_and_others_none() -> None:
     settings = replace(BASE, group_size=FLEET_SIZE, peers=False)
-    owner = OriginLeases(replace(settings, my_number=3), ORIGIN_FILLS)
-    other = OriginLeases(replace(settings, my_number=100), ORIGIN_FILLS)
+    owner = OriginLeases(replace(settings, my_number=3), MAX_ORIGIN_FILLS)
+    other = OriginLeases(replace(settings, my_number=100), MAX_ORIGIN_FILLS)
     for gateway in (owner, other):
         gateway.start(START_MS - gateway.term_ms)
         assert gateway.request_lease(START_MS) == []
--- a/tests/scale/test_scale_lease_process.py
+++ b/tests/scale/test_scale_lease_process.py
@@ -7,7 +7,7 @@
 
 from hitchtiller.codec import frames
 from hitchtiller.codec.notes import pack, unpack
-from hitchtiller.decide import ORIGIN_FILLS
+from hitchtiller.decide import MAX_ORIGIN_FILLS
 from hitchtiller.interface import LeaseKind, LeaseNote
 from standins.client import Answered
 from standins.parties import ServerBehaviour
@@ -67,7 +67,7 @@
     )
     try:
         peers = ["127.0.0.1:9"] * FLEET_SIZE
-        for owner in range(ORIGIN_FILLS):
+        for owner in range(MAX_ORIGIN_FILLS):
             transport, _ = await loop.create_datagram_endpoint(
                 lambda: Owner(received, reply), local_addr=("127.0.0.1", 0)
             )
--- a/tests/scale/test_scale_leases.py
+++ b/tests/scale/test_scale_leases.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from hitchtiller.decide import ORIGIN_FILLS
+from hitchtiller.decide import MAX_ORIGIN_FILLS
 from standins.scale.fleet import HollowFleet
 from standins.scale.scenarios import FaultScheduler, measure_origin_fills
 
@@ -20,8 +20,8 @@
 ) -> None:
     """Without leases, each gateway of 25 or more had a fill of its own: 2,300 gateways had 2,300 at once."""
     figures = measure_origin_fills(gateways, misses_per_s, seconds)
-    assert figures.peak_fills <= ORIGIN_FILLS
-    assert figures.mean_fills >= 0.4 * ORIGIN_FILLS
+    assert figures.peak_fills <= MAX_ORIGIN_FILLS
+    assert figures.mean_fills >= 0.4 * MAX_ORIGIN_FILLS
 
 
 @pytest.mark.parametrize("gateways", [25, 40, 200])
@@ -94,5 +94,5 @@
     gateways: int, misses_per_s: float, seconds: float, schedule_faults: FaultScheduler
 ) -> None:
     figures = measure_origin_fills(gateways, misses_per_s, seconds, schedule_faults=schedule_faults)
-    assert figures.peak_fills <= ORIGIN_FILLS
+    assert figures.peak_fills <= MAX_ORIGIN_FILLS
     assert figures.served > 0
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -8,7 +8,7 @@
 from conftest import BASE, FLEET, Bench, gets
 
 from hitchtiller import interface as api
-from hitchtiller.decide import MAX_TABLE_ENTRIES, ORIGIN_FILLS
+from hitchtiller.decide import MAX_ORIGIN_FILLS, MAX_TABLE_ENTRIES
 from hitchtiller.routing.fills import MAX_SHARE
 
 POLICY = Path(__file__).parent.parent / "hitchtiller" / "decide.py"
@@ -243,7 +243,7 @@
 def test_simultaneous_fills_at_the_origin_are_bounded() -> None:
     bench = Bench(parent_kind=None, siblings="none")
     attempts = [get for id in range(100) for get in gets(bench.ask(id, key=id, size_kb=1.0))]
-    assert 0 < sum(get.source == "o" for get in attempts) == ORIGIN_FILLS < 100
+    assert 0 < sum(get.source == "o" for get in attempts) == MAX_ORIGIN_FILLS < 100
 
 
 def test_load_estimate_gives_other_gateways_the_own_mean_and_counts_a_new_request_once() -> None:
