--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -77,7 +77,7 @@
     def __init__(self, settings: api.Settings, seed: int) -> None:
         """Start from the settings alone, with no server known."""
         self.settings, self.rng = settings, Random(seed)
-        self.now, self.actions = 0.0, list[api.Action]()  # time of the event, actions decided so far
+        self.now_ms, self.actions = 0.0, list[api.Action]()  # time of the event, actions decided so far
         self.nodes, self.caches, self.parents = dict[str, Node](), list[Node](), list[Node]()
         self.origins, self.zone_capacity = list[Node](), 0.0  # sum over the zone's caches
         # open requests by id; attempts in flight by id of the request and number of the attempt
@@ -122,7 +122,7 @@
 
     def handle(self, event: api.Event, now_ms: float) -> list[api.Action]:
         """Decide on one event; the returned actions are to be carried out in their order."""
-        self.now, self.actions = now_ms, []
+        self.now_ms, self.actions = now_ms, []
         self.handlers[type(event)](event)
         return self.actions
 
@@ -134,7 +134,7 @@
         A server that a whole list lacks is removed.
         """
         if not self.nodes:
-            self.leases.start(self.now)
+            self.leases.start(self.now_ms)
             self.actions.append(api.SetTimer(SWEEP_MS, "sweep"))
         if self.settings.asks_discovery and (event.failed or not self.nodes):
             self.actions.append(api.SetTimer(ASK_AGAIN_MS * event.failed, "watch"))
@@ -144,9 +144,9 @@
             node = self.nodes.get(member.server)
             if node is None:
                 salt = hash64(*member.server.encode())
-                self.nodes[member.server] = Node(member, salt, self.now, member.started_ms or -math.inf)
+                self.nodes[member.server] = Node(member, salt, self.now_ms, member.started_ms or -math.inf)
                 continue
-            node.update(member, self.now)
+            node.update(member, self.now_ms)
         self.nodes = {name: n for name, n in self.nodes.items() if n.member.state != "DELETED"}
         zone, upstream_kinds = (
             self.settings.my_zone,
@@ -169,7 +169,7 @@
 
         A server that started recently may get one attempt in advance of this rate.
         """
-        return self.cold_guard.work_rate_for(node, self.now, max(self.mean.values()), self.serving_share())
+        return self.cold_guard.work_rate_for(node, self.now_ms, max(self.mean.values()), self.serving_share())
 
     def admits(self, node: Node) -> bool:
         """Cold guard: return whether a server may get one more attempt.
@@ -177,7 +177,7 @@
         Each attempt adds the mean work of its class to a cold server's debt, and the rate pays it off with
         time. A server may get an attempt once its debt is paid off.
         """
-        return self.cold_guard.admits(node, self.now, max(self.mean.values()), self.serving_share())
+        return self.cold_guard.admits(node, self.now_ms, max(self.mean.values()), self.serving_share())
 
     def max_age_ms(self, request: OpenRequest, stage: str) -> float:
         """Return the largest age of a copy that will do, or 0 if any age will.
@@ -190,7 +190,7 @@
         )
         age_ms = min(
             fresh_ms or math.inf,
-            max(1.0, self.now - self.purges.latest(request.event.key, request.event.group)),
+            max(1.0, self.now_ms - self.purges.latest(request.event.key, request.event.group)),
         )
         return 0.0 if age_ms == math.inf else age_ms
 
@@ -202,7 +202,7 @@
         if (
             request.in_flight
             or request.attempt_count >= self.settings.max_attempts
-            or self.now >= request.event.deadline_ms
+            or self.now_ms >= request.event.deadline_ms
         ):
             return False
         return self.may_repeat(request, node)
@@ -217,7 +217,7 @@
         request_class = request.request_class
         if request.first_run is None or request_class.effect == "repeatable":
             return True
-        in_window = self.now < request.first_run[0] + request_class.repeat_window_ms - WINDOW_MARGIN_MS
+        in_window = self.now_ms < request.first_run[0] + request_class.repeat_window_ms - WINDOW_MARGIN_MS
         return (
             request_class.effect == "by_key"
             and in_window
@@ -229,7 +229,7 @@
 
         Return the largest age of a copy that will do then, or None to stop the attempt.
         """
-        request, attempt, self.now = (
+        request, attempt, self.now_ms = (
             self.open_requests.get(id),
             self.in_flight.get((id, attempt_number)),
             now_ms,
@@ -254,7 +254,7 @@
         """
         return (
             node.member.state == "SERVING"
-            and self.now >= node.ejected_until_ms
+            and self.now_ms >= node.ejected_until_ms
             and not (node.on_trial and node.in_flight)
         )
 
@@ -284,9 +284,10 @@
         node = min(eligible[:width], key=lambda n: n.load_ms / n.capacity)
         if not self.in_time(request, node):  # try the other caches of the zone before refusing
             node = min(
-                eligible, key=lambda n: (n.load_ms + request.work_ms) * n.pace.current(self.now) / n.capacity
+                eligible,
+                key=lambda n: (n.load_ms + request.work_ms) * n.pace.current(self.now_ms) / n.capacity,
             )
-        elsewhere = width > 1 or node is not ranking[0] or self.now < node.joined_ms + PLACEMENT_CHANGE_MS
+        elsewhere = width > 1 or node is not ranking[0] or self.now_ms < node.joined_ms + PLACEMENT_CHANGE_MS
         return node, elsewhere and not request.request_class.write and self.settings.siblings != "none"
 
     def serving_gateways(self) -> float:
@@ -308,7 +309,7 @@
         load = others / self.zone_capacity + (1 + own) / node.capacity
         return self.meets_aim(
             request,
-            load if request.request_class.write else max(load, node.pace.significant_stretch(self.now)),
+            load if request.request_class.write else max(load, node.pace.significant_stretch(self.now_ms)),
         )
 
     def meets_aim(self, request: OpenRequest, load: float) -> bool:
@@ -335,8 +336,12 @@
         for node in [n for n in parents if n.member.zone == self.hub_zone][:1] + parents:
             if not request.request_class.write and self.admits(node):
                 return node
-        if not request.request_class.write and not self.leases.may_begin(request.event.deadline_ms, self.now):
-            self.actions += [api.SendNote(peer, note) for peer, note in self.leases.request_lease(self.now)]
+        if not request.request_class.write and not self.leases.may_begin(
+            request.event.deadline_ms, self.now_ms
+        ):
+            self.actions += [
+                api.SendNote(peer, note) for peer, note in self.leases.request_lease(self.now_ms)
+            ]
             request.lacks_lease = True
             return None
         return next(iter(self.origins), None)
@@ -348,7 +353,7 @@
 
         Also set the rank at which a cache keeps the copy.
         """
-        requests = self.popularity.count(request.item, self.now)
+        requests = self.popularity.count(request.item, self.now_ms)
         request.keep_rank = keep_rank(requests)
         mean_capacity = self.zone_capacity / max(1, len(self.caches)) or 1.0
         load_share = requests * request.work_ms * self.serving_gateways() / DECAY_MS / mean_capacity
@@ -410,7 +415,7 @@
         load = (
             1 + self.serving_gateways() * sum(a.stage == "fill" for a in self.in_flight.values())
         ) / self.link_transfers
-        if self.link_known and request.work_ms * load > request.event.deadline_ms - self.now:
+        if self.link_known and request.work_ms * load > request.event.deadline_ms - self.now_ms:
             return False
         return source.fill_limit.admits(request.work_ms, max(self.mean.values()), request.admission_draw)
 
@@ -428,21 +433,21 @@
         if not request.attempt_count:
             # The aim of a first attempt ends before the deadline, so that one that times out counts as slow.
             # Later attempts had less time, so that a time-out says nothing about the source.
-            aim_ms = min(aim_ms, request.event.deadline_ms - self.now - WINDOW_MARGIN_MS)
-        attempt = Attempt(node, source, stage, self.now, request.work_ms, aim_ms)
+            aim_ms = min(aim_ms, request.event.deadline_ms - self.now_ms - WINDOW_MARGIN_MS)
+        attempt = Attempt(node, source, stage, self.now_ms, request.work_ms, aim_ms)
         self.in_flight[request.event.id, request.attempt_count] = attempt
         attempt.adjust_load(1)
         attempt.from_origin = (
             source.member.kind == self.settings.origin_kind and not request.request_class.write
         )
         if attempt.from_origin:
-            self.leases.record_fill_start(self.now)
+            self.leases.record_fill_start(self.now_ms)
         for server in servers[: 1 + (source is not node)]:
             server.debt_ms += self.mean[request.request_class.name]
         request.attempt_count, request.in_flight = request.attempt_count + 1, True
         copy_rank, remaining_ms = (
             0 if request.request_class.write else request.keep_rank,
-            request.event.deadline_ms - self.now,
+            request.event.deadline_ms - self.now_ms,
         )
         server_names = (node.member.server, source.member.server)
         fill_flags = (self.settings.joins, stage == "sibling", stage == "fill")  # join, held_only, renew
@@ -488,7 +493,7 @@
 
         Return whether it was rerouted or waits.
         """
-        lease_ready = request.lacks_lease and self.leases.may_begin(request.event.deadline_ms, self.now)
+        lease_ready = request.lacks_lease and self.leases.may_begin(request.event.deadline_ms, self.now_ms)
         if (
             not request.lacks_lease
             or request.waited_for_lease
@@ -512,7 +517,7 @@
             waiters, self.lease_waiters = self.lease_waiters, []
             for request in waiters:
                 if request.event.id in self.open_requests and self.leases.may_begin(
-                    request.event.deadline_ms, self.now
+                    request.event.deadline_ms, self.now_ms
                 ):
                     self.route(request, 1)
                 else:
@@ -529,7 +534,7 @@
         if attempt:
             attempt.adjust_load(-1)
             if attempt.from_origin:
-                self.leases.record_fill_end(self.now)
+                self.leases.record_fill_end(self.now_ms)
             attempt.node.overdue -= attempt.overdue
             self.update_health(request, attempt, event)
         if not attempt or not request:
@@ -541,10 +546,13 @@
             del self.open_requests[event.id]
             if event.status == "done":
                 self.sizes.learn(
-                    request.event, event, not request.request_class.write, attempt.node.pace.current(self.now)
+                    request.event,
+                    event,
+                    not request.request_class.write,
+                    attempt.node.pace.current(self.now_ms),
                 )
                 self.served(request, attempt.node)
-        elif self.now >= request.event.deadline_ms - 1.0:
+        elif self.now_ms >= request.event.deadline_ms - 1.0:
             self.give_up(request)
         else:
             self.send_next_attempt(request, attempt, event.status)
@@ -552,10 +560,10 @@
     def served(self, request: OpenRequest, node: Node) -> None:
         """Report a cache that keeps a copy to the home gateway, no more often than its entry needs."""
         last_server, reported_ms = self.reported.get(request.item, ("", 0.0))
-        due = last_server != node.member.server or self.now - reported_ms > ENTRY_TTL_MS / 2
+        due = last_server != node.member.server or self.now_ms - reported_ms > ENTRY_TTL_MS / 2
         in_own_zone = node.member.zone == self.settings.my_zone and not request.request_class.write
         if due and in_own_zone and self.settings.siblings != "none":
-            lru_put(self.reported, request.item, (node.member.server, self.now), MAX_TABLE_ENTRIES)
+            lru_put(self.reported, request.item, (node.member.server, self.now_ms), MAX_TABLE_ENTRIES)
             self.send_note(
                 request.home_number,
                 api.PeerNote("kept", *request.item, node.member.server, max(0, request.event.group)),
@@ -628,12 +636,14 @@
         fault. The reset of a connection counts once, however many attempts it ended.
         """
         node, source = attempt.node, attempt.source
-        if event.status == "busy" or (event.status == "done" and self.now - attempt.sent_ms > attempt.aim_ms):
+        if event.status == "busy" or (
+            event.status == "done" and self.now_ms - attempt.sent_ms > attempt.aim_ms
+        ):
             self.record_missed_aim(attempt)
         elif event.status == "done" and source is not node:
             source.fill_limit.grow()
         if event.status == "done" and event.note == 1 and request and request.size_known and event.whole:
-            node.pace.record(self.now, event.latency_ms / request.work_ms)
+            node.pace.record(self.now_ms, event.latency_ms / request.work_ms)
         if event.status in ("done", "enoent"):
             self.record_success(node)
             fill_unknown = self.settings.notes == "none" and event.status == "done"
@@ -649,10 +659,10 @@
         elif event.status in FAILURE_SHARES and not (
             event.status == "econnreset" and attempt.sent_ms <= node.reset_ms
         ):
-            node.reset_ms = self.now if event.status == "econnreset" else node.reset_ms
+            node.reset_ms = self.now_ms if event.status == "econnreset" else node.reset_ms
             if event.status == "econnrefused" and not event.silent:
                 # The server's process has ended, so the server is cold when it returns.
-                node.refused_ms = self.now
+                node.refused_ms = self.now_ms
             self.attribute_failure(attempt, event.status)
 
     def attribute_failure(self, attempt: Attempt, status: str) -> None:
@@ -662,7 +672,7 @@
         alone.
         """
         node, source = attempt.node, attempt.source
-        node.answered_ms = self.now
+        node.answered_ms = self.now_ms
         node_only = source is node or status.startswith("econn")
         self.add_failure(node, FAILURE_SHARES[status] * (1.0 if node_only else 1.0 - source.failure_score))
         if not node_only:
@@ -671,7 +681,7 @@
     def record_success(self, node: Node, factor: float = SUCCESS_FACTOR) -> None:
         """Lower the failure score of a server that answered."""
         node.failure_score *= factor
-        node.answered_ms = self.now
+        node.answered_ms = self.now_ms
         if node.on_trial:
             node.on_trial, node.failure_score, node.ejections = (
                 False,
@@ -688,17 +698,18 @@
         node.failure_score += (1.0 - node.failure_score) * share
         if (
             node.failure_score < EJECTION_SCORE
-            or self.now < node.ejected_until_ms
+            or self.now_ms < node.ejected_until_ms
             or node.member.kind == self.settings.origin_kind
         ):
             return
         similar = [n for n in self.nodes.values() if n is not node and self.fails_alike(n, node)]
         if 2 * sum(
-            self.now < other.ejected_until_ms or other.failure_score > EJECTION_SCORE / 2 for other in similar
+            self.now_ms < other.ejected_until_ms or other.failure_score > EJECTION_SCORE / 2
+            for other in similar
         ) >= len(similar):
             return
         node.ejections, node.on_trial = node.ejections + 1, True
-        node.ejected_until_ms = self.now + ejection_ms(node.ejections)
+        node.ejected_until_ms = self.now_ms + ejection_ms(node.ejections)
         self.actions.append(api.Log(f"left out {node.member.server}, {node.ejections} in a row"))
         # Cancel the attempts that are stuck at the server, so that their requests are retried elsewhere.
         stuck = [
@@ -728,7 +739,7 @@
         It counts against the source if the cache has answered anything since the attempt was sent, else
         against the cache.
         """
-        node, source, age_ms = attempt.node, attempt.source, self.now - attempt.sent_ms
+        node, source, age_ms = attempt.node, attempt.source, self.now_ms - attempt.sent_ms
         if age_ms > attempt.aim_ms:
             self.record_missed_aim(attempt)
         if not attempt.overdue and age_ms > OVERDUE_AFTER[0] + OVERDUE_AFTER[1] * attempt.work_ms:
@@ -754,16 +765,16 @@
             request = self.open_requests.get(int(event.token)) if event.token.isdecimal() else None
             # The timer may belong to an older wait, which an answer has ended.
             if request and request.event.id in self.waiting_for_home.get(request.item, []):
-                self.silent_homes[request.home_number] = self.now + ASK_AGAIN_MS
+                self.silent_homes[request.home_number] = self.now_ms + ASK_AGAIN_MS
                 self.resume_waiting(request.item, None)
         else:
             self.actions.append(api.SetTimer(SWEEP_MS, "sweep"))
-            on_time, self.last_sweep_ms = self.now - self.last_sweep_ms < 4.0 * SWEEP_MS, self.now
+            on_time, self.last_sweep_ms = self.now_ms - self.last_sweep_ms < 4.0 * SWEEP_MS, self.now_ms
             # If this process itself lagged, answers may still be unread, and good servers would be ejected.
             for attempt in list(self.in_flight.values()) if on_time else ():
                 self.check_overdue(attempt)
-            self.on_lease_messages(self.leases.tick(self.now))
-            self.purges.forget_until(self.now - self.settings.purge_done_ms - WINDOW_MARGIN_MS)
+            self.on_lease_messages(self.leases.tick(self.now_ms))
+            self.purges.forget_until(self.now_ms - self.settings.purge_done_ms - WINDOW_MARGIN_MS)
 
     # Directory of copies, and notes between gateways
 
@@ -774,13 +785,13 @@
         """
         wait_ms, remaining_ms = (
             HOME_WAIT_SHARE * request.request_class.aim_ms,
-            request.event.deadline_ms - self.now,
+            request.event.deadline_ms - self.now_ms,
         )
         if request.home_number == self.settings.my_number:
             self.fill_missed_cache(request, self.next_holder(request.item, self.settings.my_zone, cache_name))
         elif (
             not self.settings.peers
-            or self.now < self.silent_homes.get(request.home_number, 0.0)
+            or self.now_ms < self.silent_homes.get(request.home_number, 0.0)
             or remaining_ms < 3.0 * wait_ms
         ):
             self.fill_missed_cache(request, None)
@@ -808,7 +819,7 @@
         Entries from before a purge of the object or a restart of the cache are dropped.
         """
         purged_ms = self.purges.latest(item[0], self.directory.group(item))
-        for server, listed_ms in self.directory.holders(item, purged_ms, self.now):
+        for server, listed_ms in self.directory.holders(item, purged_ms, self.now_ms):
             node = self.nodes.get(server)
             if node is None or listed_ms <= node.joined_ms:
                 self.directory.remove_holder(item, server)
@@ -831,7 +842,7 @@
         lacks an object.
         """
         if isinstance(event.note, api.LeaseNote):
-            return self.on_lease_messages(self.leases.receive(event.sender, event.note, self.now))
+            return self.on_lease_messages(self.leases.receive(event.sender, event.note, self.now_ms))
         note, zones = event.note, self.settings.zones
         item, node = (note.key, note.part), self.nodes.get(note.server)
         if note.kind == "ask" and note.number < len(zones):
@@ -844,8 +855,8 @@
         elif note.kind == "lacks":
             self.directory.remove_holder(item, note.server)
         elif note.kind == "kept" and node is not None:
-            self.directory.add(item, note.number, note.server, self.now)
+            self.directory.add(item, note.number, note.server, self.now_ms)
 
     def on_purged(self, event: api.Purged) -> None:
         """Record a purge, which bounds the age of copies and of directory entries."""
-        self.purges.record(event.key, event.group, self.now - event.age_ms)
+        self.purges.record(event.key, event.group, self.now_ms - event.age_ms)
--- a/hitchtiller/ops/members.py
+++ b/hitchtiller/ops/members.py
@@ -129,7 +129,7 @@
             nodes[server_hash] for server_hash in evidence.take_verdicts(now) if server_hash in nodes
         ):
             if now >= node.ejected_until_ms and not self.engine.is_dispatching:
-                router.now, router.actions = now, []
+                router.now_ms, router.actions = now, []
                 router.add_failure(node, REPORTED_FAILURE)
                 for action in router.actions:
                     self.engine.execute(action)
--- a/standins/scale/bounds.py
+++ b/standins/scale/bounds.py
@@ -67,7 +67,7 @@
     for step in range(int(COLD_RUN_MS / STEP_MS)):
         now_ms = begin_ms + step * STEP_MS
         for router, informed_ms in routers:
-            router.now, node = now_ms, router.nodes[member.server]
+            router.now_ms, node = now_ms, router.nodes[member.server]
             if now_ms >= informed_ms and router.admits(node):
                 node.debt_ms += CALL_WORK_MS
                 call_times_ms.append(now_ms)
--- a/tests/routing/test_routing_cold.py
+++ b/tests/routing/test_routing_cold.py
@@ -53,7 +53,7 @@
                 if now_ms < self.known_from_ms[number] or self.rng.random() > share[number]:
                     continue
                 router = self.routers[number]
-                router.now, node = now_ms, router.nodes[self.cold_server]
+                router.now_ms, node = now_ms, router.nodes[self.cold_server]
                 if router.admits(node):
                     node.debt_ms += WORK_MS
                     self.call_times_ms.append(now_ms)
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -442,7 +442,7 @@
     (get,) = gets(bench.ask(1, key=1, name="big", size_kb=4000.0, life_ms=5000.0))
     (attempt,) = bench.router.in_flight.values()
     assert attempt.source.member.server == get.source and attempt.source.fill_limit.unlimited
-    bench.router.now = 4950.0
+    bench.router.now_ms = 4950.0
     bench.router.check_overdue(attempt)
     assert not attempt.source.fill_limit.unlimited
 
@@ -459,6 +459,6 @@
     (again,) = gets(bench.end(get, "econnrefused"))
     (attempt,) = bench.router.in_flight.values()
     assert again.source == attempt.source.member.server != attempt.node.member.server
-    bench.router.now = 4990.0
+    bench.router.now_ms = 4990.0
     bench.router.check_overdue(attempt)
     assert attempt.source.fill_limit.unlimited
