--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -97,7 +97,10 @@
         self.purges = PurgeLog()
         self.rankings: dict[int, tuple[list[Node], list[Node]]] = {}  # caches and parents, by object hash
         self.sizes = Sizes(settings)
-        self.capacity_model, self.mean = Capacity(settings), self.sizes.mean  # mean work by class
+        self.capacity_model, self.mean_work_ms = (
+            Capacity(settings),
+            self.sizes.mean_work_ms,
+        )  # mean work by class
         self.last_sweep_ms = math.inf  # last check for overdue attempts
         self.retry_tokens = MAX_RETRY_TOKENS  # retries that may be sent now
         self.handlers: dict[type, Callable[[Any], object]] = {
@@ -169,7 +172,9 @@
 
         A server that started recently may get one attempt in advance of this rate.
         """
-        return self.cold_guard.work_rate_for(node, self.now_ms, max(self.mean.values()), self.serving_share())
+        return self.cold_guard.work_rate_for(
+            node, self.now_ms, max(self.mean_work_ms.values()), self.serving_share()
+        )
 
     def admits(self, node: Node) -> bool:
         """Cold guard: return whether a server may get one more attempt.
@@ -177,7 +182,9 @@
         Each attempt adds the mean work of its class to a cold server's debt, and the rate pays it off with
         time. A server may get an attempt once its debt is paid off.
         """
-        return self.cold_guard.admits(node, self.now_ms, max(self.mean.values()), self.serving_share())
+        return self.cold_guard.admits(
+            node, self.now_ms, max(self.mean_work_ms.values()), self.serving_share()
+        )
 
     def max_age_ms(self, request: OpenRequest, stage: str) -> float:
         """Return the largest age of a copy that will do, or 0 if any age will.
@@ -417,7 +424,9 @@
         ) / self.link_transfers
         if self.link_known and request.work_ms * load > request.event.deadline_ms - self.now_ms:
             return False
-        return source.fill_limit.admits(request.work_ms, max(self.mean.values()), request.admission_draw)
+        return source.fill_limit.admits(
+            request.work_ms, max(self.mean_work_ms.values()), request.admission_draw
+        )
 
     def send(self, request: OpenRequest, node: Node | None, source: Node | None, stage: str) -> None:
         """Apply the guards, then send an attempt; a request that may not be sent is given up at once.
@@ -443,7 +452,7 @@
         if attempt.from_origin:
             self.leases.record_fill_start(self.now_ms)
         for server in servers[: 1 + (source is not node)]:
-            server.debt_ms += self.mean[request.request_class.name]
+            server.debt_ms += self.mean_work_ms[request.request_class.name]
         request.attempt_count, request.in_flight = request.attempt_count + 1, True
         copy_rank, remaining_ms = (
             0 if request.request_class.write else request.keep_rank,
--- a/hitchtiller/routing/sizes.py
+++ b/hitchtiller/routing/sizes.py
@@ -37,7 +37,7 @@
         """Create a table with means that are safe until learned."""
         self.flow_kb_per_s = settings.flow_kb_per_s or math.inf
         self.max_work_ms = {name: cls.deadline_ms for name, cls in settings.classes.items()}
-        self.mean = {
+        self.mean_work_ms = {
             name: cls.aim_ms * (EFFECT_AIM_SHARE if cls.write else 1.0)
             for name, cls in settings.classes.items()
         }
@@ -50,7 +50,7 @@
             self._update_mean(request.class_name, work_ms)
             return work_ms, True
         work_ms = self.work_by_object.get((request.class_name, request.key), 0.0)
-        return work_ms or self.mean[request.class_name], work_ms > 0.0
+        return work_ms or self.mean_work_ms[request.class_name], work_ms > 0.0
 
     def learn(self, request: Request, outcome: Outcome, cacheable: bool, stretch: float = 1.0) -> None:
         """Learn from a served answer's time; `cacheable` if objects of its class are requested again."""
@@ -68,6 +68,6 @@
                 del self.work_by_object[next(iter(self.work_by_object))]
 
     def _update_mean(self, class_name: str, work_ms: float) -> None:
-        self.mean[class_name] += MEAN_WEIGHT * (
-            min(work_ms, self.max_work_ms[class_name]) - self.mean[class_name]
+        self.mean_work_ms[class_name] += MEAN_WEIGHT * (
+            min(work_ms, self.max_work_ms[class_name]) - self.mean_work_ms[class_name]
         )
--- a/standins/scale/bounds.py
+++ b/standins/scale/bounds.py
@@ -61,7 +61,7 @@
     for number in numbers:
         router = Router(plan.settings(number), number)
         router.handle(api.Members((member, plan.origin()), whole=True), begin_ms)
-        router.mean.update(dict.fromkeys(router.mean, CALL_WORK_MS))
+        router.mean_work_ms.update(dict.fromkeys(router.mean_work_ms, CALL_WORK_MS))
         routers.append((router, begin_ms + rng.choice((0.0, 300.0, 2_000.0))))
     call_times_ms = []
     for step in range(int(COLD_RUN_MS / STEP_MS)):
--- a/tests/ends/test_ends_settings.py
+++ b/tests/ends/test_ends_settings.py
@@ -96,10 +96,10 @@
         from hitchtiller.decide import Router
 
         first, second = Router(read_settings(SETTINGS), 1), Router(read_settings(SETTINGS), 1)
-        first.mean["files"] = 77.0
+        first.mean_work_ms["files"] = 77.0
         first.popularity.count((1, 1), 77.0)
         first.purges.record(1, 0, 77.0)
         first.directory.add((1, 1), 0, "cache", 77.0)
-        self.assertNotEqual(second.mean["files"], 77.0)
+        self.assertNotEqual(second.mean_work_ms["files"], 77.0)
         self.assertEqual((second.popularity.counts, second.directory.entries), ({}, {}))
         self.assertEqual((len(first.purges), len(second.purges)), (1, 0))
--- a/tests/routing/test_routing_cold.py
+++ b/tests/routing/test_routing_cold.py
@@ -33,7 +33,7 @@
     def start(self, number: int) -> None:
         """Start a gateway process; it does not know what an earlier one has sent."""
         router = Router(replace(self.settings, my_number=number), number)
-        router.mean.update(dict.fromkeys(router.mean, WORK_MS))
+        router.mean_work_ms.update(dict.fromkeys(router.mean_work_ms, WORK_MS))
         fleet = tuple(replace(m, started_ms=1.0) if m.server == self.cold_server else m for m in FLEET)
         router.handle(api.Members(fleet, whole=True), 1.0)
         self.routers[number] = router
--- a/tests/routing/test_routing_sizes.py
+++ b/tests/routing/test_routing_sizes.py
@@ -68,7 +68,7 @@
     sizes = Sizes(SETTINGS)
     for n, took_ms in enumerate(times_ms):
         sizes.learn(make_request(n), make_outcome(took_ms), True)
-    assert 0.0 < sizes.mean["big"] <= CLASSES["big"].deadline_ms
+    assert 0.0 < sizes.mean_work_ms["big"] <= CLASSES["big"].deadline_ms
 
 
 def test_the_table_is_bounded() -> None:
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -37,7 +37,7 @@
         bench = Bench(my_number=number, group_size=gateways, gateways_in_zone=(0, gateways, 0),
                       siblings="none", notes="none", fall_multiple=FALL_MULTIPLE, cold_share=COLD_SHARE,
                       cold_ms=COLD_RAMP_MS)  # fmt: skip
-        bench.router.mean.update(dict.fromkeys(bench.router.mean, work_ms))
+        bench.router.mean_work_ms.update(dict.fromkeys(bench.router.mean_work_ms, work_ms))
         bench.router.serving_share = lambda: present
         bench.give(api.Members(members, whole=True), 1.0)
         benches.append(bench)
@@ -96,7 +96,7 @@
     for number in range(200):
         bench = Bench(my_number=number, group_size=200, gateways_in_zone=(0, 200, 0), cold_share=COLD_SHARE,
                       cold_ms=COLD_RAMP_MS, fall_multiple=FALL_MULTIPLE)  # fmt: skip
-        bench.router.mean = dict.fromkeys(bench.router.mean, WORK_MS)
+        bench.router.mean_work_ms = dict.fromkeys(bench.router.mean_work_ms, WORK_MS)
         bench.give(api.Members(members, whole=True), 1.0)
         node = bench.router.nodes["c0"]
         if bench.router.cold_rate(node) > 0.0:
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -178,7 +178,7 @@
 
 def test_a_limited_source_gets_fewer_and_smaller_fills_and_look_ups_continue() -> None:
     bench = Bench(siblings="none")
-    mean = max(bench.router.mean.values())
+    mean = max(bench.router.mean_work_ms.values())
 
     def fills(share: float) -> int:
         count = 0
@@ -343,7 +343,7 @@
 def test_impossible_sizes_do_not_distort_the_mean_of_a_class(bench: Bench) -> None:
     for id in range(50):
         bench.ask(id, size_kb=1e6)
-    assert bench.router.mean["small"] <= 3000.0
+    assert bench.router.mean_work_ms["small"] <= 3000.0
 
 
 def test_a_first_reset_is_retried_at_the_same_cache_a_second_one_or_a_refusal_elsewhere(bench: Bench) -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -161,7 +161,7 @@
     cold: str, weight: float, share: float, ramp: float
 ) -> None:
     bench = Bench(notes="none", siblings="none")
-    bench.router.mean["big"] = 400.0
+    bench.router.mean_work_ms["big"] = 400.0
     bench.give(api.Members(tuple(replace(m, started_ms=1.0) if m.server == cold else m for m in FLEET)), 1.0)
     for id in range(2000):
         bench.now = 1.0 + 5.0 * id
@@ -225,7 +225,7 @@
     cold = (*FLEET[:4], replace(FLEET[4], started_ms=1.0), *FLEET[6:])
     for number in range(routers):
         bench = Bench(my_number=number, group_size=routers, siblings="none", fall_ms=1000.0)
-        bench.router.mean = dict.fromkeys(bench.router.mean, 400.0)
+        bench.router.mean_work_ms = dict.fromkeys(bench.router.mean_work_ms, 400.0)
         bench.give(api.Members(cold, whole=True), 1.0)
         for id in range(100):
             bench.now = 1.0 + 50.0 * id
@@ -240,7 +240,7 @@
 def test_a_cache_that_refused_a_connection_counts_as_cold_until_the_list_announces_its_start() -> None:
     """The cache's process has ended, and it may be back and empty before a late list announces its start."""
     bench = Bench()
-    bench.router.mean = dict.fromkeys(bench.router.mean, 400.0)
+    bench.router.mean_work_ms = dict.fromkeys(bench.router.mean_work_ms, 400.0)
     node = bench.router.nodes["c0"]
     assert bench.router.cold_rate(node) == math.inf
     bench.now = 5000.0
