--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -85,7 +85,7 @@
         self.popularity = Popularity()
         self.directory = Directory()  # the slice that this gateway keeps as a home gateway
         # by object and part: the cache that was last reported to the home gateway as a holder, and when
-        self.reported: dict[tuple[int, int], tuple[str, float]] = {}
+        self.reported_copies: dict[tuple[int, int], tuple[str, float]] = {}
         # by object and part: ids of the requests that wait for the home gateway's answer
         self.waiting_for_home: dict[tuple[int, int], list[int]] = {}
         # number of an object's home gateway, by the object's hash; membership replaces this function
@@ -568,11 +568,11 @@
 
     def served(self, request: OpenRequest, node: Node) -> None:
         """Report a cache that keeps a copy to the home gateway, no more often than its entry needs."""
-        last_server, reported_ms = self.reported.get(request.item, ("", 0.0))
+        last_server, reported_ms = self.reported_copies.get(request.item, ("", 0.0))
         due = last_server != node.member.server or self.now_ms - reported_ms > ENTRY_TTL_MS / 2
         in_own_zone = node.member.zone == self.settings.my_zone and not request.request_class.write
         if due and in_own_zone and self.settings.siblings != "none":
-            lru_put(self.reported, request.item, (node.member.server, self.now_ms), MAX_TABLE_ENTRIES)
+            lru_put(self.reported_copies, request.item, (node.member.server, self.now_ms), MAX_TABLE_ENTRIES)
             self.send_note(
                 request.home_number,
                 api.PeerNote("kept", *request.item, node.member.server, max(0, request.event.group)),
--- a/tests/scale/test_scale_growth.py
+++ b/tests/scale/test_scale_growth.py
@@ -35,7 +35,7 @@
     assert decisions.OBJECT_COUNT > MAX_OBJECTS
     assert len(router.popularity.counts) == MAX_OBJECTS
     assert len(router.directory.entries) == MAX_ENTRIES
-    assert max(len(router.reported), len(router.rankings)) <= MAX_OBJECTS
+    assert max(len(router.reported_copies), len(router.rankings)) <= MAX_OBJECTS
 
 
 def test_directory_notes_of_a_gateway_do_not_grow_with_the_fleet() -> None:
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -96,7 +96,7 @@
     router = bench.router
     assert all(
         len(table) <= MAX_TABLE_ENTRIES
-        for table in (router.directory.entries, router.popularity.counts, router.reported)
+        for table in (router.directory.entries, router.popularity.counts, router.reported_copies)
     )
     assert not router.open_requests and not router.in_flight and not router.waiting_for_home
 
--- a/tests/test_property.py
+++ b/tests/test_property.py
@@ -157,5 +157,5 @@
     router = world.router
     assert all(
         len(table) <= MAX_TABLE_ENTRIES
-        for table in (router.directory.entries, router.popularity.counts, router.reported)
+        for table in (router.directory.entries, router.popularity.counts, router.reported_copies)
     )
