--- a/hitchtiller/engine.py
+++ b/hitchtiller/engine.py
@@ -127,11 +127,11 @@
 
     # Client side
 
-    def has(self, id: str) -> bool:
+    def has_request(self, id: str) -> bool:
         """Return whether a request with this id is open, from any client."""
         return id.lower() in self.open_ids
 
-    def take(self, request: ClientRequest, deliver: Callable[[Answer], None]) -> Exchange:
+    def accept(self, request: ClientRequest, deliver: Callable[[Answer], None]) -> Exchange:
         """Start handling a request; `deliver` receives its final answer unless the client leaves."""
         exchange = Exchange(next(self.request_numbers), request, deliver)
         self.open_exchanges[exchange.number] = exchange
@@ -144,10 +144,10 @@
         if self.effects.window_passed(request.class_name, request.dedupe, exchange.accepted_ms):
             self.fail(exchange)  # an earlier attempt may have run, and servers no longer drop its repeat
         elif self.copies is None or not self.copies.try_serve(exchange):
-            self.decide(exchange)
+            self.route(exchange)
         return exchange
 
-    def decide(self, exchange: Exchange) -> None:
+    def route(self, exchange: Exchange) -> None:
         """Submit a request to the router, at most once."""
         if exchange.is_over or exchange.is_routed:
             return
@@ -164,7 +164,7 @@
             )
         )
 
-    def leave(self, exchange: Exchange) -> None:
+    def client_left(self, exchange: Exchange) -> None:
         """Handle a client that left: close the exchange and cancel its attempts."""
         if exchange.close():
             self.stats.left += 1
--- a/hitchtiller/front/client.py
+++ b/hitchtiller/front/client.py
@@ -117,7 +117,7 @@
             self.queued_requests.clear()
             exchanges, self.open_exchanges = list(self.open_exchanges.values()), {}
             for exchange in exchanges:
-                self.front.engine.leave(exchange)
+                self.front.engine.client_left(exchange)
 
     def _receive(self, reader: frames.FrameReader, data: bytes) -> None:
         arrived_ms, started_ms = self.arrived_ms, now_ms()
@@ -194,7 +194,7 @@
         elif frame.kind == frames.GIVE_UP:
             self.queued_requests.pop(frame.stream, None)
             if exchange := self.open_exchanges.pop(frame.stream, None):
-                self.front.engine.leave(exchange)
+                self.front.engine.client_left(exchange)
         elif frame.kind == frames.READY:
             self.last_probe_ms = now_ms()
             if self.stream.unsent_bytes > HIGH_WATER_BYTES:
@@ -247,7 +247,7 @@
             return
         is_new = stream != 0 and self.stream_numbers.claim(stream)
         # A cache must not get the same request id twice at the same time.
-        if not is_new or self.front.engine.has(request.id):
+        if not is_new or self.front.engine.has_request(request.id):
             stats.end(request.class_name, FAILED)
             self._send_answer(stream, Answer(FAILED))
             return
@@ -260,7 +260,7 @@
             stats.end(request.class_name, REFUSED)
             self._send_answer(stream, Answer(REFUSED, wait_ms=self.front.settings.max_retry_after_ms))
             return
-        exchange = self.front.engine.take(request, partial(self._on_answer, stream))
+        exchange = self.front.engine.accept(request, partial(self._on_answer, stream))
         if not exchange.is_over:
             self.open_exchanges[stream] = exchange
 
--- a/hitchtiller/repo/fetch.py
+++ b/hitchtiller/repo/fetch.py
@@ -146,13 +146,13 @@
             f"{self.rng.getrandbits(64):016x}", file_request.class_name, object_name, file_request.key,
             deadline_ms, part=number, group=file_request.group, size_kb=PART / 1000.0, background=True,
         )  # fmt: skip
-        exchange = self.engine.take(request, deliver)
+        exchange = self.engine.accept(request, deliver)
         if not answers:
             is_parked = True
             try:
                 self.sched.park()
             except BaseException:
-                self.engine.leave(exchange)
+                self.engine.client_left(exchange)
                 raise
         return answers[0]
 
--- a/hitchtiller/store/tier.py
+++ b/hitchtiller/store/tier.py
@@ -293,7 +293,7 @@
         if self.rules.copy_state(copy.part, self.engine.clock.now_ms()) is CopyState.FRESH:
             self.engine.finish(exchange, answer)
         else:
-            self.engine.decide(exchange)
+            self.engine.route(exchange)
 
     def _start_disk_read(self, exchange: Exchange, part_hash: int) -> bool:
         """Start reading the part of a fill's leader from disk; return False if the disk can't serve it."""
@@ -303,7 +303,7 @@
         if not disk.get(request.key, request.part, partial(self._on_disk_read, exchange)):
             return False
         if not exchange.is_over and not exchange.is_routed:  # a thread reads it, and the disk may hang
-            self.engine.clock.later(STALL_MS, partial(self.engine.decide, exchange))
+            self.engine.clock.later(STALL_MS, partial(self.engine.route, exchange))
         return True
 
     def _on_disk_read(self, exchange: Exchange, part: Part | None, body: bytes) -> None:
@@ -317,7 +317,7 @@
                     return
             elif not (exchange.is_over or exchange.is_routed):
                 self._record_fallback(exchange, copy, state, hash_part(part.key, part.part))
-        self.engine.decide(exchange)
+        self.engine.route(exchange)
 
     def _store(self, part: Part, body: bytes) -> None:
         """Store a part in memory and, if it was requested before, on disk."""
@@ -343,7 +343,7 @@
 
     def _on_join_timeout(self, exchange: Exchange) -> None:
         if not exchange.is_over and self.joins.give_up(exchange.number):
-            self.engine.decide(exchange)
+            self.engine.route(exchange)
 
     def _continue_waiter(
         self, next_step: NextStep, number: int, copy: Copy | None, unchanged: bool, answer: Answer | None
@@ -372,7 +372,7 @@
         elif next_step is not NextStep.LEAD or not self._start_disk_read(
             exchange, hash_part(exchange.request.key, exchange.request.part)
         ):
-            self.engine.decide(exchange)
+            self.engine.route(exchange)
 
     def _publish(self) -> None:
         """Register the statistics that operators read."""
--- a/standins/lag.py
+++ b/standins/lag.py
@@ -139,7 +139,7 @@
                 key = rng.randrange(2_000) if rng.random() < 0.8 else 10_000 + rng.getrandbits(30)
                 name = f"{key:016x}"
                 wait = now_ms() + 2000.0
-                engine.take(
+                engine.accept(
                     ClientRequest(f"{count:016x}", "files", name, key, wait, size_kb=30.0), answers.append
                 )
             sched.sleep(1.0)
--- a/tests/ends/sides.py
+++ b/tests/ends/sides.py
@@ -73,16 +73,16 @@
         self.taken: list[str] = []
         self.left: list[str] = []
 
-    def has(self, id: str) -> bool:
+    def has_request(self, id: str) -> bool:
         return False
 
-    def take(self, request: ClientRequest, deliver: Callable[[Answer], None]) -> Exchange:
+    def accept(self, request: ClientRequest, deliver: Callable[[Answer], None]) -> Exchange:
         exchange = Exchange(len(self.taken), request, deliver)
         self.taken.append(request.id)
         self.open[exchange.number] = exchange
         return exchange
 
-    def leave(self, exchange: Exchange) -> None:
+    def client_left(self, exchange: Exchange) -> None:
         if exchange.close():
             self.left.append(exchange.request.id)
 
--- a/tests/store/test_store_tier.py
+++ b/tests/store/test_store_tier.py
@@ -134,7 +134,7 @@
 def test_a_waiter_takes_over_when_the_leaders_client_leaves(tiers: Tiers) -> None:
     leader = tiers.ask()
     tiers.ask()
-    tiers.engine.leave(leader)
+    tiers.engine.client_left(leader)
     assert len(tiers.sent()) == 1 and tiers.sent()[0].exchange.number == 2
     tiers.serve(tiers.sent()[0])
     assert kinds(tiers) == {2: SERVED}
--- a/tests/store/tiers.py
+++ b/tests/store/tiers.py
@@ -72,7 +72,7 @@
             assert number not in self.answers, "a second answer"
             self.answers[number] = answer
 
-        return self.engine.take(request, deliver)
+        return self.engine.accept(request, deliver)
 
     def sent(self) -> list[Attempt]:
         """Return the attempts that were sent to servers and have not ended."""
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -68,7 +68,7 @@
 
     def start_request(self, **more: Any) -> Attempt:
         request = ClientRequest("0" * 16, "small", "0" * 16, 42, self.clock.now + 900.0, size_kb=50.0, **more)
-        self.exchange = self.engine.take(request, self.answers.append)
+        self.exchange = self.engine.accept(request, self.answers.append)
         return self.back.sent[-1]
 
     def kinds(self) -> list[str]:
@@ -90,14 +90,14 @@
     def test_an_exception_in_the_router_fails_only_the_request_concerned(self) -> None:
         first = self.start_request()
         handle, self.engine.router.handle = self.engine.router.handle, lambda *_: [][0]  # type: ignore[method-assign]
-        self.engine.take(first.exchange.request, self.answers.append)
+        self.engine.accept(first.exchange.request, self.answers.append)
         self.engine.router.handle = handle  # type: ignore[method-assign]
         first.end(AttemptResult("done"))
         self.assertEqual(self.kinds(), [FAILED, SERVED])
 
     def test_a_client_that_left_gets_no_answer_and_its_attempt_is_cancelled(self) -> None:
         attempt = self.start_request()
-        self.engine.leave(self.exchange)
+        self.engine.client_left(self.exchange)
         attempt.end(AttemptResult("done"))
         self.assertEqual((self.kinds(), self.back.cancelled), ([], [attempt]))
 
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -160,7 +160,7 @@
         ask = ClientRequest(
             f"{number:016x}", "small", f"{number:016x}", number, self.clock.now + 900.0, size_kb=50.0
         )
-        self.engine.take(ask, lambda answer: None)
+        self.engine.accept(ask, lambda answer: None)
         return self.back_end.sent[-1]
 
     def test_a_hold_out_lasts_through_bus_events_until_it_is_ended(self) -> None:
@@ -180,7 +180,7 @@
             attempt = self.ask(100)
             self.holdouts.disable(getattr(attempt.get, name))
             self.assertIsNone(attempt.authorize(attempt))
-            self.engine.leave(attempt.exchange)
+            self.engine.client_left(attempt.exchange)
 
     def test_an_earlier_failure_score_does_not_outlast_a_hold_out(self) -> None:
         node = self.engine.router.nodes["c0"]
