--- a/hitchtiller/__main__.py
+++ b/hitchtiller/__main__.py
@@ -133,8 +133,8 @@
     send_note = peers.send_note if peers else lambda peer, note: None
     engine = Engine(Router(config.settings, config.seed), Clock(sched), back, send_note)
     folder = shared_folder(os.environ.get("TMPDIR", ""))
-    holdouts = HoldOuts(folder, engine.news, config.settings.origin_kind)
-    bus = BusLink(sched, holdouts.news, config.bus, (config.zones, config.kinds))
+    holdouts = HoldOuts(folder, engine.on_bus_event, config.settings.origin_kind)
+    bus = BusLink(sched, holdouts.on_bus_event, config.bus, (config.zones, config.kinds))
     engine.may_lack_events = bus.may_lack_events
     front = Front(
         sched, engine, config.settings, clients, buffer_bytes(config.memory_mb, two_processes=False)
--- a/hitchtiller/engine.py
+++ b/hitchtiller/engine.py
@@ -235,7 +235,7 @@
 
     # Bus events
 
-    def news(self, event: Event) -> None:
+    def on_bus_event(self, event: Event) -> None:
         """Handle an event of the bus: a purge, or a change of the list of servers."""
         if isinstance(event, PurgeNotice):
             if self.copies:
--- a/hitchtiller/ops/holdouts.py
+++ b/hitchtiller/ops/holdouts.py
@@ -35,7 +35,7 @@
         if self.held_out:
             logger.info("held out before the start: {}", ", ".join(sorted(self.held_out)))
 
-    def news(self, event: Event) -> None:
+    def on_bus_event(self, event: Event) -> None:
         """Handle an event of the bus and pass it on."""
         if isinstance(event, Topology):
             if event.whole:
--- a/standins/lag.py
+++ b/standins/lag.py
@@ -106,7 +106,7 @@
     members = tuple(
         ListedServer(api.Member(n, z, k, "SERVING", weight=50.0), ("127.0.0.1", 1)) for n, z, k in kinds
     )
-    engine.news(Topology(members, whole=True))
+    engine.on_bus_event(Topology(members, whole=True))
     folder = Path(tempfile.mkdtemp(prefix="lag-"))
     keeper = jobs = None
     if way != "off":
--- a/tests/ends/test_ends_descriptors.py
+++ b/tests/ends/test_ends_descriptors.py
@@ -146,7 +146,7 @@
         )
         server = ListedServer(Member("s-1", "z", "k", "SERVING"), ("127.0.0.1", 1))
         for each in (local_holdouts, other_holdouts):
-            each.news(Topology((server,), True))
+            each.on_bus_event(Topology((server,), True))
         sched.spawn(local_holdouts.run, sched)
         other_holdouts.disable("s-1")
         with no_descriptors():
--- a/tests/store/tiers.py
+++ b/tests/store/tiers.py
@@ -39,7 +39,7 @@
         settings = replace(BASE, classes=CLASSES, siblings="none", purge_done_ms=6000.0, **changes)
         self.engine = Engine(Router(settings, 7), self.clock, self.back, lambda peer, note: None)
         members = tuple(ListedServer(m, ("127.0.0.1", 1)) for m in FLEET)
-        self.engine.news(Topology(members, whole=True))
+        self.engine.on_bus_event(Topology(members, whole=True))
         self.monotonic_drift_ms = 0.0  # of the monotonic clock against the wall clock
         self.proof = Proof(SavedProof(), 6000.0, 500.0)
         self.tier = Tier(
@@ -98,7 +98,7 @@
 
     def purge(self, key: int | None = 42, group: int = -1, at: float | None = None) -> None:
         """Deliver a purge to the engine."""
-        self.engine.news(PurgeNotice(key, group, self.clock.now if at is None else at))
+        self.engine.on_bus_event(PurgeNotice(key, group, self.clock.now if at is None else at))
 
     def wait(self, duration_ms: float) -> None:
         """Let time pass."""
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -64,7 +64,7 @@
         self.announce(*FLEET, whole=True)
 
     def announce(self, *members: api.Member, whole: bool = False) -> None:
-        self.engine.news(Topology(tuple(ListedServer(m, ("127.0.0.1", 1)) for m in members), whole))
+        self.engine.on_bus_event(Topology(tuple(ListedServer(m, ("127.0.0.1", 1)) for m in members), whole))
 
     def start_request(self, **more: Any) -> Attempt:
         request = ClientRequest("0" * 16, "small", "0" * 16, 42, self.clock.now + 900.0, size_kb=50.0, **more)
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -146,12 +146,12 @@
         self.folder = Path(folder.name)
         self.clock, self.back_end = ManualClock(), RecordingBackEnd()
         self.engine = Engine(Router(BASE, 7), self.clock, self.back_end, lambda peer, note: None)
-        self.holdouts = HoldOuts(self.folder, self.engine.news, "origin")
+        self.holdouts = HoldOuts(self.folder, self.engine.on_bus_event, "origin")
         self.news(*FLEET, whole=True)
         self.member = FLEET[0]
 
     def news(self, *members: api.Member, whole: bool = False) -> None:
-        self.holdouts.news(Topology(tuple(ListedServer(m, ("127.0.0.1", 1)) for m in members), whole))
+        self.holdouts.on_bus_event(Topology(tuple(ListedServer(m, ("127.0.0.1", 1)) for m in members), whole))
 
     def state(self, server: str = "c0") -> str:
         return self.engine.router.nodes[server].member.state
@@ -205,7 +205,7 @@
         other = HoldOuts(self.folder, lambda event: None)
         self.holdouts.disable("c0")
         self.assertEqual(HoldOuts(self.folder, lambda event: None).held_out, {"c0"})
-        other.news(Topology((ListedServer(self.member, ("127.0.0.1", 1)),), whole=True))
+        other.on_bus_event(Topology((ListedServer(self.member, ("127.0.0.1", 1)),), whole=True))
         other.disable("c0")  # it has not polled yet
         other.enable("c0")
         self.holdouts.reload()
