--- a/hitchtiller/back/jobs.py
+++ b/hitchtiller/back/jobs.py
@@ -118,7 +118,7 @@
             is_copy and not (TAG_PATTERN.match(rev or "") and ORIGIN_TIME_PATTERN.match(since or ""))
         ):
             # The rest of what the server sends may be invalid as well.
-            raise resp.BadResp(f"answer {reply!r:.20} rev={rev!r:.40} since={since!r:.40}")
+            raise resp.RespError(f"answer {reply!r:.20} rev={rev!r:.40} since={since!r:.40}")
         unchanged = reply == "KEEP"
         if unchanged and not (request.client_tag or self.attempt.exchange.confirm_tag):
             status = "err"  # "unchanged", although the request named no copy to compare with
--- a/hitchtiller/back/link.py
+++ b/hitchtiller/back/link.py
@@ -142,7 +142,7 @@
             self._read()
         except StreamClosed as error:
             self.stream.close(str(error))
-        except resp.BadResp as error:
+        except resp.RespError as error:
             self.parse_error = str(error)
             self.stream.close("junk")
         finally:
@@ -178,7 +178,7 @@
 
     def _handle_answer(self, items: list[bytes]) -> None:
         if not 2 <= len(items) <= 4:
-            raise resp.BadResp(f"answer has {len(items)} items")
+            raise resp.RespError(f"answer has {len(items)} items")
         job = self.open_jobs.pop(items[0], None)
         if job is None:
             self.killed_jobs.pop(items[0], None)  # the answer crossed the KILL, or belongs to no job
@@ -192,7 +192,7 @@
             fields = resp.read_fields(items[2]) if len(items) > 2 else {}
             reply = items[1].decode("ascii", "replace")
             job.on_answer(reply, fields, items[3] if len(items) > 3 else b"")
-        except resp.BadResp as error:
+        except resp.RespError as error:
             # The frame itself was valid, so the answers to the other open jobs can still be read.
             self.parse_error = str(error)
             if not self.open_jobs:
--- a/hitchtiller/bus.py
+++ b/hitchtiller/bus.py
@@ -8,7 +8,7 @@
 import socket
 from collections.abc import Callable
 
-from hitchtiller.codec.bus import BadBus, BusReader, NumberedEvent
+from hitchtiller.codec.bus import BusError, BusReader, NumberedEvent
 from hitchtiller.log import log_connection_end, logger
 from hitchtiller.news import Event
 from hitchtiller.sched import Scheduler, Stream, StreamClosed, now_ms
@@ -89,7 +89,7 @@
                 stream.write(self.last_number.to_bytes(8, "big"))
                 self.has_subscribed = True
                 self._read_events(stream)
-            except (StreamClosed, BadBus) as error:
+            except (StreamClosed, BusError) as error:
                 stream.close(str(error) if isinstance(error, StreamClosed) else "junk")
             log_connection_end("bus", f"{address[0]}:{address[1]}", stream.close_code, last=self.last_number)
             # Reconnects at once after a move, or if the connection delivered events.
--- a/hitchtiller/codec/bus.py
+++ b/hitchtiller/codec/bus.py
@@ -18,7 +18,7 @@
 NO_EVENT, WHOLE, CHANGES, BAN_OBJECT, BAN_GROUP = range(5)
 
 
-class BadBus(Exception):
+class BusError(Exception):
     """The bytes or values are not a valid event."""
 
 
@@ -34,7 +34,7 @@
     """Decode one record of the binary list."""
     number, ip, port, state, zone, kind, cell, weight, started_ms = record
     if state >= len(STATES) or zone >= len(zones) or kind >= len(kinds):
-        raise BadBus(f"record of {server_name(number)} has an unknown state, zone or kind")
+        raise BusError(f"record of {server_name(number)} has an unknown state, zone or kind")
     units = max(weight / 1000.0, 1e-6)
     member = api.Member(
         server_name(number), zones[zone], kinds[kind], STATES[state], float(started_ms), units, cell
@@ -56,7 +56,7 @@
         while len(self.buffer) >= 4:
             length = int.from_bytes(self.buffer[:4], "big")
             if length > MAX_FRAME_BYTES:
-                raise BadBus(f"length {length} is out of bounds")
+                raise BusError(f"length {length} is out of bounds")
             if len(self.buffer) < 4 + length:
                 return
             frame = bytes(self.buffer[4 : 4 + length])
@@ -80,15 +80,15 @@
                 group, at_ms = GROUP.unpack(payload)
                 return number, PurgeNotice(None, group, float(at_ms))
         except struct.error as error:
-            raise BadBus(str(error)) from None
-        raise BadBus(f"unknown kind {kind}")
+            raise BusError(str(error)) from None
+        raise BusError(f"unknown kind {kind}")
 
 
 def read_address(text: str) -> tuple[str, int]:
     """Parse an address of the form HOST:PORT."""
     ip, _, port = text.rpartition(":")
     if not ip or not port.isdecimal() or int(port) > 0xFFFF:
-        raise BadBus(f"address {text!r} is not of the form HOST:PORT")
+        raise BusError(f"address {text!r} is not of the form HOST:PORT")
     return ip, int(port)
 
 
@@ -122,4 +122,4 @@
                 events.append((number, PurgeNotice(key, int(ban.get("tag", -1)), float(ban["ts"]))))
         return [*events, (int(known.get("offset", 0)), None)]
     except (KeyError, ValueError, TypeError, AttributeError) as error:
-        raise BadBus(f"known: {error!r}") from None
+        raise BusError(f"known: {error!r}") from None
--- a/hitchtiller/codec/frames.py
+++ b/hitchtiller/codec/frames.py
@@ -10,7 +10,7 @@
 HEAD = struct.Struct(">IBI")  # length, type, stream
 
 
-class BadFrame(Exception):
+class FrameError(Exception):
     """The bytes are not a valid frame; nothing after them can be decoded either."""
 
 
@@ -41,7 +41,7 @@
             while len(self.buffer) - start >= 4:
                 length = int.from_bytes(self.buffer[start : start + 4], "big")
                 if not MIN_LENGTH <= length <= MAX_LENGTH:
-                    raise BadFrame(f"length {length} is out of bounds")
+                    raise FrameError(f"length {length} is out of bounds")
                 end = start + 4 + length
                 if len(self.buffer) < end:
                     break
@@ -78,13 +78,13 @@
             value_end = value_start + (payload[end] << 8 | payload[end + 1])
             name = payload[offset + 1 : end].decode()
             if name in fields:
-                raise BadFrame(f"field {name[:20]!r} is given twice")
+                raise FrameError(f"field {name[:20]!r} is given twice")
             fields[name] = payload[value_start:value_end].decode()
             offset = value_end
         if offset > len(payload):
-            raise BadFrame("fields are truncated")
+            raise FrameError("fields are truncated")
     except (IndexError, UnicodeDecodeError) as error:
-        raise BadFrame(f"fields: {error}") from None
+        raise FrameError(f"fields: {error}") from None
     return fields, offset
 
 
--- a/hitchtiller/codec/resp.py
+++ b/hitchtiller/codec/resp.py
@@ -10,7 +10,7 @@
 ANSWER_HEAD = re.compile(rb"\*4\r\n" + rb"\$(\d{1,5})\r\n([^\r]*)\r\n" * 3 + rb"\$(\d{1,6})\r\n")
 
 
-class BadResp(Exception):
+class RespError(Exception):
     """The bytes are not a valid answer of a station cache."""
 
 
@@ -43,7 +43,7 @@
                     if len(self.buffer) < end + 2:
                         return
                     if self.buffer[end : end + 2] != b"\r\n":
-                        raise BadResp("bulk string does not end in CRLF")
+                        raise RespError("bulk string does not end in CRLF")
                     self.items.append(bytes(memoryview(self.buffer)[start:end]))
                     start, self.bulk_size, self.remaining_items = end + 2, -1, self.remaining_items - 1
                     if not self.remaining_items:
@@ -57,18 +57,18 @@
                     continue
                 mark = self.buffer[start : start + 1]
                 if mark and mark != (b"$" if self.remaining_items else b"*"):
-                    raise BadResp(f"unexpected {bytes(self.buffer[start : start + MAX_LINE_BYTES])!r}")
+                    raise RespError(f"unexpected {bytes(self.buffer[start : start + MAX_LINE_BYTES])!r}")
                 end = self.buffer.find(b"\r\n", start, start + MAX_LINE_BYTES)
                 if end < 0:
                     if len(self.buffer) - start >= MAX_LINE_BYTES:
-                        raise BadResp("length line is too long")
+                        raise RespError("length line is too long")
                     return
                 digits = bytes(self.buffer[start + 1 : end])
                 if not digits.isdigit():
-                    raise BadResp(f"unexpected {bytes(self.buffer[start:end])!r}")
+                    raise RespError(f"unexpected {bytes(self.buffer[start:end])!r}")
                 size, start = int(digits), end + 2
                 if size > (MAX_BULK_BYTES if self.remaining_items else MAX_ITEMS):
-                    raise BadResp(f"size {size} is out of bounds")
+                    raise RespError(f"size {size} is out of bounds")
                 if self.remaining_items:
                     self.bulk_size = size
                 else:
@@ -107,9 +107,9 @@
     try:
         pairs = [pair.partition("=") for pair in data.decode().split(",")]
     except UnicodeDecodeError:
-        raise BadResp("fields are not text") from None
+        raise RespError("fields are not text") from None
     if not all(sign for _, sign, _ in pairs):
-        raise BadResp("field has no value")
+        raise RespError("field has no value")
     return {name: value for name, _, value in pairs}
 
 
--- a/hitchtiller/config.py
+++ b/hitchtiller/config.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from hitchtiller import interface as api
-from hitchtiller.codec.bus import BadBus, NumberedEvent, read_address, read_known_events
+from hitchtiller.codec.bus import BusError, NumberedEvent, read_address, read_known_events
 from hitchtiller.settings import read_settings
 
 Address = tuple[str, int]
@@ -62,7 +62,7 @@
         return _build_config(data, environ)
     except KeyError as error:
         raise ConfigError(f"{path}: {error.args[0]!r} is missing") from None
-    except (ValueError, TypeError, AttributeError, IndexError, OverflowError, BadBus) as error:
+    except (ValueError, TypeError, AttributeError, IndexError, OverflowError, BusError) as error:
         raise ConfigError(f"{path}: {error}") from None
 
 
--- a/hitchtiller/front/asks.py
+++ b/hitchtiller/front/asks.py
@@ -56,7 +56,7 @@
     """Parse and validate a request; raise RequestError for an invalid one."""
     try:
         fields, end = frames.read_fields(payload)
-    except frames.BadFrame as error:
+    except frames.FrameError as error:
         raise RequestError(str(error)) from None
     cls = settings.classes.get(fields.get("c", ""))
     if cls is None:
--- a/hitchtiller/front/client.py
+++ b/hitchtiller/front/client.py
@@ -131,7 +131,7 @@
                     raise StreamClosed(self.stream.close_code)
                 if self.discards_input:
                     return
-        except frames.BadFrame:
+        except frames.FrameError:
             reader.buffer.clear()
             self.fail_all("bad-frame")
         self.incomplete_bytes = buffered = len(reader.buffer)
@@ -203,7 +203,7 @@
             payload = bytes([code]) + frames.write_fields({})
             self.stream.write(frames.head(frames.READY_ANSWER, frame.stream, len(payload)) + payload)
         else:
-            raise frames.BadFrame(f"unknown frame type {frame.kind}")
+            raise frames.FrameError(f"unknown frame type {frame.kind}")
 
     def _count_buffered(self) -> None:
         """Report the bytes held in partial frames and queued requests to the stream's accounting."""
@@ -229,7 +229,7 @@
             self._count_buffered()
             try:
                 self._handle_request(frame, arrived_ms)
-            except frames.BadFrame:
+            except frames.FrameError:
                 self.fail_all("bad-frame")
         if not self.stream.close_code:
             self._close_if_done()
@@ -237,7 +237,7 @@
     def _handle_request(self, frame: frames.Frame, arrived_ms: float) -> None:
         stream = frame.stream
         if stream in self.open_exchanges:  # two answers under one number could not be told apart
-            raise frames.BadFrame(f"stream number {stream} is still open")
+            raise frames.FrameError(f"stream number {stream} is still open")
         stats = self.front.engine.stats
         try:
             request = read_request(frame.payload, self.front.settings, arrived_ms)
--- a/standins/client.py
+++ b/standins/client.py
@@ -63,7 +63,7 @@
                     elif frame.kind == frames.ANSWER and frame.stream:
                         self.verdicts.counts["second answer"] += 1
                         self.verdicts.wrong.append(f"a second answer on stream {frame.stream}")
-        except (ConnectionError, frames.BadFrame):
+        except (ConnectionError, frames.FrameError):
             pass
         finally:
             for waiting in self.pending.values():
--- a/standins/parties.py
+++ b/standins/parties.py
@@ -74,7 +74,7 @@
                         task = asyncio.create_task(self._pull(writer, name, fields, cancelled_ids))
                         tasks.add(task)
                         task.add_done_callback(tasks.discard)
-        except (ConnectionError, resp.BadResp, asyncio.CancelledError):
+        except (ConnectionError, resp.RespError, asyncio.CancelledError):
             pass
         finally:
             writer.close()
--- a/tests/ends/sides.py
+++ b/tests/ends/sides.py
@@ -54,7 +54,7 @@
 
     def on_answer(self, reply: str, fields: dict[str, str], body: bytes) -> None:
         if reply not in ("DONE", "WAIT"):
-            raise resp.BadResp(reply)
+            raise resp.RespError(reply)
         self.statuses.append(reply)
 
     def block_until(self, until_ms: float) -> None:
--- a/tests/test_back.py
+++ b/tests/test_back.py
@@ -8,7 +8,7 @@
 from hitchtiller.back import link as link_module
 from hitchtiller.back.link import Link
 from hitchtiller.back.upstreams import MAX_REASSIGNMENTS, Upstreams
-from hitchtiller.codec.resp import BadResp
+from hitchtiller.codec.resp import RespError
 from hitchtiller.interface import Member
 from hitchtiller.news import ListedServer, Topology
 from hitchtiller.sched import Scheduler, StreamClosed
@@ -95,7 +95,7 @@
     def test_an_invalid_answer_fails_only_its_job_and_other_answers_still_arrive(self) -> None:
         """One such answer failed all jobs of its connection, 7 at once."""
         invalid, valid, unwritten = Job(b"1"), Job(b"2"), Job(b"3")
-        invalid.on_answer = mock.Mock(side_effect=BadResp("answer"))  # type: ignore[method-assign]
+        invalid.on_answer = mock.Mock(side_effect=RespError("answer"))  # type: ignore[method-assign]
         link = self.open_link(invalid, valid)
         link.submit(unwritten)
         link._handle_answer([b"1", b"DONE", b"-", b""])
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -3,7 +3,7 @@
 import unittest
 
 from hitchtiller.codec import frames, resp
-from hitchtiller.codec.bus import BadBus, BusReader
+from hitchtiller.codec.bus import BusError, BusReader
 from hitchtiller.front.client import StreamNumbers
 from hitchtiller.news import PurgeNotice, Topology
 
@@ -18,19 +18,19 @@
 
     def test_lengths_out_of_bounds_are_rejected(self) -> None:
         for length in (0, 4, frames.MAX_LENGTH + 1):
-            with self.assertRaises(frames.BadFrame):
+            with self.assertRaises(frames.FrameError):
                 list(frames.FrameReader().feed(length.to_bytes(4, "big")))
 
     def test_truncated_fields_are_rejected(self) -> None:
         whole = frames.write_fields({"c": "files", "o": "2a"})
         self.assertEqual(frames.read_fields(whole), ({"c": "files", "o": "2a"}, len(whole)))
         for n in range(len(whole)):
-            with self.assertRaises(frames.BadFrame):
+            with self.assertRaises(frames.FrameError):
                 frames.read_fields(whole[:n])
 
     def test_duplicate_fields_are_rejected(self) -> None:
         data = frames.write_fields({"c": "files", "d": "1"}).replace(b"\1d", b"\1c")
-        with self.assertRaises(frames.BadFrame):
+        with self.assertRaises(frames.FrameError):
             frames.read_fields(data)
 
     def test_stream_numbers_are_accepted_once_in_bounded_memory(self) -> None:
@@ -55,7 +55,7 @@
     def test_malformed_input_is_rejected(self) -> None:
         huge = b"*4\r\n$1\r\na\r\n$4\r\nDONE\r\n$1\r\n-\r\n$999999\r\n"
         for malformed in (b"HTTP/1.1", b"*99\r\n", b"*1\r\n$-1\r\n", b"*1\r\n$1\r\nabc", b"x" * 20, huge):
-            with self.assertRaises(resp.BadResp):
+            with self.assertRaises(resp.RespError):
                 list(resp.RespReader().feed(malformed))
 
 
@@ -81,5 +81,5 @@
 
     def test_malformed_input_is_rejected(self) -> None:
         for malformed in (b"\xff" * 8, (12).to_bytes(4, "big") + bytes(8) + b"\x02abc"):
-            with self.assertRaises(BadBus):
+            with self.assertRaises(BusError):
                 list(BusReader(("z",), ("k",)).feed(malformed))
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -8,7 +8,7 @@
 
 from hitchtiller import interface as api
 from hitchtiller.back.jobs import PullJob
-from hitchtiller.codec.resp import BadResp
+from hitchtiller.codec.resp import RespError
 from hitchtiller.decide import Router
 from hitchtiller.engine import Engine
 from hitchtiller.exchange import FAILED, REFUSED, SERVED, Answer, Attempt, AttemptResult, ClientRequest
@@ -114,7 +114,7 @@
             PullJob(attempt).on_answer("DONE", {}, b"x")
             self.assertEqual((self.answers[-1].kind, self.answers[-1].since_ms), (SERVED, 0))
         attempt = self.start_request(dedupe="5c0f")  # a copy has a tag and a time, with or without a key
-        with self.assertRaises(BadResp):
+        with self.assertRaises(RespError):
             PullJob(attempt).on_answer("DONE", {}, b"x")
 
     def test_the_note_and_the_wait_of_an_answer_reach_the_router(self) -> None:
