--- a/hitchtiller/codec/bus.py
+++ b/hitchtiller/codec/bus.py
@@ -15,7 +15,7 @@
 OBJECT, GROUP = struct.Struct(">QQ"), struct.Struct(">HQ")
 STATES = ("SERVING", "DRAINING", "DELETED")
 STATE_BY_HEALTH = {"Ready": "SERVING", "Terminating": "DRAINING", "Gone": "DELETED"}
-NO_EVENT, WHOLE, CHANGES, BAN_OBJECT, BAN_GROUP = range(5)
+NO_EVENT, WHOLE_LIST, LIST_CHANGES, PURGE_OBJECT, PURGE_GROUP = range(5)
 
 
 class BusError(Exception):
@@ -70,13 +70,13 @@
             payload = frame[HEAD.size :]
             if kind == NO_EVENT:
                 return number, None
-            if kind in (WHOLE, CHANGES):
+            if kind in (WHOLE_LIST, LIST_CHANGES):
                 hosts = tuple(read_record(r, self.zones, self.kinds) for r in RECORD.iter_unpack(payload))
-                return number, Topology(hosts, kind == WHOLE)
-            if kind == BAN_OBJECT:
+                return number, Topology(hosts, kind == WHOLE_LIST)
+            if kind == PURGE_OBJECT:
                 key, at_ms = OBJECT.unpack(payload)
                 return number, PurgeNotice(key, -1, float(at_ms))
-            if kind == BAN_GROUP:
+            if kind == PURGE_GROUP:
                 group, at_ms = GROUP.unpack(payload)
                 return number, PurgeNotice(None, group, float(at_ms))
         except struct.error as error:
--- a/standins/parties.py
+++ b/standins/parties.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from hitchtiller.codec import resp
-from hitchtiller.codec.bus import CHANGES, HEAD, RECORD
+from hitchtiller.codec.bus import HEAD, LIST_CHANGES, RECORD
 from standins.truth import Purge, Truth, now_ms
 
 
@@ -192,7 +192,7 @@
             HEALTH_VALUES.index(host["health"]), zones.index(host["site"]), kinds.index(host["class"]),
             host["block"], int(1000 * host["share"]), int(host["born_ms"]),
         )  # fmt: skip
-        payload = HEAD.pack(len(self.session.events) + 1, CHANGES) + record
+        payload = HEAD.pack(len(self.session.events) + 1, LIST_CHANGES) + record
         self.session.events.append(len(payload).to_bytes(4, "big") + payload)
 
     def _add(self, purge: Purge) -> None:
--- a/standins/scale/gateway.py
+++ b/standins/scale/gateway.py
@@ -5,15 +5,15 @@
 
 from hitchtiller import interface as api
 from hitchtiller.codec.bus import (
-    BAN_GROUP,
-    BAN_OBJECT,
-    CHANGES,
     GROUP,
     HEAD,
+    LIST_CHANGES,
     OBJECT,
+    PURGE_GROUP,
+    PURGE_OBJECT,
     RECORD,
     STATES,
-    WHOLE,
+    WHOLE_LIST,
     BusReader,
 )
 from hitchtiller.decide import Router
@@ -40,14 +40,14 @@
         )
         for member in members
     )
-    return _frame(number, WHOLE if whole else CHANGES, records)
+    return _frame(number, WHOLE_LIST if whole else LIST_CHANGES, records)
 
 
 def purge_frame(number: int, key: int | None, group: int, at_ms: float) -> bytes:
     """Encode a purge of an object, or of a group if there is no key, as discovery sends it."""
     if key is None:
-        return _frame(number, BAN_GROUP, GROUP.pack(group, int(at_ms)))
-    return _frame(number, BAN_OBJECT, OBJECT.pack(key, int(at_ms)))
+        return _frame(number, PURGE_GROUP, GROUP.pack(group, int(at_ms)))
+    return _frame(number, PURGE_OBJECT, OBJECT.pack(key, int(at_ms)))
 
 
 def _frame(number: int, kind: int, payload: bytes) -> bytes:
