--- a/hitchtiller/membership/detector.py
+++ b/hitchtiller/membership/detector.py
@@ -28,7 +28,7 @@
 
 from hitchtiller.membership.evidence import REPORT_FANOUT, Evidence
 from hitchtiller.membership.gossip import Gossip
-from hitchtiller.membership.view import UNHEARD, Change, Claim, State, View
+from hitchtiller.membership.view import UNHEARD, Change, MemberClaim, State, View
 from hitchtiller.membership.words import MAX_CLAIMS, MAX_REPORTS, Kind, MembershipMessage, pack, unpack
 
 # INITIAL_SYNCS: after a start or a pause each of this many periods sends a sync request
@@ -262,7 +262,7 @@
         if claim.state is State.SUSPECT:
             return self._add_witness(target, self.own_number)
         self._slow_down(1)
-        if self.view.merge(target, Claim(claim.incarnation, State.SUSPECT), self.own_number, now_ms):
+        if self.view.merge(target, MemberClaim(claim.incarnation, State.SUSPECT), self.own_number, now_ms):
             self._on_claim_merged(target, self.own_number, now_ms)
 
     def _expire_suspicions(self, now_ms: float) -> None:
@@ -276,7 +276,7 @@
                 suspicion.started_ms = self.last_heard_ms[number]
             elif now_ms - suspicion.started_ms >= self.suspect_ms(len(suspicion.witnesses)):
                 del self.suspicions[number]
-                self.view.merge(number, Claim(claim.incarnation, State.DEAD), self.own_number, now_ms)
+                self.view.merge(number, MemberClaim(claim.incarnation, State.DEAD), self.own_number, now_ms)
 
     def suspect_ms(self, witnesses: int) -> float:
         """Return how long a suspect has to refute when it has this many witnesses."""
--- a/hitchtiller/membership/view.py
+++ b/hitchtiller/membership/view.py
@@ -30,14 +30,14 @@
 
 
 @dataclass(frozen=True, slots=True, order=True)
-class Claim:
+class MemberClaim:
     """State of a member at an incarnation; the greater of two claims holds."""
 
     incarnation: int
     state: State
 
 
-UNHEARD = Claim(0, State.ALIVE)  # configured but never heard of; treated as alive until a probe fails
+UNHEARD = MemberClaim(0, State.ALIVE)  # configured but never heard of; treated as alive until a probe fails
 
 
 @dataclass(frozen=True, slots=True)
@@ -45,8 +45,8 @@
     """A change of the view, as passed to its listeners."""
 
     number: int
-    old: Claim
-    new: Claim
+    old: MemberClaim
+    new: MemberClaim
     reporter: int  # the member that made the claim; the own number for what this gateway found out itself
 
 
@@ -57,13 +57,13 @@
         """Start with the own number alive and all other configured numbers unheard of."""
         self.own_number = own_number
         self.claims = {number: UNHEARD for number in range(size)}
-        self.claims[own_number] = Claim(incarnation, State.ALIVE)
+        self.claims[own_number] = MemberClaim(incarnation, State.ALIVE)
         self.superseded = False
         self.changed_ms: dict[int, float] = {}  # time of the last change by number
         self.reporters: dict[int, int] = {}  # by number: the member that made the claim held now
         self.listeners: list[Callable[[Change], object]] = []
 
-    def merge(self, number: int, claim: Claim, reporter: int, now_ms: float) -> bool:
+    def merge(self, number: int, claim: MemberClaim, reporter: int, now_ms: float) -> bool:
         """Merge a claim and return whether it changed the view; a claim about the own number is refuted.
 
         A claim that the own number is alive at a newer incarnation is not refuted: it comes from a later
@@ -83,9 +83,9 @@
             listener(Change(number, old, claim, reporter))
         return True
 
-    def refute(self, claim: Claim, now_ms: float) -> bool:
+    def refute(self, claim: MemberClaim, now_ms: float) -> bool:
         """Answer a claim that this gateway is not alive by raising the own incarnation."""
-        old, new = self.claims[self.own_number], Claim(claim.incarnation + 1, State.ALIVE)
+        old, new = self.claims[self.own_number], MemberClaim(claim.incarnation + 1, State.ALIVE)
         self.claims[self.own_number] = new
         self.changed_ms[self.own_number], self.reporters[self.own_number] = now_ms, self.own_number
         for listener in self.listeners:
@@ -95,7 +95,7 @@
     def leave(self, now_ms: float) -> None:
         """Record that this gateway leaves as planned."""
         old = self.claims[self.own_number]
-        new = self.claims[self.own_number] = Claim(old.incarnation, State.LEFT)
+        new = self.claims[self.own_number] = MemberClaim(old.incarnation, State.LEFT)
         self.changed_ms[self.own_number], self.reporters[self.own_number] = now_ms, self.own_number
         for listener in self.listeners:
             listener(Change(self.own_number, old, new, self.own_number))
@@ -126,7 +126,7 @@
         """Return the numbers that may be contacted: those alive, and those only suspected."""
         return self.numbers_in(State.ALIVE, State.SUSPECT)
 
-    def items(self, numbers: Iterable[int]) -> list[tuple[int, Claim, int]]:
+    def items(self, numbers: Iterable[int]) -> list[tuple[int, MemberClaim, int]]:
         """Return number, claim and reporter for those of these numbers that have been heard of."""
         known = (n for n in numbers if self.claims.get(n, UNHEARD) != UNHEARD)
         return [(n, self.claims[n], self.reporters.get(n, self.own_number)) for n in known]
--- a/hitchtiller/membership/words.py
+++ b/hitchtiller/membership/words.py
@@ -21,7 +21,7 @@
 from enum import IntEnum
 
 from hitchtiller.membership.evidence import Report, Symptom
-from hitchtiller.membership.view import Claim, State
+from hitchtiller.membership.view import MemberClaim, State
 
 MAGIC, VERSION, MAX_DATAGRAM_BYTES = 0xA7, 1, 256
 HEADER = struct.Struct(">BBIIBIHHB")
@@ -32,7 +32,9 @@
     (MAX_DATAGRAM_BYTES - HEADER.size) // REPORT_FORMAT.size,
 )
 AGE_STEP_MS = 25.0  # unit of a report's age
-ClaimItem = tuple[int, Claim, int]  # the member's number, the claim about it, the member that made the claim
+ClaimItem = tuple[
+    int, MemberClaim, int
+]  # the member's number, the claim about it, the member that made the claim
 
 
 class Kind(IntEnum):
@@ -106,7 +108,7 @@
     for subject, state, high, low, reporter in CLAIM_FORMAT.iter_unpack(data[HEADER.size :]):
         if state >= len(State):
             return None
-        items.append((subject, Claim(high << 32 | low, State(state)), reporter))
+        items.append((subject, MemberClaim(high << 32 | low, State(state)), reporter))
     return MembershipMessage(Kind(kind), sender, number, target, items)
 
 
--- a/standins/explore.py
+++ b/standins/explore.py
@@ -22,7 +22,7 @@
 from dataclasses import dataclass
 
 from hitchtiller.membership.shares import capped_share
-from hitchtiller.membership.view import Claim, State, View
+from hitchtiller.membership.view import MemberClaim, State, View
 
 BOUND, WANTED_SHARE = 1.0, 0.8  # the fleet's bound, and how much of it a complete fleet would use at most
 MAX_STARTS = 2  # the most times that each gateway starts
@@ -46,7 +46,7 @@
 def thaw(number: int, frozen: FrozenView) -> View:
     """Return the `View` object of a frozen view."""
     view = View(number, len(frozen), frozen[number][0])
-    view.claims = {n: Claim(incarnation, State(state)) for n, (incarnation, state) in enumerate(frozen)}
+    view.claims = {n: MemberClaim(incarnation, State(state)) for n, (incarnation, state) in enumerate(frozen)}
     return view
 
 
@@ -63,7 +63,7 @@
 def merge_message(view: View, frozen: FrozenView) -> None:
     """Merge all claims of a message into a view."""
     for number, (incarnation, state) in enumerate(frozen):
-        view.merge(number, Claim(incarnation, State(state)), 0, 0.0)
+        view.merge(number, MemberClaim(incarnation, State(state)), 0, 0.0)
 
 
 def next_states(fleet: FleetState, max_messages: int) -> Iterator[tuple[str, FleetState]]:
@@ -85,7 +85,7 @@
             state = views[i][j][1]
             if j != i and state < State.DEAD:  # a probe failed or a suspicion expired, rightly or not
                 view = thaw(i, views[i])
-                view.merge(j, Claim(views[i][j][0], State(state + 1)), i, 0.0)
+                view.merge(j, MemberClaim(views[i][j][0], State(state + 1)), i, 0.0)
                 yield f"{i} doubts {j}", (_with(views, i, freeze(view)), start_counts, in_transit)
     for sender, frozen in in_transit:
         yield f"lose {sender}'s", (views, start_counts, in_transit - {(sender, frozen)})
--- a/standins/scale/membership.py
+++ b/standins/scale/membership.py
@@ -11,7 +11,7 @@
 from random import Random
 
 from hitchtiller.membership.detector import Datagrams, Detector
-from hitchtiller.membership.view import UNHEARD, Claim, State
+from hitchtiller.membership.view import UNHEARD, MemberClaim, State
 from hitchtiller.membership.words import Kind, MembershipMessage, pack, unpack
 from standins.gossipnet import TICKS, Net
 from standins.scale.fleet import UDP_HEADER_BYTES
@@ -69,7 +69,7 @@
     bytes_before = tracemalloc.get_traced_memory()[0]
     node = Detector(0, gateways, INCARNATION, FLEET_MARK, PERIOD_MS, Random(1), 0.0)
     for number in range(1, gateways):
-        node.view.merge(number, Claim(INCARNATION + number, State.ALIVE), number, 0.0)
+        node.view.merge(number, MemberClaim(INCARNATION + number, State.ALIVE), number, 0.0)
         node.hear(number, 0.0)
     node.gossip.told.clear()
     gc.collect()
@@ -81,7 +81,7 @@
 def measure_catch_up_s(gateways: int, seed: int) -> float:
     """Return the seconds until a newly started detector has heard of all gateways, through pages alone."""
     node = Detector(0, gateways, INCARNATION, FLEET_MARK, PERIOD_MS, Random(seed), 0.0)
-    claims = {number: Claim(INCARNATION, State.ALIVE) for number in range(gateways)}
+    claims = {number: MemberClaim(INCARNATION, State.ALIVE) for number in range(gateways)}
 
     def answer_datagrams(sent: Datagrams) -> list[tuple[int, bytes]]:
         answers = []
--- a/tests/membership/test_membership_parts.py
+++ b/tests/membership/test_membership_parts.py
@@ -11,7 +11,7 @@
 from hitchtiller.membership.homes import MAX_HANDED_OVER, Homes
 from hitchtiller.membership.partition import CUT_WINDOW_MS, SETTLE_MS, Connectivity, PartitionMonitor
 from hitchtiller.membership.shares import limit_share, preferred_share, weighted_share
-from hitchtiller.membership.view import UNHEARD, Claim, State, View
+from hitchtiller.membership.view import UNHEARD, MemberClaim, State, View
 from hitchtiller.membership.words import (
     MAX_CLAIMS,
     MAX_DATAGRAM_BYTES,
@@ -23,11 +23,11 @@
 )
 from hitchtiller.records import hash64
 
-CLAIMS = st.builds(Claim, st.integers(0, 5), st.sampled_from(State))
+CLAIMS = st.builds(MemberClaim, st.integers(0, 5), st.sampled_from(State))
 HISTORIES = st.lists(st.tuples(st.integers(1, 3), CLAIMS), max_size=12)
 
 
-def merged_claims(history: list[tuple[int, Claim]]) -> dict[int, Claim]:
+def merged_claims(history: list[tuple[int, MemberClaim]]) -> dict[int, MemberClaim]:
     view = View(0, 4, 100)
     for number, claim in history:
         view.merge(number, claim, 9, 0.0)
@@ -35,51 +35,53 @@
 
 
 @given(HISTORIES, st.randoms())
-def test_order_and_repetition_of_claims_do_not_change_the_view(history: list[tuple[int, Claim]], rng) -> None:  # type: ignore[no-untyped-def]
+def test_order_and_repetition_of_claims_do_not_change_the_view(
+    history: list[tuple[int, MemberClaim]], rng
+) -> None:  # type: ignore[no-untyped-def]
     shuffled = history + history[::2]
     rng.shuffle(shuffled)
     assert merged_claims(shuffled) == merged_claims(history)
 
 
 @given(CLAIMS, CLAIMS, CLAIMS)
-def test_the_merge_is_a_maximum(a: Claim, b: Claim, c: Claim) -> None:
+def test_the_merge_is_a_maximum(a: MemberClaim, b: MemberClaim, c: MemberClaim) -> None:
     ends = {max(max(x, y), z) for x, y, z in permutations((a, b, c))}
     assert len(ends) == 1 and max(a, a) == a
 
 
 def test_the_owner_refutes_claims_until_a_later_process_supersedes_it() -> None:
     view = View(0, 3, 100)
-    view.merge(0, Claim(100, State.DEAD), 1, 5.0)
-    assert view.claims[0] == Claim(101, State.ALIVE) and not view.superseded
-    view.merge(0, Claim(900, State.ALIVE), 1, 6.0)
+    view.merge(0, MemberClaim(100, State.DEAD), 1, 5.0)
+    assert view.claims[0] == MemberClaim(101, State.ALIVE) and not view.superseded
+    view.merge(0, MemberClaim(900, State.ALIVE), 1, 6.0)
     assert view.superseded
-    view.merge(0, Claim(900, State.DEAD), 1, 7.0)
-    assert view.claims[0] == Claim(900, State.DEAD)
+    view.merge(0, MemberClaim(900, State.DEAD), 1, 7.0)
+    assert view.claims[0] == MemberClaim(900, State.DEAD)
 
 
 def test_claims_about_unconfigured_numbers_are_ignored() -> None:
     view = View(0, 3, 100)
-    assert not view.merge(7, Claim(5, State.ALIVE), 1, 0.0)
+    assert not view.merge(7, MemberClaim(5, State.ALIVE), 1, 0.0)
     view.resize(9)
-    assert view.merge(7, Claim(5, State.ALIVE), 1, 0.0)
+    assert view.merge(7, MemberClaim(5, State.ALIVE), 1, 0.0)
     view.resize(3)
     assert 7 not in view.claims
 
 
 def test_forget_resets_a_number_to_unheard() -> None:
     view = View(0, 3, 100)
-    view.merge(1, Claim(5, State.DEAD), 2, 0.0)
+    view.merge(1, MemberClaim(5, State.DEAD), 2, 0.0)
     assert view.forget(1) and view.claims[1] == UNHEARD
     assert not view.forget(0)
 
 
 MESSAGE = MembershipMessage(
-    Kind.ACK, 3, 77, 9, [(5, Claim(1 << 47, State.SUSPECT), 4), (6, Claim(7, State.LEFT), 6)]
+    Kind.ACK, 3, 77, 9, [(5, MemberClaim(1 << 47, State.SUSPECT), 4), (6, MemberClaim(7, State.LEFT), 6)]
 )
 
 
 def test_messages_fit_a_datagram_and_decode_unchanged() -> None:
-    full = MembershipMessage(Kind.TELL, 1, 2, 3, [(n, Claim(n, State.DEAD), n) for n in range(99)])
+    full = MembershipMessage(Kind.TELL, 1, 2, 3, [(n, MemberClaim(n, State.DEAD), n) for n in range(99)])
     assert len(pack(full, 7)) <= MAX_DATAGRAM_BYTES
     read = unpack(pack(full, 7), 7)
     assert read and read.items == full.items[:MAX_CLAIMS]
@@ -179,7 +181,12 @@
 
 def test_all_histories_of_four_claims_end_in_the_same_view() -> None:
     """All sequences of four claims about one number with loss, repetition and reordering: 625."""
-    claims = [Claim(1, State.ALIVE), Claim(1, State.DEAD), Claim(2, State.ALIVE), Claim(2, State.SUSPECT)]
+    claims = [
+        MemberClaim(1, State.ALIVE),
+        MemberClaim(1, State.DEAD),
+        MemberClaim(2, State.ALIVE),
+        MemberClaim(2, State.SUSPECT),
+    ]
     seen = 0
     for history in product(range(5), repeat=4):  # 4 stands for a lost claim
         sent = [(1, claims[n]) for n in history if n < 4]
--- a/tests/membership/test_membership_search.py
+++ b/tests/membership/test_membership_search.py
@@ -3,7 +3,7 @@
 import pytest
 
 from hitchtiller.membership.shares import capped_share, limit_share
-from hitchtiller.membership.view import Claim, View
+from hitchtiller.membership.view import MemberClaim, View
 from standins import explore
 
 
@@ -29,7 +29,7 @@
 def test_a_refutation_without_a_newer_incarnation_leaves_a_member_dead(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    def accept_claim(self: View, claim: Claim, now_ms: float) -> bool:
+    def accept_claim(self: View, claim: MemberClaim, now_ms: float) -> bool:
         self.claims[self.own_number] = claim
         return True
 
@@ -41,11 +41,13 @@
 def test_an_invented_incarnation_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     original_merge = View.merge
 
-    def merge_with_invention(self: View, number: int, claim: Claim, reporter: int, now_ms: float) -> bool:
+    def merge_with_invention(
+        self: View, number: int, claim: MemberClaim, reporter: int, now_ms: float
+    ) -> bool:
         changed = original_merge(self, number, claim, reporter, now_ms)
         if number == self.own_number and changed:
             old = self.claims[number]
-            self.claims[number] = Claim(old.incarnation + 950, old.state)
+            self.claims[number] = MemberClaim(old.incarnation + 950, old.state)
         return changed
 
     monkeypatch.setattr(View, "merge", merge_with_invention)
