--- a/hitchtiller/membership/detector.py
+++ b/hitchtiller/membership/detector.py
@@ -29,7 +29,7 @@
 from hitchtiller.membership.evidence import REPORT_FANOUT, Evidence
 from hitchtiller.membership.gossip import Gossip
 from hitchtiller.membership.view import UNHEARD, Change, MemberClaim, State, View
-from hitchtiller.membership.words import MAX_CLAIMS, MAX_REPORTS, Kind, MembershipMessage, pack, unpack
+from hitchtiller.membership.words import MAX_CLAIMS, MAX_REPORTS, MembershipMessage, MessageKind, pack, unpack
 
 # INITIAL_SYNCS: after a start or a pause each of this many periods sends a sync request
 HELPER_COUNT, SYNC_INTERVAL_PERIODS, INITIAL_SYNCS = 3, 10, 3
@@ -127,15 +127,15 @@
                 # the sender lacks this gateway's newer claim: all messages that carried it were lost
                 self.gossip.queue(number)
         match message.kind:
-            case Kind.PING:
-                return self._compose(sender, Kind.ACK, message.number)
-            case Kind.ACK:
+            case MessageKind.PING:
+                return self._compose(sender, MessageKind.ACK, message.number)
+            case MessageKind.ACK:
                 return self._handle_ack(message, sender)
-            case Kind.PING_REQ if message.target in self.view.claims and message.target != self.own_number:
+            case MessageKind.PING_REQ if message.target in self.view.claims and message.target != self.own_number:
                 return self._start_probe(message.target, now_ms, sender, message.number)
-            case Kind.PAGE:
+            case MessageKind.SYNC_REQUEST:
                 return self._answer_sync(sender, message.target)
-            case Kind.REPORT:
+            case MessageKind.REPORT:
                 self.evidence.add_reports(
                     (r for r in message.reports if r.witness in self.view.claims), now_ms
                 )
@@ -149,7 +149,9 @@
         """Announce to a few members that this gateway leaves as planned."""
         self.view.leave(now_ms)
         return [
-            d for peer in self._random_members(HELPER_COUNT, ()) for d in self._compose(peer, Kind.TELL, 0)
+            d
+            for peer in self._random_members(HELPER_COUNT, ())
+            for d in self._compose(peer, MessageKind.CLAIMS, 0)
         ]
 
     def forget(self, number: int) -> bool:
@@ -163,7 +165,7 @@
         for peer in self._random_members(REPORT_FANOUT, ()):
             if reports := self.evidence.next_reports(now_ms, MAX_REPORTS):
                 datagrams += self._encode(
-                    peer, MembershipMessage(Kind.REPORT, self.own_number, 0, reports=reports)
+                    peer, MembershipMessage(MessageKind.REPORT, self.own_number, 0, reports=reports)
                 )
         return datagrams
 
@@ -176,14 +178,16 @@
         if self.pages or self.period_count % SYNC_INTERVAL_PERIODS == 0:
             self.pages = max(0, self.pages - 1)
             for peer in self._random_members(1, ()):
-                datagrams += self._compose(peer, Kind.PAGE, 0, self.rng.randrange(len(self.view.claims)))
+                datagrams += self._compose(
+                    peer, MessageKind.SYNC_REQUEST, 0, self.rng.randrange(len(self.view.claims))
+                )
         target = self._next_target(now_ms)
         for number, suspicion in self.suspicions.items():  # carries the suspicion, so that it can be refuted
             if self.own_number in suspicion.witnesses:
-                datagrams += self._compose(number, Kind.PING, 0)
+                datagrams += self._compose(number, MessageKind.PING, 0)
         if self.gossip.told:
             for peer in self._random_members(GOSSIP_FANOUT, ()):
-                datagrams += self._compose(peer, Kind.TELL, 0)
+                datagrams += self._compose(peer, MessageKind.CLAIMS, 0)
         return datagrams + self._start_probe(target, now_ms) if target is not None else datagrams
 
     def _next_target(self, now_ms: float) -> int | None:
@@ -218,7 +222,7 @@
             requester,
             requester_probe,
         )
-        return self._compose(target, Kind.PING, self.last_probe_number)
+        return self._compose(target, MessageKind.PING, self.last_probe_number)
 
     def _handle_ack(self, message: MembershipMessage, sender: int) -> Datagrams:
         """End a probe that was answered, and pass the answer on to the requester, if there is one."""
@@ -227,7 +231,7 @@
             return []
         del self.probes[message.number]
         if probe.requester >= 0:
-            return self._compose(probe.requester, Kind.ACK, probe.requester_probe)
+            return self._compose(probe.requester, MessageKind.ACK, probe.requester_probe)
         self.slowdown_steps = max(0, self.slowdown_steps - 1)
         return []
 
@@ -245,9 +249,9 @@
                 probe.retry_rounds + 1
             ):
                 probe.retry_rounds += 1
-                datagrams += self._compose(probe.target, Kind.PING, probe.number)
+                datagrams += self._compose(probe.target, MessageKind.PING, probe.number)
                 for helper in self._random_members(HELPER_COUNT, (probe.target,)):
-                    datagrams += self._compose(helper, Kind.PING_REQ, probe.number, probe.target)
+                    datagrams += self._compose(helper, MessageKind.PING_REQ, probe.number, probe.target)
             elif age_ms > timeout_ms:
                 del self.probes[probe.number]
                 if probe.requester < 0:
@@ -328,9 +332,9 @@
         size = len(self.view.claims)
         numbers = sorted(self.view.claims, key=lambda n: (n - start) % size)
         items = self.view.items(numbers)[:MAX_CLAIMS]
-        return self._encode(peer, MembershipMessage(Kind.TELL, self.own_number, 0, 0, items))
+        return self._encode(peer, MembershipMessage(MessageKind.CLAIMS, self.own_number, 0, 0, items))
 
-    def _compose(self, peer: int, kind: Kind, number: int, target: int = 0) -> Datagrams:
+    def _compose(self, peer: int, kind: MessageKind, number: int, target: int = 0) -> Datagrams:
         """Build a message that also carries the claims next to be sent."""
         # a peer not believed alive gets the claim about itself first: it refutes, or learns it is superseded
         claim = self.view.claims.get(peer, UNHEARD)
--- a/hitchtiller/membership/words.py
+++ b/hitchtiller/membership/words.py
@@ -37,14 +37,14 @@
 ]  # the member's number, the claim about it, the member that made the claim
 
 
-class Kind(IntEnum):
+class MessageKind(IntEnum):
     """Kind of a membership message."""
 
     PING = 0
     ACK = 1
     PING_REQ = 2  # asks the receiver to ping `target` on behalf of the sender
-    PAGE = 3  # sync request: asks for the receiver's claims from number `target` on
-    TELL = 4  # claims, sent as gossip or as the answer to a sync request
+    SYNC_REQUEST = 3  # sync request: asks for the receiver's claims from number `target` on
+    CLAIMS = 4  # claims, sent as gossip or as the answer to a sync request
     REPORT = 5  # reports about failing servers
 
 
@@ -52,7 +52,7 @@
 class MembershipMessage:
     """A decoded membership message; one message is one datagram."""
 
-    kind: Kind
+    kind: MessageKind
     sender: int
     number: int  # number of the probe that the message belongs to
     target: int = 0
@@ -69,7 +69,7 @@
         )
         for number, claim, reporter in items
     )
-    if message.kind is Kind.REPORT:
+    if message.kind is MessageKind.REPORT:
         items = []
         payload = b"".join(
             REPORT_FORMAT.pack(
@@ -77,7 +77,7 @@
             )
             for r in message.reports[:MAX_REPORTS]
         )
-    count = min(len(message.reports), MAX_REPORTS) if message.kind is Kind.REPORT else len(items)
+    count = min(len(message.reports), MAX_REPORTS) if message.kind is MessageKind.REPORT else len(items)
     fields = (message.kind, message.number & 0xFFFFFFFF, message.target, message.sender, count)
     without_check = HEADER.pack(MAGIC, VERSION, fleet_id & 0xFFFFFFFF, 0, *fields) + payload
     return HEADER.pack(MAGIC, VERSION, fleet_id & 0xFFFFFFFF, zlib.crc32(without_check), *fields) + payload
@@ -90,12 +90,12 @@
     magic, version, message_fleet_id, check, kind, number, target, sender, count = HEADER.unpack_from(data)
     if (magic, version, message_fleet_id) != (MAGIC, VERSION, fleet_id & 0xFFFFFFFF):
         return None
-    size = REPORT_FORMAT.size if kind == Kind.REPORT else CLAIM_FORMAT.size
-    if kind >= len(Kind) or len(data) != HEADER.size + count * size:
+    size = REPORT_FORMAT.size if kind == MessageKind.REPORT else CLAIM_FORMAT.size
+    if kind >= len(MessageKind) or len(data) != HEADER.size + count * size:
         return None
     if zlib.crc32(data[:6] + bytes(4) + data[10:]) != check:
         return None
-    if kind == Kind.REPORT:
+    if kind == MessageKind.REPORT:
         rows = list(REPORT_FORMAT.iter_unpack(data[HEADER.size :]))
         if any(symptom >= len(Symptom) for _, _, symptom, _, _ in rows):
             return None
@@ -103,13 +103,13 @@
             Report(server, Symptom(symptom), witness, AGE_STEP_MS * age, seen)
             for server, witness, symptom, age, seen in rows
         ]
-        return MembershipMessage(Kind.REPORT, sender, number, target, [], reports)
+        return MembershipMessage(MessageKind.REPORT, sender, number, target, [], reports)
     items = []
     for subject, state, high, low, reporter in CLAIM_FORMAT.iter_unpack(data[HEADER.size :]):
         if state >= len(State):
             return None
         items.append((subject, MemberClaim(high << 32 | low, State(state)), reporter))
-    return MembershipMessage(Kind(kind), sender, number, target, items)
+    return MembershipMessage(MessageKind(kind), sender, number, target, items)
 
 
 def is_membership_message(data: bytes) -> bool:
--- a/standins/scale/membership.py
+++ b/standins/scale/membership.py
@@ -12,7 +12,7 @@
 
 from hitchtiller.membership.detector import Datagrams, Detector
 from hitchtiller.membership.view import UNHEARD, MemberClaim, State
-from hitchtiller.membership.words import Kind, MembershipMessage, pack, unpack
+from hitchtiller.membership.words import MembershipMessage, MessageKind, pack, unpack
 from standins.gossipnet import TICKS, Net
 from standins.scale.fleet import UDP_HEADER_BYTES
 
@@ -87,13 +87,15 @@
         answers = []
         for peer, data in sent:
             message = unpack(data, FLEET_MARK)
-            if message is None or message.kind not in (Kind.PING, Kind.PAGE):
+            if message is None or message.kind not in (MessageKind.PING, MessageKind.SYNC_REQUEST):
                 continue
-            if message.kind is Kind.PING:
-                answer = MembershipMessage(Kind.ACK, peer, message.number)
+            if message.kind is MessageKind.PING:
+                answer = MembershipMessage(MessageKind.ACK, peer, message.number)
             else:
                 numbers = [(message.target + offset) % gateways for offset in range(gateways)]
-                answer = MembershipMessage(Kind.TELL, peer, 0, 0, [(n, claims[n], n) for n in numbers[:64]])
+                answer = MembershipMessage(
+                    MessageKind.CLAIMS, peer, 0, 0, [(n, claims[n], n) for n in numbers[:64]]
+                )
             answers.append((peer, pack(answer, FLEET_MARK)))
         return answers
 
--- a/tests/membership/test_membership_evidence.py
+++ b/tests/membership/test_membership_evidence.py
@@ -17,8 +17,8 @@
 from hitchtiller.membership.words import (
     MAX_DATAGRAM_BYTES,
     MAX_REPORTS,
-    Kind,
     MembershipMessage,
+    MessageKind,
     pack,
     unpack,
 )
@@ -108,7 +108,7 @@
     )
 )  # fmt: skip
 def test_reports_fit_a_datagram_and_decode_unchanged(reports: list[Report]) -> None:
-    data = pack(MembershipMessage(Kind.REPORT, 3, 9, reports=reports), 7)
+    data = pack(MembershipMessage(MessageKind.REPORT, 3, 9, reports=reports), 7)
     assert len(data) <= MAX_DATAGRAM_BYTES
     read = unpack(data, 7)
     assert read and read.reports == reports[:MAX_REPORTS] and read.items == []
--- a/tests/membership/test_membership_parts.py
+++ b/tests/membership/test_membership_parts.py
@@ -15,8 +15,8 @@
 from hitchtiller.membership.words import (
     MAX_CLAIMS,
     MAX_DATAGRAM_BYTES,
-    Kind,
     MembershipMessage,
+    MessageKind,
     is_membership_message,
     pack,
     unpack,
@@ -76,12 +76,18 @@
 
 
 MESSAGE = MembershipMessage(
-    Kind.ACK, 3, 77, 9, [(5, MemberClaim(1 << 47, State.SUSPECT), 4), (6, MemberClaim(7, State.LEFT), 6)]
+    MessageKind.ACK,
+    3,
+    77,
+    9,
+    [(5, MemberClaim(1 << 47, State.SUSPECT), 4), (6, MemberClaim(7, State.LEFT), 6)],
 )
 
 
 def test_messages_fit_a_datagram_and_decode_unchanged() -> None:
-    full = MembershipMessage(Kind.TELL, 1, 2, 3, [(n, MemberClaim(n, State.DEAD), n) for n in range(99)])
+    full = MembershipMessage(
+        MessageKind.CLAIMS, 1, 2, 3, [(n, MemberClaim(n, State.DEAD), n) for n in range(99)]
+    )
     assert len(pack(full, 7)) <= MAX_DATAGRAM_BYTES
     read = unpack(pack(full, 7), 7)
     assert read and read.items == full.items[:MAX_CLAIMS]
