--- a/hitchtiller/membership/detector.py
+++ b/hitchtiller/membership/detector.py
@@ -86,7 +86,12 @@
         self.probes: dict[int, Probe] = {}
         self.suspicions: dict[int, Suspicion] = {}
         self.probe_queue: list[int] = []
-        self.last_probe_number, self.period_count, self.slowdown_steps, self.pages = 0, 0, 0, INITIAL_SYNCS
+        self.last_probe_number, self.period_count, self.slowdown_steps, self.initial_syncs_left = (
+            0,
+            0,
+            0,
+            INITIAL_SYNCS,
+        )
         self.next_period_ms = self.last_tick_ms = now_ms
         self.sent_count = self.dropped_count = 0
         self.gossip.queue(own_number)
@@ -102,7 +107,7 @@
             for suspicion in self.suspicions.values():
                 suspicion.started_ms = now_ms
             self._slow_down(2)
-            self.pages = INITIAL_SYNCS
+            self.initial_syncs_left = INITIAL_SYNCS
             self.next_period_ms = now_ms
         datagrams = self._check_probes(now_ms)
         self._expire_suspicions(now_ms)
@@ -117,7 +122,7 @@
         if message is None or message.sender != sender or sender not in self.view.claims:
             self.dropped_count += 1
             return []
-        self.hear(sender, now_ms)
+        self.record_activity(sender, now_ms)
         for number, claim, reporter in message.items:
             if self.view.merge(number, claim, reporter, now_ms):
                 self._on_claim_merged(number, reporter, now_ms)
@@ -141,7 +146,7 @@
                 )
         return []
 
-    def hear(self, number: int, now_ms: float) -> None:
+    def record_activity(self, number: int, now_ms: float) -> None:
         """Record any sign of life of a member, such as a note about an object."""
         self.last_heard_ms[number] = now_ms
 
@@ -175,8 +180,8 @@
         """Start a period: a sync request if due, pings to own suspects, gossip, and the next probe."""
         self.period_count += 1
         datagrams: Datagrams = []
-        if self.pages or self.period_count % SYNC_INTERVAL_PERIODS == 0:
-            self.pages = max(0, self.pages - 1)
+        if self.initial_syncs_left or self.period_count % SYNC_INTERVAL_PERIODS == 0:
+            self.initial_syncs_left = max(0, self.initial_syncs_left - 1)
             for peer in self._random_members(1, ()):
                 datagrams += self._compose(
                     peer, MessageKind.SYNC_REQUEST, 0, self.rng.randrange(len(self.view.claims))
@@ -185,7 +190,7 @@
         for number, suspicion in self.suspicions.items():  # carries the suspicion, so that it can be refuted
             if self.own_number in suspicion.witnesses:
                 datagrams += self._compose(number, MessageKind.PING, 0)
-        if self.gossip.told:
+        if self.gossip.send_counts:
             for peer in self._random_members(GOSSIP_FANOUT, ()):
                 datagrams += self._compose(peer, MessageKind.CLAIMS, 0)
         return datagrams + self._start_probe(target, now_ms) if target is not None else datagrams
--- a/hitchtiller/membership/gossip.py
+++ b/hitchtiller/membership/gossip.py
@@ -18,7 +18,7 @@
 
     def __init__(self, size: int) -> None:
         """Start with nothing to send."""
-        self.told: dict[int, int] = {}
+        self.send_counts: dict[int, int] = {}
         self.max_sends = self.max_sends_for(size)
 
     @staticmethod
@@ -28,13 +28,15 @@
 
     def queue(self, number: int) -> None:
         """Queue the claim about a number to be sent, from a count of 0."""
-        self.told[number] = 0
+        self.send_counts[number] = 0
 
     def next_numbers(self, max_count: int, first: int | None = None) -> list[int]:
         """Return the numbers whose claims go with the next message, always including `first` if given."""
-        chosen = heapq.nsmallest(max_count - (first is not None), self.told, key=lambda n: (self.told[n], n))
+        chosen = heapq.nsmallest(
+            max_count - (first is not None), self.send_counts, key=lambda n: (self.send_counts[n], n)
+        )
         for number in chosen:
-            self.told[number] += 1
-            if self.told[number] >= self.max_sends:
-                del self.told[number]
+            self.send_counts[number] += 1
+            if self.send_counts[number] >= self.max_sends:
+                del self.send_counts[number]
         return chosen if first is None or first in chosen else [first, *chosen]
--- a/hitchtiller/ops/members.py
+++ b/hitchtiller/ops/members.py
@@ -83,7 +83,7 @@
     def receive(self, sender: int, data: bytes) -> bool:
         """Handle a datagram; return whether it was a membership message rather than a note about objects."""
         if not is_membership_message(data):
-            self.detector.hear(sender, now_ms())
+            self.detector.record_activity(sender, now_ms())
             return False
         self.send_all(self.detector.receive(sender, data, now_ms()))
         return True
--- a/standins/scale/membership.py
+++ b/standins/scale/membership.py
@@ -29,8 +29,8 @@
     claims = {number: node.view.claims[number] for number, node in net.nodes.items()}
     for node in net.nodes.values():
         node.view.claims = dict(claims)
-        node.gossip.told.clear()
-        node.pages = 0
+        node.gossip.send_counts.clear()
+        node.initial_syncs_left = 0
     return net
 
 
@@ -70,8 +70,8 @@
     node = Detector(0, gateways, INCARNATION, FLEET_MARK, PERIOD_MS, Random(1), 0.0)
     for number in range(1, gateways):
         node.view.merge(number, MemberClaim(INCARNATION + number, State.ALIVE), number, 0.0)
-        node.hear(number, 0.0)
-    node.gossip.told.clear()
+        node.record_activity(number, 0.0)
+    node.gossip.send_counts.clear()
     gc.collect()
     state_bytes = tracemalloc.get_traced_memory()[0] - bytes_before
     tracemalloc.stop()
