--- a/hitchtiller/__main__.py
+++ b/hitchtiller/__main__.py
@@ -44,9 +44,9 @@
         sched.sleep(COUNTS_INTERVAL_MS)
         logger.info(
             "taken={} {} left={} attempts={} open={} clients={} sockets={} lag_ms={:.1f}",
-            engine.stats.taken,
-            " ".join(f"{kind}={count}" for kind, count in engine.stats.total().items()),
-            engine.stats.left,
+            engine.stats.requests_accepted,
+            " ".join(f"{kind}={count}" for kind, count in engine.stats.answer_totals().items()),
+            engine.stats.clients_left,
             engine.stats.attempts,
             len(engine.open_exchanges),
             len(front.clients),
@@ -60,7 +60,7 @@
     """Log the figures that `hitchtiller worth` sums over all gateways: at the start and every 5 s."""
     while True:
         engine.stats.links = back.opened_count
-        logger.info("{}", engine.stats.figures())
+        logger.info("{}", engine.stats.figures_line())
         sched.sleep(FIGURES_INTERVAL_MS)
 
 
--- a/hitchtiller/cli/serve.py
+++ b/hitchtiller/cli/serve.py
@@ -123,12 +123,12 @@
 def publish_repository_figures(stats: Stats, front: "RepoFront", fetcher: "Fetcher") -> None:
     """Add the figures of the repository front to the statistics of the gateway."""
     background_limit, budget, service = fetcher.background_limit, fetcher.budget, front.service
-    stats.levels |= {
+    stats.gauges |= {
         "repo.connections": lambda: front.connection_limits.open_connections,
         "repo.parts_open": lambda: background_limit.parts_in_flight,
         "repo.parts_limit": lambda: int(background_limit.limit),
     }
-    stats.counts |= {
+    stats.counters |= {
         "repo.parts": lambda: fetcher.parts_requested,
         "repo.repeats": lambda: budget.repeats_spent,
         "repo.repeats_denied": lambda: budget.repeats_denied,
--- a/hitchtiller/engine.py
+++ b/hitchtiller/engine.py
@@ -115,15 +115,15 @@
         self.purge_listeners: list[Callable[[PurgeNotice], object]] = []
         self.on_final_answer: Callable[[Exchange, Answer], None] | None = None  # called for each final answer
         self.stats = Stats(router.settings.classes)
-        self.stats.levels = {
+        self.stats.gauges = {
             "in_flight": lambda: len(self.open_exchanges),
             "station_caches_known": lambda: len(router.nodes),
             "station_caches_excluded": lambda: sum(not router.is_usable(n) for n in router.nodes.values()),
         }
         if not router.leases.fixed_fills:
-            self.stats.levels["origin_fills"] = lambda: router.leases.fills_in_flight
-            self.stats.counts["origin_leases_granted"] = lambda: router.leases.grants_received
-            self.stats.counts["origin_leases_denied"] = lambda: router.leases.denials_received
+            self.stats.gauges["origin_fills"] = lambda: router.leases.fills_in_flight
+            self.stats.counters["origin_leases_granted"] = lambda: router.leases.grants_received
+            self.stats.counters["origin_leases_denied"] = lambda: router.leases.denials_received
 
     # Client side
 
@@ -136,7 +136,7 @@
         exchange = Exchange(next(self.request_numbers), request, deliver)
         self.open_exchanges[exchange.number] = exchange
         self.open_ids.add(request.id.lower())
-        self.stats.taken += 1
+        self.stats.requests_accepted += 1
         self._count_worth("asked", exchange)
         exchange.accepted_ms = self.clock.now_ms()
         delay_ms = request.deadline_ms - exchange.accepted_ms
@@ -167,7 +167,7 @@
     def client_left(self, exchange: Exchange) -> None:
         """Handle a client that left: close the exchange and cancel its attempts."""
         if exchange.close():
-            self.stats.left += 1
+            self.stats.clients_left += 1
             self._count_worth("left", exchange)
             self.abandon(exchange)
 
@@ -211,7 +211,7 @@
             answer = Answer(FAILED)  # a refusal would tell the client that a retry is safe
         self._remove_open(exchange)
         if exchange.finish(answer):
-            self.stats.end(exchange.request.class_name, answer.kind)
+            self.stats.record_answer(exchange.request.class_name, answer.kind)
             self._count_worth(answer.kind, exchange)
             if self.on_final_answer:
                 self.on_final_answer(exchange, answer)
@@ -356,7 +356,7 @@
     def on_attempt_end(self, attempt: Attempt, result: AttemptResult) -> None:
         """Handle the end of an attempt; the first served one becomes the final answer."""
         exchange = attempt.exchange
-        self.stats.tried(result.status)
+        self.stats.record_attempt_result(result.status)
         if attempt.written and result.status in NEVER_RAN:
             self.effects.never_ran(exchange.request.class_name, exchange.request.dedupe)
         if result.status == "done" and self.copies:
--- a/hitchtiller/front/client.py
+++ b/hitchtiller/front/client.py
@@ -242,13 +242,13 @@
         try:
             request = read_request(frame.payload, self.front.settings, arrived_ms)
         except RequestError as error:
-            stats.end(error.class_name, FAILED)
+            stats.record_answer(error.class_name, FAILED)
             self._send_answer(stream, Answer(FAILED))  # an invalid request is never forwarded
             return
         is_new = stream != 0 and self.stream_numbers.claim(stream)
         # A cache must not get the same request id twice at the same time.
         if not is_new or self.front.engine.has_request(request.id):
-            stats.end(request.class_name, FAILED)
+            stats.record_answer(request.class_name, FAILED)
             self._send_answer(stream, Answer(FAILED))
             return
         self.accepted_count += 1
@@ -257,7 +257,7 @@
         if self.excess_requests > MAX_EXCESS_REQUESTS:
             return self._fail_flood()
         if is_full or self.close_code or not self.front.accepts_request(arrived_ms):
-            stats.end(request.class_name, REFUSED)
+            stats.record_answer(request.class_name, REFUSED)
             self._send_answer(stream, Answer(REFUSED, wait_ms=self.front.settings.max_retry_after_ms))
             return
         exchange = self.front.engine.accept(request, partial(self._on_answer, stream))
--- a/hitchtiller/ops/members.py
+++ b/hitchtiller/ops/members.py
@@ -65,11 +65,11 @@
         engine.router.home_of = lambda object_hash: self.homes.home(object_hash, self.serving)
         levels = {"members_alive": State.ALIVE, "members_suspect": State.SUSPECT, "members_dead": State.DEAD}
         for name, state in levels.items():
-            engine.stats.levels[name] = lambda state=state: len(self.view.numbers_in(state))  # type: ignore[misc]
-        engine.stats.levels["members_standing"] = lambda: int(self.partition_monitor.connectivity)
-        engine.stats.counts["members_entries_handed"] = lambda: self.handed_over
-        engine.stats.counts["members_words_sent"] = lambda: self.detector.sent_count
-        engine.stats.counts["members_words_dropped"] = lambda: self.detector.dropped_count
+            engine.stats.gauges[name] = lambda state=state: len(self.view.numbers_in(state))  # type: ignore[misc]
+        engine.stats.gauges["members_standing"] = lambda: int(self.partition_monitor.connectivity)
+        engine.stats.counters["members_entries_handed"] = lambda: self.handed_over
+        engine.stats.counters["members_words_sent"] = lambda: self.detector.sent_count
+        engine.stats.counters["members_words_dropped"] = lambda: self.detector.dropped_count
 
     def run(self) -> None:
         """Tick until the program ends."""
@@ -102,7 +102,7 @@
             now - heard_ms < SILENCE_PERIODS * self.period_ms
             for heard_ms in self.detector.last_heard_ms.values()
         )
-        results = self.engine.stats.tries
+        results = self.engine.stats.attempt_results
         answers = sum(results.get(status, 0) for status in ANSWER_STATUSES)
         if answers > self.answer_count:
             self.answer_count, self.last_answer_ms = answers, now
--- a/hitchtiller/ops/stats.py
+++ b/hitchtiller/ops/stats.py
@@ -13,29 +13,29 @@
     def __init__(self, classes: Iterable[str]) -> None:
         """Start all counters of these classes at 0."""
         self.answer_counts = {name: dict.fromkeys(ANSWER_KINDS, 0) for name in classes}
-        self.taken = self.left = self.attempts = 0
+        self.requests_accepted = self.clients_left = self.attempts = 0
         self.worth = dict.fromkeys(WORTH_KINDS, 0.0)  # summed worth of requests by their result
         self.links = 0  # connections opened to servers; each costs a handshake
-        self.tries: dict[str, int] = {}  # results of attempts, by the decisions' status
-        self.levels: dict[str, Callable[[], int]] = {}  # gauges, read on demand: short peaks may be missed
-        self.counts: dict[str, Callable[[], int]] = {}  # counters kept by other modules
+        self.attempt_results: dict[str, int] = {}  # results of attempts, by the decisions' status
+        self.gauges: dict[str, Callable[[], int]] = {}  # gauges, read on demand: short peaks may be missed
+        self.counters: dict[str, Callable[[], int]] = {}  # counters kept by other modules
 
-    def end(self, class_name: str, kind: str) -> None:
+    def record_answer(self, class_name: str, kind: str) -> None:
         """Count a final answer; classes that are not configured have no counter."""
         if answer_counts := self.answer_counts.get(class_name):
             answer_counts[kind] += 1
 
-    def tried(self, status: str) -> None:
+    def record_attempt_result(self, status: str) -> None:
         """Count the result of an attempt."""
-        self.tries[status] = self.tries.get(status, 0) + 1
+        self.attempt_results[status] = self.attempt_results.get(status, 0) + 1
 
-    def figures(self) -> str:
+    def figures_line(self) -> str:
         """Return the log line that `hitchtiller worth` sums over a fleet: totals since the process start."""
         worth = [f"worth.{name}={round(value, 3)}" for name, value in self.worth.items()]
-        tries = [f"end.{name}={count}" for name, count in sorted(self.tries.items())]
+        tries = [f"end.{name}={count}" for name, count in sorted(self.attempt_results.items())]
         return " ".join(["figures", *worth, *tries, f"links={self.links}"])
 
-    def total(self) -> dict[str, int]:
+    def answer_totals(self) -> dict[str, int]:
         """Return the number of final answers of each kind over all classes, for the log's regular line."""
         return {
             kind: sum(answer_counts[kind] for answer_counts in self.answer_counts.values())
@@ -50,8 +50,8 @@
             for kind, n in answer_counts.items()
         }
         counted["attempts"] = self.attempts
-        counted |= {name: read() for name, read in self.counts.items()}
-        levels = {name: read() for name, read in self.levels.items()}
+        counted |= {name: read() for name, read in self.counters.items()}
+        levels = {name: read() for name, read in self.gauges.items()}
         return [f"{PREFIX}.{name}:{count}|c" for name, count in counted.items()] + [
             f"{PREFIX}.{name}:{level}|g" for name, level in levels.items()
         ]
--- a/hitchtiller/store/tier.py
+++ b/hitchtiller/store/tier.py
@@ -378,17 +378,17 @@
         """Register the statistics that operators read."""
         stats = self.engine.stats
         for tier in self.hits:
-            stats.counts[f"store.hits.{tier}"] = partial(self.hits.__getitem__, tier)
+            stats.counters[f"store.hits.{tier}"] = partial(self.hits.__getitem__, tier)
         for name in ("misses", "confirmed", "refuted", "slow_link"):
-            stats.counts[f"store.{name}"] = partial(getattr, self, name)
+            stats.counters[f"store.{name}"] = partial(getattr, self, name)
         for name in ("joined", "promoted", "impatient", "spared"):
-            stats.counts[f"store.join.{name}"] = partial(getattr, self.joins, name)
-        stats.levels["store.memory_bytes"] = lambda: self.memory.used
-        stats.levels["store.era"] = lambda: self.proof.epoch
+            stats.counters[f"store.join.{name}"] = partial(getattr, self.joins, name)
+        stats.gauges["store.memory_bytes"] = lambda: self.memory.used
+        stats.gauges["store.era"] = lambda: self.proof.epoch
         for name in ("segments", "parts", "bytes", "dead_bytes", "queued_bytes", "state"):
-            stats.levels[f"store.disk.{name}"] = partial(self._disk_figure, name)
+            stats.gauges[f"store.disk.{name}"] = partial(self._disk_figure, name)
         for name in ("puts", "dropped", "reads", "glanced", "torn", "checkpoints"):
-            stats.counts[f"store.disk.{name}"] = partial(self._disk_count, name)
+            stats.counters[f"store.disk.{name}"] = partial(self._disk_count, name)
 
     def _disk_figure(self, name: str) -> int:
         return self.disk.figures()[name] if self.disk else 0
--- a/standins/scale/gateway.py
+++ b/standins/scale/gateway.py
@@ -71,7 +71,7 @@
         """Handle one event and return the router's actions."""
         if isinstance(event, api.Request):
             self.open_requests[event.id] = event
-            self.stats.taken += 1
+            self.stats.requests_accepted += 1
         return self.router.handle(event, now_ms)
 
     def handle_discovery(self, frame: bytes, now_ms: float) -> list[api.Action]:
@@ -96,4 +96,4 @@
         """Record the final answer to a request; does nothing if the request is not open."""
         self.attempt_counts.pop(request_id, None)
         if request := self.open_requests.pop(request_id, None):
-            self.stats.end(request.class_name, kind)
+            self.stats.record_answer(request.class_name, kind)
--- a/tests/ends/test_ends_clients.py
+++ b/tests/ends/test_ends_clients.py
@@ -71,7 +71,7 @@
         number = self.send_request(1)
         self.client.close_when_done("half")
         self.client_socket.sendall(request_frame(2))
-        self.wait_until(lambda: self.engine.stats.total()["refused"] == 1)
+        self.wait_until(lambda: self.engine.stats.answer_totals()["refused"] == 1)
         self.engine.answer(number, b"x")
         answers = [(f.stream, f.payload[0]) for f in frames.FrameReader().feed(self.read_until_end())]
         self.assertEqual(answers, [(2, frames.REFUSED), (1, frames.SERVED)])
--- a/tests/test_worth.py
+++ b/tests/test_worth.py
@@ -15,8 +15,8 @@
 def figures_line(at: float, name: str, asked: float, refused: float, busy: int) -> str:
     stats = Stats(["files"])
     stats.worth["asked"], stats.worth["refused"], stats.links = asked, refused, 1
-    stats.tries["busy"] = busy
-    return HEAD.format(at, name) + stats.figures() + "\n"
+    stats.attempt_results["busy"] = busy
+    return HEAD.format(at, name) + stats.figures_line() + "\n"
 
 
 def run_worth(*arguments: str) -> tuple[int, str, str]:
