--- a/hitchtiller/cli/bench.py
+++ b/hitchtiller/cli/bench.py
@@ -28,7 +28,7 @@
     files = OsFiles(folder)
     files.lock()
     budget = parts * (size + 256) * 2 + 512 * MB
-    proof = Proof(recover.Recovered().kept, 0.0)
+    proof = Proof(recover.Recovered().saved_proof, 0.0)
     disk = Disk(
         files, InlineJobs(), Options(budget, 0, 64 * MB // 64 * 64, 64 * MB), recover.Recovered(), proof
     )
@@ -102,7 +102,7 @@
     started_s = time.perf_counter()
     recovered = recover.load(files, use_checkpoint)
     load_s = time.perf_counter() - started_s
-    disk = Disk(files, InlineJobs(), Options(1 << 40), recovered, Proof(recovered.kept, 0.0))
+    disk = Disk(files, InlineJobs(), Options(1 << 40), recovered, Proof(recovered.saved_proof, 0.0))
     body_sizes: list[int] = []
     disk.get(0, 0, lambda part, body: body_sizes.append(len(body)))
     start_s = time.perf_counter() - started_s
--- a/hitchtiller/cli/store.py
+++ b/hitchtiller/cli/store.py
@@ -51,7 +51,7 @@
     started_s = time.monotonic()
     recovered = recover.load(files)
     files.close()
-    saved_proof = recovered.kept
+    saved_proof = recovered.saved_proof
     facts: dict[str, Any] = {
         "parts": len(recovered.index),
         "segments": len(recovered.segments),
@@ -131,7 +131,7 @@
     bytes_before = sum(segment.size for segment in recovered.segments.values())
     if 2 * bytes_before + options.segment_bytes > options.budget:
         options = Options(2 * bytes_before + 2 * options.segment_bytes, 0, options.segment_bytes, 64 * MB)
-    proof = Proof(recovered.kept, 0.0)
+    proof = Proof(recovered.saved_proof, 0.0)
     disk = Disk(files, InlineJobs(), options, recovered, proof)
     compactor = Compactor(disk, lambda part_hash: 16, Rate(1e15, 1e15, 1e15))
     segment_ids = sorted(recovered.segments)
--- a/hitchtiller/store/disk.py
+++ b/hitchtiller/store/disk.py
@@ -89,7 +89,7 @@
         # By part hash: the place of the newest record while that record is still being written.
         self.pending: dict[int, int] = {}
         self.unwritten_bytes = 0
-        self.log = PurgeLog(files, jobs, self.purges, found.kept, self._on_write_error)
+        self.log = PurgeLog(files, jobs, self.purges, found.saved_proof, self._on_write_error)
         self.checkpoint = found.checkpoint
         for name in found.headless_files:
             jobs.submit(WRITE_LANE, partial(files.remove, name), self._on_write_done)
@@ -112,7 +112,7 @@
         """
         size = part.size(len(body))
         # Prevents records of an epoch that a crash would undo: the next start would use its number again.
-        era_known = part.epoch <= self.log.kept.epoch
+        era_known = part.epoch <= self.log.saved_proof.epoch
         if (
             self.closed
             or not (self.health.can_write and era_known)
--- a/hitchtiller/store/log.py
+++ b/hitchtiller/store/log.py
@@ -27,7 +27,13 @@
         self, files: Files, jobs: Jobs, purges: Purges, kept: SavedProof, on_error: Callable[[OSError], None]
     ) -> None:
         """Begin a new file with the entries in force, which leaves a torn end of the old one behind."""
-        self.files, self.jobs, self.purges, self.kept, self.on_error = files, jobs, purges, kept, on_error
+        self.files, self.jobs, self.purges, self.saved_proof, self.on_error = (
+            files,
+            jobs,
+            purges,
+            kept,
+            on_error,
+        )
         self.salt, self.end, self.base_end = 0, 0, 0
         self.pending: list[tuple[fmt.LogEntry, Callable[[], None] | None]] = []
         self.writing = self.failed = False
@@ -90,7 +96,11 @@
 
         The epoch and the watermark are the durable ones; newer ones are in `pending` and follow.
         """
-        epoch, followed_ms, gap_end_ms = self.kept.epoch, self.kept.followed_ms, self.kept.gap_end_ms
+        epoch, followed_ms, gap_end_ms = (
+            self.saved_proof.epoch,
+            self.saved_proof.followed_ms,
+            self.saved_proof.gap_end_ms,
+        )
         entries = [fmt.LogEntry(fmt.EPOCH, epoch, int(min(gap_end_ms, MAX_TIME_MS)))] if epoch else []
         if self.purges.floor > 0:
             entries.append(fmt.LogEntry(fmt.FLOOR, epoch, int(self.purges.floor)))
@@ -109,6 +119,6 @@
     def _record_durable(self, entry: fmt.LogEntry) -> None:
         """Record the epoch or the watermark of an entry that has become durable."""
         if entry.kind == fmt.EPOCH:
-            self.kept = replace(self.kept, epoch=entry.epoch, gap_end_ms=float(entry.at_ms))
+            self.saved_proof = replace(self.saved_proof, epoch=entry.epoch, gap_end_ms=float(entry.at_ms))
         elif entry.kind == fmt.FOLLOWED:
-            self.kept = replace(self.kept, followed_ms=float(entry.at_ms))
+            self.saved_proof = replace(self.saved_proof, followed_ms=float(entry.at_ms))
--- a/hitchtiller/store/recover.py
+++ b/hitchtiller/store/recover.py
@@ -45,7 +45,7 @@
     index: Index = field(default_factory=Index)
     segments: dict[int, Segment] = field(default_factory=dict)
     purges: Purges = field(default_factory=Purges)
-    kept: SavedProof = field(default_factory=SavedProof)
+    saved_proof: SavedProof = field(default_factory=SavedProof)
     checkpoint: int = 0  # number of the checkpoint; 0: none was used
     records_read: int = 0  # number of records that were read one by one
     next_id: int = 1  # above every segment number that a checkpoint or the folder has ever held
@@ -143,7 +143,7 @@
         else:
             key = entry.key if entry.kind == fmt.PURGE_OBJECT else None
             state.purges.add(key, entry.group, float(entry.at_ms))
-    state.kept = SavedProof(epoch, followed_ms, gap_end_ms)
+    state.saved_proof = SavedProof(epoch, followed_ms, gap_end_ms)
     return True
 
 
@@ -206,7 +206,7 @@
     if not has_log:
         # Prevents serving purged copies after the log was lost: which purges were received is unknown, so a
         # server must confirm every copy.
-        state.kept = SavedProof(
+        state.saved_proof = SavedProof(
             epoch=max_epoch, followed_ms=0.0, gap_end_ms=math.inf if state.segments else 0.0
         )
     for _, place in state.index.items():
--- a/hitchtiller/store/tier.py
+++ b/hitchtiller/store/tier.py
@@ -233,11 +233,13 @@
             disk.purge(None, group, purge_ms)
         for key, purge_ms in own_purges.objects.items():
             disk.purge(key, -1, purge_ms)
-        if self.proof.adopt(disk.log.kept, self.engine.clock.now_ms()):
+        if self.proof.adopt(disk.log.saved_proof, self.engine.clock.now_ms()):
             disk.mark_epoch()
         if self.proof.epoch != self.epoch:
             logger.info(
-                "now in era {}; the era of the store folder was {}", self.proof.epoch, disk.log.kept.epoch
+                "now in era {}; the era of the store folder was {}",
+                self.proof.epoch,
+                disk.log.saved_proof.epoch,
             )
             self.epoch = self.proof.epoch
 
--- a/standins/crashpoints.py
+++ b/standins/crashpoints.py
@@ -57,7 +57,7 @@
     def open(self) -> Disk:
         """Start the tier as a gateway does: read the folder, apply the bus's purges, record the new epoch."""
         found = recover.load(self.files)
-        proof = Proof(found.kept, REPLAY_MS, 100.0)
+        proof = Proof(found.saved_proof, REPLAY_MS, 100.0)
         disk = self.disk = Disk(self.files, InlineJobs(), OPTIONS, found, proof)
         self.counts["gaps"] += proof.begin(self.model.now, self.model.now)
         disk.mark_epoch()
--- a/tests/store/test_store_disk.py
+++ b/tests/store/test_store_disk.py
@@ -29,7 +29,7 @@
 
 def open_disk(files: SimFiles | OsFiles, now: float = START, options: Options = SMALL) -> Disk:
     found = recover.load(files)
-    proof = Proof(found.kept, 6000.0, 500.0)
+    proof = Proof(found.saved_proof, 6000.0, 500.0)
     disk = Disk(files, InlineJobs(), options, found, proof)
     proof.begin(now, 0.0)
     disk.mark_epoch()
@@ -226,7 +226,7 @@
     """Guards against a crash after which the next start uses the same epoch while old records carry it."""
     files = SimFiles()
     found = recover.load(files)
-    disk = Disk(files, InlineJobs(), SMALL, found, Proof(found.kept, 6000.0))
+    disk = Disk(files, InlineJobs(), SMALL, found, Proof(found.saved_proof, 6000.0))
     disk.proof.begin(START, 0.0)
     assert not disk.put(part(1, epoch=disk.proof.epoch), b"x")
     disk.mark_epoch()
