--- a/hitchtiller/store/disk.py
+++ b/hitchtiller/store/disk.py
@@ -272,7 +272,7 @@
 
         if self.is_stalled():
             return False
-        cached = self.files.glance(segment_name(segment_id), offset, size)
+        cached = self.files.read_cached(segment_name(segment_id), offset, size)
         if cached is not None:  # it is in the page cache: a thread would cost more than the read
             try:
                 on_done(fmt.read_record(cached, salt, offset), None)
--- a/hitchtiller/store/files.py
+++ b/hitchtiller/store/files.py
@@ -30,7 +30,7 @@
     def read(self, name: str, offset: int, size: int) -> bytes:
         """Read up to `size` bytes; fewer only at the end of the file."""
 
-    def glance(self, name: str, offset: int, size: int) -> bytes | None:
+    def read_cached(self, name: str, offset: int, size: int) -> bytes | None:
         """Read `size` bytes if no waiting is needed, else return None; may be called in the event loop."""
 
     def write(self, name: str, offset: int, data: bytes) -> None:
@@ -171,7 +171,7 @@
                 size_read += len(data)
         return b"".join(pieces)
 
-    def glance(self, name: str, offset: int, size: int) -> bytes | None:
+    def read_cached(self, name: str, offset: int, size: int) -> bytes | None:
         """Read from the page cache alone, and only from an open file, since opening may wait for the disk."""
         fd = self._acquire(name)
         if fd < 0:
--- a/standins/files.py
+++ b/standins/files.py
@@ -81,7 +81,7 @@
         self._call("read", name)
         return bytes(self._node(name).content()[offset : offset + size])
 
-    def glance(self, name: str, offset: int, size: int) -> bytes | None:
+    def read_cached(self, name: str, offset: int, size: int) -> bytes | None:
         """Return None, as no bytes are in a page cache here."""
         return None
 
--- a/standins/lag.py
+++ b/standins/lag.py
@@ -55,7 +55,7 @@
         self._stall()
         return super().read(name, offset, size)
 
-    def glance(self, name: str, offset: int, size: int) -> bytes | None:
+    def read_cached(self, name: str, offset: int, size: int) -> bytes | None:
         """Return cached bytes, but nothing during a stall."""
         return None if time.monotonic() % 3.0 < 2.0 else super().glance(name, offset, size)
 
