--- a/hitchtiller/cli/bench.py
+++ b/hitchtiller/cli/bench.py
@@ -13,7 +13,7 @@
 
 from hitchtiller.cli import show
 from hitchtiller.store import recover
-from hitchtiller.store.disk import Disk, Options
+from hitchtiller.store.disk import Disk, DiskOptions
 from hitchtiller.store.files import OsFiles
 from hitchtiller.store.format import Part
 from hitchtiller.store.index import Index, hash_part, pack_place, unpack_place
@@ -30,7 +30,7 @@
     budget = parts * (size + 256) * 2 + 512 * MB
     proof = Proof(recover.Recovered().saved_proof, 0.0)
     disk = Disk(
-        files, InlineJobs(), Options(budget, 0, 64 * MB // 64 * 64, 64 * MB), recover.Recovered(), proof
+        files, InlineJobs(), DiskOptions(budget, 0, 64 * MB // 64 * 64, 64 * MB), recover.Recovered(), proof
     )
     proof.begin(1e12, 1e12)
     disk.mark_epoch()
@@ -102,7 +102,7 @@
     started_s = time.perf_counter()
     recovered = recover.load(files, use_checkpoint)
     load_s = time.perf_counter() - started_s
-    disk = Disk(files, InlineJobs(), Options(1 << 40), recovered, Proof(recovered.saved_proof, 0.0))
+    disk = Disk(files, InlineJobs(), DiskOptions(1 << 40), recovered, Proof(recovered.saved_proof, 0.0))
     body_sizes: list[int] = []
     disk.get(0, 0, lambda part, body: body_sizes.append(len(body)))
     start_s = time.perf_counter() - started_s
--- a/hitchtiller/cli/serve.py
+++ b/hitchtiller/cli/serve.py
@@ -27,7 +27,7 @@
 
 def make_store_extension(settings: Store) -> Callable[[Gateway], Callable[[], None]]:
     """Return a function that adds the tiers of copies to a gateway and returns a callable for its end."""
-    from hitchtiller.store.disk import Options
+    from hitchtiller.store.disk import DiskOptions
     from hitchtiller.store.jobs import ThreadJobs
     from hitchtiller.store.keeper import Keeper
     from hitchtiller.store.memory import Memory
@@ -47,7 +47,7 @@
         if settings.disk is None:
             return lambda: None
         disk = settings.disk
-        options = Options(
+        options = DiskOptions(
             budget=int(disk.budget_mb * MB),
             reserve=int(disk.reserve_mb * MB),
             segment_bytes=int(disk.segment_mb * MB) // 64 * 64,
--- a/hitchtiller/cli/store.py
+++ b/hitchtiller/cli/store.py
@@ -10,7 +10,7 @@
 from hitchtiller.store import format as fmt
 from hitchtiller.store import recover
 from hitchtiller.store.compact import Compactor
-from hitchtiller.store.disk import Disk, Options
+from hitchtiller.store.disk import Disk, DiskOptions
 from hitchtiller.store.files import OsFiles
 from hitchtiller.store.index import unpack_place
 from hitchtiller.store.jobs import InlineJobs
@@ -127,10 +127,10 @@
     except StoreUnavailableError as error:
         return _report_error(error)
     recovered = recover.load(files)
-    options = Options(int(budget_mb * MB), 0, int(segment_mb * MB) // 64 * 64, 64 * MB)
+    options = DiskOptions(int(budget_mb * MB), 0, int(segment_mb * MB) // 64 * 64, 64 * MB)
     bytes_before = sum(segment.size for segment in recovered.segments.values())
     if 2 * bytes_before + options.segment_bytes > options.budget:
-        options = Options(2 * bytes_before + 2 * options.segment_bytes, 0, options.segment_bytes, 64 * MB)
+        options = DiskOptions(2 * bytes_before + 2 * options.segment_bytes, 0, options.segment_bytes, 64 * MB)
     proof = Proof(recovered.saved_proof, 0.0)
     disk = Disk(files, InlineJobs(), options, recovered, proof)
     compactor = Compactor(disk, lambda part_hash: 16, Rate(1e15, 1e15, 1e15))
--- a/hitchtiller/store/disk.py
+++ b/hitchtiller/store/disk.py
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Options:
+class DiskOptions:
     """Settings of the disk tier: sizes in bytes, times in milliseconds."""
 
     budget: int = 1 << 30
@@ -73,7 +73,7 @@
         self,
         files: Files,
         jobs: Jobs,
-        options: Options,
+        options: DiskOptions,
         found: Recovered,
         proof: Proof,
         monotonic_clock: Callable[[], float] = monotonic_ms,
--- a/hitchtiller/store/keeper.py
+++ b/hitchtiller/store/keeper.py
@@ -18,7 +18,7 @@
 from hitchtiller.sched import Scheduler, now_ms
 from hitchtiller.store import recover
 from hitchtiller.store.compact import Compactor
-from hitchtiller.store.disk import Disk, Options
+from hitchtiller.store.disk import Disk, DiskOptions
 from hitchtiller.store.files import OsFiles
 from hitchtiller.store.health import OFF
 from hitchtiller.store.jobs import LOG_LANE, WRITE_LANE, ThreadJobs
@@ -40,7 +40,7 @@
         tier: Tier,
         front: Front,
         folder: Path,
-        options: Options,
+        options: DiskOptions,
         jobs: ThreadJobs,
         rate: Rate,
         open_files: Callable[[Path], OsFiles] = OsFiles,
--- a/standins/crashpoints.py
+++ b/standins/crashpoints.py
@@ -18,7 +18,7 @@
 
 from hitchtiller.store import recover
 from hitchtiller.store.compact import Compactor
-from hitchtiller.store.disk import Disk, Options
+from hitchtiller.store.disk import Disk, DiskOptions
 from hitchtiller.store.format import Part
 from hitchtiller.store.index import unpack_place
 from hitchtiller.store.jobs import InlineJobs
@@ -27,7 +27,7 @@
 from standins.files import Crash, SimFiles
 from standins.truth import make_body
 
-OPTIONS = Options(budget=400_000, segment_bytes=32_768, queue_bytes=1 << 20)
+OPTIONS = DiskOptions(budget=400_000, segment_bytes=32_768, queue_bytes=1 << 20)
 KEYS, REPLAY_MS = 40, 2_000.0
 
 
--- a/standins/lag.py
+++ b/standins/lag.py
@@ -27,7 +27,7 @@
 from hitchtiller.news import ListedServer, Topology
 from hitchtiller.sched import Clock, Scheduler, now_ms
 from hitchtiller.settings import read_settings
-from hitchtiller.store.disk import Options
+from hitchtiller.store.disk import DiskOptions
 from hitchtiller.store.files import OsFiles
 from hitchtiller.store.jobs import ThreadJobs
 from hitchtiller.store.keeper import Keeper
@@ -115,7 +115,7 @@
         front = Front(sched, engine, setup, 10, 10)
         front.leave = DrainControl(front)
         jobs = ThreadJobs(sched)
-        options = Options(budget=200 * MB, segment_bytes=8 * MB, checkpoint_ms=2_000.0, sync_ms=200.0)
+        options = DiskOptions(budget=200 * MB, segment_bytes=8 * MB, checkpoint_ms=2_000.0, sync_ms=200.0)
         make = StallingFiles if way == "stalled" else OsFiles
         keeper = Keeper(sched, tier, front, folder, options, jobs, Rate(50e6, 5e6, 4e6), make)
         sched.spawn(keeper.run)
--- a/tests/store/test_store_disk.py
+++ b/tests/store/test_store_disk.py
@@ -13,7 +13,7 @@
 from hitchtiller.store import format as fmt
 from hitchtiller.store import recover
 from hitchtiller.store.compact import Compactor
-from hitchtiller.store.disk import Disk, Options
+from hitchtiller.store.disk import Disk, DiskOptions
 from hitchtiller.store.files import OsFiles
 from hitchtiller.store.health import OFF, READ_ONLY
 from hitchtiller.store.index import hash_part
@@ -27,7 +27,7 @@
 FAST = Rate(1e12, 1e12, 1e12)
 
 
-def open_disk(files: SimFiles | OsFiles, now: float = START, options: Options = SMALL) -> Disk:
+def open_disk(files: SimFiles | OsFiles, now: float = START, options: DiskOptions = SMALL) -> Disk:
     found = recover.load(files)
     proof = Proof(found.saved_proof, 6000.0, 500.0)
     disk = Disk(files, InlineJobs(), options, found, proof)
--- a/tests/store/tiers.py
+++ b/tests/store/tiers.py
@@ -13,7 +13,7 @@
 from hitchtiller.exchange import Answer, Attempt, AttemptResult, ClientRequest, Exchange
 from hitchtiller.news import ListedServer, PurgeNotice, Topology
 from hitchtiller.store import recover
-from hitchtiller.store.disk import Disk, Options
+from hitchtiller.store.disk import Disk, DiskOptions
 from hitchtiller.store.files import Files
 from hitchtiller.store.format import Part
 from hitchtiller.store.jobs import InlineJobs
@@ -25,7 +25,7 @@
 
 CLASSES = BASE.classes | {"brief": api.ClassSettings("brief", 300.0, 3000.0, fresh_ms=1000.0, grace_ms=500.0)}
 START = 1_000_000.0
-SMALL = Options(budget=400_000, segment_bytes=32_768, queue_bytes=1 << 20)
+SMALL = DiskOptions(budget=400_000, segment_bytes=32_768, queue_bytes=1 << 20)
 
 
 class Tiers:
@@ -109,7 +109,7 @@
         self.clock.now += step_ms
         self.monotonic_drift_ms -= step_ms
 
-    def disk(self, files: Files | None = None, options: Options = SMALL) -> Disk:
+    def disk(self, files: Files | None = None, options: DiskOptions = SMALL) -> Disk:
         """Attach a disk tier with a folder."""
         files = files or SimFiles(random.Random(1))
         disk = Disk(files, InlineJobs(), options, recover.load(files), self.proof)
