--- a/hitchtiller/cli/serve.py
+++ b/hitchtiller/cli/serve.py
@@ -32,7 +32,7 @@
     from hitchtiller.store.keeper import Keeper
     from hitchtiller.store.memory import Memory
     from hitchtiller.store.pace import Pace
-    from hitchtiller.store.space import Rate
+    from hitchtiller.store.space import TokenBucket
     from hitchtiller.store.suspect import Proof, SavedProof
     from hitchtiller.store.tier import Tier
 
@@ -55,7 +55,7 @@
             sync_ms=disk.sync_ms,
             checkpoint_ms=disk.checkpoint_s * 1000.0,
         )
-        rate = Rate(disk.compact_mb_per_s * MB, disk.compact_busy_mb_per_s * MB, 4.0 * MB)
+        rate = TokenBucket(disk.compact_mb_per_s * MB, disk.compact_busy_mb_per_s * MB, 4.0 * MB)
         jobs = ThreadJobs(sched, disk.readers)
         keeper = Keeper(sched, tier, gateway.front, Path(disk.folder), options, jobs, rate)
         sched.spawn(keeper.run)
--- a/hitchtiller/cli/store.py
+++ b/hitchtiller/cli/store.py
@@ -14,7 +14,7 @@
 from hitchtiller.store.files import OsFiles
 from hitchtiller.store.index import unpack_place
 from hitchtiller.store.jobs import InlineJobs
-from hitchtiller.store.space import Rate
+from hitchtiller.store.space import TokenBucket
 from hitchtiller.store.suspect import Proof
 
 MB = 1_000_000
@@ -133,7 +133,7 @@
         options = DiskOptions(2 * bytes_before + 2 * options.segment_bytes, 0, options.segment_bytes, 64 * MB)
     proof = Proof(recovered.saved_proof, 0.0)
     disk = Disk(files, InlineJobs(), options, recovered, proof)
-    compactor = Compactor(disk, lambda part_hash: 16, Rate(1e15, 1e15, 1e15))
+    compactor = Compactor(disk, lambda part_hash: 16, TokenBucket(1e15, 1e15, 1e15))
     segment_ids = sorted(recovered.segments)
     with show.progress_bar() as bar:
         task = bar.add_task("compact", total=len(segment_ids))
--- a/hitchtiller/store/compact.py
+++ b/hitchtiller/store/compact.py
@@ -12,7 +12,7 @@
 from hitchtiller.store.index import hash_part, pack_place
 from hitchtiller.store.jobs import READ_LANE
 from hitchtiller.store.recover import records, segment_name
-from hitchtiller.store.space import Rate, Segment
+from hitchtiller.store.space import Segment, TokenBucket
 
 CHUNK_BYTES = 1 << 20
 
@@ -20,7 +20,7 @@
 class Compactor:
     """Compacts one segment at a time."""
 
-    def __init__(self, disk: Disk, count_requests: Callable[[int], int], rate: Rate) -> None:
+    def __init__(self, disk: Disk, count_requests: Callable[[int], int], rate: TokenBucket) -> None:
         """Copy the parts that are often requested, as estimated by `count_requests` from a part hash."""
         self.disk, self.count_requests, self.rate = disk, count_requests, rate
         self.victim: Segment | None = None
--- a/hitchtiller/store/keeper.py
+++ b/hitchtiller/store/keeper.py
@@ -22,7 +22,7 @@
 from hitchtiller.store.files import OsFiles
 from hitchtiller.store.health import OFF
 from hitchtiller.store.jobs import LOG_LANE, WRITE_LANE, ThreadJobs
-from hitchtiller.store.space import Rate
+from hitchtiller.store.space import TokenBucket
 from hitchtiller.store.tier import Tier
 
 TICK_MS = 20.0
@@ -42,7 +42,7 @@
         folder: Path,
         options: DiskOptions,
         jobs: ThreadJobs,
-        rate: Rate,
+        rate: TokenBucket,
         open_files: Callable[[Path], OsFiles] = OsFiles,
     ) -> None:
         """Prepare to manage a folder; nothing is opened before `run`."""
--- a/hitchtiller/store/space.py
+++ b/hitchtiller/store/space.py
@@ -92,7 +92,7 @@
         return min((segment.oldest_ms for segment in self.segments.values()), default=math.inf)
 
 
-class Rate:
+class TokenBucket:
     """A token bucket in bytes that makes compaction give way to clients, with a lower rate when busy."""
 
     def __init__(self, idle_bytes_per_s: float, busy_bytes_per_s: float, burst_bytes: float) -> None:
--- a/standins/crashpoints.py
+++ b/standins/crashpoints.py
@@ -22,7 +22,7 @@
 from hitchtiller.store.format import Part
 from hitchtiller.store.index import unpack_place
 from hitchtiller.store.jobs import InlineJobs
-from hitchtiller.store.space import Rate
+from hitchtiller.store.space import TokenBucket
 from hitchtiller.store.suspect import Proof
 from standins.files import Crash, SimFiles
 from standins.truth import make_body
@@ -69,7 +69,7 @@
     def live(self, steps: int) -> None:
         """Perform this many random operations, or fewer if the crash comes."""
         disk, model, rng = self.disk or self.open(), self.model, self.rng
-        compactor = Compactor(disk, lambda mark: mark & 3, Rate(1e12, 1e12, 1e12))
+        compactor = Compactor(disk, lambda mark: mark & 3, TokenBucket(1e12, 1e12, 1e12))
         for _ in range(steps):
             model.now += rng.uniform(1.0, 400.0)
             key, random_share = rng.randrange(KEYS), rng.random()
--- a/standins/lag.py
+++ b/standins/lag.py
@@ -33,7 +33,7 @@
 from hitchtiller.store.keeper import Keeper
 from hitchtiller.store.memory import Memory
 from hitchtiller.store.pace import Pace
-from hitchtiller.store.space import Rate
+from hitchtiller.store.space import TokenBucket
 from hitchtiller.store.suspect import Proof, SavedProof
 from hitchtiller.store.tier import Tier
 from standins.rig import settings
@@ -117,7 +117,7 @@
         jobs = ThreadJobs(sched)
         options = DiskOptions(budget=200 * MB, segment_bytes=8 * MB, checkpoint_ms=2_000.0, sync_ms=200.0)
         make = StallingFiles if way == "stalled" else OsFiles
-        keeper = Keeper(sched, tier, front, folder, options, jobs, Rate(50e6, 5e6, 4e6), make)
+        keeper = Keeper(sched, tier, front, folder, options, jobs, TokenBucket(50e6, 5e6, 4e6), make)
         sched.spawn(keeper.run)
         for _ in range(int(seconds)):
             sched.later(1000.0 * _, tier.on_caught_up)
--- a/tests/store/test_store_decide.py
+++ b/tests/store/test_store_decide.py
@@ -10,7 +10,7 @@
 from hitchtiller.store.join import Joins, NextStep
 from hitchtiller.store.pace import Pace
 from hitchtiller.store.purges import Purges
-from hitchtiller.store.space import Rate, Segment, Space
+from hitchtiller.store.space import Segment, Space, TokenBucket
 from hitchtiller.store.suspect import Proof, SavedProof
 
 
@@ -206,7 +206,7 @@
 
 
 def test_compaction_gives_way_to_clients() -> None:
-    rate = Rate(1000.0, 100.0, 500.0)
+    rate = TokenBucket(1000.0, 100.0, 500.0)
     assert rate.take(500, 0.0, False) and not rate.take(500, 100.0, False)
     assert rate.take(500, 500.0, False)
     assert not rate.take(500, 1000.0, True) and not rate.take(500, 4000.0, True)
--- a/tests/store/test_store_disk.py
+++ b/tests/store/test_store_disk.py
@@ -18,13 +18,13 @@
 from hitchtiller.store.health import OFF, READ_ONLY
 from hitchtiller.store.index import hash_part
 from hitchtiller.store.jobs import InlineJobs
-from hitchtiller.store.space import Rate
+from hitchtiller.store.space import TokenBucket
 from hitchtiller.store.suspect import Proof
 from standins.crashpoints import Run, point
 from standins.files import Crash, SimFiles
 from standins.truth import make_body
 
-FAST = Rate(1e12, 1e12, 1e12)
+FAST = TokenBucket(1e12, 1e12, 1e12)
 
 
 def open_disk(files: SimFiles | OsFiles, now: float = START, options: DiskOptions = SMALL) -> Disk:
