--- a/hitchtiller/cli/serve.py
+++ b/hitchtiller/cli/serve.py
@@ -29,7 +29,7 @@
     """Return a function that adds the tiers of copies to a gateway and returns a callable for its end."""
     from hitchtiller.store.disk import DiskOptions
     from hitchtiller.store.jobs import ThreadJobs
-    from hitchtiller.store.keeper import Keeper
+    from hitchtiller.store.keeper import FolderKeeper
     from hitchtiller.store.memory import Memory
     from hitchtiller.store.pace import Pace
     from hitchtiller.store.space import TokenBucket
@@ -57,7 +57,7 @@
         )
         rate = TokenBucket(disk.compact_mb_per_s * MB, disk.compact_busy_mb_per_s * MB, 4.0 * MB)
         jobs = ThreadJobs(sched, disk.readers)
-        keeper = Keeper(sched, tier, gateway.front, Path(disk.folder), options, jobs, rate)
+        keeper = FolderKeeper(sched, tier, gateway.front, Path(disk.folder), options, jobs, rate)
         sched.spawn(keeper.run)
         return keeper.finish
 
--- a/hitchtiller/store/keeper.py
+++ b/hitchtiller/store/keeper.py
@@ -31,7 +31,7 @@
 BUSY_OPEN_REQUESTS = 8  # open requests from which on compaction slows down
 
 
-class Keeper:
+class FolderKeeper:
     """Manages the store folder of one tier."""
 
     def __init__(
--- a/standins/lag.py
+++ b/standins/lag.py
@@ -30,7 +30,7 @@
 from hitchtiller.store.disk import DiskOptions
 from hitchtiller.store.files import OsFiles
 from hitchtiller.store.jobs import ThreadJobs
-from hitchtiller.store.keeper import Keeper
+from hitchtiller.store.keeper import FolderKeeper
 from hitchtiller.store.memory import Memory
 from hitchtiller.store.pace import Pace
 from hitchtiller.store.space import TokenBucket
@@ -117,7 +117,7 @@
         jobs = ThreadJobs(sched)
         options = DiskOptions(budget=200 * MB, segment_bytes=8 * MB, checkpoint_ms=2_000.0, sync_ms=200.0)
         make = StallingFiles if way == "stalled" else OsFiles
-        keeper = Keeper(sched, tier, front, folder, options, jobs, TokenBucket(50e6, 5e6, 4e6), make)
+        keeper = FolderKeeper(sched, tier, front, folder, options, jobs, TokenBucket(50e6, 5e6, 4e6), make)
         sched.spawn(keeper.run)
         for _ in range(int(seconds)):
             sched.later(1000.0 * _, tier.on_caught_up)
