--- a/hitchtiller/cli/bench.py
+++ b/hitchtiller/cli/bench.py
@@ -48,7 +48,7 @@
     disk.sync()
     write_s = time.perf_counter() - started_s
     begin_s = time.perf_counter()
-    disk.save()
+    disk.write_checkpoint()
     return (
         {
             "parts": parts,
--- a/hitchtiller/cli/store.py
+++ b/hitchtiller/cli/store.py
@@ -147,7 +147,7 @@
                 compactor.step(0.0, False)
             bar.advance(task)
     disk.sync()
-    disk.save()
+    disk.write_checkpoint()
     health, bytes_after = disk.health, disk.space.used
     result = {
         "bytes_before": bytes_before,
--- a/hitchtiller/store/disk.py
+++ b/hitchtiller/store/disk.py
@@ -355,7 +355,7 @@
 
         return self.jobs.submit(WRITE_LANE, run, on_done)
 
-    def save(self) -> None:
+    def write_checkpoint(self) -> None:
         """Write a complete checkpoint now."""
         self.sync()
         if self.begin_checkpoint():
--- a/hitchtiller/store/keeper.py
+++ b/hitchtiller/store/keeper.py
@@ -138,7 +138,7 @@
         self._run_job(lambda: None, WRITE_LANE)  # queued records belong in the checkpoint
         if disk.health.can_write:
             disk.mark_followed()
-            disk.save()
+            disk.write_checkpoint()
         disk.close("left")
         for lane in (WRITE_LANE, LOG_LANE):
             self._run_job(lambda: None, lane)
@@ -157,6 +157,6 @@
         if disk and not disk.closed and disk.health.can_write:
             self.jobs.wait_until_idle(0.5)  # queued records belong in the checkpoint
             disk.mark_followed()
-            disk.save()
+            disk.write_checkpoint()
         self.jobs.close(1.0)
         self._close_files()
--- a/standins/crashpoints.py
+++ b/standins/crashpoints.py
@@ -87,7 +87,7 @@
                 disk.proof.follow(model.now)
                 disk.mark_followed()
             elif random_share < 0.94:
-                disk.save()
+                disk.write_checkpoint()
             else:
                 while compactor.step(model.now, False):
                     pass
--- a/tests/store/test_store_disk.py
+++ b/tests/store/test_store_disk.py
@@ -57,7 +57,7 @@
     files = SimFiles()
     disk = open_disk(files)
     bodies = {key: put(disk, key) for key in range(60)}
-    disk.save()
+    disk.write_checkpoint()
     bodies |= {key: put(disk, key) for key in range(60, 70)}
     disk.sync()
     for use in (True, False):
@@ -203,7 +203,7 @@
     disk = open_disk(files)
     for key in range(20):
         put(disk, key)
-    disk.save()
+    disk.write_checkpoint()
     disk.remove(disk.space.segments[1])
     reopened = open_disk(files)
     put(reopened, 77, 300)
