--- a/hitchtiller/cli/repo.py
+++ b/hitchtiller/cli/repo.py
@@ -16,7 +16,7 @@
 from urllib.parse import quote, urlsplit
 
 from hitchtiller.cli import show
-from hitchtiller.repo.fetch import PART
+from hitchtiller.repo.fetch import MAX_PART_BYTES
 from hitchtiller.repo.generations import NamedFile
 from hitchtiller.repo.kinds import BadIndex, make
 
@@ -243,7 +243,7 @@
             sizes.append(sum(map(len, source.read(path)[0])))
         except FileUnavailableError:
             missing_count += 1
-    total, parts = sum(sizes), sum(-(-max(1, size) // PART) for size in sizes)
+    total, parts = sum(sizes), sum(-(-max(1, size) // MAX_PART_BYTES) for size in sizes)
     result: dict[str, Any] = {
         "files": len(files),
         "missing": missing_count,
--- a/hitchtiller/repo/fetch.py
+++ b/hitchtiller/repo/fetch.py
@@ -23,10 +23,10 @@
 from hitchtiller.repo.window import Window
 from hitchtiller.sched import Scheduler, now_ms
 
-PART = 240_000  # bytes: the largest size of an object of the platform
+MAX_PART_BYTES = 240_000  # bytes: the largest size of an object of the platform
 REPEAT_DELAY_MS = 100.0  # delay before a part is requested again
 CLIENT_POLL_MS = 20.0  # how often the unsent bytes of a client that reads nothing are checked
-ABSENT = "absent"  # tag of an empty part by which a cache reports that the file does not exist
+ABSENT_TAG = "absent"  # tag of an empty part by which a cache reports that the file does not exist
 
 
 class FetchRefusedError(Exception):
@@ -144,7 +144,7 @@
         object_name = f"{file_request.key:016x}"
         request = ClientRequest(
             f"{self.rng.getrandbits(64):016x}", file_request.class_name, object_name, file_request.key,
-            deadline_ms, part=number, group=file_request.group, size_kb=PART / 1000.0, background=True,
+            deadline_ms, part=number, group=file_request.group, size_kb=MAX_PART_BYTES / 1000.0, background=True,
         )  # fmt: skip
         exchange = self.engine.accept(request, deliver)
         if not answers:
--- a/hitchtiller/repo/service.py
+++ b/hitchtiller/repo/service.py
@@ -20,7 +20,14 @@
     VerifiedBody,
 )
 from hitchtiller.repo.conditions import Validators, range_applies, status
-from hitchtiller.repo.fetch import ABSENT, PART, Fetcher, FetchFailedError, FetchRefusedError, FileRequest
+from hitchtiller.repo.fetch import (
+    ABSENT_TAG,
+    MAX_PART_BYTES,
+    Fetcher,
+    FetchFailedError,
+    FetchRefusedError,
+    FileRequest,
+)
 from hitchtiller.repo.generations import IndexHistory, NamedFile
 from hitchtiller.repo.kinds import BadIndex, Kind, ParsedIndex
 from hitchtiller.repo.paths import BadTarget, object_key, read_target
@@ -167,17 +174,17 @@
         """
         file_request, tag = self._make_file_request(repo, path, client), ""
         for _ in range(3):
-            assembly, body_chunks, number = Assembly(PART, digest, tag=tag), list[bytes](), 0
+            assembly, body_chunks, number = Assembly(MAX_PART_BYTES, digest, tag=tag), list[bytes](), 0
             try:
                 while not assembly.is_complete:
                     part = self.fetcher.fetch_with_repeats(file_request, number, assembly.has_same_tag)
-                    if part.tag == ABSENT:
+                    if part.tag == ABSENT_TAG:
                         return None
                     if part.tag != (assembly.tag or part.tag):
                         raise TagChangedError(part.tag)
                     body_chunks += assembly.add_part(number, part)
                     number += 1
-                    if number * PART > repo.index_bytes:
+                    if number * MAX_PART_BYTES > repo.index_bytes:
                         raise BadIndex(
                             f"{path}: over {repo.index_bytes} bytes, which is what index_mb allows"
                         )
@@ -237,7 +244,9 @@
             part = self.fetcher.fetch(file_request, 0)
             named_file = generation.files[path]
             verified = self.verified_bodies.get(file_request.key, part.tag)
-            if part.tag == ABSENT or not _could_match(part, named_file, verified.digest if verified else ""):
+            if part.tag == ABSENT_TAG or not _could_match(
+                part, named_file, verified.digest if verified else ""
+            ):
                 history.mark_missing(generation.digest, now_ms())
                 return
             history.mark_found(generation.digest, path)
@@ -310,7 +319,7 @@
         first_part = self.fetcher.fetch_with_repeats(
             file_request, 0, lambda part: self._is_acceptable(file_request.key, part, permitted_files)
         )
-        if first_part.tag == ABSENT:
+        if first_part.tag == ABSENT_TAG:
             return make_refusal(404, "not-there", "the index names it, but it is not there")
         verified = self.verified_bodies.get(file_request.key, first_part.tag)
         named_file = next(
@@ -345,7 +354,7 @@
         length = None if size < 0 else size
         if method == "HEAD":
             return Reply(200, common_headers, iter(()), length, "head")
-        assembly = Assembly(PART, digest, size)
+        assembly = Assembly(MAX_PART_BYTES, digest, size)
         return Reply(
             200,
             common_headers,
@@ -357,7 +366,7 @@
     def _is_acceptable(self, key: int, part: Part, permitted_files: list[NamedFile]) -> bool:
         """Return whether a first part can belong to a permitted release; if not, the fetch is repeated."""
         verified = self.verified_bodies.get(key, part.tag)
-        if part.tag == ABSENT:
+        if part.tag == ABSENT_TAG:
             return False
         return any(
             _could_match(part, named_file, verified.digest if verified else "")
@@ -368,7 +377,7 @@
         self, file_request: FileRequest, first_part: Part, named_file: NamedFile
     ) -> VerifiedBody:
         """Read a complete file to verify its digest, without sending or keeping its bytes."""
-        assembly = Assembly(PART, named_file.digest, named_file.size)
+        assembly = Assembly(MAX_PART_BYTES, named_file.digest, named_file.size)
         for _ in self._stream_body(file_request, first_part, assembly, lambda: 0):
             pass
         verified = self.verified_bodies.get(file_request.key, assembly.tag)
@@ -385,7 +394,7 @@
         """Yield a complete body as its parts arrive; raise BrokenBodyError if it cannot be completed."""
         yield from assembly.add_part(0, first_part)
         if not assembly.is_complete:
-            part_limit = -(-assembly.size // PART) if assembly.size >= 0 else 1 << 16
+            part_limit = -(-assembly.size // MAX_PART_BYTES) if assembly.size >= 0 else 1 << 16
             part_count = part_limit if assembly.size >= 0 else -1
             parts = self.fetcher.fetch_in_order(
                 file_request,
@@ -467,13 +476,13 @@
     ) -> Iterator[bytes]:
         """Yield the bytes of `spans` of a verified tag; raise BrokenBodyError if a part has another tag."""
         for span in spans:
-            slices = {number: (begin, end) for number, begin, end in split_into_parts(span, PART)}
+            slices = {number: (begin, end) for number, begin, end in split_into_parts(span, MAX_PART_BYTES)}
             parts = self.fetcher.fetch_in_order(
                 file_request, iter(slices), count_unsent_bytes, lambda part: part.tag == tag
             )
             for number, part in parts:
                 begin, end = slices[number]
-                if part.tag != tag or len(part.data) != min(PART, size - number * PART):
+                if part.tag != tag or len(part.data) != min(MAX_PART_BYTES, size - number * MAX_PART_BYTES):
                     raise BrokenBodyError("two-releases")
                 yield part.data[begin:end]
 
@@ -486,10 +495,10 @@
     """
     if verified_digest:
         return named_file.digest in ("", verified_digest)
-    if len(part.data) < PART:
+    if len(part.data) < MAX_PART_BYTES:
         has_named_size = named_file.size in (-1, len(part.data))
         return has_named_size and named_file.digest in ("", hashlib.sha256(part.data).hexdigest())
-    return named_file.size < 0 or named_file.size >= PART
+    return named_file.size < 0 or named_file.size >= MAX_PART_BYTES
 
 
 def _answer_from_memory(
--- a/standins/haul.py
+++ b/standins/haul.py
@@ -17,7 +17,7 @@
 import msgspec
 
 from hitchtiller.codec import resp
-from hitchtiller.repo.fetch import PART
+from hitchtiller.repo.fetch import MAX_PART_BYTES
 from hitchtiller.repo.paths import object_key
 from standins.repo import RepoTruth, get, page
 from standins.rig import Rig
@@ -78,7 +78,7 @@
         found["large_mb_per_s"] = round(mb / took, 1)
         begun = time.monotonic()
         received = await fetch_from_cache(
-            rig.caches[0].port, object_key("r", "files/big-1.0.tar.gz"), -(-len(big) // PART), 8
+            rig.caches[0].port, object_key("r", "files/big-1.0.tar.gz"), -(-len(big) // MAX_PART_BYTES), 8
         )
         found["large_cache_alone_mb_per_s"] = round(received / 1e6 / (time.monotonic() - begun), 1)
         names = iter(small)
--- a/standins/repo.py
+++ b/standins/repo.py
@@ -14,7 +14,7 @@
 
 import h11
 
-from hitchtiller.repo.fetch import ABSENT, PART
+from hitchtiller.repo.fetch import ABSENT_TAG, MAX_PART_BYTES
 from hitchtiller.repo.kinds.simple import Simple
 from hitchtiller.repo.paths import object_key
 from standins.truth import Purge, Truth, now_ms, tag_of
@@ -51,18 +51,18 @@
 
     def size(self, key: int, part: int) -> int:
         """Return the most bytes that a part can have; real sizes are not disclosed."""
-        return PART
+        return MAX_PART_BYTES
 
     def _published(self, key: int, version: int) -> bytes | None:
         return self.texts[key][version - 1][1] if version else None
 
     def body(self, key: int, part: int, version: int) -> bytes:
         """Return the bytes of a part, which are empty for a path that does not exist."""
-        return (self._published(key, version) or b"")[part * PART : (part + 1) * PART]
+        return (self._published(key, version) or b"")[part * MAX_PART_BYTES : (part + 1) * MAX_PART_BYTES]
 
     def tag(self, key: int, version: int) -> str:
         """Return the tag of a version, or the tag for a path that does not exist."""
-        return ABSENT if self._published(key, version) is None else tag_of(key, version)
+        return ABSENT_TAG if self._published(key, version) is None else tag_of(key, version)
 
 
 def file_bytes(name: str, release: int, size: int) -> bytes:
