--- a/hitchtiller/cli/serve.py
+++ b/hitchtiller/cli/serve.py
@@ -69,7 +69,7 @@
     from hitchtiller.repo.admission import BackgroundLimit, ConnectionLimits
     from hitchtiller.repo.budget import RepeatBudget
     from hitchtiller.repo.fetch import Fetcher
-    from hitchtiller.repo.front import RepoFront, Times
+    from hitchtiller.repo.front import ClientTimeouts, RepoFront
     from hitchtiller.repo.kinds import make
     from hitchtiller.repo.service import Repository, Service
 
@@ -85,7 +85,7 @@
         ]
         hosts = frozenset(host.strip().lower() for host in settings.hosts.split(",") if host.strip())
         service = Service(engine, fetcher, repositories, hosts)
-        times = Times(settings.header_s * 1e3, settings.idle_s * 1e3, settings.slow_s * 1e3)
+        times = ClientTimeouts(settings.header_s * 1e3, settings.idle_s * 1e3, settings.slow_s * 1e3)
         front = RepoFront(
             sched, service, ConnectionLimits(settings.connections, settings.each_address), times
         )
--- a/hitchtiller/repo/front.py
+++ b/hitchtiller/repo/front.py
@@ -21,7 +21,7 @@
 from hitchtiller.repo.service import Reply, Service, make_refusal
 from hitchtiller.sched import READ, Scheduler, Stream, StreamClosed, now_ms
 
-HEADER, MAX_HEADER_FIELDS = 16_384, 64  # bytes and number of fields of one request header
+MAX_HEADER_BYTES, MAX_HEADER_FIELDS = 16_384, 64  # bytes and number of fields of one request header
 MAX_REQUEST_BODY_BYTES = 65_536  # a longer request body is rejected; a shorter one is discarded
 MAX_UNSENT_BYTES = 240_000  # above this, nothing is added until the client reads
 LISTEN_BACKLOG = 512
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Times:
+class ClientTimeouts:
     """Time limits for a client, in ms.
 
     `header_ms` for one request header or body, `idle_ms` for the first byte of a request, `slow_ms` without
@@ -46,7 +46,7 @@
     """Serves one client connection until either side closes it."""
 
     def __init__(
-        self, sched: Scheduler, service: Service, stream: Stream, address: str, times: Times
+        self, sched: Scheduler, service: Service, stream: Stream, address: str, times: ClientTimeouts
     ) -> None:
         """Serve an accepted connection."""
         self.sched, self.service, self.stream, self.address, self.times = (
@@ -56,7 +56,7 @@
             address,
             times,
         )
-        self.http = h11.Connection(h11.SERVER, max_incomplete_event_size=HEADER)
+        self.http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEADER_BYTES)
         self.requests = self.sent_bytes = 0
 
     def run(self) -> None:
@@ -102,8 +102,10 @@
                     raise h11.RemoteProtocolError(
                         f"over {MAX_HEADER_FIELDS} header fields", error_status_hint=431
                     )
-                if sum(len(name) + len(value) for name, value in event.headers) > HEADER:
-                    raise h11.RemoteProtocolError(f"over {HEADER} bytes of header", error_status_hint=431)
+                if sum(len(name) + len(value) for name, value in event.headers) > MAX_HEADER_BYTES:
+                    raise h11.RemoteProtocolError(
+                        f"over {MAX_HEADER_BYTES} bytes of header", error_status_hint=431
+                    )
                 return event
             elif isinstance(event, h11.ConnectionClosed):
                 return None
@@ -232,7 +234,7 @@
     """Listens for HTTP clients of the repositories."""
 
     def __init__(
-        self, sched: Scheduler, service: Service, connection_limits: ConnectionLimits, times: Times
+        self, sched: Scheduler, service: Service, connection_limits: ConnectionLimits, times: ClientTimeouts
     ) -> None:
         """Accept clients within `connection_limits`."""
         self.sched, self.service, self.connection_limits, self.times = (
--- a/standins/fuzz.py
+++ b/standins/fuzz.py
@@ -19,7 +19,7 @@
 from hypothesis import strategies as st
 
 from hitchtiller.repo import conditions, ranges
-from hitchtiller.repo.front import HEADER
+from hitchtiller.repo.front import MAX_HEADER_BYTES
 from hitchtiller.repo.kinds import BadIndex, make
 from hitchtiller.repo.paths import BadTarget, read_target
 
@@ -77,7 +77,7 @@
     for name in ("if-match", "if-none-match", "if-modified-since", "if-unmodified-since", "if-range"):
         assert conditions.status("GET", {name: text}, known) in (200, 304, 412)
         conditions.range_applies({name: text}, known)
-    http = h11.Connection(h11.SERVER, max_incomplete_event_size=HEADER)
+    http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEADER_BYTES)
     with contextlib.suppress(h11.RemoteProtocolError):
         http.receive_data(data)
         for _ in range(20):
