--- a/hitchtiller/cli/repo.py
+++ b/hitchtiller/cli/repo.py
@@ -18,7 +18,7 @@
 from hitchtiller.cli import show
 from hitchtiller.repo.fetch import MAX_PART_BYTES
 from hitchtiller.repo.generations import NamedFile
-from hitchtiller.repo.kinds import BadIndex, make
+from hitchtiller.repo.kinds import BadIndex, make_kind
 
 CHUNK_BYTES = 65_536
 MAX_ATTEMPTS, RETRY_DELAY_S = 5, 1.0
@@ -131,7 +131,7 @@
 
     BadIndex if one is invalid or, for a nested one, has another digest than the first index gives.
     """
-    kind = make(kind_name)
+    kind = make_kind(kind_name)
     parsed = kind.parse(root, read_all(source, root))
     files = {path: expected for path, expected in parsed.files.items() if path not in parsed.optional}
     for path in parsed.nested:
--- a/hitchtiller/cli/serve.py
+++ b/hitchtiller/cli/serve.py
@@ -70,7 +70,7 @@
     from hitchtiller.repo.budget import RepeatBudget
     from hitchtiller.repo.fetch import Fetcher
     from hitchtiller.repo.front import ClientTimeouts, RepoFront
-    from hitchtiller.repo.kinds import make
+    from hitchtiller.repo.kinds import make_kind
     from hitchtiller.repo.service import Repository, Service
 
     def extend(gateway: Gateway) -> None:
@@ -79,7 +79,13 @@
         fetcher = Fetcher(sched, engine, give_way, RepeatBudget(), gateway.config.seed)
         repositories = [
             Repository(
-                name, make(r.kind), r.prefix, r.class_name, r.group, r.grace_s * 1e3, int(r.index_mb * MB)
+                name,
+                make_kind(r.kind),
+                r.prefix,
+                r.class_name,
+                r.group,
+                r.grace_s * 1e3,
+                int(r.index_mb * MB),
             )
             for name, r in settings.repository.items()
         ]
--- a/hitchtiller/repo/kinds/__init__.py
+++ b/hitchtiller/repo/kinds/__init__.py
@@ -41,7 +41,7 @@
         """Return the media type of a file."""
 
 
-def make(name: str) -> Kind:
+def make_kind(name: str) -> Kind:
     """Return the kind of a name; raise KeyError if there is none."""
     from hitchtiller.repo.kinds.debian import Debian
     from hitchtiller.repo.kinds.simple import Simple
--- a/standins/fuzz.py
+++ b/standins/fuzz.py
@@ -20,7 +20,7 @@
 
 from hitchtiller.repo import conditions, ranges
 from hitchtiller.repo.front import MAX_HEADER_BYTES
-from hitchtiller.repo.kinds import BadIndex, make
+from hitchtiller.repo.kinds import BadIndex, make_kind
 from hitchtiller.repo.paths import BadTarget, read_target
 
 DIGEST = "a" * 64
@@ -66,7 +66,7 @@
         ("debian", "dists/s/main/Packages.gz"), ("debian", "dists/s/main/Packages.xz"),
     ):  # fmt: skip
         with contextlib.suppress(BadIndex):
-            make(kind).parse(path, data)
+            make_kind(kind).parse(path, data)
     with contextlib.suppress(BadTarget):
         path = read_target(data).path
         assert ".." not in path.split("/")
--- a/tests/repo/test_repo_kinds.py
+++ b/tests/repo/test_repo_kinds.py
@@ -10,11 +10,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hitchtiller.repo.kinds import BadIndex, Kind, make
+from hitchtiller.repo.kinds import BadIndex, Kind, make_kind
 
 A, B = "a" * 64, "b" * 64
 PAGE = "simple/demo/"
-SIMPLE, DEBIAN = make("simple"), make("debian")
+SIMPLE, DEBIAN = make_kind("simple"), make_kind("debian")
 
 
 def as_json(**changes: object) -> bytes:
