--- a/hitchtiller/cli/repo.py
+++ b/hitchtiller/cli/repo.py
@@ -18,7 +18,7 @@
 from hitchtiller.cli import show
 from hitchtiller.repo.fetch import MAX_PART_BYTES
 from hitchtiller.repo.generations import NamedFile
-from hitchtiller.repo.kinds import BadIndex, make_kind
+from hitchtiller.repo.kinds import InvalidIndexError, make_kind
 
 CHUNK_BYTES = 65_536
 MAX_ATTEMPTS, RETRY_DELAY_S = 5, 1.0
@@ -137,7 +137,7 @@
     for path in parsed.nested:
         body = read_all(source, path)
         if hashlib.sha256(body).hexdigest() != parsed.files[path].digest:
-            raise BadIndex(f"{path}: not the bytes that {root} names")
+            raise InvalidIndexError(f"{path}: not the bytes that {root} names")
         files |= kind.parse(path, body).files
     return files
 
@@ -187,7 +187,7 @@
     try:
         source = open_source(place)
         return source, read_index(source, kind, root)
-    except (BadLocationError, FileUnavailableError, BadIndex) as error:
+    except (BadLocationError, FileUnavailableError, InvalidIndexError) as error:
         return str(error)
 
 
--- a/hitchtiller/repo/kinds/__init__.py
+++ b/hitchtiller/repo/kinds/__init__.py
@@ -9,7 +9,7 @@
 from hitchtiller.repo.generations import NamedFile
 
 
-class BadIndex(ValueError):
+class InvalidIndexError(ValueError):
     """An index that cannot be used; the message says what is wrong and where."""
 
 
--- a/hitchtiller/repo/kinds/debian.py
+++ b/hitchtiller/repo/kinds/debian.py
@@ -13,7 +13,7 @@
 from posixpath import dirname, normpath
 
 from hitchtiller.repo.generations import NamedFile
-from hitchtiller.repo.kinds import BadIndex, ParsedIndex
+from hitchtiller.repo.kinds import InvalidIndexError, ParsedIndex
 
 INDEX_PATH = re.compile(r"dists/.+/(InRelease|Release)\Z")
 PACKAGES_PATH = re.compile(r"dists/.+/Packages(\.gz|\.xz)?\Z")
@@ -36,11 +36,11 @@
         else:
             return body
     except (zlib.error, lzma.LZMAError, gzip.BadGzipFile, EOFError) as error:
-        raise BadIndex(f"{path}: can't be unpacked: {error}") from None
+        raise InvalidIndexError(f"{path}: can't be unpacked: {error}") from None
     if len(data) > MAX_UNPACKED_BYTES:
-        raise BadIndex(f"{path}: over {MAX_UNPACKED_BYTES} bytes unpacked")
+        raise InvalidIndexError(f"{path}: over {MAX_UNPACKED_BYTES} bytes unpacked")
     if not is_complete:
-        raise BadIndex(f"{path}: cut short")
+        raise InvalidIndexError(f"{path}: cut short")
     return data
 
 
@@ -48,7 +48,7 @@
     try:
         return body.decode()
     except UnicodeDecodeError as error:
-        raise BadIndex(f"{path}: byte {error.start} is not UTF-8") from None
+        raise InvalidIndexError(f"{path}: byte {error.start} is not UTF-8") from None
 
 
 def stanzas(path: str, text: str) -> Iterator[tuple[int, dict[str, str]]]:
@@ -65,15 +65,15 @@
             first_line = number
         if line[0] in " \t":
             if not last_field:
-                raise BadIndex(f"{path}:{number}: a continuation before any field")
+                raise InvalidIndexError(f"{path}:{number}: a continuation before any field")
             fields[last_field] += "\n" + line.strip()
             continue
         name, separator, value = line.partition(":")
         if not separator or not name or " " in name:
-            raise BadIndex(f"{path}:{number}: {line[:40]!r} is not NAME: VALUE")
+            raise InvalidIndexError(f"{path}:{number}: {line[:40]!r} is not NAME: VALUE")
         last_field = name.lower()
         if last_field in fields:
-            raise BadIndex(f"{path}:{number}: field {name!r} a second time in this stanza")
+            raise InvalidIndexError(f"{path}:{number}: field {name!r} a second time in this stanza")
         fields[last_field] = value.strip()
     if fields:
         yield first_line, fields
@@ -117,21 +117,21 @@
             return self._parse_release(path, _decode_text(path, body))
         if PACKAGES_PATH.match(path):
             return ParsedIndex(self._parse_packages(path, _decode_text(path, _unpack(path, body))))
-        raise BadIndex(f"{path} is no index of an archive")
+        raise InvalidIndexError(f"{path} is no index of an archive")
 
     def _parse_release(self, path: str, text: str) -> ParsedIndex:
         if text.startswith(SIGNED_BEGIN):
             head, separator, rest = text.partition("\n\n")
             signed, end, _ = rest.partition(SIGNATURE_BEGIN)
             if not separator or not end:
-                raise BadIndex(f"{path}: the signature's frame is cut short")
+                raise InvalidIndexError(f"{path}: the signature's frame is cut short")
             text = re.sub(r"(?m)^- ", "", signed)
         all_stanzas = list(stanzas(path, text))
         if len(all_stanzas) != 1:
-            raise BadIndex(f"{path}: {len(all_stanzas)} stanzas; a Release has one")
+            raise InvalidIndexError(f"{path}: {len(all_stanzas)} stanzas; a Release has one")
         fields = all_stanzas[0][1]
         if "sha256" not in fields:
-            raise BadIndex(f"{path}: no SHA256 field")
+            raise InvalidIndexError(f"{path}: no SHA256 field")
         directory = dirname(path)
         by_hash = fields.get("acquire-by-hash", "no") == "yes"
         files: dict[str, NamedFile] = {}
@@ -140,7 +140,7 @@
             if not words:
                 continue
             if len(words) != 3 or not SHA256_HEX.match(words[0]) or not words[1].isdecimal():
-                raise BadIndex(f"{path}: {line[:60]!r} is not DIGEST SIZE NAME")
+                raise InvalidIndexError(f"{path}: {line[:60]!r} is not DIGEST SIZE NAME")
             named = self._make_named_file(path, f"{directory}/{words[2]}", words[0], int(words[1]))
             files[named.path] = named
             if by_hash:
@@ -164,22 +164,24 @@
         for line, fields in stanzas(path, text):
             missing = [name for name in ("filename", "size", "sha256") if name not in fields]
             if missing:
-                raise BadIndex(f"{path}:{line}: stanza without {missing[0]}")
+                raise InvalidIndexError(f"{path}:{line}: stanza without {missing[0]}")
             digest, size = fields["sha256"].lower(), fields["size"]
             if not SHA256_HEX.match(digest) or not size.isdecimal():
-                raise BadIndex(f"{path}:{line}: SHA256 or Size is malformed")
+                raise InvalidIndexError(f"{path}:{line}: SHA256 or Size is malformed")
             named = self._make_named_file(
                 f"{path}:{line}", fields["filename"].removeprefix("./"), digest, int(size)
             )
             known = files.get(named.path)
             if known and known != named:
-                raise BadIndex(f"{path}:{line}: {named.path[:60]!r} is named twice with different digests")
+                raise InvalidIndexError(
+                    f"{path}:{line}: {named.path[:60]!r} is named twice with different digests"
+                )
             files[named.path] = named
             if len(files) > MAX_FILES:
-                raise BadIndex(f"{path}:{line}: over {MAX_FILES} files")
+                raise InvalidIndexError(f"{path}:{line}: over {MAX_FILES} files")
         return files
 
     def _make_named_file(self, where: str, name: str, digest: str, size: int) -> NamedFile:
         if name != normpath(name) or name.startswith(("/", "..")) or "\\" in name or "\0" in name:
-            raise BadIndex(f"{where}: {name[:60]!r} does not name a file of this archive")
+            raise InvalidIndexError(f"{where}: {name[:60]!r} does not name a file of this archive")
         return NamedFile(name, digest, size)
--- a/hitchtiller/repo/kinds/simple.py
+++ b/hitchtiller/repo/kinds/simple.py
@@ -20,7 +20,7 @@
 )
 
 from hitchtiller.repo.generations import NamedFile
-from hitchtiller.repo.kinds import BadIndex, ParsedIndex
+from hitchtiller.repo.kinds import InvalidIndexError, ParsedIndex
 
 INDEX_PATH = re.compile(r"simple/([^/]+)/(index\.(html|json))?\Z")
 LISTING_PATH = re.compile(r"simple/(index\.(html|json))?\Z")
@@ -101,11 +101,11 @@
         """Parse a project's page in HTML or JSON."""
         path_match = INDEX_PATH.match(path)
         if not path_match:
-            raise BadIndex(f"{path} is no project's page")
+            raise InvalidIndexError(f"{path} is no project's page")
         try:
             text = body.decode()
         except UnicodeDecodeError as error:
-            raise BadIndex(f"{path}: byte {error.start} is not UTF-8") from None
+            raise InvalidIndexError(f"{path}: byte {error.start} is not UTF-8") from None
         parse_page = self._parse_json if text.lstrip().startswith("{") else self._parse_html
         return ParsedIndex(parse_page(path, path_match.group(1), text))
 
@@ -113,10 +113,10 @@
         try:
             page = msgspec.json.decode(text, type=_Project)
         except (msgspec.DecodeError, RecursionError) as error:
-            raise BadIndex(f"{path}: {error}") from None
+            raise InvalidIndexError(f"{path}: {error}") from None
         self._check_version(path, page.meta.api_version)
         if canonicalize_name(page.name) != canonicalize_name(project):
-            raise BadIndex(f"{path}: it is the page of {page.name[:60]!r}")
+            raise InvalidIndexError(f"{path}: it is the page of {page.name[:60]!r}")
         files: dict[str, NamedFile] = {}
         for number, file in enumerate(page.files, 1):
             where = f"{path}: file {number} ({file.filename[:60]!r})"
@@ -134,7 +134,7 @@
         page.feed(text)
         page.close()
         if not page.tag_count:
-            raise BadIndex(f"{path}: neither HTML nor JSON")
+            raise InvalidIndexError(f"{path}: neither HTML nor JSON")
         self._check_version(path, page.version or "1.0")
         files: dict[str, NamedFile] = {}
         for line, fields in page.anchors:
@@ -154,7 +154,7 @@
     def _check_version(self, path: str, version: str) -> None:
         major, _, minor = version.partition(".")
         if not (major.isdecimal() and minor.isdecimal()) or int(major) != 1:
-            raise BadIndex(f"{path}: repository version {version[:20]!r}; 1.x is read")
+            raise InvalidIndexError(f"{path}: repository version {version[:20]!r}; 1.x is read")
 
     def _add_file(
         self, files: dict[str, NamedFile], where: str, path: str, url: str, digest: str, size: int
@@ -162,21 +162,21 @@
         if digest == "true":
             digest = ""
         if digest and not SHA256_HEX.match(digest):
-            raise BadIndex(f"{where}: sha256 {digest[:20]!r} is not 64 hexadecimal digits")
+            raise InvalidIndexError(f"{where}: sha256 {digest[:20]!r} is not 64 hexadecimal digits")
         if not url or size < -1:
-            raise BadIndex(f"{where}: no url, or a size below 0")
+            raise InvalidIndexError(f"{where}: no url, or a size below 0")
         try:
             parts = urlsplit(urljoin(BASE_URL + path, url))
         except ValueError as error:
-            raise BadIndex(f"{where}: url {url[:60]!r}: {error}") from None
+            raise InvalidIndexError(f"{where}: url {url[:60]!r}: {error}") from None
         if parts.netloc != "here.invalid":
             return  # on another host, from which clients fetch it directly
         name = unquote(parts.path).lstrip("/")
         if not name or name != normpath(name) or name.startswith("..") or "\\" in name or "\0" in name:
-            raise BadIndex(f"{where}: url {url[:60]!r} does not name a file of this repository")
+            raise InvalidIndexError(f"{where}: url {url[:60]!r} does not name a file of this repository")
         known = files.get(name)
         if known and known.digest != digest:
-            raise BadIndex(f"{where}: {name[:60]!r} is named twice with different digests")
+            raise InvalidIndexError(f"{where}: {name[:60]!r} is named twice with different digests")
         files[name] = NamedFile(name, digest, size)
         if len(files) > MAX_FILES:
-            raise BadIndex(f"{where}: over {MAX_FILES} files")
+            raise InvalidIndexError(f"{where}: over {MAX_FILES} files")
--- a/hitchtiller/repo/paths.py
+++ b/hitchtiller/repo/paths.py
@@ -17,7 +17,7 @@
 SEGMENT_CHARACTERS = re.compile(r"[A-Za-z0-9\-._~!$&'()*+,;=:@]+\Z")
 
 
-class BadTarget(ValueError):
+class InvalidTargetError(ValueError):
     """The target is not valid here; `status` is the HTTP status of the response."""
 
     def __init__(self, status: int, reason: str) -> None:
@@ -37,28 +37,28 @@
 def read_target(raw: bytes, hosts: frozenset[str] = frozenset()) -> Target:
     """Parse a request target; an absolute form is accepted only if its host is one of `hosts`."""
     if len(raw) > MAX_TARGET_BYTES:
-        raise BadTarget(414, f"target of {len(raw)} bytes; {MAX_TARGET_BYTES} are taken")
+        raise InvalidTargetError(414, f"target of {len(raw)} bytes; {MAX_TARGET_BYTES} are taken")
     try:
         text = raw.decode("ascii")
     except UnicodeDecodeError:
-        raise BadTarget(400, "target is not ASCII; encode other bytes as %XX") from None
+        raise InvalidTargetError(400, "target is not ASCII; encode other bytes as %XX") from None
     if text.lower().startswith(("http://", "https://")):
         host, slash, rest = text.partition("://")[2].partition("/")
         if host.lower() not in hosts:
-            raise BadTarget(421, f"target is on {host[:60]!r}, which is not served here")
+            raise InvalidTargetError(421, f"target is on {host[:60]!r}, which is not served here")
         text = slash + rest if slash else "/"
     if not text.startswith("/"):
-        raise BadTarget(400, "target does not begin with /")
+        raise InvalidTargetError(400, "target does not begin with /")
     path, _, query = text.partition("?")
     if not PATH_CHARACTERS.match(path):
-        raise BadTarget(400, "target holds bytes that must be encoded")
+        raise InvalidTargetError(400, "target holds bytes that must be encoded")
     return Target(_decode(path[1:]), query)
 
 
 def _decode(path: str) -> str:
     segments = path.split("/")
     if len(segments) > MAX_SEGMENTS:
-        raise BadTarget(414, f"target of {len(segments)} segments; {MAX_SEGMENTS} are taken")
+        raise InvalidTargetError(414, f"target of {len(segments)} segments; {MAX_SEGMENTS} are taken")
     return "/".join(
         _decode_segment(segment, is_last=position == len(segments) - 1)
         for position, segment in enumerate(segments)
@@ -68,7 +68,7 @@
 def _decode_segment(text: str, is_last: bool) -> str:
     def decode_escape(match: re.Match[str]) -> str:
         if not match.group(1):
-            raise BadTarget(400, "target holds a % without two hexadecimal digits")
+            raise InvalidTargetError(400, "target holds a % without two hexadecimal digits")
         return chr(int(match.group(1), 16))
 
     decoded_text = ESCAPE.sub(decode_escape, text)
@@ -79,11 +79,11 @@
         or "\\" in decoded_text
         or "%" in decoded_text
     ):
-        raise BadTarget(400, f"segment {text[:40]!r} is not taken: it could be read as another path")
+        raise InvalidTargetError(400, f"segment {text[:40]!r} is not taken: it could be read as another path")
     if not decoded_text.isascii():
-        raise BadTarget(404, "nothing here has such a name")
+        raise InvalidTargetError(404, "nothing here has such a name")
     if not decoded_text and not is_last:
-        raise BadTarget(400, "target has an empty segment")
+        raise InvalidTargetError(400, "target has an empty segment")
     return decoded_text
 
 
--- a/hitchtiller/repo/ranges.py
+++ b/hitchtiller/repo/ranges.py
@@ -12,7 +12,7 @@
 RANGE_SPEC = re.compile(r"(\d{1,18})?-(\d{1,18})?\Z")
 
 
-class Unsatisfiable(Exception):
+class UnsatisfiableRangeError(Exception):
     """No range lies within the body; answered with 416."""
 
 
@@ -61,7 +61,7 @@
         elif int(first) < size:
             spans.append(Span(int(first), size if last is None else min(int(last) + 1, size)))
     if not spans:
-        raise Unsatisfiable
+        raise UnsatisfiableRangeError
     ordered = sorted(spans, key=lambda span: span.first)
     overlaps = sum(a.end > b.first for a, b in zip(ordered, ordered[1:], strict=False))
     return None if overlaps > 1 else spans
--- a/hitchtiller/repo/service.py
+++ b/hitchtiller/repo/service.py
@@ -29,9 +29,9 @@
     FileRequest,
 )
 from hitchtiller.repo.generations import IndexHistory, NamedFile
-from hitchtiller.repo.kinds import BadIndex, Kind, ParsedIndex
-from hitchtiller.repo.paths import BadTarget, object_key, read_target
-from hitchtiller.repo.ranges import Span, Unsatisfiable, read_ranges, split_into_parts
+from hitchtiller.repo.kinds import InvalidIndexError, Kind, ParsedIndex
+from hitchtiller.repo.paths import InvalidTargetError, object_key, read_target
+from hitchtiller.repo.ranges import Span, UnsatisfiableRangeError, read_ranges, split_into_parts
 from hitchtiller.sched import now_ms
 from hitchtiller.store.purges import Purges
 
@@ -119,13 +119,13 @@
         """Answer a request; `count_unsent_bytes` returns how many response bytes wait for the client."""
         try:
             reply = self._answer(method, target, headers, client, count_unsent_bytes)
-        except BadTarget as error:
+        except InvalidTargetError as error:
             reply = make_refusal(error.status, "bad-target", str(error))
         except FetchRefusedError as error:
             reply = make_refusal(503, "refused", "busy; come back", max(1.0, error.wait_ms / 1000.0))
         except FetchFailedError:
             reply = make_refusal(504, "failed", "no server answered in time")
-        except BadIndex as error:
+        except InvalidIndexError as error:
             logger.warning("invalid index: {}", error)
             reply = make_refusal(502, "bad-index", str(error))
         except BrokenBodyError as error:
@@ -185,7 +185,7 @@
                     body_chunks += assembly.add_part(number, part)
                     number += 1
                     if number * MAX_PART_BYTES > repo.index_bytes:
-                        raise BadIndex(
+                        raise InvalidIndexError(
                             f"{path}: over {repo.index_bytes} bytes, which is what index_mb allows"
                         )
             except TagChangedError as changed:
@@ -422,7 +422,7 @@
     ) -> Reply:
         try:
             spans = read_ranges(header, size)
-        except Unsatisfiable:
+        except UnsatisfiableRangeError:
             return make_refusal(
                 416, "range", "no byte of this file is in that range", Content_Range=f"bytes */{size}"
             )
@@ -518,7 +518,7 @@
     if method == "GET" and "range" in headers and range_applies(headers, validators):
         try:
             spans = read_ranges(headers["range"], len(body))
-        except Unsatisfiable:
+        except UnsatisfiableRangeError:
             return make_refusal(416, "range", "outside", Content_Range=f"bytes */{len(body)}")
         if spans and len(spans) == 1:
             part = body[spans[0].first : spans[0].end]
--- a/standins/fuzz.py
+++ b/standins/fuzz.py
@@ -20,8 +20,8 @@
 
 from hitchtiller.repo import conditions, ranges
 from hitchtiller.repo.front import MAX_HEADER_BYTES
-from hitchtiller.repo.kinds import BadIndex, make_kind
-from hitchtiller.repo.paths import BadTarget, read_target
+from hitchtiller.repo.kinds import InvalidIndexError, make_kind
+from hitchtiller.repo.paths import InvalidTargetError, read_target
 
 DIGEST = "a" * 64
 SAMPLE_INPUTS = [
@@ -65,12 +65,12 @@
         ("simple", "simple/demo/"), ("debian", "dists/s/Release"), ("debian", "dists/s/main/Packages"),
         ("debian", "dists/s/main/Packages.gz"), ("debian", "dists/s/main/Packages.xz"),
     ):  # fmt: skip
-        with contextlib.suppress(BadIndex):
+        with contextlib.suppress(InvalidIndexError):
             make_kind(kind).parse(path, data)
-    with contextlib.suppress(BadTarget):
+    with contextlib.suppress(InvalidTargetError):
         path = read_target(data).path
         assert ".." not in path.split("/")
-    with contextlib.suppress(ranges.Unsatisfiable):
+    with contextlib.suppress(ranges.UnsatisfiableRangeError):
         for span in ranges.read_ranges(text, 1000) or ():
             assert 0 <= span.first < span.end <= 1000
     known = conditions.Validators("d1", 1_700_000_000_000, "t")
--- a/tests/repo/test_repo_decide.py
+++ b/tests/repo/test_repo_decide.py
@@ -13,7 +13,7 @@
 from hitchtiller.repo.body import TAIL_BYTES, Assembly, BrokenBodyError, Part, TagChangedError, VerifiedBodies
 from hitchtiller.repo.budget import FileRepeatBudget, RepeatBudget
 from hitchtiller.repo.generations import MAX_GENERATIONS, IndexHistory, NamedFile, State
-from hitchtiller.repo.paths import BadTarget, object_key, read_target
+from hitchtiller.repo.paths import InvalidTargetError, object_key, read_target
 from hitchtiller.repo.window import MAX_PARTS, MAX_UNSENT_BYTES, Window
 
 PART = 1000
@@ -30,7 +30,7 @@
     slices = [body[a : a + b + 1] for a, b in wanted if a < size]
     try:
         spans = ranges.read_ranges(header, size)
-    except ranges.Unsatisfiable:
+    except ranges.UnsatisfiableRangeError:
         assert not slices
         return
     if spans is not None:
@@ -47,7 +47,7 @@
         try:
             (span,) = ranges.read_ranges(header, size) or []
             assert span.size == len(expected) and span.end == size
-        except ranges.Unsatisfiable:
+        except ranges.UnsatisfiableRangeError:
             assert not expected
 
 
@@ -55,7 +55,7 @@
 def test_any_range_header_is_parsed_ignored_or_unsatisfiable(text: str) -> None:
     try:
         spans = ranges.read_ranges(text, 1000)
-    except ranges.Unsatisfiable:
+    except ranges.UnsatisfiableRangeError:
         return
     assert spans is None or all(0 <= span.first < span.end <= 1000 for span in spans)
 
@@ -64,7 +64,7 @@
 def test_no_target_names_a_path_outside_the_repositories(raw: bytes) -> None:
     try:
         path = read_target(b"/" + raw).path
-    except BadTarget as error:
+    except InvalidTargetError as error:
         assert 400 <= error.status < 500
         return
     segments = path.split("/")
@@ -73,7 +73,7 @@
 
 def test_an_absolute_target_is_accepted_only_for_served_hosts() -> None:
     assert read_target(b"http://repo.local/a/b?q", frozenset({"repo.local"})).path == "a/b"
-    with pytest.raises(BadTarget) as raised:
+    with pytest.raises(InvalidTargetError) as raised:
         read_target(b"http://repo.local/a", frozenset())
     assert raised.value.status == 421
     assert object_key("r", "a") != object_key("r2", "a") != object_key("r2", "b")
--- a/tests/repo/test_repo_kinds.py
+++ b/tests/repo/test_repo_kinds.py
@@ -10,7 +10,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hitchtiller.repo.kinds import BadIndex, Kind, make_kind
+from hitchtiller.repo.kinds import InvalidIndexError, Kind, make_kind
 
 A, B = "a" * 64, "b" * 64
 PAGE = "simple/demo/"
@@ -176,7 +176,7 @@
 
 
 def assert_rejected(kind: Kind, path: str, body: bytes, message: str) -> None:
-    with pytest.raises(BadIndex) as error:
+    with pytest.raises(InvalidIndexError) as error:
         kind.parse(path, body)
     assert message in str(error.value) and path.split(":")[0] in str(error.value)
 
@@ -210,7 +210,7 @@
 @given(st.binary(max_size=400), st.sampled_from(["Packages", "Packages.gz", "Release"]))
 def test_arbitrary_bytes_raise_nothing_but_bad_index(body: bytes, name: str) -> None:
     for kind, path in ((SIMPLE, PAGE), (DEBIAN, f"dists/s/{name}")):
-        with contextlib.suppress(BadIndex):
+        with contextlib.suppress(InvalidIndexError):
             kind.parse(path, body)
 
 
