--- a/hitchtiller/repo/conditions.py
+++ b/hitchtiller/repo/conditions.py
@@ -61,7 +61,7 @@
     return date.timestamp() * 1000.0
 
 
-def status(method: str, headers: Mapping[str, str], known: Validators) -> int:
+def evaluate_conditions(method: str, headers: Mapping[str, str], known: Validators) -> int:
     """Evaluate the conditions in the order of the RFC; return 304, 412, or 200 to answer the request."""
     if "if-match" in headers:
         tags = read_tags(headers["if-match"])
--- a/hitchtiller/repo/service.py
+++ b/hitchtiller/repo/service.py
@@ -19,7 +19,7 @@
     VerifiedBodies,
     VerifiedBody,
 )
-from hitchtiller.repo.conditions import Validators, range_applies, status
+from hitchtiller.repo.conditions import Validators, evaluate_conditions, range_applies
 from hitchtiller.repo.fetch import (
     ABSENT_TAG,
     MAX_PART_BYTES,
@@ -333,7 +333,7 @@
         common_headers = [("Content-Type", content_type), ("Accept-Ranges", "bytes")]
         if digest:
             common_headers += [("ETag", validators.etag), ("Last-Modified", validators.last_modified)]
-            condition_status = status(method, headers, validators)
+            condition_status = evaluate_conditions(method, headers, validators)
             if condition_status == 304:
                 return Reply(304, common_headers, reason="not-modified")
             if condition_status == 412:
@@ -510,7 +510,7 @@
         ("Last-Modified", validators.last_modified), ("Accept-Ranges", "bytes"),
         ("Cache-Control", "no-cache"),
     ]  # fmt: skip
-    condition_status = status(method, headers, validators)
+    condition_status = evaluate_conditions(method, headers, validators)
     if condition_status == 304:
         return Reply(304, common_headers, reason="not-modified")
     if condition_status == 412:
--- a/standins/fuzz.py
+++ b/standins/fuzz.py
@@ -75,7 +75,7 @@
             assert 0 <= span.first < span.end <= 1000
     known = conditions.Validators("d1", 1_700_000_000_000, "t")
     for name in ("if-match", "if-none-match", "if-modified-since", "if-unmodified-since", "if-range"):
-        assert conditions.status("GET", {name: text}, known) in (200, 304, 412)
+        assert conditions.evaluate_conditions("GET", {name: text}, known) in (200, 304, 412)
         conditions.range_applies({name: text}, known)
     http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEADER_BYTES)
     with contextlib.suppress(h11.RemoteProtocolError):
--- a/tests/repo/test_repo_decide.py
+++ b/tests/repo/test_repo_decide.py
@@ -107,7 +107,7 @@
 def test_conditions_are_evaluated_in_the_order_of_the_rfc(
     headers: dict[str, str], method: str, expected: int
 ) -> None:
-    assert conditions.status(method, headers, KNOWN) == expected
+    assert conditions.evaluate_conditions(method, headers, KNOWN) == expected
 
 
 def test_if_range_requires_exactly_the_same_bytes() -> None:
@@ -127,7 +127,7 @@
     known = conditions.Validators("d1", 0, "t1")
     assert known.etag == '"d1.t1"' and conditions.range_applies({"if-range": '"d1.t1"'}, known)
     assert not conditions.range_applies({"if-range": '"d1.t2"'}, known)
-    assert conditions.status("GET", {"if-none-match": '"d1.t2"'}, known) == 304
+    assert conditions.evaluate_conditions("GET", {"if-none-match": '"d1.t2"'}, known) == 304
 
 
 # Generations
