--- a/hitchtiller/cli/check.py
+++ b/hitchtiller/cli/check.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from hitchtiller.operator.read import BadFile, read_file
+from hitchtiller.operator.read import InvalidFileError, read_file
 
 
 def check(file: Path, as_json: bool) -> int:
@@ -15,7 +15,7 @@
     except OSError as error:
         print(f"hitchtiller: {file}: {error.strerror}", file=sys.stderr)
         return 2
-    except BadFile as error:
+    except InvalidFileError as error:
         if as_json:
             problems = [{"line": p.line, "what": p.what, "instead": p.instead} for p in error.problems]
             print(msgspec.json.encode({"file": str(file), "problems": problems}).decode())
--- a/hitchtiller/cli/fleet.py
+++ b/hitchtiller/cli/fleet.py
@@ -12,14 +12,14 @@
 
 from hitchtiller.cli.show import print_json, print_pairs
 from standins.play import Outcome, play, shrink
-from standins.schedule import BadFile, Schedule, draw, read_schedule, write_schedule
+from standins.schedule import InvalidFileError, Schedule, draw, read_schedule, write_schedule
 
 
 def _load_schedule(file: Path) -> Schedule | None:
     """Read a schedule; print the error and return None if it can't be used."""
     try:
         return read_schedule(file.read_text(), str(file))
-    except BadFile as error:
+    except InvalidFileError as error:
         click.echo(str(error), err=True)
     except (OSError, UnicodeDecodeError) as error:
         click.echo(f"hitchtiller: {file}: {error}", err=True)
--- a/hitchtiller/cli/serve.py
+++ b/hitchtiller/cli/serve.py
@@ -17,7 +17,7 @@
 from hitchtiller.codec.bus import read_address
 from hitchtiller.config import ConfigError, read_config
 from hitchtiller.operator.model import MB, File, Membership, Repo, Store
-from hitchtiller.operator.read import BadFile, read_file
+from hitchtiller.operator.read import InvalidFileError, read_file
 from hitchtiller.ops.stats import Stats
 
 if TYPE_CHECKING:
@@ -182,7 +182,7 @@
         if unknown:
             raise ConfigError(f"{file}: share for {sorted(unknown)[0]!r}, which is no class; there are "
                               + ", ".join(config.settings.classes))  # fmt: skip
-    except BadFile as error:
+    except InvalidFileError as error:
         print(error, file=sys.stderr)
         return 2
     except OSError as error:
--- a/hitchtiller/operator/read.py
+++ b/hitchtiller/operator/read.py
@@ -40,7 +40,7 @@
         return f"{self.file}:{self.line}: {self.what}; {self.instead}"
 
 
-class BadFile(Exception):
+class InvalidFileError(Exception):
     """Raised for a file that can't be used; `problems` are in the order of their lines."""
 
     def __init__(self, problems: list[Problem]) -> None:
@@ -72,7 +72,7 @@
     try:
         text = path.read_text()
     except UnicodeDecodeError:
-        raise BadFile([Problem(str(path), 1, "the file is not text", "write it in UTF-8")]) from None
+        raise InvalidFileError([Problem(str(path), 1, "the file is not text", "write it in UTF-8")]) from None
     return read_text(text, str(path))
 
 
@@ -103,7 +103,7 @@
         line = max(1, min(getattr(error, "line", 1), len(lines)))
         excerpt = lines[line - 1].strip()
         what = f"this is not HCL, near {excerpt[:60]!r}"
-        raise BadFile(
+        raise InvalidFileError(
             [Problem(name, line, what, 'write settings as name = value, blocks as name "label" { }')]
         ) from None
     problems: list[Problem] = []
@@ -111,7 +111,7 @@
     if not problems:
         problems += check_relations(values, settings)
     if problems:
-        raise BadFile(sorted(problems, key=lambda problem: problem.line))
+        raise InvalidFileError(sorted(problems, key=lambda problem: problem.line))
     return msgspec.convert(values, model)
 
 
--- a/standins/schedule.py
+++ b/standins/schedule.py
@@ -18,7 +18,7 @@
 from msgspec import Meta, Struct
 from msgspec.structs import asdict, replace
 
-from hitchtiller.operator.read import BadFile, Problem, Setting, read_model
+from hitchtiller.operator.read import InvalidFileError, Problem, Setting, read_model
 
 StepKind = Literal[
     "kill", "start", "stop", "go", "end", "upgrade", "cut", "oneway", "lose", "late", "alter", "heal", "wire",
@@ -136,4 +136,13 @@
     return with_steps(Schedule(seed, size), steps)
 
 
-__all__ = ["BadFile", "Schedule", "Step", "draw", "read_schedule", "side", "with_steps", "write_schedule"]
+__all__ = [
+    "InvalidFileError",
+    "Schedule",
+    "Step",
+    "draw",
+    "read_schedule",
+    "side",
+    "with_steps",
+    "write_schedule",
+]
--- a/tests/fleet/test_fleet_tools.py
+++ b/tests/fleet/test_fleet_tools.py
@@ -17,7 +17,7 @@
 from standins.play import SchedulePlayer, play, shrink
 from standins.schedule import (
     DO,
-    BadFile,
+    InvalidFileError,
     Schedule,
     Step,
     draw,
@@ -49,7 +49,7 @@
     ],
 )
 def test_an_invalid_schedule_is_rejected_with_its_line(text: str, line: int, wanted: str) -> None:
-    with pytest.raises(BadFile) as error:
+    with pytest.raises(InvalidFileError) as error:
         read_schedule(text, "bad.hcl")
     assert f"bad.hcl:{line}:" in str(error.value) and wanted in str(error.value)
 
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -8,7 +8,7 @@
 
 from hitchtiller.cli.main import main
 from hitchtiller.operator.model import File
-from hitchtiller.operator.read import BadFile, read_text
+from hitchtiller.operator.read import InvalidFileError, read_text
 
 VALID_FILE = """
 log { form = "json" }
@@ -64,7 +64,7 @@
 
 @pytest.mark.parametrize("text, line, what, instead", INVALID_FILES)
 def test_each_fault_is_reported_with_line_and_remedy(text: str, line: int, what: str, instead: str) -> None:
-    with pytest.raises(BadFile) as caught:
+    with pytest.raises(InvalidFileError) as caught:
         read_text(text, "f.hcl")
     problem = caught.value.problems[0]
     assert problem.line == line and what in problem.what and instead in problem.instead
@@ -72,7 +72,7 @@
 
 
 def test_all_faults_are_reported_together_in_line_order() -> None:
-    with pytest.raises(BadFile) as caught:
+    with pytest.raises(InvalidFileError) as caught:
         read_text("log {\n  form = 1\n}\nstore {\n  memory_mb = -1\n  disk {\n    reader = 1\n  }\n}")
     assert [problem.line for problem in caught.value.problems] == [2, 5, 6, 7]
 
