--- a/hitchtiller/operator/read.py
+++ b/hitchtiller/operator/read.py
@@ -61,7 +61,7 @@
     labels: tuple[str, ...]
     line: int
     value: Any = None
-    inside: tuple["Setting", ...] | None = None
+    children: tuple["Setting", ...] | None = None
 
 
 def read_file(path: Path) -> File:
@@ -137,7 +137,7 @@
                 str(child.children[0] if isinstance(child, Tree) else child).strip('"')
                 for child in node.children[1:-1]
             )
-            yield Setting(name, labels, line, inside=tuple(_read_settings(node.children[-1], text)))
+            yield Setting(name, labels, line, children=tuple(_read_settings(node.children[-1], text)))
 
 
 def _parse_value(source: str) -> Any:
@@ -223,7 +223,7 @@
 ) -> None:
     """Check one block with its labels and contents, and add its values to `values`."""
     name, line = setting.name, setting.line
-    if setting.inside is None:
+    if setting.children is None:
         form = f'{name} "NAME" {{ ... }}' if is_labelled else f"{name} {{ ... }}"
         problems.append(Problem(file, line, f"{name!r} is a block", f"write {form}"))
         return
@@ -231,7 +231,9 @@
         text = f'{name} "NAME" {{ ... }}' if is_labelled else f"{name} {{ ... }}, without a label"
         problems.append(Problem(file, line, f"{name!r} has {len(setting.labels)} labels", f"write {text}"))
         return
-    inner = _check_struct(kind, setting.inside, line, file, repr(" ".join((name, *setting.labels))), problems)
+    inner = _check_struct(
+        kind, setting.children, line, file, repr(" ".join((name, *setting.labels))), problems
+    )
     if is_labelled:
         values.setdefault(name, {})[setting.labels[0]] = inner
     else:
@@ -243,7 +245,7 @@
 ) -> None:
     """Check one setting against the type and bounds of its field, and add its value to `values`."""
     expected = f"write {_describe_expected(field.type)}"
-    if setting.inside is not None:
+    if setting.children is not None:
         problems.append(
             Problem(file, setting.line, f"{setting.name!r} is a setting, not a block", f"{expected} after =")
         )
@@ -307,8 +309,8 @@
     disk = checked.disk
     assert disk
     block = next(s for s in settings if s.name == "store")
-    inside = next(s for s in block.inside or () if s.name == "disk")
-    lines = {setting.name: setting.line for setting in inside.inside or ()}
+    inside = next(s for s in block.children or () if s.name == "disk")
+    lines = {setting.name: setting.line for setting in inside.children or ()}
 
     def find_line(name: str) -> int:
         """Return the line of a setting of the block `disk`, or of the block if the default is used."""
--- a/standins/schedule.py
+++ b/standins/schedule.py
@@ -77,10 +77,10 @@
     problems = []
     size = int(str(values.get("size", 4)))
     for block in settings:
-        if block.name != "step" or block.inside is None:
+        if block.name != "step" or block.children is None:
             continue
-        values_by_name = {each.name: each.value for each in block.inside}
-        lines = {each.name: each.line for each in block.inside}
+        values_by_name = {each.name: each.value for each in block.children}
+        lines = {each.name: each.line for each in block.children}
         do, number = values_by_name.get("do"), values_by_name.get("number", -1)
         number_limit = size if do in GATEWAY_STEPS else CACHE_COUNT if do in CACHE_STEPS else None
         if number_limit is not None and not 0 <= int(number) < number_limit:
