--- a/standins/detect.py
+++ b/standins/detect.py
@@ -106,7 +106,7 @@
             victim = (kill * 7 + 1) % size
             killed.add(victim)
             at = loop.time()
-            await fleet.end(victim)
+            await fleet.stop_process(victim)
             await fleet.until({victim: {"DEAD"}}, patience_s=MAX_WAIT_PERIODS * period / 1000.0)
             found.known_ms.append(1000.0 * (loop.time() - at))
             await fleet.launch(victim)
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -30,7 +30,7 @@
 BUS = "bus"
 
 
-def name(server_index: int) -> str:
+def server_name(server_index: int) -> str:
     """Return the id of the server with this index: caches come first, then the parent, then the origin."""
     return f"s-{server_index:08x}"
 
@@ -113,10 +113,10 @@
         self.fabric.start()
         for server_index, server in enumerate(self.servers):
             await server.start()
-            server.on_pull = partial(self._record_pull, name(server_index))
+            server.on_pull = partial(self._record_pull, server_name(server_index))
         for number in range(self.size):
             for server_index, server in enumerate(self.servers):
-                await self._start_relay(number, name(server_index), server)
+                await self._start_relay(number, server_name(server_index), server)
             hosts = [self._host(number, server_index) for server_index in range(len(self.servers))]
             bus = self.buses[number] = Bus(self.truth, hosts, REPLAY_MS)
             await bus.start()
@@ -130,15 +130,15 @@
 
     def _host(self, number: int, server_index: int) -> dict[str, Any]:
         kind = {3: "parent", 4: "origin"}.get(server_index, "box")
-        dial = f"127.0.0.1:{self.relays[number, name(server_index)].port}"
-        return {"host": name(server_index), "dial": dial, "class": kind, "block": 0, "health": "Ready",
+        dial = f"127.0.0.1:{self.relays[number, server_name(server_index)].port}"
+        return {"host": server_name(server_index), "dial": dial, "class": kind, "block": 0, "health": "Ready",
                 "born_ms": 0, "site": "north" if kind == "box" else "hub", "share": self.weight}  # fmt: skip
 
     def _record_pull(self, server: str, peer: tuple[str, int], fields: dict[str, str]) -> None:
         size = self.truth.size(int(fields["name"], 16), int(fields["piece"])) / 1000.0
         self.watch.record_request(server, peer, fields.get("up", ""), 1000.0 * size / self.flow_kb_per_s)
 
-    def tell(self, server_index: int, among: list[int] | None = None, **changes: Any) -> None:
+    def announce(self, server_index: int, among: list[int] | None = None, **changes: Any) -> None:
         """Announce a server's new `health` or `born_ms` on the buses of `among`, or of all gateways."""
         setup = self.setups[0]
         for number in among if among is not None else range(self.size):
@@ -153,11 +153,11 @@
         """Restart a cache cold and empty; the buses of `among` announce it at once."""
         self.servers[server_index].copies.clear()
         now = now_ms()
-        self.watch.cold.start(name(server_index), self.weight, now)
+        self.watch.cold.start(server_name(server_index), self.weight, now)
         for number in range(self.size):  # the cache's connections end with its process
-            await self.relays[number, name(server_index)].set_mode(LinkMode.REFUSE)
-            await self.relays[number, name(server_index)].set_mode(LinkMode.PASS)
-        self.tell(server_index, among, born_ms=int(now))
+            await self.relays[number, server_name(server_index)].set_mode(LinkMode.REFUSE)
+            await self.relays[number, server_name(server_index)].set_mode(LinkMode.PASS)
+        self.announce(server_index, among, born_ms=int(now))
 
     async def wire(self, mode: LinkMode, numbers: list[int], targets: list[str] | None = None) -> None:
         """Set the mode of the links between these gateways and `targets`, or all servers and the bus."""
@@ -218,7 +218,7 @@
         for listener in self.gone_listeners:
             listener(process)
 
-    def poke(self, number: int, signal_number: int) -> None:
+    def send_signal(self, number: int, signal_number: int) -> None:
         """Suspend a process (SIGSTOP) or resume it (SIGCONT)."""
         process = self.running[number]
         assert process.child
@@ -227,7 +227,7 @@
         process.child.send_signal(signal_number)
         process.serving = process.serving or signal_number == signal.SIGCONT
 
-    async def end(self, number: int, signal_number: int = signal.SIGKILL) -> int:
+    async def stop_process(self, number: int, signal_number: int = signal.SIGKILL) -> int:
         """End a process by a signal; return its exit code."""
         process = self.running.pop(number)
         assert process.child and process.reader
@@ -283,13 +283,13 @@
         for number in list(self.running):
             if (child := self.running[number].child) and child.returncode is None:
                 child.send_signal(signal.SIGCONT)
-                await self.end(number)
+                await self.stop_process(number)
         for relay in self.relays.values():
             relay.close()
         self.fabric.close()
 
 
-def tell(fleet: Fleet, scenario: Callable[[Fleet], Awaitable[None]]) -> Fleet:
+def run_scenario(fleet: Fleet, scenario: Callable[[Fleet], Awaitable[None]]) -> Fleet:
     """Start a fleet, run a scenario of faults on it, ask every gateway, end the fleet and judge the run.
 
     The scenario starts once all gateways hold one another alive.
--- a/standins/play.py
+++ b/standins/play.py
@@ -98,7 +98,7 @@
         fleet.fabric.faults = Faults()
         await fleet.wire(LinkMode.PASS, list(range(fleet.size)))
         for number in sorted(self.stopped):
-            fleet.poke(number, signal.SIGCONT)
+            fleet.send_signal(number, signal.SIGCONT)
         self.stopped.clear()
         for number in range(fleet.size):
             if number not in fleet.running:
@@ -116,14 +116,14 @@
         is_running = number in fleet.running and number not in self.stopped
         match step.do:
             case "kill" | "end" if is_running:
-                await fleet.end(number, signal.SIGKILL if step.do == "kill" else signal.SIGTERM)
+                await fleet.stop_process(number, signal.SIGKILL if step.do == "kill" else signal.SIGTERM)
             case "start" if number not in fleet.running:
                 await fleet.launch(number)
             case "stop" if is_running:
-                fleet.poke(number, signal.SIGSTOP)
+                fleet.send_signal(number, signal.SIGSTOP)
                 self.stopped.add(number)
             case "go" if number in self.stopped:
-                fleet.poke(number, signal.SIGCONT)
+                fleet.send_signal(number, signal.SIGCONT)
                 self.stopped.discard(number)
             case "upgrade" if is_running and self.receives_bus(number):
                 await fleet.upgrade(number)
@@ -151,7 +151,7 @@
             case "cold":
                 await fleet.restart_cache(number)
             case "drain" | "back":
-                fleet.tell(number, health="Terminating" if step.do == "drain" else "Ready")
+                fleet.announce(number, health="Terminating" if step.do == "drain" else "Ready")
             case "purge" if all(self.receives_bus(n) for n in range(fleet.size)):
                 self.purged_ms = now_ms() + PURGE_DELAY_MS
                 fleet.truth.purge(None, fleet.rng.randrange(fleet.truth.groups), self.purged_ms)
--- a/tests/fleet/test_fleet_faults.py
+++ b/tests/fleet/test_fleet_faults.py
@@ -10,7 +10,7 @@
 
 from standins.client import StandInClient
 from standins.fabric import Faults
-from standins.fleet import BUS, Fleet, name, tell
+from standins.fleet import BUS, Fleet, run_scenario, server_name
 from standins.load import Load
 from standins.relay import LinkMode
 
@@ -33,18 +33,18 @@
         ended = len([line for line in fleet.running[0].lines if "end bus" in line])
         while len([line for line in fleet.running[0].lines if "end bus" in line]) < ended + 2:
             await asyncio.sleep(0.05)  # until it has closed the silent connection to the bus twice
-        fleet.tell(1, health="Terminating")  # gateway 0 can't receive this
+        fleet.announce(1, health="Terminating")  # gateway 0 can't receive this
         await load.until(30)
         assert await fleet.running[1].members() == {n: "ALIVE" for n in range(4)}
         assert (await fleet.running[0].call("members"))[-2] == "standing|WHOLE"
         await fleet.wire(LinkMode.PASS, [0], [BUS])
-        told = fleet.watch.reached.get((0, name(1)), 0)
+        told = fleet.watch.reached.get((0, server_name(1)), 0)
         await load.until(60)
         await load.stop()
         assert load.served[0] > 50
-        assert fleet.watch.reached.get((0, name(1)), 0) - told < 30  # it has received the drain since
+        assert fleet.watch.reached.get((0, server_name(1)), 0) - told < 30  # it has received the drain since
 
-    tell(Fleet(4, 21), scenario)
+    run_scenario(Fleet(4, 21), scenario)
 
 
 def test_an_isolated_gateway_is_not_ready_and_recovers() -> None:
@@ -60,7 +60,7 @@
         await wait_for_connectivity(fleet, 0, "WHOLE")
         assert await fleet.running[0].call("ready") == ["+OK ready"]
 
-    tell(Fleet(3, 22), scenario)
+    run_scenario(Fleet(3, 22), scenario)
 
 
 def test_a_flapping_member_is_alive_again_each_time_and_no_other_is_declared_dead() -> None:
@@ -75,7 +75,7 @@
         await load.stop()
         assert fleet.declared_dead(among=[0, 1, 3]) == {2}
 
-    tell(Fleet(4, 23), scenario)
+    run_scenario(Fleet(4, 23), scenario)
 
 
 def test_an_upgrade_never_makes_its_member_dead() -> None:
@@ -89,7 +89,7 @@
         await load.stop()
         assert fleet.declared_dead() == set()
 
-    tell(Fleet(3, 24), scenario)
+    run_scenario(Fleet(3, 24), scenario)
 
 
 def test_an_upgrade_during_a_partition() -> None:
@@ -100,7 +100,7 @@
         fleet.fabric.faults = Faults()
         await fleet.until({n: ALIVE for n in range(4)})
 
-    tell(Fleet(4, 25), scenario)
+    run_scenario(Fleet(4, 25), scenario)
 
 
 def test_both_sides_of_a_partition_together_respect_a_cold_caches_limit() -> None:
@@ -116,7 +116,7 @@
         await fleet.until({n: ALIVE for n in range(6)})
         await load.stop()
 
-    fleet = tell(Fleet(6, 26, weight=4.0, flow_kb_per_s=300.0), scenario)
+    fleet = run_scenario(Fleet(6, 26, weight=4.0, flow_kb_per_s=300.0), scenario)
     assert 0.05 < fleet.watch.cold.most <= 1.0, "the cold cache was used, and not overloaded"
 
 
@@ -124,21 +124,21 @@
     async def scenario(fleet: Fleet) -> None:
         load = Load(fleet, 20.0)
         load.start()
-        await fleet.wire(LinkMode.REFUSE, [1], [name(0)])
+        await fleet.wire(LinkMode.REFUSE, [1], [server_name(0)])
         await load.until(40)
-        await fleet.wire(LinkMode.PASS, [1], [name(0)])
-        await fleet.wire(LinkMode.RESET, [2], [name(1)])
+        await fleet.wire(LinkMode.PASS, [1], [server_name(0)])
+        await fleet.wire(LinkMode.RESET, [2], [server_name(1)])
         await load.until(40)
-        await fleet.wire(LinkMode.PASS, [2], [name(1)])
-        fleet.poke(0, signal.SIGSTOP)
+        await fleet.wire(LinkMode.PASS, [2], [server_name(1)])
+        fleet.send_signal(0, signal.SIGSTOP)
         await fleet.until({0: DEAD}, among=[1, 2])
-        fleet.poke(0, signal.SIGCONT)
+        fleet.send_signal(0, signal.SIGCONT)
         await fleet.until({n: ALIVE for n in range(3)})
         await load.until(20)
         await load.stop()
         assert min(load.served.values()) > 80
 
-    tell(Fleet(3, 27), scenario)
+    run_scenario(Fleet(3, 27), scenario)
 
 
 def test_a_slow_source_costs_neither_connections_nor_answers() -> None:
@@ -170,7 +170,7 @@
         ended = [line for p in fleet.running.values() for line in p.lines if "code=stuck" in line]
         assert ended == []
 
-    tell(Fleet(3, 28), scenario)
+    run_scenario(Fleet(3, 28), scenario)
 
 
 async def wait_for_line(fleet: Fleet, number: int, text: str, timeout_s: float = 20.0) -> None:
@@ -186,15 +186,17 @@
         load = Load(fleet, 30.0, numbers=asking)
         load.start()
         await load.until(10, among=asking)
-        await fleet.wire(LinkMode.SILENT, [0, 1, 2, 3], [name(1)])
-        before = fleet.watch.reached.get((3, name(1)), 0)
-        await wait_for_line(fleet, 3, f"server {name(1)} left out on the word of others")
-        assert fleet.watch.reached.get((3, name(1)), 0) == before == 0, "it sent the cache no request itself"
-        assert not any(f"left out {name(1)}, 2" in line for line in fleet.running[3].lines)
+        await fleet.wire(LinkMode.SILENT, [0, 1, 2, 3], [server_name(1)])
+        before = fleet.watch.reached.get((3, server_name(1)), 0)
+        await wait_for_line(fleet, 3, f"server {server_name(1)} left out on the word of others")
+        assert (
+            fleet.watch.reached.get((3, server_name(1)), 0) == before == 0
+        ), "it sent the cache no request itself"
+        assert not any(f"left out {server_name(1)}, 2" in line for line in fleet.running[3].lines)
         await fleet.wire(LinkMode.PASS, [0, 1, 2, 3])
         await load.stop()
 
-    tell(Fleet(4, 29), scenario)
+    run_scenario(Fleet(4, 29), scenario)
 
 
 def test_a_single_gateway_cut_off_from_a_cache_makes_no_other_eject_it() -> None:
@@ -202,14 +204,14 @@
         load = Load(fleet, 30.0)
         load.start()
         await load.until(10)
-        await fleet.wire(LinkMode.SILENT, [0], [name(1)])
-        await wait_for_line(fleet, 0, f"left out {name(1)}")
+        await fleet.wire(LinkMode.SILENT, [0], [server_name(1)])
+        await wait_for_line(fleet, 0, f"left out {server_name(1)}")
         await load.until(60)  # some 2 s, in which its reports spread
         assert not any("on the word of others" in line for p in fleet.running.values() for line in p.lines)
         await fleet.wire(LinkMode.PASS, [0])
         await load.stop()
 
-    tell(Fleet(4, 30), scenario)
+    run_scenario(Fleet(4, 30), scenario)
 
 
 def test_a_planned_leave_hands_directory_entries_over() -> None:
@@ -218,7 +220,7 @@
         load.start()
         await load.until(80)
         leaving_process = fleet.running[0]
-        assert await fleet.end(0, signal.SIGTERM) == 0
+        assert await fleet.stop_process(0, signal.SIGTERM) == 0
         assert any("directory entries over" in line for line in leaving_process.lines)
         await fleet.until({0: {"LEFT"}})
         await fleet.launch(0)
@@ -228,7 +230,7 @@
     fleet = Fleet(3, 32)
     for setup in fleet.setups.values():
         setup["family_info"]["peers_fill"] = "location"
-    tell(fleet, scenario)
+    run_scenario(fleet, scenario)
 
 
 def test_a_resumed_process_sends_nothing_before_it_has_read_pending_bus_events() -> None:
@@ -238,20 +240,20 @@
         load = Load(fleet, 60.0)
         load.start()
         await load.until(20)
-        fleet.poke(0, signal.SIGSTOP)
+        fleet.send_signal(0, signal.SIGSTOP)
         # so that its requests come before the bus event, which is possible
         await fleet.wire(LinkMode.SILENT, [0], [BUS])
-        fleet.tell(0, health="Terminating")
+        fleet.announce(0, health="Terminating")
         fleet.watch.told(0, fleet.buses[0].hosts[0])
         await fleet.until({0: DEAD}, among=[1, 2])
-        fleet.poke(0, signal.SIGCONT)
+        fleet.send_signal(0, signal.SIGCONT)
         await load.until(20, among=[0])
         await fleet.wire(LinkMode.PASS, [0], [BUS])
         await load.until(40)
         await load.stop()
         assert load.served[0] > 40
 
-    tell(Fleet(3, 33), scenario)
+    run_scenario(Fleet(3, 33), scenario)
 
 
 def test_random_datagrams_are_dropped_and_counted() -> None:
@@ -271,4 +273,4 @@
         assert await fleet.running[0].members() == {n: "ALIVE" for n in range(3)}
         assert fleet.declared_dead() == set()
 
-    tell(Fleet(3, 34), scenario)
+    run_scenario(Fleet(3, 34), scenario)
--- a/tests/fleet/test_fleet_processes.py
+++ b/tests/fleet/test_fleet_processes.py
@@ -12,7 +12,7 @@
 import pytest
 
 from standins.fabric import Faults
-from standins.fleet import Fleet, tell
+from standins.fleet import Fleet, run_scenario
 
 ALIVE, DEAD, LEFT = {"ALIVE"}, {"DEAD"}, {"LEFT"}
 
@@ -24,12 +24,12 @@
     without_membership: tuple[int, ...] = (),
 ) -> Fleet:
     """Run a scenario on a new fleet, with the fleet's checks at the end."""
-    return tell(Fleet(size, seed, old=without_membership), scenario)
+    return run_scenario(Fleet(size, seed, old=without_membership), scenario)
 
 
 def test_half_the_fleet_killed_at_once() -> None:
     async def scenario(fleet: Fleet) -> None:
-        await asyncio.gather(*(fleet.end(n) for n in (0, 2, 4)))
+        await asyncio.gather(*(fleet.stop_process(n) for n in (0, 2, 4)))
         await fleet.until({n: DEAD for n in (0, 2, 4)} | {n: ALIVE for n in (1, 3, 5)})
         await fleet.launch(2)
         await fleet.until({2: ALIVE, 0: DEAD})
@@ -102,7 +102,7 @@
         while len(fleet.fabric.history) < passed + 400:
             await asyncio.sleep(0.05)
         assert fleet.declared_dead() == set()
-        await fleet.end(3)
+        await fleet.stop_process(3)
         await fleet.until({3: DEAD})
         assert fleet.declared_dead() == {3}
 
@@ -111,9 +111,9 @@
 
 def test_a_stopped_process_resumes_and_is_alive_again() -> None:
     async def scenario(fleet: Fleet) -> None:
-        fleet.poke(1, signal.SIGSTOP)
+        fleet.send_signal(1, signal.SIGSTOP)
         await fleet.until({1: DEAD}, among=[0, 2, 3])
-        fleet.poke(1, signal.SIGCONT)
+        fleet.send_signal(1, signal.SIGCONT)
         await fleet.until({n: ALIVE for n in range(4)})
         assert fleet.declared_dead() == {1}  # it accuses no other member for the time in which it did not run
 
@@ -123,7 +123,7 @@
 def test_a_planned_stop_is_announced_and_a_rolling_restart_ends_with_all_alive() -> None:
     async def scenario(fleet: Fleet) -> None:
         for number in range(4):
-            assert await fleet.end(number, signal.SIGTERM) == 0
+            assert await fleet.stop_process(number, signal.SIGTERM) == 0
             await fleet.until({number: LEFT | DEAD})
             await fleet.launch(number)
             await fleet.until({number: ALIVE})
@@ -134,7 +134,7 @@
 
 def test_a_gateway_started_while_cut_off_joins_when_the_cut_ends() -> None:
     async def scenario(fleet: Fleet) -> None:
-        await fleet.end(2)
+        await fleet.stop_process(2)
         await fleet.until({2: DEAD})
         fleet.fabric.faults = Faults(cut=lambda a, b: 2 in (a, b))
         await fleet.launch(2)
@@ -147,7 +147,7 @@
 
 def test_gateways_without_membership_or_of_another_fleet_do_no_harm() -> None:
     async def scenario(fleet: Fleet) -> None:
-        await fleet.end(2)
+        await fleet.stop_process(2)
         await fleet.until({2: DEAD}, among=[0, 1])
         await fleet.launch(2, fleet="another")
         before = (await fleet.running[0].call("members"))[3]
@@ -162,7 +162,7 @@
 
 def test_operators_can_make_a_gateway_forget_a_member() -> None:
     async def scenario(fleet: Fleet) -> None:
-        await fleet.end(1)
+        await fleet.stop_process(1)
         await fleet.until({1: DEAD})
         assert "forgotten" in (await fleet.running[0].call("forget-member 1"))[0]
         assert "is no other member" in (await fleet.running[0].call("forget-member 99"))[0]
