--- a/hitchtiller/cli/fleet.py
+++ b/hitchtiller/cli/fleet.py
@@ -12,7 +12,7 @@
 
 from hitchtiller.cli.show import print_json, print_pairs
 from standins.play import Outcome, play, shrink
-from standins.schedule import InvalidFileError, Schedule, draw, read_schedule, write_schedule
+from standins.schedule import InvalidFileError, Schedule, random_schedule, read_schedule, write_schedule
 
 
 def _load_schedule(file: Path) -> Schedule | None:
@@ -44,7 +44,7 @@
 
 def fleet_draw(seed: int, size: int, steps: int) -> int:
     """Print a schedule drawn from a seed."""
-    click.echo(write_schedule(draw(seed, size, steps)), nl=False)
+    click.echo(write_schedule(random_schedule(seed, size, steps)), nl=False)
     return 0
 
 
@@ -77,7 +77,7 @@
     deadline_s, failing_seeds, plays, requests = time.monotonic() + 60.0 * minutes, list[int](), 0, 0
     max_converged_ms = max_cold_share = 0.0
     while time.monotonic() < deadline_s:
-        outcome = play(draw(seed + plays, size, steps))
+        outcome = play(random_schedule(seed + plays, size, steps))
         plays += 1
         requests += sum(outcome.counts.values())
         max_converged_ms, max_cold_share = (
--- a/standins/schedule.py
+++ b/standins/schedule.py
@@ -115,7 +115,7 @@
     return replace(schedule, step={f"{place:03d}": step for place, step in enumerate(steps, 1)})
 
 
-def draw(seed: int, size: int = 4, count: int = 12) -> Schedule:
+def random_schedule(seed: int, size: int = 4, count: int = 12) -> Schedule:
     """Return a random schedule with faults of every kind; the same seed gives the same one."""
     rng, steps = Random(f"schedule {seed}"), list[Step]()
     for _ in range(count):
--- a/tests/fleet/test_fleet_tools.py
+++ b/tests/fleet/test_fleet_tools.py
@@ -20,7 +20,7 @@
     InvalidFileError,
     Schedule,
     Step,
-    draw,
+    random_schedule,
     read_schedule,
     with_steps,
     write_schedule,
@@ -29,13 +29,13 @@
 
 @given(st.integers(0, 10_000), st.integers(2, 7), st.integers(0, 30))
 def test_a_random_schedule_is_valid_and_survives_a_round_trip(seed: int, size: int, count: int) -> None:
-    schedule = draw(seed, size, count)
+    schedule = random_schedule(seed, size, count)
     assert read_schedule(write_schedule(schedule), "drawn.hcl") == schedule
     assert len(schedule.steps) == count
 
 
 def test_random_schedules_contain_every_kind_of_step() -> None:
-    assert {step.do for seed in range(40) for step in draw(seed).steps} == set(DO)
+    assert {step.do for seed in range(40) for step in random_schedule(seed).steps} == set(DO)
 
 
 @pytest.mark.parametrize(
@@ -55,7 +55,7 @@
 
 
 def test_a_failing_schedule_is_shrunk_to_the_steps_it_needs() -> None:
-    schedule = draw(3, 4, 24)
+    schedule = random_schedule(3, 4, 24)
     needed_steps = [schedule.steps[5], schedule.steps[17]]
 
     def fails(one: Schedule) -> bool:
@@ -78,7 +78,7 @@
 
 
 def test_a_process_that_ends_by_itself_fails_the_schedule() -> None:
-    found = asyncio.run(KillingPlayer(with_steps(draw(1, 2, 0), [Step("heal")])).play())
+    found = asyncio.run(KillingPlayer(with_steps(random_schedule(1, 2, 0), [Step("heal")])).play())
     assert any("n0 ended by itself" in text for text in found.broken)
 
 
@@ -90,7 +90,7 @@
 @pytest.mark.parametrize("seed", [2, 7])
 def test_schedules_that_failed_before_pass(seed: int, tmp_path: Path) -> None:
     """Found by the soak run: a refutation was never sent again after all messages with it were lost."""
-    found = play(draw(seed))
+    found = play(random_schedule(seed))
     assert found.broken == [], found.history
     assert found.counts["served"] > 100
 
