--- a/hitchtiller/back/jobs.py
+++ b/hitchtiller/back/jobs.py
@@ -59,7 +59,7 @@
         """Handle that the last byte was sent."""
 
     def on_answer(self, reply: str, fields: dict[str, str], body: bytes) -> None:
-        """Handle the answer; raise resp.BadResp for one that no valid server sends."""
+        """Handle the answer; raise resp.RespError for one that no valid server sends."""
 
     def on_connection_end(self, status: str) -> None:
         """Handle that the connection ended without an answer."""
--- a/hitchtiller/cli/repo.py
+++ b/hitchtiller/cli/repo.py
@@ -129,7 +129,7 @@
 def read_index(source: Source, kind_name: str, root: str) -> dict[str, NamedFile]:
     """Read an index and the indexes that belong to it; return the files that they list, by path.
 
-    BadIndex if one is invalid or, for a nested one, has another digest than the first index gives.
+    InvalidIndexError if one is invalid or, for a nested one, has another digest than the first index gives.
     """
     kind = make_kind(kind_name)
     parsed = kind.parse(root, read_all(source, root))
--- a/hitchtiller/codec/bus.py
+++ b/hitchtiller/codec/bus.py
@@ -51,7 +51,7 @@
         self.buffer = bytearray()
 
     def feed(self, data: bytes) -> Iterator[NumberedEvent]:
-        """Yield the events that are complete; raise BadBus for invalid bytes."""
+        """Yield the events that are complete; raise BusError for invalid bytes."""
         self.buffer += data
         while len(self.buffer) >= 4:
             length = int.from_bytes(self.buffer[:4], "big")
@@ -107,7 +107,7 @@
 
 
 def read_known_events(known: dict[str, Any]) -> list[NumberedEvent]:
-    """Convert the events that the configuration contains; raise BadBus for an invalid one."""
+    """Convert the events that the configuration contains; raise BusError for an invalid one."""
     events: list[NumberedEvent] = []
     try:
         for entry in known.get("batch", []):
--- a/hitchtiller/codec/frames.py
+++ b/hitchtiller/codec/frames.py
@@ -34,7 +34,7 @@
         self.buffer = bytearray()
 
     def feed(self, data: bytes) -> Iterator[Frame]:
-        """Yield the frames that are complete; raise BadFrame for invalid bytes."""
+        """Yield the frames that are complete; raise FrameError for invalid bytes."""
         self.buffer += data
         start = 0
         try:
@@ -68,7 +68,7 @@
 
 
 def read_fields(payload: bytes, start: int = 0) -> tuple[dict[str, str], int]:
-    """Decode a list of fields; return it with the offset of its end, or raise BadFrame."""
+    """Decode a list of fields; return it with the offset of its end, or raise FrameError."""
     fields: dict[str, str] = {}
     try:
         offset = start + 1
--- a/hitchtiller/codec/resp.py
+++ b/hitchtiller/codec/resp.py
@@ -33,7 +33,7 @@
         return bool(self.buffer or self.remaining_items)
 
     def feed(self, data: bytes) -> Iterator[list[bytes]]:
-        """Yield the arrays that are complete; raise BadResp for invalid bytes."""
+        """Yield the arrays that are complete; raise RespError for invalid bytes."""
         self.buffer += data
         start = 0
         try:
@@ -101,7 +101,7 @@
 
 
 def read_fields(data: bytes) -> dict[str, str]:
-    """Parse a FIELDS text; raise BadResp for an invalid one."""
+    """Parse a FIELDS text; raise RespError for an invalid one."""
     if data in (b"-", b""):
         return {}
     try:
--- a/hitchtiller/decide.py
+++ b/hitchtiller/decide.py
@@ -97,10 +97,8 @@
         self.purges = PurgeLog()
         self.rankings: dict[int, tuple[list[Node], list[Node]]] = {}  # caches and parents, by object hash
         self.sizes = Sizes(settings)
-        self.capacity_model, self.mean_work_ms = (
-            Capacity(settings),
-            self.sizes.mean_work_ms,
-        )  # mean work by class
+        # mean work by class
+        self.capacity_model, self.mean_work_ms = Capacity(settings), self.sizes.mean_work_ms
         self.last_sweep_ms = math.inf  # last check for overdue attempts
         self.retry_tokens = MAX_RETRY_TOKENS  # retries that may be sent now
         self.handlers: dict[type, Callable[[Any], object]] = {
--- a/hitchtiller/membership/detector.py
+++ b/hitchtiller/membership/detector.py
@@ -136,7 +136,9 @@
                 return self._compose(sender, MessageKind.ACK, message.number)
             case MessageKind.ACK:
                 return self._handle_ack(message, sender)
-            case MessageKind.PING_REQ if message.target in self.view.claims and message.target != self.own_number:
+            case MessageKind.PING_REQ if (
+                message.target in self.view.claims and message.target != self.own_number
+            ):
                 return self._start_probe(message.target, now_ms, sender, message.number)
             case MessageKind.SYNC_REQUEST:
                 return self._answer_sync(sender, message.target)
--- a/hitchtiller/membership/words.py
+++ b/hitchtiller/membership/words.py
@@ -32,9 +32,8 @@
     (MAX_DATAGRAM_BYTES - HEADER.size) // REPORT_FORMAT.size,
 )
 AGE_STEP_MS = 25.0  # unit of a report's age
-ClaimItem = tuple[
-    int, MemberClaim, int
-]  # the member's number, the claim about it, the member that made the claim
+# the member's number, the claim about it, the member that made the claim
+ClaimItem = tuple[int, MemberClaim, int]
 
 
 class MessageKind(IntEnum):
--- a/hitchtiller/operator/read.py
+++ b/hitchtiller/operator/read.py
@@ -67,7 +67,7 @@
 def read_file(path: Path) -> File:
     """Read and check the operators' file.
 
-    Raises BadFile with all problems if it is not valid, and OSError if it can't be read.
+    Raises InvalidFileError with all problems if it is not valid, and OSError if it can't be read.
     """
     try:
         text = path.read_text()
--- a/hitchtiller/repo/fetch.py
+++ b/hitchtiller/repo/fetch.py
@@ -144,7 +144,8 @@
         object_name = f"{file_request.key:016x}"
         request = ClientRequest(
             f"{self.rng.getrandbits(64):016x}", file_request.class_name, object_name, file_request.key,
-            deadline_ms, part=number, group=file_request.group, size_kb=MAX_PART_BYTES / 1000.0, background=True,
+            deadline_ms, part=number, group=file_request.group, size_kb=MAX_PART_BYTES / 1000.0,
+            background=True,
         )  # fmt: skip
         exchange = self.engine.accept(request, deliver)
         if not answers:
--- a/hitchtiller/repo/kinds/__init__.py
+++ b/hitchtiller/repo/kinds/__init__.py
@@ -35,7 +35,7 @@
         """Return the paths of the indexes that may name a file, as far as its path shows."""
 
     def parse(self, path: str, body: bytes) -> ParsedIndex:
-        """Parse an index; raise BadIndex if it is not valid."""
+        """Parse an index; raise InvalidIndexError if it is not valid."""
 
     def content_type(self, path: str, body: bytes) -> str:
         """Return the media type of a file."""
--- a/hitchtiller/repo/ranges.py
+++ b/hitchtiller/repo/ranges.py
@@ -37,7 +37,7 @@
     """Parse a Range header for a body of `size` bytes.
 
     Returns None if the header is to be ignored: another unit, malformed, too many ranges, or more than one
-    overlap. Raises Unsatisfiable if all ranges lie outside the body.
+    overlap. Raises UnsatisfiableRangeError if all ranges lie outside the body.
     """
     unit, equals, text = header.partition("=")
     if not equals or unit.strip().lower() != "bytes":
--- a/standins/crashpoints.py
+++ b/standins/crashpoints.py
@@ -69,7 +69,7 @@
     def live(self, steps: int) -> None:
         """Perform this many random operations, or fewer if the crash comes."""
         disk, model, rng = self.disk or self.open(), self.model, self.rng
-        compactor = Compactor(disk, lambda mark: mark & 3, TokenBucket(1e12, 1e12, 1e12))
+        compactor = Compactor(disk, lambda part_hash: part_hash & 3, TokenBucket(1e12, 1e12, 1e12))
         for _ in range(steps):
             model.now += rng.uniform(1.0, 400.0)
             key, random_share = rng.randrange(KEYS), rng.random()
@@ -96,18 +96,18 @@
     def _record_durable(self, disk: Disk) -> None:
         """Record the parts that an fsync of their segment covers, with their segment and offset."""
         self.model.durable.clear()
-        for mark, place in disk.index.items():
+        for part_hash, place in disk.index.items():
             id, at, length = unpack_place(place)
             segment = disk.space.segments.get(id)
             if segment and at + length <= segment.durable:
-                self.model.durable[mark] = (id, at)
+                self.model.durable[part_hash] = (id, at)
 
     def crash(self) -> None:
         """Crash the machine, and continue with a folder as the next start could find it."""
         if self.disk:  # parts that an interrupted compaction step had dropped are evicted, not lost
             index = self.disk.index
             self.model.durable = {
-                mark: place for mark, place in self.model.durable.items() if index.get(mark)
+                part_hash: place for part_hash, place in self.model.durable.items() if index.get(part_hash)
             }
         self.files = self.files.crash()
         self.files.crash_at = 0
@@ -117,10 +117,10 @@
     def judge(self) -> None:
         """Start the tier, and check everything that it could serve."""
         disk, model = self.open(), self.model
-        indexed_places = {mark: unpack_place(place)[:2] for mark, place in disk.index.items()}
-        for mark, place in model.durable.items():
+        indexed_places = {part_hash: unpack_place(place)[:2] for part_hash, place in disk.index.items()}
+        for part_hash, place in model.durable.items():
             # A compaction may have moved the part; it only has to be present.
-            if mark not in indexed_places:
+            if part_hash not in indexed_places:
                 self.wrong.append(f"lost: a part that an fsync covered at {place}")
         for key in range(KEYS):
             disk.get(key, 0, lambda part, body, key=key: self._check_part(key, part, body))  # type: ignore[misc]
--- a/standins/lag.py
+++ b/standins/lag.py
@@ -57,7 +57,7 @@
 
     def read_cached(self, name: str, offset: int, size: int) -> bytes | None:
         """Return cached bytes, but nothing during a stall."""
-        return None if time.monotonic() % 3.0 < 2.0 else super().glance(name, offset, size)
+        return None if time.monotonic() % 3.0 < 2.0 else super().read_cached(name, offset, size)
 
     def write(self, name: str, offset: int, data: bytes) -> None:
         """Write, after any stall."""
--- a/standins/schedule.py
+++ b/standins/schedule.py
@@ -68,7 +68,7 @@
 
 
 def read_schedule(text: str, name: str) -> Schedule:
-    """Read and check a schedule; raise BadFile with each problem, its line and what to write instead."""
+    """Read and check a schedule; raise InvalidFileError with each problem, its line and what to write."""
     schedule = read_model(Schedule, text, name, lambda values, settings: _check(values, settings, name))
     return schedule
 
@@ -140,7 +140,7 @@
     "InvalidFileError",
     "Schedule",
     "Step",
-    "draw",
+    "random_schedule",
     "read_schedule",
     "side",
     "with_steps",
