--- a/hitchtiller/repo/service.py
+++ b/hitchtiller/repo/service.py
@@ -169,8 +169,8 @@
         """Read a complete file whose parts all have one tag; return its bytes and the assembly.
 
         Returns None if the file does not exist. Raises BrokenBodyError if the bytes do not match `digest`,
-        where one is given, or if the tag changed during each of three reads, and InvalidIndexError if the file
-        is larger than `index_mb` allows.
+        where one is given, or if the tag changed during each of three reads, and InvalidIndexError if the
+        file is larger than `index_mb` allows.
         """
         file_request, tag = self._make_file_request(repo, path, client), ""
         for _ in range(3):
