--- a/hitchtiller/__main__.py
+++ b/hitchtiller/__main__.py
@@ -17,8 +17,8 @@
 from hitchtiller.engine import Engine
 from hitchtiller.front.server import Front
 from hitchtiller.log import logger
-from hitchtiller.ops.calls import Calls
-from hitchtiller.ops.control import Control
+from hitchtiller.ops.calls import OperatorCalls
+from hitchtiller.ops.control import ControlServer
 from hitchtiller.ops.holdouts import HoldOuts
 from hitchtiller.ops.sign import ProcessMarker
 from hitchtiller.ops.upgrade import Upgrade
@@ -44,13 +44,13 @@
         sched.sleep(COUNTS_INTERVAL_MS)
         logger.info(
             "taken={} {} left={} attempts={} open={} clients={} sockets={} lag_ms={:.1f}",
-            engine.stats.taken,
-            " ".join(f"{kind}={count}" for kind, count in engine.stats.total().items()),
-            engine.stats.left,
+            engine.stats.requests_accepted,
+            " ".join(f"{kind}={count}" for kind, count in engine.stats.answer_totals().items()),
+            engine.stats.clients_left,
             engine.stats.attempts,
-            len(engine.open),
+            len(engine.open_exchanges),
             len(front.clients),
-            Stream.opened,
+            Stream.open_count,
             sched.lag_ms,
         )
         sched.lag_ms = 0.0
@@ -59,37 +59,37 @@
 def log_figures(sched: Scheduler, engine: Engine, back: Upstreams) -> None:
     """Log the figures that `hitchtiller worth` sums over all gateways: at the start and every 5 s."""
     while True:
-        engine.stats.links = back.opened
-        logger.info("{}", engine.stats.figures())
+        engine.stats.links = back.opened_count
+        logger.info("{}", engine.stats.figures_line())
         sched.sleep(FIGURES_INTERVAL_MS)
 
 
-def room(memory_mb: float, two: bool) -> int:
+def buffer_bytes(memory_mb: float, two_processes: bool) -> int:
     """Return the bytes that all buffers may hold: half of the memory that the process leaves.
 
-    The other half is for copies. With `two`, two processes share the limit.
+    The other half is for copies. With `two_processes`, two processes share the limit.
     """
-    own_mb, minimum_mb = (2.0 * EARLY_MB, 1.0) if two else (SERVING_MB, 2.0)
-    return int(max(minimum_mb, (memory_mb - own_mb) / (4.0 if two else 2.0)) * 1e6)
+    own_mb, minimum_mb = (2.0 * EARLY_MB, 1.0) if two_processes else (SERVING_MB, 2.0)
+    return int(max(minimum_mb, (memory_mb - own_mb) / (4.0 if two_processes else 2.0)) * 1e6)
 
 
-def descriptors(limit: int, two: bool, younger: bool) -> tuple[int, int]:
+def connection_limits(limit: int, two_processes: bool, is_younger: bool) -> tuple[int, int]:
     """Return how many clients and how many connections to servers a process may hold.
 
-    With `two`, two processes share the limit, and `younger` says which of them this is.
+    With `two_processes`, two processes share the limit, and `is_younger` says which of them this is.
     """
     # Below a limit of 256 both reserves shrink: idle clients may use all of their share, and the connections
     # to servers and to the bus need theirs.
     reserved = min(RESERVED_DESCRIPTORS, limit * 3 // 16)
     clients = limit // 3 + min(EXTRA_CLIENTS, limit // 16)
-    if not two:
+    if not two_processes:
         return clients, limit - clients - reserved
     # bounds the sum of two processes: silent clients may hold all of the older one's third
     half_clients = clients // 2
-    return half_clients if younger else clients, max(1, (limit - clients - half_clients - reserved) // 2)
+    return half_clients if is_younger else clients, max(1, (limit - clients - half_clients - reserved) // 2)
 
 
-def shared(name: str) -> Path | None:
+def shared_folder(name: str) -> Path | None:
     """Return the folder that the processes of one gateway share; the gateway also serves without one."""
     if name and os.access(name, os.W_OK | os.X_OK):
         return Path(name)
@@ -116,7 +116,7 @@
     engine: Engine
     front: Front
     bus: BusLink
-    calls: Calls
+    calls: OperatorCalls
     peers: Peers | None
 
 
@@ -126,33 +126,35 @@
     `extend` adds optional parts to it and returns a callable that is called at the end.
     """
     sched = Scheduler()
-    clients, links = descriptors(config.sockets, two=False, younger=False)
+    clients, links = connection_limits(config.sockets, two_processes=False, is_younger=False)
     times = (config.connect_ms, config.idle_ms)
     back = Upstreams(sched, times, config.streams, links)
     peers = Peers(sched, config.peer_listen, config.peers) if config.peer_listen else None
     send_note = peers.send_note if peers else lambda peer, note: None
     engine = Engine(Router(config.settings, config.seed), Clock(sched), back, send_note)
-    folder = shared(os.environ.get("TMPDIR", ""))
-    holdouts = HoldOuts(folder, engine.news, config.settings.origin_kind)
-    bus = BusLink(sched, holdouts.news, config.bus, (config.zones, config.kinds))
+    folder = shared_folder(os.environ.get("TMPDIR", ""))
+    holdouts = HoldOuts(folder, engine.on_bus_event, config.settings.origin_kind)
+    bus = BusLink(sched, holdouts.on_bus_event, config.bus, (config.zones, config.kinds))
     engine.may_lack_events = bus.may_lack_events
-    front = Front(sched, engine, config.settings, clients, room(config.memory_mb, two=False))
+    front = Front(
+        sched, engine, config.settings, clients, buffer_bytes(config.memory_mb, two_processes=False)
+    )
 
-    calls = Calls(front, holdouts, engine.stats)
+    calls = OperatorCalls(front, holdouts, engine.stats)
     finish = extend(Gateway(config, sched, engine, front, bus, calls, peers)) if extend else None
     for event in config.known:
         bus.apply(event)
 
-    def set_limits(two: bool, younger: bool) -> None:
-        front.room = room(config.memory_mb, two)
-        front.most, back.most = descriptors(config.sockets, two, younger)
+    def set_limits(two_processes: bool, is_younger: bool) -> None:
+        front.max_buffered_bytes = buffer_bytes(config.memory_mb, two_processes)
+        front.max_clients, back.max_links = connection_limits(config.sockets, two_processes, is_younger)
 
     marker = ProcessMarker(folder) if folder else None
     upgrade = Upgrade(sched, marker, front, bus.is_followed, set_limits)
-    front.not_ready_reason = upgrade.unready
+    front.not_ready_reason = upgrade.unready_reason
     host, port = front.listen(config.listen, config.listen_fd)
     if config.control:
-        bound_address = Control(sched, calls).listen(config.control)
+        bound_address = ControlServer(sched, calls).listen(config.control)
         logger.info("control on {}:{}", *bound_address)
     sched.spawn(bus.run)
     if peers:
--- a/hitchtiller/back/jobs.py
+++ b/hitchtiller/back/jobs.py
@@ -58,10 +58,10 @@
     def on_sent(self) -> None:
         """Handle that the last byte was sent."""
 
-    def answered(self, reply: str, fields: dict[str, str], body: bytes) -> None:
-        """Handle the answer; raise resp.BadResp for one that no valid server sends."""
+    def on_answer(self, reply: str, fields: dict[str, str], body: bytes) -> None:
+        """Handle the answer; raise resp.RespError for one that no valid server sends."""
 
-    def broken(self, status: str) -> None:
+    def on_connection_end(self, status: str) -> None:
         """Handle that the connection ended without an answer."""
 
     def block_until(self, until_ms: float) -> None:
@@ -83,7 +83,7 @@
         attempt = self.attempt
         limits = attempt.authorize(attempt)
         if limits is None:
-            attempt.drop("skipped")
+            attempt.abort("skipped")
             return None
         attempt.written = True
         self.due_ms = now_ms() + attempt.get.overdue_ms if attempt.get.overdue_ms else math.inf
@@ -96,8 +96,8 @@
             fields += f",up={get.source}"
         if get.keep:
             fields += f",store={get.keep}"
-        if limits.cap_ms:
-            fields += f",cap={max(1, int(limits.cap_ms))}"  # 0 would accept any fresh copy
+        if limits.max_age_ms:
+            fields += f",cap={max(1, int(limits.max_age_ms))}"  # 0 would accept any fresh copy
         if do_value := DO_VALUES[get.join, get.held_only, get.renew]:
             fields += f",do={do_value}"
         if client_tag := request.client_tag or attempt.exchange.confirm_tag:
@@ -108,7 +108,7 @@
         """Report that the command was sent completely."""
         self.attempt.on_sent()
 
-    def answered(self, reply: str, fields: dict[str, str], body: bytes) -> None:
+    def on_answer(self, reply: str, fields: dict[str, str], body: bytes) -> None:
         """End the attempt with the status that the routing decisions use."""
         status, request = STATUS_BY_REPLY.get(reply, ""), self.attempt.exchange.request
         rev, since = fields.get("rev"), fields.get("since")
@@ -118,7 +118,7 @@
             is_copy and not (TAG_PATTERN.match(rev or "") and ORIGIN_TIME_PATTERN.match(since or ""))
         ):
             # The rest of what the server sends may be invalid as well.
-            raise resp.BadResp(f"answer {reply!r:.20} rev={rev!r:.40} since={since!r:.40}")
+            raise resp.RespError(f"answer {reply!r:.20} rev={rev!r:.40} since={since!r:.40}")
         unchanged = reply == "KEEP"
         if unchanged and not (request.client_tag or self.attempt.exchange.confirm_tag):
             status = "err"  # "unchanged", although the request named no copy to compare with
@@ -136,7 +136,7 @@
         """Delay further attempts of the request: otherwise two copies would be in transfer at once."""
         self.attempt.exchange.blocked_until_ms = max(self.attempt.exchange.blocked_until_ms, until_ms)
 
-    def broken(self, status: str) -> None:
+    def on_connection_end(self, status: str) -> None:
         """End the attempt with a status.
 
         An unwritten job whose connection closed was reassigned before, and gets here only once that failed.
@@ -162,13 +162,13 @@
     def on_sent(self) -> None:
         """Ignore it: only attempts are counted."""
 
-    def answered(self, reply: str, fields: dict[str, str], body: bytes) -> None:
+    def on_answer(self, reply: str, fields: dict[str, str], body: bytes) -> None:
         """Report the server's load."""
         self.on_report("done" if reply == "FIT" else "err", resp.read_report(fields.get("rep", "")))
 
     def block_until(self, until_ms: float) -> None:
         """Ignore it: a probe transfers no object."""
 
-    def broken(self, status: str) -> None:
+    def on_connection_end(self, status: str) -> None:
         """Report that the connection ended without an answer."""
         self.on_report("econnrefused" if status == "silent" else status, {})
--- a/hitchtiller/back/link.py
+++ b/hitchtiller/back/link.py
@@ -12,8 +12,8 @@
 
 from hitchtiller.back.jobs import Job
 from hitchtiller.codec import resp
-from hitchtiller.log import ended
-from hitchtiller.sched import Closed, Scheduler, Stream, now_ms
+from hitchtiller.log import log_connection_end
+from hitchtiller.sched import Scheduler, Stream, StreamClosed, now_ms
 
 IDLE_SHARE = 0.7  # of the servers' idle timeout; closing before the server avoids a race with a send
 LATE_ANSWER_MS = 6_000.0  # after this time no answer to a killed request arrives any more
@@ -74,7 +74,7 @@
 
     def accepts(self, name: bytes) -> bool:
         """Return whether a job of this name may be queued here, even if it has to wait for room."""
-        if self.stream.code or self.is_retired or self.is_suspect:
+        if self.stream.close_code or self.is_retired or self.is_suspect:
             return False
         if self.writing and now_ms() - self.writing[1] > self.connect_ms:
             return False  # the server has stopped reading: a queued job would be stuck
@@ -97,11 +97,11 @@
         elif self.open_jobs.get(name) is job:
             del self.open_jobs[name]
             self._remember(self.killed_jobs, name)
-            job.block_until(now_ms() + (self.connect_ms if self.stream.size else self.round_trip_ms))
+            job.block_until(now_ms() + (self.connect_ms if self.stream.unsent_bytes else self.round_trip_ms))
             if self.writing and self.writing[0] is job:
                 # Half of its command was sent, so neither a KILL nor another command can follow.
                 self.is_retired = True
-                self.stream.discard()
+                self.stream.discard_unsent()
                 self._return_unwritten()
             elif not self.is_retired:
                 self.queue.appendleft(resp.write_command(b"KILL", name))
@@ -140,9 +140,9 @@
             )
             self.sched.spawn(self._write)
             self._read()
-        except Closed as error:
+        except StreamClosed as error:
             self.stream.close(str(error))
-        except resp.BadResp as error:
+        except resp.RespError as error:
             self.parse_error = str(error)
             self.stream.close("junk")
         finally:
@@ -151,7 +151,7 @@
 
     def check(self, now: float) -> None:
         """Close the link if an answer is truncated or overdue, a write is blocked, or it has been idle."""
-        if self.stream.code or not self.is_connected:
+        if self.stream.close_code or not self.is_connected:
             return
         silent_ms, unused_ms = now - self.last_read_ms, now - max(self.last_read_ms, self.last_send_ms)
         has_overdue = any(now > job.due_ms for job in self.open_jobs.values())
@@ -174,11 +174,11 @@
             for items in self.reader.feed(data):
                 self.last_growth_ms, self.growth_bytes = self.last_read_ms, 0
                 self._handle_answer(items)
-            self.stream.keep(len(self.reader.buffer))
+            self.stream.set_reader_bytes(len(self.reader.buffer))
 
     def _handle_answer(self, items: list[bytes]) -> None:
         if not 2 <= len(items) <= 4:
-            raise resp.BadResp(f"answer has {len(items)} items")
+            raise resp.RespError(f"answer has {len(items)} items")
         job = self.open_jobs.pop(items[0], None)
         if job is None:
             self.killed_jobs.pop(items[0], None)  # the answer crossed the KILL, or belongs to no job
@@ -191,23 +191,23 @@
         try:
             fields = resp.read_fields(items[2]) if len(items) > 2 else {}
             reply = items[1].decode("ascii", "replace")
-            job.answered(reply, fields, items[3] if len(items) > 3 else b"")
-        except resp.BadResp as error:
+            job.on_answer(reply, fields, items[3] if len(items) > 3 else b"")
+        except resp.RespError as error:
             # The frame itself was valid, so the answers to the other open jobs can still be read.
             self.parse_error = str(error)
             if not self.open_jobs:
                 self.open_jobs[items[0]] = job
                 raise
-            job.broken("econnreset")
+            job.on_connection_end("econnreset")
             if not self.is_retired:
                 self.is_retired = True
                 self._return_unwritten()
         if self.is_retired and not self.open_jobs:
-            raise Closed("spoiled")
+            raise StreamClosed("spoiled")
 
     def _write(self) -> None:
         has_polled = False
-        while not self.stream.code and not self.is_retired:
+        while not self.stream.close_code and not self.is_retired:
             is_full = len(self.open_jobs) >= self.max_jobs
             if not self.queue or (is_full and not isinstance(self.queue[0], bytes)):
                 self.parked_writer = getcurrent()
@@ -216,7 +216,7 @@
             # In a long turn the gateway may not have read yet that a client has left: poll once before
             # sending its request.
             if not has_polled and self.sched.is_lagging():
-                self.sched.look()
+                self.sched.poll_again()
                 has_polled = True
                 continue
             has_polled = False
@@ -247,16 +247,16 @@
 
     def _finish(self) -> None:
         """Fail the written jobs and return the unwritten ones, which can't have run."""
-        ended(
+        log_connection_end(
             "server",
             self.server,
-            self.stream.code,
+            self.stream.close_code,
             self.parse_error,
             done=self.answered_count,
             open=len(self.open_jobs),
         )
         jobs, self.open_jobs = list(self.open_jobs.values()), {}
-        if self.stream.code not in SERVER_CLOSE_CODES:  # otherwise the server itself has ended them
+        if self.stream.close_code not in SERVER_CLOSE_CODES:  # otherwise the server itself has ended them
             self.abandoned_jobs = dict.fromkeys((job.name for job in jobs), now_ms())
             for job in jobs:
                 job.block_until(now_ms() + self.round_trip_ms)
@@ -269,6 +269,6 @@
             self.queued_names.clear()
             self.on_close(self, [])
             for job in unwritten:
-                job.broken("silent" if self.stream.code == "silent" else "econnrefused")
+                job.on_connection_end("silent" if self.stream.close_code == "silent" else "econnrefused")
         for job in jobs:
-            job.broken("etimedout" if self.stream.code == "stuck" else "econnreset")
+            job.on_connection_end("etimedout" if self.stream.close_code == "stuck" else "econnreset")
--- a/hitchtiller/back/upstreams.py
+++ b/hitchtiller/back/upstreams.py
@@ -13,7 +13,7 @@
 from hitchtiller.back.jobs import Job, MeterJob, PullJob
 from hitchtiller.back.link import LATE_ANSWER_MS, Link
 from hitchtiller.exchange import Attempt
-from hitchtiller.log import ended
+from hitchtiller.log import log_connection_end
 from hitchtiller.news import ListedServer, Topology
 from hitchtiller.sched import Scheduler, now_ms
 
@@ -48,9 +48,11 @@
             each for each in self.links if now - each.killed_jobs.get(name, -math.inf) < LATE_ANSWER_MS
         ]
         if now - self.abandoned_jobs.get(name, -math.inf) < LATE_ANSWER_MS or len(kill_links) > 1:
-            return job.broken("skipped")
+            return job.on_connection_end("skipped")
         if kill_links:
-            return kill_links[0].submit(job) if kill_links[0].accepts(name) else job.broken("skipped")
+            return (
+                kill_links[0].submit(job) if kill_links[0].accepts(name) else job.on_connection_end("skipped")
+            )
         new_only = now - self.abandoned_after_junk.get(name, -math.inf) < self.upstreams.timeouts[0]
         for each in () if new_only else self.links:
             if (
@@ -67,15 +69,17 @@
             new_link = self.upstreams.open(self) if self._may_open(busy_link is None) else None
             link = busy_link or new_link
         if link is None:
-            job.broken("skipped")  # a limit of this gateway, for which the server is not to be blamed
+            # a limit of this gateway, for which the server is not to be blamed
+            job.on_connection_end("skipped")
         else:
             link.submit(job)
 
     def _may_open(self, is_needed: bool) -> bool:
-        if self.closed or self.upstreams.link_count >= self.upstreams.most:
+        if self.closed or self.upstreams.link_count >= self.upstreams.max_links:
             return False
         may_spread = (
-            self.upstreams.link_count < self.upstreams.most / 2 and len(self.links) < MAX_LINKS_PER_SERVER
+            self.upstreams.link_count < self.upstreams.max_links / 2
+            and len(self.links) < MAX_LINKS_PER_SERVER
         )
         return is_needed or (may_spread and all(link.is_connected for link in self.links))
 
@@ -86,7 +90,7 @@
     def on_link_closed(self, link: Link, unwritten: list[Job]) -> None:
         """Remove a closed connection and reassign the jobs that were not written on it."""
         # A retired link reports twice: when it returns its unwritten jobs, and when it closes.
-        if link.stream.code and link in self.links:
+        if link.stream.close_code and link in self.links:
             self.links.remove(link)
             self.upstreams.link_count -= 1
             now, abandoned = now_ms(), link.abandoned_jobs
@@ -94,14 +98,14 @@
                 for name in [name for name, at in remembered.items() if now - at >= LATE_ANSWER_MS]:
                     del remembered[name]
             self.abandoned_jobs |= link.killed_jobs
-            (self.abandoned_after_junk if link.stream.code == "junk" else self.abandoned_jobs).update(
+            (self.abandoned_after_junk if link.stream.close_code == "junk" else self.abandoned_jobs).update(
                 abandoned
             )
         for job in unwritten:
             job.reassignments += 1
             # Without a bound, a server that resets every connection would keep the loop busy.
             if job.reassignments > MAX_REASSIGNMENTS:
-                job.broken("econnrefused")
+                job.on_connection_end("econnrefused")
             else:
                 self.submit(job)
 
@@ -122,9 +126,14 @@
 
         `timeouts` are the connect timeout and the servers' idle timeout in ms.
         """
-        self.sched, self.timeouts, self.jobs_per_link, self.most = sched, timeouts, jobs_per_link, max_links
+        self.sched, self.timeouts, self.jobs_per_link, self.max_links = (
+            sched,
+            timeouts,
+            jobs_per_link,
+            max_links,
+        )
         self.pools: dict[str, Pool] = {}
-        self.link_count = self.opened = 0  # connections open now, and opened since the start
+        self.link_count = self.opened_count = 0  # connections open now, and opened since the start
         self.probe_numbers = count(1)
         sched.spawn(self._sweep)
 
@@ -152,11 +161,11 @@
                 pool.on_link_closed,
             )
         except OSError as error:
-            ended("server", listed.member.server, "no-descriptor", error.strerror or "")
+            log_connection_end("server", listed.member.server, "no-descriptor", error.strerror or "")
             return None
         pool.links.append(link)
         self.link_count += 1
-        self.opened += 1
+        self.opened_count += 1
         return link
 
     def send(self, attempt: Attempt) -> None:
@@ -171,7 +180,7 @@
             return
         pool = self.pools.get(attempt.get.server)
         if pool is None:
-            attempt.drop("skipped")
+            attempt.abort("skipped")
             return
         attempt.back_end_handle = (pool, PullJob(attempt))
         pool.submit(attempt.back_end_handle[1])
--- a/hitchtiller/cli/bench.py
+++ b/hitchtiller/cli/bench.py
@@ -13,10 +13,10 @@
 
 from hitchtiller.cli import show
 from hitchtiller.store import recover
-from hitchtiller.store.disk import Disk, Options
+from hitchtiller.store.disk import Disk, DiskOptions
 from hitchtiller.store.files import OsFiles
 from hitchtiller.store.format import Part
-from hitchtiller.store.index import Index, fingerprint, pack_place, unpack_place
+from hitchtiller.store.index import Index, hash_part, pack_place, unpack_place
 from hitchtiller.store.jobs import InlineJobs
 from hitchtiller.store.suspect import Proof
 
@@ -28,9 +28,9 @@
     files = OsFiles(folder)
     files.lock()
     budget = parts * (size + 256) * 2 + 512 * MB
-    proof = Proof(recover.Recovered().kept, 0.0)
+    proof = Proof(recover.Recovered().saved_proof, 0.0)
     disk = Disk(
-        files, InlineJobs(), Options(budget, 0, 64 * MB // 64 * 64, 64 * MB), recover.Recovered(), proof
+        files, InlineJobs(), DiskOptions(budget, 0, 64 * MB // 64 * 64, 64 * MB), recover.Recovered(), proof
     )
     proof.begin(1e12, 1e12)
     disk.mark_epoch()
@@ -48,14 +48,14 @@
     disk.sync()
     write_s = time.perf_counter() - started_s
     begin_s = time.perf_counter()
-    disk.save()
+    disk.write_checkpoint()
     return (
         {
             "parts": parts,
             "mb": round(disk.space.used / MB, 1),
             "write_mb_per_s": round(disk.space.used / MB / write_s, 1),
             "checkpoint_ms": round((time.perf_counter() - begin_s) * 1e3, 1),
-            "index_bytes_a_part": round(disk.index.room / max(1, len(disk.index)), 1),
+            "index_bytes_a_part": round(disk.index.table_bytes / max(1, len(disk.index)), 1),
         },
         disk,
         files,
@@ -73,7 +73,7 @@
     }
     while elapsed_s["tier"] + elapsed_s["pread"] < seconds:
         keys = [rng.randrange(parts) for _ in range(200)]
-        places = [unpack_place(disk.index.get(fingerprint(key, 0))) for key in keys]
+        places = [unpack_place(disk.index.get(hash_part(key, 0))) for key in keys]
         for segment_id, offset, length in places:  # untimed, so that neither side pays for the first access
             os.pread(fds[segment_id], length, offset)
         body_sizes: list[int] = []
@@ -102,13 +102,13 @@
     started_s = time.perf_counter()
     recovered = recover.load(files, use_checkpoint)
     load_s = time.perf_counter() - started_s
-    disk = Disk(files, InlineJobs(), Options(1 << 40), recovered, Proof(recovered.kept, 0.0))
+    disk = Disk(files, InlineJobs(), DiskOptions(1 << 40), recovered, Proof(recovered.saved_proof, 0.0))
     body_sizes: list[int] = []
     disk.get(0, 0, lambda part, body: body_sizes.append(len(body)))
     start_s = time.perf_counter() - started_s
     files.close()
     assert body_sizes and body_sizes[0]
-    return start_s, recovered.scanned, load_s
+    return start_s, recovered.records_read, load_s
 
 
 def _resident_bytes() -> int:
@@ -123,7 +123,7 @@
     """
     import gc
 
-    keys = [fingerprint(number, 0) for number in range(entries)]
+    keys = [hash_part(number, 0) for number in range(entries)]
     index, longest_put_s = Index(), 0.0
     started_s = time.perf_counter()
     for number, key in enumerate(keys):
@@ -153,7 +153,7 @@
     dict_s = time.perf_counter() - begin_s
     return {
         "entries": entries,
-        "index_bytes_a_part": round(index.room / entries, 1),
+        "index_bytes_a_part": round(index.table_bytes / entries, 1),
         "dict_bytes_a_part": round(dict_bytes / entries, 1),
         "index_put_us": round(put_s / entries * 1e6, 2),
         "index_longest_put_ms": round(longest_put_s * 1e3, 3),
--- a/hitchtiller/cli/repo.py
+++ b/hitchtiller/cli/repo.py
@@ -16,9 +16,9 @@
 from urllib.parse import quote, urlsplit
 
 from hitchtiller.cli import show
-from hitchtiller.repo.fetch import PART
+from hitchtiller.repo.fetch import MAX_PART_BYTES
 from hitchtiller.repo.generations import NamedFile
-from hitchtiller.repo.kinds import BadIndex, make
+from hitchtiller.repo.kinds import InvalidIndexError, make_kind
 
 CHUNK_BYTES = 65_536
 MAX_ATTEMPTS, RETRY_DELAY_S = 5, 1.0
@@ -129,15 +129,15 @@
 def read_index(source: Source, kind_name: str, root: str) -> dict[str, NamedFile]:
     """Read an index and the indexes that belong to it; return the files that they list, by path.
 
-    BadIndex if one is invalid or, for a nested one, has another digest than the first index gives.
+    InvalidIndexError if one is invalid or, for a nested one, has another digest than the first index gives.
     """
-    kind = make(kind_name)
+    kind = make_kind(kind_name)
     parsed = kind.parse(root, read_all(source, root))
     files = {path: expected for path, expected in parsed.files.items() if path not in parsed.optional}
     for path in parsed.nested:
         body = read_all(source, path)
         if hashlib.sha256(body).hexdigest() != parsed.files[path].digest:
-            raise BadIndex(f"{path}: not the bytes that {root} names")
+            raise InvalidIndexError(f"{path}: not the bytes that {root} names")
         files |= kind.parse(path, body).files
     return files
 
@@ -187,7 +187,7 @@
     try:
         source = open_source(place)
         return source, read_index(source, kind, root)
-    except (BadLocationError, FileUnavailableError, BadIndex) as error:
+    except (BadLocationError, FileUnavailableError, InvalidIndexError) as error:
         return str(error)
 
 
@@ -243,7 +243,7 @@
             sizes.append(sum(map(len, source.read(path)[0])))
         except FileUnavailableError:
             missing_count += 1
-    total, parts = sum(sizes), sum(-(-max(1, size) // PART) for size in sizes)
+    total, parts = sum(sizes), sum(-(-max(1, size) // MAX_PART_BYTES) for size in sizes)
     result: dict[str, Any] = {
         "files": len(files),
         "missing": missing_count,
--- a/hitchtiller/cli/serve.py
+++ b/hitchtiller/cli/serve.py
@@ -14,10 +14,10 @@
 from hitchtiller.__main__ import Gateway
 from hitchtiller.__main__ import serve as serve_gateway
 from hitchtiller.cli.logs import json_sink
-from hitchtiller.codec.bus import read_dial
+from hitchtiller.codec.bus import read_address
 from hitchtiller.config import ConfigError, read_config
 from hitchtiller.operator.model import MB, File, Membership, Repo, Store
-from hitchtiller.operator.read import BadFile, read_file
+from hitchtiller.operator.read import InvalidFileError, read_file
 from hitchtiller.ops.stats import Stats
 
 if TYPE_CHECKING:
@@ -27,12 +27,12 @@
 
 def make_store_extension(settings: Store) -> Callable[[Gateway], Callable[[], None]]:
     """Return a function that adds the tiers of copies to a gateway and returns a callable for its end."""
-    from hitchtiller.store.disk import Options
+    from hitchtiller.store.disk import DiskOptions
     from hitchtiller.store.jobs import ThreadJobs
-    from hitchtiller.store.keeper import Keeper
+    from hitchtiller.store.keeper import FolderKeeper
     from hitchtiller.store.memory import Memory
     from hitchtiller.store.pace import Pace
-    from hitchtiller.store.space import Rate
+    from hitchtiller.store.space import TokenBucket
     from hitchtiller.store.suspect import Proof, SavedProof
     from hitchtiller.store.tier import Tier
 
@@ -47,7 +47,7 @@
         if settings.disk is None:
             return lambda: None
         disk = settings.disk
-        options = Options(
+        options = DiskOptions(
             budget=int(disk.budget_mb * MB),
             reserve=int(disk.reserve_mb * MB),
             segment_bytes=int(disk.segment_mb * MB) // 64 * 64,
@@ -55,9 +55,9 @@
             sync_ms=disk.sync_ms,
             checkpoint_ms=disk.checkpoint_s * 1000.0,
         )
-        rate = Rate(disk.compact_mb_per_s * MB, disk.compact_busy_mb_per_s * MB, 4.0 * MB)
+        rate = TokenBucket(disk.compact_mb_per_s * MB, disk.compact_busy_mb_per_s * MB, 4.0 * MB)
         jobs = ThreadJobs(sched, disk.readers)
-        keeper = Keeper(sched, tier, gateway.front, Path(disk.folder), options, jobs, rate)
+        keeper = FolderKeeper(sched, tier, gateway.front, Path(disk.folder), options, jobs, rate)
         sched.spawn(keeper.run)
         return keeper.finish
 
@@ -67,36 +67,42 @@
 def make_repository_extension(settings: Repo) -> Callable[[Gateway], None]:
     """Return a function that adds the HTTP front for package repositories to a gateway."""
     from hitchtiller.repo.admission import BackgroundLimit, ConnectionLimits
-    from hitchtiller.repo.budget import Budget
+    from hitchtiller.repo.budget import RepeatBudget
     from hitchtiller.repo.fetch import Fetcher
-    from hitchtiller.repo.front import RepoFront, Times
-    from hitchtiller.repo.kinds import make
+    from hitchtiller.repo.front import ClientTimeouts, RepoFront
+    from hitchtiller.repo.kinds import make_kind
     from hitchtiller.repo.service import Repository, Service
 
     def extend(gateway: Gateway) -> None:
         sched, engine = gateway.sched, gateway.engine
-        give_way = BackgroundLimit(on=settings.give_way)
-        fetcher = Fetcher(sched, engine, give_way, Budget(), gateway.config.seed)
+        give_way = BackgroundLimit(is_enabled=settings.give_way)
+        fetcher = Fetcher(sched, engine, give_way, RepeatBudget(), gateway.config.seed)
         repositories = [
             Repository(
-                name, make(r.kind), r.prefix, r.class_name, r.group, r.grace_s * 1e3, int(r.index_mb * MB)
+                name,
+                make_kind(r.kind),
+                r.prefix,
+                r.class_name,
+                r.group,
+                r.grace_s * 1e3,
+                int(r.index_mb * MB),
             )
             for name, r in settings.repository.items()
         ]
         hosts = frozenset(host.strip().lower() for host in settings.hosts.split(",") if host.strip())
         service = Service(engine, fetcher, repositories, hosts)
-        times = Times(settings.header_s * 1e3, settings.idle_s * 1e3, settings.slow_s * 1e3)
+        times = ClientTimeouts(settings.header_s * 1e3, settings.idle_s * 1e3, settings.slow_s * 1e3)
         front = RepoFront(
             sched, service, ConnectionLimits(settings.connections, settings.each_address), times
         )
-        front.listen(read_dial(settings.listen))
+        front.listen(read_address(settings.listen))
         publish_repository_figures(engine.stats, front, fetcher)
 
         def adjust_limit() -> None:
             """Adapt the limit on background fetches to the load every 200 ms; never returns."""
             while True:
                 sched.sleep(200.0)
-                fetcher.look()
+                fetcher.adjust_limit()
 
         sched.spawn(adjust_limit)
 
@@ -105,15 +111,15 @@
 
 def make_membership_extension(settings: Membership) -> Callable[[Gateway], Callable[[], None]]:
     """Return a function that adds membership to a gateway and returns a callable for its end."""
-    from hitchtiller.ops.members import Members
+    from hitchtiller.ops.members import MembershipService
 
     def extend(gateway: Gateway) -> Callable[[], None]:
         assert gateway.peers, "checked before the start"
         parts = (gateway.sched, gateway.engine, gateway.peers, gateway.bus)
-        members = Members(*parts, settings.fleet, settings.period_ms)
+        members = MembershipService(*parts, settings.fleet, settings.period_ms)
         gateway.front.not_ready_reasons.append(members.isolation_reason)
-        gateway.calls.plain["members"] = members.listed
-        gateway.calls.named["forget-member"] = members.forget
+        gateway.calls.calls_without_argument["members"] = members.list_members
+        gateway.calls.calls_with_argument["forget-member"] = members.forget
         gateway.sched.spawn(members.run)
         return members.leave
 
@@ -122,21 +128,21 @@
 
 def publish_repository_figures(stats: Stats, front: "RepoFront", fetcher: "Fetcher") -> None:
     """Add the figures of the repository front to the statistics of the gateway."""
-    background_limit, budget, service = fetcher.give_way, fetcher.budget, front.service
-    stats.levels |= {
-        "repo.connections": lambda: front.connection_limits.all,
-        "repo.parts_open": lambda: background_limit.open,
+    background_limit, budget, service = fetcher.background_limit, fetcher.budget, front.service
+    stats.gauges |= {
+        "repo.connections": lambda: front.connection_limits.open_connections,
+        "repo.parts_open": lambda: background_limit.parts_in_flight,
         "repo.parts_limit": lambda: int(background_limit.limit),
     }
-    stats.counts |= {
-        "repo.parts": lambda: fetcher.asked,
-        "repo.repeats": lambda: budget.spent,
-        "repo.repeats_denied": lambda: budget.denied,
-        "repo.gave_way": lambda: background_limit.refused,
+    stats.counters |= {
+        "repo.parts": lambda: fetcher.parts_requested,
+        "repo.repeats": lambda: budget.repeats_spent,
+        "repo.repeats_denied": lambda: budget.repeats_denied,
+        "repo.gave_way": lambda: background_limit.refusal_count,
         "repo.turned_away": lambda: sum(front.rejected_connections.values()),
-        "repo.answers": lambda: sum(service.counts.values()),
+        "repo.answers": lambda: sum(service.reply_counts.values()),
         "repo.held_back": lambda: sum(
-            line.updates_withheld for repo in service.repositories for line in repo.lines.values()
+            line.updates_withheld for repo in service.repositories for line in repo.index_histories.values()
         ),
     }
 
@@ -176,7 +182,7 @@
         if unknown:
             raise ConfigError(f"{file}: share for {sorted(unknown)[0]!r}, which is no class; there are "
                               + ", ".join(config.settings.classes))  # fmt: skip
-    except BadFile as error:
+    except InvalidFileError as error:
         print(error, file=sys.stderr)
         return 2
     except OSError as error:
--- a/hitchtiller/cli/store.py
+++ b/hitchtiller/cli/store.py
@@ -10,11 +10,11 @@
 from hitchtiller.store import format as fmt
 from hitchtiller.store import recover
 from hitchtiller.store.compact import Compactor
-from hitchtiller.store.disk import Disk, Options
+from hitchtiller.store.disk import Disk, DiskOptions
 from hitchtiller.store.files import OsFiles
 from hitchtiller.store.index import unpack_place
 from hitchtiller.store.jobs import InlineJobs
-from hitchtiller.store.space import Rate
+from hitchtiller.store.space import TokenBucket
 from hitchtiller.store.suspect import Proof
 
 MB = 1_000_000
@@ -27,8 +27,8 @@
 def _open_store(folder: Path) -> OsFiles:
     """Open and lock the store in a folder; StoreUnavailableError if it holds none or is locked."""
     names = [path.name for path in folder.iterdir()]
-    if not any(name.startswith((recover.SEGMENT, recover.LOG)) for name in names):
-        raise StoreUnavailableError(f"{folder} is not a store: it holds no segment and no {recover.LOG}")
+    if not any(name.startswith((recover.SEGMENT_PREFIX, recover.LOG_NAME)) for name in names):
+        raise StoreUnavailableError(f"{folder} is not a store: it holds no segment and no {recover.LOG_NAME}")
     files = OsFiles(folder)
     if not files.lock():
         files.close()
@@ -51,16 +51,16 @@
     started_s = time.monotonic()
     recovered = recover.load(files)
     files.close()
-    saved_proof = recovered.kept
+    saved_proof = recovered.saved_proof
     facts: dict[str, Any] = {
         "parts": len(recovered.index),
         "segments": len(recovered.segments),
         "bytes": sum(segment.size for segment in recovered.segments.values()),
         "dead_bytes": sum(segment.dead for segment in recovered.segments.values()),
         "checkpoint": recovered.checkpoint,
-        "records_read": recovered.scanned,
+        "records_read": recovered.records_read,
         "load_ms": round((time.monotonic() - started_s) * 1000.0, 1),
-        "index_bytes": recovered.index.room,
+        "index_bytes": recovered.index.table_bytes,
         "era": saved_proof.epoch,
         "followed_ms": int(saved_proof.followed_ms),
         "purged_objects": len(recovered.purges.objects),
@@ -101,7 +101,7 @@
                 try:
                     data = files.read(recover.segment_name(segment.id), offset, length)
                     fmt.read_record(data, segment.salt, offset)
-                except fmt.BadBytes as error:
+                except fmt.FormatError as error:
                     counts["bad"] += 1
                     notes.append(f"{recover.segment_name(segment.id)}: record at {offset}: {error}")
             bar.advance(task)
@@ -127,13 +127,13 @@
     except StoreUnavailableError as error:
         return _report_error(error)
     recovered = recover.load(files)
-    options = Options(int(budget_mb * MB), 0, int(segment_mb * MB) // 64 * 64, 64 * MB)
+    options = DiskOptions(int(budget_mb * MB), 0, int(segment_mb * MB) // 64 * 64, 64 * MB)
     bytes_before = sum(segment.size for segment in recovered.segments.values())
     if 2 * bytes_before + options.segment_bytes > options.budget:
-        options = Options(2 * bytes_before + 2 * options.segment_bytes, 0, options.segment_bytes, 64 * MB)
-    proof = Proof(recovered.kept, 0.0)
+        options = DiskOptions(2 * bytes_before + 2 * options.segment_bytes, 0, options.segment_bytes, 64 * MB)
+    proof = Proof(recovered.saved_proof, 0.0)
     disk = Disk(files, InlineJobs(), options, recovered, proof)
-    compactor = Compactor(disk, lambda mark: 16, Rate(1e15, 1e15, 1e15))
+    compactor = Compactor(disk, lambda part_hash: 16, TokenBucket(1e15, 1e15, 1e15))
     segment_ids = sorted(recovered.segments)
     with show.progress_bar() as bar:
         task = bar.add_task("compact", total=len(segment_ids))
@@ -147,7 +147,7 @@
                 compactor.step(0.0, False)
             bar.advance(task)
     disk.sync()
-    disk.save()
+    disk.write_checkpoint()
     health, bytes_after = disk.health, disk.space.used
     result = {
         "bytes_before": bytes_before,
@@ -159,7 +159,7 @@
     }
     files.close()
     show.print_json(result) if as_json else show.print_pairs(str(folder), result)
-    return 0 if health.writes else 1
+    return 0 if health.can_write else 1
 
 
 def export(folder: Path, target: Path, name: str | None, as_json: bool) -> int:
@@ -186,7 +186,7 @@
             try:
                 data = files.read(recover.segment_name(segment_id), offset, length)
                 part, body = fmt.read_record(data, recovered.segments[segment_id].salt, offset)
-            except fmt.BadBytes:
+            except fmt.FormatError:
                 bad_count += 1
                 continue
             if wanted is not None and part.key != wanted:
--- a/hitchtiller/engine.py
+++ b/hitchtiller/engine.py
@@ -70,13 +70,13 @@
 class Copies(Protocol):
     """The gateway's own copies of objects, which are tried before a request goes to the router."""
 
-    def take(self, exchange: Exchange) -> bool:
+    def try_serve(self, exchange: Exchange) -> bool:
         """Try to serve a request; return True if it is answered, or waits for a fill or a disk read."""
 
     def may_send(self, exchange: Exchange) -> bool:
         """Return whether one more attempt may be sent on behalf of all requests that wait for this object."""
 
-    def cap(self, exchange: Exchange, cap_ms: float, now_ms: float) -> float:
+    def limit_age(self, exchange: Exchange, cap_ms: float, now_ms: float) -> float:
         """Tighten the maximum age (ms) of the copy that a server may answer with; 0 means no bound."""
 
     def on_result(self, attempt: Attempt, result: AttemptResult) -> AttemptResult:
@@ -85,10 +85,10 @@
     def fallback(self, exchange: Exchange, answer: Answer) -> Answer:
         """Return a better answer than a refusal or a failure if there is one, else `answer`."""
 
-    def over(self, exchange: Exchange, answer: Answer | None) -> None:
+    def on_request_end(self, exchange: Exchange, answer: Answer | None) -> None:
         """Handle the end of a request; `answer` is None if it was abandoned."""
 
-    def purged(self, purge: PurgeNotice) -> None:
+    def on_purge(self, purge: PurgeNotice) -> None:
         """Handle a purge; called before the router handles it."""
 
 
@@ -103,55 +103,55 @@
         send_note: Callable[[int, api.PeerNote | api.LeaseNote], None],
     ) -> None:
         """Connect the router to the clock, to the back ends and to the other gateways."""
-        self.router, self.clock, self.back, self.send_note = router, clock, back, send_note
-        self.open: dict[int, Exchange] = {}
+        self.router, self.clock, self.back_end, self.send_note = router, clock, back, send_note
+        self.open_exchanges: dict[int, Exchange] = {}
         self.open_ids: set[str] = set()  # ids given by clients, of the open requests
         self.request_numbers = count(1)
         self.event_queue: deque[api.Event] = deque()
-        self.busy = False
+        self.is_dispatching = False
         self.copies: Copies | None = None
         self.effects = Effects(router.settings.classes)
         self.may_lack_events: Callable[[], bool] = bool  # whether bus events may have been missed
         self.purge_listeners: list[Callable[[PurgeNotice], object]] = []
         self.on_final_answer: Callable[[Exchange, Answer], None] | None = None  # called for each final answer
         self.stats = Stats(router.settings.classes)
-        self.stats.levels = {
-            "in_flight": lambda: len(self.open),
+        self.stats.gauges = {
+            "in_flight": lambda: len(self.open_exchanges),
             "station_caches_known": lambda: len(router.nodes),
-            "station_caches_excluded": lambda: sum(not router.usable(n) for n in router.nodes.values()),
+            "station_caches_excluded": lambda: sum(not router.is_usable(n) for n in router.nodes.values()),
         }
         if not router.leases.fixed_fills:
-            self.stats.levels["origin_fills"] = lambda: router.leases.fills_in_flight
-            self.stats.counts["origin_leases_granted"] = lambda: router.leases.granted
-            self.stats.counts["origin_leases_denied"] = lambda: router.leases.denied
+            self.stats.gauges["origin_fills"] = lambda: router.leases.fills_in_flight
+            self.stats.counters["origin_leases_granted"] = lambda: router.leases.grants_received
+            self.stats.counters["origin_leases_denied"] = lambda: router.leases.denials_received
 
     # Client side
 
-    def has(self, id: str) -> bool:
+    def has_request(self, id: str) -> bool:
         """Return whether a request with this id is open, from any client."""
         return id.lower() in self.open_ids
 
-    def take(self, request: ClientRequest, deliver: Callable[[Answer], None]) -> Exchange:
+    def accept(self, request: ClientRequest, deliver: Callable[[Answer], None]) -> Exchange:
         """Start handling a request; `deliver` receives its final answer unless the client leaves."""
         exchange = Exchange(next(self.request_numbers), request, deliver)
-        self.open[exchange.number] = exchange
+        self.open_exchanges[exchange.number] = exchange
         self.open_ids.add(request.id.lower())
-        self.stats.taken += 1
+        self.stats.requests_accepted += 1
         self._count_worth("asked", exchange)
-        exchange.taken_ms = self.clock.now_ms()
-        delay_ms = request.deadline_ms - exchange.taken_ms
+        exchange.accepted_ms = self.clock.now_ms()
+        delay_ms = request.deadline_ms - exchange.accepted_ms
         exchange.cancel_deadline = self.clock.later(delay_ms, partial(self.on_deadline, exchange)).cancel
-        if self.effects.window_passed(request.class_name, request.dedupe, exchange.taken_ms):
+        if self.effects.window_passed(request.class_name, request.dedupe, exchange.accepted_ms):
             self.fail(exchange)  # an earlier attempt may have run, and servers no longer drop its repeat
-        elif self.copies is None or not self.copies.take(exchange):
-            self.decide(exchange)
+        elif self.copies is None or not self.copies.try_serve(exchange):
+            self.route(exchange)
         return exchange
 
-    def decide(self, exchange: Exchange) -> None:
+    def route(self, exchange: Exchange) -> None:
         """Submit a request to the router, at most once."""
-        if exchange.over or exchange.decided:
+        if exchange.is_over or exchange.is_routed:
             return
-        exchange.decided, request = True, exchange.request
+        exchange.is_routed, request = True, exchange.request
         self.submit(
             api.Request(
                 exchange.number,
@@ -164,10 +164,10 @@
             )
         )
 
-    def leave(self, exchange: Exchange) -> None:
+    def client_left(self, exchange: Exchange) -> None:
         """Handle a client that left: close the exchange and cancel its attempts."""
         if exchange.close():
-            self.stats.left += 1
+            self.stats.clients_left += 1
             self._count_worth("left", exchange)
             self.abandon(exchange)
 
@@ -175,7 +175,7 @@
         """At the deadline, end the attempts in flight; fail the request if the router has not answered it."""
         for attempt in list(exchange.attempts):
             self.cancel(attempt, "etimedout")
-        if exchange.over:
+        if exchange.is_over:
             return
         # prevents a request without any answer: it may still wait for another gateway, or a fault lost it
         logger.warning("request {} got no answer before its deadline; failing it", exchange.request.id)
@@ -189,15 +189,15 @@
     def abandon(self, exchange: Exchange) -> None:
         """Tell the router and the copies that a request is over, and cancel its attempts."""
         self._remove_open(exchange)
-        if exchange.decided:
+        if exchange.is_routed:
             self.submit(api.ClientLeft(exchange.number))
         if self.copies:
-            self.copies.over(exchange, None)
+            self.copies.on_request_end(exchange, None)
         for attempt in list(exchange.attempts):
             self.cancel(attempt, "ecanceled")
 
     def _remove_open(self, exchange: Exchange) -> None:
-        if self.open.pop(exchange.number, None):
+        if self.open_exchanges.pop(exchange.number, None):
             self.open_ids.discard(exchange.request.id.lower())
 
     def finish(self, exchange: Exchange, answer: Answer) -> None:
@@ -211,12 +211,12 @@
             answer = Answer(FAILED)  # a refusal would tell the client that a retry is safe
         self._remove_open(exchange)
         if exchange.finish(answer):
-            self.stats.end(exchange.request.class_name, answer.kind)
+            self.stats.record_answer(exchange.request.class_name, answer.kind)
             self._count_worth(answer.kind, exchange)
             if self.on_final_answer:
                 self.on_final_answer(exchange, answer)
             if self.copies:
-                self.copies.over(exchange, answer)
+                self.copies.on_request_end(exchange, answer)
         exchange.release_attempts()
 
     def _count_worth(self, outcome: str, exchange: Exchange) -> None:
@@ -229,23 +229,23 @@
             return
         if outcome == SERVED:
             transfer_ms = 1000.0 * request.size_kb / settings.flow_kb_per_s if settings.flow_kb_per_s else 0.0
-            in_time = self.clock.now_ms() - exchange.taken_ms <= cls.aim_ms + cls.aim_stretch * transfer_ms
+            in_time = self.clock.now_ms() - exchange.accepted_ms <= cls.aim_ms + cls.aim_stretch * transfer_ms
             outcome = "in_time" if in_time else "late"
         self.stats.worth[outcome] += cls.worth
 
     # Bus events
 
-    def news(self, event: Event) -> None:
+    def on_bus_event(self, event: Event) -> None:
         """Handle an event of the bus: a purge, or a change of the list of servers."""
         if isinstance(event, PurgeNotice):
             if self.copies:
-                self.copies.purged(event)
+                self.copies.on_purge(event)
             for listener in self.purge_listeners:
                 listener(event)
             age_ms = max(0.0, self.clock.now_ms() - event.at_ms)
             self.submit(api.Purged(event.key, event.group, age_ms))
             return
-        close_stale = self.back.follow(event)  # first: servers must be known before the router names them
+        close_stale = self.back_end.follow(event)  # first: servers must be known before the router names them
         self.submit(api.Members(tuple(host.member for host in event.hosts), whole=event.whole))
         close_stale()  # last: by now the router retries the attempts that this ends on other servers
 
@@ -254,14 +254,14 @@
     def submit(self, event: api.Event) -> None:
         """Submit an event to the router; events that its actions cause are handled after it, in order."""
         self.event_queue.append(event)
-        if self.busy:
+        if self.is_dispatching:
             return
-        self.busy = True
+        self.is_dispatching = True
         try:
             while self.event_queue:
                 self.process_event(self.event_queue.popleft())
         finally:
-            self.busy = False
+            self.is_dispatching = False
 
     def process_event(self, event: api.Event) -> None:
         """Handle one event; an exception fails only the request concerned and is logged."""
@@ -270,7 +270,7 @@
                 self.execute(action)
         except Exception:  # noqa: BLE001  a fault in one request must not affect the others
             logger.exception("handling the event {} failed", type(event).__name__)
-            exchange = self.open.get(getattr(event, "id", 0))
+            exchange = self.open_exchanges.get(getattr(event, "id", 0))
             if exchange and not isinstance(event, api.ClientLeft):
                 self.fail(exchange)
 
@@ -280,13 +280,13 @@
             case api.Get():
                 self.send(action)
             case api.Refuse():
-                if exchange := self.open.get(action.id):
+                if exchange := self.open_exchanges.get(action.id):
                     self.finish(exchange, Answer(REFUSED, wait_ms=action.retry_after_ms))
             case api.Fail():
-                if exchange := self.open.get(action.id):
+                if exchange := self.open_exchanges.get(action.id):
                     self.finish(exchange, Answer(FAILED))
             case api.Cancel():
-                if exchange := self.open.get(action.id):
+                if exchange := self.open_exchanges.get(action.id):
                     self.cancel(exchange.attempts[action.attempt], "ecanceled")
             case api.SetTimer():
                 self.clock.later(action.delay_ms, partial(self.submit, api.TimerDue(action.token)))
@@ -294,10 +294,10 @@
                 self.send_note(action.peer, action.note)
             case api.Probe():
                 begun_ms = self.clock.now_ms()
-                self.back.probe(action.server, partial(self.on_probe_result, action.server, begun_ms))
+                self.back_end.probe(action.server, partial(self.on_probe_result, action.server, begun_ms))
             case api.Log():
                 logger.info("{}", action.text)
-            case api.Watch():
+            case api.WatchDiscovery():
                 pass  # the bus sends changes without being asked
 
     def on_probe_result(self, server: str, begun_ms: float, status: str, load: dict[str, float]) -> None:
@@ -306,7 +306,7 @@
 
     def send(self, get: api.Get) -> None:
         """Start an attempt, unless the copies know that none may be sent for this request."""
-        exchange = self.open.get(get.id)
+        exchange = self.open_exchanges.get(get.id)
         if exchange is None:
             return
         now = self.clock.now_ms()
@@ -316,9 +316,9 @@
             timer = self.clock.later(get.timeout_ms, partial(self.cancel, attempt, "etimedout"))
             attempt.cancel_timer = timer.cancel
         if withheld:
-            attempt.drop("skipped")  # never written, so it can't have run
+            attempt.abort("skipped")  # never written, so it can't have run
         else:
-            self.back.send(attempt)
+            self.back_end.send(attempt)
 
     def authorize(self, attempt: Attempt) -> SendLimits | None:
         """Check an attempt again just before its first byte is written; None if it must not be sent.
@@ -326,7 +326,7 @@
         Drains and purges may have arrived since the router chose the server.
         """
         now, request = self.clock.now_ms(), attempt.exchange.request
-        if attempt.ended or attempt.exchange.over or self.may_lack_events():
+        if attempt.ended or attempt.exchange.is_over or self.may_lack_events():
             return None
         try:
             node = self.router.nodes.get(attempt.get.server)  # None if it was delisted in the meantime
@@ -337,7 +337,7 @@
             logger.exception("checking an attempt before its first byte failed")
             return None
         if cap is not None and self.copies:
-            cap = self.copies.cap(attempt.exchange, cap, now)
+            cap = self.copies.limit_age(attempt.exchange, cap, now)
         if cap is None:
             return None
         self.effects.begin(request.class_name, request.dedupe, node.member, now)
@@ -350,18 +350,18 @@
     def cancel(self, attempt: Attempt, status: str) -> None:
         """Give up an attempt and end it with `status`."""
         if not attempt.ended:
-            self.back.cancel(attempt)
-            attempt.drop(status)
+            self.back_end.cancel(attempt)
+            attempt.abort(status)
 
     def on_attempt_end(self, attempt: Attempt, result: AttemptResult) -> None:
         """Handle the end of an attempt; the first served one becomes the final answer."""
         exchange = attempt.exchange
-        self.stats.tried(result.status)
+        self.stats.record_attempt_result(result.status)
         if attempt.written and result.status in NEVER_RAN:
             self.effects.never_ran(exchange.request.class_name, exchange.request.dedupe)
         if result.status == "done" and self.copies:
             result = self.copies.on_result(attempt, result)
-        if result.status == "done" and not exchange.over:
+        if result.status == "done" and not exchange.is_over:
             answer = Answer(SERVED, result.body, result.unchanged, result.tag, since_ms=result.since_ms)
             self.finish(exchange, answer)
         self.submit(
@@ -371,7 +371,7 @@
                 attempt.get.server,
                 result.status,
                 self.clock.now_ms() - attempt.sent_ms,
-                closed=exchange.over,
+                closed=exchange.is_over,
                 note=result.note,
                 waited_ms=result.waited_ms,
                 silent=result.silent,
--- a/hitchtiller/front/client.py
+++ b/hitchtiller/front/client.py
@@ -11,8 +11,8 @@
 from hitchtiller.codec import frames
 from hitchtiller.exchange import FAILED, REFUSED, Answer, Exchange
 from hitchtiller.front.asks import RequestError, read_request, write_answer
-from hitchtiller.log import ended
-from hitchtiller.sched import LAG_LIMIT_MS, Closed, Stream, now_ms
+from hitchtiller.log import log_connection_end
+from hitchtiller.sched import LAG_LIMIT_MS, Stream, StreamClosed, now_ms
 
 if TYPE_CHECKING:
     from hitchtiller.front.server import Front
@@ -82,38 +82,42 @@
         reader = frames.FrameReader()
         try:
             while True:
-                was_drained = self.stream.drained
+                was_drained = self.stream.input_drained
                 data = self.stream.read()
                 # Left-over data was there at an earlier poll already: its deadlines count from that one.
                 if was_drained:
-                    self.arrived_ms = self.front.sched.arrival_ms
+                    self.arrived_ms = self.front.sched.earliest_arrival_ms
                 # After a long turn the end of the stream may already follow the requests in the socket
                 # buffer: requests of a client that has disconnected are not started.
-                if now_ms() - self.arrived_ms > LAG_LIMIT_MS and self.stream.drained and self.stream.at_end():
-                    raise Closed("eof")
+                if (
+                    now_ms() - self.arrived_ms > LAG_LIMIT_MS
+                    and self.stream.input_drained
+                    and self.stream.is_at_end()
+                ):
+                    raise StreamClosed("eof")
                 if not self.discards_input:
                     self._receive(reader, data)
                 if self.discards_input:
-                    self.stream.keep(0)
+                    self.stream.set_reader_bytes(0)
                     self.front.sched.sleep(2.0)  # keeps a fast sender of 60 MB from occupying the loop
-                elif not self.stream.drained:
+                elif not self.stream.input_drained:
                     self.front.sched.pause()
-        except Closed as error:
+        except StreamClosed as error:
             self.stream.close(self.close_code or str(error))
         finally:
             self.stream.close("fault")
             self.front.remove_client(self)
-            ended(
+            log_connection_end(
                 "client",
                 self.remote_address,
-                self.stream.code,
+                self.stream.close_code,
                 taken=self.accepted_count,
                 open=len(self.open_exchanges),
             )
             self.queued_requests.clear()
             exchanges, self.open_exchanges = list(self.open_exchanges.values()), {}
             for exchange in exchanges:
-                self.front.engine.leave(exchange)
+                self.front.engine.client_left(exchange)
 
     def _receive(self, reader: frames.FrameReader, data: bytes) -> None:
         arrived_ms, started_ms = self.arrived_ms, now_ms()
@@ -123,11 +127,11 @@
                 self._handle_frame(frame, arrived_ms)
                 if count % FRAMES_PER_TURN == 0:
                     self.front.sched.pause()
-                if self.stream.code:
-                    raise Closed(self.stream.code)
+                if self.stream.close_code:
+                    raise StreamClosed(self.stream.close_code)
                 if self.discards_input:
                     return
-        except frames.BadFrame:
+        except frames.FrameError:
             reader.buffer.clear()
             self.fail_all("bad-frame")
         self.incomplete_bytes = buffered = len(reader.buffer)
@@ -165,13 +169,13 @@
     def is_idle(self) -> bool:
         """Return whether no answer is pending, no close is under way and no input is unread."""
         return (
-            not (self.has_pending_answers() or self.close_code or self.stream.code)
-            and not self.stream.waiting()
+            not (self.has_pending_answers() or self.close_code or self.stream.close_code)
+            and not self.stream.has_input()
         )
 
     def has_pending_answers(self) -> bool:
         """Return whether a request is open or queued, or answer bytes are still unsent."""
-        return bool(self.open_exchanges or self.queued_requests or self.stream.size)
+        return bool(self.open_exchanges or self.queued_requests or self.stream.unsent_bytes)
 
     def is_lingering(self) -> bool:
         """Return whether the connection is closing and its last answer has been sent."""
@@ -179,7 +183,7 @@
 
     def _handle_frame(self, frame: frames.Frame, arrived_ms: float) -> None:
         if frame.kind == frames.REQUEST:
-            if self.stream.size <= HIGH_WATER_BYTES and not self.queued_requests:
+            if self.stream.unsent_bytes <= HIGH_WATER_BYTES and not self.queued_requests:
                 self._handle_request(frame, arrived_ms)
             elif len(self.queued_requests) < MAX_OPEN_REQUESTS and frame.stream not in self.queued_requests:
                 if not self.queued_requests:
@@ -190,20 +194,20 @@
         elif frame.kind == frames.GIVE_UP:
             self.queued_requests.pop(frame.stream, None)
             if exchange := self.open_exchanges.pop(frame.stream, None):
-                self.front.engine.leave(exchange)
+                self.front.engine.client_left(exchange)
         elif frame.kind == frames.READY:
             self.last_probe_ms = now_ms()
-            if self.stream.size > HIGH_WATER_BYTES:
+            if self.stream.unsent_bytes > HIGH_WATER_BYTES:
                 return self._fail_flood()
             code = frames.REFUSED if self.front.client_unready_reason() else frames.SERVED
             payload = bytes([code]) + frames.write_fields({})
             self.stream.write(frames.head(frames.READY_ANSWER, frame.stream, len(payload)) + payload)
         else:
-            raise frames.BadFrame(f"unknown frame type {frame.kind}")
+            raise frames.FrameError(f"unknown frame type {frame.kind}")
 
     def _count_buffered(self) -> None:
         """Report the bytes held in partial frames and queued requests to the stream's accounting."""
-        self.stream.keep(
+        self.stream.set_reader_bytes(
             self.incomplete_bytes + sum(len(frame.payload) for frame, _ in self.queued_requests.values())
         )
 
@@ -217,34 +221,34 @@
 
         Reading goes on meanwhile, so that a GIVE_UP frame or a disconnect is noticed at once.
         """
-        while self.queued_requests and not self.stream.code:
-            if self.stream.size > HIGH_WATER_BYTES:
+        while self.queued_requests and not self.stream.close_code:
+            if self.stream.unsent_bytes > HIGH_WATER_BYTES:
                 self.front.sched.sleep(QUEUE_CHECK_MS)
                 continue
             frame, arrived_ms = self.queued_requests.pop(next(iter(self.queued_requests)))
             self._count_buffered()
             try:
                 self._handle_request(frame, arrived_ms)
-            except frames.BadFrame:
+            except frames.FrameError:
                 self.fail_all("bad-frame")
-        if not self.stream.code:
+        if not self.stream.close_code:
             self._close_if_done()
 
     def _handle_request(self, frame: frames.Frame, arrived_ms: float) -> None:
         stream = frame.stream
         if stream in self.open_exchanges:  # two answers under one number could not be told apart
-            raise frames.BadFrame(f"stream number {stream} is still open")
+            raise frames.FrameError(f"stream number {stream} is still open")
         stats = self.front.engine.stats
         try:
             request = read_request(frame.payload, self.front.settings, arrived_ms)
         except RequestError as error:
-            stats.end(error.class_name, FAILED)
+            stats.record_answer(error.class_name, FAILED)
             self._send_answer(stream, Answer(FAILED))  # an invalid request is never forwarded
             return
         is_new = stream != 0 and self.stream_numbers.claim(stream)
         # A cache must not get the same request id twice at the same time.
-        if not is_new or self.front.engine.has(request.id):
-            stats.end(request.class_name, FAILED)
+        if not is_new or self.front.engine.has_request(request.id):
+            stats.record_answer(request.class_name, FAILED)
             self._send_answer(stream, Answer(FAILED))
             return
         self.accepted_count += 1
@@ -253,11 +257,11 @@
         if self.excess_requests > MAX_EXCESS_REQUESTS:
             return self._fail_flood()
         if is_full or self.close_code or not self.front.accepts_request(arrived_ms):
-            stats.end(request.class_name, REFUSED)
+            stats.record_answer(request.class_name, REFUSED)
             self._send_answer(stream, Answer(REFUSED, wait_ms=self.front.settings.max_retry_after_ms))
             return
-        exchange = self.front.engine.take(request, partial(self._on_answer, stream))
-        if not exchange.over:
+        exchange = self.front.engine.accept(request, partial(self._on_answer, stream))
+        if not exchange.is_over:
             self.open_exchanges[stream] = exchange
 
     def _on_answer(self, stream: int, answer: Answer) -> None:
@@ -282,7 +286,7 @@
         """
         if not self.is_idle() or now - self.last_probe_ms <= PROBE_KEEP_MS:
             return False
-        return final or (not self.stream.kept and now - self.last_activity_ms > MIN_IDLE_MS)
+        return final or (not self.stream.reader_bytes and now - self.last_activity_ms > MIN_IDLE_MS)
 
     def close_when_done(self, code: str, linger_ms: float = DEFAULT_LINGER_MS) -> None:
         """Close once all open requests are answered: they were accepted and must not be lost."""
--- a/hitchtiller/front/server.py
+++ b/hitchtiller/front/server.py
@@ -11,7 +11,7 @@
 from hitchtiller.engine import Engine
 from hitchtiller.front.client import Client
 from hitchtiller.front.leave import HANDED_OVER, SERVING, DrainControl
-from hitchtiller.log import ended
+from hitchtiller.log import log_connection_end
 from hitchtiller.sched import READ, Scheduler, Stream, now_ms
 
 BACKLOG = 512
@@ -32,8 +32,8 @@
         max_buffered_bytes: int,
     ) -> None:
         """Serve at most `max_clients` at once, with at most `max_buffered_bytes` in all buffers together."""
-        self.sched, self.engine, self.settings, self.most = sched, engine, settings, max_clients
-        self.room = max_buffered_bytes
+        self.sched, self.engine, self.settings, self.max_clients = sched, engine, settings, max_clients
+        self.max_buffered_bytes = max_buffered_bytes
         self.clients: set[Client] = set()
         self.state = SERVING
         self.refusing = False  # new requests are refused
@@ -64,7 +64,7 @@
         host, port = self.listener.getsockname()
         return str(host), int(port)
 
-    def unready(self) -> str:
+    def unready_reason(self) -> str:
         """Return why this gateway should get no requests, or an empty string if it is ready."""
         if self.state != SERVING:
             return self.state
@@ -76,13 +76,13 @@
 
     def client_unready_reason(self) -> str:
         """Return the reason that clients are told: after a hand-over the next version serves, so none."""
-        return "" if self.state == HANDED_OVER else self.unready()
+        return "" if self.state == HANDED_OVER else self.unready_reason()
 
     def close(self) -> None:
         """Stop listening; accept what is in the kernel's queue first, unless another process does."""
         if self.accepting:
             self._accept_pending()
-        self.sched.forget(self.listener.fileno())
+        self.sched.unregister(self.listener.fileno())
         self.listener.close()
 
     def accepts_request(self, arrived_ms: float) -> bool:
@@ -91,7 +91,7 @@
         # still meet their aims.
         return (
             not self.refusing
-            and Stream.buffered_bytes < self.room
+            and Stream.buffered_bytes < self.max_buffered_bytes
             and now_ms() - arrived_ms < MAX_REQUEST_AGE_MS
         )
 
@@ -107,13 +107,13 @@
     def sweep(self, now: float) -> None:
         """Disconnect clients that read no answers or complete no requests: they use up the limits."""
         for client in list(self.clients):
-            if client.stream.size and now - client.stream.progress_ms > MAX_SEND_STALL_MS:
+            if client.stream.unsent_bytes and now - client.stream.last_progress_ms > MAX_SEND_STALL_MS:
                 client.stream.close("slow")
             elif code := client.timeout_code(now):
                 if client.has_pending_answers() and not client.close_code:
                     client.close_when_done(code)
                 # Unread input may be the rest of the frame that it is waiting for.
-                elif client.close_code or not client.stream.waiting():
+                elif client.close_code or not client.stream.has_input():
                     client.stream.close(code)
 
     def make_room(self) -> bool:
@@ -153,9 +153,9 @@
                 return
             peer = f"{address[0]}:{address[1]}"
             # Silent connections must not use up the whole limit: regular clients were rejected for them.
-            if len(self.clients) >= self.most and not self.make_room():
+            if len(self.clients) >= self.max_clients and not self.make_room():
                 sock.close()
-                ended("client", peer, "full")
+                log_connection_end("client", peer, "full")
                 continue
             try:
                 client = Client(self, Stream(self.sched, sock), peer)
--- a/hitchtiller/operator/read.py
+++ b/hitchtiller/operator/read.py
@@ -40,7 +40,7 @@
         return f"{self.file}:{self.line}: {self.what}; {self.instead}"
 
 
-class BadFile(Exception):
+class InvalidFileError(Exception):
     """Raised for a file that can't be used; `problems` are in the order of their lines."""
 
     def __init__(self, problems: list[Problem]) -> None:
@@ -53,7 +53,7 @@
 class Setting:
     """An attribute or a block of the file: its name, labels and line, and its value or its contents.
 
-    An attribute has a `value`; a block has its attributes and blocks in `inside`, which is None for an
+    An attribute has a `value`; a block has its attributes and blocks in `children`, which is None for an
     attribute.
     """
 
@@ -61,18 +61,18 @@
     labels: tuple[str, ...]
     line: int
     value: Any = None
-    inside: tuple["Setting", ...] | None = None
+    children: tuple["Setting", ...] | None = None
 
 
 def read_file(path: Path) -> File:
     """Read and check the operators' file.
 
-    Raises BadFile with all problems if it is not valid, and OSError if it can't be read.
+    Raises InvalidFileError with all problems if it is not valid, and OSError if it can't be read.
     """
     try:
         text = path.read_text()
     except UnicodeDecodeError:
-        raise BadFile([Problem(str(path), 1, "the file is not text", "write it in UTF-8")]) from None
+        raise InvalidFileError([Problem(str(path), 1, "the file is not text", "write it in UTF-8")]) from None
     return read_text(text, str(path))
 
 
@@ -85,12 +85,14 @@
 
 def read_model(
     model: type[Model], text: str, name: str,
-    relations: Callable[[dict[str, Any], tuple[Setting, ...]], list[Problem]] = lambda values, settings: [],
+    check_relations: Callable[[dict[str, Any], tuple[Setting, ...]], list[Problem]] = (
+        lambda values, settings: []
+    ),
 ) -> Model:  # fmt: skip
     """Read and check the text of an HCL file against a model.
 
-    `relations` gets the plain values and the settings of the file, and returns the problems that concern
-    several settings together. It is only called if each setting is valid by itself.
+    `check_relations` gets the plain values and the settings of the file, and returns the problems that
+    concern several settings together. It is only called if each setting is valid by itself.
     """
     try:
         tree = HCL_PARSER.parse(text + "\n")
@@ -101,15 +103,15 @@
         line = max(1, min(getattr(error, "line", 1), len(lines)))
         excerpt = lines[line - 1].strip()
         what = f"this is not HCL, near {excerpt[:60]!r}"
-        raise BadFile(
+        raise InvalidFileError(
             [Problem(name, line, what, 'write settings as name = value, blocks as name "label" { }')]
         ) from None
     problems: list[Problem] = []
     values = _check_struct(model, settings, 1, name, "the file", problems)
     if not problems:
-        problems += relations(values, settings)
+        problems += check_relations(values, settings)
     if problems:
-        raise BadFile(sorted(problems, key=lambda problem: problem.line))
+        raise InvalidFileError(sorted(problems, key=lambda problem: problem.line))
     return msgspec.convert(values, model)
 
 
@@ -135,7 +137,7 @@
                 str(child.children[0] if isinstance(child, Tree) else child).strip('"')
                 for child in node.children[1:-1]
             )
-            yield Setting(name, labels, line, inside=tuple(_read_settings(node.children[-1], text)))
+            yield Setting(name, labels, line, children=tuple(_read_settings(node.children[-1], text)))
 
 
 def _parse_value(source: str) -> Any:
@@ -221,7 +223,7 @@
 ) -> None:
     """Check one block with its labels and contents, and add its values to `values`."""
     name, line = setting.name, setting.line
-    if setting.inside is None:
+    if setting.children is None:
         form = f'{name} "NAME" {{ ... }}' if is_labelled else f"{name} {{ ... }}"
         problems.append(Problem(file, line, f"{name!r} is a block", f"write {form}"))
         return
@@ -229,7 +231,9 @@
         text = f'{name} "NAME" {{ ... }}' if is_labelled else f"{name} {{ ... }}, without a label"
         problems.append(Problem(file, line, f"{name!r} has {len(setting.labels)} labels", f"write {text}"))
         return
-    inner = _check_struct(kind, setting.inside, line, file, repr(" ".join((name, *setting.labels))), problems)
+    inner = _check_struct(
+        kind, setting.children, line, file, repr(" ".join((name, *setting.labels))), problems
+    )
     if is_labelled:
         values.setdefault(name, {})[setting.labels[0]] = inner
     else:
@@ -241,7 +245,7 @@
 ) -> None:
     """Check one setting against the type and bounds of its field, and add its value to `values`."""
     expected = f"write {_describe_expected(field.type)}"
-    if setting.inside is not None:
+    if setting.children is not None:
         problems.append(
             Problem(file, setting.line, f"{setting.name!r} is a setting, not a block", f"{expected} after =")
         )
@@ -305,8 +309,8 @@
     disk = checked.disk
     assert disk
     block = next(s for s in settings if s.name == "store")
-    inside = next(s for s in block.inside or () if s.name == "disk")
-    lines = {setting.name: setting.line for setting in inside.inside or ()}
+    inside = next(s for s in block.children or () if s.name == "disk")
+    lines = {setting.name: setting.line for setting in inside.children or ()}
 
     def find_line(name: str) -> int:
         """Return the line of a setting of the block `disk`, or of the block if the default is used."""
--- a/hitchtiller/ops/control.py
+++ b/hitchtiller/ops/control.py
@@ -4,8 +4,8 @@
 import socket
 from collections.abc import Callable
 
-from hitchtiller.log import ended
-from hitchtiller.sched import READ, Closed, Scheduler, Stream
+from hitchtiller.log import log_connection_end
+from hitchtiller.sched import READ, Scheduler, Stream, StreamClosed
 
 BACKLOG = 64
 MAX_CALL_BYTES = 200
@@ -18,7 +18,7 @@
     """A call that can't be executed; the text is the reason."""
 
 
-class Control:
+class ControlServer:
     """The listener for calls; a caller that holds its connection open does not delay the others."""
 
     def __init__(self, sched: Scheduler, answer: Callable[[str], str]) -> None:
@@ -54,7 +54,9 @@
                 )
                 (oldest or next(iter(self.callers))).close("full")
             stream = Stream(self.sched, sock)
-            stream.drained = False  # the call may have arrived already: poll would cost a turn of the loop
+            stream.input_drained = (
+                False  # the call may have arrived already: poll would cost a turn of the loop
+            )
             self.callers[stream] = False
             self.sched.spawn(self._serve, stream, f"{address[0]}:{address[1]}", urgent=True)
 
@@ -69,13 +71,13 @@
             stream.finish()
             self._await_close(stream)
             stream.close("answered")
-        except Closed as error:
+        except StreamClosed as error:
             stream.close(str(error))
         finally:
             stream.close("fault")
             self.callers.pop(stream, None)
             summary = f"call={line[:MAX_CALL_BYTES]!r} answer={reply.partition(chr(10))[0]!r}"
-            ended("control", peer, stream.code, summary)
+            log_connection_end("control", peer, stream.close_code, summary)
 
     def _read_line(self, stream: Stream) -> str:
         """Read the line of a call, within CALL_TIMEOUT_MS and MAX_CALL_BYTES."""
@@ -84,7 +86,7 @@
         try:
             while b"\n" not in data and len(data) <= MAX_CALL_BYTES:
                 data += stream.read()
-        except Closed as error:
+        except StreamClosed as error:
             if str(error) != "eof" or not data:
                 raise
             data += b"\n"  # the end of the connection also ends the line
@@ -103,7 +105,7 @@
     def _await_close(self, stream: Stream) -> None:
         """Read until the caller closes the connection, for LINGER_MS at most."""
         timer = self.sched.later(LINGER_MS, lambda: stream.close("answered"))
-        with contextlib.suppress(Closed):
+        with contextlib.suppress(StreamClosed):
             while True:
                 stream.read()
                 self.sched.sleep(2.0)  # limits the work for a caller that sends without end
--- a/hitchtiller/ops/members.py
+++ b/hitchtiller/ops/members.py
@@ -34,7 +34,7 @@
 CACHE_SILENCE_MS, BUS_SILENCE_MS = 5_000.0, 3_000.0
 
 
-class Members:
+class MembershipService:
     """The membership of one gateway, connected to its engine, peer socket and event bus."""
 
     def __init__(
@@ -65,11 +65,11 @@
         engine.router.home_of = lambda object_hash: self.homes.home(object_hash, self.serving)
         levels = {"members_alive": State.ALIVE, "members_suspect": State.SUSPECT, "members_dead": State.DEAD}
         for name, state in levels.items():
-            engine.stats.levels[name] = lambda state=state: len(self.view.numbers_in(state))  # type: ignore[misc]
-        engine.stats.levels["members_standing"] = lambda: int(self.partition_monitor.connectivity)
-        engine.stats.counts["members_entries_handed"] = lambda: self.handed_over
-        engine.stats.counts["members_words_sent"] = lambda: self.detector.sent_count
-        engine.stats.counts["members_words_dropped"] = lambda: self.detector.dropped_count
+            engine.stats.gauges[name] = lambda state=state: len(self.view.numbers_in(state))  # type: ignore[misc]
+        engine.stats.gauges["members_standing"] = lambda: int(self.partition_monitor.connectivity)
+        engine.stats.counters["members_entries_handed"] = lambda: self.handed_over
+        engine.stats.counters["members_words_sent"] = lambda: self.detector.sent_count
+        engine.stats.counters["members_words_dropped"] = lambda: self.detector.dropped_count
 
     def run(self) -> None:
         """Tick until the program ends."""
@@ -83,7 +83,7 @@
     def receive(self, sender: int, data: bytes) -> bool:
         """Handle a datagram; return whether it was a membership message rather than a note about objects."""
         if not is_membership_message(data):
-            self.detector.hear(sender, now_ms())
+            self.detector.record_activity(sender, now_ms())
             return False
         self.send_all(self.detector.receive(sender, data, now_ms()))
         return True
@@ -102,7 +102,7 @@
             now - heard_ms < SILENCE_PERIODS * self.period_ms
             for heard_ms in self.detector.last_heard_ms.values()
         )
-        results = self.engine.stats.tries
+        results = self.engine.stats.attempt_results
         answers = sum(results.get(status, 0) for status in ANSWER_STATUSES)
         if answers > self.answer_count:
             self.answer_count, self.last_answer_ms = answers, now
@@ -128,8 +128,8 @@
         for node in (
             nodes[server_hash] for server_hash in evidence.take_verdicts(now) if server_hash in nodes
         ):
-            if now >= node.ejected_until_ms and not self.engine.busy:
-                router.now, router.actions = now, []
+            if now >= node.ejected_until_ms and not self.engine.is_dispatching:
+                router.now_ms, router.actions = now, []
                 router.add_failure(node, REPORTED_FAILURE)
                 for action in router.actions:
                     self.engine.execute(action)
@@ -192,7 +192,7 @@
 
     # Operators' calls
 
-    def listed(self) -> str:
+    def list_members(self) -> str:
         """Return a line for each member, then one with this gateway's connectivity state."""
         now, lines = now_ms(), ["members"]
         for number, claim in sorted(self.view.claims.items()):
--- a/hitchtiller/repo/front.py
+++ b/hitchtiller/repo/front.py
@@ -1,10 +1,10 @@
 """HTTP/1.1 listener for the repositories: h11 parses the protocol, one greenlet serves each connection.
 
-Bounds: `connections` in total and `each_address` for one client address; HEADER bytes and MAX_HEADER_FIELDS
-fields in a request's header; one request at a time on a connection, while later ones stay unread in the
-socket; MAX_UNSENT_BYTES of response that a client has not read. The last log line of each connection has a
-reason code. A failure after the start of a body closes the connection before the announced end of the body,
-so that the client notices it.
+Bounds: `connections` in total and `each_address` for one client address; MAX_HEADER_BYTES and
+MAX_HEADER_FIELDS in a request's header; one request at a time on a connection, while later ones stay unread
+in the socket; MAX_UNSENT_BYTES of response that a client has not read. The last log line of each connection
+has a reason code. A failure after the start of a body closes the connection before the announced end of the
+body, so that the client notices it.
 """
 
 import contextlib
@@ -14,14 +14,14 @@
 
 import h11
 
-from hitchtiller.log import ended, logger
+from hitchtiller.log import log_connection_end, logger
 from hitchtiller.repo.admission import ConnectionLimits
 from hitchtiller.repo.body import BrokenBodyError
 from hitchtiller.repo.fetch import FetchFailedError, FetchRefusedError
 from hitchtiller.repo.service import Reply, Service, make_refusal
-from hitchtiller.sched import READ, Closed, Scheduler, Stream, now_ms
+from hitchtiller.sched import READ, Scheduler, Stream, StreamClosed, now_ms
 
-HEADER, MAX_HEADER_FIELDS = 16_384, 64  # bytes and number of fields of one request header
+MAX_HEADER_BYTES, MAX_HEADER_FIELDS = 16_384, 64  # bytes and number of fields of one request header
 MAX_REQUEST_BODY_BYTES = 65_536  # a longer request body is rejected; a shorter one is discarded
 MAX_UNSENT_BYTES = 240_000  # above this, nothing is added until the client reads
 LISTEN_BACKLOG = 512
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Times:
+class ClientTimeouts:
     """Time limits for a client, in ms.
 
     `header_ms` for one request header or body, `idle_ms` for the first byte of a request, `slow_ms` without
@@ -46,7 +46,7 @@
     """Serves one client connection until either side closes it."""
 
     def __init__(
-        self, sched: Scheduler, service: Service, stream: Stream, address: str, times: Times
+        self, sched: Scheduler, service: Service, stream: Stream, address: str, times: ClientTimeouts
     ) -> None:
         """Serve an accepted connection."""
         self.sched, self.service, self.stream, self.address, self.times = (
@@ -56,7 +56,7 @@
             address,
             times,
         )
-        self.http = h11.Connection(h11.SERVER, max_incomplete_event_size=HEADER)
+        self.http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEADER_BYTES)
         self.requests = self.sent_bytes = 0
 
     def run(self) -> None:
@@ -73,7 +73,7 @@
                 if not self._start_next_cycle():
                     code = "close"
                     break
-        except Closed as error:
+        except StreamClosed as error:
             code = str(error)
         except h11.RemoteProtocolError as error:
             code = "bad-request"
@@ -83,7 +83,7 @@
         finally:
             self._flush_and_finish(code)
             self.stream.close(code)
-            ended("repo", self.address, code, requests=self.requests, sent=self.sent_bytes)
+            log_connection_end("repo", self.address, code, requests=self.requests, sent=self.sent_bytes)
 
     def _read_request(self) -> h11.Request | None:
         """Read the header of the next request; None if the client closed the connection."""
@@ -102,8 +102,10 @@
                     raise h11.RemoteProtocolError(
                         f"over {MAX_HEADER_FIELDS} header fields", error_status_hint=431
                     )
-                if sum(len(name) + len(value) for name, value in event.headers) > HEADER:
-                    raise h11.RemoteProtocolError(f"over {HEADER} bytes of header", error_status_hint=431)
+                if sum(len(name) + len(value) for name, value in event.headers) > MAX_HEADER_BYTES:
+                    raise h11.RemoteProtocolError(
+                        f"over {MAX_HEADER_BYTES} bytes of header", error_status_hint=431
+                    )
                 return event
             elif isinstance(event, h11.ConnectionClosed):
                 return None
@@ -111,9 +113,9 @@
     def _read(self, wait_ms: float, code: str) -> bytes:
         try:
             return self.stream.read(wait_ms)
-        except Closed as error:
+        except StreamClosed as error:
             if str(error) == "silent":
-                raise Closed(code) from None
+                raise StreamClosed(code) from None
             if str(error) == "eof":
                 return b""
             raise
@@ -129,7 +131,7 @@
             request.target,
             headers,
             self.address,
-            lambda: self.stream.size + (MAX_UNSENT_BYTES if self.stream.code else 0),
+            lambda: self.stream.unsent_bytes + (MAX_UNSENT_BYTES if self.stream.close_code else 0),
         )
         self._discard_request_body()
         self._send(reply, method)
@@ -184,13 +186,13 @@
         if data:
             self.stream.write(data)
             self.sent_bytes += len(data)
-        while self.stream.size > MAX_UNSENT_BYTES and not self.stream.code:
-            if now_ms() - self.stream.progress_ms > self.times.slow_ms:
-                raise Closed("slow")
-            is_draining = now_ms() - self.stream.progress_ms < 10.0 * SLOW_POLL_MS
+        while self.stream.unsent_bytes > MAX_UNSENT_BYTES and not self.stream.close_code:
+            if now_ms() - self.stream.last_progress_ms > self.times.slow_ms:
+                raise StreamClosed("slow")
+            is_draining = now_ms() - self.stream.last_progress_ms < 10.0 * SLOW_POLL_MS
             self.sched.sleep(FAST_POLL_MS if is_draining else SLOW_POLL_MS)
-        if self.stream.code:
-            raise Closed(self.stream.code)
+        if self.stream.close_code:
+            raise StreamClosed(self.stream.close_code)
 
     def _start_next_cycle(self) -> bool:
         """Prepare for the next request; return False if the connection ends after this one."""
@@ -219,11 +221,11 @@
         After any other end the caller closes it at once, so that the client notices the failure.
         """
         deadline_ms = now_ms() + self.times.slow_ms
-        while self.stream.size and not self.stream.code and now_ms() < deadline_ms:
+        while self.stream.unsent_bytes and not self.stream.close_code and now_ms() < deadline_ms:
             self.sched.sleep(SLOW_POLL_MS)
-        if code in ("close", "bad-request") and not self.stream.code:
+        if code in ("close", "bad-request") and not self.stream.close_code:
             self.stream.finish()
-            with contextlib.suppress(Closed):  # closing with unread bytes would reset the connection
+            with contextlib.suppress(StreamClosed):  # closing with unread bytes would reset the connection
                 for _ in range(16):
                     self.stream.read(200.0)
 
@@ -232,7 +234,7 @@
     """Listens for HTTP clients of the repositories."""
 
     def __init__(
-        self, sched: Scheduler, service: Service, connection_limits: ConnectionLimits, times: Times
+        self, sched: Scheduler, service: Service, connection_limits: ConnectionLimits, times: ClientTimeouts
     ) -> None:
         """Accept clients within `connection_limits`."""
         self.sched, self.service, self.connection_limits, self.times = (
@@ -270,7 +272,7 @@
             if code := self.connection_limits.enter(address[0]):
                 self.rejected_connections[code] = self.rejected_connections.get(code, 0) + 1
                 sock.close()
-                ended("repo", f"{address[0]}:{address[1]}", code)
+                log_connection_end("repo", f"{address[0]}:{address[1]}", code)
                 continue
             self.sched.spawn(self._serve, sock, address[0])
 
--- a/hitchtiller/repo/kinds/__init__.py
+++ b/hitchtiller/repo/kinds/__init__.py
@@ -9,7 +9,7 @@
 from hitchtiller.repo.generations import NamedFile
 
 
-class BadIndex(ValueError):
+class InvalidIndexError(ValueError):
     """An index that cannot be used; the message says what is wrong and where."""
 
 
@@ -35,13 +35,13 @@
         """Return the paths of the indexes that may name a file, as far as its path shows."""
 
     def parse(self, path: str, body: bytes) -> ParsedIndex:
-        """Parse an index; raise BadIndex if it is not valid."""
+        """Parse an index; raise InvalidIndexError if it is not valid."""
 
     def content_type(self, path: str, body: bytes) -> str:
         """Return the media type of a file."""
 
 
-def make(name: str) -> Kind:
+def make_kind(name: str) -> Kind:
     """Return the kind of a name; raise KeyError if there is none."""
     from hitchtiller.repo.kinds.debian import Debian
     from hitchtiller.repo.kinds.simple import Simple
--- a/hitchtiller/repo/service.py
+++ b/hitchtiller/repo/service.py
@@ -19,12 +19,19 @@
     VerifiedBodies,
     VerifiedBody,
 )
-from hitchtiller.repo.conditions import Validators, range_applies, status
-from hitchtiller.repo.fetch import ABSENT, PART, Fetcher, FetchFailedError, FetchRefusedError, FileRequest
+from hitchtiller.repo.conditions import Validators, evaluate_conditions, range_applies
+from hitchtiller.repo.fetch import (
+    ABSENT_TAG,
+    MAX_PART_BYTES,
+    Fetcher,
+    FetchFailedError,
+    FetchRefusedError,
+    FileRequest,
+)
 from hitchtiller.repo.generations import IndexHistory, NamedFile
-from hitchtiller.repo.kinds import BadIndex, Kind, ParsedIndex
-from hitchtiller.repo.paths import BadTarget, object_key, read_target
-from hitchtiller.repo.ranges import Span, Unsatisfiable, read_ranges, split_into_parts
+from hitchtiller.repo.kinds import InvalidIndexError, Kind, ParsedIndex
+from hitchtiller.repo.paths import InvalidTargetError, object_key, read_target
+from hitchtiller.repo.ranges import Span, UnsatisfiableRangeError, read_ranges, split_into_parts
 from hitchtiller.sched import now_ms
 from hitchtiller.store.purges import Purges
 
@@ -69,20 +76,20 @@
     group: int
     grace_ms: float
     index_bytes: int
-    lines: dict[str, IndexHistory] = field(default_factory=dict)
+    index_histories: dict[str, IndexHistory] = field(default_factory=dict)
     # From the path of a file to the paths of the indexes that name it.
     indexes_by_path: dict[str, set[str]] = field(default_factory=dict)
 
     def get_history(self, path: str) -> IndexHistory:
         """Return the history of an index, creating it if there is none."""
-        if path not in self.lines:
-            if len(self.lines) >= MAX_INDEXES:  # read again when it is next requested
-                oldest = next(iter(self.lines))
-                del self.lines[oldest]
+        if path not in self.index_histories:
+            if len(self.index_histories) >= MAX_INDEXES:  # read again when it is next requested
+                oldest = next(iter(self.index_histories))
+                del self.index_histories[oldest]
                 for names in self.indexes_by_path.values():
                     names.discard(oldest)
-            self.lines[path] = IndexHistory(self.grace_ms)
-        return self.lines[path]
+            self.index_histories[path] = IndexHistory(self.grace_ms)
+        return self.index_histories[path]
 
 
 class Service:
@@ -95,7 +102,7 @@
         self.engine, self.fetcher, self.hosts = engine, fetcher, hosts
         self.repositories = sorted(repositories, key=lambda repository: -len(repository.prefix))
         self.verified_bodies = VerifiedBodies()
-        self.counts: dict[str, int] = {}
+        self.reply_counts: dict[str, int] = {}
         # The decision module forgets a purge once the caches have dropped their copies. Indexes are held here
         # for longer, so the purges are recorded separately.
         self.purges = Purges()
@@ -112,19 +119,19 @@
         """Answer a request; `count_unsent_bytes` returns how many response bytes wait for the client."""
         try:
             reply = self._answer(method, target, headers, client, count_unsent_bytes)
-        except BadTarget as error:
+        except InvalidTargetError as error:
             reply = make_refusal(error.status, "bad-target", str(error))
         except FetchRefusedError as error:
             reply = make_refusal(503, "refused", "busy; come back", max(1.0, error.wait_ms / 1000.0))
         except FetchFailedError:
             reply = make_refusal(504, "failed", "no server answered in time")
-        except BadIndex as error:
+        except InvalidIndexError as error:
             logger.warning("invalid index: {}", error)
             reply = make_refusal(502, "bad-index", str(error))
         except BrokenBodyError as error:
             reply = make_refusal(503, str(error), "two releases at once; come back", 1.0)
-        self.counts[reply.reason or str(reply.status)] = (
-            self.counts.get(reply.reason or str(reply.status), 0) + 1
+        self.reply_counts[reply.reason or str(reply.status)] = (
+            self.reply_counts.get(reply.reason or str(reply.status), 0) + 1
         )
         return reply
 
@@ -162,23 +169,23 @@
         """Read a complete file whose parts all have one tag; return its bytes and the assembly.
 
         Returns None if the file does not exist. Raises BrokenBodyError if the bytes do not match `digest`,
-        where one is given, or if the tag changed during each of three reads, and BadIndex if the file is
-        larger than `index_mb` allows.
+        where one is given, or if the tag changed during each of three reads, and InvalidIndexError if the
+        file is larger than `index_mb` allows.
         """
         file_request, tag = self._make_file_request(repo, path, client), ""
         for _ in range(3):
-            assembly, body_chunks, number = Assembly(PART, digest, tag=tag), list[bytes](), 0
+            assembly, body_chunks, number = Assembly(MAX_PART_BYTES, digest, tag=tag), list[bytes](), 0
             try:
                 while not assembly.is_complete:
                     part = self.fetcher.fetch_with_repeats(file_request, number, assembly.has_same_tag)
-                    if part.tag == ABSENT:
+                    if part.tag == ABSENT_TAG:
                         return None
                     if part.tag != (assembly.tag or part.tag):
                         raise TagChangedError(part.tag)
                     body_chunks += assembly.add_part(number, part)
                     number += 1
-                    if number * PART > repo.index_bytes:
-                        raise BadIndex(
+                    if number * MAX_PART_BYTES > repo.index_bytes:
+                        raise InvalidIndexError(
                             f"{path}: over {repo.index_bytes} bytes, which is what index_mb allows"
                         )
             except TagChangedError as changed:
@@ -237,7 +244,9 @@
             part = self.fetcher.fetch(file_request, 0)
             named_file = generation.files[path]
             verified = self.verified_bodies.get(file_request.key, part.tag)
-            if part.tag == ABSENT or not _could_match(part, named_file, verified.digest if verified else ""):
+            if part.tag == ABSENT_TAG or not _could_match(
+                part, named_file, verified.digest if verified else ""
+            ):
                 history.mark_missing(generation.digest, now_ms())
                 return
             history.mark_found(generation.digest, path)
@@ -250,7 +259,7 @@
             return make_refusal(404, "not-found", "there is no such index")
         key, now = object_key(repo.name, path), now_ms()
         generation = history.serve(client, now)
-        purged_ms = self.purges.last(key, repo.group)
+        purged_ms = self.purges.last_purge_ms(key, repo.group)
         if generation is None or (generation.since_ms <= purged_ms and now - purged_ms > PURGE_GRACE_MS):
             return make_refusal(503, "release-not-whole", "a release is being published; come back", 1.0)
         if generation.digest != history.newest_digest and now - purged_ms <= PURGE_GRACE_MS:
@@ -284,7 +293,7 @@
                     history.serve(client, now_ms())
         named_files: list[NamedFile] = []
         for index in sorted(repo.indexes_by_path.get(path, ())):
-            version = repo.lines[index].permitted_file(client, path, now_ms())
+            version = repo.index_histories[index].permitted_file(client, path, now_ms())
             if version and version not in named_files:
                 named_files.append(version)
         return named_files
@@ -301,7 +310,7 @@
         permitted_files = self._permitted_files(repo, path, client)
         if not permitted_files:
             indexes = repo.indexes_by_path.get(path, set())
-            if any(repo.lines[index].is_outdated(client, now_ms()) for index in indexes):
+            if any(repo.index_histories[index].is_outdated(client, now_ms()) for index in indexes):
                 return make_refusal(
                     404, "index-outdated", "your index is of an older release; ask for it again"
                 )
@@ -310,7 +319,7 @@
         first_part = self.fetcher.fetch_with_repeats(
             file_request, 0, lambda part: self._is_acceptable(file_request.key, part, permitted_files)
         )
-        if first_part.tag == ABSENT:
+        if first_part.tag == ABSENT_TAG:
             return make_refusal(404, "not-there", "the index names it, but it is not there")
         verified = self.verified_bodies.get(file_request.key, first_part.tag)
         named_file = next(
@@ -324,7 +333,7 @@
         common_headers = [("Content-Type", content_type), ("Accept-Ranges", "bytes")]
         if digest:
             common_headers += [("ETag", validators.etag), ("Last-Modified", validators.last_modified)]
-            condition_status = status(method, headers, validators)
+            condition_status = evaluate_conditions(method, headers, validators)
             if condition_status == 304:
                 return Reply(304, common_headers, reason="not-modified")
             if condition_status == 412:
@@ -345,7 +354,7 @@
         length = None if size < 0 else size
         if method == "HEAD":
             return Reply(200, common_headers, iter(()), length, "head")
-        assembly = Assembly(PART, digest, size)
+        assembly = Assembly(MAX_PART_BYTES, digest, size)
         return Reply(
             200,
             common_headers,
@@ -357,7 +366,7 @@
     def _is_acceptable(self, key: int, part: Part, permitted_files: list[NamedFile]) -> bool:
         """Return whether a first part can belong to a permitted release; if not, the fetch is repeated."""
         verified = self.verified_bodies.get(key, part.tag)
-        if part.tag == ABSENT:
+        if part.tag == ABSENT_TAG:
             return False
         return any(
             _could_match(part, named_file, verified.digest if verified else "")
@@ -368,7 +377,7 @@
         self, file_request: FileRequest, first_part: Part, named_file: NamedFile
     ) -> VerifiedBody:
         """Read a complete file to verify its digest, without sending or keeping its bytes."""
-        assembly = Assembly(PART, named_file.digest, named_file.size)
+        assembly = Assembly(MAX_PART_BYTES, named_file.digest, named_file.size)
         for _ in self._stream_body(file_request, first_part, assembly, lambda: 0):
             pass
         verified = self.verified_bodies.get(file_request.key, assembly.tag)
@@ -385,7 +394,7 @@
         """Yield a complete body as its parts arrive; raise BrokenBodyError if it cannot be completed."""
         yield from assembly.add_part(0, first_part)
         if not assembly.is_complete:
-            part_limit = -(-assembly.size // PART) if assembly.size >= 0 else 1 << 16
+            part_limit = -(-assembly.size // MAX_PART_BYTES) if assembly.size >= 0 else 1 << 16
             part_count = part_limit if assembly.size >= 0 else -1
             parts = self.fetcher.fetch_in_order(
                 file_request,
@@ -413,7 +422,7 @@
     ) -> Reply:
         try:
             spans = read_ranges(header, size)
-        except Unsatisfiable:
+        except UnsatisfiableRangeError:
             return make_refusal(
                 416, "range", "no byte of this file is in that range", Content_Range=f"bytes */{size}"
             )
@@ -467,13 +476,13 @@
     ) -> Iterator[bytes]:
         """Yield the bytes of `spans` of a verified tag; raise BrokenBodyError if a part has another tag."""
         for span in spans:
-            slices = {number: (begin, end) for number, begin, end in split_into_parts(span, PART)}
+            slices = {number: (begin, end) for number, begin, end in split_into_parts(span, MAX_PART_BYTES)}
             parts = self.fetcher.fetch_in_order(
                 file_request, iter(slices), count_unsent_bytes, lambda part: part.tag == tag
             )
             for number, part in parts:
                 begin, end = slices[number]
-                if part.tag != tag or len(part.data) != min(PART, size - number * PART):
+                if part.tag != tag or len(part.data) != min(MAX_PART_BYTES, size - number * MAX_PART_BYTES):
                     raise BrokenBodyError("two-releases")
                 yield part.data[begin:end]
 
@@ -486,10 +495,10 @@
     """
     if verified_digest:
         return named_file.digest in ("", verified_digest)
-    if len(part.data) < PART:
+    if len(part.data) < MAX_PART_BYTES:
         has_named_size = named_file.size in (-1, len(part.data))
         return has_named_size and named_file.digest in ("", hashlib.sha256(part.data).hexdigest())
-    return named_file.size < 0 or named_file.size >= PART
+    return named_file.size < 0 or named_file.size >= MAX_PART_BYTES
 
 
 def _answer_from_memory(
@@ -501,7 +510,7 @@
         ("Last-Modified", validators.last_modified), ("Accept-Ranges", "bytes"),
         ("Cache-Control", "no-cache"),
     ]  # fmt: skip
-    condition_status = status(method, headers, validators)
+    condition_status = evaluate_conditions(method, headers, validators)
     if condition_status == 304:
         return Reply(304, common_headers, reason="not-modified")
     if condition_status == 412:
@@ -509,7 +518,7 @@
     if method == "GET" and "range" in headers and range_applies(headers, validators):
         try:
             spans = read_ranges(headers["range"], len(body))
-        except Unsatisfiable:
+        except UnsatisfiableRangeError:
             return make_refusal(416, "range", "outside", Content_Range=f"bytes */{len(body)}")
         if spans and len(spans) == 1:
             part = body[spans[0].first : spans[0].end]
--- a/hitchtiller/routing/blame.py
+++ b/hitchtiller/routing/blame.py
@@ -1,8 +1,8 @@
 """Failure scores of servers, and how long a server is ejected once its score is too high.
 
 Each server has a failure score from 0 to 1. Each failure adds a share of what is missing to 1, and each
-answer multiplies the score by SUCCESS_FACTOR. A server whose score reaches EJECT_AT is ejected, for a time
-that doubles with each consecutive ejection. It then returns on trial and gets one attempt at a time.
+answer multiplies the score by SUCCESS_FACTOR. A server whose score reaches EJECTION_SCORE is ejected, for a
+time that doubles with each consecutive ejection. It then returns on trial and gets one attempt at a time.
 """
 
 FAILURE_SHARES = {
@@ -16,7 +16,7 @@
 }
 SUCCESS_FACTOR = 0.8
 ASSUMED_FILL_SHARE = 0.3  # of answers that do not state whether they were fills
-EJECT_AT = 0.55
+EJECTION_SCORE = 0.55
 MIN_EJECTION_MS, MAX_EJECTION_MS = 1_500.0, 12_000.0
 
 
--- a/hitchtiller/sched.py
+++ b/hitchtiller/sched.py
@@ -1,8 +1,9 @@
 """A cooperative scheduler: greenlets on one thread over `select.poll`, with timers and non-blocking streams.
 
-A greenlet parks until a socket is ready, a time has come or another greenlet wakes it. `Scheduler.turn` is
-one round of the loop: poll, wake the greenlets whose events came, make the calls that are due, then run what
-is runnable. `Stream` is a TCP socket for greenlets. A greenlet is never preempted, so none may compute long.
+A greenlet parks until a socket is ready, a time has come or another greenlet wakes it. `Scheduler.run_once`
+is one round of the loop: poll, wake the greenlets whose events came, make the calls that are due, then run
+what is runnable. `Stream` is a TCP socket for greenlets. A greenlet is never preempted, so none may compute
+long.
 """
 
 import contextlib
@@ -65,11 +66,11 @@
         self.runnable: deque[tuple[greenlet, Any]] = deque()
         self.timers: list[tuple[float, int, Timer]] = []
         self.timer_order = count()
-        self.urgent: set[greenlet] = set()  # run before all others of a turn
+        self.urgent_tasks: set[greenlet] = set()  # run before all others of a turn
         self.hub: greenlet = getcurrent()
         self.stopped = False
         # when the loop last polled, and the earliest time at which the data found then may have arrived
-        self.last_poll_ms = self.arrival_ms = now_ms()
+        self.last_poll_ms = self.earliest_arrival_ms = now_ms()
         self.lag_ms = 0.0  # longest turn since a reader last reset it
         self.resumed_ms = 0.0  # when the process last resumed after a stall
         self.signal_calls: deque[Callable[[], object]] = deque()  # from signal handlers, not started yet
@@ -84,11 +85,11 @@
             except Exception:  # noqa: BLE001  a fault in one connection must not end the others
                 logger.exception("a background task failed")
             finally:
-                self.urgent.discard(task)
+                self.urgent_tasks.discard(task)
 
         task = greenlet(guarded, parent=self.hub)
         if urgent:
-            self.urgent.add(task)
+            self.urgent_tasks.add(task)
         self.wake(task)
         return task
 
@@ -100,7 +101,7 @@
 
     def wake(self, task: greenlet, value: Any = None) -> None:
         """Resume a parked greenlet in this turn of the loop; `park` returns `value` to it."""
-        if task in self.urgent:  # keeps operators' calls responsive in a loop full of client work
+        if task in self.urgent_tasks:  # keeps operators' calls responsive in a loop full of client work
             self.runnable.appendleft((task, value))
         else:
             self.runnable.append((task, value))
@@ -118,7 +119,7 @@
         """Return whether much data may have arrived since the last poll."""
         return now_ms() - self.last_poll_ms > LAG_LIMIT_MS
 
-    def look(self) -> None:
+    def poll_again(self) -> None:
         """Let the loop poll again, and let the greenlets run whose events have come."""
         self.pause()
 
@@ -165,7 +166,7 @@
         if task is not None:
             self.wake(task, value)  # still registered: most tasks wait for the same event again
 
-    def forget(self, fd: int) -> None:
+    def unregister(self, fd: int) -> None:
         """Wake the tasks that wait for a descriptor and unregister it; called before it is closed."""
         for event in list(self.waiters.get(fd, ())):
             self._wake_waiter(fd, event, True)
@@ -177,7 +178,7 @@
         """Run the loop in the calling greenlet until `stopped` is set."""
         self.hub = getcurrent()
         while not self.stopped:
-            self.turn()
+            self.run_once()
 
     def call_from_signal(self, call: Callable[[], object]) -> None:
         """Run `call` in its own greenlet at the next turn; called by signal handlers, outside any task.
@@ -193,7 +194,7 @@
             self.is_polling = False  # a second signal in this turn must not raise outside the try
             raise PollInterrupted
 
-    def turn(self) -> None:
+    def run_once(self) -> None:
         """Run one round: wait for the first event or timer, then run all that is due or runnable."""
         timeout_ms = None
         if self.runnable:
@@ -222,7 +223,9 @@
         previous_poll_ms, self.last_poll_ms = self.last_poll_ms, now_ms()
         if previous_poll_ms and self.last_poll_ms - previous_poll_ms > MIN_STALL_MS:
             self.resumed_ms = self.last_poll_ms
-        self.arrival_ms = self.last_poll_ms if turn_start_s - poll_start_s > 0.001 else previous_poll_ms
+        self.earliest_arrival_ms = (
+            self.last_poll_ms if turn_start_s - poll_start_s > 0.001 else previous_poll_ms
+        )
         for fd, mask in ready_events:
             failed = mask & ~(READ | WRITE)
             woken = False
@@ -265,17 +268,17 @@
         self.later = sched.later
 
 
-class Closed(Exception):
+class StreamClosed(Exception):
     """The stream of a socket has ended; the text is the reason code."""
 
 
 class Stream:
     """A non-blocking TCP socket: reads park the greenlet, writes are buffered.
 
-    The caller has to bound `size`; `buffered_bytes` is the total over all streams of the process.
+    The caller has to bound `unsent_bytes`; `buffered_bytes` is the total over all streams of the process.
     """
 
-    opened = 0  # open sockets of this process
+    open_count = 0  # open sockets of this process
     buffered_bytes = 0  # in all of them, received and to be sent
 
     def __init__(self, sched: Scheduler, sock: socket.socket) -> None:
@@ -284,63 +287,63 @@
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.sched, self.sock, self.fd = sched, sock, sock.fileno()
         self.unsent: deque[memoryview] = deque()
-        self.size = 0  # bytes in `unsent`
-        self.progress_ms = 0.0  # when bytes were last sent, or a write last found `unsent` empty
+        self.unsent_bytes = 0  # bytes in `unsent`
+        self.last_progress_ms = 0.0  # when bytes were last sent, or a write last found `unsent` empty
         self.is_flushing = False
-        self.drained = True  # no unread input is known: the last read emptied the receive buffer
-        self.code = ""  # reason code of the close; empty while open
-        self.kept = 0  # bytes of incomplete input that its reader holds
+        self.input_drained = True  # no unread input is known: the last read emptied the receive buffer
+        self.close_code = ""  # reason code of the close; empty while open
+        self.reader_bytes = 0  # bytes of incomplete input that its reader holds
         self.shutdown_requested = False  # writing is shut down once `unsent` is empty
-        Stream.opened += 1
+        Stream.open_count += 1
 
     def connect(self, address: tuple[str, int], timeout_ms: float) -> None:
-        """Connect, or raise Closed: `refused`, `silent` on a timeout, or the code of its close."""
+        """Connect, or raise StreamClosed: `refused`, `silent` on a timeout, or the code of its close."""
         error = self.sock.connect_ex(address)
         if error == errno.EINPROGRESS:
             if not self.sched.wait(self.fd, WRITE, timeout_ms):
-                raise Closed("silent")
-            if self.code:
-                raise Closed(self.code)
+                raise StreamClosed("silent")
+            if self.close_code:
+                raise StreamClosed(self.close_code)
             error = self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         if error:
-            raise Closed("refused")
+            raise StreamClosed("refused")
 
     def read(self, timeout_ms: float | None = None) -> bytes:
-        """Wait for bytes, or raise Closed: `eof`, `reset`, `silent` on a timeout, or the close's code."""
+        """Wait for bytes, or raise StreamClosed: `eof`, `reset`, `silent` on a timeout, or its code."""
         while True:
-            if self.code:
-                raise Closed(self.code)
-            if self.drained:  # nothing to read: trying recv first would waste a system call
-                self.drained = False
+            if self.close_code:
+                raise StreamClosed(self.close_code)
+            if self.input_drained:  # nothing to read: trying recv first would waste a system call
+                self.input_drained = False
                 if not self.sched.wait(self.fd, READ, timeout_ms):
-                    raise Closed("silent")
+                    raise StreamClosed("silent")
                 continue
             try:
                 data = self.sock.recv(RECV_BYTES)
             except BlockingIOError:
-                self.drained = True
+                self.input_drained = True
                 continue
             except OSError:
-                raise Closed("reset") from None
+                raise StreamClosed("reset") from None
             if not data:
-                raise Closed("eof")
-            self.drained = len(data) < RECV_BYTES
+                raise StreamClosed("eof")
+            self.input_drained = len(data) < RECV_BYTES
             return data
 
     def write(self, *parts: bytes | memoryview) -> None:
-        """Send at once what the socket accepts and buffer the rest; the caller has to bound `size`."""
-        if self.code:
+        """Send what the socket accepts and buffer the rest; the caller has to bound `unsent_bytes`."""
+        if self.close_code:
             return
         if not self.unsent:
-            self.progress_ms = now_ms()
+            self.last_progress_ms = now_ms()
         for part in parts:
             if len(part):
                 self.unsent.append(memoryview(part))
-                self.size += len(part)
+                self.unsent_bytes += len(part)
                 Stream.buffered_bytes += len(part)
         if not self.is_flushing:
             self._send_unsent()
-            if self.unsent and not self.code:
+            if self.unsent and not self.close_code:
                 self.is_flushing = True
                 self.sched.spawn(self._flush)
 
@@ -350,15 +353,15 @@
         self.write(data)
         self._send_unsent()
         self._flush()
-        return not self.code
+        return not self.close_code
 
-    def keep(self, size: int) -> None:
+    def set_reader_bytes(self, size: int) -> None:
         """Set how many bytes of incomplete input its reader holds, for `buffered_bytes`."""
-        if size != self.kept and not self.code:
-            Stream.buffered_bytes += size - self.kept
-            self.kept = size
+        if size != self.reader_bytes and not self.close_code:
+            Stream.buffered_bytes += size - self.reader_bytes
+            self.reader_bytes = size
 
-    def waiting(self) -> bool:
+    def has_input(self) -> bool:
         """Return whether unread input has arrived; the end of the stream counts as input."""
         try:
             self.sock.recv(1, socket.MSG_PEEK)
@@ -366,18 +369,18 @@
             return not isinstance(error, BlockingIOError)
         return True
 
-    def at_end(self) -> bool:
+    def is_at_end(self) -> bool:
         """Return whether the other side has closed or reset the connection and no data is left to read."""
         try:
-            return not self.code and not self.sock.recv(1, socket.MSG_PEEK)
+            return not self.close_code and not self.sock.recv(1, socket.MSG_PEEK)
         except OSError as error:
             return not isinstance(error, BlockingIOError)
 
-    def discard(self) -> None:
+    def discard_unsent(self) -> None:
         """Drop all unsent data; nothing meaningful can be written on the stream after that."""
         self.unsent.clear()
-        Stream.buffered_bytes -= self.size
-        self.size = 0
+        Stream.buffered_bytes -= self.unsent_bytes
+        self.unsent_bytes = 0
 
     def _send_unsent(self) -> None:
         while self.unsent:
@@ -393,9 +396,9 @@
             except OSError:
                 self.close("reset")
                 return
-            self.size -= sent
+            self.unsent_bytes -= sent
             Stream.buffered_bytes -= sent
-            self.progress_ms = now_ms()
+            self.last_progress_ms = now_ms()
             while sent:
                 head = self.unsent[0]
                 if sent < len(head):
@@ -405,9 +408,9 @@
                 self.unsent.popleft()
 
     def _flush(self) -> None:
-        while self.unsent and not self.code:
+        while self.unsent and not self.close_code:
             self.sched.wait(self.fd, WRITE)
-            if not self.code:
+            if not self.close_code:
                 self._send_unsent()
         self.is_flushing = False
         if self.shutdown_requested:
@@ -416,17 +419,17 @@
     def finish(self) -> None:
         """Shut down writing once all buffered data is sent; reading continues."""
         self.shutdown_requested = True
-        if not self.unsent and not self.code:
+        if not self.unsent and not self.close_code:
             with contextlib.suppress(OSError):
                 self.sock.shutdown(socket.SHUT_WR)
 
     def close(self, code: str) -> None:
         """Close the socket once; the first reason code is kept, and a parked reader is woken with it."""
-        if self.code:
+        if self.close_code:
             return
-        self.keep(0)
-        self.code = code
-        self.discard()
-        self.sched.forget(self.fd)
+        self.set_reader_bytes(0)
+        self.close_code = code
+        self.discard_unsent()
+        self.sched.unregister(self.fd)
         self.sock.close()
-        Stream.opened -= 1
+        Stream.open_count -= 1
--- a/hitchtiller/store/compact.py
+++ b/hitchtiller/store/compact.py
@@ -9,10 +9,10 @@
 
 from hitchtiller.store import format as fmt
 from hitchtiller.store.disk import Disk
-from hitchtiller.store.index import fingerprint, pack_place
+from hitchtiller.store.index import hash_part, pack_place
 from hitchtiller.store.jobs import READ_LANE
 from hitchtiller.store.recover import records, segment_name
-from hitchtiller.store.space import Rate, Segment
+from hitchtiller.store.space import Segment, TokenBucket
 
 CHUNK_BYTES = 1 << 20
 
@@ -20,7 +20,7 @@
 class Compactor:
     """Compacts one segment at a time."""
 
-    def __init__(self, disk: Disk, count_requests: Callable[[int], int], rate: Rate) -> None:
+    def __init__(self, disk: Disk, count_requests: Callable[[int], int], rate: TokenBucket) -> None:
         """Copy the parts that are often requested, as estimated by `count_requests` from a part hash."""
         self.disk, self.count_requests, self.rate = disk, count_requests, rate
         self.victim: Segment | None = None
@@ -34,7 +34,7 @@
     def step(self, now_ms: float, busy: bool) -> bool:
         """Do one step; return False if there is nothing to do now."""
         disk = self.disk
-        if not disk.health.writes or disk.closed:
+        if not disk.health.can_write or disk.closed:
             return False
         if self.reading or self.copies_in_progress:
             return True
@@ -71,7 +71,7 @@
                     data = files.read(segment_name(victim.id), offset, length)
                     part, body = fmt.read_record(data, victim.salt, offset)
                     records_found.append((offset, length, part, body))
-                except fmt.BadBytes:
+                except fmt.FormatError:
                     pass
                 offset += length
                 if offset - start >= CHUNK_BYTES:
@@ -96,7 +96,7 @@
             self.reading = False
 
     def _handle_record(self, victim: Segment, offset: int, length: int, part: fmt.Part, body: bytes) -> None:
-        disk, part_hash = self.disk, fingerprint(part.key, part.part)
+        disk, part_hash = self.disk, hash_part(part.key, part.part)
         place = pack_place(victim.id, offset, length)
         if disk.index.get(part_hash) != place:
             return
--- a/hitchtiller/store/disk.py
+++ b/hitchtiller/store/disk.py
@@ -17,7 +17,7 @@
 from hitchtiller.store import format as fmt
 from hitchtiller.store.files import Files
 from hitchtiller.store.health import OFF, Health
-from hitchtiller.store.index import fingerprint, pack_place, unpack_place
+from hitchtiller.store.index import hash_part, pack_place, unpack_place
 from hitchtiller.store.jobs import READ_LANE, WRITE_LANE, Jobs
 from hitchtiller.store.log import PurgeLog
 from hitchtiller.store.recover import (
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Options:
+class DiskOptions:
     """Settings of the disk tier: sizes in bytes, times in milliseconds."""
 
     budget: int = 1 << 30
@@ -73,7 +73,7 @@
         self,
         files: Files,
         jobs: Jobs,
-        options: Options,
+        options: DiskOptions,
         found: Recovered,
         proof: Proof,
         monotonic_clock: Callable[[], float] = monotonic_ms,
@@ -89,7 +89,7 @@
         # By part hash: the place of the newest record while that record is still being written.
         self.pending: dict[int, int] = {}
         self.unwritten_bytes = 0
-        self.log = PurgeLog(files, jobs, self.purges, found.kept, self._on_write_error)
+        self.log = PurgeLog(files, jobs, self.purges, found.saved_proof, self._on_write_error)
         self.checkpoint = found.checkpoint
         for name in found.headless_files:
             jobs.submit(WRITE_LANE, partial(files.remove, name), self._on_write_done)
@@ -112,10 +112,10 @@
         """
         size = part.size(len(body))
         # Prevents records of an epoch that a crash would undo: the next start would use its number again.
-        era_known = part.epoch <= self.log.kept.epoch
+        era_known = part.epoch <= self.log.saved_proof.epoch
         if (
             self.closed
-            or not (self.health.writes and era_known)
+            or not (self.health.can_write and era_known)
             or self.unwritten_bytes + size > self.options.queue_bytes
         ):
             self.counts.dropped += 1
@@ -124,7 +124,7 @@
         if segment is None:
             self.counts.dropped += 1
             return False
-        offset, part_hash = segment.size, fingerprint(part.key, part.part)
+        offset, part_hash = segment.size, hash_part(part.key, part.part)
         place = pack_place(segment.id, offset, size)
 
         def run() -> None:
@@ -216,7 +216,7 @@
     def sync(self, segment: Segment | None = None) -> None:
         """Make a segment's bytes durable with an fsync; the active segment by default."""
         segment = segment or self.active
-        if segment is None or not self.health.writes or segment.durable >= segment.size:
+        if segment is None or not self.health.can_write or segment.durable >= segment.size:
             return
         synced_size = segment.size
 
@@ -241,7 +241,7 @@
 
         Return False at once, without a call, if the part is not stored here or the readers are busy.
         """
-        part_hash = fingerprint(key, part_number)
+        part_hash = hash_part(key, part_number)
         place = self.index.get(part_hash)
         if not place or self.closed:
             return False
@@ -272,7 +272,7 @@
 
         if self.is_stalled():
             return False
-        cached = self.files.glance(segment_name(segment_id), offset, size)
+        cached = self.files.read_cached(segment_name(segment_id), offset, size)
         if cached is not None:  # it is in the page cache: a thread would cost more than the read
             try:
                 on_done(fmt.read_record(cached, salt, offset), None)
@@ -306,7 +306,7 @@
 
     def begin_checkpoint(self) -> bool:
         """Start a checkpoint; return False while the index grows or another checkpoint is in progress."""
-        if self.checkpoint_slices is not None or not self.health.writes or not self.index.freeze():
+        if self.checkpoint_slices is not None or not self.health.can_write or not self.index.freeze():
             return False
         self.checkpoint_slices = []
         self.covered_segments = [
@@ -355,7 +355,7 @@
 
         return self.jobs.submit(WRITE_LANE, run, on_done)
 
-    def save(self) -> None:
+    def write_checkpoint(self) -> None:
         """Write a complete checkpoint now."""
         self.sync()
         if self.begin_checkpoint():
@@ -368,7 +368,7 @@
         self, key: int | None, group: int, at_ms: float, durable: Callable[[], None] | None = None
     ) -> None:
         """Record a purge: it applies at once; `durable` is called once it is durable in the log."""
-        if self.purges.add(key, group, at_ms) and self.health.writes:
+        if self.purges.add(key, group, at_ms) and self.health.can_write:
             kind = fmt.PURGE_GROUP if key is None else fmt.PURGE_OBJECT
             self.log.add(fmt.LogEntry(kind, self.proof.epoch, int(at_ms), group, key or 0), durable)
         elif durable:
@@ -376,12 +376,12 @@
 
     def mark_followed(self) -> None:
         """Append the watermark to the log, behind all purges that were recorded before it."""
-        if self.health.writes and self.proof.begun:
+        if self.health.can_write and self.proof.begun:
             self.log.add(fmt.LogEntry(fmt.FOLLOWED, self.proof.epoch, int(self.proof.followed_ms)))
 
     def mark_epoch(self, durable: Callable[[], None] | None = None) -> None:
         """Append the current epoch to the log."""
-        if self.health.writes:
+        if self.health.can_write:
             self.log.add(fmt.LogEntry(fmt.EPOCH, self.proof.epoch, int(self.proof.gap_end_ms)), durable)
 
     def remove(self, segment: Segment) -> None:
--- a/hitchtiller/store/index.py
+++ b/hitchtiller/store/index.py
@@ -25,7 +25,7 @@
 SEGMENT_BITS, OFFSET_BITS, LENGTH_BITS = 24, 22, 13
 
 
-def fingerprint(key: int, part: int) -> int:
+def hash_part(key: int, part: int) -> int:
     """Return the 64-bit hash of an object's part; never 0, which marks an empty slot.
 
     Parts with equal hashes are told apart by the key in the record.
@@ -123,7 +123,7 @@
         )
 
     @property
-    def room(self) -> int:
+    def table_bytes(self) -> int:
         """Return the size of both tables in bytes, empty slots included."""
         return SLOT_BYTES * (self.table.slots + (self.old_table.slots if self.old_table else 0))
 
--- a/hitchtiller/store/jobs.py
+++ b/hitchtiller/store/jobs.py
@@ -56,7 +56,7 @@
         self.results: deque[tuple[str, JobCallback, Any, BaseException | None]] = deque()
         # calls submitted whose results have not been delivered
         self.undelivered = dict.fromkeys((READ_LANE, WRITE_LANE, LOG_LANE), 0)
-        self.wakeup = Wakeup()  # no pipe: on the fleet's platform only sockets are certain to be supported
+        self.wakeup = Wakeup()  # no pipe: on the fleet's platform only sockets are certain to be intercepted
         self.wakeup_fd = self.wakeup.fileno()
         self.threads: list[threading.Thread] = []
         for lane, thread_count in ((READ_LANE, readers), (WRITE_LANE, 1), (LOG_LANE, 1)):
@@ -87,14 +87,14 @@
             except Exception as caught:  # noqa: BLE001  the loop handles it
                 error = caught
             self.results.append((lane, done, result, error))
-            self.wakeup.poke()  # if it is full, the loop has been woken already
+            self.wakeup.notify()  # if it is full, the loop has been woken already
 
     def _deliver_results(self) -> None:
         while self.wakeup_fd >= 0:
             self.sched.wait(self.wakeup_fd, READ)
             if self.wakeup_fd < 0:
                 return
-            self.wakeup.drain()
+            self.wakeup.read_pending()
             while self.results:
                 self.drain(MAX_RESULTS_PER_TURN)
                 if self.results:  # prevents a long turn after a stall, when all waiting calls end at once
@@ -128,7 +128,7 @@
         for thread in self.threads:
             thread.join(timeout_s / len(self.threads))
         self.drain()
-        self.sched.forget(self.wakeup_fd)
+        self.sched.unregister(self.wakeup_fd)
         self.wakeup_fd = -1
         self.wakeup.close()
         return not any(thread.is_alive() for thread in self.threads)
--- a/hitchtiller/store/keeper.py
+++ b/hitchtiller/store/keeper.py
@@ -18,11 +18,11 @@
 from hitchtiller.sched import Scheduler, now_ms
 from hitchtiller.store import recover
 from hitchtiller.store.compact import Compactor
-from hitchtiller.store.disk import Disk, Options
+from hitchtiller.store.disk import Disk, DiskOptions
 from hitchtiller.store.files import OsFiles
 from hitchtiller.store.health import OFF
 from hitchtiller.store.jobs import LOG_LANE, WRITE_LANE, ThreadJobs
-from hitchtiller.store.space import Rate
+from hitchtiller.store.space import TokenBucket
 from hitchtiller.store.tier import Tier
 
 TICK_MS = 20.0
@@ -31,7 +31,7 @@
 BUSY_OPEN_REQUESTS = 8  # open requests from which on compaction slows down
 
 
-class Keeper:
+class FolderKeeper:
     """Manages the store folder of one tier."""
 
     def __init__(
@@ -40,9 +40,9 @@
         tier: Tier,
         front: Front,
         folder: Path,
-        options: Options,
+        options: DiskOptions,
         jobs: ThreadJobs,
-        rate: Rate,
+        rate: TokenBucket,
         open_files: Callable[[Path], OsFiles] = OsFiles,
     ) -> None:
         """Prepare to manage a folder; nothing is opened before `run`."""
@@ -103,7 +103,7 @@
         self.tier.attach(disk)
         logger.info(
             "store open: {} parts in {} segments, checkpoint {}, {} records read, {:.0f} ms",
-            len(disk.index), len(disk.space.segments), recovered.checkpoint, recovered.scanned, load_ms,
+            len(disk.index), len(disk.space.segments), recovered.checkpoint, recovered.records_read, load_ms,
         )  # fmt: skip
         self.last_sync_ms = self.last_checkpoint_ms = now_ms()
         while self._may_own_folder() and disk.health.state != OFF:
@@ -126,7 +126,7 @@
             self.last_checkpoint_ms = now
             if disk.counts.puts != self.checkpointed_puts and disk.begin_checkpoint():
                 self.checkpointed_puts = disk.counts.puts
-        busy = len(self.tier.engine.open) >= BUSY_OPEN_REQUESTS
+        busy = len(self.tier.engine.open_exchanges) >= BUSY_OPEN_REQUESTS
         deadline_s = time.monotonic() + COMPACTION_TICK_MS / 1000.0
         while compactor.step(now, busy) and not compactor.reading and not compactor.copies_in_progress:
             if time.monotonic() > deadline_s:
@@ -136,9 +136,9 @@
         """Wait for queued records, write a checkpoint, and release the folder."""
         self.tier.detach()
         self._run_job(lambda: None, WRITE_LANE)  # queued records belong in the checkpoint
-        if disk.health.writes:
+        if disk.health.can_write:
             disk.mark_followed()
-            disk.save()
+            disk.write_checkpoint()
         disk.close("left")
         for lane in (WRITE_LANE, LOG_LANE):
             self._run_job(lambda: None, lane)
@@ -154,9 +154,9 @@
     def finish(self) -> None:
         """Write what is queued and end the threads, within 1.5 s; called at the end of the process."""
         disk = self.disk
-        if disk and not disk.closed and disk.health.writes:
+        if disk and not disk.closed and disk.health.can_write:
             self.jobs.wait_until_idle(0.5)  # queued records belong in the checkpoint
             disk.mark_followed()
-            disk.save()
+            disk.write_checkpoint()
         self.jobs.close(1.0)
         self._close_files()
--- a/hitchtiller/store/log.py
+++ b/hitchtiller/store/log.py
@@ -13,7 +13,7 @@
 from hitchtiller.store.files import Files
 from hitchtiller.store.jobs import LOG_LANE, Jobs
 from hitchtiller.store.purges import Purges
-from hitchtiller.store.recover import LOG, LOG_TEMP_NAME
+from hitchtiller.store.recover import LOG_NAME, LOG_TEMP_NAME
 from hitchtiller.store.suspect import SavedProof
 
 GROWTH_BYTES = 1 << 20
@@ -27,7 +27,13 @@
         self, files: Files, jobs: Jobs, purges: Purges, kept: SavedProof, on_error: Callable[[OSError], None]
     ) -> None:
         """Begin a new file with the entries in force, which leaves a torn end of the old one behind."""
-        self.files, self.jobs, self.purges, self.kept, self.on_error = files, jobs, purges, kept, on_error
+        self.files, self.jobs, self.purges, self.saved_proof, self.on_error = (
+            files,
+            jobs,
+            purges,
+            kept,
+            on_error,
+        )
         self.salt, self.end, self.base_end = 0, 0, 0
         self.pending: list[tuple[fmt.LogEntry, Callable[[], None] | None]] = []
         self.writing = self.failed = False
@@ -63,11 +69,11 @@
                 self.files.remove(LOG_TEMP_NAME)
                 self.files.write(LOG_TEMP_NAME, 0, data)
                 self.files.sync(LOG_TEMP_NAME)
-                self.files.rename(LOG_TEMP_NAME, LOG)
+                self.files.rename(LOG_TEMP_NAME, LOG_NAME)
                 self.files.sync_folder()
             else:
-                self.files.write(LOG, start, data)
-                self.files.sync(LOG)
+                self.files.write(LOG_NAME, start, data)
+                self.files.sync(LOG_NAME)
 
         def done(_: object, error: BaseException | None) -> None:
             self.writing = False
@@ -90,7 +96,11 @@
 
         The epoch and the watermark are the durable ones; newer ones are in `pending` and follow.
         """
-        epoch, followed_ms, gap_end_ms = self.kept.epoch, self.kept.followed_ms, self.kept.gap_end_ms
+        epoch, followed_ms, gap_end_ms = (
+            self.saved_proof.epoch,
+            self.saved_proof.followed_ms,
+            self.saved_proof.gap_end_ms,
+        )
         entries = [fmt.LogEntry(fmt.EPOCH, epoch, int(min(gap_end_ms, MAX_TIME_MS)))] if epoch else []
         if self.purges.floor > 0:
             entries.append(fmt.LogEntry(fmt.FLOOR, epoch, int(self.purges.floor)))
@@ -109,6 +119,6 @@
     def _record_durable(self, entry: fmt.LogEntry) -> None:
         """Record the epoch or the watermark of an entry that has become durable."""
         if entry.kind == fmt.EPOCH:
-            self.kept = replace(self.kept, epoch=entry.epoch, gap_end_ms=float(entry.at_ms))
+            self.saved_proof = replace(self.saved_proof, epoch=entry.epoch, gap_end_ms=float(entry.at_ms))
         elif entry.kind == fmt.FOLLOWED:
-            self.kept = replace(self.kept, followed_ms=float(entry.at_ms))
+            self.saved_proof = replace(self.saved_proof, followed_ms=float(entry.at_ms))
--- a/hitchtiller/store/recover.py
+++ b/hitchtiller/store/recover.py
@@ -11,20 +11,20 @@
 
 from hitchtiller.store import format as fmt
 from hitchtiller.store.files import Files
-from hitchtiller.store.index import SLOT_BYTES, Index, fingerprint, pack_place, unpack_place
+from hitchtiller.store.index import SLOT_BYTES, Index, hash_part, pack_place, unpack_place
 from hitchtiller.store.purges import Purges
 from hitchtiller.store.space import Segment
 from hitchtiller.store.suspect import SavedProof
 
-LOG, LOG_TEMP_NAME = "purges.log", "purges.new"
-SEGMENT, CHECKPOINT_PREFIX = "segment-", "checkpoint-"
+LOG_NAME, LOG_TEMP_NAME = "purges.log", "purges.new"
+SEGMENT_PREFIX, CHECKPOINT_PREFIX = "segment-", "checkpoint-"
 READ_AHEAD_BYTES = fmt.RECORD_HEAD.size + 2 * fmt.MAX_TEXT_BYTES
 SCAN_BYTES = 1 << 20
 
 
 def segment_name(segment_id: int) -> str:
     """Return the file name of a segment."""
-    return f"{SEGMENT}{segment_id:08d}"
+    return f"{SEGMENT_PREFIX}{segment_id:08d}"
 
 
 def checkpoint_name(number: int) -> str:
@@ -45,9 +45,9 @@
     index: Index = field(default_factory=Index)
     segments: dict[int, Segment] = field(default_factory=dict)
     purges: Purges = field(default_factory=Purges)
-    kept: SavedProof = field(default_factory=SavedProof)
+    saved_proof: SavedProof = field(default_factory=SavedProof)
     checkpoint: int = 0  # number of the checkpoint; 0: none was used
-    scanned: int = 0  # number of records that were read one by one
+    records_read: int = 0  # number of records that were read one by one
     next_id: int = 1  # above every segment number that a checkpoint or the folder has ever held
     headless_files: list[str] = field(default_factory=list)  # segment files without a valid head
     notes: list[str] = field(default_factory=list)
@@ -65,7 +65,7 @@
         data = files.read(name, offset, READ_AHEAD_BYTES)
         try:
             part, body_start, body_size = fmt.read_record_head(data, segment.salt, offset)
-        except (fmt.BadBytes, UnicodeDecodeError):
+        except (fmt.FormatError, UnicodeDecodeError):
             next_offset = _find_next_record(files, segment, offset + fmt.ALIGN, end)
             if next_offset is None:
                 return
@@ -94,7 +94,7 @@
                     fmt.read_record_head(
                         chunk[position : position + READ_AHEAD_BYTES], segment.salt, offset + position
                     )
-                except (fmt.BadBytes, UnicodeDecodeError):
+                except (fmt.FormatError, UnicodeDecodeError):
                     pass
                 else:
                     return offset + position
@@ -106,16 +106,16 @@
 def read_segments(files: Files, state: Recovered) -> dict[int, tuple[Segment, int]]:
     """Return the segments with a valid head, with the lengths of their files."""
     segments_found: dict[int, tuple[Segment, int]] = {}
-    for segment_id in file_numbers(files.names(), SEGMENT):
+    for segment_id in file_numbers(files.names(), SEGMENT_PREFIX):
         try:
             head = fmt.read_segment_head(files.read(segment_name(segment_id), 0, fmt.ALIGN))
             if head.id != segment_id:
-                raise fmt.BadBytes(f"the head names segment {head.id}")
+                raise fmt.FormatError(f"the head names segment {head.id}")
             segments_found[segment_id] = (
                 Segment(segment_id, head.salt, sealed=True),
                 files.size(segment_name(segment_id)),
             )
-        except fmt.BadBytes as error:
+        except fmt.FormatError as error:
             state.notes.append(f"{segment_name(segment_id)}: {error}")
             if not isinstance(error, fmt.UnsupportedVersionError):
                 state.headless_files.append(segment_name(segment_id))
@@ -126,11 +126,11 @@
 def read_purges(files: Files, state: Recovered) -> bool:
     """Read the purge log into the state; return False if there is no valid log."""
     try:
-        data = files.read(LOG, 0, files.size(LOG))
+        data = files.read(LOG_NAME, 0, files.size(LOG_NAME))
         _, entries, _ = fmt.read_log(data)
-    except (FileNotFoundError, fmt.BadBytes) as error:
+    except (FileNotFoundError, fmt.FormatError) as error:
         if not isinstance(error, FileNotFoundError):
-            state.notes.append(f"{LOG}: {error}")
+            state.notes.append(f"{LOG_NAME}: {error}")
         return False
     epoch, followed_ms, gap_end_ms = 0, 0.0, 0.0
     for entry in entries:
@@ -143,7 +143,7 @@
         else:
             key = entry.key if entry.kind == fmt.PURGE_OBJECT else None
             state.purges.add(key, entry.group, float(entry.at_ms))
-    state.kept = SavedProof(epoch, followed_ms, gap_end_ms)
+    state.saved_proof = SavedProof(epoch, followed_ms, gap_end_ms)
     return True
 
 
@@ -155,7 +155,7 @@
         try:
             data = files.read(name, 0, files.size(name))
             _, covered, slots = fmt.read_checkpoint(data)
-        except (fmt.BadBytes, FileNotFoundError) as error:
+        except (fmt.FormatError, FileNotFoundError) as error:
             state.notes.append(f"{name}: {error}")
             continue
         state.checkpoint = number
@@ -198,15 +198,15 @@
         segment.size = segment.written = max(start, size)
         segment.durable = covered[segment_id].end if segment_id in covered else 0
         for offset, length, part in records(files, segment, start, size, state.notes.append):
-            state.scanned += 1
-            state.index.put(fingerprint(part.key, part.part), pack_place(segment_id, offset, length))
+            state.records_read += 1
+            state.index.put(hash_part(part.key, part.part), pack_place(segment_id, offset, length))
             segment.oldest_ms = min(segment.oldest_ms, float(part.since_ms))
             max_epoch = max(max_epoch, part.epoch)
         on_segment_read(segment_id)
     if not has_log:
         # Prevents serving purged copies after the log was lost: which purges were received is unknown, so a
         # server must confirm every copy.
-        state.kept = SavedProof(
+        state.saved_proof = SavedProof(
             epoch=max_epoch, followed_ms=0.0, gap_end_ms=math.inf if state.segments else 0.0
         )
     for _, place in state.index.items():
--- a/hitchtiller/store/tier.py
+++ b/hitchtiller/store/tier.py
@@ -15,7 +15,7 @@
 from hitchtiller.news import PurgeNotice
 from hitchtiller.store.disk import STALL_MS, Disk, monotonic_ms
 from hitchtiller.store.format import Part
-from hitchtiller.store.index import fingerprint
+from hitchtiller.store.index import hash_part
 from hitchtiller.store.join import Joins, NextStep
 from hitchtiller.store.memory import Copy, Memory
 from hitchtiller.store.pace import Pace
@@ -64,7 +64,7 @@
 
     # Calls from the engine
 
-    def take(self, exchange: Exchange) -> bool:
+    def try_serve(self, exchange: Exchange) -> bool:
         """Serve a request from a copy, make it wait for a fill, or read it from disk.
 
         Return whether the request was taken over; if not, the engine sends it to a server.
@@ -73,7 +73,7 @@
         if not self.rules.is_cacheable(request.class_name) or request.dedupe or request.body:
             return False
         self.check_clock(now_ms)
-        part_hash = fingerprint(request.key, request.part)
+        part_hash = hash_part(request.key, request.part)
         self.sketch.add(part_hash)
         copy = self.memory.get(request.key, request.part)
         if copy and self.rules.matches(copy.part, request):
@@ -85,7 +85,10 @@
         else:
             self.memory.record_miss(request.class_name, part_hash)
         if self.joins.join(
-            exchange.number, part_hash, request.client_tag, self.purges.last(request.key, request.group)
+            exchange.number,
+            part_hash,
+            request.client_tag,
+            self.purges.last_purge_ms(request.key, request.group),
         ):
             wait_ms = self.rules.max_join_wait_ms(request, now_ms)
             self.engine.clock.later(wait_ms, partial(self._on_join_timeout, exchange))
@@ -98,7 +101,7 @@
         """Return whether an attempt may be sent under the limit that one fill's leaders share."""
         return self.joins.may_send(exchange.number)
 
-    def cap(self, exchange: Exchange, cap_ms: float, now_ms: float) -> float:
+    def limit_age(self, exchange: Exchange, cap_ms: float, now_ms: float) -> float:
         """Return the age limit for an attempt: what confirms a suspect copy must date from after the gap."""
         copy = self.fallback_copies.get(exchange.number)
         if not exchange.confirm_tag or copy is None or copy.part.epoch == self.proof.epoch:
@@ -115,7 +118,7 @@
         part = self.rules.part_to_store(exchange.request, result, now_ms)
         if old_copy and old_copy.part.tag != result.tag:
             self.refuted += old_copy.part.epoch != self.proof.epoch
-            self._drop(fingerprint(old_copy.part.key, old_copy.part.part))
+            self._drop(hash_part(old_copy.part.key, old_copy.part.part))
         if part:
             self._store(part, result.body)
         return result
@@ -140,7 +143,7 @@
         # proven.
         self.refuted += 1
         exchange.confirm_tag = ""
-        self._drop(fingerprint(request.key, request.part))
+        self._drop(hash_part(request.key, request.part))
         return AttemptResult("err", load=result.load)
 
     def fallback(self, exchange: Exchange, answer: Answer) -> Answer:
@@ -154,7 +157,7 @@
         self.hits["stale"] += 1
         return self._answer(exchange, copy)
 
-    def over(self, exchange: Exchange, answer: Answer | None) -> None:
+    def on_request_end(self, exchange: Exchange, answer: Answer | None) -> None:
         """Finish the fill that a request led, and pass its outcome on to the requests that waited for it."""
         number = exchange.number
         self.fallback_copies.pop(number, None)
@@ -179,7 +182,7 @@
             for next_step, waiter_number in self.joins.end_failed(number):
                 self._continue_waiter(next_step, waiter_number, None, False, answer)
 
-    def purged(self, notice: PurgeNotice) -> None:
+    def on_purge(self, notice: PurgeNotice) -> None:
         """Apply a purge at once, and write it to the purge log."""
         if self.purges.is_nearly_full:
             oldest_on_disk_ms = self.disk.space.oldest_ms() if self.disk else math.inf
@@ -230,11 +233,13 @@
             disk.purge(None, group, purge_ms)
         for key, purge_ms in own_purges.objects.items():
             disk.purge(key, -1, purge_ms)
-        if self.proof.adopt(disk.log.kept, self.engine.clock.now_ms()):
+        if self.proof.adopt(disk.log.saved_proof, self.engine.clock.now_ms()):
             disk.mark_epoch()
         if self.proof.epoch != self.epoch:
             logger.info(
-                "now in era {}; the era of the store folder was {}", self.proof.epoch, disk.log.kept.epoch
+                "now in era {}; the era of the store folder was {}",
+                self.proof.epoch,
+                disk.log.saved_proof.epoch,
             )
             self.epoch = self.proof.epoch
 
@@ -285,12 +290,12 @@
 
     def _answer_when_link_is_free(self, exchange: Exchange, copy: Copy, answer: Answer) -> None:
         """Send an answer that waited for the link, unless its copy is no longer fresh, as after a purge."""
-        if exchange.over:
+        if exchange.is_over:
             return
         if self.rules.copy_state(copy.part, self.engine.clock.now_ms()) is CopyState.FRESH:
             self.engine.finish(exchange, answer)
         else:
-            self.engine.decide(exchange)
+            self.engine.route(exchange)
 
     def _start_disk_read(self, exchange: Exchange, part_hash: int) -> bool:
         """Start reading the part of a fill's leader from disk; return False if the disk can't serve it."""
@@ -299,8 +304,8 @@
             return False
         if not disk.get(request.key, request.part, partial(self._on_disk_read, exchange)):
             return False
-        if not exchange.over and not exchange.decided:  # a thread reads it, and the disk may hang
-            self.engine.clock.later(STALL_MS, partial(self.engine.decide, exchange))
+        if not exchange.is_over and not exchange.is_routed:  # a thread reads it, and the disk may hang
+            self.engine.clock.later(STALL_MS, partial(self.engine.route, exchange))
         return True
 
     def _on_disk_read(self, exchange: Exchange, part: Part | None, body: bytes) -> None:
@@ -310,16 +315,16 @@
             copy, state = Copy(part, body), self.rules.copy_state(part, now_ms)
             if state is CopyState.FRESH:
                 self.memory.put(part.class_name, part, body)
-                if not (exchange.over or exchange.decided) and self._serve(exchange, copy, "disk"):
+                if not (exchange.is_over or exchange.is_routed) and self._serve(exchange, copy, "disk"):
                     return
-            elif not (exchange.over or exchange.decided):
-                self._record_fallback(exchange, copy, state, fingerprint(part.key, part.part))
-        self.engine.decide(exchange)
+            elif not (exchange.is_over or exchange.is_routed):
+                self._record_fallback(exchange, copy, state, hash_part(part.key, part.part))
+        self.engine.route(exchange)
 
     def _store(self, part: Part, body: bytes) -> None:
         """Store a part in memory and, if it was requested before, on disk."""
         self.memory.put(part.class_name, part, body)
-        part_hash = fingerprint(part.key, part.part)
+        part_hash = hash_part(part.key, part.part)
         if self.disk and part_hash in self.disk:
             self.disk.put(part, body)  # the stored record is older
         else:
@@ -328,7 +333,7 @@
     def _write_to_disk(self, part: Part, body: bytes, part_hash: int) -> None:
         """Write a copy to disk if it is not there and the part was requested before."""
         disk = self.disk
-        if disk is None or not disk.health.writes or part_hash in disk or part_hash in disk.pending:
+        if disk is None or not disk.health.can_write or part_hash in disk or part_hash in disk.pending:
             return
         if self.sketch.count(part_hash) > DISK_MIN_EARLIER_REQUESTS:
             disk.put(part, body)
@@ -339,15 +344,15 @@
             self.disk.forget(part_hash)
 
     def _on_join_timeout(self, exchange: Exchange) -> None:
-        if not exchange.over and self.joins.give_up(exchange.number):
-            self.engine.decide(exchange)
+        if not exchange.is_over and self.joins.give_up(exchange.number):
+            self.engine.route(exchange)
 
     def _continue_waiter(
         self, next_step: NextStep, number: int, copy: Copy | None, unchanged: bool, answer: Answer | None
     ) -> None:
         """Carry out the next step of a request that waited for a fill."""
-        exchange = self.engine.open.get(number)
-        if exchange is None or exchange.over:
+        exchange = self.engine.open_exchanges.get(number)
+        if exchange is None or exchange.is_over:
             return
         # Enforces the waiter's own age limit: the answer may have been young enough only when the leader
         # asked.
@@ -367,25 +372,25 @@
                 exchange, answer or Answer(REFUSED, wait_ms=self.engine.router.settings.max_retry_after_ms)
             )
         elif next_step is not NextStep.LEAD or not self._start_disk_read(
-            exchange, fingerprint(exchange.request.key, exchange.request.part)
+            exchange, hash_part(exchange.request.key, exchange.request.part)
         ):
-            self.engine.decide(exchange)
+            self.engine.route(exchange)
 
     def _publish(self) -> None:
         """Register the statistics that operators read."""
         stats = self.engine.stats
         for tier in self.hits:
-            stats.counts[f"store.hits.{tier}"] = partial(self.hits.__getitem__, tier)
+            stats.counters[f"store.hits.{tier}"] = partial(self.hits.__getitem__, tier)
         for name in ("misses", "confirmed", "refuted", "slow_link"):
-            stats.counts[f"store.{name}"] = partial(getattr, self, name)
+            stats.counters[f"store.{name}"] = partial(getattr, self, name)
         for name in ("joined", "promoted", "impatient", "spared"):
-            stats.counts[f"store.join.{name}"] = partial(getattr, self.joins, name)
-        stats.levels["store.memory_bytes"] = lambda: self.memory.used
-        stats.levels["store.era"] = lambda: self.proof.epoch
+            stats.counters[f"store.join.{name}"] = partial(getattr, self.joins, name)
+        stats.gauges["store.memory_bytes"] = lambda: self.memory.used
+        stats.gauges["store.era"] = lambda: self.proof.epoch
         for name in ("segments", "parts", "bytes", "dead_bytes", "queued_bytes", "state"):
-            stats.levels[f"store.disk.{name}"] = partial(self._disk_figure, name)
+            stats.gauges[f"store.disk.{name}"] = partial(self._disk_figure, name)
         for name in ("puts", "dropped", "reads", "glanced", "torn", "checkpoints"):
-            stats.counts[f"store.disk.{name}"] = partial(self._disk_count, name)
+            stats.counters[f"store.disk.{name}"] = partial(self._disk_count, name)
 
     def _disk_figure(self, name: str) -> int:
         return self.disk.figures()[name] if self.disk else 0
--- a/hitchtiller/wake.py
+++ b/hitchtiller/wake.py
@@ -7,15 +7,15 @@
 platform a datagram that a socket sent to itself never arrived (seen in a rough roll+mass run, seed 3), so
 signals wake the loop without a descriptor (`Scheduler.call_from_signal`).
 
-Bounds: one descriptor. Each `poke` is one datagram of one byte, which is dropped if the socket's buffer is
-full (the loop is due to wake anyway). `drain` reads at most `max_datagrams` datagrams in one turn.
+Bounds: one descriptor. Each `notify` is one datagram of one byte, which is dropped if the socket's buffer is
+full (the loop is due to wake anyway). `read_pending` reads at most `max_datagrams` datagrams in one turn.
 """
 
 import contextlib
 import socket
 
 LOOPBACK = "127.0.0.1"
-MAX_DATAGRAMS_PER_TURN = 64  # by one `drain`; also the bytes requested by a recv, where 1 would do
+MAX_DATAGRAMS_PER_TURN = 64  # by one `read_pending`; also the bytes requested by a recv, where 1 would do
 
 
 class Wakeup:
@@ -36,12 +36,12 @@
         """Return the descriptor to wait on or to pass to `signal.set_wakeup_fd`; -1 once closed."""
         return self.sock.fileno()
 
-    def poke(self, byte: int = 0) -> None:
+    def notify(self, byte: int = 0) -> None:
         """Wake the reader; a full buffer is ignored, as the reader is due to wake already."""
         with contextlib.suppress(BlockingIOError, InterruptedError):
             self.sock.send(bytes((byte & 0xFF,)))
 
-    def drain(self, max_datagrams: int = MAX_DATAGRAMS_PER_TURN) -> bytes:
+    def read_pending(self, max_datagrams: int = MAX_DATAGRAMS_PER_TURN) -> bytes:
         """Return the bytes of at most `max_datagrams` received datagrams; empty if there are none."""
         received = bytearray()
         for _ in range(max_datagrams):
--- a/standins/lag.py
+++ b/standins/lag.py
@@ -27,13 +27,13 @@
 from hitchtiller.news import ListedServer, Topology
 from hitchtiller.sched import Clock, Scheduler, now_ms
 from hitchtiller.settings import read_settings
-from hitchtiller.store.disk import Options
+from hitchtiller.store.disk import DiskOptions
 from hitchtiller.store.files import OsFiles
 from hitchtiller.store.jobs import ThreadJobs
-from hitchtiller.store.keeper import Keeper
+from hitchtiller.store.keeper import FolderKeeper
 from hitchtiller.store.memory import Memory
 from hitchtiller.store.pace import Pace
-from hitchtiller.store.space import Rate
+from hitchtiller.store.space import TokenBucket
 from hitchtiller.store.suspect import Proof, SavedProof
 from hitchtiller.store.tier import Tier
 from standins.rig import settings
@@ -55,9 +55,9 @@
         self._stall()
         return super().read(name, offset, size)
 
-    def glance(self, name: str, offset: int, size: int) -> bytes | None:
+    def read_cached(self, name: str, offset: int, size: int) -> bytes | None:
         """Return cached bytes, but nothing during a stall."""
-        return None if time.monotonic() % 3.0 < 2.0 else super().glance(name, offset, size)
+        return None if time.monotonic() % 3.0 < 2.0 else super().read_cached(name, offset, size)
 
     def write(self, name: str, offset: int, data: bytes) -> None:
         """Write, after any stall."""
@@ -106,7 +106,7 @@
     members = tuple(
         ListedServer(api.Member(n, z, k, "SERVING", weight=50.0), ("127.0.0.1", 1)) for n, z, k in kinds
     )
-    engine.news(Topology(members, whole=True))
+    engine.on_bus_event(Topology(members, whole=True))
     folder = Path(tempfile.mkdtemp(prefix="lag-"))
     keeper = jobs = None
     if way != "off":
@@ -115,9 +115,9 @@
         front = Front(sched, engine, setup, 10, 10)
         front.leave = DrainControl(front)
         jobs = ThreadJobs(sched)
-        options = Options(budget=200 * MB, segment_bytes=8 * MB, checkpoint_ms=2_000.0, sync_ms=200.0)
+        options = DiskOptions(budget=200 * MB, segment_bytes=8 * MB, checkpoint_ms=2_000.0, sync_ms=200.0)
         make = StallingFiles if way == "stalled" else OsFiles
-        keeper = Keeper(sched, tier, front, folder, options, jobs, Rate(50e6, 5e6, 4e6), make)
+        keeper = FolderKeeper(sched, tier, front, folder, options, jobs, TokenBucket(50e6, 5e6, 4e6), make)
         sched.spawn(keeper.run)
         for _ in range(int(seconds)):
             sched.later(1000.0 * _, tier.on_caught_up)
@@ -139,7 +139,7 @@
                 key = rng.randrange(2_000) if rng.random() < 0.8 else 10_000 + rng.getrandbits(30)
                 name = f"{key:016x}"
                 wait = now_ms() + 2000.0
-                engine.take(
+                engine.accept(
                     ClientRequest(f"{count:016x}", "files", name, key, wait, size_kb=30.0), answers.append
                 )
             sched.sleep(1.0)
--- a/standins/scale/bounds.py
+++ b/standins/scale/bounds.py
@@ -61,13 +61,13 @@
     for number in numbers:
         router = Router(plan.settings(number), number)
         router.handle(api.Members((member, plan.origin()), whole=True), begin_ms)
-        router.mean.update(dict.fromkeys(router.mean, CALL_WORK_MS))
+        router.mean_work_ms.update(dict.fromkeys(router.mean_work_ms, CALL_WORK_MS))
         routers.append((router, begin_ms + rng.choice((0.0, 300.0, 2_000.0))))
     call_times_ms = []
     for step in range(int(COLD_RUN_MS / STEP_MS)):
         now_ms = begin_ms + step * STEP_MS
         for router, informed_ms in routers:
-            router.now, node = now_ms, router.nodes[member.server]
+            router.now_ms, node = now_ms, router.nodes[member.server]
             if now_ms >= informed_ms and router.admits(node):
                 node.debt_ms += CALL_WORK_MS
                 call_times_ms.append(now_ms)
--- a/standins/scale/membership.py
+++ b/standins/scale/membership.py
@@ -11,8 +11,8 @@
 from random import Random
 
 from hitchtiller.membership.detector import Datagrams, Detector
-from hitchtiller.membership.view import UNHEARD, Claim, State
-from hitchtiller.membership.words import Kind, MembershipMessage, pack, unpack
+from hitchtiller.membership.view import UNHEARD, MemberClaim, State
+from hitchtiller.membership.words import MembershipMessage, MessageKind, pack, unpack
 from standins.gossipnet import TICKS, Net
 from standins.scale.fleet import UDP_HEADER_BYTES
 
@@ -29,8 +29,8 @@
     claims = {number: node.view.claims[number] for number, node in net.nodes.items()}
     for node in net.nodes.values():
         node.view.claims = dict(claims)
-        node.gossip.told.clear()
-        node.pages = 0
+        node.gossip.send_counts.clear()
+        node.initial_syncs_left = 0
     return net
 
 
@@ -69,9 +69,9 @@
     bytes_before = tracemalloc.get_traced_memory()[0]
     node = Detector(0, gateways, INCARNATION, FLEET_MARK, PERIOD_MS, Random(1), 0.0)
     for number in range(1, gateways):
-        node.view.merge(number, Claim(INCARNATION + number, State.ALIVE), number, 0.0)
-        node.hear(number, 0.0)
-    node.gossip.told.clear()
+        node.view.merge(number, MemberClaim(INCARNATION + number, State.ALIVE), number, 0.0)
+        node.record_activity(number, 0.0)
+    node.gossip.send_counts.clear()
     gc.collect()
     state_bytes = tracemalloc.get_traced_memory()[0] - bytes_before
     tracemalloc.stop()
@@ -81,19 +81,21 @@
 def measure_catch_up_s(gateways: int, seed: int) -> float:
     """Return the seconds until a newly started detector has heard of all gateways, through pages alone."""
     node = Detector(0, gateways, INCARNATION, FLEET_MARK, PERIOD_MS, Random(seed), 0.0)
-    claims = {number: Claim(INCARNATION, State.ALIVE) for number in range(gateways)}
+    claims = {number: MemberClaim(INCARNATION, State.ALIVE) for number in range(gateways)}
 
     def answer_datagrams(sent: Datagrams) -> list[tuple[int, bytes]]:
         answers = []
         for peer, data in sent:
             message = unpack(data, FLEET_MARK)
-            if message is None or message.kind not in (Kind.PING, Kind.PAGE):
+            if message is None or message.kind not in (MessageKind.PING, MessageKind.SYNC_REQUEST):
                 continue
-            if message.kind is Kind.PING:
-                answer = MembershipMessage(Kind.ACK, peer, message.number)
+            if message.kind is MessageKind.PING:
+                answer = MembershipMessage(MessageKind.ACK, peer, message.number)
             else:
                 numbers = [(message.target + offset) % gateways for offset in range(gateways)]
-                answer = MembershipMessage(Kind.TELL, peer, 0, 0, [(n, claims[n], n) for n in numbers[:64]])
+                answer = MembershipMessage(
+                    MessageKind.CLAIMS, peer, 0, 0, [(n, claims[n], n) for n in numbers[:64]]
+                )
             answers.append((peer, pack(answer, FLEET_MARK)))
         return answers
 
--- a/standins/schedule.py
+++ b/standins/schedule.py
@@ -18,7 +18,7 @@
 from msgspec import Meta, Struct
 from msgspec.structs import asdict, replace
 
-from hitchtiller.operator.read import BadFile, Problem, Setting, read_model
+from hitchtiller.operator.read import InvalidFileError, Problem, Setting, read_model
 
 StepKind = Literal[
     "kill", "start", "stop", "go", "end", "upgrade", "cut", "oneway", "lose", "late", "alter", "heal", "wire",
@@ -68,7 +68,7 @@
 
 
 def read_schedule(text: str, name: str) -> Schedule:
-    """Read and check a schedule; raise BadFile with each problem, its line and what to write instead."""
+    """Read and check a schedule; raise InvalidFileError with each problem, its line and what to write."""
     schedule = read_model(Schedule, text, name, lambda values, settings: _check(values, settings, name))
     return schedule
 
@@ -77,10 +77,10 @@
     problems = []
     size = int(str(values.get("size", 4)))
     for block in settings:
-        if block.name != "step" or block.inside is None:
+        if block.name != "step" or block.children is None:
             continue
-        values_by_name = {each.name: each.value for each in block.inside}
-        lines = {each.name: each.line for each in block.inside}
+        values_by_name = {each.name: each.value for each in block.children}
+        lines = {each.name: each.line for each in block.children}
         do, number = values_by_name.get("do"), values_by_name.get("number", -1)
         number_limit = size if do in GATEWAY_STEPS else CACHE_COUNT if do in CACHE_STEPS else None
         if number_limit is not None and not 0 <= int(number) < number_limit:
@@ -115,7 +115,7 @@
     return replace(schedule, step={f"{place:03d}": step for place, step in enumerate(steps, 1)})
 
 
-def draw(seed: int, size: int = 4, count: int = 12) -> Schedule:
+def random_schedule(seed: int, size: int = 4, count: int = 12) -> Schedule:
     """Return a random schedule with faults of every kind; the same seed gives the same one."""
     rng, steps = Random(f"schedule {seed}"), list[Step]()
     for _ in range(count):
@@ -136,4 +136,13 @@
     return with_steps(Schedule(seed, size), steps)
 
 
-__all__ = ["BadFile", "Schedule", "Step", "draw", "read_schedule", "side", "with_steps", "write_schedule"]
+__all__ = [
+    "InvalidFileError",
+    "Schedule",
+    "Step",
+    "random_schedule",
+    "read_schedule",
+    "side",
+    "with_steps",
+    "write_schedule",
+]
--- a/tests/ends/sides.py
+++ b/tests/ends/sides.py
@@ -27,7 +27,7 @@
         if done():
             return True
         sched.later(1.0, lambda: None)
-        sched.turn()
+        sched.run_once()
     return False
 
 
@@ -52,15 +52,15 @@
     def on_sent(self) -> None:
         """Ignore it."""
 
-    def answered(self, reply: str, fields: dict[str, str], body: bytes) -> None:
+    def on_answer(self, reply: str, fields: dict[str, str], body: bytes) -> None:
         if reply not in ("DONE", "WAIT"):
-            raise resp.BadResp(reply)
+            raise resp.RespError(reply)
         self.statuses.append(reply)
 
     def block_until(self, until_ms: float) -> None:
         self.blocked_until_ms = until_ms
 
-    def broken(self, status: str) -> None:
+    def on_connection_end(self, status: str) -> None:
         self.statuses.append(status)
 
 
@@ -73,16 +73,16 @@
         self.taken: list[str] = []
         self.left: list[str] = []
 
-    def has(self, id: str) -> bool:
+    def has_request(self, id: str) -> bool:
         return False
 
-    def take(self, request: ClientRequest, deliver: Callable[[Answer], None]) -> Exchange:
+    def accept(self, request: ClientRequest, deliver: Callable[[Answer], None]) -> Exchange:
         exchange = Exchange(len(self.taken), request, deliver)
         self.taken.append(request.id)
         self.open[exchange.number] = exchange
         return exchange
 
-    def leave(self, exchange: Exchange) -> None:
+    def client_left(self, exchange: Exchange) -> None:
         if exchange.close():
             self.left.append(exchange.request.id)
 
@@ -134,12 +134,12 @@
     def fill_send_buffer(self) -> None:
         """Leave more answer bytes unsent on the connection than its high-water mark."""
         self.engine.answer(self.send_request(1), bytes(16_000_000))
-        self.assertGreater(self.client.stream.size, 1_000_000)
+        self.assertGreater(self.client.stream.unsent_bytes, 1_000_000)
         # A GIVE_UP of the answered request, as one more frame to read.
         self.client_socket.sendall(frames.head(frames.GIVE_UP, 1, 0))
         last_activity_ms = self.client.last_activity_ms
         self.wait_until(lambda: self.client.last_activity_ms > last_activity_ms)
-        self.sched.turn()
+        self.sched.run_once()
 
     def read_until_end(self) -> bytes:
         """Read until the gateway closes the connection; a reset fails the test."""
--- a/tests/ends/test_ends_descriptors.py
+++ b/tests/ends/test_ends_descriptors.py
@@ -63,7 +63,7 @@
         bus = BusLink(self.sched, lambda event: None, self.address, ((), ()))
         with no_descriptors():
             self.sched.spawn(bus.run)
-            self.sched.turn()
+            self.sched.run_once()
         self.assertTrue(run_until(self.sched, self.accept_one))
         assert bus.stream
         bus.stream.close("end")
@@ -115,17 +115,17 @@
         self.sign = ProcessMarker(Path(folder.name))
         self.addCleanup(self.sign.remove)
         self.front: Any = mock.Mock(accepting=True)
-        self.front.unready.return_value = "no list yet"
+        self.front.unready_reason.return_value = "no list yet"
         self.upgrade = Upgrade(
             Scheduler(), self.sign, self.front, lambda whole: True, lambda two, younger: None
         )
 
     def test_the_other_process_still_counts_as_alive(self) -> None:
         """The check raised an error: its greenlet ended, and the gateway never became ready."""
-        self.assertEqual(len(self.upgrade.older()), 1)
+        self.assertEqual(len(self.upgrade.older_processes()), 1)
         with no_descriptors():
-            self.upgrade.look()
-        self.assertEqual(len(self.upgrade.older()), 1)
+            self.upgrade.poll()
+        self.assertEqual(len(self.upgrade.older_processes()), 1)
         self.assertFalse(self.front.accepting, "the older process serves")
 
     def test_a_stop_still_drains_the_clients(self) -> None:
@@ -146,16 +146,16 @@
         )
         server = ListedServer(Member("s-1", "z", "k", "SERVING"), ("127.0.0.1", 1))
         for each in (local_holdouts, other_holdouts):
-            each.news(Topology((server,), True))
+            each.on_bus_event(Topology((server,), True))
         sched.spawn(local_holdouts.run, sched)
         other_holdouts.disable("s-1")
         with no_descriptors():
             end = time.monotonic() + 0.5
             while time.monotonic() < end:
                 sched.later(1.0, lambda: None)
-                sched.turn()
-            self.assertEqual(local_holdouts.out, frozenset())
-        self.assertTrue(run_until(sched, lambda: local_holdouts.out == {"s-1"}))
+                sched.run_once()
+            self.assertEqual(local_holdouts.held_out, frozenset())
+        self.assertTrue(run_until(sched, lambda: local_holdouts.held_out == {"s-1"}))
 
 
 class MakingRoom(unittest.TestCase):
@@ -185,7 +185,7 @@
         client.open_exchanges[1] = exchange
         client.close_when_done("half")
         self.assertFalse(self.front.make_room())
-        self.assertEqual(client.stream.code, "")
+        self.assertEqual(client.stream.close_code, "")
 
     def test_a_client_with_an_unsent_answer_is_not_closed(self) -> None:
         client, _ = self.add_client()
@@ -200,6 +200,6 @@
         other.sendall(b"late")
         idle, _ = self.add_client()
         self.assertTrue(self.front.make_room())
-        self.assertEqual((lingering.stream.code, idle.stream.code), ("", "full"))
+        self.assertEqual((lingering.stream.close_code, idle.stream.close_code), ("", "full"))
         self.assertTrue(self.front.make_room(), "without an idle client the lingering one is closed")
-        self.assertEqual(lingering.stream.code, "full")
+        self.assertEqual(lingering.stream.close_code, "full")
--- a/tests/ends/test_ends_discovery.py
+++ b/tests/ends/test_ends_discovery.py
@@ -49,7 +49,7 @@
         while not done():
             self.assertLess(time.monotonic(), end)
             self.sched.later(1.0, lambda: None)
-            self.sched.turn()
+            self.sched.run_once()
 
     def accept_subscription(self, within_s: float = TIMEOUT_S) -> socket.socket:
         """Accept the next connection of the gateway."""
@@ -84,7 +84,7 @@
         self.wait_until(has_number)
         self.assertEqual(int.from_bytes(number, "big"), last)
         second.sendall(drain_frame(last + 1, 7))
-        self.wait_until(lambda: self.bus.last == last + 1)
+        self.wait_until(lambda: self.bus.last_number == last + 1)
 
     def test_silence_right_after_connecting(self) -> None:
         self.check_silence_after(b"", 0)
@@ -139,7 +139,7 @@
         client = self.gateway.client()
         self.addCleanup(client.close)
         client.sock.settimeout(PROMPT_S)
-        client.ask(1)
+        client.send_request(1)
         started = time.monotonic()
         cache = self.gateway.server()
         self.assertLess(time.monotonic() - started, PROMPT_S)
@@ -154,7 +154,7 @@
         )
         bus.send(framed(HEAD.pack(2, 2) + record) + b"\xff" * 64)
         self.gateway.expect_line("code=junk last=2")  # the malformed bytes after it show that it was applied
-        client.ask(2)
+        client.send_request(2)
         self.gateway.server("parent").expect_pull()  # the draining cache gets no new request
 
     def test_a_restarted_process_is_ready_in_time_while_discovery_is_down(self) -> None:
--- a/tests/ends/test_ends_effects.py
+++ b/tests/ends/test_ends_effects.py
@@ -11,7 +11,7 @@
 
 from hitchtiller import interface as api
 from hitchtiller.codec import frames
-from hitchtiller.routing.effects import MARGIN_MS, MAX_KEYS, Effects
+from hitchtiller.routing.effects import MAX_KEYS, WINDOW_MARGIN_MS, Effects
 
 ZONE_SCOPED = api.ClassSettings(
     "pay", 800.0, 3000.0, effect="by_key", key_scope="zone", repeat_window_ms=1000.0, write=True
@@ -29,7 +29,7 @@
     def test_the_window_starts_with_the_first_attempt_of_the_key(self) -> None:
         effects = self.effects()
         effects.begin("pay", "k1", HERE, 900.0)
-        last = 100.0 + 1000.0 - MARGIN_MS
+        last = 100.0 + 1000.0 - WINDOW_MARGIN_MS
         self.assertTrue(effects.may_begin("pay", "k1", HERE, last - 1.0))
         self.assertFalse(effects.may_begin("pay", "k1", HERE, last))
         self.assertTrue(effects.may_begin("pay", "k2", HERE, last), "another key is another effect")
@@ -58,10 +58,10 @@
     def test_keys_are_forgotten_after_their_last_possible_retry_and_at_a_bound(self) -> None:
         effects = self.effects()
         effects.begin("pay", "k2", HERE, 100.0 + 1000.0 + 4.0 * 3000.0)
-        self.assertEqual(list(effects.doubts), [("pay", "k2")])
+        self.assertEqual(list(effects.unconfirmed), [("pay", "k2")])
         for number in range(MAX_KEYS + 5):
             effects.begin("pay", f"n{number}", HERE, 14_000.0)
-        self.assertEqual(len(effects.doubts), MAX_KEYS)
+        self.assertEqual(len(effects.unconfirmed), MAX_KEYS)
 
 
 class FirstByte(unittest.TestCase):
@@ -100,14 +100,14 @@
         self.addCleanup(self.client.close)
 
     def open_request(self, stream: int, name: str, **fields: str) -> tuple[Party, bytes]:
-        self.client.ask(stream, b"pay", c=name, **fields)
+        self.client.send_request(stream, b"pay", c=name, **fields)
         cache = self.gateway.server()
         self.addCleanup(cache.close)
         return cache, cache.expect_pull()[0]
 
     def assert_nothing_forwarded(self, *caches: Party) -> None:
         """Check that nothing was forwarded: the next command is that of a request sent now."""
-        self.client.ask(90, b"pay", c="charge", k="another", i="9" * 16)
+        self.client.send_request(90, b"pay", c="charge", k="another", i="9" * 16)
         socks = [cache.sock for cache in caches]
         ready = select.select(socks, [], [], 5.0)[0]
         self.assertEqual(len(ready), 1)
@@ -127,7 +127,7 @@
         with self.assertRaises(TimeoutError):
             self.client.sock.recv(1)  # the window passes
         self.client.sock.settimeout(5.0)
-        self.client.ask(2, b"pay", c="charge", k="5c0f").expect_answer(2, frames.FAILED)
+        self.client.send_request(2, b"pay", c="charge", k="5c0f").expect_answer(2, frames.FAILED)
         self.assert_nothing_forwarded(cache, other)
 
     def test_a_late_second_answer_is_not_matched_to_the_next_attempt(self) -> None:
--- a/tests/fleet/test_fleet_tools.py
+++ b/tests/fleet/test_fleet_tools.py
@@ -11,16 +11,16 @@
 from hypothesis import strategies as st
 
 from hitchtiller.cli.main import main
-from hitchtiller.cli.members import code, disagree, read_answer
+from hitchtiller.cli.members import exit_code, find_disagreements, read_answer
 from standins.fabric import Faults
 from standins.fleet import Fleet
 from standins.play import SchedulePlayer, play, shrink
 from standins.schedule import (
     DO,
-    BadFile,
+    InvalidFileError,
     Schedule,
     Step,
-    draw,
+    random_schedule,
     read_schedule,
     with_steps,
     write_schedule,
@@ -29,13 +29,13 @@
 
 @given(st.integers(0, 10_000), st.integers(2, 7), st.integers(0, 30))
 def test_a_random_schedule_is_valid_and_survives_a_round_trip(seed: int, size: int, count: int) -> None:
-    schedule = draw(seed, size, count)
+    schedule = random_schedule(seed, size, count)
     assert read_schedule(write_schedule(schedule), "drawn.hcl") == schedule
     assert len(schedule.steps) == count
 
 
 def test_random_schedules_contain_every_kind_of_step() -> None:
-    assert {step.do for seed in range(40) for step in draw(seed).steps} == set(DO)
+    assert {step.do for seed in range(40) for step in random_schedule(seed).steps} == set(DO)
 
 
 @pytest.mark.parametrize(
@@ -49,13 +49,13 @@
     ],
 )
 def test_an_invalid_schedule_is_rejected_with_its_line(text: str, line: int, wanted: str) -> None:
-    with pytest.raises(BadFile) as error:
+    with pytest.raises(InvalidFileError) as error:
         read_schedule(text, "bad.hcl")
     assert f"bad.hcl:{line}:" in str(error.value) and wanted in str(error.value)
 
 
 def test_a_failing_schedule_is_shrunk_to_the_steps_it_needs() -> None:
-    schedule = draw(3, 4, 24)
+    schedule = random_schedule(3, 4, 24)
     needed_steps = [schedule.steps[5], schedule.steps[17]]
 
     def fails(one: Schedule) -> bool:
@@ -78,7 +78,7 @@
 
 
 def test_a_process_that_ends_by_itself_fails_the_schedule() -> None:
-    found = asyncio.run(KillingPlayer(with_steps(draw(1, 2, 0), [Step("heal")])).play())
+    found = asyncio.run(KillingPlayer(with_steps(random_schedule(1, 2, 0), [Step("heal")])).play())
     assert any("n0 ended by itself" in text for text in found.broken)
 
 
@@ -90,7 +90,7 @@
 @pytest.mark.parametrize("seed", [2, 7])
 def test_schedules_that_failed_before_pass(seed: int, tmp_path: Path) -> None:
     """Found by the soak run: a refutation was never sent again after all messages with it were lost."""
-    found = play(draw(seed))
+    found = play(random_schedule(seed))
     assert found.broken == [], found.history
     assert found.counts["served"] > 100
 
@@ -103,12 +103,12 @@
         read_answer("a:1", MEMBERS_ANSWER.format("ALIVE")),
         read_answer("b:1", MEMBERS_ANSWER.format("ALIVE")),
     ]
-    assert disagree(equal_views) == set() and code(equal_views) == 0
+    assert find_disagreements(equal_views) == set() and exit_code(equal_views) == 0
     different_views = [*equal_views, read_answer("c:1", MEMBERS_ANSWER.format("DEAD"))]
-    assert disagree(different_views) == {1} and code(different_views) == 1
+    assert find_disagreements(different_views) == {1} and exit_code(different_views) == 1
     silent = [read_answer("d:1", "-ERR unknown call")]
-    assert code(silent) == 2 and "is membership on" in silent[0].problem
-    assert code([*equal_views, *silent]) == 1
+    assert exit_code(silent) == 2 and "is membership on" in silent[0].problem
+    assert exit_code([*equal_views, *silent]) == 1
 
 
 def test_the_members_command_asks_several_processes() -> None:
--- a/tests/repo/test_repo_decide.py
+++ b/tests/repo/test_repo_decide.py
@@ -11,9 +11,9 @@
 from hitchtiller.repo.admission import MAX_PARTS as MAX_BACKGROUND_PARTS
 from hitchtiller.repo.admission import MIN_PARTS, BackgroundLimit, ConnectionLimits
 from hitchtiller.repo.body import TAIL_BYTES, Assembly, BrokenBodyError, Part, TagChangedError, VerifiedBodies
-from hitchtiller.repo.budget import Budget, FileRepeatBudget
+from hitchtiller.repo.budget import FileRepeatBudget, RepeatBudget
 from hitchtiller.repo.generations import MAX_GENERATIONS, IndexHistory, NamedFile, State
-from hitchtiller.repo.paths import BadTarget, object_key, read_target
+from hitchtiller.repo.paths import InvalidTargetError, object_key, read_target
 from hitchtiller.repo.window import MAX_PARTS, MAX_UNSENT_BYTES, Window
 
 PART = 1000
@@ -30,7 +30,7 @@
     slices = [body[a : a + b + 1] for a, b in wanted if a < size]
     try:
         spans = ranges.read_ranges(header, size)
-    except ranges.Unsatisfiable:
+    except ranges.UnsatisfiableRangeError:
         assert not slices
         return
     if spans is not None:
@@ -47,7 +47,7 @@
         try:
             (span,) = ranges.read_ranges(header, size) or []
             assert span.size == len(expected) and span.end == size
-        except ranges.Unsatisfiable:
+        except ranges.UnsatisfiableRangeError:
             assert not expected
 
 
@@ -55,7 +55,7 @@
 def test_any_range_header_is_parsed_ignored_or_unsatisfiable(text: str) -> None:
     try:
         spans = ranges.read_ranges(text, 1000)
-    except ranges.Unsatisfiable:
+    except ranges.UnsatisfiableRangeError:
         return
     assert spans is None or all(0 <= span.first < span.end <= 1000 for span in spans)
 
@@ -64,7 +64,7 @@
 def test_no_target_names_a_path_outside_the_repositories(raw: bytes) -> None:
     try:
         path = read_target(b"/" + raw).path
-    except BadTarget as error:
+    except InvalidTargetError as error:
         assert 400 <= error.status < 500
         return
     segments = path.split("/")
@@ -73,7 +73,7 @@
 
 def test_an_absolute_target_is_accepted_only_for_served_hosts() -> None:
     assert read_target(b"http://repo.local/a/b?q", frozenset({"repo.local"})).path == "a/b"
-    with pytest.raises(BadTarget) as raised:
+    with pytest.raises(InvalidTargetError) as raised:
         read_target(b"http://repo.local/a", frozenset())
     assert raised.value.status == 421
     assert object_key("r", "a") != object_key("r2", "a") != object_key("r2", "b")
@@ -107,7 +107,7 @@
 def test_conditions_are_evaluated_in_the_order_of_the_rfc(
     headers: dict[str, str], method: str, expected: int
 ) -> None:
-    assert conditions.status(method, headers, KNOWN) == expected
+    assert conditions.evaluate_conditions(method, headers, KNOWN) == expected
 
 
 def test_if_range_requires_exactly_the_same_bytes() -> None:
@@ -127,7 +127,7 @@
     known = conditions.Validators("d1", 0, "t1")
     assert known.etag == '"d1.t1"' and conditions.range_applies({"if-range": '"d1.t1"'}, known)
     assert not conditions.range_applies({"if-range": '"d1.t2"'}, known)
-    assert conditions.status("GET", {"if-none-match": '"d1.t2"'}, known) == 304
+    assert conditions.evaluate_conditions("GET", {"if-none-match": '"d1.t2"'}, known) == 304
 
 
 # Generations
@@ -287,7 +287,7 @@
 
 
 def test_repeats_in_a_storm_of_failures_stay_within_the_budget() -> None:
-    budget = Budget()
+    budget = RepeatBudget()
     asked = repeats = 0
     for number in range(2000):
         file_budget = FileRepeatBudget()
@@ -296,22 +296,22 @@
             asked += 1
             while budget.try_repeat(file_budget, f"c{number % 50}", float(number)):
                 repeats += 1
-    assert repeats == budget.spent <= 50 + 0.1 * asked + 1 and budget.denied
+    assert repeats == budget.repeats_spent <= 50 + 0.1 * asked + 1 and budget.repeats_denied
 
 
 def test_one_client_cannot_spend_the_repeats_of_others() -> None:
-    budget = Budget()
+    budget = RepeatBudget()
     spent = sum(budget.try_repeat(FileRepeatBudget(), "greedy", 0.0) for _ in range(100))
     assert spent == 20 and budget.try_repeat(FileRepeatBudget(), "other", 0.0)
     assert budget.try_repeat(FileRepeatBudget(), "greedy", 1000.0)
-    many = Budget(tokens=1e9)
+    many = RepeatBudget(tokens=1e9)
     for number in range(3000):
         many.try_repeat(FileRepeatBudget(), f"c{number}", float(number * 100))
     assert len(many.clients) <= 1001
 
 
 def test_only_a_files_last_parts_are_hedged() -> None:
-    budget, file_budget = Budget(), FileRepeatBudget(10)
+    budget, file_budget = RepeatBudget(), FileRepeatBudget(10)
     assert not budget.try_hedge(9, 10, 500.0, file_budget, "c", 0.0), "no wait has been recorded yet"
     budget.record_wait(100.0)
     assert not budget.try_hedge(7, 10, 500.0, file_budget, "c", 0.0) and not budget.try_hedge(
@@ -329,8 +329,8 @@
         background_limit.record_foreground(in_time=False, now_ms=now)
         background_limit.adjust(0.0, now)
     assert background_limit.limit == MIN_PARTS
-    background_limit.open = MIN_PARTS
-    assert not background_limit.admits() and background_limit.refused == 1
+    background_limit.parts_in_flight = MIN_PARTS
+    assert not background_limit.admits() and background_limit.refusal_count == 1
     for _ in range(3000):
         now += 10.0
         background_limit.record_foreground(in_time=True, now_ms=now)
@@ -340,7 +340,7 @@
         now += 200.0
         background_limit.adjust(100.0, now)
     assert background_limit.limit == MIN_PARTS, "the lag of the event loop lowers the limit, too"
-    assert BackgroundLimit(on=False, open=10**6).admits()
+    assert BackgroundLimit(is_enabled=False, parts_in_flight=10**6).admits()
 
 
 def test_connections_are_bounded_in_total_and_by_address() -> None:
--- a/tests/store/test_store_disk.py
+++ b/tests/store/test_store_disk.py
@@ -13,23 +13,23 @@
 from hitchtiller.store import format as fmt
 from hitchtiller.store import recover
 from hitchtiller.store.compact import Compactor
-from hitchtiller.store.disk import Disk, Options
+from hitchtiller.store.disk import Disk, DiskOptions
 from hitchtiller.store.files import OsFiles
 from hitchtiller.store.health import OFF, READ_ONLY
-from hitchtiller.store.index import fingerprint
+from hitchtiller.store.index import hash_part
 from hitchtiller.store.jobs import InlineJobs
-from hitchtiller.store.space import Rate
+from hitchtiller.store.space import TokenBucket
 from hitchtiller.store.suspect import Proof
 from standins.crashpoints import Run, point
 from standins.files import Crash, SimFiles
 from standins.truth import make_body
 
-FAST = Rate(1e12, 1e12, 1e12)
+FAST = TokenBucket(1e12, 1e12, 1e12)
 
 
-def open_disk(files: SimFiles | OsFiles, now: float = START, options: Options = SMALL) -> Disk:
+def open_disk(files: SimFiles | OsFiles, now: float = START, options: DiskOptions = SMALL) -> Disk:
     found = recover.load(files)
-    proof = Proof(found.kept, 6000.0, 500.0)
+    proof = Proof(found.saved_proof, 6000.0, 500.0)
     disk = Disk(files, InlineJobs(), options, found, proof)
     proof.begin(now, 0.0)
     disk.mark_epoch()
@@ -57,12 +57,12 @@
     files = SimFiles()
     disk = open_disk(files)
     bodies = {key: put(disk, key) for key in range(60)}
-    disk.save()
+    disk.write_checkpoint()
     bodies |= {key: put(disk, key) for key in range(60, 70)}
     disk.sync()
     for use in (True, False):
         found = recover.load(files, use)
-        assert len(found.index) == 70 and found.scanned == (10 if use else 70)
+        assert len(found.index) == 70 and found.records_read == (10 if use else 70)
         assert sum(s.live for s in found.segments.values()) == sum(
             s.live for s in disk.space.segments.values()
         )
@@ -107,7 +107,7 @@
     del files.faults["sync"]
     disk.proof.follow(START + 60_000.0)
     disk.mark_followed()
-    assert not called and not disk.health.writes
+    assert not called and not disk.health.can_write
     reopened = open_disk(files, START + 61_000.0)
     assert reopened.proof.epoch == disk.proof.epoch + 1 and not reopened.proof.proven(
         1, START, START + 61_000.0
@@ -160,7 +160,7 @@
     node.durable, node.waiting = node.content(), []
     node.durable[64] ^= 1  # the outer head is no longer valid
     index = recover.load(files).index
-    assert not index.get(fingerprint(666, 0)) and index.get(fingerprint(2, 0))
+    assert not index.get(hash_part(666, 0)) and index.get(hash_part(2, 0))
 
 
 def test_compaction_copies_live_parts_and_never_replaces_a_newer_record() -> None:
@@ -168,7 +168,7 @@
     disk = open_disk(files)
     bodies = {key: put(disk, key) for key in range(28)}
     for key in range(20):
-        disk.forget(fingerprint(key, 0))
+        disk.forget(hash_part(key, 0))
     for key in (100, 101, 102):  # fills the first segment, which is then sealed
         put(disk, key)
     victim = disk.space.segments[1]
@@ -203,12 +203,12 @@
     disk = open_disk(files)
     for key in range(20):
         put(disk, key)
-    disk.save()
+    disk.write_checkpoint()
     disk.remove(disk.space.segments[1])
     reopened = open_disk(files)
     put(reopened, 77, 300)
     assert reopened.active and reopened.active.id == 2
-    assert recover.load(files).index.get(fingerprint(77, 0))
+    assert recover.load(files).index.get(hash_part(77, 0))
 
 
 def test_a_lost_log_makes_every_copy_suspect() -> None:
@@ -217,7 +217,7 @@
     put(disk, 1)
     disk.sync()
     epoch = disk.proof.epoch
-    files.remove(recover.LOG)
+    files.remove(recover.LOG_NAME)
     reopened = open_disk(files, START + 10.0)
     assert reopened.proof.epoch == epoch + 1 and get(reopened, 1) is not None
 
@@ -226,7 +226,7 @@
     """Guards against a crash after which the next start uses the same epoch while old records carry it."""
     files = SimFiles()
     found = recover.load(files)
-    disk = Disk(files, InlineJobs(), SMALL, found, Proof(found.kept, 6000.0))
+    disk = Disk(files, InlineJobs(), SMALL, found, Proof(found.saved_proof, 6000.0))
     disk.proof.begin(START, 0.0)
     assert not disk.put(part(1, epoch=disk.proof.epoch), b"x")
     disk.mark_epoch()
--- a/tests/store/test_store_tier.py
+++ b/tests/store/test_store_tier.py
@@ -101,7 +101,7 @@
     tiers.wait(50.0)
     tiers.purge()
     tiers.serve(tiers.sent()[0], since=START + 20.0)
-    assert exchange.over and not tiers.tier.memory.copies
+    assert exchange.is_over and not tiers.tier.memory.copies
     tiers.ask()
     assert len(tiers.sent()) == 1
 
@@ -134,7 +134,7 @@
 def test_a_waiter_takes_over_when_the_leaders_client_leaves(tiers: Tiers) -> None:
     leader = tiers.ask()
     tiers.ask()
-    tiers.engine.leave(leader)
+    tiers.engine.client_left(leader)
     assert len(tiers.sent()) == 1 and tiers.sent()[0].exchange.number == 2
     tiers.serve(tiers.sent()[0])
     assert kinds(tiers) == {2: SERVED}
@@ -226,7 +226,7 @@
     assert exchange.confirm_tag == "t1"
     tiers.wait(20.0)
     clearance = attempt.authorize(attempt)
-    assert clearance and clearance.cap_ms == pytest.approx(20.0)
+    assert clearance and clearance.max_age_ms == pytest.approx(20.0)
     tiers.keep(attempt, "t1", gap + 5.0)
     assert tiers.answers[2].body == b"x" * 100 and tiers.tier.confirmed == 1
     tiers.ask()
--- a/tests/store/tiers.py
+++ b/tests/store/tiers.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from conftest import BASE, FLEET
-from test_engine import Back, Later
+from test_engine import ManualClock, RecordingBackEnd
 
 from hitchtiller import interface as api
 from hitchtiller.decide import Router
@@ -13,7 +13,7 @@
 from hitchtiller.exchange import Answer, Attempt, AttemptResult, ClientRequest, Exchange
 from hitchtiller.news import ListedServer, PurgeNotice, Topology
 from hitchtiller.store import recover
-from hitchtiller.store.disk import Disk, Options
+from hitchtiller.store.disk import Disk, DiskOptions
 from hitchtiller.store.files import Files
 from hitchtiller.store.format import Part
 from hitchtiller.store.jobs import InlineJobs
@@ -25,7 +25,7 @@
 
 CLASSES = BASE.classes | {"brief": api.ClassSettings("brief", 300.0, 3000.0, fresh_ms=1000.0, grace_ms=500.0)}
 START = 1_000_000.0
-SMALL = Options(budget=400_000, segment_bytes=32_768, queue_bytes=1 << 20)
+SMALL = DiskOptions(budget=400_000, segment_bytes=32_768, queue_bytes=1 << 20)
 
 
 class Tiers:
@@ -34,12 +34,12 @@
     def __init__(
         self, memory: int = 1_000_000, link: float = 0.0, caught_up: bool = True, **changes: Any
     ) -> None:
-        self.clock, self.back = Later(), Back()
+        self.clock, self.back = ManualClock(), RecordingBackEnd()
         self.clock.now = START
         settings = replace(BASE, classes=CLASSES, siblings="none", purge_done_ms=6000.0, **changes)
         self.engine = Engine(Router(settings, 7), self.clock, self.back, lambda peer, note: None)
         members = tuple(ListedServer(m, ("127.0.0.1", 1)) for m in FLEET)
-        self.engine.news(Topology(members, whole=True))
+        self.engine.on_bus_event(Topology(members, whole=True))
         self.monotonic_drift_ms = 0.0  # of the monotonic clock against the wall clock
         self.proof = Proof(SavedProof(), 6000.0, 500.0)
         self.tier = Tier(
@@ -72,7 +72,7 @@
             assert number not in self.answers, "a second answer"
             self.answers[number] = answer
 
-        return self.engine.take(request, deliver)
+        return self.engine.accept(request, deliver)
 
     def sent(self) -> list[Attempt]:
         """Return the attempts that were sent to servers and have not ended."""
@@ -98,18 +98,18 @@
 
     def purge(self, key: int | None = 42, group: int = -1, at: float | None = None) -> None:
         """Deliver a purge to the engine."""
-        self.engine.news(PurgeNotice(key, group, self.clock.now if at is None else at))
+        self.engine.on_bus_event(PurgeNotice(key, group, self.clock.now if at is None else at))
 
     def wait(self, duration_ms: float) -> None:
         """Let time pass."""
-        self.clock.move(self.clock.now + duration_ms)
+        self.clock.advance_to(self.clock.now + duration_ms)
 
     def step(self, step_ms: float) -> None:
         """Let the wall clock step but not the monotonic clock."""
         self.clock.now += step_ms
         self.monotonic_drift_ms -= step_ms
 
-    def disk(self, files: Files | None = None, options: Options = SMALL) -> Disk:
+    def disk(self, files: Files | None = None, options: DiskOptions = SMALL) -> Disk:
         """Attach a disk tier with a folder."""
         files = files or SimFiles(random.Random(1))
         disk = Disk(files, InlineJobs(), options, recover.load(files), self.proof)
--- a/tests/test_back.py
+++ b/tests/test_back.py
@@ -8,10 +8,10 @@
 from hitchtiller.back import link as link_module
 from hitchtiller.back.link import Link
 from hitchtiller.back.upstreams import MAX_REASSIGNMENTS, Upstreams
-from hitchtiller.codec.resp import BadResp
+from hitchtiller.codec.resp import RespError
 from hitchtiller.interface import Member
 from hitchtiller.news import ListedServer, Topology
-from hitchtiller.sched import Closed, Scheduler
+from hitchtiller.sched import Scheduler, StreamClosed
 
 
 class Job:
@@ -24,10 +24,10 @@
     def command(self) -> bytes:
         return b"*1\r\n$1\r\nx\r\n"
 
-    def answered(self, reply: str, fields: dict[str, str], body: bytes) -> None:
+    def on_answer(self, reply: str, fields: dict[str, str], body: bytes) -> None:
         self.statuses.append(reply)
 
-    def broken(self, status: str) -> None:
+    def on_connection_end(self, status: str) -> None:
         self.statuses.append(status)
 
     def block_until(self, until_ms: float) -> None:
@@ -71,7 +71,7 @@
 
     def test_the_gateways_own_connection_limit_is_not_blamed_on_the_server(self) -> None:
         """The server was blamed although no connection to it was tried."""
-        self.back.most = 0
+        self.back.max_links = 0
         job = Job()
         self.pool.submit(job)
         self.assertEqual(job.statuses, ["skipped"])
@@ -88,21 +88,21 @@
         link = self.open_link(Job(due_ms=link_module.now_ms()))
         last_read_ms = link.last_read_ms
         link.check(last_read_ms + 300.0)
-        self.assertEqual((link.has_room(b"2"), link.stream.code), (False, ""))
+        self.assertEqual((link.has_room(b"2"), link.stream.close_code), (False, ""))
         link.check(last_read_ms + 500.0)
-        self.assertEqual(link.stream.code, "stuck")
+        self.assertEqual(link.stream.close_code, "stuck")
 
     def test_an_invalid_answer_fails_only_its_job_and_other_answers_still_arrive(self) -> None:
         """One such answer failed all jobs of its connection, 7 at once."""
         invalid, valid, unwritten = Job(b"1"), Job(b"2"), Job(b"3")
-        invalid.answered = mock.Mock(side_effect=BadResp("answer"))  # type: ignore[method-assign]
+        invalid.on_answer = mock.Mock(side_effect=RespError("answer"))  # type: ignore[method-assign]
         link = self.open_link(invalid, valid)
         link.submit(unwritten)
         link._handle_answer([b"1", b"DONE", b"-", b""])
         self.assertEqual((invalid.statuses, valid.statuses), (["econnreset"], []))
         self.assertFalse(link.has_room(b"4"))
         self.assertFalse(link.queue, "unwritten jobs are returned to the pool")
-        with self.assertRaises(Closed):
+        with self.assertRaises(StreamClosed):
             link._handle_answer([b"2", b"DONE", b"-", b""])
         self.assertEqual(valid.statuses, ["DONE"])
 
@@ -115,4 +115,4 @@
         link = self.open_link(Job())
         list(link.reader.feed(b"*4\r\n"))
         link.check(link.last_read_ms + 500.0)
-        self.assertEqual(link.stream.code, "stuck")
+        self.assertEqual(link.stream.close_code, "stuck")
