--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -8,14 +8,14 @@
 
 from hitchtiller import interface as api
 from hitchtiller.back.jobs import PullJob
-from hitchtiller.codec.resp import BadResp
+from hitchtiller.codec.resp import RespError
 from hitchtiller.decide import Router
 from hitchtiller.engine import Engine
 from hitchtiller.exchange import FAILED, REFUSED, SERVED, Answer, Attempt, AttemptResult, ClientRequest
 from hitchtiller.news import ListedServer, Topology
 
 
-class Later:
+class ManualClock:
     """A clock that only advances when told to."""
 
     def __init__(self) -> None:
@@ -24,21 +24,21 @@
     def now_ms(self) -> float:
         return self.now
 
-    def later(self, delay_ms: float, call: Callable[[], object]) -> "Later":
+    def later(self, delay_ms: float, call: Callable[[], object]) -> "ManualClock":
         self.calls.append((self.now + delay_ms, call))
         return self
 
     def cancel(self) -> None:
         pass
 
-    def move(self, to: float) -> None:
+    def advance_to(self, to: float) -> None:
         self.now = to
         due, self.calls = [c for c in self.calls if c[0] <= to], [c for c in self.calls if c[0] > to]
         for _, call in due:
             call()
 
 
-class Back:
+class RecordingBackEnd:
     """Records the attempts that are sent and cancelled."""
 
     def __init__(self) -> None:
@@ -59,16 +59,16 @@
 
 class EngineTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.clock, self.back, self.answers = Later(), Back(), list[Answer]()
+        self.clock, self.back, self.answers = ManualClock(), RecordingBackEnd(), list[Answer]()
         self.engine = Engine(Router(BASE, 7), self.clock, self.back, lambda peer, note: None)
         self.announce(*FLEET, whole=True)
 
     def announce(self, *members: api.Member, whole: bool = False) -> None:
-        self.engine.news(Topology(tuple(ListedServer(m, ("127.0.0.1", 1)) for m in members), whole))
+        self.engine.on_bus_event(Topology(tuple(ListedServer(m, ("127.0.0.1", 1)) for m in members), whole))
 
     def start_request(self, **more: Any) -> Attempt:
         request = ClientRequest("0" * 16, "small", "0" * 16, 42, self.clock.now + 900.0, size_kb=50.0, **more)
-        self.exchange = self.engine.take(request, self.answers.append)
+        self.exchange = self.engine.accept(request, self.answers.append)
         return self.back.sent[-1]
 
     def kinds(self) -> list[str]:
@@ -79,43 +79,43 @@
         attempt.end(AttemptResult("done", b"x"))
         attempt.end(AttemptResult("err"))
         self.assertEqual(self.kinds(), [SERVED])
-        self.assertFalse(self.engine.open)
+        self.assertFalse(self.engine.open_exchanges)
 
     def test_a_request_without_any_outcome_is_refused_at_its_deadline(self) -> None:
         self.start_request()
-        self.clock.move(1900.0)
+        self.clock.advance_to(1900.0)
         self.assertEqual(self.kinds(), [REFUSED])
         self.assertEqual(self.back.cancelled, self.back.sent)
 
     def test_an_exception_in_the_router_fails_only_the_request_concerned(self) -> None:
         first = self.start_request()
         handle, self.engine.router.handle = self.engine.router.handle, lambda *_: [][0]  # type: ignore[method-assign]
-        self.engine.take(first.exchange.request, self.answers.append)
+        self.engine.accept(first.exchange.request, self.answers.append)
         self.engine.router.handle = handle  # type: ignore[method-assign]
         first.end(AttemptResult("done"))
         self.assertEqual(self.kinds(), [FAILED, SERVED])
 
     def test_a_client_that_left_gets_no_answer_and_its_attempt_is_cancelled(self) -> None:
         attempt = self.start_request()
-        self.engine.leave(self.exchange)
+        self.engine.client_left(self.exchange)
         attempt.end(AttemptResult("done"))
         self.assertEqual((self.kinds(), self.back.cancelled), ([], [attempt]))
 
     def test_a_refused_connection_raises_the_failure_score(self) -> None:
         """When it was reported as never sent, unreachable machines were chosen again and again."""
         attempt = self.start_request()
-        PullJob(attempt).broken("econnrefused")
+        PullJob(attempt).on_connection_end("econnrefused")
         self.assertGreater(self.engine.router.nodes[attempt.get.server].failure_score, 0.0)
 
     def test_the_class_decides_whether_an_answer_needs_a_tag_and_a_time(self) -> None:
         """Each answer to a sign-off, an effect without a key, ended its connection and all attempts on it."""
         for write, dedupe in ((True, ""), (True, "5c0f")):
             attempt = self.start_request(write=write, dedupe=dedupe)
-            PullJob(attempt).answered("DONE", {}, b"x")
+            PullJob(attempt).on_answer("DONE", {}, b"x")
             self.assertEqual((self.answers[-1].kind, self.answers[-1].since_ms), (SERVED, 0))
         attempt = self.start_request(dedupe="5c0f")  # a copy has a tag and a time, with or without a key
-        with self.assertRaises(BadResp):
-            PullJob(attempt).answered("DONE", {}, b"x")
+        with self.assertRaises(RespError):
+            PullJob(attempt).on_answer("DONE", {}, b"x")
 
     def test_the_note_and_the_wait_of_an_answer_reach_the_router(self) -> None:
         """When they were not read, no source was ever cleared of suspicion in deployments that send notes."""
@@ -129,7 +129,7 @@
             ("x", "20", 10, 20.0),
             ("?", "-1", 0, 0),
         ):
-            PullJob(self.start_request()).answered(
+            PullJob(self.start_request()).on_answer(
                 "DONE", {"rev": "a", "since": "1", "why": why, "fill": fill}, b"x"
             )
             self.assertEqual((outcomes[-1].note, outcomes[-1].waited_ms), (note, waited))
@@ -153,9 +153,9 @@
     def test_the_age_bound_includes_a_purge_that_came_before_the_first_byte(self) -> None:
         attempt = self.start_request(group=3)
         limits = attempt.authorize(attempt)
-        assert limits and not limits.cap_ms
+        assert limits and not limits.max_age_ms
         self.engine.submit(api.Purged(42, -1, 100.0))
         self.clock.now += 50.0
         limits = attempt.authorize(attempt)
         assert limits
-        self.assertEqual(limits.cap_ms, 150.0)
+        self.assertEqual(limits.max_age_ms, 150.0)
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -11,11 +11,11 @@
 
 from conftest import BASE, FLEET
 from scenario import ROOT, answer, wait
-from test_engine import Back, Later
+from test_engine import ManualClock, RecordingBackEnd
 from test_sockets import Scenario
 
 from hitchtiller import interface as api
-from hitchtiller.__main__ import descriptors, room, shared
+from hitchtiller.__main__ import buffer_bytes, connection_limits, shared_folder
 from hitchtiller.codec import frames
 from hitchtiller.decide import Router
 from hitchtiller.engine import Engine
@@ -64,9 +64,9 @@
         for name in ("client", "client"):
             sched.spawn(order.append, name)
         sched.spawn(order.append, "operator", urgent=True)
-        sched.turn()
+        sched.run_once()
         self.assertEqual(order, ["operator", "client", "client"])
-        self.assertFalse(sched.urgent)
+        self.assertFalse(sched.urgent_tasks)
 
 
 class Drain(Scenario):
@@ -78,7 +78,8 @@
 
     def test_a_draining_gateway_is_not_ready_finishes_its_requests_and_keeps_listening(self) -> None:
         """A gateway that reported ready in a drain broke the limit on lost requests 4 s after the call."""
-        cache, name = self.opened(m="100000", d="5000")  # so large that a silent server is not suspected yet
+        # so large that a silent server is not suspected yet
+        cache, name = self.open_request(m="100000", d="5000")
         idle_client = self.gateway.client()
         self.assertEqual(self.gateway.call("drain"), ["+OK drained"])
         self.assertEqual(self.gateway.call("ready"), ["-ERR drained"])
@@ -93,7 +94,7 @@
         for _ in range(2):
             self.assertEqual(self.gateway.call("resume"), ["+OK serving"])
         self.check_readiness(frames.SERVED)
-        second_client = self.gateway.client().ask(1)
+        second_client = self.gateway.client().send_request(1)
         cache.send(answer(cache.expect_pull()[0], b"DONE", body=b"x"))
         second_client.expect_answer(1, frames.SERVED)
         for client in (idle_client, second_client):
@@ -102,7 +103,7 @@
     def test_a_late_request_during_a_drain_is_refused_and_its_connection_closed(self) -> None:
         self.gateway.call("drain")
         wait(1.8)
-        late_client = self.gateway.client().ask(1, i="f" * 16)
+        late_client = self.gateway.client().send_request(1, i="f" * 16)
         frame = late_client.expect(lambda got: got.kind != frames.GOING)
         self.assertEqual((frame.kind, frame.payload[0]), (frames.ANSWER, frames.REFUSED))
         late_client.sock.settimeout(1.5)
@@ -143,14 +144,14 @@
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.folder = Path(folder.name)
-        self.clock, self.back_end = Later(), Back()
+        self.clock, self.back_end = ManualClock(), RecordingBackEnd()
         self.engine = Engine(Router(BASE, 7), self.clock, self.back_end, lambda peer, note: None)
-        self.holdouts = HoldOuts(self.folder, self.engine.news, "origin")
+        self.holdouts = HoldOuts(self.folder, self.engine.on_bus_event, "origin")
         self.news(*FLEET, whole=True)
         self.member = FLEET[0]
 
     def news(self, *members: api.Member, whole: bool = False) -> None:
-        self.holdouts.news(Topology(tuple(ListedServer(m, ("127.0.0.1", 1)) for m in members), whole))
+        self.holdouts.on_bus_event(Topology(tuple(ListedServer(m, ("127.0.0.1", 1)) for m in members), whole))
 
     def state(self, server: str = "c0") -> str:
         return self.engine.router.nodes[server].member.state
@@ -159,7 +160,7 @@
         ask = ClientRequest(
             f"{number:016x}", "small", f"{number:016x}", number, self.clock.now + 900.0, size_kb=50.0
         )
-        self.engine.take(ask, lambda answer: None)
+        self.engine.accept(ask, lambda answer: None)
         return self.back_end.sent[-1]
 
     def test_a_hold_out_lasts_through_bus_events_until_it_is_ended(self) -> None:
@@ -179,14 +180,14 @@
             attempt = self.ask(100)
             self.holdouts.disable(getattr(attempt.get, name))
             self.assertIsNone(attempt.authorize(attempt))
-            self.engine.leave(attempt.exchange)
+            self.engine.client_left(attempt.exchange)
 
     def test_an_earlier_failure_score_does_not_outlast_a_hold_out(self) -> None:
         node = self.engine.router.nodes["c0"]
-        node.failure_score, node.ejected_until_ms, node.trial = 0.9, self.clock.now + 60_000.0, True
+        node.failure_score, node.ejected_until_ms, node.on_trial = 0.9, self.clock.now + 60_000.0, True
         self.holdouts.disable("c0")
         self.holdouts.enable("c0")
-        self.assertTrue(self.engine.router.usable(self.engine.router.nodes["c0"]))
+        self.assertTrue(self.engine.router.is_usable(self.engine.router.nodes["c0"]))
 
     def test_unknown_ids_and_the_origin_are_rejected_but_deleted_servers_are_not(self) -> None:
         for call in (self.holdouts.disable, self.holdouts.enable):
@@ -203,8 +204,8 @@
     def test_a_hold_out_is_stored_and_followed_by_other_processes(self) -> None:
         other = HoldOuts(self.folder, lambda event: None)
         self.holdouts.disable("c0")
-        self.assertEqual(HoldOuts(self.folder, lambda event: None).out, {"c0"})
-        other.news(Topology((ListedServer(self.member, ("127.0.0.1", 1)),), whole=True))
+        self.assertEqual(HoldOuts(self.folder, lambda event: None).held_out, {"c0"})
+        other.on_bus_event(Topology((ListedServer(self.member, ("127.0.0.1", 1)),), whole=True))
         other.disable("c0")  # it has not polled yet
         other.enable("c0")
         self.holdouts.reload()
@@ -215,7 +216,7 @@
         for text in ("{", "[]", '{"out": [1]}'):
             (self.folder / FILE_NAME).write_text(text)
             self.holdouts.reload()
-            self.assertEqual(self.holdouts.out, {"c0"})
+            self.assertEqual(self.holdouts.held_out, {"c0"})
         self.holdouts.folder = self.folder / "gone"
         with self.assertRaisesRegex(CallError, "kept"):
             self.holdouts.disable("c1")
@@ -230,7 +231,7 @@
 
     def test_known_traffic_gives_exact_statistics(self) -> None:
         """Requests refused before the decisions count too; those of clients that left do not."""
-        cache, name = self.opened()
+        cache, name = self.open_request()
         start = {f"{kind}.{cls}": "0|c" for kind in ANSWER_KINDS for cls in ("files", "charge")}
         levels = {"in_flight": "1|g", "station_caches_known": "3|g", "station_caches_excluded": "0|g"}
         self.assertEqual(
@@ -238,19 +239,19 @@
         )
         cache.send(answer(name, b"DONE", body=b"x"))
         self.client.expect_answer(1, frames.SERVED)
-        self.client.ask(2, m="soon").expect_answer(2, frames.FAILED)  # malformed
-        self.client.ask(1).expect_answer(1, frames.FAILED)  # its stream number was used before
-        self.client.ask(3, c="none").expect_answer(3, frames.FAILED)  # of an unknown class
-        self.client.ask(4, i="f" * 16)
+        self.client.send_request(2, m="soon").expect_answer(2, frames.FAILED)  # malformed
+        self.client.send_request(1).expect_answer(1, frames.FAILED)  # its stream number was used before
+        self.client.send_request(3, c="none").expect_answer(3, frames.FAILED)  # of an unknown class
+        self.client.send_request(4, i="f" * 16)
         cache.expect_pull()
         self.client.send(frames.head(frames.GIVE_UP, 4, 0))
         cache.expect(lambda got: got[0] == b"KILL")
-        self.client.ask(5, d="300")  # never answered by the cache
+        self.client.send_request(5, d="300")  # never answered by the cache
         self.client.expect(lambda got: got.stream == 5)
         self.gateway.call("disable-server s-00000001")
         self.gateway.call("drain")
         wait(1.8)
-        late_client = self.gateway.client().ask(1, i="e" * 16)  # refused by the front
+        late_client = self.gateway.client().send_request(1, i="e" * 16)  # refused by the front
         late_client.expect(lambda got: got.kind == frames.ANSWER)
         late_client.close()
         statistics = self.read_statistics()
@@ -300,46 +301,46 @@
     def test_the_descriptors_of_two_processes_fit_the_limit(self) -> None:
         """Each process used to hold a third for clients and the rest for servers: 540 descriptors of 384."""
         for limit in (256, 384, 1024):
-            old, new = descriptors(limit, True, False), descriptors(limit, True, True)
+            old, new = connection_limits(limit, True, False), connection_limits(limit, True, True)
             self.assertLessEqual(sum(old) + sum(new) + 2 * 24, limit)
-            self.assertLessEqual(max(old[0], new[0]), descriptors(limit, False, False)[0])
+            self.assertLessEqual(max(old[0], new[0]), connection_limits(limit, False, False)[0])
 
     def test_an_unwritable_shared_folder_does_not_prevent_serving(self) -> None:
         """The program used to exit with status 2."""
-        self.assertIsNone(shared("/nowhere/at/all"))
-        self.assertIsNone(shared(""))
-        self.assertEqual(shared(str(ROOT)), ROOT)
+        self.assertIsNone(shared_folder("/nowhere/at/all"))
+        self.assertIsNone(shared_folder(""))
+        self.assertEqual(shared_folder(str(ROOT)), ROOT)
 
     def test_the_buffers_of_two_processes_fit_the_memory_limit(self) -> None:
         for memory in (32.0, 80.0, 192.0):
-            alone, two = room(memory, two=False), room(memory, two=True)
+            alone, two = buffer_bytes(memory, two_processes=False), buffer_bytes(memory, two_processes=True)
             self.assertLessEqual(2 * two, alone)
             self.assertLessEqual(2 * (2 * two / 1e6 + 14.0), memory)  # half of the rest is for copies
 
 
 class VersionUpgrade(Scenario):
-    held = True
+    inherits_listener = True
 
     def start_upgrade(self, server: str = "cache") -> None:
         """Start a new version beside the old one, which has an open request."""
-        self.cache, self.name = self.opened(server=server, m="100000", d="5000")
+        self.cache, self.name = self.open_request(server=server, m="100000", d="5000")
         self.new = self.gateway.successor()
         self.addCleanup(self.new.kill)
 
     def complete_bus_backlog(self) -> None:
         """Let the bus tell the new version that its backlog is complete."""
         self.assertEqual(self.new.call("ready"), ["-ERR the event bus is not followed yet"])
-        self.new.told_all()
+        self.new.serve_bus_until_ready()
         self.gateway.expect_line("handed over")
 
     def test_a_new_version_takes_over_after_the_whole_bus_backlog(self) -> None:
         self.start_upgrade()
-        early_client = self.gateway.client().ask(1, i="e" * 16)
+        early_client = self.gateway.client().send_request(1, i="e" * 16)
         self.cache.expect_pull()  # from the old version: the new one does not accept yet
         self.complete_bus_backlog()
         for client in (self.client, early_client):
             client.expect(lambda got: got.kind == frames.GOING)
-        late_client = self.gateway.client().ask(1, i="f" * 16)
+        late_client = self.gateway.client().send_request(1, i="f" * 16)
         cache = self.gateway.server()
         cache.send(answer(cache.expect_pull()[0], b"DONE", body=b"y"))  # on a connection of the new version
         late_client.expect_answer(1, frames.SERVED, b"y")
@@ -358,14 +359,14 @@
         self.new.kill()
         self.gateway.expect_line("serving again")
         self.assertEqual(self.gateway.call("ready"), ["+OK ready"])
-        late_client = self.gateway.client().ask(1, i="f" * 16)
+        late_client = self.gateway.client().send_request(1, i="f" * 16)
         self.assertEqual(self.cache.expect_pull()[0], b"f" * 16)
         late_client.close()
 
     def test_sigterm_just_after_the_successor_is_ready_hands_over_first(self) -> None:
         """SIGTERM 10 ms after the successor was ready, before the next poll, let both accept for 0.45 s."""
         with tempfile.TemporaryDirectory() as name:
-            engine = Engine(Router(BASE, 7), Later(), Back(), lambda *_: None)
+            engine = Engine(Router(BASE, 7), ManualClock(), RecordingBackEnd(), lambda *_: None)
             front = Front(Scheduler(), engine, BASE, 4, 1000)
             self.addCleanup(front.listener.close)
             old = ProcessMarker(Path(name))
@@ -383,11 +384,11 @@
         self.assertRegex(self.gateway.call("disable-server s-00000000")[0], "^.OK")
         self.start_upgrade("parent")  # sent to the parent, as the zone has no other cache
         self.complete_bus_backlog()
-        late_client = self.gateway.client().ask(1, i="f" * 16)
+        late_client = self.gateway.client().send_request(1, i="f" * 16)
         self.gateway.server("parent").expect_pull()
         self.gateway.call("enable-server s-00000000")  # on the old version's control port
         self.new.expect_line("s-00000000 given back")
-        late_client.ask(2, i="e" * 16)
+        late_client.send_request(2, i="e" * 16)
         self.gateway.server().expect_pull()
         late_client.close()
 
@@ -399,7 +400,7 @@
         self.client.expect(lambda got: got.kind == frames.GOING)
         self.client.expect_answer(1, frames.SERVED, b"x")
         self.assertEqual(self.gateway.process.wait(10.0), 0)
-        late_client = self.gateway.client().ask(
+        late_client = self.gateway.client().send_request(
             1, i="f" * 16
         )  # the end of the old process did not shut down the shared listener
         self.gateway.server().expect_pull()
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -8,7 +8,7 @@
 from conftest import BASE, FLEET, Bench, gets
 
 from hitchtiller import interface as api
-from hitchtiller.decide import MAX_TABLE_ENTRIES, ORIGIN_FILLS
+from hitchtiller.decide import MAX_ORIGIN_FILLS, MAX_TABLE_ENTRIES
 from hitchtiller.routing.fills import MAX_SHARE
 
 POLICY = Path(__file__).parent.parent / "hitchtiller" / "decide.py"
@@ -67,16 +67,16 @@
 def test_siblings_by_location_are_only_those_of_the_same_zone(bench: Bench) -> None:
     bench = Bench(siblings="location")
     bench.give(api.PeerMessage(0, api.PeerNote("kept", 9, 0, "d0")), 1.0)
-    assert bench.router.candidate((9, 0), "z1", "c0") is None
-    assert bench.router.candidate((9, 0), "z2", "") is not None
+    assert bench.router.next_holder((9, 0), "z1", "c0") is None
+    assert bench.router.next_holder((9, 0), "z2", "") is not None
 
 
 def test_old_directory_entries_and_those_of_restarted_servers_are_dropped(bench: Bench) -> None:
     bench.give(api.PeerMessage(0, api.PeerNote("kept", 9, 0, "d0")), 1.0)
     bench.give(api.PeerMessage(0, api.PeerNote("kept", 8, 0, "c1")), 11_000.0)
-    assert bench.router.candidate((9, 0), "z1", "c0") is None
+    assert bench.router.next_holder((9, 0), "z1", "c0") is None
     bench.give(api.Members((replace(FLEET[1], started_ms=11_500.0),)), 11_500.0)
-    assert bench.router.candidate((8, 0), "z1", "c0") is None
+    assert bench.router.next_holder((8, 0), "z1", "c0") is None
 
 
 def test_a_directory_query_is_answered_with_one_note(bench: Bench) -> None:
@@ -96,7 +96,7 @@
     router = bench.router
     assert all(
         len(table) <= MAX_TABLE_ENTRIES
-        for table in (router.directory.entries, router.popularity.counts, router.reported)
+        for table in (router.directory.entries, router.popularity.counts, router.reported_copies)
     )
     assert not router.open_requests and not router.in_flight and not router.waiting_for_home
 
@@ -178,7 +178,7 @@
 
 def test_a_limited_source_gets_fewer_and_smaller_fills_and_look_ups_continue() -> None:
     bench = Bench(siblings="none")
-    mean = max(bench.router.mean.values())
+    mean = max(bench.router.mean_work_ms.values())
 
     def fills(share: float) -> int:
         count = 0
@@ -243,7 +243,7 @@
 def test_simultaneous_fills_at_the_origin_are_bounded() -> None:
     bench = Bench(parent_kind=None, siblings="none")
     attempts = [get for id in range(100) for get in gets(bench.ask(id, key=id, size_kb=1.0))]
-    assert 0 < sum(get.source == "o" for get in attempts) == ORIGIN_FILLS < 100
+    assert 0 < sum(get.source == "o" for get in attempts) == MAX_ORIGIN_FILLS < 100
 
 
 def test_load_estimate_gives_other_gateways_the_own_mean_and_counts_a_new_request_once() -> None:
@@ -270,7 +270,7 @@
         bench.give(api.Members((replace(FLEET[0], server=f"new-{number}", state="DELETED"),)))
     bench.give(api.Members(tuple(m for m in FLEET if m.server != get.server), whole=True))
     assert len(bench.router.nodes) == len(FLEET) - 1
-    assert bench.router.candidate((9, 0), "z1", "") is None
+    assert bench.router.next_holder((9, 0), "z1", "") is None
     bench.give(api.StreamBegun(1, 0, get.server))
     bench.give(api.PeerMessage(0, api.PeerNote("lacks", 9, 0, get.server)))
     bench.end(get, "econnreset")
@@ -298,7 +298,7 @@
     bench = Bench(cold_ms=0.0)
     bench.give(api.PeerMessage(0, api.PeerNote("kept", 8, 0, "c1")), 11_000.0)
     bench.give(api.Members((replace(FLEET[1], started_ms=11_500.0),)), 11_500.0)
-    assert bench.router.candidate((8, 0), "z1", "c0") is None
+    assert bench.router.next_holder((8, 0), "z1", "c0") is None
 
 
 def test_an_ageing_copy_is_renewed_in_the_background_and_grace_applies_where_no_fill_would_follow() -> None:
@@ -343,7 +343,7 @@
 def test_impossible_sizes_do_not_distort_the_mean_of_a_class(bench: Bench) -> None:
     for id in range(50):
         bench.ask(id, size_kb=1e6)
-    assert bench.router.mean["small"] <= 3000.0
+    assert bench.router.mean_work_ms["small"] <= 3000.0
 
 
 def test_a_first_reset_is_retried_at_the_same_cache_a_second_one_or_a_refusal_elsewhere(bench: Bench) -> None:
@@ -442,7 +442,7 @@
     (get,) = gets(bench.ask(1, key=1, name="big", size_kb=4000.0, life_ms=5000.0))
     (attempt,) = bench.router.in_flight.values()
     assert attempt.source.member.server == get.source and attempt.source.fill_limit.unlimited
-    bench.router.now = 4950.0
+    bench.router.now_ms = 4950.0
     bench.router.check_overdue(attempt)
     assert not attempt.source.fill_limit.unlimited
 
@@ -459,6 +459,6 @@
     (again,) = gets(bench.end(get, "econnrefused"))
     (attempt,) = bench.router.in_flight.values()
     assert again.source == attempt.source.member.server != attempt.node.member.server
-    bench.router.now = 4990.0
+    bench.router.now_ms = 4990.0
     bench.router.check_overdue(attempt)
     assert attempt.source.fill_limit.unlimited
