--- a/hitchtiller/ops/holdouts.py
+++ b/hitchtiller/ops/holdouts.py
@@ -33,7 +33,7 @@
         self.read_version: tuple[int, ...] = ()  # inode, time and size of the file that was read last
         self.reload()
         if self.held_out:
-            logger.info("held out before the start: {}", ", ".join(sorted(self.held_out)))
+            logger.info("held out since before: {}", ", ".join(sorted(self.held_out)))
 
     def on_bus_event(self, event: Event) -> None:
         """Handle an event of the bus and pass it on."""
--- a/hitchtiller/ops/upgrade.py
+++ b/hitchtiller/ops/upgrade.py
@@ -37,7 +37,7 @@
         if marker:
             self.other_processes = marker.find_others()
         if self.older_processes():
-            logger.info("taking over from {}", ", ".join(self.older_processes()))
+            logger.info("takes over from {}", ", ".join(self.older_processes()))
             front.accepting = False  # it has no list of servers yet, and the older process serves
             apply_limits(True, True)
 
--- a/hitchtiller/store/keeper.py
+++ b/hitchtiller/store/keeper.py
@@ -92,7 +92,7 @@
             start_s = time.monotonic()
             recovered = self._run_job(partial(recover.load, files))
         except (OSError, ValueError) as error:
-            logger.warning("cannot open the store folder {}: {}", self.folder, error)
+            logger.warning("store {} can't be opened: {}", self.folder, error)
             self._close_files()
             return FAILURE_RETRY_MS
         for note in recovered.notes:
--- a/hitchtiller/store/tier.py
+++ b/hitchtiller/store/tier.py
@@ -202,7 +202,7 @@
         now_ms = self.engine.clock.now_ms()
         if not self.proof.begun:
             self.proof.begin(now_ms, self.monotonic_clock())
-            self._on_epoch_change("the event bus is followed")
+            self._on_epoch_change("the bus is followed")
         self.check_clock(now_ms)
         self.proof.follow(now_ms)
         if self.disk:
@@ -211,12 +211,12 @@
     def check_clock(self, now_ms: float) -> None:
         """Detect a step of the wall clock; called before the age of any copy is judged."""
         if self.proof.check_clock_step(now_ms, self.monotonic_clock()):
-            self._on_epoch_change("the wall clock stepped")
+            self._on_epoch_change("the clock stepped")
 
     def _on_epoch_change(self, reason: str) -> None:
         if self.proof.epoch != self.epoch:
             self.epoch = self.proof.epoch
-            logger.warning("copies stored earlier are suspect, era {}: {}", self.epoch, reason)
+            logger.warning("copies from before are suspect, era {}: {}", self.epoch, reason)
             if self.disk:
                 self.disk.mark_epoch()
 
